--- a/cmd/chalk/jobs.go
+++ b/cmd/chalk/jobs.go
@@ -15,7 +15,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 
 	"github.com/chalkhub/chalkhub/client"
-	"github.com/chalkhub/chalkhub/internal/form"
+	"github.com/chalkhub/chalkhub/internal/schema"
 )
 
 //go:embed job.schema.json
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	f := defaults
-	if err := form.Compile("job.schema.json", jobSchema).Read(path, b, &f); err != nil {
+	if err := schema.Compile("job.schema.json", jobSchema).Read(path, b, &f); err != nil {
 		return nil, exit{exitMalformed, err}
 	}
 	return &f, nil
--- a/cmd/chalk/metrics.go
+++ b/cmd/chalk/metrics.go
@@ -14,8 +14,8 @@
 	"github.com/willabides/kongplete"
 
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/httpserver"
 	"github.com/chalkhub/chalkhub/internal/local"
-	"github.com/chalkhub/chalkhub/internal/serve"
 )
 
 type completionCmd struct {
@@ -172,5 +172,5 @@
 		ctx.Response.SetBodyRaw(b)
 	}}
 	logger().Info("serving figures", "at", "http://"+c.Listen+"/metrics")
-	return serve.Until(ctx, srv, l)
+	return httpserver.Until(ctx, srv, l)
 }
--- a/cmd/chalk/serve.go
+++ b/cmd/chalk/serve.go
@@ -17,14 +17,14 @@
 
 	"github.com/chalkhub/chalkhub/internal/agent"
 	"github.com/chalkhub/chalkhub/internal/agentd"
+	"github.com/chalkhub/chalkhub/internal/artifacts"
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/depot"
+	"github.com/chalkhub/chalkhub/internal/kvfile"
+	"github.com/chalkhub/chalkhub/internal/kvserver"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/local"
-	"github.com/chalkhub/chalkhub/internal/rent"
+	"github.com/chalkhub/chalkhub/internal/localcloud"
 	"github.com/chalkhub/chalkhub/internal/shim"
-	"github.com/chalkhub/chalkhub/internal/stated"
-	"github.com/chalkhub/chalkhub/internal/store"
-	"github.com/chalkhub/chalkhub/internal/vault"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -83,10 +83,10 @@
 	}
 	log := logger()
 	began := time.Now()
-	v, s, err := vault.Open(f.File)
-	if errors.Is(err, vault.ErrDamaged) {
+	v, s, err := kvfile.Open(f.File)
+	if errors.Is(err, kvfile.ErrDamaged) {
 		hint := "there is no snapshot that can be read"
-		if last, state := vault.LastGood(f.Snapshots); last != "" {
+		if last, state := kvfile.LastGood(f.Snapshots); last != "" {
 			hint = fmt.Sprintf("the last good snapshot is %s (revision %d): see `chalk state restore`, docs/state.md", last, state.Revision)
 		}
 		return fmt.Errorf("%w; %s", err, hint)
@@ -100,12 +100,12 @@
 		return err
 	}
 	log.Info("state read", "file", f.File, "revision", s.Revision, "keys", s.Len(), "took", time.Since(began))
-	srv := stated.New(stated.Settings{Limits: store.Limits{ValueKB: f.Limits.ValueKB, TxnOps: f.Limits.TxnOps},
+	srv := kvserver.New(kvserver.Settings{Limits: kvstore.Limits{ValueKB: f.Limits.ValueKB, TxnOps: f.Limits.TxnOps},
 		RPS: f.Limits.RPS, WriteRPS: f.Limits.WriteRPS, Batch: f.Batch}, s, v)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return srv.Serve(ctx, l) })
 	if f.Depot != "" {
-		d, err := depot.Open(f.Folder)
+		d, err := artifacts.Open(f.Folder)
 		if err != nil {
 			return err
 		}
@@ -126,7 +126,7 @@
 func wish(dir string) string { return filepath.Join(dir, ".wanted") }
 
 // snapshots takes a snapshot now and then, and whenever one is asked for.
-func snapshots(ctx context.Context, f *local.StateFile, v *vault.Vault, srv *stated.Server, log *slog.Logger) error {
+func snapshots(ctx context.Context, f *local.StateFile, v *kvfile.Vault, srv *kvserver.Server, log *slog.Logger) error {
 	last, at := uint64(0), time.Now()
 	for {
 		select {
@@ -148,7 +148,7 @@
 		}
 		last = s.Revision
 		if f.Keep > 0 {
-			if err := vault.Prune(f.Snapshots, f.Keep); err != nil {
+			if err := kvfile.Prune(f.Snapshots, f.Keep); err != nil {
 				log.Error("old snapshots stay", "error", err)
 			}
 		}
@@ -176,7 +176,7 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 		if _, err := os.Stat(wish(c.Folder)); os.IsNotExist(err) {
-			if list := vault.Snapshots(c.Folder); len(list) > 0 {
+			if list := kvfile.Snapshots(c.Folder); len(list) > 0 {
 				fmt.Println(list[0])
 				return nil
 			}
@@ -193,7 +193,7 @@
 
 // Run restores a snapshot.
 func (c *stateRestoreCmd) Run() error {
-	kept, s, err := vault.Restore(c.Snapshot, c.File)
+	kept, s, err := kvfile.Restore(c.Snapshot, c.File)
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 
 // Run verifies a file.
 func (c *stateVerifyCmd) Run() error {
-	s, err := vault.Verify(c.File)
+	s, err := kvfile.Verify(c.File)
 	if err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 		ctx, cancel = context.WithCancel(ctx)
 		go func() {
 			for s := bufio.NewScanner(os.Stdin); s.Scan(); {
-				var line rent.Line
+				var line localcloud.Line
 				if json.Unmarshal(s.Bytes(), &line) == nil && line.NoticeS > 0 {
 					d.Notice(config.Seconds(line.NoticeS))
 				}
@@ -303,7 +303,7 @@
 	if err != nil {
 		return err
 	}
-	start := func(m wire.Machine, t rent.Type, listener, alive *os.File) (*exec.Cmd, error) {
+	start := func(m wire.Machine, t localcloud.Type, listener, alive *os.File) (*exec.Cmd, error) {
 		dir := filepath.Join(f.Folder, "machines", m.Name)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
@@ -331,7 +331,7 @@
 	if err != nil {
 		return err
 	}
-	cloud, err := rent.Open(f.Rent, filepath.Join(f.Folder, "cloud.jsonl"), filepath.Join(f.Folder, "machines"), start, logger())
+	cloud, err := localcloud.Open(f.Rent, filepath.Join(f.Folder, "cloud.jsonl"), filepath.Join(f.Folder, "machines"), start, logger())
 	if err != nil {
 		return err
 	}
--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -26,8 +26,8 @@
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/engine"
+	"github.com/chalkhub/chalkhub/internal/kvclient"
 	"github.com/chalkhub/chalkhub/internal/peer"
-	"github.com/chalkhub/chalkhub/internal/state"
 	"github.com/chalkhub/chalkhub/internal/worker"
 )
 
@@ -126,7 +126,7 @@
 	}
 	links := peer.New(siblings, report/10, report, e.Post, status)
 	out := engine.Outside{
-		State:  state.New(set.External.State, time.Second, e.Clock),
+		State:  kvclient.New(set.External.State, time.Second, e.Clock),
 		Cloud:  cloud.New(set.External.Cloud),
 		Worker: worker.New(set.Site.Resources.MaxSockets/4, report),
 		Peer:   links,
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -25,9 +25,9 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/chalkhub/chalkhub/internal/agent"
-	"github.com/chalkhub/chalkhub/internal/depot"
+	"github.com/chalkhub/chalkhub/internal/artifacts"
+	"github.com/chalkhub/chalkhub/internal/httpserver"
 	"github.com/chalkhub/chalkhub/internal/rpc"
-	"github.com/chalkhub/chalkhub/internal/serve"
 	"github.com/chalkhub/chalkhub/internal/shim"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
@@ -123,7 +123,7 @@
 	srv := &fasthttp.Server{Handler: d.handle, Name: "chalk-agent", MaxRequestBodySize: wire.MaxBody, IdleTimeout: time.Minute,
 		ReadTimeout: time.Minute, WriteTimeout: 10 * time.Second, NoDefaultServerHeader: true, NoDefaultDate: true}
 	g.Go(func() error { return d.loop(ctx) })
-	g.Go(func() error { return serve.Until(ctx, srv, l) })
+	g.Go(func() error { return httpserver.Until(ctx, srv, l) })
 	return g.Wait()
 }
 
@@ -177,7 +177,7 @@
 	}
 	b, err := json.Marshal(&m)
 	if err == nil {
-		err = depot.Write(d.memory(), b, 0)
+		err = artifacts.Write(d.memory(), b, 0)
 	}
 	if err != nil {
 		return fmt.Errorf("the machine's session must be kept before it is told: %w", err)
@@ -476,7 +476,7 @@
 		}
 		st, err := f.Stat()
 		if err == nil && st.Size() != sent {
-			b := make([]byte, min(st.Size(), depot.MaxOutput))
+			b := make([]byte, min(st.Size(), artifacts.MaxOutput))
 			n, _ := f.ReadAt(b, st.Size()-int64(len(b))) // a file that shrank is sent shorter
 			if d.depot.Upload(r.job, r.index, r.key.Attempt, b[:n]) {
 				sent = st.Size()
@@ -487,7 +487,7 @@
 }
 
 func (d *Daemon) handle(ctx *fasthttp.RequestCtx) {
-	reply := func(status int, body any) { serve.Reply(ctx, status, body) }
+	reply := func(status int, body any) { httpserver.Reply(ctx, status, body) }
 	var event func(id int) any
 	switch path := string(ctx.Path()); {
 	case path == "/do" && ctx.IsPost():
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/chalkhub/chalkhub/internal/agent"
+	"github.com/chalkhub/chalkhub/internal/artifacts"
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/depot"
 	"github.com/chalkhub/chalkhub/internal/rpc"
 	"github.com/chalkhub/chalkhub/internal/shim"
 	"github.com/chalkhub/chalkhub/internal/wire"
@@ -36,7 +36,7 @@
 type machine struct {
 	t      *testing.T
 	addr   string
-	folder *depot.Folder
+	folder *artifacts.Folder
 	away   atomic.Bool // the controller answers 503
 	noDisk atomic.Bool // the depot keeps no results
 	call   *rpc.Client
@@ -59,7 +59,7 @@
 func boot(t *testing.T, leaseS float64) *machine {
 	t.Helper()
 	m := &machine{t: t, call: rpc.New(4, time.Second)}
-	folder, err := depot.Open(t.TempDir())
+	folder, err := artifacts.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/depot/depot.go
+++ b/internal/artifacts/depot.go
@@ -1,7 +1,7 @@
-// Package depot keeps what lies beside a job: its description, which users upload, its
+// Package artifacts keeps what lies beside a job: its description, which users upload, its
 // tasks' results and their output, which agents upload. It is a folder with HTTP round
 // it; every answered upload is durable.
-package depot
+package artifacts
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/chalkhub/chalkhub/internal/serve"
+	"github.com/chalkhub/chalkhub/internal/httpserver"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -244,11 +244,11 @@
 func (f *Folder) Serve(ctx context.Context, l net.Listener) error {
 	srv := &fasthttp.Server{Handler: f.handle, Name: "chalk-depot", MaxRequestBodySize: MaxOutput + 4096,
 		IdleTimeout: 2 * time.Minute, ReadTimeout: 2 * time.Minute, WriteTimeout: 10 * time.Second, NoDefaultServerHeader: true, NoDefaultDate: true}
-	return serve.Until(ctx, srv, l)
+	return httpserver.Until(ctx, srv, l)
 }
 
 func (f *Folder) handle(ctx *fasthttp.RequestCtx) {
-	reply := func(status int, body any) { serve.Reply(ctx, status, body) }
+	reply := func(status int, body any) { httpserver.Reply(ctx, status, body) }
 	fail := func(err error) {
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
--- a/internal/depot/depot_test.go
+++ b/internal/artifacts/depot_test.go
@@ -1,4 +1,4 @@
-package depot
+package artifacts
 
 import (
 	"context"
--- a/internal/guess/guess.go
+++ b/internal/calibration/guess.go
@@ -1,4 +1,4 @@
-// Package guess learns how much the owners' estimates tell apart jobs of one name. It is
+// Package calibration learns how much the owners' estimates tell apart jobs of one name. It is
 // pure.
 //
 // Predictions come from the history of a name, so all jobs of a name are predicted alike.
@@ -9,7 +9,7 @@
 // some days. The slope is drawn towards a half until history outweighs that (ridge
 // regression), which is about right for estimates that are off by as much as the lengths
 // themselves differ.
-package guess
+package calibration
 
 import "math"
 
--- a/internal/guess/guess_test.go
+++ b/internal/calibration/guess_test.go
@@ -1,4 +1,4 @@
-package guess
+package calibration
 
 import (
 	"math"
--- a/internal/core/archive.go
+++ b/internal/core/archive.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"github.com/chalkhub/chalkhub/internal/floor"
+	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -16,8 +16,8 @@
 	kindOf  map[kind]uint32
 	reasons []string
 	why     map[string]uint32
-	rules   floor.Rules
-	books   floor.Books // what was served, of each class of each team
+	rules   fairshare.Rules
+	books   fairshare.Books // what was served, of each class of each team
 }
 
 // ended is a job that is over.
@@ -37,7 +37,7 @@
 	cpus, gpus, mem            float64
 }
 
-func newArchive(rules floor.Rules) *archive {
+func newArchive(rules fairshare.Rules) *archive {
 	return &archive{rules: rules, jobs: map[string]ended{}, kindOf: map[kind]uint32{}, why: map[string]uint32{}}
 }
 
@@ -59,7 +59,7 @@
 		a.reasons = append(a.reasons, rec.Bad)
 	}
 	if was, known := a.jobs[s.ID]; rec.State == wire.JobDone && !(known && was.done) {
-		a.books.Done(floor.Account{Team: s.Team, Class: s.Class}, rec.At, &a.rules)
+		a.books.Done(fairshare.Account{Team: s.Team, Class: s.Class}, rec.At, &a.rules)
 	}
 	a.jobs[s.ID] = ended{version: version, at: seconds32(rec.At), over: seconds32(rec.Over), tasks: uint32(s.Tasks),
 		kind: n, reason: w, done: rec.State == wire.JobDone}
--- a/internal/core/behind.go
+++ b/internal/core/behind.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"github.com/chalkhub/chalkhub/internal/pipeline"
+	"github.com/chalkhub/chalkhub/internal/dag"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -106,17 +106,17 @@
 }
 
 // look says how a job stands, for the graph.
-func (l *ledger) look(id string) (pipeline.State, float64) {
+func (l *ledger) look(id string) (dag.State, float64) {
 	if e, ok := l.ended.jobs[id]; ok {
 		if e.done {
-			return pipeline.Done, float64(e.over)
+			return dag.Done, float64(e.over)
 		}
-		return pipeline.Aborted, 0
+		return dag.Aborted, 0
 	}
 	if j := l.jobs[id]; j != nil && j.version > 0 {
-		return pipeline.Open, 0
+		return dag.Open, 0
 	}
-	return pipeline.Unknown, 0
+	return dag.Unknown, 0
 }
 
 // settle takes what the graph has found out since: jobs that are ready, and those that
@@ -152,8 +152,8 @@
 		return
 	}
 	o.weighedAt = c.now.Steady
-	c.ledger.pipes.Weigh(func(id string) pipeline.Weight {
-		w := pipeline.Weight{Urgency: leastUrgent, Latest: math.Inf(1)}
+	c.ledger.pipes.Weigh(func(id string) dag.Weight {
+		w := dag.Weight{Urgency: leastUrgent, Latest: math.Inf(1)}
 		j := c.ledger.jobs[id]
 		if j == nil || j.version == 0 {
 			return w
--- a/internal/core/behind_test.go
+++ b/internal/core/behind_test.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // behind describes a job of n tasks that needs others.
-func behind(n int, needs ...*fake.Job) wire.Job {
-	spec := fake.Array(n)
+func behind(n int, needs ...*simulation.Job) wire.Job {
+	spec := simulation.Array(n)
 	for _, j := range needs {
 		spec.Needs = append(spec.Needs, j.Spec.ID)
 	}
@@ -22,7 +22,7 @@
 }
 
 // hand submits a job and waits until it is accepted.
-func (s *story) accept(spec wire.Job, run float64) *fake.Job {
+func (s *story) accept(spec wire.Job, run float64) *simulation.Job {
 	s.t.Helper()
 	j := s.Users.Submit(spec, run)
 	s.within(30*second, "a job is accepted", func() bool { return j.Accepted })
@@ -51,7 +51,7 @@
 	}
 }
 
-func told(state string, jobs ...*fake.Job) func() bool {
+func told(state string, jobs ...*simulation.Job) func() bool {
 	return func() bool {
 		for _, j := range jobs {
 			if j.Told != state {
@@ -63,11 +63,11 @@
 }
 
 // diamond submits a pipeline: one, two that need it, and one that needs both.
-func (s *story) diamond() []*fake.Job {
-	a := s.accept(fake.Array(3), 6)
+func (s *story) diamond() []*simulation.Job {
+	a := s.accept(simulation.Array(3), 6)
 	b := s.accept(behind(4, a), 5)
 	c := s.accept(behind(2, a, a), 9)
-	return []*fake.Job{a, b, c, s.accept(behind(1, b, c), 2)}
+	return []*simulation.Job{a, b, c, s.accept(behind(1, b, c), 2)}
 }
 
 func TestPipelineRunsInOrder(t *testing.T) {
@@ -86,7 +86,7 @@
 func TestCancellationReachesAllBehind(t *testing.T) {
 	s := begin(t, 301)
 	jobs := s.diamond()
-	other := s.accept(fake.Array(1), 300)
+	other := s.accept(simulation.Array(1), 300)
 	s.Users.Abort(jobs[0])
 	s.within(45*second, "all behind it are cancelled", told(wire.JobCancelled, jobs...))
 	late := s.accept(behind(2, other, jobs[3]), 1)
@@ -118,7 +118,7 @@
 	outcomes := map[string]int{}
 	for seed := range uint64(60) {
 		s := begin(t, 400+seed)
-		a := s.accept(fake.Array(1), 4)
+		a := s.accept(simulation.Array(1), 4)
 		b := s.accept(behind(1, a), 1)
 		s.Until(s.Now+60*second, func() bool { return a.Running() > 0 })
 		s.Run(s.Now + 4*second - 300*time.Millisecond + time.Duration(seed)*25*time.Millisecond)
@@ -139,16 +139,16 @@
 
 func TestWhatCanNeverBeDoneIsRefused(t *testing.T) {
 	s := begin(t, 303)
-	service := fake.Array(1)
+	service := simulation.Array(1)
 	service.Kind, service.EstimateS = wire.KindService, 0
 	up := s.accept(service, 1)
-	self := fake.Array(1)
+	self := simulation.Array(1)
 	self.ID, self.Needs = "job-777777", []string{"job-777777"}
-	stranger := fake.Array(1)
+	stranger := simulation.Array(1)
 	stranger.Needs = []string{"job-888888"}
 	s.refused(self, stranger, behind(1, up))
 	// A repeat is answered by what was accepted, whatever it names.
-	a := s.accept(fake.Array(1), 3)
+	a := s.accept(simulation.Array(1), 3)
 	b := s.accept(behind(1, a), 3)
 	b.Spec.Needs = []string{"job-888888"}
 	s.Users.Resubmit(b)
@@ -160,7 +160,7 @@
 // it were not there.
 func TestWaitingHoldsNothing(t *testing.T) {
 	s := begin(t, 304)
-	spec := fake.Array(24)
+	spec := simulation.Array(24)
 	spec.Team = "red"
 	first := s.accept(spec, 40) // its team's whole limit
 	for range 3 {
@@ -168,7 +168,7 @@
 		w.Team, w.Urgency = "red", wire.UrgencyProduction
 		s.accept(w, 5)
 	}
-	free := s.accept(fake.Array(8), 5) // team blue's guarantee
+	free := s.accept(simulation.Array(8), 5) // team blue's guarantee
 	s.within(60*second, "other work is done", told(wire.JobDone, free))
 	s.within(400*second, "and in the end all", s.Users.AllTold)
 }
@@ -178,9 +178,9 @@
 	done := func(urgent bool) time.Duration {
 		s := begin(t, 305)
 		for range 6 {
-			s.accept(fake.Array(40), 8)
+			s.accept(simulation.Array(40), 8)
 		}
-		spec := fake.Array(8)
+		spec := simulation.Array(8)
 		spec.Urgency, spec.Class = wire.UrgencyLow, "steps"
 		step := s.accept(spec, 8)
 		if urgent {
@@ -205,8 +205,8 @@
 		n.Crash(second / 20)
 	}
 	s.Run(s.Now + 30*second)
-	before := s.accept(fake.Array(30), 20)
-	var after *fake.Job
+	before := s.accept(simulation.Array(30), 20)
+	var after *simulation.Job
 	for k := range s.Nodes {
 		n := s.leader()
 		for i := k; !n.Old; i++ {
@@ -216,14 +216,14 @@
 		n.Crash(second / 5)
 		s.Run(s.Now + 8*second)
 		if k == 1 {
-			old := s.Nodes[slices.IndexFunc(s.Nodes, func(n *fake.Node) bool { return n.Old })]
-			s.Link("users", old.Label, fake.Refused) // it would take the job without its needs
+			old := s.Nodes[slices.IndexFunc(s.Nodes, func(n *simulation.Node) bool { return n.Old })]
+			s.Link("users", old.Label, simulation.Refused) // it would take the job without its needs
 			after = s.Users.Submit(behind(2, before), 3)
 			s.Run(s.Now + 6*second)
 			if after.Accepted {
 				t.Fatal("accepted while an old controller lives")
 			}
-			s.Link("users", old.Label, fake.Link{})
+			s.Link("users", old.Label, simulation.Link{})
 		}
 	}
 	s.within(200*second, "all is done", func() bool { return told(wire.JobDone, before)() && after.Told == wire.JobDone })
@@ -232,18 +232,18 @@
 // The limits of the state service fall without notice, to sizes that what is stored is
 // larger than.
 func TestLimitsFall(t *testing.T) {
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	set.Site.State = config.State{RPS: 200, WriteRPS: 40, ValueKB: 32, TxnOps: 20,
 		Next: &config.State{WriteRPS: 28, ValueKB: 2, TxnOps: 5}}
-	s := &story{World: fake.Build(307, set, fake.Types()), t: t}
+	s := &story{World: simulation.Build(307, set, simulation.Types()), t: t}
 	s.allOld()
 	for range 60 {
 		s.Cloud.Add("box", "a", false)
 	}
 	s.Run(s.Now + 20*second) // old controllers fill large values
-	var jobs []*fake.Job
+	var jobs []*simulation.Job
 	for k := range 80 {
-		spec := fake.Array(6)
+		spec := simulation.Array(6)
 		spec.Class = fmt.Sprintf("class-%d", k)
 		jobs = append(jobs, s.Users.Submit(spec, 10))
 	}
@@ -254,7 +254,7 @@
 		s.Run(s.Now + 5*second)
 	}
 	s.State.Lowered = true
-	huge := fake.Array(40_000)
+	huge := simulation.Array(40_000)
 	huge.Team, huge.CPUs = "blue", 0.01
 	big := s.accept(huge, 1)
 	for range 40 {
@@ -272,21 +272,21 @@
 // A list of needs that is larger than several values, while every controller ends again
 // and again: it is accepted once, whole, and nothing of the other tries is left.
 func TestLongListOfNeeds(t *testing.T) {
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	set.Site.State.Next = &config.State{ValueKB: 2, TxnOps: 5}
-	s := &story{World: fake.Build(308, set, fake.Types()), t: t}
+	s := &story{World: simulation.Build(308, set, simulation.Types()), t: t}
 	s.State.Lowered = true
 	s.Run(s.Now + 5*second)
-	var needs []*fake.Job
+	var needs []*simulation.Job
 	for k := range 700 {
-		spec := fake.Array(1)
+		spec := simulation.Array(1)
 		spec.ID = fmt.Sprintf("job-%018d", 7_919_000_003*(k+1)*(k+7)%1_000_000_007*1_000_003)
 		needs = append(needs, s.Users.Submit(spec, 2))
 	}
 	s.within(300*second, "all are accepted", func() bool {
-		return !slices.ContainsFunc(needs, func(j *fake.Job) bool { return !j.Accepted })
+		return !slices.ContainsFunc(needs, func(j *simulation.Job) bool { return !j.Accepted })
 	})
-	first := s.accept(fake.Array(1), 90)
+	first := s.accept(simulation.Array(1), 90)
 	last := s.Users.Submit(behind(2, append(needs, first)...), 3)
 	for k := range 6 {
 		s.Run(s.Now + 1500*time.Millisecond)
@@ -302,15 +302,15 @@
 // Progress of a job whose block is larger than a value, some of it written before the
 // limits fell.
 func TestProgressOfAHugeJob(t *testing.T) {
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	set.Site.State.Next = &config.State{ValueKB: 2, TxnOps: 5}
-	s := &story{World: fake.Build(309, set, fake.Types()), t: t}
+	s := &story{World: simulation.Build(309, set, simulation.Types()), t: t}
 	s.allOld()
 	for range 40 {
 		s.Cloud.Add("box", "a", false)
 	}
 	s.Run(s.Now + 10*second)
-	spec := fake.Array(18_000)
+	spec := simulation.Array(18_000)
 	spec.CPUs, spec.MemoryGB, spec.Class = 0.25, 0.1, "grains"
 	j := s.Users.Submit(spec, 4)
 	s.within(300*second, "a third is done and written", func() bool { return j.Answer.Done > 6000 })
@@ -330,11 +330,11 @@
 // A job whose description no longer fits into a value runs, in the zone that is chosen for
 // it, and ends.
 func TestDescriptionLargerThanAValue(t *testing.T) {
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	set.Site.State.Next = &config.State{ValueKB: 2}
-	s := &story{World: fake.Build(310, set, fake.Types()), t: t}
+	s := &story{World: simulation.Build(310, set, simulation.Types()), t: t}
 	s.Run(s.Now + 5*second)
-	wide := fake.Array(6)
+	wide := simulation.Array(6)
 	wide.OneZone, wide.Types = true, []string{"box"}
 	for k := range 200 {
 		wide.Types = append(wide.Types, fmt.Sprintf("a-type-of-another-cloud-%d", k))
@@ -370,14 +370,14 @@
 	s := begin(t, 311)
 	s.allOld()
 	s.Run(s.Now + 5*second)
-	first := s.accept(fake.Array(2), 60)
+	first := s.accept(simulation.Array(2), 60)
 	s.accept(behind(2, first), 5)
 	s.Run(s.Now + 60*second)
 	caught(s, "too_early")
 
 	// The record of a cancellation is lost, and everybody reads the state anew.
 	s = begin(t, 312)
-	first = s.accept(fake.Array(2), 600)
+	first = s.accept(simulation.Array(2), 600)
 	rest := s.accept(behind(2, first), 5)
 	s.Users.Abort(first)
 	s.within(60*second, "both are cancelled", told(wire.JobCancelled, first, rest))
@@ -390,7 +390,7 @@
 	s = begin(t, 313)
 	s.Set.Site.State.Next = &config.State{ValueKB: 0.25}
 	s.State.Lowered = true
-	s.Users.Submit(fake.Array(2), 5)
+	s.Users.Submit(simulation.Array(2), 5)
 	s.Run(s.Now + 20*second)
 	caught(s, "malformed")
 }
@@ -399,11 +399,11 @@
 // nothing, and go with it when its user gives up.
 func TestChainWhoseHeadFailsEverywhere(t *testing.T) {
 	s := begin(t, 314)
-	head := s.accept(fake.Array(4), 5)
+	head := s.accept(simulation.Array(4), 5)
 	head.Mistaken = true
-	rest := []*fake.Job{s.accept(behind(40, head), 5)}
+	rest := []*simulation.Job{s.accept(behind(40, head), 5)}
 	rest = append(rest, s.accept(behind(3, rest[0]), 5))
-	free := s.accept(fake.Array(8), 5)
+	free := s.accept(simulation.Array(8), 5)
 	s.within(100*second, "other work is done", told(wire.JobDone, free))
 	s.Run(s.Now + 60*second)
 	if why := rest[1].Answer.Reason; why != "waits for "+rest[0].Spec.ID {
@@ -416,14 +416,14 @@
 // A chain across teams, one of which is at its limit for long.
 func TestChainAcrossTeams(t *testing.T) {
 	s := begin(t, 315)
-	red := func(n int, needs ...*fake.Job) wire.Job {
+	red := func(n int, needs ...*simulation.Job) wire.Job {
 		spec := behind(n, needs...)
 		spec.Team = "red"
 		return spec
 	}
 	full := s.accept(red(24), 150)
 	s.within(60*second, "its team is at its limit", func() bool { return full.Running() == 24 })
-	a := s.accept(fake.Array(4), 4)
+	a := s.accept(simulation.Array(4), 4)
 	b := s.accept(red(4, a), 4)
 	c := s.accept(behind(4, b), 4)
 	s.within(60*second, "the first is done", told(wire.JobDone, a))
@@ -438,17 +438,17 @@
 // limits that fall during an outage, a wave of machines, and all end when half are new.
 func TestRollThroughTroubles(t *testing.T) {
 	for seed := range uint64(12) {
-		set := fake.Settings(4)
+		set := simulation.Settings(4)
 		set.Site.State.Next = &config.State{WriteRPS: 30, ValueKB: 2, TxnOps: 5}
-		s := &story{World: fake.Build(320+seed, set, fake.Types()), t: t}
+		s := &story{World: simulation.Build(320+seed, set, simulation.Types()), t: t}
 		s.allOld()
 		for range 30 {
 			s.Cloud.Add("box", "a", true)
 		}
 		s.Run(s.Now + 10*second)
-		var jobs []*fake.Job
+		var jobs []*simulation.Job
 		for range 8 {
-			jobs = append(jobs, s.Users.Submit(fake.Array(30), 12))
+			jobs = append(jobs, s.Users.Submit(simulation.Array(30), 12))
 		}
 		s.Run(s.Now + 10*second)
 		s.cutOff(25*second, s.Nodes[0].Label, "state")
@@ -472,7 +472,7 @@
 			}
 		}
 		s.Run(s.Now + 30*second)
-		jobs = append(jobs, s.Users.Submit(fake.Array(5), 4))
+		jobs = append(jobs, s.Users.Submit(simulation.Array(5), 4))
 		s.within(60*second, "it is accepted", func() bool { return jobs[8].Accepted })
 		jobs = append(jobs, s.Users.Submit(behind(5, jobs...), 4))
 		s.within(400*second, "all is done", told(wire.JobDone, jobs...))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/floor"
+	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -34,7 +34,7 @@
 	boot   string
 	times  times
 	debug  bool
-	floors floor.Rules
+	floors fairshare.Rules
 	guests map[string]bool // teams without a guarantee where others have one
 	labels []string        // of all controllers of the site, this one first
 
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
 // BenchmarkCosts says what single things cost a controller, by size of the fleet:
@@ -37,7 +37,7 @@
 		_ = us[what].RecordValue(min(max(took.Microseconds(), 1), 60_000_000)) // within bounds
 	}
 	due := false
-	s.Applied = func(_ *fake.Node, cmds []core.Command, took time.Duration) {
+	s.Applied = func(_ *simulation.Node, cmds []core.Command, took time.Duration) {
 		if due {
 			note("round", took)
 			due = false
@@ -77,7 +77,7 @@
 	}
 	var total, longest time.Duration
 	seen := false
-	s.Applied = func(n *fake.Node, _ []core.Command, took time.Duration) {
+	s.Applied = func(n *simulation.Node, _ []core.Command, took time.Duration) {
 		if n.Core.Leads() && !seen {
 			total += took
 			longest = max(longest, took)
@@ -108,7 +108,7 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				took, most := time.Duration(0), time.Duration(0)
-				s.Applied = func(x *fake.Node, _ []core.Command, d time.Duration) {
+				s.Applied = func(x *simulation.Node, _ []core.Command, d time.Duration) {
 					if x == nd {
 						took, most = took+d, max(most, d)
 					}
--- a/internal/core/estimator.go
+++ b/internal/core/estimator.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/guess"
+	"github.com/chalkhub/chalkhub/internal/calibration"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -42,16 +42,16 @@
 type estimator struct {
 	c       *Core
 	names   map[meanKey]*mean
-	memo    map[meanKey]float64    // predictions of this round, 0: nothing is known
-	fits    map[meanKey]*guess.Fit // what the owners' estimates have been worth
-	stale   bool                   // durations have come since
+	memo    map[meanKey]float64          // predictions of this round, 0: nothing is known
+	fits    map[meanKey]*calibration.Fit // what the owners' estimates have been worth
+	stale   bool                         // durations have come since
 	changed bool
 	saving  bool
 	savedAt time.Duration
 }
 
 func newEstimator(c *Core) *estimator {
-	return &estimator{c: c, names: map[meanKey]*mean{}, memo: map[meanKey]float64{}, fits: map[meanKey]*guess.Fit{}}
+	return &estimator{c: c, names: map[meanKey]*mean{}, memo: map[meanKey]float64{}, fits: map[meanKey]*calibration.Fit{}}
 }
 
 func (e *estimator) load() {
@@ -85,7 +85,7 @@
 		if len(e.fits) >= mostFits {
 			return // names that never come back teach nothing
 		}
-		e.fits[k] = &guess.Fit{}
+		e.fits[k] = &calibration.Fit{}
 	}
 	e.fits[k].Came(s.EstimateS)
 }
--- a/internal/core/floors_test.go
+++ b/internal/core/floors_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/fake"
-	"github.com/chalkhub/chalkhub/internal/floor"
+	"github.com/chalkhub/chalkhub/internal/fairshare"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -31,7 +31,7 @@
 // crowded begins a story of three controllers in which work comes for a while.
 func crowded(t testing.TB, seed uint64, till time.Duration, policy func(*config.Policy), set config.Settings, streams ...stream) *story {
 	t.Helper()
-	w := fake.Build(seed, set, fake.Types())
+	w := simulation.Build(seed, set, simulation.Types())
 	w.Policy.FloorLeases = 2.5 // a day of minutes shows as much as one of hours
 	if policy != nil {
 		policy(&w.Policy)
@@ -53,8 +53,8 @@
 	return s
 }
 
-func (s *story) hand(x stream) *fake.Job {
-	spec := fake.Array(x.tasks)
+func (s *story) hand(x stream) *simulation.Job {
+	spec := simulation.Array(x.tasks)
 	spec.Team, spec.Class, spec.Urgency, spec.CPUs, spec.EstimateS = x.team, x.class, x.urgency, x.cpus, x.run
 	spec.Image = "img-" + x.class
 	if x.change != nil {
@@ -88,9 +88,9 @@
 	}
 }
 
-func (s *story) share(team, class string) *fake.Share {
+func (s *story) share(team, class string) *simulation.Share {
 	s.t.Helper()
-	x := s.Users.Shares(s.Now - 2*s.patience())[floor.Account{Team: team, Class: class}]
+	x := s.Users.Shares(s.Now - 2*s.patience())[fairshare.Account{Team: team, Class: class}]
 	if x == nil {
 		s.t.Fatalf("no job of %s", class)
 	}
@@ -112,7 +112,7 @@
 	const day = 400 * second
 	none := func(p *config.Policy) { p.FloorShare = 0 }
 	for _, policy := range []func(*config.Policy){none, nil} {
-		s := crowded(t, 501, day, policy, fake.Settings(3), photos(), alerts(), reports())
+		s := crowded(t, 501, day, policy, simulation.Settings(3), photos(), alerts(), reports())
 		s.Run(day)
 		x := s.share("red", "reports")
 		if policy == nil {
@@ -131,7 +131,7 @@
 func TestFloorOutlivesLeaders(t *testing.T) {
 	t.Parallel()
 	const day = 450 * second
-	s := crowded(t, 502, day, nil, fake.Settings(3), photos(), alerts(), reports())
+	s := crowded(t, 502, day, nil, simulation.Settings(3), photos(), alerts(), reports())
 	for at := 30 * second; at < day; at += 15 * second {
 		s.At(at, func() {
 			for _, n := range s.Nodes {
@@ -154,7 +154,7 @@
 func TestFloorWhileALimitBindsForLong(t *testing.T) {
 	t.Parallel()
 	const day = 24 * time.Minute
-	s := crowded(t, 503, day, nil, fake.Settings(3), reports())
+	s := crowded(t, 503, day, nil, simulation.Settings(3), reports())
 	// For six minutes the reports are alone, and all served; then the rest comes.
 	for _, x := range []stream{photos(), alerts()} {
 		for at := 6 * time.Minute; at < day; at += x.every {
@@ -171,7 +171,7 @@
 func TestFloorInABurst(t *testing.T) {
 	t.Parallel()
 	const day = 520 * second
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	s := crowded(t, 504, 200*second, nil, set, photos(), alerts(), reports())
 	for _, x := range []stream{photos(), alerts(), reports()} {
 		for k := range 6 * int(60*second/x.every) {
@@ -186,7 +186,7 @@
 func TestFloorOfFortyTeams(t *testing.T) {
 	t.Parallel()
 	const day = 260 * second
-	set := fake.Settings(5)
+	set := simulation.Settings(5)
 	set.Site.Teams = nil
 	var streams []stream
 	for i := range 40 {
@@ -243,7 +243,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := crowded(t, 506, day, nil, fake.Settings(3), photos(), alerts(), reports())
+			s := crowded(t, 506, day, nil, simulation.Settings(3), photos(), alerts(), reports())
 			disturb(s)
 			s.Run(day)
 			s.rules()
@@ -273,7 +273,7 @@
 	}{{"machines are full", 60, 7, 3, 4 * second, large}, {"machines are full", 60, 7, 3, 4 * second, gang(14)},
 		{"the limit binds", 5, 4, 1, 7 * second, large}, {"the limit binds", 16, 8, 1, 3 * second / 2, gang(8)}} {
 		for _, share := range []float64{0, config.DefaultPolicy().FloorShare} {
-			set := fake.Settings(3)
+			set := simulation.Settings(3)
 			set.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
 			streams := []stream{c.x}
 			for i := range 4 { // some at a time, that end one by one
@@ -302,7 +302,7 @@
 func TestFloorInAFloodOfNames(t *testing.T) {
 	t.Parallel()
 	const day = 360 * second
-	s := crowded(t, 509, day, nil, fake.Settings(3), photos(), alerts(), reports())
+	s := crowded(t, 509, day, nil, simulation.Settings(3), photos(), alerts(), reports())
 	for k := range 80 {
 		s.At(time.Duration(10+4*k)*second, func() {
 			s.hand(stream{"red", fmt.Sprintf("once-%d", k), wire.UrgencyLow, 0, 2, 1, 10, nil})
@@ -319,7 +319,7 @@
 func TestTurnsAreGivenAsReason(t *testing.T) {
 	t.Parallel()
 	const day = 300 * second
-	s := crowded(t, 510, day, nil, fake.Settings(3), photos(), reports())
+	s := crowded(t, 510, day, nil, simulation.Settings(3), photos(), reports())
 	said := map[string]bool{}
 	for at := 5 * second; at < day; at += 3 * second {
 		s.At(at, func() {
@@ -344,9 +344,9 @@
 func TestLargestJobsBegin(t *testing.T) {
 	small := photos()
 	small.every, small.tasks = 4*second, 10 // more than the limit lets run
-	s := crowded(t, 2100, 300*second, func(p *config.Policy) { p.FloorLeases, p.BeginS = 5, 100 }, fake.Settings(3), small, alerts())
-	var large []*fake.Job
-	began := map[*fake.Job]time.Duration{}
+	s := crowded(t, 2100, 300*second, func(p *config.Policy) { p.FloorLeases, p.BeginS = 5, 100 }, simulation.Settings(3), small, alerts())
+	var large []*simulation.Job
+	began := map[*simulation.Job]time.Duration{}
 	for k := range 6 {
 		s.At(time.Duration(30+10*k)*second, func() {
 			x := small
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/floor"
+	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 	}
 	n := q.waiting()
 	over := o.overLimit(s, float64(n), p)
-	if over != "" && q.turn == floor.None {
+	if over != "" && q.turn == fairshare.None {
 		q.reason = over
 		return
 	}
--- a/internal/core/ledger.go
+++ b/internal/core/ledger.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/pipeline"
-	"github.com/chalkhub/chalkhub/internal/vigil"
+	"github.com/chalkhub/chalkhub/internal/dag"
+	"github.com/chalkhub/chalkhub/internal/degraded"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -97,13 +97,13 @@
 	loadSent time.Duration // when that left
 	loadAt   time.Duration // when the next page may be asked for
 
-	cancelled vigil.Log // of which this node may have told
+	cancelled degraded.Log // of which this node may have told
 
 	versions map[string]uint64 // of keys other than jobs
 	jobs     map[string]*job   // that are not over
 	ended    *archive
 	lots     *lots
-	pipes    *pipeline.Graph
+	pipes    *dag.Graph
 	derived  map[string]bool              // aborted because of another one, known from a lot alone
 	leavings map[string]bool              // keys of jobs that are over, to be deleted
 	pieces   map[string]map[string]string // of long records, by job and key
@@ -135,7 +135,7 @@
 func (l *ledger) reset() {
 	l.versions = map[string]uint64{}
 	l.jobs, l.ended = map[string]*job{}, newArchive(l.c.floors)
-	l.pipes, l.derived = pipeline.New(), map[string]bool{}
+	l.pipes, l.derived = dag.New(), map[string]bool{}
 	l.leavings, l.pieces = map[string]bool{}, map[string]map[string]string{}
 	clear(l.lots.known)
 	l.nodes = map[string]wire.NodeRecord{}
--- a/internal/core/links_test.go
+++ b/internal/core/links_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
 // Every subset of cut links of three controllers, and not only the fixed part:
@@ -88,9 +88,9 @@
 
 // playCuts plays a day on which the links are cut, and mended in two parts, the set's lower
 // links first or last.
-func playCuts(t testing.TB, c cutSet, how fake.Link, mode string, lowFirst bool) (d cutDay) {
+func playCuts(t testing.TB, c cutSet, how simulation.Link, mode string, lowFirst bool) (d cutDay) {
 	d.name = fmt.Sprintf("%s: %s, mended low first %v", mode, c, lowFirst)
-	w := fake.New(7, 3)
+	w := simulation.New(7, 3)
 	for i := range 12 {
 		w.Cloud.Add("box", []string{"a", "b"}[i%2], false)
 	}
@@ -103,7 +103,7 @@
 		}
 	}
 	ends = append(ends, "state", "workers")
-	set := func(part cutSet, l fake.Link) {
+	set := func(part cutSet, l simulation.Link) {
 		for i, x := range cutLinks {
 			if part>>(2*i)&1 != 0 {
 				s.Link(ends[x[0]], ends[x[1]], l)
@@ -116,7 +116,7 @@
 	const cut, mend, rest = 16 * time.Second, 80 * time.Second, 100 * time.Second
 	for at := 6 * second; at < rest; at += 2 * second {
 		s.At(at, func() {
-			j := fake.Array(2)
+			j := simulation.Array(2)
 			j.ImageGB, j.EstimateS = 0.1, 3
 			s.Users.Submit(j, 3)
 		})
@@ -138,9 +138,9 @@
 	s.Run(mend)
 	d.starts = s.Users.Starts - before
 	d.late = s.Users.Late
-	set(first, fake.Link{})
+	set(first, simulation.Link{})
 	s.Run(rest)
-	set(last, fake.Link{})
+	set(last, simulation.Link{})
 	if !s.Until(rest+150*second, s.Users.AllTold) {
 		d.wrong = "the work does not end"
 	}
@@ -189,7 +189,7 @@
 		sets = slices.DeleteFunc(sets, func(c cutSet) bool { return c.String() != *onlyCuts })
 	}
 	for _, c := range sets {
-		for mode, how := range map[string]fake.Link{"held": fake.Held, "dropped": fake.Dropped} {
+		for mode, how := range map[string]simulation.Link{"held": simulation.Held, "dropped": simulation.Dropped} {
 			for _, lowFirst := range []bool{true, false} {
 				if bits.OnesCount32(uint32(c)) <= 2 && !lowFirst && !*everyCut {
 					continue
@@ -236,20 +236,20 @@
 }
 
 // leadsBut reports whether another than n leads, whatever n itself believes.
-func (s *story) leadsBut(n *fake.Node) bool {
-	return slices.ContainsFunc(s.Nodes, func(x *fake.Node) bool { return x != n && x.Alive() && x.Core.Leads() })
+func (s *story) leadsBut(n *simulation.Node) bool {
+	return slices.ContainsFunc(s.Nodes, func(x *simulation.Node) bool { return x != n && x.Alive() && x.Core.Leads() })
 }
 
 // A leader whose requests arrive at the state service and whose answers do not lets its
 // lease end: its renewals kept its keys alive, and nobody led for as long as that lasted.
 func TestLeaderThatHearsNoAnswerLetsGo(t *testing.T) {
-	for seed, how := range []fake.Link{fake.Dropped, fake.Held} {
+	for seed, how := range []simulation.Link{simulation.Dropped, simulation.Held} {
 		s := busy(t, 400+uint64(seed), 10*second)
 		n := s.leader()
 		s.Link("state", n.Label, how)
 		s.within(40*second, "another leads", func() bool { return s.leadsBut(n) })
 		s.Run(s.Now + 30*second)
-		s.Link("state", n.Label, fake.Link{})
+		s.Link("state", n.Label, simulation.Link{})
 		s.within(200*second, "the work ends", s.Users.AllTold)
 		s.within(40*second, "it takes part again", func() bool { return n.Ready })
 	}
@@ -307,7 +307,7 @@
 		}
 		for _, x := range s.Nodes {
 			if x != n {
-				s.Between(n.Label, x.Label, fake.Refused)
+				s.Between(n.Label, x.Label, simulation.Refused)
 			}
 		}
 		s.within(6*second, "another leads", func() bool { return s.leadsBut(n) })
@@ -323,7 +323,7 @@
 // is not given any; once machines answer it, it is.
 func TestMemberThatComesBackWithoutMachinesIsGivenNone(t *testing.T) {
 	s := withBoxes(t, 430, 6)
-	s.Users.Submit(fake.Array(24), 100) // or the machines are returned meanwhile, and there are none to reach
+	s.Users.Submit(simulation.Array(24), 100) // or the machines are returned meanwhile, and there are none to reach
 	n := s.follower()
 	for _, end := range []string{"state", "workers", "node-0", "node-1", "node-2"} {
 		if end != n.Label {
@@ -366,14 +366,14 @@
 		s.Cloud.Add("box", "b", true)
 	}
 	for at := 10 * second; at < 90*second; at += second {
-		s.At(at, func() { s.Users.Submit(fake.Array(3), 5) })
+		s.At(at, func() { s.Users.Submit(simulation.Array(3), 5) })
 	}
 	s.Run(30 * second)
 	n := s.follower()
-	s.Link(n.Label, "workers", fake.Dropped)
+	s.Link(n.Label, "workers", simulation.Dropped)
 	s.within(13*second, "it leaves the map", func() bool { return s.said("leaving the map") })
 	s.Run(s.Now + 40*second)
-	s.Link(n.Label, "workers", fake.Link{})
+	s.Link(n.Label, "workers", simulation.Link{})
 	s.within(60*second, "it takes part again", func() bool { return s.said("joining again") })
 	s.within(200*second, "the work ends", s.Users.AllTold)
 }
@@ -391,7 +391,7 @@
 	nobody := time.Duration(0)
 	for range 200 {
 		s.Run(s.Now + second/10)
-		if !slices.ContainsFunc(s.Nodes, func(n *fake.Node) bool { return n.Ready }) {
+		if !slices.ContainsFunc(s.Nodes, func(n *simulation.Node) bool { return n.Ready }) {
 			nobody += second / 10
 		}
 	}
@@ -411,7 +411,7 @@
 	n := s.follower()
 	n.Zone = "b"
 	for at := s.Now; at < s.Now+100*second; at += second / 4 {
-		s.At(at, func() { s.Users.Submit(fake.Array(6), 5) })
+		s.At(at, func() { s.Users.Submit(simulation.Array(6), 5) })
 	}
 	s.Run(s.Now + 5*second)
 	s.CutZone("b", "", false)
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -17,22 +17,22 @@
 func (s *story) cancelS() time.Duration { return config.Seconds(s.Set.Site.Workers.CancelS) }
 
 // askedAt has a user ask a node to cancel a job, and hear nothing of its answer.
-func (s *story) askedAt(n *fake.Node, j *fake.Job) {
+func (s *story) askedAt(n *simulation.Node, j *simulation.Job) {
 	s.Users.Wants(j)
 	n.Ask(func(id core.RequestID) core.Command { return core.Abort{ID: id, Job: j.Spec.ID} }, func(core.Reply) {})
 }
 
 // third is the controller that neither leads nor is the follower of this story.
-func (s *story) third() *fake.Node {
-	i := slices.IndexFunc(s.Nodes, func(n *fake.Node) bool { return !n.Core.Leads() && n != s.follower() })
+func (s *story) third() *simulation.Node {
+	i := slices.IndexFunc(s.Nodes, func(n *simulation.Node) bool { return !n.Core.Leads() && n != s.follower() })
 	return s.Nodes[i]
 }
 
 // gap begins a story in which the state service refuses the leader alone, another controller
 // confirms a cancellation as tell has it, and then nobody is served for longer than cancel_s.
-func gap(t *testing.T, seed uint64, tell func(s *story, gone *fake.Job)) (s *story, long, gone *fake.Job) {
+func gap(t *testing.T, seed uint64, tell func(s *story, gone *simulation.Job)) (s *story, long, gone *simulation.Job) {
 	s = begin(t, seed)
-	long, gone = s.Users.Submit(fake.Array(12), 200), s.Users.Submit(fake.Array(6), 300)
+	long, gone = s.Users.Submit(simulation.Array(12), 200), s.Users.Submit(simulation.Array(6), 300)
 	s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
 	n := s.leader()
 	s.State.Refuses[n.Label] = true
@@ -51,17 +51,17 @@
 		s.Run(s.Now + second/2)
 		s.State.LateShare = 0
 	}
-	for name, tell := range map[string]func(*story, *fake.Job){
-		"by who wrote it": func(s *story, j *fake.Job) { s.Users.Abort(j) },
-		"by who got no answer to its write": func(s *story, j *fake.Job) {
+	for name, tell := range map[string]func(*story, *simulation.Job){
+		"by who wrote it": func(s *story, j *simulation.Job) { s.Users.Abort(j) },
+		"by who got no answer to its write": func(s *story, j *simulation.Job) {
 			unanswered(s, func() { s.Users.Abort(j) })
 		},
-		"by another whose mirror has it": func(s *story, j *fake.Job) {
+		"by another whose mirror has it": func(s *story, j *simulation.Job) {
 			unanswered(s, func() { s.askedAt(s.follower(), j) })
 			s.Users.Only = s.third()
 			s.Users.Abort(j)
 		},
-		"by a poll": func(s *story, j *fake.Job) {
+		"by a poll": func(s *story, j *simulation.Job) {
 			unanswered(s, func() { s.askedAt(s.follower(), j) })
 			s.Users.Only = s.third()
 		},
@@ -138,7 +138,7 @@
 }
 
 // others names all ends but one: the state service, and the other controllers.
-func (s *story) others(n *fake.Node) []string {
+func (s *story) others(n *simulation.Node) []string {
 	out := []string{"state"}
 	for _, x := range s.Nodes {
 		if x != n {
@@ -155,9 +155,9 @@
 	for seed := range uint64(4) {
 		s := begin(t, 1300+seed)
 		s.boxes(12) // on which each controller has some tasks
-		var jobs []*fake.Job
+		var jobs []*simulation.Job
 		for range 4 {
-			jobs = append(jobs, s.Users.Submit(fake.Array(12), 120))
+			jobs = append(jobs, s.Users.Submit(simulation.Array(12), 120))
 		}
 		s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 48 })
 		n := s.leader()
@@ -188,9 +188,9 @@
 	for seed := range uint64(6) {
 		s := busy(t, 1400+seed, 5*second)
 		s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.35, 2*second, 12*second
-		var jobs []*fake.Job
+		var jobs []*simulation.Job
 		for range 8 {
-			jobs = append(jobs, s.Users.Submit(fake.Array(5), 8))
+			jobs = append(jobs, s.Users.Submit(simulation.Array(5), 8))
 			s.Run(s.Now + 2*second)
 		}
 		s.Users.Abort(jobs[6])
@@ -215,9 +215,9 @@
 func TestTasksEndFarApartAcrossLeaders(t *testing.T) {
 	for seed := range uint64(4) {
 		s := begin(t, 1500+seed)
-		var jobs []*fake.Job
+		var jobs []*simulation.Job
 		for range 5 {
-			j := s.Users.Submit(fake.Array(3), 0)
+			j := s.Users.Submit(simulation.Array(3), 0)
 			j.RunsS = []float64{4, 20 + float64(seed), 45}
 			jobs = append(jobs, j)
 		}
@@ -249,10 +249,10 @@
 		for seed := range uint64(6) {
 			s := begin(t, 1600+seed)
 			s.boxes(16)
-			spec := fake.Array(24) // all that team red may use
+			spec := simulation.Array(24) // all that team red may use
 			spec.Team = team
 			s.Users.Submit(spec, 60)
-			gone := s.Users.Submit(fake.Array(16), 200)
+			gone := s.Users.Submit(simulation.Array(16), 200)
 			s.within(90*second, "all tasks run", func() bool { return s.Users.Running() == 40 })
 			leader, deaf := s.leader(), 0
 			for _, k := range s.Workers {
@@ -261,9 +261,9 @@
 				}
 				deaf++
 				for _, n := range s.Nodes {
-					link, back := fake.Dropped, fake.Link{}
+					link, back := simulation.Dropped, simulation.Link{}
 					if seed%2 == 1 {
-						link, back = fake.Held, fake.Held
+						link, back = simulation.Held, simulation.Held
 					}
 					s.Link(n.Label, k.Info.Name, link)
 					s.Link(k.Info.Name, n.Label, back)
@@ -276,7 +276,7 @@
 			s.Cloud.Out = true
 			leader.Crash(second / 5)
 			s.Run(s.Now + second) // what comes now waits for no machine to be seen
-			more := fake.Array(6)
+			more := simulation.Array(6)
 			more.Team = team
 			s.Users.Submit(more, 10)
 			s.Users.Abort(gone)
@@ -295,7 +295,7 @@
 		s.boxes(6)
 		s.Copies, s.CopyBy = 1, 32*second
 		for k := range 16 {
-			s.Users.Submit(fake.Array(8), float64(3+k%3*8))
+			s.Users.Submit(simulation.Array(8), float64(3+k%3*8))
 			s.Run(s.Now + 3*second)
 		}
 		s.Copies = 0
@@ -313,7 +313,7 @@
 		s.Copies, s.CopyBy = 1, 40*second
 		s.Run(s.Now + 10*second)
 		s.Copies = 0
-		j := s.Users.Submit(fake.Array(24), 60)
+		j := s.Users.Submit(simulation.Array(24), 60)
 		s.within(20*second, "all tasks run", func() bool { return j.Running() == 24 })
 		for i := range 24 {
 			for _, n := range s.Nodes {
@@ -334,11 +334,11 @@
 	for seed := range uint64(6) {
 		s := busy(t, 1800+seed, 8*second)
 		for _, n := range s.Nodes {
-			s.Link(n.Label, "workers", fake.Link{Hold: true, Period: time.Duration(2+seed) * second})
+			s.Link(n.Label, "workers", simulation.Link{Hold: true, Period: time.Duration(2+seed) * second})
 		}
-		var jobs []*fake.Job
+		var jobs []*simulation.Job
 		for k := range 8 {
-			jobs = append(jobs, s.Users.Submit(fake.Array(5), 30))
+			jobs = append(jobs, s.Users.Submit(simulation.Array(5), 30))
 			s.Run(s.Now + 3*second)
 			if k%2 == 1 {
 				s.Users.Abort(jobs[k-1])
@@ -347,7 +347,7 @@
 		s.leader().Crash(second)
 		s.Run(s.Now + s.cancelS())
 		for _, n := range s.Nodes {
-			s.Link(n.Label, "workers", fake.Link{})
+			s.Link(n.Label, "workers", simulation.Link{})
 		}
 		s.within(300*second, "the work is done", s.Users.AllTold)
 	}
@@ -358,9 +358,9 @@
 func TestSlowThenRefusedThenOut(t *testing.T) {
 	for seed := range uint64(4) {
 		s := busy(t, 1900+seed, 4*second)
-		var jobs []*fake.Job
+		var jobs []*simulation.Job
 		for range 4 {
-			jobs = append(jobs, s.Users.Submit(fake.Array(5), 90))
+			jobs = append(jobs, s.Users.Submit(simulation.Array(5), 90))
 		}
 		s.Run(s.Now + 15*second)
 		n := s.leader()
@@ -400,7 +400,7 @@
 			n.Crash(20 * second) // the later start is the one that counts
 		}
 		s.Nodes[(seed+1)%3].Start()
-		s.Users.Submit(fake.Array(6), 10)
+		s.Users.Submit(simulation.Array(6), 10)
 		s.Run(s.Now + 8*second)
 		for _, n := range s.Nodes {
 			if !n.Alive() {
@@ -414,7 +414,7 @@
 }
 
 // leaderSoon is the leader, once there is one.
-func (s *story) leaderSoon() *fake.Node {
+func (s *story) leaderSoon() *simulation.Node {
 	s.within(30*second, "somebody leads", func() bool { return s.leads() != nil })
 	return s.leader()
 }
@@ -425,12 +425,12 @@
 	for seed := range uint64(6) {
 		s := begin(t, 2200+seed)
 		s.boxes(16)
-		j := s.Users.Submit(fake.Array(64), 90)
+		j := s.Users.Submit(simulation.Array(64), 90)
 		s.within(90*second, "all tasks run", func() bool { return j.Running() == 64 })
 		s.Cloud.Out = true
 		for _, k := range s.SomeWorkers(6) {
 			for _, n := range s.Nodes {
-				s.Link(n.Label, k.Info.Name, fake.Dropped)
+				s.Link(n.Label, k.Info.Name, simulation.Dropped)
 			}
 		}
 		for _, n := range s.Nodes {
@@ -452,7 +452,7 @@
 // and with nothing else: no answer renews the lease of a machine and leaves such a task there.
 func TestEveryAnswerStopsWhatIsCancelled(t *testing.T) {
 	s := begin(t, 2300)
-	gone, stays := s.Users.Submit(fake.Array(4), 100), s.Users.Submit(fake.Array(4), 100)
+	gone, stays := s.Users.Submit(simulation.Array(4), 100), s.Users.Submit(simulation.Array(4), 100)
 	s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 8 })
 	k := s.Workers[gone.On(0)]
 	s.Users.Abort(gone)
@@ -478,12 +478,12 @@
 // before: the rounds may end, since a controller does, just when that is over.
 func TestWhatWasLearntOutlivesAnOldMirror(t *testing.T) {
 	for k := range 24 {
-		set := fake.Settings(3)
+		set := simulation.Settings(3)
 		set.Site.Workers.CancelS = 24 // little more than two spans and a lease
-		s := &story{World: fake.Build(2400, set, fake.Types()), t: t}
+		s := &story{World: simulation.Build(2400, set, simulation.Types()), t: t}
 		s.Run(2 * second)
 		s.boxes(12)
-		gone := s.Users.Submit(fake.Array(40), 100)
+		gone := s.Users.Submit(simulation.Array(40), 100)
 		s.within(60*second, "all tasks run", func() bool { return gone.Running() == 40 })
 		n, third := s.leader(), s.third()
 		s.State.Refuses[n.Label] = true
@@ -502,7 +502,7 @@
 	// reopened is a job that was done and that one node, with a slow way to the users, has
 	// queued again; forgets it altogether if that node has lost it.
 	reopened := func(s *story, forgets bool) {
-		j := s.Users.Submit(fake.Array(2), 3)
+		j := s.Users.Submit(simulation.Array(2), 3)
 		s.within(40*second, "it is done", told(wire.JobDone, j))
 		s.Run(s.Now + 4*second) // its lot is gone
 		if forgets {
@@ -513,28 +513,28 @@
 		n := s.follower()
 		n.Crash(second / 5)
 		s.Run(s.Now + 5*second)
-		s.Link(n.Label, "users", fake.Link{Delay: second})
+		s.Link(n.Label, "users", simulation.Link{Delay: second})
 		s.Users.Look(j) // the others' answers come first
 		s.Run(s.Now + 3*second)
 	}
 	for name, fault := range map[string]struct {
 		rule string
-		seed func(s *story, red *fake.Job)
+		seed func(s *story, red *simulation.Job)
 	}{
-		"nobody answers": {"forgotten", func(s *story, red *fake.Job) {
+		"nobody answers": {"forgotten", func(s *story, red *simulation.Job) {
 			s.Users.Calm = s.Now
 			for _, n := range s.Nodes {
 				s.Cut(n.Label, "users", false)
 			}
 			s.Run(s.Now + 90*second)
 		}},
-		"a start long after": {"ran_cancelled", func(s *story, red *fake.Job) {
+		"a start long after": {"ran_cancelled", func(s *story, red *simulation.Job) {
 			s.Users.Abort(red)
 			s.Run(s.Now + s.cancelS() + 10*second)
 			s.Workers[s.Cloud.Add("box", "b", true)].Force(wire.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 5*second)
 		}},
-		"a task goes on as its machine does": {"ran_cancelled", func(s *story, red *fake.Job) {
+		"a task goes on as its machine does": {"ran_cancelled", func(s *story, red *simulation.Job) {
 			s.Users.Abort(red)
 			s.Run(s.Now + s.cancelS() - 5*second)
 			k := s.Workers[s.Cloud.Add("box", "b", true)]
@@ -545,7 +545,7 @@
 			k.Hung = false
 			s.Run(s.Now + second)
 		}},
-		"a start after the word": {"late starts", func(s *story, red *fake.Job) {
+		"a start after the word": {"late starts", func(s *story, red *simulation.Job) {
 			s.Users.Abort(red)
 			s.within(10*second, "it is cancelled", told(wire.JobCancelled, red))
 			s.Workers[s.Cloud.Add("box", "b", true)].Force(wire.TaskName(red.Spec.ID, 3), 99)
@@ -553,9 +553,9 @@
 				s.Broken = append(s.Broken, "late starts: one")
 			}
 		}},
-		"past the limit": {"quota", func(s *story, red *fake.Job) {
+		"past the limit": {"quota", func(s *story, red *simulation.Job) {
 			s.boxes(8)
-			more := fake.Array(12)
+			more := simulation.Array(12)
 			more.Team = "red"
 			j := s.Users.Submit(more, 60)
 			for i, k := range s.SomeWorkers(8) {
@@ -563,18 +563,18 @@
 			}
 			s.Run(s.Now + 5*second)
 		}},
-		"an older word that comes last": {"went_back", func(s *story, red *fake.Job) { reopened(s, false) }},
-		"unknown at one node":           {"forgotten", func(s *story, red *fake.Job) { reopened(s, true) }},
-		"accepted though it can't run": {"wrongly_accepted", func(s *story, red *fake.Job) {
-			s.Users.Never(fake.Array(1))
+		"an older word that comes last": {"went_back", func(s *story, red *simulation.Job) { reopened(s, false) }},
+		"unknown at one node":           {"forgotten", func(s *story, red *simulation.Job) { reopened(s, true) }},
+		"accepted though it can't run": {"wrongly_accepted", func(s *story, red *simulation.Job) {
+			s.Users.Never(simulation.Array(1))
 			s.Run(s.Now + second)
 		}},
-		"room, and a limit that only the checker lifts": {"left_waiting", func(s *story, red *fake.Job) {
+		"room, and a limit that only the checker lifts": {"left_waiting", func(s *story, red *simulation.Job) {
 			s.Set.Site.Teams = []config.Team{{Name: "red", CPUsMax: 100}}
-			most := fake.Array(6) // of which each leaves a CPU of its machine
+			most := simulation.Array(6) // of which each leaves a CPU of its machine
 			most.CPUs = 3
 			s.Users.Submit(most, 300)
-			more := fake.Array(2)
+			more := simulation.Array(2)
 			more.Team = "red"
 			s.Users.Submit(more, 10)
 			s.Run(s.Now + 30*second)
@@ -584,7 +584,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := begin(t, 2500)
-			spec := fake.Array(24) // all that the team may use
+			spec := simulation.Array(24) // all that the team may use
 			spec.Team = "red"
 			spec.ImageGB = 0 // or it would be stopped before it has its image
 			red := s.Users.Submit(spec, 300)
@@ -601,7 +601,7 @@
 func TestTasksMetUnderWayAreNotTimed(t *testing.T) {
 	s := begin(t, 2600)
 	s.boxes(8)
-	j := s.Users.Submit(fake.Array(24), 40)
+	j := s.Users.Submit(simulation.Array(24), 40)
 	s.within(60*second, "all tasks run", func() bool { return j.Running() == 24 })
 	s.Run(s.Now + 30*second)
 	for _, n := range s.Nodes {
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/chalkhub/chalkhub/internal/reach"
+	"github.com/chalkhub/chalkhub/internal/stepdown"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 	readyNow  bool
 	target    string
 
-	helm     reach.Helm
+	helm     stepdown.Helm
 	empty    time.Duration // since when nobody leads
 	ledSince time.Duration // since when the leader key is ours
 	leading  bool
@@ -37,7 +37,7 @@
 }
 
 func newMembership(c *Core) *membership {
-	return &membership{c: c, target: "\x00", away: map[string]time.Duration{}, helm: reach.Helm{Span: c.times.lease}}
+	return &membership{c: c, target: "\x00", away: map[string]time.Duration{}, helm: stepdown.Helm{Span: c.times.lease}}
 }
 
 // entitled reports whether this node may answer workers and users act on it:
--- a/internal/core/outage.go
+++ b/internal/core/outage.go
@@ -4,7 +4,7 @@
 	"maps"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/vigil"
+	"github.com/chalkhub/chalkhub/internal/degraded"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -17,8 +17,8 @@
 type outage struct {
 	c       *Core
 	refused bool // the lease was not renewed last time
-	leader  vigil.Leader
-	member  vigil.Member
+	leader  degraded.Leader
+	member  degraded.Member
 	epoch   uint64                   // that these speak of
 	learnt  map[string]time.Duration // jobs that somebody was told are cancelled, and when we last learnt of it
 	holding bool                     // as was last said
@@ -55,7 +55,7 @@
 		return
 	}
 	if e := c.members.epoch(); e != u.epoch {
-		u.epoch, u.leader, u.member = e, vigil.Leader{}, vigil.Member{}
+		u.epoch, u.leader, u.member = e, degraded.Leader{}, degraded.Member{}
 	}
 	// Guards against forgetting them while this node is entitled by a mirror from before.
 	maps.DeleteFunc(u.learnt, func(_ string, learnt time.Duration) bool { return learnt < c.ledger.freshAt })
@@ -87,7 +87,7 @@
 }
 
 // asked answers the leader's question.
-func (u *outage) asked(epoch uint64, a *vigil.Ask) {
+func (u *outage) asked(epoch uint64, a *degraded.Ask) {
 	c := u.c
 	if !c.ledger.ready || epoch != u.epoch || epoch != c.members.epoch() {
 		return
@@ -99,15 +99,15 @@
 }
 
 // word is what this node says in a round.
-func (u *outage) word(a *vigil.Ask) vigil.Word {
+func (u *outage) word(a *degraded.Ask) degraded.Word {
 	l := u.c.ledger
-	w := vigil.Word{Round: a.Round, Epoch: u.epoch, Out: u.out(), Revision: l.revision, Loaded: l.loadRev, Mirrored: true}
+	w := degraded.Word{Round: a.Round, Epoch: u.epoch, Out: u.out(), Revision: l.revision, Loaded: l.loadRev, Mirrored: true}
 	w.Since, w.Cancelled = l.cancelled.Since(a.Since)
 	return w
 }
 
 // heard takes a controller's word.
-func (u *outage) heard(label string, w vigil.Word) {
+func (u *outage) heard(label string, w degraded.Word) {
 	u.leader.Hear(label, w, u.epoch, u.c.times.fresh, u.c.labels)
 	u.cancel(u.leader.Cancelled())
 }
--- a/internal/core/piles_test.go
+++ b/internal/core/piles_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -18,13 +18,13 @@
 // site begins a story with so many controllers, whose settings change may alter first.
 func site(t testing.TB, seed uint64, controllers int, change func(*config.Site)) *story {
 	t.Helper()
-	set := fake.Settings(controllers)
+	set := simulation.Settings(controllers)
 	if change != nil {
 		change(&set.Site)
 	}
-	s := &story{World: fake.Build(seed, set, fake.Types()), t: t}
+	s := &story{World: simulation.Build(seed, set, simulation.Types()), t: t}
 	s.within(20*second, "the nodes are ready", func() bool {
-		return !slices.ContainsFunc(s.Nodes, func(n *fake.Node) bool { return !n.Ready })
+		return !slices.ContainsFunc(s.Nodes, func(n *simulation.Node) bool { return !n.Ready })
 	})
 	return s
 }
@@ -43,14 +43,14 @@
 
 // full begins a story with twelve machines that are full: team red at its limit, a job that goes
 // on for a minute, and one that is to be cancelled.
-func full(t *testing.T, seed uint64, controllers int) (s *story, gone *fake.Job) {
+func full(t *testing.T, seed uint64, controllers int) (s *story, gone *simulation.Job) {
 	s = site(t, seed, controllers, nil)
 	s.boxes(12)
-	spec := fake.Array(24)
+	spec := simulation.Array(24)
 	spec.Team = "red"
 	s.Users.Submit(spec, 40)
-	s.Users.Submit(fake.Array(8), 60)
-	gone = s.Users.Submit(fake.Array(16), 200)
+	s.Users.Submit(simulation.Array(8), 60)
+	gone = s.Users.Submit(simulation.Array(16), 200)
 	s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 48 })
 	return
 }
@@ -80,10 +80,10 @@
 		s := site(t, seed, controllers, nil)
 		s.boxes(8)
 		s.Users.CloseLooks, s.Users.AtEnd = true, 0.3
-		kinds := []wire.Job{fake.Array(1), fake.Array(3), fake.Array(40), fake.Array(2), fake.Array(1)}
+		kinds := []wire.Job{simulation.Array(1), simulation.Array(3), simulation.Array(40), simulation.Array(2), simulation.Array(1)}
 		kinds[3].Types = []string{"box", "barn"}
 		kinds[4] = manyTypes(kinds[4]) // its description goes into pieces
-		var last *fake.Job
+		var last *simulation.Job
 		for k := range 24 {
 			spec := kinds[k%len(kinds)]
 			if k%6 == 5 && last != nil && last.Accepted {
@@ -91,7 +91,7 @@
 			}
 			j := s.Users.Submit(spec, float64(1+k%4))
 			for range 6 * (k % 3 / 2) { // some come many at a time, into lots
-				s.Users.Submit(fake.Array(1), 2)
+				s.Users.Submit(simulation.Array(1), 2)
 			}
 			last = j
 			switch k % 8 {
@@ -143,7 +143,7 @@
 
 // answersLost is such a day; it returns how many transactions were like that.
 func answersLost(t *testing.T, seed uint64, key string, late bool) int {
-	s := &story{World: fake.Build(seed, fake.Settings(3), fake.Types()), t: t}
+	s := &story{World: simulation.Build(seed, simulation.Settings(3), simulation.Types()), t: t}
 	s.State.LateOnly, s.State.LateShare = key, 1
 	if key == "" {
 		s.State.LateShare = 0.7
@@ -154,10 +154,10 @@
 	s.Users.CloseLooks = true
 	s.Run(s.Now + 15*second)
 	s.boxes(8)
-	head := s.Users.Submit(fake.Array(1), 80) // that others wait for
-	var jobs []*fake.Job
+	head := s.Users.Submit(simulation.Array(1), 80) // that others wait for
+	var jobs []*simulation.Job
 	for k := range 18 {
-		spec := fake.Array(1 + k%3*12)
+		spec := simulation.Array(1 + k%3*12)
 		spec.Team = []string{"blue", "red"}[k%2]
 		if k%5 == 4 && head.Accepted {
 			spec.Needs = []string{head.Spec.ID}
@@ -169,7 +169,7 @@
 		jobs = append(jobs, j)
 		if k%6 == 2 { // more than may have a write each
 			for n := range 48 {
-				one := fake.Array(1)
+				one := simulation.Array(1)
 				if n%2 == 0 && head.Accepted {
 					one.Needs = []string{head.Spec.ID}
 				}
@@ -203,19 +203,19 @@
 
 // atLimits has every team at its limit, machines full of their long tasks, as many free, and more jobs
 // waiting.
-func atLimits(t *testing.T, seed uint64, controllers int) (s *story, full, more []*fake.Job) {
+func atLimits(t *testing.T, seed uint64, controllers int) (s *story, full, more []*simulation.Job) {
 	s = site(t, seed, controllers, func(x *config.Site) {
 		x.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8, CPUsMax: 16}, {Name: "guest", CPUs: 4, CPUsMax: 16}}
 	})
 	s.boxes(24) // of which half stay free
 	for _, team := range []string{"red", "blue", "guest"} {
-		spec := fake.Array(8)
+		spec := simulation.Array(8)
 		spec.Team = team
 		full = append(full, s.Users.Submit(spec, 500), s.Users.Submit(spec, 500))
 	}
 	s.within(60*second, "all limits are reached", func() bool { return s.Users.Running() == 48 })
 	for _, team := range []string{"red", "blue", "guest"} {
-		spec := fake.Array(8)
+		spec := simulation.Array(8)
 		spec.Team = team
 		more = append(more, s.Users.Submit(spec, 20))
 	}
@@ -233,8 +233,8 @@
 				meet(t, 3200, 2, func(t *testing.T, k, controllers int, seed uint64) {
 					s, full, more := atLimits(t, seed, controllers)
 					s.Cloud.Out = true // or they would be deleted, which frees them at once
-					gone := []*fake.Job{full[0], full[2], full[4]}
-					trouble := func(m *fake.Worker) {
+					gone := []*simulation.Job{full[0], full[2], full[4]}
+					trouble := func(m *simulation.Worker) {
 						switch how {
 						case "cut":
 							for _, n := range s.Nodes {
@@ -243,7 +243,7 @@
 						case "mute":
 							m.Mute = true
 							for _, n := range s.Nodes { // nor is it reached
-								s.Link(n.Label, m.Info.Name, fake.Dropped)
+								s.Link(n.Label, m.Info.Name, simulation.Dropped)
 							}
 						default:
 							m.Hung = true
@@ -264,7 +264,7 @@
 						s.ends(second / 5)
 						s.Run(s.Now + second)
 						for _, j := range full { // what comes now waits for no machine to be seen
-							one := fake.Array(2)
+							one := simulation.Array(2)
 							one.Team = j.Spec.Team
 							more = append(more, s.Users.Submit(one, 5))
 						}
@@ -289,15 +289,15 @@
 }
 
 // handovers are the ways in which the work of one controller goes to others, and back.
-var handovers = map[string]func(s *story, giver *fake.Node){
-	"ends":             func(s *story, n *fake.Node) { n.Crash(30 * second) },
-	"is back at once":  func(s *story, n *fake.Node) { n.Crash(50 * time.Millisecond) },
-	"is back soon":     func(s *story, n *fake.Node) { n.Crash(3 * second) },
-	"stands still":     func(s *story, n *fake.Node) { n.StandStill(12 * second) },
-	"cut from all":     func(s *story, n *fake.Node) { s.cutOff(25*second, n.Label, append(s.others(n), "workers")...) },
-	"cut from workers": func(s *story, n *fake.Node) { s.cutOff(25*second, n.Label, "workers") },
-	"refused alone":    func(s *story, n *fake.Node) { s.State.Refuses[n.Label] = true },
-	"ends with another": func(s *story, n *fake.Node) {
+var handovers = map[string]func(s *story, giver *simulation.Node){
+	"ends":             func(s *story, n *simulation.Node) { n.Crash(30 * second) },
+	"is back at once":  func(s *story, n *simulation.Node) { n.Crash(50 * time.Millisecond) },
+	"is back soon":     func(s *story, n *simulation.Node) { n.Crash(3 * second) },
+	"stands still":     func(s *story, n *simulation.Node) { n.StandStill(12 * second) },
+	"cut from all":     func(s *story, n *simulation.Node) { s.cutOff(25*second, n.Label, append(s.others(n), "workers")...) },
+	"cut from workers": func(s *story, n *simulation.Node) { s.cutOff(25*second, n.Label, "workers") },
+	"refused alone":    func(s *story, n *simulation.Node) { s.State.Refuses[n.Label] = true },
+	"ends with another": func(s *story, n *simulation.Node) {
 		n.Crash(second)
 		s.Nodes[(slices.Index(s.Nodes, n)+1)%len(s.Nodes)].Crash(2 * second)
 	},
@@ -319,9 +319,9 @@
 						giver = s.follower()
 					}
 					change(s, giver)
-					var jobs []*fake.Job
+					var jobs []*simulation.Job
 					for k := range 60 { // each a tenth of a second after the one before
-						j := s.Users.Submit(fake.Array(2), 60)
+						j := s.Users.Submit(simulation.Array(2), 60)
 						jobs = append(jobs, j)
 						if seed == 1 && k%20 == 19 { // in a pile, with the leader's end
 							s.ends(second / 5)
@@ -374,7 +374,7 @@
 				lag(s)
 				for wave := range 4 {
 					for _, team := range []string{"red", "blue"} {
-						spec := fake.Array(12 + wave*4)
+						spec := simulation.Array(12 + wave*4)
 						spec.Team = team
 						s.Users.Submit(spec, float64(4+wave*5))
 					}
@@ -422,7 +422,7 @@
 			}
 		},
 		"while they are cut off": func(s *story) { // so that it is the first that anybody hears
-			busy := slices.DeleteFunc(s.SomeWorkers(64), func(m *fake.Worker) bool { return len(m.Tasks) == 0 })
+			busy := slices.DeleteFunc(s.SomeWorkers(64), func(m *simulation.Worker) bool { return len(m.Tasks) == 0 })
 			s.boxes(12)        // with room for all that they run
 			s.Cloud.Out = true // or they would be taken for dead, and deleted
 			for _, m := range busy {
@@ -446,9 +446,9 @@
 				s.KeepReports = true
 				s.Run(s.Now + 4*second) // one of each machine is kept
 				s.KeepReports = false
-				spec := fake.Array(24)
+				spec := simulation.Array(24)
 				spec.Team = "red" // all that it may use
-				red, blue := s.Users.Submit(spec, 60), s.Users.Submit(fake.Array(20), 60)
+				red, blue := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(20), 60)
 				s.within(30*second, "all tasks run", func() bool { return red.Running() == 24 && blue.Running() == 20 })
 				between(s)
 				running := red.Running() + s.Users.Done(red)
@@ -460,7 +460,7 @@
 						n.Crash(second / 5)
 					}
 				}
-				more := fake.Array(4)
+				more := simulation.Array(4)
 				more.Team = "red"
 				s.Users.Submit(more, 10)
 				s.within(35*second, "no machine is waited for", func() bool { return s.said("every machine has been seen") })
@@ -484,16 +484,16 @@
 		s.boxes(16)
 		s.Users.CloseLooks = k%2 == 0
 		s.At(s.Now+60*second, func() { s.State.Lowered = true })
-		var jobs, gone []*fake.Job
+		var jobs, gone []*simulation.Job
 		for n := range 4 * 150 {
-			j := s.Users.Submit(fake.Array(1), float64(3+n%5*3))
+			j := s.Users.Submit(simulation.Array(1), float64(3+n%5*3))
 			jobs = append(jobs, j)
 			if n%4 == 1 {
 				gone = append(gone, j)
 				s.After(time.Duration(n%7)*2*second, func() { s.Users.Abort(j) })
 			}
 			if n%100 == 50 {
-				s.Users.Submit(fake.Array(30), 10)
+				s.Users.Submit(simulation.Array(30), 10)
 			}
 			if n%200 == 150 {
 				s.ends(second / 5)
@@ -505,7 +505,7 @@
 			}
 		}
 		s.within(20*second, "cancellations are confirmed", func() bool {
-			return !slices.ContainsFunc(gone, func(j *fake.Job) bool { return j.Told != wire.JobCancelled && j.Told != wire.JobDone })
+			return !slices.ContainsFunc(gone, func(j *simulation.Job) bool { return j.Told != wire.JobCancelled && j.Told != wire.JobDone })
 		})
 		s.calm(120 * second)
 		if s.State.Refused > 1000 { // thousands, if each submission has a write of its own
@@ -522,11 +522,11 @@
 			meet(t, 3700, 3, func(t *testing.T, k, controllers int, seed uint64) {
 				s := site(t, seed, controllers, nil)
 				s.boxes(12)
-				s.Users.Submit(fake.Array(12), 90)
+				s.Users.Submit(simulation.Array(12), 90)
 				s.Users.CloseLooks, s.Users.AtEnd = true, 0.2
 				changes := 0
 				for k := range 10 {
-					j := s.Users.Submit(fake.Array(4), float64(5+k%3*20))
+					j := s.Users.Submit(simulation.Array(4), float64(5+k%3*20))
 					s.After(9*second, func() { s.Users.Abort(j) })
 					if outage && k == 4 {
 						s.State.Outage(40 * second)
@@ -556,9 +556,9 @@
 		s := begin(t, 3800+seed)
 		s.boxes(8)
 		s.Users.CloseLooks = true
-		var jobs []*fake.Job
+		var jobs []*simulation.Job
 		for k := range 20 {
-			j := s.Users.Submit(fake.Array(1+k%3), 5)
+			j := s.Users.Submit(simulation.Array(1+k%3), 5)
 			jobs = append(jobs, j)
 			if !s.Until(s.Now+40*second, func() bool { return s.Users.Done(j) == j.Spec.Tasks }) {
 				t.Fatal("it does not end")
@@ -590,9 +590,9 @@
 			s := site(t, seed, controllers, nil)
 			s.boxes(12)
 			s.Cloud.Out = k%2 == 0
-			spec := fake.Array(24)
+			spec := simulation.Array(24)
 			spec.Team = "red"
-			red, gone := s.Users.Submit(spec, 60), s.Users.Submit(fake.Array(16), 200)
+			red, gone := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(16), 200)
 			s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 40 })
 			for _, m := range s.SomeWorkers(7) {
 				m.Mute = true
@@ -621,9 +621,9 @@
 				s.Cloud.Add("box", "a", true)
 			}
 			s.boxes(6)
-			var jobs []*fake.Job
+			var jobs []*simulation.Job
 			for n := range 8 {
-				spec := fake.Array(6)
+				spec := simulation.Array(6)
 				switch n % 4 {
 				case 0:
 					spec.Zone = "b"
@@ -666,17 +666,17 @@
 		held := s.SomeWorkers(9)
 		for _, k := range held {
 			for _, n := range s.Nodes {
-				s.Link(k.Info.Name, n.Label, fake.Held) // what it sends is kept, what it is told arrives
+				s.Link(k.Info.Name, n.Label, simulation.Held) // what it sends is kept, what it is told arrives
 			}
 		}
 		s.Run(s.Now + second)
 		s.Users.Abort(gone)
 		s.ends(second / 5)
-		s.Users.Submit(fake.Array(12), 10)
+		s.Users.Submit(simulation.Array(12), 10)
 		s.Run(s.Now + time.Duration(2+k*6)*second) // from before it has acted to long after
 		for _, k := range held {
 			for _, n := range s.Nodes {
-				s.Link(k.Info.Name, n.Label, fake.Link{})
+				s.Link(k.Info.Name, n.Label, simulation.Link{})
 			}
 		}
 		s.Run(s.Now + s.cancelS())
@@ -692,12 +692,12 @@
 		s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 6, 0
 		s.boxes(6)
 		for i, n := range s.Nodes {
-			s.Between(n.Label, "workers", fake.Link{Delay: time.Duration(1+i%3) * second / 2})
+			s.Between(n.Label, "workers", simulation.Link{Delay: time.Duration(1+i%3) * second / 2})
 		}
 		s.PeerLatency = 400 * time.Millisecond
-		var urgent, idle []*fake.Job
+		var urgent, idle []*simulation.Job
 		for k := range 16 {
-			spec := fake.Array(12)
+			spec := simulation.Array(12)
 			spec.Class, spec.Urgency = "reports", wire.UrgencyLow
 			if k%2 == 0 {
 				spec.Class, spec.Urgency = "alerts", wire.UrgencyHigh
@@ -755,9 +755,9 @@
 		meet(t, 4400, 3, func(t *testing.T, k, controllers int, seed uint64) {
 			s := site(t, seed, controllers, nil)
 			s.boxes(12)
-			var jobs []*fake.Job
+			var jobs []*simulation.Job
 			for range controllers * 2 {
-				jobs = append(jobs, s.Users.Submit(fake.Array(4), 300))
+				jobs = append(jobs, s.Users.Submit(simulation.Array(4), 300))
 			}
 			s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == controllers*8 })
 			n, at := s.leader(), s.Now+second
@@ -796,11 +796,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			meet(t, 4500, 6, func(t *testing.T, k, controllers int, seed uint64) {
-				types := fake.Types()
+				types := simulation.Types()
 				types[0].Zones = []string{"a", "b", "c"}
 				types = append(types, types[0])
 				types[2].Name, types[2].Zones = "cask", []string{"a", "b"}
-				s := &story{World: fake.Build(seed, fake.Settings(controllers), types), t: t}
+				s := &story{World: simulation.Build(seed, simulation.Settings(controllers), types), t: t}
 				s.Run(3 * second)
 				for _, z := range []string{"a", "b", "c"} {
 					for _, typ := range []string{"box", "cask", "box"} {
@@ -810,12 +810,12 @@
 					}
 				}
 				s.Run(s.Now + 5*second)
-				spec := fake.Array(7)
+				spec := simulation.Array(7)
 				change(&spec)
 				j := s.Users.Submit(spec, 20)
 				s.within(30*second, "some tasks run", func() bool { return j.Running() > 2 })
 				if k%3 == 1 { // somebody reads the state service late
-					s.Link("state", s.Nodes[k%controllers].Label, fake.Link{Delay: 2 * second})
+					s.Link("state", s.Nodes[k%controllers].Label, simulation.Link{Delay: 2 * second})
 				}
 				at := slices.IndexFunc([]int{0, 1, 2, 3, 4, 5, 6}, func(i int) bool { return s.Workers[j.On((i+k)%7)] != nil })
 				lost := s.Workers[j.On((at+k)%7)].Info.Zone
@@ -854,7 +854,7 @@
 			s.Cloud.Add("box", z, true)
 		}
 		s.Run(s.Now + 4*second)
-		spec := fake.Array(14)
+		spec := simulation.Array(14)
 		spec.OneZone = true
 		j := s.Users.Submit(spec, 50)
 		s.within(30*second, "its zone is full", func() bool { return j.Running() == 8 })
@@ -874,7 +874,7 @@
 		s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 		first := s.Cloud.Add("box", "a", true)
 		s.Run(s.Now + 4*second)
-		spec := fake.Array(12)
+		spec := simulation.Array(12)
 		spec.OneZone = true
 		j := s.Users.Submit(spec, 40)
 		s.within(30*second, "its tasks run", func() bool { return j.Running() == 4 })
@@ -903,13 +903,13 @@
 			s.Cloud.Add("box", z, true)
 		}
 		s.Run(s.Now + 4*second)
-		urgent := fake.Array(12)
+		urgent := simulation.Array(12)
 		urgent.Class, urgent.Urgency, urgent.OneZone, urgent.CPUs = "alerts", wire.UrgencyHigh, true, 4
 		first := s.Users.Submit(urgent, 40)
 		s.within(30*second, "it has its zone", func() bool { return first.Running() == 2 })
-		var small []*fake.Job
+		var small []*simulation.Job
 		for range 8 {
-			spec := fake.Array(1)
+			spec := simulation.Array(1)
 			spec.Urgency = wire.UrgencyLow
 			small = append(small, s.Users.Submit(spec, 6))
 		}
@@ -927,7 +927,7 @@
 		s := begin(t, 4700+seed)
 		s.boxes(8)
 		s.Copies, s.CopyBy = 1, 60*second
-		j := s.Users.Submit(fake.Array(16), 300)
+		j := s.Users.Submit(simulation.Array(16), 300)
 		s.Run(s.Now + 60*second)
 		s.Cloud.Out = true // or it would be deleted, which settles it
 		s.Cloud.Remove(s.Workers[j.On(0)].Info.Name)
@@ -944,10 +944,10 @@
 	for seed := range uint64(3) {
 		s := begin(t, 4800+seed)
 		slow := s.follower()
-		s.Link("state", slow.Label, fake.Link{Delay: 6 * second / 10})
+		s.Link("state", slow.Label, simulation.Link{Delay: 6 * second / 10})
 		s.Run(s.Now + 5*second)
 		s.Users.Only = s.leader()
-		j := s.Users.Submit(fake.Array(2), 15)
+		j := s.Users.Submit(simulation.Array(2), 15)
 		s.within(10*second, "it is accepted", func() bool { return j.Accepted })
 		s.Users.Only = nil
 		again, answers := j.Spec, map[string]int{}
@@ -961,7 +961,7 @@
 				t.Fatalf("%s answers %d", n.Label, got)
 			}
 		}
-		s.Link("state", slow.Label, fake.Link{})
+		s.Link("state", slow.Label, simulation.Link{})
 		s.within(60*second, "it is done", s.Users.AllTold)
 	}
 }
@@ -973,11 +973,11 @@
 		s := begin(t, 4900+seed)
 		s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 		s.boxes(2)
-		bad := fake.Array(8)
+		bad := simulation.Array(8)
 		bad.Urgency = wire.UrgencyHigh
 		s.Users.Submit(bad, 5).Mistaken = true
 		s.Run(s.Now + 6*second)
-		j := s.Users.Submit(fake.Array(4), 5)
+		j := s.Users.Submit(simulation.Array(4), 5)
 		s.within(25*second, "the other job is done", told(wire.JobDone, j))
 	}
 }
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -62,16 +62,16 @@
 			for seed := range uint64(4) {
 				s := begin(t, 800+seed)
 				s.Copies, s.CopyBy = 0.3, 100*second
-				long := s.accept(fake.Array(12), 30)
+				long := s.accept(simulation.Array(12), 30)
 				next := s.accept(behind(6, long), 5)
-				cut := s.accept(fake.Array(10), 200)
+				cut := s.accept(simulation.Array(10), 200)
 				for range 3 {
-					s.Users.Submit(fake.Array(8), 6)
+					s.Users.Submit(simulation.Array(8), 6)
 				}
 				s.Run(s.Now + 20*second)
 				ends(s)
 				s.Users.Abort(cut)
-				s.Users.Submit(fake.Array(5), 4)
+				s.Users.Submit(simulation.Array(5), 4)
 				s.within(300*second, "all come to their end", s.Users.AllTold)
 				s.Run(s.Now + 100*second) // the last copies arrive
 				s.rules()
@@ -99,8 +99,8 @@
 			s.Run(s.Now + 10*second)
 		}
 		member, ended, epoch, given := s.follower(), false, uint64(0), map[string]uint64{}
-		s.Link(member.Label, "workers", fake.Link{Delay: 300 * time.Millisecond})
-		s.Applied = func(n *fake.Node, cmds []core.Command, _ time.Duration) {
+		s.Link(member.Label, "workers", simulation.Link{Delay: 300 * time.Millisecond})
+		s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 			for _, c := range cmds {
 				line, ok := c.(core.PeerLine)
 				if ok && ended && n != member && line.Message.Full && line.Message.Epoch == epoch {
@@ -120,17 +120,17 @@
 				}
 				if len(given) > 0 && !ended {
 					ended = true
-					s.Link(s.leader().Label, "state", fake.Link{Delay: second / 10}) // the next map takes its time
-					s.After(time.Millisecond/4, func() { n.Crash(second / 50) })     // before anybody hears of it
+					s.Link(s.leader().Label, "state", simulation.Link{Delay: second / 10}) // the next map takes its time
+					s.After(time.Millisecond/4, func() { n.Crash(second / 50) })           // before anybody hears of it
 				}
 			}
 		}
 		for range 8 {
-			s.Users.Submit(fake.Array(4), 10)
+			s.Users.Submit(simulation.Array(4), 10)
 		}
 		s.within(30*second, "the member ends", func() bool { return ended })
 		s.Run(s.Now + 5*second)
-		s.Link(member.Label, "workers", fake.Link{})
+		s.Link(member.Label, "workers", simulation.Link{})
 		s.within(200*second, "the work ends", s.Users.AllTold)
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
 // grown begins a story with n machines of 16 CPUs that are full, and as much
@@ -24,7 +24,7 @@
 		s.Cloud.Add("barn", zone, true)
 	}
 	for range n / 10 {
-		s.Users.Submit(fake.Array(16*10*2), 20+s.Rand.Float64()*20)
+		s.Users.Submit(simulation.Array(16*10*2), 20+s.Rand.Float64()*20)
 	}
 	s.within(90*second, "nearly every CPU is taken", func() bool { return s.Users.Running() >= n*15 })
 	return s
@@ -38,11 +38,11 @@
 			s := grown(b, 1, n)
 			b.ReportAllocs()
 			var own time.Duration
-			s.Applied = func(_ *fake.Node, _ []core.Command, took time.Duration) { own += took }
+			s.Applied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
 			b.ResetTimer()
 			defer func() { b.ReportMetric(own.Seconds()*1000/float64(b.N), "core-ms/op") }()
 			for range b.N {
-				s.Users.Submit(fake.Array(n/2), 30)
+				s.Users.Submit(simulation.Array(n/2), 30)
 				s.Run(s.Now + second)
 			}
 		})
@@ -55,16 +55,16 @@
 	for _, n := range []int{0, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := grown(b, 1, 1000)
-			first := fake.Array(1)
+			first := simulation.Array(1)
 			first.ID, first.CPUs = "job-900000000", 16
 			s.State.Behind(first, n)
 			s.Run(s.Now + 60*second) // the others read them anew: so many changes are not kept
 			var own time.Duration
-			s.Applied = func(_ *fake.Node, _ []core.Command, took time.Duration) { own += took }
+			s.Applied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
 			b.ResetTimer()
 			defer func() { b.ReportMetric(own.Seconds()*1000/float64(b.N), "core-ms/op") }()
 			for range b.N {
-				s.Users.Submit(fake.Array(500), 30)
+				s.Users.Submit(simulation.Array(500), 30)
 				s.Run(s.Now + second)
 			}
 		})
@@ -75,7 +75,7 @@
 // budget of many seconds, and all of them work soon.
 func TestRegisterTakesFewWrites(t *testing.T) {
 	s := begin(t, 33)
-	s.Users.Submit(fake.Array(3200), 60)
+	s.Users.Submit(simulation.Array(3200), 60)
 	s.Run(s.Now + 2*second)
 	before := s.State.Writes
 	for range 200 {
@@ -127,7 +127,7 @@
 // one read of the state service.
 func BenchmarkPoll(b *testing.B) {
 	s := begin(b, 1)
-	j := s.Users.Submit(fake.Array(4), 1e6)
+	j := s.Users.Submit(simulation.Array(4), 1e6)
 	s.within(30*second, "the job is accepted", func() bool { return j.Accepted })
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -169,7 +169,7 @@
 						s.Cloud.Add("box", []string{"a", "b"}[i%2], true)
 					}
 					for range 30 {
-						s.Users.Submit(fake.Array(100), 3+s.Rand.Float64()*3)
+						s.Users.Submit(simulation.Array(100), 3+s.Rand.Float64()*3)
 					}
 					s.Run(s.Now + 25*second)
 					end.ends(s, back)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -5,7 +5,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/chalkhub/chalkhub/internal/floor"
+	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -149,8 +149,8 @@
 		s.Unseen++
 	}
 	for i := range c.orch.floors {
-		if x := &c.orch.floors[i]; x.Turn != floor.None {
-			s.Turns = append(s.Turns, Turn{x.Team, x.Class, x.Served, x.Overdue, x.Turn == floor.Ahead})
+		if x := &c.orch.floors[i]; x.Turn != fairshare.None {
+			s.Turns = append(s.Turns, Turn{x.Team, x.Class, x.Served, x.Overdue, x.Turn == fairshare.Ahead})
 		}
 	}
 	for zone, since := range c.fleet.cuts {
--- a/internal/core/story_test.go
+++ b/internal/core/story_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -24,11 +24,11 @@
 	logLines  = flag.Int("loglines", 40, "how many log lines a story that fails shows")
 )
 
-func init() { flag.BoolVar(&fake.Debug, "debuglogs", false, "stories log at level debug") }
+func init() { flag.BoolVar(&simulation.Debug, "debuglogs", false, "stories log at level debug") }
 
 // story runs a world and fails on any broken rule.
 type story struct {
-	*fake.World
+	*simulation.World
 	t tb
 }
 
@@ -42,7 +42,7 @@
 
 func begin(t testing.TB, seed uint64) *story {
 	t.Helper()
-	s := &story{World: fake.New(seed, 3), t: t}
+	s := &story{World: simulation.New(seed, 3), t: t}
 	if !s.Until(20*second, func() bool {
 		for _, n := range s.Nodes {
 			if !n.Ready {
@@ -61,7 +61,7 @@
 	t.Helper()
 	s := begin(t, seed)
 	for range 3 {
-		s.Users.Submit(fake.Array(12), 15)
+		s.Users.Submit(simulation.Array(12), 15)
 	}
 	s.Run(s.Now + d)
 	return s
@@ -106,7 +106,7 @@
 }
 
 // leads is the node that leads, nil if none does.
-func (s *story) leads() *fake.Node {
+func (s *story) leads() *simulation.Node {
 	for _, n := range s.Nodes {
 		if n.Alive() && n.Core.Leads() {
 			return n
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (s *story) leader() *fake.Node {
+func (s *story) leader() *simulation.Node {
 	n := s.leads()
 	if n == nil {
 		s.t.Fatal("no leader")
@@ -123,7 +123,7 @@
 	return n
 }
 
-func (s *story) follower() *fake.Node {
+func (s *story) follower() *simulation.Node {
 	for _, n := range s.Nodes {
 		if n.Alive() && !n.Core.Leads() {
 			return n
@@ -136,7 +136,7 @@
 func TestQuietDay(t *testing.T) {
 	s := begin(t, 1)
 	for range 4 {
-		s.Users.Submit(fake.Array(10), 8)
+		s.Users.Submit(simulation.Array(10), 8)
 	}
 	s.within(120*second, "every job is done and its user knows", s.Users.AllTold)
 	// Idle machines go back in the end.
@@ -147,7 +147,7 @@
 // other story asserts nothing.
 func TestCheckerCatchesATaskThatRunsTwice(t *testing.T) {
 	s := begin(t, 2)
-	j := s.Users.Submit(fake.Array(1), 60)
+	j := s.Users.Submit(simulation.Array(1), 60)
 	s.within(60*second, "the task runs", func() bool { return j.Running() == 1 })
 	other := s.Cloud.Add("box", "b", false)
 	s.Workers[other].Force(wire.TaskName(j.Spec.ID, 0), 99)
@@ -159,7 +159,7 @@
 
 func TestLeaderCrash(t *testing.T) {
 	s := begin(t, 3)
-	a, b := s.Users.Submit(fake.Array(12), 20), s.Users.Submit(fake.Array(12), 20)
+	a, b := s.Users.Submit(simulation.Array(12), 20), s.Users.Submit(simulation.Array(12), 20)
 	s.within(60*second, "tasks run", func() bool { return a.Running()+b.Running() > 6 })
 	s.leader().Crash(8 * second)
 	s.within(120*second, "the work goes on", s.Users.AllTold)
@@ -168,7 +168,7 @@
 func TestEveryControllerCrashes(t *testing.T) {
 	s := begin(t, 4)
 	for range 3 {
-		s.Users.Submit(fake.Array(12), 15)
+		s.Users.Submit(simulation.Array(12), 15)
 	}
 	s.Run(s.Now + 25*second)
 	for _, n := range s.Nodes {
@@ -180,7 +180,7 @@
 func TestRollingRestart(t *testing.T) {
 	s := begin(t, 5)
 	for range 4 {
-		s.Users.Submit(fake.Array(15), 12)
+		s.Users.Submit(simulation.Array(15), 12)
 	}
 	for i, n := range s.Nodes {
 		s.After(time.Duration(10+15*i)*second, func() { n.Crash(4 * second) })
@@ -192,7 +192,7 @@
 // their tasks, and none of them may run twice afterwards.
 func TestStateOutageBeyondTheLease(t *testing.T) {
 	s := begin(t, 6)
-	j := s.Users.Submit(fake.Array(16), 40)
+	j := s.Users.Submit(simulation.Array(16), 40)
 	s.within(60*second, "tasks run", func() bool { return j.Running() > 8 })
 	s.State.Outage(40 * second)
 	s.Run(s.Now + 39*second)
@@ -225,7 +225,7 @@
 // started elsewhere only afterwards.
 func TestMachineCutOff(t *testing.T) {
 	s := begin(t, 30)
-	j := s.Users.Submit(fake.Array(8), 50)
+	j := s.Users.Submit(simulation.Array(8), 50)
 	s.within(60*second, "every task runs", func() bool { return j.Running() == 8 })
 	s.cutOff(60*second, j.On(0), s.Nodes[0].Label, s.Nodes[1].Label, s.Nodes[2].Label)
 	s.within(240*second, "its tasks run elsewhere", s.Users.AllTold)
@@ -234,7 +234,7 @@
 // A worker that hangs and resumes within its lease still has its tasks.
 func TestHungMachineResumes(t *testing.T) {
 	s := begin(t, 31)
-	j := s.Users.Submit(fake.Array(8), 30)
+	j := s.Users.Submit(simulation.Array(8), 30)
 	s.within(60*second, "every task runs", func() bool { return j.Running() == 8 })
 	k := s.Workers[j.On(3)]
 	k.Hung = true
@@ -254,7 +254,7 @@
 		}
 		d := time.Duration(5+15*seed) * second
 		n.StandStill(d)
-		s.After(d/2, func() { s.Users.Submit(fake.Array(6), 10) })
+		s.After(d/2, func() { s.Users.Submit(simulation.Array(6), 10) })
 		s.within(300*second, "the work goes on", s.Users.AllTold)
 	}
 }
@@ -263,7 +263,7 @@
 // state service's requests: renewals and submissions need them.
 func TestPollsLeaveTheStateServiceRoom(t *testing.T) {
 	s := begin(t, 90)
-	j := s.Users.Submit(fake.Array(4), 60)
+	j := s.Users.Submit(simulation.Array(4), 60)
 	s.within(30*second, "the job is accepted", func() bool { return j.Accepted })
 	s.Run(s.Now + 5*second)
 	s.State.Refused = 0
@@ -281,7 +281,7 @@
 	}
 	for i := range 300 {
 		s.At(s.Now+time.Duration(i)*50*time.Millisecond, func() {
-			small := fake.Array(1)
+			small := simulation.Array(1)
 			small.CPUs = 0.25
 			s.Users.Submit(small, 8)
 		})
@@ -300,9 +300,9 @@
 		s := begin(t, 40+seed)
 		s.State.LateShare, s.State.LateBy = 0.15, 6*second
 		s.Loss = 0.03
-		jobs := []*fake.Job{}
+		jobs := []*simulation.Job{}
 		for range 6 {
-			jobs = append(jobs, s.Users.Submit(fake.Array(6), 8))
+			jobs = append(jobs, s.Users.Submit(simulation.Array(6), 8))
 		}
 		s.After(12*second, func() { s.Users.Abort(jobs[0]); s.Users.Abort(jobs[1]) })
 		s.within(400*second, "every job is over", s.Users.AllTold)
@@ -316,7 +316,7 @@
 
 func TestAbortStopsEverything(t *testing.T) {
 	s := begin(t, 50)
-	spec := fake.Array(20)
+	spec := simulation.Array(20)
 	spec.CheckpointS, spec.SaveS = 5, 4
 	j := s.Users.Submit(spec, 300)
 	s.within(60*second, "tasks run", func() bool { return j.Running() > 5 })
@@ -334,7 +334,7 @@
 // full of the team's tasks.
 func TestQuotaAcrossTakeOver(t *testing.T) {
 	s := begin(t, 51)
-	spec := fake.Array(60)
+	spec := simulation.Array(60)
 	spec.Team, spec.EstimateS = "red", 100
 	j := s.Users.Submit(spec, 20)
 	s.within(90*second, "the team is at its limit", func() bool { return j.Running() == 24 })
@@ -346,7 +346,7 @@
 
 func TestLimitIsGivenAsReason(t *testing.T) {
 	s := begin(t, 52)
-	spec := fake.Array(40)
+	spec := simulation.Array(40)
 	spec.Team, spec.EstimateS = "red", 100
 	j := s.Users.Submit(spec, 200)
 	s.within(90*second, "the reason names the limit", func() bool {
@@ -356,7 +356,7 @@
 
 func TestZoneRules(t *testing.T) {
 	s := begin(t, 53)
-	together, apart, pinned := fake.Array(9), fake.Array(9), fake.Array(5)
+	together, apart, pinned := simulation.Array(9), simulation.Array(9), simulation.Array(5)
 	together.OneZone, apart.Spread, pinned.Zone = true, true, "b"
 	pinned.Spot = false
 	pinned.Types = []string{"box"}
@@ -369,7 +369,7 @@
 
 func TestServiceRunsUntilCancelled(t *testing.T) {
 	s := begin(t, 54)
-	spec := fake.Array(4)
+	spec := simulation.Array(4)
 	spec.Kind, spec.EstimateS = wire.KindService, 0
 	j := s.Users.Submit(spec, 0)
 	s.within(60*second, "all replicas run", func() bool { return j.Running() == 4 })
@@ -384,12 +384,12 @@
 // jobs it failed are done elsewhere.
 func TestFaultyMachine(t *testing.T) {
 	s := begin(t, 60)
-	a := s.Users.Submit(fake.Array(8), 10)
+	a := s.Users.Submit(simulation.Array(8), 10)
 	s.within(60*second, "tasks run", func() bool { return a.Running() > 0 })
 	bad := a.On(0)
 	s.Workers[bad].Faulty = true
 	for range 5 {
-		s.Users.Submit(fake.Array(8), 10)
+		s.Users.Submit(simulation.Array(8), 10)
 	}
 	s.within(200*second, "every job is done", s.Users.AllTold)
 	s.within(60*second, "the machine is gone", func() bool { return s.Workers[bad] == nil })
@@ -399,13 +399,13 @@
 // next, one task at a time; no machine is blamed, and other work goes on.
 func TestJobsThatFailEverywhere(t *testing.T) {
 	s := begin(t, 61)
-	var bad []*fake.Job
+	var bad []*simulation.Job
 	for range 3 {
-		j := s.Users.Submit(fake.Array(24), 10)
+		j := s.Users.Submit(simulation.Array(24), 10)
 		j.Mistaken = true
 		bad = append(bad, j)
 	}
-	good := s.Users.Submit(fake.Array(12), 25)
+	good := s.Users.Submit(simulation.Array(12), 25)
 	s.within(120*second, "the good job is done", func() bool { return good.Told == wire.JobDone })
 	s.within(60*second, "a bad one says why", func() bool { return strings.Contains(bad[0].Answer.Reason, "one is tried again at") })
 	s.Run(s.Now + 100*second)
@@ -433,9 +433,9 @@
 	for seed := range uint64(12) {
 		s := begin(t, 300+seed)
 		for range 3 {
-			s.Users.Submit(fake.Array(24), 10).Mistaken = true
+			s.Users.Submit(simulation.Array(24), 10).Mistaken = true
 		}
-		s.Users.Submit(fake.Array(12), 25)
+		s.Users.Submit(simulation.Array(12), 25)
 		s.Run(s.Now + 100*second)
 		if s.said("quarantined") {
 			t.Fatalf("a machine is blamed\n%s", s.lastLogs(*logLines))
@@ -450,9 +450,9 @@
 	for range 9 {
 		s.Cloud.Add("box", "b", true)
 	}
-	a := s.Users.Submit(fake.Array(36), 10)
+	a := s.Users.Submit(simulation.Array(36), 10)
 	s.within(60*second, "tasks run", func() bool { return a.Running() > 20 })
-	var sick []*fake.Worker
+	var sick []*simulation.Worker
 	for i := 0; i < 36 && len(sick) < 4; i += 4 {
 		if k := s.Workers[a.On(i)]; k != nil && !k.Faulty {
 			k.Faulty = true
@@ -460,9 +460,9 @@
 		}
 	}
 	for i := range 10 {
-		s.After(time.Duration(5*i)*second, func() { s.Users.Submit(fake.Array(60), 10) })
+		s.After(time.Duration(5*i)*second, func() { s.Users.Submit(simulation.Array(60), 10) })
 	}
-	mistaken := s.Users.Submit(fake.Array(10), 10)
+	mistaken := s.Users.Submit(simulation.Array(10), 10)
 	mistaken.Mistaken = true
 	s.within(60*second, "every faulty machine is quarantined", func() bool {
 		return strings.Count(strings.Join(s.Logs, "\n"), "quarantined") == len(sick)
@@ -474,7 +474,7 @@
 func TestBootsThatNeverEndAreGivenUp(t *testing.T) {
 	s := begin(t, 62)
 	s.Cloud.NeverUp = 2
-	s.Users.Submit(fake.Array(8), 10)
+	s.Users.Submit(simulation.Array(8), 10)
 	s.within(240*second, "the job is done", s.Users.AllTold)
 	s.within(300*second, "nothing is left", func() bool { return s.Cloud.Deleted == s.Cloud.Hired })
 }
@@ -482,7 +482,7 @@
 func TestStrangersAreUsed(t *testing.T) {
 	s := begin(t, 63)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	j := s.Users.Submit(fake.Array(4), 5)
+	j := s.Users.Submit(simulation.Array(4), 5)
 	s.within(60*second, "the reason names the cloud", func() bool { return strings.Contains(j.Answer.Reason, "cloud") })
 	s.Cloud.Add("box", "a", true)
 	s.within(60*second, "the job is done", s.Users.AllTold)
@@ -490,7 +490,7 @@
 
 func TestImpossibleJobsAreRefused(t *testing.T) {
 	s := begin(t, 64)
-	team, size, zone, limit := fake.Array(1), fake.Array(1), fake.Array(1), fake.Array(1)
+	team, size, zone, limit := simulation.Array(1), simulation.Array(1), simulation.Array(1), simulation.Array(1)
 	team.Team = "green"
 	size.CPUs = 17
 	zone.Zone, zone.Types = "b", []string{"barn"}
@@ -501,19 +501,19 @@
 // refused submits jobs that can never run.
 func (s *story) refused(specs ...wire.Job) {
 	s.t.Helper()
-	var jobs []*fake.Job
+	var jobs []*simulation.Job
 	for _, spec := range specs {
 		jobs = append(jobs, s.Users.Submit(spec, 1))
 	}
 	s.within(10*second, "all are refused", func() bool {
-		return !slices.ContainsFunc(jobs, func(j *fake.Job) bool { return j.Refused != 422 })
+		return !slices.ContainsFunc(jobs, func(j *simulation.Job) bool { return j.Refused != 422 })
 	})
 }
 
 func TestUrgentWorkStartsFirst(t *testing.T) {
 	s := begin(t, 65)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
-	low, high := fake.Array(30), fake.Array(10)
+	low, high := simulation.Array(30), simulation.Array(10)
 	low.Urgency, high.Urgency = wire.UrgencyLow, wire.UrgencyHigh
 	l, h := s.Users.Submit(low, 10), s.Users.Submit(high, 10)
 	s.within(200*second, "the urgent job is done", func() bool { return h.Told == wire.JobDone })
@@ -526,7 +526,7 @@
 func TestHugeJobIsAccepted(t *testing.T) {
 	s := begin(t, 66)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
-	j := s.Users.Submit(fake.Array(wire.MaxTasks), 1)
+	j := s.Users.Submit(simulation.Array(wire.MaxTasks), 1)
 	s.within(120*second, "progress is told", func() bool { return j.Answer.Done > 100 })
 }
 
@@ -548,7 +548,7 @@
 		s.State.LateShare, s.State.LateBy = 0.03, 5*second
 		r := s.Rand
 		for i := range 12 {
-			spec := fake.Array(4 + r.IntN(12))
+			spec := simulation.Array(4 + r.IntN(12))
 			if i%4 == 0 {
 				spec.Team = "red"
 			}
@@ -615,11 +615,11 @@
 func TestUrgentWorkStopsReports(t *testing.T) {
 	s := begin(t, 67)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
-	low := fake.Array(16)
+	low := simulation.Array(16)
 	low.Urgency, low.CheckpointS, low.SaveS = wire.UrgencyLow, 4, 2
 	l := s.Users.Submit(low, 300)
 	s.within(60*second, "the report fills the machine", func() bool { return l.Running() == 16 })
-	high := fake.Array(8)
+	high := simulation.Array(8)
 	high.Urgency = wire.UrgencyHigh
 	h := s.Users.Submit(high, 20)
 	s.within(10*second, "the urgent tasks run", func() bool { return h.Running() == 8 })
@@ -631,7 +631,7 @@
 func TestGangStartsTogether(t *testing.T) {
 	for seed := range uint64(3) {
 		s := begin(t, 70+seed)
-		spec := fake.Array(20)
+		spec := simulation.Array(20)
 		spec.Kind, spec.EstimateS = wire.KindGang, 30
 		spec.OneZone = seed == 1
 		spec.Spread = seed == 2
@@ -639,7 +639,7 @@
 			spec.Zone = "a"
 		}
 		j := s.Users.Submit(spec, 30)
-		s.Users.Submit(fake.Array(10), 20)
+		s.Users.Submit(simulation.Array(10), 20)
 		s.within(120*second, "all tasks run", func() bool { return j.Running() == 20 })
 		s.Run(s.Now + 5*second)
 		if seed == 0 {
@@ -661,7 +661,7 @@
 			s.Cloud.Add("box", "b", true)
 		}
 		for range 4 {
-			s.Users.Submit(fake.Array(40), 20)
+			s.Users.Submit(simulation.Array(40), 20)
 		}
 		s.within(60*second, "tasks run", func() bool { return s.Users.Running() > 40 })
 		n := s.follower()
@@ -678,7 +678,7 @@
 		if said("joining again")() {
 			t.Fatal("it joins again while it reaches no machine")
 		}
-		s.Users.Submit(fake.Array(100), 30)
+		s.Users.Submit(simulation.Array(100), 30)
 		s.Mend(n.Label, "workers")
 		s.within(12*second, "it joins again", said("joining again"))
 		s.within(200*second, "every job is done", s.Users.AllTold)
@@ -691,7 +691,7 @@
 	s := begin(t, 76)
 	s.Cloud.Capacity["barn"] = 0
 	for range 4 {
-		s.Users.Submit(fake.Array(8), 40)
+		s.Users.Submit(simulation.Array(8), 40)
 	}
 	s.within(60*second, "several machines run tasks", func() bool { return len(s.Workers) >= 5 })
 	s.Run(s.Now + 5*second)
@@ -714,7 +714,7 @@
 		s.Cloud.Add("barn", "a", true)
 	}
 	for range 3 {
-		s.Users.Submit(fake.Array(60), 30)
+		s.Users.Submit(simulation.Array(60), 30)
 	}
 	s.within(60*second, "the machines are full", func() bool { return s.Users.Running() >= 90 })
 	old := s.leader()
@@ -740,14 +740,14 @@
 // as well, and the load balancer, which looks once a second, had no node for the
 // first users of the day.
 func TestReadyBeforeTheCloudAnswers(t *testing.T) {
-	s := &story{World: fake.New(77, 3), t: t}
+	s := &story{World: simulation.New(77, 3), t: t}
 	for _, n := range s.Nodes {
 		s.Cut(n.Label, "cloud", false)
 	}
 	s.within(second, "every node is ready", func() bool {
 		return s.Nodes[0].Ready && s.Nodes[1].Ready && s.Nodes[2].Ready
 	})
-	j := s.Users.Submit(fake.Array(2), 5)
+	j := s.Users.Submit(simulation.Array(2), 5)
 	s.Run(s.Now + 3*second)
 	if j.Accepted || j.Refused != 0 {
 		t.Fatalf("a node decided without knowing the machine types: %+v", j)
@@ -768,7 +768,7 @@
 	}
 	for i := range 60 {
 		s.At(s.Now+time.Duration(i)*second/2, func() {
-			s.Users.Submit(fake.Array(20), 4)
+			s.Users.Submit(simulation.Array(20), 4)
 			for _, k := range s.SomeWorkers(1) {
 				if i%3 == 0 {
 					s.Cloud.Remove(k.Info.Name)
@@ -788,7 +788,7 @@
 	for range 10 {
 		s.Cloud.Add("barn", "a", true)
 	}
-	s.Users.Submit(fake.Array(900), 40)
+	s.Users.Submit(simulation.Array(900), 40)
 	for i := range 40 {
 		s.At(s.Now+20*second+time.Duration(i)*second/7, func() { s.Cloud.Add("barn", "a", true) })
 	}
@@ -806,10 +806,10 @@
 	for range 12 {
 		s.Cloud.Add("barn", "a", true)
 	}
-	big := fake.Array(12)
+	big := simulation.Array(12)
 	big.CPUs = 15
 	s.Users.Submit(big, 20)
-	long := fake.Array(12)
+	long := simulation.Array(12)
 	long.CheckpointS, long.SaveS = 5, 1
 	j := s.Users.Submit(long, 400)
 	s.within(60*second, "each machine has one of both", func() bool { return s.Users.Running() == 24 })
@@ -823,11 +823,11 @@
 	s := begin(t, 37)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("barn", "a", true)
-	long := fake.Array(40)
+	long := simulation.Array(40)
 	long.Team, long.CheckpointS, long.SaveS, long.Urgency = "guest", 4, 1, wire.UrgencyLow
 	g := s.Users.Submit(long, 300)
 	s.within(30*second, "the guest fills the machine", func() bool { return g.Running() == 16 })
-	own := fake.Array(8)
+	own := simulation.Array(8)
 	own.Urgency = wire.UrgencyLow
 	j := s.Users.Submit(own, 10)
 	s.within(15*second, "the other team has its guarantee", func() bool { return j.Running() == 8 })
@@ -843,12 +843,12 @@
 	for range 8 {
 		s.Cloud.Add("box", "a", true)
 	}
-	one, other := fake.Array(8), fake.Array(8) // a task of each on every machine
+	one, other := simulation.Array(8), simulation.Array(8) // a task of each on every machine
 	one.Team, one.CheckpointS, one.SaveS, one.CPUs, one.MemoryGB = "guest", 4, 3, 2, 12
 	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
 	a, b := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
 	s.within(30*second, "the guest fills the machines", func() bool { return a.Running()+b.Running() >= 14 })
-	own := fake.Array(2)
+	own := simulation.Array(2)
 	own.CPUs = 4
 	j := s.Users.Submit(own, 30)
 	s.within(6*second, "the large tasks run", func() bool { return j.Running() == 2 })
@@ -865,11 +865,11 @@
 	for range 4 {
 		s.Cloud.Add("barn", "a", true)
 	}
-	low := fake.Array(16)
+	low := simulation.Array(16)
 	low.Urgency, low.CPUs, low.CheckpointS, low.SaveS = wire.UrgencyLow, 4, 4, 2
 	l := s.Users.Submit(low, 300)
 	s.within(60*second, "the reports fill the machines", func() bool { return l.Running() == 16 })
-	high := fake.Array(16)
+	high := simulation.Array(16)
 	high.Urgency = wire.UrgencyHigh
 	h := s.Users.Submit(high, 20)
 	s.within(10*second, "the urgent tasks run", func() bool { return h.Running() == 16 })
@@ -886,12 +886,12 @@
 	for range 4 {
 		s.Cloud.Add("barn", "a", true)
 	}
-	bad := fake.Array(60)
+	bad := simulation.Array(60)
 	bad.Urgency = wire.UrgencyHigh
 	h := s.Users.Submit(bad, 10)
 	h.Mistaken = true
 	s.within(60*second, "it is known to fail", func() bool { return strings.Contains(h.Answer.Reason, "one is tried again at") })
-	low := fake.Array(80)
+	low := simulation.Array(80)
 	low.Urgency, low.CheckpointS, low.SaveS = wire.UrgencyLow, 4, 2
 	l := s.Users.Submit(low, 600)
 	s.within(30*second, "the reports fill the machines", func() bool { return l.Running() >= 62 })
@@ -911,10 +911,10 @@
 	s := begin(t, 38)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 4
 	for i := range 6 {
-		s.After(time.Duration(20*i)*second, func() { s.Users.Submit(fake.Array(60), 18) })
+		s.After(time.Duration(20*i)*second, func() { s.Users.Submit(simulation.Array(60), 18) })
 	}
 	s.Run(s.Now + 125*second) // now nothing of the others runs
-	long := fake.Array(64)
+	long := simulation.Array(64)
 	long.Team = "guest"
 	g := s.Users.Submit(long, 100)
 	most := 0
@@ -925,7 +925,7 @@
 	if most < 8 || most > 56 {
 		t.Fatalf("the guest took %d of 64 CPUs", most)
 	}
-	s.Users.Submit(fake.Array(16), 18)
+	s.Users.Submit(simulation.Array(16), 18)
 	s.within(600*second, "every job is done", s.Users.AllTold)
 }
 
@@ -934,11 +934,11 @@
 func TestGuestTakesWhatIsLeftIdle(t *testing.T) {
 	s := begin(t, 39)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
-	burst := fake.Array(800)
+	burst := simulation.Array(800)
 	burst.EstimateS = 60 // or so it seems
 	s.Users.Submit(burst, 1)
 	s.within(200*second, "the others' work is done", s.Users.AllTold)
-	spec := fake.Array(3)
+	spec := simulation.Array(3)
 	spec.Team, spec.CPUs = "guest", 4 // more than an eighth of the only machine
 	g := s.Users.Submit(spec, 10)
 	s.within(45*second, "the guest starts", func() bool { return g.Running() > 0 })
@@ -950,9 +950,9 @@
 	s := begin(t, 36)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("barn", "a", true)
-	large := s.Users.Submit(fake.Array(300), 10)
+	large := s.Users.Submit(simulation.Array(300), 10)
 	s.Run(s.Now + 5*second)
-	small := s.Users.Submit(fake.Array(16), 10)
+	small := s.Users.Submit(simulation.Array(16), 10)
 	s.within(40*second, "the small job is done", func() bool { return small.Told == wire.JobDone })
 	if large.Told == wire.JobDone {
 		t.Fatal("the large job was done first")
@@ -972,22 +972,22 @@
 	s.Cloud.Add("barn", "a", false)
 	s.Run(s.Now + 10*second)
 	s.Cloud.Out = false
-	s.Users.Submit(fake.Array(4), 5)
+	s.Users.Submit(simulation.Array(4), 5)
 	s.within(30*second, "the job is done", s.Users.AllTold)
 }
 
 // A cloud that takes one call a second is still called, and one list of many pages does
 // not use up its calls.
 func TestSlowCloud(t *testing.T) {
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	set.Site.Cloud.RPS = 1
-	s := &story{World: fake.Build(43, set, fake.Types()), t: t}
-	s.Users.Submit(fake.Array(8), 10)
+	s := &story{World: simulation.Build(43, set, simulation.Types()), t: t}
+	s.Users.Submit(simulation.Array(8), 10)
 	s.within(90*second, "the job is done", s.Users.AllTold)
 	for range 1200 {
 		s.Cloud.Add("box", "a", false)
 	}
-	s.Users.Submit(fake.Array(2000), 20)
+	s.Users.Submit(simulation.Array(2000), 20)
 	s.within(200*second, "the job is done", s.Users.AllTold)
 	if s.Cloud.Refused > 0 {
 		t.Fatalf("%d calls of the cloud were refused", s.Cloud.Refused)
@@ -997,10 +997,10 @@
 // A job to be spread over two zones runs by halves where there is only one; one whose
 // tasks must run together can't.
 func TestSpreadWithOneZone(t *testing.T) {
-	types := fake.Types()[:1]
+	types := simulation.Types()[:1]
 	types[0].Zones = []string{"a"}
-	s := &story{World: fake.Build(44, fake.Settings(3), types), t: t}
-	halves, gang := fake.Array(9), fake.Array(4)
+	s := &story{World: simulation.Build(44, simulation.Settings(3), types), t: t}
+	halves, gang := simulation.Array(9), simulation.Array(4)
 	halves.Spread, gang.Spread, gang.Kind = true, true, wire.KindGang
 	h, g := s.Users.Submit(halves, 10), s.Users.Submit(gang, 10)
 	s.within(60*second, "half of it runs", func() bool { return h.Running() == 5 })
@@ -1012,25 +1012,25 @@
 
 // A site that names no team limits none.
 func TestSiteWithoutTeams(t *testing.T) {
-	set := fake.Settings(1)
+	set := simulation.Settings(1)
 	set.Site.Teams = nil
-	s := &story{World: fake.Build(45, set, fake.Types()), t: t}
-	s.Users.Submit(fake.Array(8), 10)
+	s := &story{World: simulation.Build(45, set, simulation.Types()), t: t}
+	s.Users.Submit(simulation.Array(8), 10)
 	s.within(90*second, "the job is done", s.Users.AllTold)
 }
 
 // More machine types than one value holds.
 func TestManyMachineTypes(t *testing.T) {
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	set.Site.State.ValueKB, set.Site.State.TxnOps, set.Site.State.WriteRPS = 4, 4, 10
-	types := fake.Types()
+	types := simulation.Types()
 	for i := range 60 {
 		extra := types[0]
 		extra.Name = fmt.Sprintf("box-%d", i)
 		types = append(types, extra)
 	}
-	s := &story{World: fake.Build(46, set, types), t: t}
-	last := fake.Array(6)
+	s := &story{World: simulation.Build(46, set, types), t: t}
+	last := simulation.Array(6)
 	last.Types = []string{"box-59"}
 	s.Users.Submit(last, 10)
 	s.within(90*second, "the job is done", s.Users.AllTold)
@@ -1041,7 +1041,7 @@
 func TestLoadByPages(t *testing.T) {
 	s := begin(t, 47)
 	s.State.Ended(4500)
-	open := s.Users.Submit(fake.Array(4), 200)
+	open := s.Users.Submit(simulation.Array(4), 200)
 	s.within(60*second, "it runs", func() bool { return open.Running() == 4 })
 	n := s.leader()
 	s.State.Refuses[n.Label] = true
@@ -1067,11 +1067,11 @@
 	s := begin(t, 48)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("box", "a", false)
-	long := fake.Array(3)
+	long := simulation.Array(3)
 	long.CheckpointS, long.SaveS = 4, 1
 	l := s.Users.Submit(long, 300)
 	s.within(30*second, "it leaves one CPU free", func() bool { return l.Running() == 3 })
-	big, small := fake.Array(1), fake.Array(1)
+	big, small := simulation.Array(1), simulation.Array(1)
 	big.CPUs, big.Urgency = 4, wire.UrgencyHigh
 	small.CheckpointS, small.SaveS = 4, 1
 	h := s.Users.Submit(big, 5)
@@ -1085,7 +1085,7 @@
 	s := begin(t, 49)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("barn", "a", true)
-	guest, own := fake.Array(40), fake.Array(2)
+	guest, own := simulation.Array(40), simulation.Array(2)
 	guest.Team, guest.Urgency, guest.CheckpointS, guest.SaveS = "guest", wire.UrgencyProduction, 4, 1
 	own.Urgency, own.CPUs = wire.UrgencyHigh, 4
 	s.Users.Submit(guest, 20)
@@ -1102,7 +1102,7 @@
 	for range 4 {
 		s.Cloud.Add("box", "b", true)
 	}
-	solid := fake.Array(40)
+	solid := simulation.Array(40)
 	solid.Spot = false
 	s.Users.Submit(solid, 10)
 	s.within(200*second, "they are returned", func() bool { return s.Cloud.Deleted == 4 })
@@ -1116,7 +1116,7 @@
 func TestOutageThatAllSeeEndsNoTask(t *testing.T) {
 	for seed := range uint64(6) {
 		s := begin(t, 520+seed)
-		long, gone := s.Users.Submit(fake.Array(12), 150), s.Users.Submit(fake.Array(6), 300)
+		long, gone := s.Users.Submit(simulation.Array(12), 150), s.Users.Submit(simulation.Array(6), 300)
 		s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
 		s.Users.Abort(gone)
 		s.within(second, "its user is told", func() bool { return gone.Told == wire.JobCancelled })
@@ -1143,7 +1143,7 @@
 func TestNoVigilWithoutAll(t *testing.T) {
 	for away := range 3 {
 		s := begin(t, 530+uint64(away))
-		j := s.Users.Submit(fake.Array(12), 150)
+		j := s.Users.Submit(simulation.Array(12), 150)
 		s.within(60*second, "all tasks run", func() bool { return j.Running() == 12 })
 		one := s.follower()
 		switch away {
@@ -1174,24 +1174,24 @@
 // state service of ten changes a second, whatever node they ask and however often, and
 // what they share is gone when their jobs are over.
 func TestManySubmitAtOnce(t *testing.T) {
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	set.Site.State.WriteRPS = 10
-	s := &story{World: fake.Build(54, set, fake.Types()), t: t}
+	s := &story{World: simulation.Build(54, set, simulation.Types()), t: t}
 	for range 8 {
 		s.Cloud.Add("barn", "a", true)
 	}
 	s.Run(s.Now + 5*second)
 	writes := s.State.Writes
-	var jobs []*fake.Job
+	var jobs []*simulation.Job
 	for i := range 120 {
-		spec := fake.Array(1)
+		spec := simulation.Array(1)
 		spec.OneZone = i%9 == 0
 		jobs = append(jobs, s.Users.Submit(spec, 5))
 		if i%3 == 0 {
 			s.Users.Resubmit(jobs[i]) // at another node, at the same time
 		}
 	}
-	all := func() bool { return !slices.ContainsFunc(jobs, func(j *fake.Job) bool { return !j.Accepted }) }
+	all := func() bool { return !slices.ContainsFunc(jobs, func(j *simulation.Job) bool { return !j.Accepted }) }
 	s.within(4*second, "all are accepted", all)
 	if n := s.State.Writes - writes; n > 40 {
 		t.Fatalf("%d writes for 120 jobs", n)
@@ -1215,16 +1215,16 @@
 // too many for each job, and refused as malformed.
 func TestLotsFitIntoAValue(t *testing.T) {
 	for i := range 24 {
-		set := fake.Settings(3)
+		set := simulation.Settings(3)
 		set.Site.State.WriteRPS, set.Site.State.ValueKB = 10, 5+float64(i*23)/1024
-		s := &story{World: fake.Build(58, set, fake.Types()), t: t}
+		s := &story{World: simulation.Build(58, set, simulation.Types()), t: t}
 		s.Run(5 * second)
-		var jobs []*fake.Job
+		var jobs []*simulation.Job
 		for range 120 {
-			jobs = append(jobs, s.Users.Submit(fake.Array(1), 5))
+			jobs = append(jobs, s.Users.Submit(simulation.Array(1), 5))
 		}
 		s.within(8*second, "all are accepted", func() bool {
-			return !slices.ContainsFunc(jobs, func(j *fake.Job) bool { return !j.Accepted })
+			return !slices.ContainsFunc(jobs, func(j *simulation.Job) bool { return !j.Accepted })
 		})
 	}
 }
@@ -1232,10 +1232,10 @@
 // Where nothing is rented cheap, work without an aim keeps the ordinary machine that was
 // hired for it: it was parked after its first task, and returned for a new one.
 func TestWorkWithoutAnAimWhereNothingIsCheap(t *testing.T) {
-	types := fake.Types()[:1]
+	types := simulation.Types()[:1]
 	types[0].SpotPrice = 0
-	s := &story{World: fake.Build(55, fake.Settings(3), types), t: t}
-	spec := fake.Array(20)
+	s := &story{World: simulation.Build(55, simulation.Settings(3), types), t: t}
+	spec := simulation.Array(20)
 	spec.CPUs = 4
 	s.Users.Submit(spec, 5)
 	s.within(250*second, "the job is done", s.Users.AllTold)
@@ -1247,7 +1247,7 @@
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("box", "a", true)
 	s.Cloud.Add("box", "b", true)
-	spec := fake.Array(40)
+	spec := simulation.Array(40)
 	spec.Spread = true
 	j := s.Users.Submit(spec, 8)
 	s.within(30*second, "both zones are used", func() bool { return j.Running() == 8 })
@@ -1267,9 +1267,9 @@
 	for range 2 {
 		s.Cloud.Add("box", "a", true)
 	}
-	s.Users.Submit(fake.Array(2), 5)
+	s.Users.Submit(simulation.Array(2), 5)
 	s.within(40*second, "the others' work is done", s.Users.AllTold)
-	gang := fake.Array(8)
+	gang := simulation.Array(8)
 	gang.Team, gang.Kind = "guest", wire.KindGang
 	s.Users.Submit(gang, 10)
 	s.within(600*second, "the gang is done", s.Users.AllTold)
@@ -1278,12 +1278,12 @@
 // Idle work within its team's guarantee ranks before another team's promised work, so it
 // is not stopped for that: it would take the room again itself, once a round for ever.
 func TestNothingIsStoppedForWhatRanksBehindIt(t *testing.T) {
-	set := fake.Settings(3)
+	set := simulation.Settings(3)
 	set.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "alerts", Share: 0.9, Times: 1}}
-	s := &story{World: fake.Build(58, set, fake.Types()), t: t}
+	s := &story{World: simulation.Build(58, set, simulation.Types()), t: t}
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("box", "a", true)
-	idle, late := fake.Array(8), fake.Array(40)
+	idle, late := simulation.Array(8), simulation.Array(40)
 	idle.Urgency = wire.UrgencyLow
 	late.Team, late.Class, late.DeadlineS = "red", "alerts", 5
 	s.Users.Submit(idle, 9)
@@ -1303,7 +1303,7 @@
 		for i := range 12 {
 			s.Cloud.Add("box", []string{"a", "b"}[min(i/4, 1)], true)
 		}
-		long := fake.Array(48)
+		long := simulation.Array(48)
 		long.CheckpointS, long.SaveS = 4, 1
 		l := s.Users.Submit(long, 400)
 		s.within(60*second, "all of it runs", func() bool { return l.Running() == 48 })
@@ -1335,11 +1335,11 @@
 func TestCopiesOfWhatWasCarriedOut(t *testing.T) {
 	s := begin(t, 900)
 	s.Copies, s.CopyBy = 1, 120*second
-	j := s.Users.Submit(fake.Array(4), 300)
+	j := s.Users.Submit(simulation.Array(4), 300)
 	s.within(60*second, "a machine is up", func() bool { return j.Running() == 4 })
-	var jobs []*fake.Job
+	var jobs []*simulation.Job
 	for range 12 { // beside it, so that they start by /do
-		jobs = append(jobs, s.Users.Submit(fake.Array(2), 300))
+		jobs = append(jobs, s.Users.Submit(simulation.Array(2), 300))
 		s.Run(s.Now + 700*time.Millisecond)
 	}
 	s.Run(s.Now + 10*second)
@@ -1355,7 +1355,7 @@
 func TestLeaderReadsAnew(t *testing.T) {
 	for seed := range uint64(4) {
 		s := begin(t, 910+seed)
-		j := s.Users.Submit(fake.Array(60), 60)
+		j := s.Users.Submit(simulation.Array(60), 60)
 		s.within(90*second, "all run", func() bool { return j.Running() == 60 })
 		n, machine := s.leader(), j.On(int(seed)*16)
 		for _, x := range s.Nodes {
--- a/internal/core/turns.go
+++ b/internal/core/turns.go
@@ -8,16 +8,16 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/floor"
+	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // floorRules turns the operators' choices into spans: what was served is remembered for
 // eight times the patience, and within a class waiting tells four times as slowly as in
 // the ordinary order, since half of the jobs counts.
-func (c *Core) floorRules() floor.Rules {
+func (c *Core) floorRules() fairshare.Rules {
 	patience := c.policy.FloorLeases * c.times.lease.Seconds()
-	return floor.Rules{Share: c.policy.FloorShare, Patience: patience, Memory: 8 * patience,
+	return fairshare.Rules{Share: c.policy.FloorShare, Patience: patience, Memory: 8 * patience,
 		Aging: 4 * c.policy.AgingLeases * c.times.lease.Seconds()}
 }
 
@@ -31,13 +31,13 @@
 
 // turns lets the jobs of classes that were served too little go first.
 func (o *orchestrator) turns(ranked []*queued) {
-	jobs := make([]floor.Job, 0, len(ranked))
+	jobs := make([]fairshare.Job, 0, len(ranked))
 	for _, q := range ranked {
 		s := &q.j.rec.Spec
 		service := s.Kind == wire.KindService
 		left := float64(max(s.Tasks-q.j.doneN-len(q.finished), 0))
-		jobs = append(jobs, floor.Job{
-			Account: floor.Account{Team: s.Team, Class: s.Class},
+		jobs = append(jobs, fairshare.Job{
+			Account: fairshare.Account{Team: s.Team, Class: s.Class},
 			Age:     max(o.c.now.Wall-q.j.since(), 0),
 			Part:    1 - float64(max(q.waiting(), 0))/float64(s.Tasks),
 			Work:    left * width(s) * o.c.est.own(q),
@@ -49,26 +49,26 @@
 	o.floors = o.c.ledger.ended.books.Judge(o.c.now.Wall, jobs, &o.c.floors)
 	if o.c.debug {
 		for i := range o.floors {
-			if x := &o.floors[i]; x.Turn != floor.None {
+			if x := &o.floors[i]; x.Turn != fairshare.None {
 				o.c.debugf("turn", "team", x.Team, "class", x.Class, "served", x.Served, "overdue", x.Overdue, "late", x.Late, "owed", x.Owed)
 			}
 		}
 	}
-	due := map[floor.Account]bool{}
+	due := map[fairshare.Account]bool{}
 	for i := range o.floors {
-		due[o.floors[i].Account] = o.floors[i].Turn != floor.None
+		due[o.floors[i].Account] = o.floors[i].Turn != fairshare.None
 	}
 	var large map[*queued]bool // looked for only where somebody has waited for long enough
-	if from := o.beginsFrom(); slices.ContainsFunc(jobs, func(j floor.Job) bool { return j.Age >= from }) {
+	if from := o.beginsFrom(); slices.ContainsFunc(jobs, func(j fairshare.Job) bool { return j.Age >= from }) {
 		large = largest(ranked, due)
 	}
 	for i, q := range ranked {
 		j := &jobs[i]
 		q.held, q.begins = j.Held, false
 		switch q.turn = j.Turn; {
-		case j.Turn == floor.Behind && q.band > bandBehind:
+		case j.Turn == fairshare.Behind && q.band > bandBehind:
 			q.band, q.size = bandBehind, float64(j.Rank)
-		case j.Turn == floor.Ahead && q.band > bandAhead:
+		case j.Turn == fairshare.Ahead && q.band > bandAhead:
 			q.band, q.size = bandAhead, float64(j.Rank)
 		}
 		if large[q] {
@@ -80,10 +80,10 @@
 // largest tells which of the jobs that are not over are the largest of their class of a team,
 // by tasks: a quarter of them, or an eighth where the class is due. A class whose jobs are alike
 // has none.
-func largest(jobs []*queued, due map[floor.Account]bool) map[*queued]bool {
-	open := map[floor.Account][]*queued{}
+func largest(jobs []*queued, due map[fairshare.Account]bool) map[*queued]bool {
+	open := map[fairshare.Account][]*queued{}
 	for _, q := range jobs {
-		a := floor.Account{Team: q.j.rec.Spec.Team, Class: q.j.rec.Spec.Class}
+		a := fairshare.Account{Team: q.j.rec.Spec.Team, Class: q.j.rec.Spec.Class}
 		open[a] = append(open[a], q)
 	}
 	out := map[*queued]bool{}
@@ -216,7 +216,7 @@
 // long as a patience lasts, and after as long a pause again, so that a turn that can't be
 // taken for a reason nobody foresaw holds up the others for half of the time at most.
 func (o *orchestrator) keeps(q *queued, n int, p *plan) bool {
-	if q.turn == floor.None && !q.begins || float64(n)*q.j.rec.Spec.CPUs <= p.least+slack {
+	if q.turn == fairshare.None && !q.begins || float64(n)*q.j.rec.Spec.CPUs <= p.least+slack {
 		return false
 	}
 	patience := config.Seconds(o.c.floors.Patience)
--- a/internal/core/worlds_test.go
+++ b/internal/core/worlds_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -33,7 +33,7 @@
 func TestDrawnWorlds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := drawDeployment(rt)
-		s := &story{World: fake.Build(rapid.Uint64().Draw(rt, "luck"), d.set, d.types), t: rt}
+		s := &story{World: simulation.Build(rapid.Uint64().Draw(rt, "luck"), d.set, d.types), t: rt}
 		d.fill(rt, s)
 		d.upgrade(rt, s)
 		d.work(rt, s)
@@ -108,8 +108,8 @@
 	over    time.Duration // when the last trouble is
 	fresh   time.Duration // when all controllers run the new version
 	work_   float64       // CPU seconds
-	jobs    []*fake.Job
-	endless []*fake.Job
+	jobs    []*simulation.Job
+	endless []*simulation.Job
 }
 
 func (d *deployment) lease() time.Duration { return config.Seconds(d.set.Site.Workers.LeaseS) }
@@ -263,7 +263,7 @@
 	sizes := distuv.LogNormal{Mu: math.Log(10), Sigma: 0.9, Src: s.Rand}
 	spans := distuv.LogNormal{Mu: math.Log(9), Sigma: 0.7, Src: s.Rand}
 	for range rapid.IntRange(1, 14).Draw(rt, "jobs") {
-		spec := fake.Array(int(min(max(sizes.Rand(), 1), 90)))
+		spec := simulation.Array(int(min(max(sizes.Rand(), 1), 90)))
 		spec.Team = "nobody"
 		if teams := d.set.Site.Teams; len(teams) > 0 {
 			spec.Team = rapid.SampledFrom(teams).Draw(rt, "team").Name
@@ -368,14 +368,14 @@
 			if b == "sibling" {
 				b = rapid.SampledFrom(s.Nodes).Draw(rt, "sibling").Label
 			}
-			l := rapid.SampledFrom([]fake.Link{fake.Dropped, fake.Held, fake.Refused, fake.Resets, fake.Unread,
+			l := rapid.SampledFrom([]simulation.Link{simulation.Dropped, simulation.Held, simulation.Refused, simulation.Resets, simulation.Unread,
 				{Delay: 2 * second}, {Loss: 0.4}, {Largest: 4096}}).Draw(rt, "link")
 			if rapid.IntRange(0, 3).Draw(rt, "flaps") == 3 {
 				l.Period = seconds(rt, "period", 0.5, 12.5)
 			}
 			ways := rapid.IntRange(0, 2).Draw(rt, "ways")
 			from, till := seconds(rt, "begins after", 0, 10), seconds(rt, "ends after", 12, 70)
-			set := func(l fake.Link) {
+			set := func(l simulation.Link) {
 				if ways != 1 {
 					s.Link(a, b, l)
 				}
@@ -384,12 +384,12 @@
 				}
 			}
 			s.At(at+from, func() { set(l) })
-			s.At(at+till, func() { set(fake.Link{}) })
+			s.At(at+till, func() { set(simulation.Link{}) })
 			d.over = max(d.over, at+till+second)
 		}
 	}
 	cut := func(a, b string) { during(func() { s.Cut(a, b, keep) }, func() { s.Mend(a, b) }) }
-	workers := func(f func(*fake.Worker)) {
+	workers := func(f func(*simulation.Worker)) {
 		s.At(at, func() {
 			for _, k := range s.SomeWorkers(some) {
 				f(k)
@@ -405,7 +405,7 @@
 		during(func() { s.KeepReports = true }, func() { s.KeepReports = false })
 		s.At(at+span+time.Duration(some)*second/12, func() { s.ends(second / 5) })
 	case "machines mute":
-		workers(func(k *fake.Worker) {
+		workers(func(k *simulation.Worker) {
 			k.Mute = true
 			s.After(span, func() { k.Mute = false })
 		})
@@ -452,8 +452,8 @@
 		s.At(at, func() {
 			for _, k := range s.SomeWorkers(some) {
 				for _, n := range s.Nodes {
-					s.Link(k.Info.Name, n.Label, fake.Held)
-					s.After(span, func() { s.Link(k.Info.Name, n.Label, fake.Link{}) })
+					s.Link(k.Info.Name, n.Label, simulation.Held)
+					s.After(span, func() { s.Link(k.Info.Name, n.Label, simulation.Link{}) })
 				}
 			}
 		})
@@ -543,15 +543,15 @@
 			s.After(span/4, func() { d.cancel(s, some) })
 		})
 	case "machines deaf":
-		workers(func(k *fake.Worker) {
+		workers(func(k *simulation.Worker) {
 			for _, n := range s.Nodes {
-				s.Link(n.Label, k.Info.Name, fake.Dropped)
-				s.After(span, func() { s.Link(n.Label, k.Info.Name, fake.Link{}) })
+				s.Link(n.Label, k.Info.Name, simulation.Dropped)
+				s.After(span, func() { s.Link(n.Label, k.Info.Name, simulation.Link{}) })
 			}
 		})
 	case "commands held up":
-		l := fake.Link{Hold: true, Period: seconds(rt, "period", 1, 8)}
-		during(func() { s.Link(n.Label, "workers", l) }, func() { s.Link(n.Label, "workers", fake.Link{}) })
+		l := simulation.Link{Hold: true, Period: seconds(rt, "period", 1, 8)}
+		during(func() { s.Link(n.Label, "workers", l) }, func() { s.Link(n.Label, "workers", simulation.Link{}) })
 	case "state slow":
 		during(func() { s.State.Slow = 300 * time.Millisecond }, func() { s.State.Slow = 0 })
 	case "cloud out":
@@ -575,21 +575,21 @@
 			during(func() { s.CutZone(zone, other, keep) }, func() { s.MendZone(zone, other) })
 		}
 	case "machines die":
-		workers(func(k *fake.Worker) { s.Cloud.Remove(k.Info.Name) })
+		workers(func(k *simulation.Worker) { s.Cloud.Remove(k.Info.Name) })
 	case "machines hang":
-		workers(func(k *fake.Worker) {
+		workers(func(k *simulation.Worker) {
 			k.Hung = true
 			s.After(span, func() { k.Hung = false })
 		})
 	case "machines sick":
-		workers(func(k *fake.Worker) {
+		workers(func(k *simulation.Worker) {
 			k.Faulty = true
 			s.After(span, func() { k.Faulty = false })
 		})
 	case "machines slow":
-		workers(func(k *fake.Worker) { k.Slow = 3 })
+		workers(func(k *simulation.Worker) { k.Slow = 3 })
 	case "taken back":
-		workers(func(k *fake.Worker) { k.Recall(span / 8) })
+		workers(func(k *simulation.Worker) { k.Recall(span / 8) })
 	case "no capacity":
 		during(func() {
 			for _, t := range d.types {
@@ -607,7 +607,7 @@
 	case "burst":
 		s.At(at, func() {
 			for k := range 25 {
-				spec := fake.Array(1 + k%3)
+				spec := simulation.Array(1 + k%3)
 				spec.Team = "nobody"
 				if teams := d.set.Site.Teams; len(teams) > 0 {
 					spec.Team = teams[k%len(teams)].Name
@@ -623,7 +623,7 @@
 
 // odd has users hand in again what is not over, cancel what is done, and send what can't run.
 func (d *deployment) odd(s *story, k int) {
-	spec := fake.Array(1)
+	spec := simulation.Array(1)
 	spec.Team = "nobody"
 	if teams := d.set.Site.Teams; len(teams) > 0 {
 		spec.Team = teams[k%len(teams)].Name
@@ -669,7 +669,7 @@
 			d.set.Site.Teams = append(d.set.Site.Teams, config.Team{Name: fmt.Sprintf("team-%d", i),
 				CPUs: limit * between(rt, "guaranteed share", 0.1, 1), CPUsMax: limit})
 		}
-		s := &story{World: fake.Build(rapid.Uint64().Draw(rt, "luck"), d.set, d.types), t: rt}
+		s := &story{World: simulation.Build(rapid.Uint64().Draw(rt, "luck"), d.set, d.types), t: rt}
 		s.Policy.FloorLeases = 1.5
 		for _, n := range s.Nodes {
 			n.Start()
--- a/internal/pipeline/pipeline.go
+++ b/internal/dag/pipeline.go
@@ -1,4 +1,4 @@
-// Package pipeline follows which jobs need which: who waits for whom, who may start, who
+// Package dag follows which jobs need which: who waits for whom, who may start, who
 // is cancelled because of whom, and how urgent a job is for the sake of those behind it.
 // It is pure: what the records of jobs say goes in, verdicts come out, and every
 // controller that has read the same records reaches the same ones, in whatever order it
@@ -12,7 +12,7 @@
 // Nothing here recurses: a user's chain may be thousands of jobs long. Telling the graph of
 // a job costs time in proportion to the edges that this settles, and each edge is settled
 // once. Ways weighed, with sources, are in docs/pipelines.md.
-package pipeline
+package dag
 
 import "slices"
 
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/dag/pipeline_test.go
@@ -1,4 +1,4 @@
-package pipeline
+package dag
 
 import (
 	"fmt"
--- a/internal/vigil/log.go
+++ b/internal/degraded/log.go
@@ -1,4 +1,4 @@
-package vigil
+package degraded
 
 // logMost is how many cancellations a Log holds; a round needs those of the last moments.
 const logMost = 1024
--- a/internal/vigil/vigil.go
+++ b/internal/degraded/vigil.go
@@ -1,4 +1,4 @@
-// Package vigil decides when controllers may go on answering their workers although the
+// Package degraded decides when controllers may go on answering their workers although the
 // state service serves none of them. It is pure: times and words go in, verdicts come
 // out.
 //
@@ -22,7 +22,7 @@
 // was told before a controller's word is in that word, or in the mirror of whoever answers,
 // and is stopped with each answer; what is told after it finds all answers over within span,
 // since span counts from before the word, unless a later round lists it.
-package vigil
+package degraded
 
 import (
 	"slices"
--- a/internal/vigil/vigil_test.go
+++ b/internal/degraded/vigil_test.go
@@ -1,4 +1,4 @@
-package vigil
+package degraded
 
 import (
 	"flag"
--- a/internal/floor/floor.go
+++ b/internal/fairshare/floor.go
@@ -1,4 +1,4 @@
-// Package floor sees to it that no class of jobs of a team is left nearly unserved while
+// Package fairshare sees to it that no class of jobs of a team is left nearly unserved while
 // others are. It is pure: what was served and what waits go in, turns come out.
 //
 // The ordinary order starts urgent and small work first, whatever that costs the rest. A
@@ -19,7 +19,7 @@
 // round robin and stride scheduling (turns whether anybody is overdue or not), a share of
 // the limit that is kept (idle where nobody waits), a deadline by age (a flood of late
 // jobs takes all).
-package floor
+package fairshare
 
 import (
 	"cmp"
--- a/internal/floor/floor_test.go
+++ b/internal/fairshare/floor_test.go
@@ -1,4 +1,4 @@
-package floor
+package fairshare
 
 import (
 	"math"
--- a/internal/serve/serve.go
+++ b/internal/httpserver/serve.go
@@ -1,5 +1,5 @@
-// Package serve is what the HTTP servers beside the controller have in common.
-package serve
+// Package httpserver is what the HTTP servers beside the controller have in common.
+package httpserver
 
 import (
 	"context"
--- a/internal/state/client.go
+++ b/internal/kvclient/client.go
@@ -1,5 +1,5 @@
-// Package state is the client of the state service.
-package state
+// Package kvclient is the client of the state service.
+package kvclient
 
 import (
 	"net/url"
--- a/internal/vault/bench_test.go
+++ b/internal/kvfile/bench_test.go
@@ -1,17 +1,17 @@
-package vault
+package kvfile
 
 import (
 	"fmt"
 	"path/filepath"
 	"testing"
 
-	"github.com/chalkhub/chalkhub/internal/store"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // BenchmarkRecovery opens files of so many keys of about 400 bytes:
 //
-//	go test ./internal/vault -run XXX -bench Recovery -benchtime 1x
+//	go test ./internal/kvfile -run XXX -bench Recovery -benchtime 1x
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -25,7 +25,7 @@
 			for i := 0; i < n; {
 				batch := s.Begin()
 				for range min(5000, n-i) {
-					batch.Commit(&store.Txn{Then: []store.Op{{Put: fmt.Sprintf("c/job/job-%09d", i), Value: value}}})
+					batch.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: fmt.Sprintf("c/job/job-%09d", i), Value: value}}})
 					i++
 				}
 				s = batch.Next()
--- a/internal/vault/snapshot.go
+++ b/internal/kvfile/snapshot.go
@@ -1,4 +1,4 @@
-package vault
+package kvfile
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"github.com/chalkhub/chalkhub/internal/store"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 )
 
 const (
@@ -27,7 +27,7 @@
 // Snapshot writes a copy into a folder while the vault goes on being used, reads it
 // back, and only then gives it its name. It may be called from any goroutine. It
 // returns the file's path and the state in it.
-func (v *Vault) Snapshot(dir string) (string, *store.State, error) {
+func (v *Vault) Snapshot(dir string) (string, *kvstore.State, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", nil, err
 	}
@@ -70,7 +70,7 @@
 }
 
 // LastGood is the newest snapshot of a folder that reads back whole, "" if none does.
-func LastGood(dir string) (string, *store.State) {
+func LastGood(dir string) (string, *kvstore.State) {
 	for _, p := range Snapshots(dir) {
 		if s, err := Verify(p); err == nil {
 			return p, s
@@ -92,7 +92,7 @@
 
 // Restore puts a snapshot in the place of the state file. A file that is there is kept
 // beside it under another name; its path is returned.
-func Restore(snapshot, path string) (kept string, s *store.State, err error) {
+func Restore(snapshot, path string) (kept string, s *kvstore.State, err error) {
 	if s, err = Verify(snapshot); err != nil {
 		return "", nil, err
 	}
--- a/internal/vault/vault.go
+++ b/internal/kvfile/vault.go
@@ -1,8 +1,8 @@
-// Package vault keeps a store.State in one file, on the embedded key-value library
+// Package kvfile keeps a store.State in one file, on the embedded key-value library
 // bbolt. A batch of changes is one of bbolt's transactions, so it is there whole or not
 // at all; what bbolt does not look for, damaged pages, is found by a checksum in each
 // record and a sum over all records.
-package vault
+package kvfile
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	bolt "go.etcd.io/bbolt"
 
-	"github.com/chalkhub/chalkhub/internal/store"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -96,12 +96,12 @@
 
 // Open opens the file, or makes it, and reads and checks everything in it. The error
 // wraps ErrDamaged if the file cannot be trusted; nothing is ever mended in silence.
-func Open(path string) (v *Vault, s *store.State, err error) {
+func Open(path string) (v *Vault, s *kvstore.State, err error) {
 	return open(path, false)
 }
 
 // Verify reads a file without changing it.
-func Verify(path string) (*store.State, error) {
+func Verify(path string) (*kvstore.State, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 	return s, v.Close()
 }
 
-func open(path string, readOnly bool) (v *Vault, s *store.State, err error) {
+func open(path string, readOnly bool) (v *Vault, s *kvstore.State, err error) {
 	switch st, err := os.Stat(path); {
 	case err == nil && st.Size() == 0:
 		return nil, nil, fmt.Errorf("%s: %w: it is empty", path, ErrDamaged)
@@ -205,8 +205,8 @@
 }
 
 // load reads everything and holds it against the sums.
-func (v *Vault) load() (*store.State, error) {
-	keys, leases := map[string]store.Entry{}, map[uint64]int64{}
+func (v *Vault) load() (*kvstore.State, error) {
+	keys, leases := map[string]kvstore.Entry{}, map[uint64]int64{}
 	var events []wire.Event
 	var sum uint64
 	records := 0
@@ -246,7 +246,7 @@
 		}
 		if err := each(keysBucket, func(k, value []byte) error {
 			records++
-			e, err := store.DecodeEntry(value)
+			e, err := kvstore.DecodeEntry(value)
 			keys[string(k)] = e
 			return err
 		}); err != nil {
@@ -277,7 +277,7 @@
 		return nil, fmt.Errorf("%w: %d records and %d changes do not add up to the %d and %d it should hold",
 			ErrDamaged, records, len(events), m.Records, m.LogTo-m.LogFrom)
 	}
-	s, err := store.Restore(m.Revision, m.NextID, m.First, keys, leases, events)
+	s, err := kvstore.Restore(m.Revision, m.NextID, m.First, keys, leases, events)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
@@ -288,7 +288,7 @@
 // said so. An error that wraps ErrFull means that nothing was done and that the next
 // write may succeed. After any other error nobody knows what the disk holds, and the
 // vault must not be used any more.
-func (v *Vault) Write(b *store.Batch, next *store.State) error {
+func (v *Vault) Write(b *kvstore.Batch, next *kvstore.State) error {
 	m := v.meta
 	m.Revision, m.NextID, m.First = next.Revision, next.NextID, next.First()
 	err := v.db.Update(func(tx *bolt.Tx) error {
@@ -320,7 +320,7 @@
 			if w.Delete {
 				err = drop(keysBucket, []byte(w.Key))
 			} else {
-				err = put(keysBucket, []byte(w.Key), store.EncodeEntry(w.Entry))
+				err = put(keysBucket, []byte(w.Key), kvstore.EncodeEntry(w.Entry))
 			}
 			if err != nil {
 				return err
--- a/internal/vault/vault_test.go
+++ b/internal/kvfile/vault_test.go
@@ -1,4 +1,4 @@
-package vault
+package kvfile
 
 import (
 	"errors"
@@ -9,15 +9,15 @@
 	"strings"
 	"testing"
 
-	"github.com/chalkhub/chalkhub/internal/store"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // dump is everything a state holds, as text.
-func dump(s *store.State) string {
+func dump(s *kvstore.State) string {
 	var b strings.Builder
 	fmt.Fprintln(&b, s.Revision, s.NextID, s.First(), s.Leases())
-	s.Each(func(k string, e store.Entry) bool { b.WriteString(k); b.Write(store.EncodeEntry(e)); return true })
+	s.Each(func(k string, e kvstore.Entry) bool { b.WriteString(k); b.Write(kvstore.EncodeEntry(e)); return true })
 	for _, e := range s.Log() {
 		b.Write(wire.Encode(e))
 	}
@@ -25,7 +25,7 @@
 }
 
 // filled makes a file with some hundred keys, changed over and over.
-func filled(t *testing.T, path string, turns int) *store.State {
+func filled(t *testing.T, path string, turns int) *kvstore.State {
 	t.Helper()
 	v, s, err := Open(path)
 	if err != nil {
@@ -38,7 +38,7 @@
 		id := b.Grant(5000)
 		for range 20 {
 			key := fmt.Sprintf("c/%03d", r.IntN(300))
-			b.Commit(&store.Txn{Then: []store.Op{{Put: key, Value: wire.Encode(strings.Repeat("x", r.IntN(300))), Lease: id}}})
+			b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: wire.Encode(strings.Repeat("x", r.IntN(300))), Lease: id}}})
 		}
 		if i%3 == 0 {
 			b.End(id)
@@ -144,7 +144,7 @@
 			b := s.Begin()
 			// Both keys always have the same value.
 			val := wire.Encode(i)
-			b.Commit(&store.Txn{Then: []store.Op{{Put: "a", Value: val}, {Put: "b", Value: val}}})
+			b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: "a", Value: val}, {Put: "b", Value: val}}})
 			s = b.Next()
 			if err := v.Write(b, s); err != nil {
 				done <- err
--- a/internal/stated/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -1,4 +1,4 @@
-package stated
+package kvserver
 
 import (
 	"bufio"
@@ -16,13 +16,13 @@
 	"testing"
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/kvfile"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/rpc"
-	"github.com/chalkhub/chalkhub/internal/store"
-	"github.com/chalkhub/chalkhub/internal/vault"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
-var lavish = Settings{Limits: store.Limits{ValueKB: 16, TxnOps: 16}, RPS: 1e6, WriteRPS: 1e6, Batch: 256}
+var lavish = Settings{Limits: kvstore.Limits{ValueKB: 16, TxnOps: 16}, RPS: 1e6, WriteRPS: 1e6, Batch: 256}
 
 // TestMain lets this program be the service whose process the tests kill.
 func TestMain(m *testing.M) {
@@ -38,7 +38,7 @@
 			panic(err)
 		}
 	}
-	v, s, err := vault.Open(path)
+	v, s, err := kvfile.Open(path)
 	if err != nil {
 		panic(err)
 	}
@@ -108,7 +108,7 @@
 		if total.Load() == 0 {
 			t.Fatal("nothing was written")
 		}
-		s, err := vault.Verify(path)
+		s, err := kvfile.Verify(path)
 		if err != nil {
 			t.Fatalf("after a kill: %v", err)
 		}
@@ -157,7 +157,7 @@
 	cmd.Process.Kill()
 	cmd.Wait()
 	_, addr = process(t, path)
-	s, err := vault.Verify(path + ".none")
+	s, err := kvfile.Verify(path + ".none")
 	if s != nil || err == nil {
 		t.Fatal("a file that is not there was read")
 	}
@@ -183,7 +183,7 @@
 // The service speaks the PROTOCOL, as the controllers' client and a few malformed
 // requests see it.
 func TestOverHTTP(t *testing.T) {
-	v, s, err := vault.Open(filepath.Join(t.TempDir(), "state.db"))
+	v, s, err := kvfile.Open(filepath.Join(t.TempDir(), "state.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/stated/keeper.go
+++ b/internal/kvserver/keeper.go
@@ -1,24 +1,24 @@
-// Package stated is the state service: a store that one goroutine owns, a disk that
+// Package kvserver is the state service: a store that one goroutine owns, a disk that
 // every change reaches before it is answered, and the PROTOCOL's HTTP round them.
-package stated
+package kvserver
 
 import (
 	"errors"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/store"
-	"github.com/chalkhub/chalkhub/internal/vault"
+	"github.com/chalkhub/chalkhub/internal/kvfile"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // Disk makes batches durable, as vault.Vault does.
 type Disk interface {
-	Write(*store.Batch, *store.State) error
+	Write(*kvstore.Batch, *kvstore.State) error
 }
 
 // Command is a request for the owner. One of its fields is set.
 type Command struct {
-	Commit *store.Txn
+	Commit *kvstore.Txn
 	Grant  int64  // life of a new lease in ms
 	Extend uint64 // a lease's number
 	Drop   uint64 // a lease's number
@@ -36,7 +36,7 @@
 // Keeper owns the store. It has no goroutine, clock or disk of its own: Turn is called
 // with the time on a steady clock.
 type Keeper struct {
-	state *store.State
+	state *kvstore.State
 	disk  Disk
 	ends  map[uint64]time.Duration // by lease: when it ends unless it is renewed
 	last  time.Duration            // when Turn was called last
@@ -48,7 +48,7 @@
 // full time again: whoever holds it could not renew it while nothing ran here.
 //
 // gap is how long after the last turn the process is taken to have stood still.
-func NewKeeper(s *store.State, disk Disk, now, gap time.Duration) *Keeper {
+func NewKeeper(s *kvstore.State, disk Disk, now, gap time.Duration) *Keeper {
 	k := &Keeper{state: s, disk: disk, last: now, gap: gap}
 	k.rearm(now)
 	return k
@@ -62,7 +62,7 @@
 }
 
 // State is what is durable.
-func (k *Keeper) State() *store.State { return k.state }
+func (k *Keeper) State() *kvstore.State { return k.state }
 
 // Turn applies commands in order with one write to the disk, and gives their answers.
 // An error means that the disk is in doubt: the answers have status 0 where a change
@@ -146,7 +146,7 @@
 			k.rearm(now)
 		}
 		return answers, nil
-	case errors.Is(err, vault.ErrFull):
+	case errors.Is(err, kvfile.ErrFull):
 		// Nothing of the batch was done, so nothing of it may be answered either, and
 		// a 409 may rest on what was not done.
 		k.out = true
--- a/internal/stated/keeper_test.go
+++ b/internal/kvserver/keeper_test.go
@@ -1,4 +1,4 @@
-package stated
+package kvserver
 
 import (
 	"errors"
@@ -9,14 +9,14 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/chalkhub/chalkhub/internal/store"
-	"github.com/chalkhub/chalkhub/internal/vault"
+	"github.com/chalkhub/chalkhub/internal/kvfile"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // memory is a disk that keeps what was synced and loses the rest when it crashes.
 type memory struct {
-	keys    map[string]store.Entry
+	keys    map[string]kvstore.Entry
 	leases  map[uint64]int64
 	log     []wire.Event
 	rev, id uint64
@@ -26,10 +26,10 @@
 }
 
 func newMemory() *memory {
-	return &memory{keys: map[string]store.Entry{}, leases: map[uint64]int64{}}
+	return &memory{keys: map[string]kvstore.Entry{}, leases: map[uint64]int64{}}
 }
 
-func (m *memory) Write(b *store.Batch, next *store.State) error {
+func (m *memory) Write(b *kvstore.Batch, next *kvstore.State) error {
 	if m.fail != nil && !m.lose {
 		return m.fail
 	}
@@ -52,12 +52,12 @@
 	return m.fail
 }
 
-func (m *memory) read() (*store.State, error) {
-	return store.Restore(m.rev, m.id, m.first, maps.Clone(m.keys), maps.Clone(m.leases), append([]wire.Event(nil), m.log...))
+func (m *memory) read() (*kvstore.State, error) {
+	return kvstore.Restore(m.rev, m.id, m.first, maps.Clone(m.keys), maps.Clone(m.leases), append([]wire.Event(nil), m.log...))
 }
 
-func set(key string, v int, lease uint64) store.Op {
-	return store.Op{Put: key, Value: wire.Encode(v), Lease: lease}
+func set(key string, v int, lease uint64) kvstore.Op {
+	return kvstore.Op{Put: key, Value: wire.Encode(v), Lease: lease}
 }
 
 // Whatever the disk does, an answered change is there after the next start, a change
@@ -77,7 +77,7 @@
 		model := map[string]string{} // what must be there
 		check := func() {
 			got := map[string]string{}
-			k.State().Each(func(key string, e store.Entry) bool {
+			k.State().Each(func(key string, e kvstore.Entry) bool {
 				got[key] = string(e.Value)
 				return true
 			})
@@ -90,17 +90,17 @@
 			disk.fail, disk.lose = nil, false
 			switch rapid.IntRange(0, 7).Draw(t, "disk") {
 			case 0:
-				disk.fail = vault.ErrFull
+				disk.fail = kvfile.ErrFull
 			case 1:
 				disk.fail = errors.New("input/output error")
 				disk.lose = rapid.Bool().Draw(t, "lost answer")
 			}
 			var cmds []Command
 			for range rapid.IntRange(0, 4).Draw(t, "commands") {
-				txn := &store.Txn{}
+				txn := &kvstore.Txn{}
 				for _, key := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c/d", "c/e"}), 1, 3, rapid.ID).Draw(t, "keys") {
 					if rapid.IntRange(0, 3).Draw(t, "op") == 0 {
-						txn.Then = append(txn.Then, store.Op{Delete: key})
+						txn.Then = append(txn.Then, kvstore.Op{Delete: key})
 					} else {
 						txn.Then = append(txn.Then, set(key, rapid.IntRange(0, 99).Draw(t, "value"), 0))
 					}
@@ -169,7 +169,7 @@
 // an outage and after the process stood still, and never ends early.
 func TestLeases(t *testing.T) {
 	disk := newMemory()
-	k := NewKeeper(store.Empty(), disk, 0, time.Second)
+	k := NewKeeper(kvstore.Empty(), disk, 0, time.Second)
 	ms := time.Millisecond
 	idle := func(now time.Duration) {
 		if _, err := k.Turn(now, nil); err != nil {
@@ -178,7 +178,7 @@
 	}
 	there := func() bool { _, ok := k.State().Get("c/node"); return ok }
 	id := one(t, k, 0, Command{Grant: 2000}).Lease
-	one(t, k, 10*ms, Command{Commit: &store.Txn{Then: []store.Op{set("c/node", 1, id)}}})
+	one(t, k, 10*ms, Command{Commit: &kvstore.Txn{Then: []kvstore.Op{set("c/node", 1, id)}}})
 	for now := 100 * ms; now < 1990*ms; now += 400 * ms {
 		idle(now)
 	}
@@ -204,14 +204,14 @@
 		t.Fatal("the lease ended while nobody could renew it")
 	}
 	// The disk is full: nothing ends, and afterwards it has its full time.
-	disk.fail = vault.ErrFull
+	disk.fail = kvfile.ErrFull
 	for now := 17500 * ms; now < 30*time.Second; now += 500 * ms {
-		if a, _ := k.Turn(now, []Command{{Commit: &store.Txn{Then: []store.Op{set("x", 1, 0)}}}}); a[0].Status != 503 {
+		if a, _ := k.Turn(now, []Command{{Commit: &kvstore.Txn{Then: []kvstore.Op{set("x", 1, 0)}}}}); a[0].Status != 503 {
 			t.Fatalf("a full disk answers %d", a[0].Status)
 		}
 	}
 	disk.fail = nil
-	one(t, k, 30*time.Second, Command{Commit: &store.Txn{Then: []store.Op{set("x", 1, 0)}}})
+	one(t, k, 30*time.Second, Command{Commit: &kvstore.Txn{Then: []kvstore.Op{set("x", 1, 0)}}})
 	idle(30900 * ms)
 	idle(31800 * ms)
 	if !there() {
@@ -222,7 +222,7 @@
 	if there() || k.State().Revision != rev+1 {
 		t.Fatal("the lease did not end, or its keys went without a revision")
 	}
-	if a, _ := k.Turn(32060*ms, []Command{{Commit: &store.Txn{Then: []store.Op{set("c/node", 1, id)}}}, {Extend: id}}); a[0].Status != 400 || a[1].Status != 404 {
+	if a, _ := k.Turn(32060*ms, []Command{{Commit: &kvstore.Txn{Then: []kvstore.Op{set("c/node", 1, id)}}}, {Extend: id}}); a[0].Status != 400 || a[1].Status != 404 {
 		t.Fatalf("a lease that has ended: %+v", a)
 	}
 }
@@ -231,10 +231,10 @@
 // the kept changes behind, also across a restart.
 func TestFollowersFarBehind(t *testing.T) {
 	disk := newMemory()
-	k := NewKeeper(store.Empty(), disk, 0, time.Hour)
-	for i := range store.Kept/2 + 10 {
+	k := NewKeeper(kvstore.Empty(), disk, 0, time.Hour)
+	for i := range kvstore.Kept/2 + 10 {
 		// Two changes of one revision.
-		one(t, k, time.Duration(i), Command{Commit: &store.Txn{Then: []store.Op{set(fmt.Sprintf("c/%d", i), i, 0), set("d", i, 0)}}})
+		one(t, k, time.Duration(i), Command{Commit: &kvstore.Txn{Then: []kvstore.Op{set(fmt.Sprintf("c/%d", i), i, 0), set("d", i, 0)}}})
 	}
 	for range 2 {
 		s := k.State()
@@ -242,7 +242,7 @@
 			t.Fatal("changes that are gone are given")
 		}
 		e, fine := s.Since("c/", s.First())
-		if !fine || len(e.Events) != store.Kept/2 || e.Events[0].Put != "c/10" || e.Revision != s.Revision {
+		if !fine || len(e.Events) != kvstore.Kept/2 || e.Events[0].Put != "c/10" || e.Revision != s.Revision {
 			t.Fatalf("%v, %d changes from %v", fine, len(e.Events), e.Events[0])
 		}
 		again, err := disk.read()
@@ -254,10 +254,10 @@
 }
 
 func TestPages(t *testing.T) {
-	k := NewKeeper(store.Empty(), newMemory(), 0, time.Hour)
+	k := NewKeeper(kvstore.Empty(), newMemory(), 0, time.Hour)
 	big := make([]byte, 20<<10)
 	for i := range 60 {
-		one(t, k, time.Duration(i), Command{Commit: &store.Txn{Then: []store.Op{{Put: fmt.Sprintf("c/%02d", i), Value: wire.Encode(string(big))}, set(fmt.Sprintf("d/%02d", i), i, 0)}}})
+		one(t, k, time.Duration(i), Command{Commit: &kvstore.Txn{Then: []kvstore.Op{{Put: fmt.Sprintf("c/%02d", i), Value: wire.Encode(string(big))}, set(fmt.Sprintf("d/%02d", i), i, 0)}}})
 	}
 	seen, since := 0, ""
 	for {
--- a/internal/stated/server.go
+++ b/internal/kvserver/server.go
@@ -1,4 +1,4 @@
-package stated
+package kvserver
 
 import (
 	"context"
@@ -16,14 +16,14 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/chalkhub/chalkhub/internal/serve"
-	"github.com/chalkhub/chalkhub/internal/store"
+	"github.com/chalkhub/chalkhub/internal/httpserver"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // Settings of a service.
 type Settings struct {
-	store.Limits
+	kvstore.Limits
 	RPS      float64 // requests a second
 	WriteRPS float64 // puts and deletes a second
 	Batch    int     // most commands that share a write to the disk; 1: no batches
@@ -55,7 +55,7 @@
 // shown is the durable state, which anybody may read, and a channel that is closed when
 // there is a newer one.
 type shown struct {
-	*store.State
+	*kvstore.State
 	newer chan struct{}
 }
 
@@ -79,7 +79,7 @@
 )
 
 // New makes a server of a state that was just read from its disk.
-func New(set Settings, s *store.State, disk Disk) *Server {
+func New(set Settings, s *kvstore.State, disk Disk) *Server {
 	v := &Server{set: set, queue: make(chan asked, 4*max(set.Batch, 256)), begin: time.Now(), done: make(chan struct{}),
 		batches: hdrhistogram.New(1, 1<<20, 2), syncs: hdrhistogram.New(1, 60_000_000, 2)}
 	v.keep = NewKeeper(s, disk, 0, standStill)
@@ -87,7 +87,7 @@
 	v.http = &fasthttp.Server{
 		Handler: v.handle,
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			serve.Reply(ctx, 400, wire.ErrorAnswer{Error: "malformed request"})
+			httpserver.Reply(ctx, 400, wire.ErrorAnswer{Error: "malformed request"})
 		},
 		Name: "chalk-state", MaxRequestBodySize: wire.MaxBody, IdleTimeout: 2 * time.Minute, ReadTimeout: 2 * time.Minute,
 		// A follower that does not read its answer holds a connection, not the store.
@@ -99,7 +99,7 @@
 func (v *Server) clock() time.Duration { return time.Since(v.begin) }
 
 // State is what is durable.
-func (v *Server) State() *store.State { return v.shown.Load().State }
+func (v *Server) State() *kvstore.State { return v.shown.Load().State }
 
 // Serve answers until ctx ends or the disk is in doubt.
 func (v *Server) Serve(ctx context.Context, l net.Listener) error {
@@ -108,7 +108,7 @@
 		defer close(v.done)
 		return v.own(ctx)
 	})
-	g.Go(func() error { return serve.Until(ctx, v.http, l) })
+	g.Go(func() error { return httpserver.Until(ctx, v.http, l) })
 	return g.Wait()
 }
 
@@ -158,7 +158,7 @@
 }
 
 func refuse(ctx *fasthttp.RequestCtx, status int, why string) {
-	serve.Reply(ctx, status, wire.ErrorAnswer{Error: why})
+	httpserver.Reply(ctx, status, wire.ErrorAnswer{Error: why})
 }
 
 // limited answers 429 if a request with so many writes is above the limits. Counted is
@@ -222,7 +222,7 @@
 			return
 		}
 		if !v.limited(ctx, 0) {
-			serve.Reply(ctx, 200, v.State().Range(string(args.Peek("Starts")), string(args.Peek("Since")), int(min(page, 1<<20))))
+			httpserver.Reply(ctx, 200, v.State().Range(string(args.Peek("Starts")), string(args.Peek("Since")), int(min(page, 1<<20))))
 		}
 	case strings.HasPrefix(path, "/store/") && ctx.IsGet():
 		if v.limited(ctx, 0) {
@@ -237,7 +237,7 @@
 		}
 		s := v.State()
 		if e, ok := s.Get(key); ok {
-			serve.Reply(ctx, 200, struct {
+			httpserver.Reply(ctx, 200, struct {
 				Key     string   `msgpack:"Key"`
 				Value   wire.Raw `msgpack:"Data"`
 				Version uint64   `msgpack:"Stamp"`
@@ -245,7 +245,7 @@
 			}{key, e.Value, e.Version, e.Lease})
 			return
 		}
-		serve.Reply(ctx, 404, wire.TxnAnswer{Revision: s.Revision})
+		httpserver.Reply(ctx, 404, wire.TxnAnswer{Revision: s.Revision})
 	case path == "/holds" && ctx.IsPost():
 		var q wire.LeaseRequest
 		if err := wire.Decode(ctx.PostBody(), &q); err != nil || q.TTLms == 0 {
@@ -256,7 +256,7 @@
 			return
 		}
 		if a, ok := v.ask(ctx, Command{Grant: q.TTLms}); ok {
-			serve.Reply(ctx, 200, wire.LeaseAnswer{Lease: a.Lease})
+			httpserver.Reply(ctx, 200, wire.LeaseAnswer{Lease: a.Lease})
 		}
 	case strings.HasPrefix(path, "/holds/"):
 		rest, extend := strings.CutSuffix(strings.TrimPrefix(path, "/holds/"), "/extend")
@@ -273,7 +273,7 @@
 			c = Command{Extend: id}
 		}
 		if _, ok := v.ask(ctx, c); ok {
-			serve.Reply(ctx, 200, struct{}{})
+			httpserver.Reply(ctx, 200, struct{}{})
 		}
 	case path == "/follow" && ctx.IsGet():
 		v.follow(ctx)
@@ -283,7 +283,7 @@
 }
 
 func (v *Server) commit(ctx *fasthttp.RequestCtx) {
-	var t store.Txn
+	var t kvstore.Txn
 	if err := wire.Decode(ctx.PostBody(), &t); err != nil {
 		refuse(ctx, 400, err.Error())
 		return
@@ -296,7 +296,7 @@
 		return
 	}
 	if a, ok := v.ask(ctx, Command{Commit: &t}); ok {
-		serve.Reply(ctx, a.Status, a.Txn)
+		httpserver.Reply(ctx, a.Status, a.Txn)
 	}
 }
 
@@ -323,7 +323,7 @@
 			return
 		}
 		if len(e.Events) > 0 || over {
-			serve.Reply(ctx, 200, e)
+			httpserver.Reply(ctx, 200, e)
 			return
 		}
 		select {
--- a/internal/store/store.go
+++ b/internal/kvstore/store.go
@@ -1,11 +1,11 @@
-// Package store is the state service's store, without input, output or clock: keys with
+// Package kvstore is the state service's store, without input, output or clock: keys with
 // revisions, conditional transactions, leases and the last changes, as the PROTOCOL's
 // "Controller nodes -> state service" has them.
 //
 // A State never changes. A Batch starts from one, applies commands and holds the next
 // State and what must be written for it; whoever owns the store shows the next State to
 // others only once that is durable, and keeps the earlier one if it never is.
-package store
+package kvstore
 
 import (
 	"encoding/binary"
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -28,7 +28,7 @@
 	"github.com/chalkhub/chalkhub/client"
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/rent"
+	"github.com/chalkhub/chalkhub/internal/localcloud"
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
@@ -207,11 +207,11 @@
 
 // CloudFile is the settings of `chalk cloud`.
 type CloudFile struct {
-	Listen  string         `json:"listen"`
-	Folder  string         `json:"folder"`
-	Rent    rent.Settings  `json:"rent"`
-	Cluster Addresses      `json:"cluster"`
-	Workers config.Workers `json:"workers"`
+	Listen  string              `json:"listen"`
+	Folder  string              `json:"folder"`
+	Rent    localcloud.Settings `json:"rent"`
+	Cluster Addresses           `json:"cluster"`
+	Workers config.Workers      `json:"workers"`
 }
 
 // AgentFile is the settings of `chalk agent`.
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -7,14 +7,14 @@
 	"slices"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/form"
-	"github.com/chalkhub/chalkhub/internal/rent"
+	"github.com/chalkhub/chalkhub/internal/localcloud"
+	"github.com/chalkhub/chalkhub/internal/schema"
 )
 
 //go:embed settings.schema.json
 var schemaText []byte
 
-var schema = form.Compile("settings.schema.json", schemaText)
+var settingsSchema = schema.Compile("settings.schema.json", schemaText)
 
 // Settings of a cluster on one machine, as its owner writes them in YAML.
 type Settings struct {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return s, err
 	}
-	if err := schema.Read(path, b, &s); err != nil {
+	if err := settingsSchema.Read(path, b, &s); err != nil {
 		return s, err
 	}
 	return s, s.check(path)
@@ -142,10 +142,10 @@
 }
 
 // rent is what the cloud is told.
-func (s *Settings) rent() rent.Settings {
-	r := rent.Settings{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS, SpotLifeS: s.Cloud.SpotLifeS, NoticeS: s.Cloud.NoticeS}
+func (s *Settings) rent() localcloud.Settings {
+	r := localcloud.Settings{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS, SpotLifeS: s.Cloud.SpotLifeS, NoticeS: s.Cloud.NoticeS}
 	for _, t := range s.Cloud.Types {
-		r.Types = append(r.Types, rent.Type(t))
+		r.Types = append(r.Types, localcloud.Type(t))
 	}
 	return r
 }
--- a/internal/rent/rent.go
+++ b/internal/localcloud/rent.go
@@ -1,8 +1,8 @@
-// Package rent is a cloud on one machine: what it rents are agents, processes of this
+// Package localcloud is a cloud on one machine: what it rents are agents, processes of this
 // machine. It keeps the PROTOCOL's "Controller nodes -> cloud" with types, zones, spot
 // prices and notices from its settings. It stands in for a provider; what is deleted is
 // gone by the time the answer says so.
-package rent
+package localcloud
 
 import (
 	"bufio"
@@ -28,7 +28,7 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/serve"
+	"github.com/chalkhub/chalkhub/internal/httpserver"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -401,7 +401,7 @@
 func (c *Cloud) Serve(ctx context.Context, l net.Listener) error {
 	srv := &fasthttp.Server{Handler: c.handle, Name: "chalk-cloud", MaxRequestBodySize: wire.MaxBody, IdleTimeout: time.Minute,
 		NoDefaultServerHeader: true, NoDefaultDate: true}
-	err := serve.Until(ctx, srv, l)
+	err := httpserver.Until(ctx, srv, l)
 	c.mu.Lock()
 	names := make([]string, 0, len(c.machines))
 	for n := range c.machines {
@@ -412,7 +412,7 @@
 }
 
 func (c *Cloud) handle(ctx *fasthttp.RequestCtx) {
-	reply := func(status int, body any) { serve.Reply(ctx, status, body) }
+	reply := func(status int, body any) { httpserver.Reply(ctx, status, body) }
 	c.mu.Lock()
 	now := time.Now()
 	c.used = max(c.used-now.Sub(c.at).Seconds()*c.set.RPS, 0)
--- a/internal/form/form.go
+++ b/internal/schema/form.go
@@ -1,6 +1,6 @@
-// Package form reads what people write: YAML (so JSON too) that is held against a JSON
+// Package schema reads what people write: YAML (so JSON too) that is held against a JSON
 // schema, with the line of each mistake.
-package form
+package schema
 
 import (
 	"bytes"
--- a/internal/form/form_test.go
+++ b/internal/schema/form_test.go
@@ -1,4 +1,4 @@
-package form
+package schema
 
 import (
 	"strings"
--- a/internal/fake/cloud.go
+++ b/internal/simulation/cloud.go
@@ -1,4 +1,4 @@
-package fake
+package simulation
 
 import (
 	"fmt"
--- a/internal/fake/shares.go
+++ b/internal/simulation/shares.go
@@ -1,11 +1,11 @@
-package fake
+package simulation
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/floor"
+	"github.com/chalkhub/chalkhub/internal/fairshare"
 )
 
 // Share is how a class of a team fared.
@@ -16,15 +16,15 @@
 
 // Shares counts the jobs that were accepted up to a moment and not cancelled, by class
 // and team. Jobs that fail wherever they run can't be served and do not count.
-func (u *Users) Shares(until time.Duration) map[floor.Account]*Share {
-	out := map[floor.Account]*Share{}
-	work := map[floor.Account][]float64{}
+func (u *Users) Shares(until time.Duration) map[fairshare.Account]*Share {
+	out := map[fairshare.Account]*Share{}
+	work := map[fairshare.Account][]float64{}
 	for _, j := range u.jobs {
 		if !j.Accepted || j.aborting || j.Mistaken || j.sentAt > until {
 			continue
 		}
 		s := &j.Spec
-		a := floor.Account{Team: s.Team, Class: s.Class}
+		a := fairshare.Account{Team: s.Team, Class: s.Class}
 		x := out[a]
 		if x == nil {
 			x = &Share{}
@@ -51,7 +51,7 @@
 // FloorsBroken lists the classes of which less than half is done although the capacity
 // that their team could use, in CPU seconds, was enough for the smaller half of the jobs
 // of each of its classes. judged is of how many classes that is so.
-func (u *Users) FloorsBroken(until time.Duration, capacity map[string]float64) (broken []floor.Account, judged int) {
+func (u *Users) FloorsBroken(until time.Duration, capacity map[string]float64) (broken []fairshare.Account, judged int) {
 	need := map[string]float64{}
 	shares := u.Shares(until)
 	for a, x := range shares {
@@ -66,7 +66,7 @@
 			broken = append(broken, a)
 		}
 	}
-	slices.SortFunc(broken, func(x, y floor.Account) int {
+	slices.SortFunc(broken, func(x, y fairshare.Account) int {
 		return slices.Compare([]string{x.Team, x.Class}, []string{y.Team, y.Class})
 	})
 	return broken, judged
--- a/internal/fake/state.go
+++ b/internal/simulation/state.go
@@ -1,4 +1,4 @@
-package fake
+package simulation
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/store"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // State is the state service.
 type State struct {
 	w       *World
-	now     *store.State             // the store itself is the product's
+	now     *kvstore.State           // the store itself is the product's
 	ends    map[uint64]time.Duration // by lease
 	Out     bool                     // an outage: every node gets 503
 	Refuses map[string]bool          // nodes that alone get 503
@@ -79,7 +79,7 @@
 }
 
 func newState(w *World) *State {
-	return &State{w: w, now: store.Empty(), ends: map[uint64]time.Duration{}, Refuses: map[string]bool{}, Forgot: map[string]bool{}}
+	return &State{w: w, now: kvstore.Empty(), ends: map[uint64]time.Duration{}, Refuses: map[string]bool{}, Forgot: map[string]bool{}}
 }
 
 // Outage makes the service refuse everybody for a while; leases are frozen and
@@ -105,12 +105,12 @@
 		if s.ends[id] != ends || s.Out {
 			return
 		}
-		s.change(func(b *store.Batch) { b.End(id) })
+		s.change(func(b *kvstore.Batch) { b.End(id) })
 	})
 }
 
 // change makes the next state and wakes those who wait for one.
-func (s *State) change(f func(*store.Batch)) {
+func (s *State) change(f func(*kvstore.Batch)) {
 	b := s.now.Begin()
 	f(b)
 	s.now = b.Next()
@@ -132,7 +132,7 @@
 		return e.Lease, 200
 	}
 	var id uint64
-	s.change(func(b *store.Batch) { id = b.Grant(e.TTL.Milliseconds()) })
+	s.change(func(b *kvstore.Batch) { id = b.Grant(e.TTL.Milliseconds()) })
 	if id == 0 {
 		s.w.broke("malformed", "%s asks for a lease of %v", node, e.TTL)
 		return 0, 400
@@ -171,9 +171,9 @@
 
 func (s *State) apply(t wire.Txn) (int, wire.TxnAnswer) {
 	s.Writes += len(t.Then)
-	txn := store.Txn{If: t.If}
+	txn := kvstore.Txn{If: t.If}
 	for _, op := range t.Then {
-		o := store.Op{Put: op.Put, Lease: op.Lease, Delete: op.Delete}
+		o := kvstore.Op{Put: op.Put, Lease: op.Lease, Delete: op.Delete}
 		if op.Put != "" {
 			o.Value = wire.Encode(op.Value)
 		}
@@ -181,7 +181,7 @@
 	}
 	var status int
 	var answer wire.TxnAnswer
-	s.change(func(b *store.Batch) { status, answer, _ = b.Commit(&txn) })
+	s.change(func(b *kvstore.Batch) { status, answer, _ = b.Commit(&txn) })
 	return status, answer
 }
 
@@ -253,7 +253,7 @@
 
 // Ended puts n jobs into the store that were done or cancelled long ago.
 func (s *State) Ended(n int) {
-	var txn store.Txn
+	var txn kvstore.Txn
 	for i := range n {
 		id := fmt.Sprintf("job-9%08d", i)
 		spec := Array(1 + i%40)
@@ -262,16 +262,16 @@
 		if i%50 == 0 {
 			rec.State, rec.Bad = wire.JobCancelled, "cancelled by its user"
 		}
-		txn.Then = append(txn.Then, store.Op{Put: "c/job/" + id, Value: wire.Encode(rec)})
+		txn.Then = append(txn.Then, kvstore.Op{Put: "c/job/" + id, Value: wire.Encode(rec)})
 	}
-	s.change(func(b *store.Batch) { b.Commit(&txn) })
+	s.change(func(b *kvstore.Batch) { b.Commit(&txn) })
 }
 
 // Behind puts a job into the store and n jobs that wait for it: half of them for it alone,
 // half in chains of a hundred.
 func (s *State) Behind(first wire.Job, n int) {
 	first.EstimateS = 100_000
-	txn := store.Txn{Then: []store.Op{{Put: "c/job/" + first.ID, Value: wire.Encode(wire.JobRecord{Spec: first, State: wire.JobQueued, At: 1e9})}}}
+	txn := kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + first.ID, Value: wire.Encode(wire.JobRecord{Spec: first, State: wire.JobQueued, At: 1e9})}}}
 	before := ""
 	for i := range n {
 		spec := Array(1 + i%40)
@@ -280,9 +280,9 @@
 			spec.Needs = []string{before}
 		}
 		before = spec.ID
-		txn.Then = append(txn.Then, store.Op{Put: "c/run/" + spec.ID, Value: wire.Encode(wire.JobRecord{Spec: spec, State: wire.JobQueued, At: 1e9})})
+		txn.Then = append(txn.Then, kvstore.Op{Put: "c/run/" + spec.ID, Value: wire.Encode(wire.JobRecord{Spec: spec, State: wire.JobQueued, At: 1e9})})
 	}
-	s.change(func(b *store.Batch) { b.Commit(&txn) })
+	s.change(func(b *kvstore.Batch) { b.Commit(&txn) })
 }
 
 // malformed says what is wrong with a transaction: it is over a limit of the
@@ -310,20 +310,20 @@
 
 // Forget removes a key behind everybody's back.
 func (s *State) Forget(key string) {
-	s.change(func(b *store.Batch) { b.Commit(&store.Txn{Then: []store.Op{{Delete: key}}}) })
+	s.change(func(b *kvstore.Batch) { b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}}) })
 }
 
 // Reopen puts a job back to where it was when it was accepted, behind everybody's back.
 func (s *State) Reopen(spec wire.Job) {
 	rec := wire.JobRecord{Spec: spec, State: wire.JobQueued, At: 1e9}
-	s.change(func(b *store.Batch) {
-		b.Commit(&store.Txn{Then: []store.Op{{Put: "c/job/" + spec.ID, Value: wire.Encode(rec)}}})
+	s.change(func(b *kvstore.Batch) {
+		b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + spec.ID, Value: wire.Encode(rec)}}})
 	})
 }
 
 // Count counts the keys with a prefix.
 func (s *State) Count(prefix string) (n int) {
-	s.now.Each(func(k string, _ store.Entry) bool {
+	s.now.Each(func(k string, _ kvstore.Entry) bool {
 		if strings.HasPrefix(k, prefix) {
 			n++
 		}
--- a/internal/fake/world.go
+++ b/internal/simulation/world.go
@@ -1,7 +1,7 @@
-// Package fake stands in for everything outside a controller: the state
+// Package simulation stands in for everything outside a controller: the state
 // service, the cloud, the workers, the network and the clock, all in memory and
 // in simulated time. Given the same seed, a story always goes the same way.
-package fake
+package simulation
 
 import (
 	"container/heap"
--- a/internal/reach/helm.go
+++ b/internal/stepdown/helm.go
@@ -1,4 +1,4 @@
-// Package reach decides what follows from the links that a controller has and those that it
+// Package stepdown decides what follows from the links that a controller has and those that it
 // lacks: so far, when a leader that can serve nobody lets another lead. It has no clock,
 // input or output.
 //
@@ -6,7 +6,7 @@
 // itself is check-quorum (Ongaro, Consensus: Bridging Theory and Practice, 2014, §6.2). Here
 // the state service elects, so what counts is not a majority of votes: it is whether any
 // work can start through this leader.
-package reach
+package stepdown
 
 import "time"
 
