--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -189,5 +189,5 @@
 		write(ctx, 503, wire.ErrorAnswer{Error: "busy"}, time.Second)
 		return
 	}
-	write(ctx, r.Status, r.Body, r.RetryAfter)
+	write(ctx, int(r.Status), r.Body, r.RetryAfter)
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -5,7 +5,10 @@
 	"net/url"
 	"time"
 
+	"github.com/valyala/fasthttp"
+
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/engine"
 	"github.com/chalkhub/chalkhub/internal/rpc"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
@@ -25,7 +28,7 @@
 // Types asks for the machine types.
 func (c *Client) Types() core.TypesDone {
 	var d core.TypesDone
-	d.Status = c.rpc.Call("GET", c.addr, "/machine_types", nil, &d.Answer, timeout, 200)
+	d.Outcome = engine.CloudOutcome(c.rpc.Call("GET", c.addr, "/machine_types", nil, &d.Answer, timeout, fasthttp.StatusOK))
 	return d
 }
 
@@ -36,19 +39,19 @@
 		q += "&Since=" + url.QueryEscape(e.Since)
 	}
 	var l wire.MachineList
-	status := c.rpc.Call("GET", c.addr, q, nil, &l, timeout, 200)
-	return core.ListDone{Status: status, Machines: l.Machines, More: l.More}
+	status := c.rpc.Call("GET", c.addr, q, nil, &l, timeout, fasthttp.StatusOK)
+	return core.ListDone{Outcome: engine.CloudOutcome(status), Machines: l.Machines, More: l.More}
 }
 
 // Hire rents machines.
 func (c *Client) Hire(e core.Hire) core.HireDone {
 	var n wire.Names
-	s := c.rpc.Call("POST", c.addr, "/machines", e.Request, &n, timeout, 200)
-	return core.HireDone{Request: e.Request.Request, Status: s, Names: n.Machines}
+	status := c.rpc.Call("POST", c.addr, "/machines", e.Request, &n, timeout, fasthttp.StatusOK)
+	return core.HireDone{Request: e.Request.Request, Outcome: engine.CloudOutcome(status), Names: n.Machines}
 }
 
 // Delete returns machines.
 func (c *Client) Delete(e core.Delete) core.DeleteDone {
-	s := c.rpc.Call("POST", c.addr, "/machines/delete", wire.Names{Machines: e.Names}, nil, timeout)
-	return core.DeleteDone{Names: e.Names, Status: s}
+	status := c.rpc.Call("POST", c.addr, "/machines/delete", wire.Names{Machines: e.Names}, nil, timeout)
+	return core.DeleteDone{Names: e.Names, Outcome: engine.CloudOutcome(status)}
 }
--- a/internal/core/behind.go
+++ b/internal/core/behind.go
@@ -37,10 +37,10 @@
 			})
 			return
 		case j == nil:
-			l.c.emit(Reply{ID: id, Status: 422, Body: wire.ErrorAnswer{Error: "it needs " + name + ", which was never accepted: submit that one first"}})
+			l.c.emit(Reply{ID: id, Status: ReplyInvalid, Body: wire.ErrorAnswer{Error: "it needs " + name + ", which was never accepted: submit that one first"}})
 			return
 		case j.rec.Spec.Kind == wire.KindService:
-			l.c.emit(Reply{ID: id, Status: 422, Body: wire.ErrorAnswer{Error: "it needs " + name + ", which is a service and is never done"}})
+			l.c.emit(Reply{ID: id, Status: ReplyInvalid, Body: wire.ErrorAnswer{Error: "it needs " + name + ", which is a service and is never done"}})
 			return
 		case j.rec.State == wire.JobCancelled:
 			cancelled = name
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -6,11 +6,9 @@
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
-// Command is something that happened: a request, an answer, a tick.
-type Command any
-
-// Effect is something to be done outside: an answer, a call, a line to a peer.
-type Effect any
+// Command is something that happened: a request, an answer, a tick. The set is closed: only
+// the types of this file are commands.
+type Command interface{ command() }
 
 // RequestID names a request that waits for its Reply.
 type RequestID uint64
@@ -47,11 +45,11 @@
 type (
 	// Tick says that time has passed.
 	Tick struct{}
-	// CommitDone answers Commit. Status 0: no answer, the outcome is open.
+	// CommitDone answers Commit.
 	CommitDone struct {
-		ID     uint64
-		Status int
-		Answer wire.TxnAnswer
+		ID      uint64
+		Outcome CommitOutcome
+		Answer  wire.TxnAnswer
 	}
 	// LoadDone answers Load.
 	LoadDone struct {
@@ -65,20 +63,20 @@
 	FollowDone struct {
 		Barrier bool
 		Sent    time.Duration
-		Status  int
+		Outcome WatchOutcome
 		Answer  wire.Events
 	}
-	// LeaseDone answers Lease. Status 0: no answer.
+	// LeaseDone answers Lease.
 	LeaseDone struct {
-		Sent   time.Duration
-		Lease  uint64
-		Status int
+		Sent    time.Duration
+		Lease   uint64
+		Outcome LeaseOutcome
 	}
-	// DoDone answers Do. Status 0: no answer; a report is there with 200 and 409.
+	// DoDone answers Do. A report is there if the outcome is DirectExecuted or DirectFenced.
 	DoDone struct {
 		Machine string
 		ID      uint64
-		Status  int
+		Outcome DirectOutcome
 		Report  wire.Report
 	}
 	// InspectDone answers Inspect.
@@ -88,25 +86,25 @@
 	}
 	// TypesDone answers Types.
 	TypesDone struct {
-		Status int
-		Answer wire.MachineTypes
+		Outcome CloudOutcome
+		Answer  wire.MachineTypes
 	}
 	// ListDone answers List with a page.
 	ListDone struct {
-		Status   int
+		Outcome  CloudOutcome
 		Machines []wire.Machine
 		More     bool
 	}
 	// HireDone answers Hire.
 	HireDone struct {
 		Request string
-		Status  int
+		Outcome CloudOutcome
 		Names   []string
 	}
 	// DeleteDone answers Delete.
 	DeleteDone struct {
-		Names  []string
-		Status int
+		Names   []string
+		Outcome CloudOutcome
 	}
 )
 
@@ -126,78 +124,22 @@
 	}
 )
 
-// Effects.
-type (
-	// Reply answers a request. Body is encoded by the caller's interface.
-	Reply struct {
-		ID         RequestID
-		Status     int
-		Body       any
-		RetryAfter time.Duration
-	}
-	// Commit runs a transaction.
-	Commit struct {
-		ID  uint64
-		Txn wire.Txn
-	}
-	// Load reads a page of all keys, those after Since.
-	Load struct{ Since string }
-	// Follow waits for changes. A barrier does not wait.
-	Follow struct {
-		Since   uint64
-		Hold    time.Duration
-		Barrier bool
-	}
-	// Lease renews the lease, or asks for a new one if Lease is 0.
-	Lease struct {
-		Lease uint64
-		TTL   time.Duration
-	}
-	// Do sends commands straight to a worker.
-	Do struct {
-		Machine string
-		ID      uint64
-		Addr    string
-		Body    wire.Do
-	}
-	// Inspect asks a worker for its report, only to know that it can be reached.
-	Inspect struct {
-		Machine string
-		Addr    string
-	}
-	// Types asks the cloud for its machine types.
-	Types struct{}
-	// List asks the cloud for a page of its machines, those after Since.
-	List struct{ Since string }
-	// Hire rents machines.
-	Hire struct{ Request wire.Hire }
-	// Delete returns machines.
-	Delete struct{ Names []string }
-	// PeerTarget names the sibling to keep a link to; empty for none.
-	PeerTarget struct{ Label string }
-	// PeerSend sends a message over a link.
-	PeerSend struct {
-		Session uint64
-		Message wire.PeerMessage
-	}
-	// PeerClose ends a link.
-	PeerClose struct{ Session uint64 }
-	// Ready says whether the node can take requests.
-	Ready struct{ Yes bool }
-	// Log is a line for the operators.
-	Log struct {
-		Level Level
-		Text  string
-		Args  []any
-	}
-)
-
-// Level of a log line.
-type Level int
-
-// Levels, as in log/slog.
-const (
-	LevelDebug Level = -4
-	LevelInfo  Level = 0
-	LevelError Level = 8
-)
+func (Submit) command()       {}
+func (Query) command()        {}
+func (Abort) command()        {}
+func (WorkerReport) command() {}
+func (StatusPage) command()   {}
+func (Tick) command()         {}
+func (CommitDone) command()   {}
+func (LoadDone) command()     {}
+func (FollowDone) command()   {}
+func (LeaseDone) command()    {}
+func (DoDone) command()       {}
+func (InspectDone) command()  {}
+func (TypesDone) command()    {}
+func (ListDone) command()     {}
+func (HireDone) command()     {}
+func (DeleteDone) command()   {}
+func (PeerUp) command()       {}
+func (PeerDown) command()     {}
+func (PeerLine) command()     {}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -167,7 +167,7 @@
 	case WorkerReport:
 		c.part.report(cmd.ID, &cmd.Report)
 	case StatusPage:
-		c.emit(Reply{ID: cmd.ID, Status: 200, Body: c.status()})
+		c.emit(Reply{ID: cmd.ID, Status: ReplyOK, Body: c.status()})
 	case CommitDone:
 		c.ledger.committed(cmd)
 	case LoadDone:
--- a/internal/core/estimator.go
+++ b/internal/core/estimator.go
@@ -212,7 +212,7 @@
 	// Late, an older value must not take a newer one's place.
 	c.ledger.commit([]wire.Guard{c.members.leaderGuard(), c.ledger.guard(keyEstimate)}, []wire.Op{{Put: keyEstimate, Value: rec}}, func(d CommitDone) {
 		e.saving = false
-		if d.Status != 200 {
+		if d.Outcome != Committed {
 			e.changed = true
 		}
 	})
--- a/internal/core/fence.go
+++ b/internal/core/fence.go
@@ -107,7 +107,7 @@
 }
 
 func (p *part) didDo(d *DoDone) {
-	p.called(d.Status != 0)
+	p.called(d.Outcome != DirectUnknown)
 	if p.fences[d.ID] {
 		delete(p.fences, d.ID)
 		defer p.askNext()
@@ -119,11 +119,11 @@
 	c := p.c
 	r.asking = 0
 	defer p.tend(r)
-	switch d.Status {
-	case 200:
+	switch d.Outcome {
+	case DirectExecuted:
 		r.heard, r.unanswered = c.now.Steady, 0
 		p.read(r, &d.Report, d.ID, false)
-	case 409:
+	case DirectFenced:
 		// Nothing was executed. A higher token than ours means that a newer map
 		// is on its way to us.
 		r.heard, r.unanswered = c.now.Steady, 0
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -153,7 +153,7 @@
 	}
 	f.writing = true
 	c.ledger.commit(guards, ops, func(d CommitDone) {
-		c.ledger.lookAgain(d.Status == 200 || d.Status == 409, c.times.round/4, func() { f.writing = false })
+		c.ledger.lookAgain(d.Outcome.Decided(), c.times.round/4, func() { f.writing = false })
 	})
 }
 
@@ -197,7 +197,7 @@
 }
 
 func (f *fleet) gotTypes(d TypesDone) {
-	if d.Status == 200 && len(d.Answer.Types) > 0 {
+	if d.Outcome == CloudDone && len(d.Answer.Types) > 0 {
 		f.asked = false
 		f.typesSeen = &d.Answer
 		return
@@ -217,7 +217,7 @@
 func (f *fleet) listed(d ListDone) {
 	c := f.c
 	f.listing = false
-	if d.Status != 200 {
+	if d.Outcome != CloudDone {
 		f.listAt = c.now.Steady + 2*c.times.round // the same page again
 		return
 	}
--- a/internal/core/hire.go
+++ b/internal/core/hire.go
@@ -207,8 +207,8 @@
 		return
 	}
 	p := h.pool()
-	switch d.Status {
-	case 200:
+	switch d.Outcome {
+	case CloudDone:
 		delete(f.hirings, d.Request)
 		for _, n := range d.Names {
 			if f.holds.get(n) == nil && !f.gone[n] {
@@ -222,10 +222,10 @@
 		if len(d.Names) < h.req.Count {
 			f.close(p)
 		}
-	case 503:
+	case CloudUnavailable:
 		delete(f.hirings, d.Request)
 		f.close(p)
-	case 400:
+	case CloudRejected:
 		delete(f.hirings, d.Request)
 		c.emit(Log{Level: LevelError, Text: "the cloud calls a rental request malformed", Args: []any{"request", d.Request}})
 		f.close(p)
--- a/internal/core/ledger.go
+++ b/internal/core/ledger.go
@@ -226,8 +226,8 @@
 	if !d.Barrier {
 		l.watching = false
 	}
-	switch d.Status {
-	case 200:
+	switch d.Outcome {
+	case WatchServed:
 		if l.lost {
 			l.lost = false
 			l.c.info("state service is back")
@@ -250,12 +250,12 @@
 		l.settle()
 		l.revision = max(l.revision, d.Answer.Revision)
 		l.freshAt = max(l.freshAt, d.Sent)
-	case 410:
+	case WatchCompacted:
 		l.ready = false // too far behind: read everything again
 	default:
 		if !l.lost {
 			l.lost = true
-			l.c.info("state service does not answer", "status", d.Status)
+			l.c.info("state service does not answer", "outcome", d.Outcome.String())
 		}
 		if !d.Barrier {
 			l.watching = true
@@ -266,7 +266,7 @@
 		done := l.barrierNow
 		l.barrierNow = nil
 		for _, f := range done {
-			f(d.Status == 200 && l.ready)
+			f(d.Outcome == WatchServed && l.ready)
 		}
 		l.startBarrier()
 	}
@@ -318,7 +318,7 @@
 func (l *ledger) committed(d CommitDone) {
 	f := l.commits[d.ID]
 	delete(l.commits, d.ID)
-	if d.Status == 429 && !l.c.fell {
+	if d.Outcome == CommitThrottled && !l.c.fell {
 		l.c.fell = true
 		l.c.debugf("a change was refused for its rate", "changes a second from now on", l.c.writeRPS())
 	}
@@ -537,14 +537,14 @@
 
 // later answers that the request must be repeated, at once and with a time.
 func (l *ledger) later(id RequestID, why string) {
-	l.c.emit(Reply{ID: id, Status: 503, Body: wire.ErrorAnswer{Error: why}, RetryAfter: time.Second})
+	l.c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: wire.ErrorAnswer{Error: why}, RetryAfter: time.Second})
 }
 
 func (l *ledger) unknown(id RequestID) {
-	l.c.emit(Reply{ID: id, Status: 404, Body: wire.ErrorAnswer{Error: "no such job"}})
+	l.c.emit(Reply{ID: id, Status: ReplyNotFound, Body: wire.ErrorAnswer{Error: "no such job"}})
 }
 
-func (l *ledger) answer(id RequestID, status int, j *job) {
+func (l *ledger) answer(id RequestID, status ReplyStatus, j *job) {
 	a := wire.JobAnswer{ID: j.rec.Spec.ID, State: j.rec.State, Done: j.doneN, Reason: j.rec.Bad}
 	if !j.final() {
 		a.Running = j.view.Running
@@ -565,7 +565,7 @@
 // known answers for a job once nothing newer can have been said elsewhere.
 func (l *ledger) known(id RequestID, ref string) {
 	if j := l.accepted(ref); j != nil && j.final() {
-		l.answer(id, 200, j) // a final state never changes
+		l.answer(id, ReplyOK, j) // a final state never changes
 		return
 	}
 	l.barrier(func(ok bool) {
@@ -576,7 +576,7 @@
 		case j == nil:
 			l.unknown(id)
 		default:
-			l.answer(id, 200, j)
+			l.answer(id, ReplyOK, j)
 		}
 	})
 }
@@ -619,9 +619,9 @@
 		case !ok:
 			l.later(id, "the state service does not answer")
 		case l.accepted(ref) != nil:
-			l.answer(id, 200, l.accepted(ref))
+			l.answer(id, ReplyOK, l.accepted(ref))
 		default:
-			l.c.emit(Reply{ID: id, Status: 422, Body: wire.ErrorAnswer{Error: why}})
+			l.c.emit(Reply{ID: id, Status: ReplyInvalid, Body: wire.ErrorAnswer{Error: why}})
 		}
 	})
 }
@@ -650,16 +650,16 @@
 	}
 	key := (&job{rec: rec, run: len(spec.Needs) > 0}).ownKey()
 	l.commit(freeGuards(spec.ID, needy), []wire.Op{{Put: key, Value: rec}}, func(d CommitDone) {
-		switch d.Status {
-		case 200:
+		switch d.Outcome {
+		case Committed:
 			l.welcome(id, &rec)
-		case 409:
+		case CommitConflict:
 			l.known(id, spec.ID) // another node was first, or an earlier try of ours
-		case 0:
+		case CommitUnknown:
 			// The transaction may have been applied, or may be later. If it has
 			// been, say so; if not, 503 promises nothing either way.
 			l.barrier(func(ok bool) { l.uncertain(id, spec.ID, ok) })
-		case 429:
+		case CommitThrottled:
 			l.lots.tokens = 0
 			l.lots.add(submission{id, rec, needy, size}) // once more, with others
 		default:
@@ -673,13 +673,13 @@
 	s := &rec.Spec
 	l.c.debugf("accepted", "job", s.ID, "class", s.Class, "team", s.Team, "urgency", s.Urgency,
 		"tasks", s.Tasks, "cpus", s.CPUs, "estimate", s.EstimateS, "checkpoint", s.CheckpointS)
-	l.c.emit(Reply{ID: id, Status: 201, Body: wire.JobAnswer{ID: s.ID, State: rec.State, Reason: rec.Bad}})
+	l.c.emit(Reply{ID: id, Status: ReplyAccepted, Body: wire.JobAnswer{ID: s.ID, State: rec.State, Reason: rec.Bad}})
 }
 
 // uncertain answers a submission whose write had no answer, once the mirror has been read.
 func (l *ledger) uncertain(id RequestID, ref string, ok bool) {
 	if j := l.accepted(ref); ok && j != nil {
-		l.answer(id, 200, j)
+		l.answer(id, ReplyOK, j)
 	} else {
 		l.later(id, "the state service does not answer")
 	}
@@ -735,17 +735,17 @@
 			l.unknown(id)
 			return
 		case j.final():
-			l.answer(id, 200, j)
+			l.answer(id, ReplyOK, j)
 			return
 		}
 		rec := finalRecord(j, wire.JobCancelled, "cancelled by its user")
 		l.commit([]wire.Guard{j.ownGuard()}, l.finalOps(j, rec), func(d CommitDone) {
 			switch {
-			case d.Status == 200:
+			case d.Outcome == Committed:
 				l.cancelled.Note(ref, d.Answer.Revision)
 				l.c.outage.confirmed(ref)
-				l.c.emit(Reply{ID: id, Status: 200, Body: wire.JobAnswer{ID: ref, State: wire.JobCancelled, Done: j.doneN}})
-			case (d.Status == 409 || d.Status == 0) && tries < 3:
+				l.c.emit(Reply{ID: id, Status: ReplyOK, Body: wire.JobAnswer{ID: ref, State: wire.JobCancelled, Done: j.doneN}})
+			case (d.Outcome == CommitConflict || d.Outcome == CommitUnknown) && tries < 3:
 				l.abort(id, ref, tries+1) // done came first, or the outcome is open: look again
 			default:
 				l.later(id, "the state service does not answer")
@@ -799,6 +799,6 @@
 	}
 	l.sweeping = true
 	l.commit(guards, ops, func(d CommitDone) {
-		l.lookAgain(d.Status == 200 || d.Status == 409, c.times.round, func() { l.sweeping = false })
+		l.lookAgain(d.Outcome.Decided(), c.times.round, func() { l.sweeping = false })
 	})
 }
--- a/internal/core/long.go
+++ b/internal/core/long.go
@@ -103,9 +103,9 @@
 		switch {
 		case last:
 			x.work = nil
-		case d.Status == 200:
+		case d.Outcome == Committed:
 			x.stored(d.Answer.Revision)
-		case d.Status == 0:
+		case d.Outcome == CommitUnknown:
 			// Guards against pieces written anew, and in vain again, as long as answers
 			// are lost: the mirror says what became of these.
 			l.barrier(func(bool) { x.stored(l.versions[pieceKey(spec.ID, a.nonce, a.sent-1)]) })
@@ -224,7 +224,7 @@
 			delete(x.seen, key)
 			guards := append(freeGuards(id, true), c.members.leaderGuard(), l.guard(key))
 			l.commit(guards, []wire.Op{{Delete: key}}, func(d CommitDone) {
-				l.lookAgain(d.Status == 200 || d.Status == 409, c.times.round, func() { x.busy = false })
+				l.lookAgain(d.Outcome.Decided(), c.times.round, func() { x.busy = false })
 			})
 			return
 		}
--- a/internal/core/lots.go
+++ b/internal/core/lots.go
@@ -132,12 +132,12 @@
 		rec.Jobs = append(rec.Jobs, batch[i].rec)
 	}
 	l.commit(guards, []wire.Op{{Put: key, Value: rec}}, func(d CommitDone) {
-		switch d.Status {
-		case 200:
+		switch d.Outcome {
+		case Committed:
 			for i := range batch {
 				l.welcome(batch[i].id, &batch[i].rec)
 			}
-		case 409:
+		case CommitConflict:
 			// Some have been accepted, and more, elsewhere: the others go on.
 			for _, s := range batch {
 				if id := s.rec.Spec.ID; slices.Contains(d.Answer.Failed, keyJob+id) || slices.Contains(d.Answer.Failed, keyRun+id) {
@@ -147,7 +147,7 @@
 				}
 			}
 			x.flush()
-		case 0:
+		case CommitUnknown:
 			l.barrier(func(ok bool) {
 				for _, s := range batch {
 					l.uncertain(s.id, s.rec.Spec.ID, ok)
@@ -203,7 +203,7 @@
 		x.busy = true
 		guards := []wire.Guard{c.members.leaderGuard(), {Key: key, Version: in.version}}
 		c.ledger.commit(guards, []wire.Op{{Delete: key}}, func(d CommitDone) {
-			c.ledger.lookAgain(d.Status == 200 || d.Status == 409, c.times.round, func() { x.busy = false })
+			c.ledger.lookAgain(d.Outcome.Decided(), c.times.round, func() { x.busy = false })
 		})
 		return
 	}
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -198,11 +198,11 @@
 func (m *membership) write(guards []wire.Guard, op wire.Op) {
 	m.writing = true
 	m.c.ledger.commit(guards, []wire.Op{op}, func(d CommitDone) {
-		if d.Status == 400 {
+		if d.Outcome == CommitRejected {
 			m.lease, m.writing = 0, false // the lease has ended
 			return
 		}
-		m.c.ledger.lookAgain(d.Status == 200 || d.Status == 409, m.c.times.fresh/16, func() { m.writing = false })
+		m.c.ledger.lookAgain(d.Outcome.Decided(), m.c.times.fresh/16, func() { m.writing = false })
 	})
 }
 
@@ -268,20 +268,20 @@
 	m.mapping = true
 	guards := []wire.Guard{m.leaderGuard(), c.ledger.guard(keyMap)}
 	c.ledger.commit(guards, []wire.Op{{Put: keyMap, Value: next}}, func(d CommitDone) {
-		c.ledger.lookAgain(d.Status == 200, c.times.fresh/16, func() { m.mapping = false })
+		c.ledger.lookAgain(d.Outcome == Committed, c.times.fresh/16, func() { m.mapping = false })
 	})
 }
 
 func (m *membership) leased(d LeaseDone) {
-	m.asking, m.unheard = false, d.Status == 0
-	m.c.outage.refused = d.Status != 200 && d.Status != 404
-	switch d.Status {
-	case 200:
+	m.asking, m.unheard = false, d.Outcome == LeaseUnknown
+	m.c.outage.refused = d.Outcome != LeaseGranted && d.Outcome != LeaseExpired
+	switch d.Outcome {
+	case LeaseGranted:
 		if d.Lease != m.lease {
 			m.lease = d.Lease
 		}
 		m.leaseSent = max(m.leaseSent, d.Sent)
-	case 404:
+	case LeaseExpired:
 		m.c.info("the lease has ended")
 		m.lease = 0
 	default:
--- a/internal/core/piles_test.go
+++ b/internal/core/piles_test.go
@@ -950,7 +950,7 @@
 		j := s.Users.Submit(fake.Array(2), 15)
 		s.within(10*second, "it is accepted", func() bool { return j.Accepted })
 		s.Users.Only = nil
-		again, answers := j.Spec, map[string]int{}
+		again, answers := j.Spec, map[string]core.ReplyStatus{}
 		again.CPUs = 4096
 		for _, n := range s.Nodes {
 			n.Ask(func(id core.RequestID) core.Command { return core.Submit{ID: id, Job: again} }, func(r core.Reply) { answers[n.Label] = r.Status })
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -49,7 +49,7 @@
 	rec.Over = math.Floor(o.c.now.Wall) // as the archive keeps it, so that it is the same for every leader
 	guards := []wire.Guard{o.c.members.leaderGuard(), j.ownGuard()}
 	o.c.ledger.commit(guards, o.c.ledger.finalOps(j, rec), func(d CommitDone) {
-		o.c.ledger.lookAgain(d.Status == 200 || d.Status == 409, o.c.times.round/4, func() { q.ending = false })
+		o.c.ledger.lookAgain(d.Outcome.Decided(), o.c.times.round/4, func() { q.ending = false })
 	})
 }
 
@@ -100,6 +100,6 @@
 	q.writing = true
 	o.c.ledger.commit(guards, ops, func(d CommitDone) {
 		q.saveAt = o.c.now.Steady + o.c.times.lease/4
-		o.c.ledger.lookAgain(d.Status == 200 || d.Status == 409, o.c.times.round/2, func() { q.writing = false })
+		o.c.ledger.lookAgain(d.Outcome.Decided(), o.c.times.round/2, func() { q.writing = false })
 	})
 }
--- a/internal/core/register.go
+++ b/internal/core/register.go
@@ -183,7 +183,7 @@
 	}
 	g.writing = true
 	c.ledger.commit(guards, ops, func(d CommitDone) {
-		c.ledger.lookAgain(d.Status == 200, c.times.round/4, func() { g.writing = false })
+		c.ledger.lookAgain(d.Outcome == Committed, c.times.round/4, func() { g.writing = false })
 	})
 }
 
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -23,11 +23,11 @@
 	}
 	entitled := c.members.entitled()
 	if !entitled && !c.outage.holds() || c.ledger.mapRec == nil {
-		c.emit(Reply{ID: id, Status: 503, Body: wire.ErrorAnswer{Error: "not entitled"}})
+		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: wire.ErrorAnswer{Error: "not entitled"}})
 		return
 	}
 	if owner := c.members.owner(rep.Machine); owner != c.set.Label || !p.mine {
-		c.emit(Reply{ID: id, Status: 421, Body: wire.Redirect{ReportTo: owner}})
+		c.emit(Reply{ID: id, Status: ReplyMisdirected, Body: wire.Redirect{ReportTo: owner}})
 		return
 	}
 	if r = p.rigs.get(rep.Machine); r == nil {
@@ -38,7 +38,7 @@
 	}
 	if rep.Token > r.token {
 		// Somebody has a newer map than we do.
-		c.emit(Reply{ID: id, Status: 503, Body: wire.ErrorAnswer{Error: "not entitled"}})
+		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: wire.ErrorAnswer{Error: "not entitled"}})
 		return
 	}
 	newest := rep.Newer(r.session, r.seq)
@@ -69,7 +69,7 @@
 		ans.Commands = p.stops(rep)
 	}
 	ans.Token = r.token // which the commands may have raised
-	c.emit(Reply{ID: id, Status: 200, Body: ans})
+	c.emit(Reply{ID: id, Status: ReplyOK, Body: ans})
 }
 
 // read takes what a machine says of itself. Only a message with our own current
--- a/internal/core/return.go
+++ b/internal/core/return.go
@@ -215,7 +215,7 @@
 }
 
 func (f *fleet) deleted(d DeleteDone) {
-	if d.Status != 200 {
+	if d.Outcome != CloudDone {
 		for _, n := range d.Names {
 			if h := f.holds.get(n); h != nil {
 				h.deleting = false
--- /dev/null
+++ b/internal/engine/outcomes.go
@@ -0,0 +1,88 @@
+package engine
+
+import (
+	"github.com/valyala/fasthttp"
+
+	"github.com/chalkhub/chalkhub/internal/core"
+)
+
+// NoAnswer is the status of a call that got no whole answer.
+const NoAnswer = 0
+
+// CommitOutcome decodes the state service's answer to a transaction.
+func CommitOutcome(status int) core.CommitOutcome {
+	switch status {
+	case NoAnswer:
+		return core.CommitUnknown
+	case fasthttp.StatusOK:
+		return core.Committed
+	case fasthttp.StatusConflict:
+		return core.CommitConflict
+	case fasthttp.StatusBadRequest:
+		return core.CommitRejected
+	case fasthttp.StatusTooManyRequests:
+		return core.CommitThrottled
+	default:
+		return core.CommitUnavailable
+	}
+}
+
+// LeaseOutcome decodes the state service's answer to a request or a renewal of a lease.
+func LeaseOutcome(status int) core.LeaseOutcome {
+	switch status {
+	case NoAnswer:
+		return core.LeaseUnknown
+	case fasthttp.StatusOK:
+		return core.LeaseGranted
+	case fasthttp.StatusNotFound:
+		return core.LeaseExpired
+	default:
+		return core.LeaseRefused
+	}
+}
+
+// WatchOutcome decodes the state service's answer to a watch or a barrier.
+func WatchOutcome(status int) core.WatchOutcome {
+	switch status {
+	case NoAnswer:
+		return core.WatchUnknown
+	case fasthttp.StatusOK:
+		return core.WatchServed
+	case fasthttp.StatusGone:
+		return core.WatchCompacted
+	case fasthttp.StatusTooManyRequests:
+		return core.WatchThrottled
+	default:
+		return core.WatchUnavailable
+	}
+}
+
+// DirectOutcome decodes a worker's answer to direct commands.
+func DirectOutcome(status int) core.DirectOutcome {
+	switch status {
+	case NoAnswer:
+		return core.DirectUnknown
+	case fasthttp.StatusOK:
+		return core.DirectExecuted
+	case fasthttp.StatusConflict:
+		return core.DirectFenced
+	default:
+		return core.DirectRefused
+	}
+}
+
+// CloudOutcome decodes the cloud's answer to any of its calls.
+func CloudOutcome(status int) core.CloudOutcome {
+	switch status {
+	case NoAnswer:
+		return core.CloudUnknown
+	case fasthttp.StatusOK:
+		return core.CloudDone
+	case fasthttp.StatusBadRequest:
+		return core.CloudRejected
+	case fasthttp.StatusServiceUnavailable:
+		return core.CloudUnavailable
+	default:
+		return core.CloudThrottled
+	}
+}
--- /dev/null
+++ b/internal/engine/outcomes_test.go
@@ -0,0 +1,74 @@
+package engine
+
+import (
+	"testing"
+
+	"github.com/chalkhub/chalkhub/internal/core"
+)
+
+// outcomes are what the answers to one kind of call mean: some codes have a meaning of their
+// own, all others share one.
+type outcomes[T comparable] struct {
+	decode func(status int) T
+	own    map[int]T
+	others T
+}
+
+// check decodes every code that can come, and some that should not.
+func (o outcomes[T]) check(t *testing.T) {
+	for status := range 1000 {
+		want, ok := o.own[status]
+		if !ok {
+			want = o.others
+		}
+		if got := o.decode(status); got != want {
+			t.Errorf("status %d means %v, not %v", status, got, want)
+		}
+	}
+}
+
+func TestCommitOutcomeOfEachStatus(t *testing.T) {
+	outcomes[core.CommitOutcome]{CommitOutcome, map[int]core.CommitOutcome{
+		0: core.CommitUnknown, 200: core.Committed, 409: core.CommitConflict, 400: core.CommitRejected, 429: core.CommitThrottled,
+	}, core.CommitUnavailable}.check(t)
+}
+
+func TestCommitDecidedByTwoOutcomesOnly(t *testing.T) {
+	for status := range 1000 {
+		if got, want := CommitOutcome(status).Decided(), status == 200 || status == 409; got != want {
+			t.Errorf("a transaction answered with %d counts as decided: %v", status, got)
+		}
+	}
+}
+
+func TestLeaseOutcomeOfEachStatus(t *testing.T) {
+	outcomes[core.LeaseOutcome]{LeaseOutcome, map[int]core.LeaseOutcome{
+		0: core.LeaseUnknown, 200: core.LeaseGranted, 404: core.LeaseExpired,
+	}, core.LeaseRefused}.check(t)
+}
+
+func TestWatchOutcomeOfEachStatus(t *testing.T) {
+	outcomes[core.WatchOutcome]{WatchOutcome, map[int]core.WatchOutcome{
+		0: core.WatchUnknown, 200: core.WatchServed, 410: core.WatchCompacted, 429: core.WatchThrottled,
+	}, core.WatchUnavailable}.check(t)
+}
+
+func TestDirectOutcomeOfEachStatus(t *testing.T) {
+	outcomes[core.DirectOutcome]{DirectOutcome, map[int]core.DirectOutcome{
+		0: core.DirectUnknown, 200: core.DirectExecuted, 409: core.DirectFenced,
+	}, core.DirectRefused}.check(t)
+}
+
+func TestCloudOutcomeOfEachStatus(t *testing.T) {
+	outcomes[core.CloudOutcome]{CloudOutcome, map[int]core.CloudOutcome{
+		0: core.CloudUnknown, 200: core.CloudDone, 400: core.CloudRejected, 503: core.CloudUnavailable,
+	}, core.CloudThrottled}.check(t)
+}
+
+// The zero value of each outcome is what a command without one stands for.
+func TestNoAnswerIsTheZeroOutcome(t *testing.T) {
+	if CommitOutcome(NoAnswer) != 0 || LeaseOutcome(NoAnswer) != 0 || WatchOutcome(NoAnswer) != 0 ||
+		DirectOutcome(NoAnswer) != 0 || CloudOutcome(NoAnswer) != 0 {
+		t.Error("no answer is decoded to something else than the zero value")
+	}
+}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -75,12 +75,12 @@
 	c.w.Workers[name] = newWorker(c.w, m.Machine)
 }
 
-func (c *Cloud) hire(h wire.Hire) ([]string, int) {
+func (c *Cloud) hire(h wire.Hire) ([]string, core.CloudOutcome) {
 	if names := c.answers[h.Request]; names != nil {
-		return names, 200
+		return names, core.CloudDone
 	}
-	if status := c.refuses(); status != 0 {
-		return nil, status
+	if outcome := c.refuses(); outcome != core.CloudDone {
+		return nil, outcome
 	}
 	n := h.Count
 	for _, pool := range []string{h.Type, h.Type + " " + h.Zone} {
@@ -97,7 +97,7 @@
 		n = min(n, most-have)
 	}
 	if n <= 0 {
-		return nil, 503
+		return nil, core.CloudUnavailable
 	}
 	var names []string
 	for range n {
@@ -115,7 +115,7 @@
 		c.w.After(boot, func() { c.up(name) })
 	}
 	c.answers[h.Request] = names
-	return names, 200
+	return names, core.CloudDone
 }
 
 // Remove takes machines away, by deletion or without a word.
@@ -131,27 +131,27 @@
 	}
 }
 
-// refuses gives the status of a call that is not served, 0 if it is: in an outage, and
+// refuses gives the outcome of a call that is not served, CloudDone if it is: in an outage, and
 // above the limit, bursts of two seconds' worth allowed.
-func (c *Cloud) refuses() int {
+func (c *Cloud) refuses() core.CloudOutcome {
 	if c.Out {
-		return 503
+		return core.CloudUnavailable
 	}
 	rps := c.w.Set.Site.Cloud.RPS
 	c.calls.used = max(c.calls.used-(c.w.Now-c.calls.at).Seconds()*rps, 0)
 	c.calls.at = c.w.Now
 	if c.calls.used+1 > 2*rps {
 		c.Refused++
-		return 429
+		return core.CloudThrottled
 	}
 	c.calls.used++
-	return 0
+	return core.CloudDone
 }
 
 // list shows a page of the machines as they were a while ago.
 func (c *Cloud) list(since string) core.ListDone {
-	if status := c.refuses(); status != 0 {
-		return core.ListDone{Status: status}
+	if outcome := c.refuses(); outcome != core.CloudDone {
+		return core.ListDone{Outcome: outcome}
 	}
 	lag := config.Seconds(c.w.Set.Site.Cloud.ListLagS)
 	var out []wire.Machine
@@ -165,5 +165,5 @@
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	n := min(len(out), 500)
-	return core.ListDone{Status: 200, Machines: out[:n], More: n < len(out)}
+	return core.ListDone{Outcome: core.CloudDone, Machines: out[:n], More: n < len(out)}
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -9,6 +9,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/engine"
 	"github.com/chalkhub/chalkhub/internal/store"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
@@ -74,7 +75,7 @@
 type watch struct {
 	node  string
 	since uint64
-	done  func(int, wire.Events)
+	done  func(core.WatchOutcome, wire.Events)
 	over  bool
 }
 
@@ -117,59 +118,59 @@
 	s.wake()
 }
 
-func (s *State) lease(node string, e core.Lease) (uint64, int) {
+func (s *State) lease(node string, e core.Lease) (uint64, core.LeaseOutcome) {
 	if s.refuses(node) {
-		return e.Lease, 503
+		return e.Lease, core.LeaseRefused
 	}
 	if s.limited(0) {
-		return e.Lease, 429
+		return e.Lease, core.LeaseRefused
 	}
 	if e.Lease != 0 {
 		if _, ok := s.now.Begin().Alive(e.Lease); !ok {
-			return e.Lease, 404
+			return e.Lease, core.LeaseExpired
 		}
 		s.arm(e.Lease)
-		return e.Lease, 200
+		return e.Lease, core.LeaseGranted
 	}
 	var id uint64
 	s.change(func(b *store.Batch) { id = b.Grant(e.TTL.Milliseconds()) })
 	if id == 0 {
 		s.w.broke("malformed", "%s asks for a lease of %v", node, e.TTL)
-		return 0, 400
+		return 0, core.LeaseRefused
 	}
 	s.arm(id)
-	return id, 200
+	return id, core.LeaseGranted
 }
 
-// Commit runs a transaction of a node, an old one perhaps. Status 0 stands for an answer
-// that never comes.
-func (s *State) Commit(node string, old bool, t wire.Txn) (int, wire.TxnAnswer) {
+// Commit runs a transaction of a node, an old one perhaps. CommitUnknown stands for an
+// answer that never comes.
+func (s *State) Commit(node string, old bool, t wire.Txn) (core.CommitOutcome, wire.TxnAnswer) {
 	if s.refuses(node) {
-		return 503, wire.TxnAnswer{}
+		return core.CommitUnavailable, wire.TxnAnswer{}
 	}
 	if s.limited(len(t.Then)) {
-		return 429, wire.TxnAnswer{}
+		return core.CommitThrottled, wire.TxnAnswer{}
 	}
 	if why := s.malformed(t); why != "" {
 		if !old { // that one does not know the limits to come
 			s.w.broke("malformed", "%s sends the state service %s", node, why)
 		}
-		return 400, wire.TxnAnswer{}
+		return core.CommitRejected, wire.TxnAnswer{}
 	}
 	if s.LateShare > 0 && slices.ContainsFunc(t.Then, func(op wire.Op) bool { return strings.HasPrefix(op.Put+op.Delete, s.LateOnly) }) &&
 		s.w.Rand.Float64() < s.LateShare {
 		s.Late++
 		if s.LateBy == 0 { // carried out at once: only the answer is lost
 			s.apply(t)
-			return 0, wire.TxnAnswer{}
+			return core.CommitUnknown, wire.TxnAnswer{}
 		}
 		s.w.After(s.LateFrom+time.Duration(s.w.Rand.Int64N(int64(s.LateBy-s.LateFrom)+1)), func() { s.apply(t) })
-		return 0, wire.TxnAnswer{}
+		return core.CommitUnknown, wire.TxnAnswer{}
 	}
 	return s.apply(t)
 }
 
-func (s *State) apply(t wire.Txn) (int, wire.TxnAnswer) {
+func (s *State) apply(t wire.Txn) (core.CommitOutcome, wire.TxnAnswer) {
 	s.Writes += len(t.Then)
 	txn := store.Txn{If: t.If}
 	for _, op := range t.Then {
@@ -182,7 +183,7 @@
 	var status int
 	var answer wire.TxnAnswer
 	s.change(func(b *store.Batch) { status, answer, _ = b.Commit(&txn) })
-	return status, answer
+	return engine.CommitOutcome(status), answer
 }
 
 // load answers with a page of keys.
@@ -197,29 +198,29 @@
 }
 
 // since answers a watch.
-func (s *State) since(rev uint64, done func(int, wire.Events)) {
+func (s *State) since(rev uint64, done func(core.WatchOutcome, wire.Events)) {
 	e, ok := s.now.Since(core.KeyPrefix, rev)
 	if !ok {
-		done(410, e)
+		done(core.WatchCompacted, e)
 		return
 	}
-	done(200, e)
+	done(core.WatchServed, e)
 }
 
-func (s *State) follow(node string, e core.Follow, done func(int, wire.Events)) {
+func (s *State) follow(node string, e core.Follow, done func(core.WatchOutcome, wire.Events)) {
 	if s.refuses(node) {
 		if e.Hold == 0 {
-			done(503, wire.Events{})
+			done(core.WatchUnavailable, wire.Events{})
 		}
 		return // open watches stay open
 	}
 	if s.limited(0) {
-		done(429, wire.Events{})
+		done(core.WatchThrottled, wire.Events{})
 		return
 	}
 	if s.Forgot[node] {
 		delete(s.Forgot, node)
-		done(410, wire.Events{})
+		done(core.WatchCompacted, wire.Events{})
 		return
 	}
 	if e.Hold == 0 || s.now.Revision > e.Since {
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -43,8 +43,8 @@
 	RunsS     []float64 // by task, if they differ
 	Mistaken  bool      // fails wherever it runs
 	Accepted  bool
-	Refused   int  // the final refusal's status
-	Never     bool // can't run or lacks a field: must not be accepted
+	Refused   core.ReplyStatus // the final refusal's status
+	Never     bool             // can't run or lacks a field: must not be accepted
 	Told      string
 	overAt    time.Duration            // when the first word came that it is done or cancelled
 	knownAt   time.Duration            // when a question about it was answered last
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -193,7 +193,7 @@
 	}, got, elsewhere)
 }
 
-func (k *Worker) do(d wire.Do, answer func(int, wire.Report)) {
+func (k *Worker) do(d wire.Do, answer func(core.DirectOutcome, wire.Report)) {
 	if k.dead {
 		return
 	}
@@ -205,14 +205,14 @@
 		if d.Token > k.token {
 			k.token = d.Token
 		}
-		answer(409, k.message())
+		answer(core.DirectFenced, k.message())
 		return
 	}
 	k.token = d.Token
 	if k.execute(d.Commands) {
 		k.changed()
 	}
-	answer(200, k.message())
+	answer(core.DirectExecuted, k.message())
 }
 
 // execute carries out commands in order and reports whether anything changed.
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -381,8 +381,8 @@
 			e.Txn = oldWrites(e.Txn)
 		}
 		call(w, n.Label, "state", timeout, func(reply func(core.CommitDone)) {
-			if status, ans := w.State.Commit(n.Label, old, e.Txn); status != 0 {
-				reply(core.CommitDone{ID: e.ID, Status: status, Answer: ans})
+			if outcome, ans := w.State.Commit(n.Label, old, e.Txn); outcome != core.CommitUnknown {
+				reply(core.CommitDone{ID: e.ID, Outcome: outcome, Answer: ans})
 			}
 		}, func(d core.CommitDone) { mine(func() { post(d) })() }, mine(func() { post(core.CommitDone{ID: e.ID}) }))
 	case core.Load:
@@ -391,14 +391,14 @@
 		}, func(d core.LoadDone) { mine(func() { post(d) })() }, mine(func() { post(core.LoadDone{}) }))
 	case core.Follow:
 		call(w, n.Label, "state", timeout+e.Hold, func(reply func(core.FollowDone)) {
-			w.State.follow(n.Label, e, func(status int, ev wire.Events) {
-				reply(core.FollowDone{Barrier: e.Barrier, Sent: sent, Status: status, Answer: ev})
+			w.State.follow(n.Label, e, func(outcome core.WatchOutcome, ev wire.Events) {
+				reply(core.FollowDone{Barrier: e.Barrier, Sent: sent, Outcome: outcome, Answer: ev})
 			})
 		}, func(d core.FollowDone) { mine(func() { post(d) })() }, mine(func() { post(core.FollowDone{Barrier: e.Barrier, Sent: sent}) }))
 	case core.Lease:
 		call(w, n.Label, "state", timeout, func(reply func(core.LeaseDone)) {
-			id, status := w.State.lease(n.Label, e)
-			reply(core.LeaseDone{Sent: sent, Lease: id, Status: status})
+			id, outcome := w.State.lease(n.Label, e)
+			reply(core.LeaseDone{Sent: sent, Lease: id, Outcome: outcome})
 		}, func(d core.LeaseDone) { mine(func() { post(d) })() }, mine(func() { post(core.LeaseDone{Sent: sent}) }))
 	case core.Do:
 		patience := config.Seconds(w.Set.Site.Workers.ReportS)
@@ -407,8 +407,8 @@
 		}
 		call(w, n.Label, e.Machine, patience, func(reply func(core.DoDone)) {
 			if k := w.Workers[e.Machine]; k != nil {
-				k.do(e.Body, func(status int, r wire.Report) {
-					reply(core.DoDone{Machine: e.Machine, ID: e.ID, Status: status, Report: r})
+				k.do(e.Body, func(outcome core.DirectOutcome, r wire.Report) {
+					reply(core.DoDone{Machine: e.Machine, ID: e.ID, Outcome: outcome, Report: r})
 				})
 			}
 		}, func(d core.DoDone) { mine(func() { post(d) })() }, mine(func() { post(core.DoDone{Machine: e.Machine, ID: e.ID}) }))
@@ -420,11 +420,11 @@
 		}, func(d core.InspectDone) { mine(func() { post(d) })() }, mine(func() { post(core.InspectDone{Machine: e.Machine}) }))
 	case core.Types:
 		call(w, n.Label, "cloud", timeout, func(reply func(core.TypesDone)) {
-			if status := w.Cloud.refuses(); status != 0 {
-				reply(core.TypesDone{Status: status})
+			if outcome := w.Cloud.refuses(); outcome != core.CloudDone {
+				reply(core.TypesDone{Outcome: outcome})
 				return
 			}
-			reply(core.TypesDone{Status: 200, Answer: wire.MachineTypes{Types: w.Cloud.types}})
+			reply(core.TypesDone{Outcome: core.CloudDone, Answer: wire.MachineTypes{Types: w.Cloud.types}})
 		}, func(d core.TypesDone) { mine(func() { post(d) })() }, mine(func() { post(core.TypesDone{}) }))
 	case core.List:
 		call(w, n.Label, "cloud", timeout, func(reply func(core.ListDone)) {
@@ -432,17 +432,17 @@
 		}, func(d core.ListDone) { mine(func() { post(d) })() }, mine(func() { post(core.ListDone{}) }))
 	case core.Hire:
 		call(w, n.Label, "cloud", timeout, func(reply func(core.HireDone)) {
-			names, status := w.Cloud.hire(e.Request)
-			reply(core.HireDone{Request: e.Request.Request, Status: status, Names: names})
+			names, outcome := w.Cloud.hire(e.Request)
+			reply(core.HireDone{Request: e.Request.Request, Outcome: outcome, Names: names})
 		}, func(d core.HireDone) { mine(func() { post(d) })() }, mine(func() { post(core.HireDone{Request: e.Request.Request}) }))
 	case core.Delete:
 		call(w, n.Label, "cloud", timeout, func(reply func(core.DeleteDone)) {
-			if status := w.Cloud.refuses(); status != 0 {
-				reply(core.DeleteDone{Names: e.Names, Status: status})
+			if outcome := w.Cloud.refuses(); outcome != core.CloudDone {
+				reply(core.DeleteDone{Names: e.Names, Outcome: outcome})
 				return
 			}
 			w.Cloud.Remove(e.Names...)
-			reply(core.DeleteDone{Names: e.Names, Status: 200})
+			reply(core.DeleteDone{Names: e.Names, Outcome: core.CloudDone})
 		}, func(d core.DeleteDone) { mine(func() { post(d) })() }, mine(func() { post(core.DeleteDone{Names: e.Names}) }))
 	case core.PeerTarget:
 		n.target = e.Label
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -6,7 +6,10 @@
 	"strconv"
 	"time"
 
+	"github.com/valyala/fasthttp"
+
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/engine"
 	"github.com/chalkhub/chalkhub/internal/rpc"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
@@ -33,7 +36,7 @@
 	if e.Txn.If == nil {
 		e.Txn.If = []wire.Guard{}
 	}
-	d.Status = c.rpc.Call("POST", c.addr, "/commit", e.Txn, &d.Answer, c.timeout, 200, 409)
+	d.Outcome = engine.CommitOutcome(c.rpc.Call("POST", c.addr, "/commit", e.Txn, &d.Answer, c.timeout, fasthttp.StatusOK, fasthttp.StatusConflict))
 	return d
 }
 
@@ -45,7 +48,7 @@
 		q += "&Since=" + url.QueryEscape(e.Since)
 	}
 	var items wire.Items
-	if c.rpc.Call("GET", c.addr, q, nil, &items, c.timeout, 200) == 200 {
+	if c.rpc.Call("GET", c.addr, q, nil, &items, c.timeout, fasthttp.StatusOK) == fasthttp.StatusOK {
 		d.OK, d.Items, d.More, d.Revision = true, items.Items, items.More, items.Revision
 	}
 	return d
@@ -56,7 +59,7 @@
 	d := core.FollowDone{Barrier: e.Barrier, Sent: c.clock()}
 	q := "/follow?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Since=" + strconv.FormatUint(e.Since, 10) +
 		"&HoldMs=" + strconv.FormatInt(e.Hold.Milliseconds(), 10)
-	d.Status = c.rpc.Call("GET", c.addr, q, nil, &d.Answer, c.timeout+e.Hold, 200)
+	d.Outcome = engine.WatchOutcome(c.rpc.Call("GET", c.addr, q, nil, &d.Answer, c.timeout+e.Hold, fasthttp.StatusOK))
 	return d
 }
 
@@ -64,11 +67,11 @@
 func (c *Client) Lease(e core.Lease) core.LeaseDone {
 	d := core.LeaseDone{Sent: c.clock(), Lease: e.Lease}
 	if e.Lease != 0 {
-		d.Status = c.rpc.Call("POST", c.addr, "/holds/"+strconv.FormatUint(e.Lease, 10)+"/extend", nil, nil, c.timeout)
+		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds/"+strconv.FormatUint(e.Lease, 10)+"/extend", nil, nil, c.timeout))
 		return d
 	}
 	var a wire.LeaseAnswer
-	d.Status = c.rpc.Call("POST", c.addr, "/holds", wire.LeaseRequest{TTLms: e.TTL.Milliseconds()}, &a, c.timeout, 200)
+	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds", wire.LeaseRequest{TTLms: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
 	d.Lease = a.Lease
 	return d
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -4,7 +4,10 @@
 import (
 	"time"
 
+	"github.com/valyala/fasthttp"
+
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/engine"
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
@@ -25,7 +28,7 @@
 // Inspect asks a worker for its report.
 func (c *Client) Inspect(e core.Inspect) core.InspectDone {
 	status := c.rpc.Call("GET", e.Addr, "/inspect", nil, nil, c.timeout)
-	return core.InspectDone{Machine: e.Machine, OK: status == 200}
+	return core.InspectDone{Machine: e.Machine, OK: status == fasthttp.StatusOK}
 }
 
 // Do sends commands to a worker.
@@ -35,6 +38,6 @@
 	if len(e.Body.Commands) == 0 {
 		timeout /= 4 // only a question, which may be asked again
 	}
-	d.Status = c.rpc.Call("POST", e.Addr, "/do", e.Body, &d.Report, timeout, 200, 409)
+	d.Outcome = engine.DirectOutcome(c.rpc.Call("POST", e.Addr, "/do", e.Body, &d.Report, timeout, fasthttp.StatusOK, fasthttp.StatusConflict))
 	return d
 }
