--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -24,3 +24,10 @@
 		c.orch.fromPart(p.session, &m)
 	}
 }
+
+// AskOf has the leader dispatch tasks to a member, and ask it to stop some, with its next
+// batch of commands.
+func (c *Core) AskOf(label string, dispatch []wire.TaskTry, stop []wire.TaskStop) {
+	p := c.orch.parts[label]
+	p.outbox.Dispatch, p.outbox.Stop, p.dirty = append(p.outbox.Dispatch, dispatch...), append(p.outbox.Stop, stop...), true
+}
--- a/internal/core/orchestrator.go
+++ b/internal/core/orchestrator.go
@@ -267,8 +267,10 @@
 			p.outbox, p.dirty = wire.PeerMessage{}, false
 			if p.session == selfLink {
 				o.c.loop = append(o.c.loop, func() { o.c.part.fromLeader(&m) })
-			} else {
-				o.c.emit(PeerSend{Session: p.session, Message: m})
+				continue
+			}
+			for _, piece := range m.LeaderPieces() {
+				o.c.emit(PeerSend{Session: p.session, Message: piece})
 			}
 		}
 	}
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -36,31 +36,45 @@
 	Ask      *vigil.Ask `json:"ask,omitempty"`    // alone in its message
 }
 
+// MaxPeerLine is how many bytes one line of a peer link may have, in this version and in
+// all before it: a receiver closes a link that brings a longer one.
+const MaxPeerLine = 16 << 20
+
+// maxListBytes is how many bytes of names and texts one message lists, counted before they
+// are encoded, but for a single entry with more. JSON writes a byte as six at the most, so
+// an eighth leaves room for the rest of the line.
+const maxListBytes = MaxPeerLine / 8
+
 // pieceSize is how many machines and tasks one message tells of, at the most, but for
 // a single machine with more: some dozens of KB of text.
 const pieceSize = 256
 
 // Pieces divides a member's message into several that tell the same one after the
-// other, so that no line of a link grows with the fleet.
+// other, so that no line of a link grows with the fleet. Only Dropped and Cancelled stay
+// whole: a leader must read all that is dropped before the machines.
 //
 // Guards against a whole picture longer than a link takes: with ten thousand machines
 // of sixty tasks each it would have been, and the link closed at every try.
 func (m *PeerMessage) Pieces() []PeerMessage {
 	var out []PeerMessage
 	next := *m
-	rest := m.Machines
+	machines, assigned, returned := m.Machines, m.Assigned, m.Returned
 	for {
 		size, k := 0, 0
-		for ; k < len(rest); k++ {
-			size += 1 + len(rest[k].Tasks) + len(rest[k].Left)
+		for ; k < len(machines); k++ {
+			size += 1 + len(machines[k].Tasks) + len(machines[k].Left)
 			if k > 0 && size > pieceSize {
 				break
 			}
 		}
-		next.Machines, rest = rest[:k], rest[k:]
-		next.More = m.Full && len(rest) > 0
+		next.Machines, machines = machines[:k], machines[k:]
+		room := maxListBytes
+		next.Assigned = takeFront(&assigned, &room, taskTryBytes)
+		next.Returned = takeFront(&returned, &room, taskTryBytes)
+		left := len(machines) > 0 || len(assigned) > 0 || len(returned) > 0
+		next.More = m.Full && left
 		out = append(out, next)
-		if len(rest) == 0 {
+		if !left {
 			return out
 		}
 		next = PeerMessage{Epoch: m.Epoch, Unfit: m.Unfit, Full: m.Full}
@@ -70,6 +84,70 @@
 	}
 }
 
+// LeaderPieces divides a leader's message into several that tell the same one after the
+// other, so that no line of a link grows with the fleet. A receiver works through the lists
+// of a message in the order in which they are divided here.
+//
+// All but the last carry the Seq of the message before: a whole picture made in between
+// must not count what is still on its way as read, or it would be taken for lost and
+// started twice.
+func (m *PeerMessage) LeaderPieces() []PeerMessage {
+	var out []PeerMessage
+	left := *m
+	for {
+		room := maxListBytes
+		next := PeerMessage{Epoch: m.Epoch, Seq: m.Seq, Resync: m.Resync, Ask: m.Ask}
+		next.Views = takeFront(&left.Views, &room, func(v *JobView) int { return len(v.Job) + len(v.Reason) })
+		next.Cancelled = takeFront(&left.Cancelled, &room, nameBytes)
+		next.Dispatch = takeFront(&left.Dispatch, &room, taskTryBytes)
+		next.Release = takeFront(&left.Release, &room, taskTryBytes)
+		next.Drop = takeFront(&left.Drop, &room, taskTryBytes)
+		next.Stop = takeFront(&left.Stop, &room, func(s *TaskStop) int { return len(s.Task) + len(s.Machine) + len(s.Why) })
+		next.Close = takeFront(&left.Close, &room, nameBytes)
+		next.Reopen = takeFront(&left.Reopen, &room, nameBytes)
+		next.Drain = takeFront(&left.Drain, &room, nameBytes)
+		if left.lists() == 0 {
+			return append(out, next)
+		}
+		next.Seq, next.Resync, next.Ask = m.Seq-1, false, nil
+		out = append(out, next)
+	}
+}
+
+// lists is how many entries the lists of a leader's message have.
+func (m *PeerMessage) lists() int {
+	return len(m.Views) + len(m.Cancelled) + len(m.Dispatch) + len(m.Release) + len(m.Drop) +
+		len(m.Stop) + len(m.Close) + len(m.Reopen) + len(m.Drain)
+}
+
+// entryBytes is what an entry of a list takes on a line beside its names and texts, or a few
+// more.
+const entryBytes = 96
+
+func taskTryBytes(t *TaskTry) int { return len(t.Task) + len(t.Machine) }
+
+func nameBytes(name *string) int { return len(*name) }
+
+// takeFront cuts from the front of a list what there is room for, and takes that from the
+// room. A message without anything else takes one entry of any size, so a division ends.
+func takeFront[T any](list *[]T, room *int, textBytes func(*T) int) []T {
+	k := 0
+	for ; k < len(*list); k++ {
+		size := entryBytes + textBytes(&(*list)[k])
+		if size > *room && *room < maxListBytes {
+			*room = 0 // what follows in the order of reading comes later, too
+			break
+		}
+		*room -= size
+	}
+	front := (*list)[:k:k]
+	*list = (*list)[k:]
+	if k == 0 {
+		return nil
+	}
+	return front
+}
+
 // Hello opens a peer link.
 type Hello struct {
 	Label string `json:"label"`
--- a/internal/wire/peer_test.go
+++ b/internal/wire/peer_test.go
@@ -3,7 +3,11 @@
 import (
 	"fmt"
 	"reflect"
+	"slices"
+	"strings"
 	"testing"
+
+	"github.com/goccy/go-json"
 )
 
 // The pieces of a member's message tell the same as the message, each in bounds.
@@ -41,3 +45,128 @@
 		t.Fatalf("an empty message becomes %d", len(empty))
 	}
 }
+
+// A member that has work of a whole fleet assigned, and gives as much back, tells so in lines
+// that a link takes, and the last piece alone says that it was the last.
+func TestPiecesOfManyAssignedAndReturned(t *testing.T) {
+	for _, machines := range []int{4000, 8000} {
+		for _, full := range []bool{false, true} {
+			m := PeerMessage{Epoch: 7, Full: full}
+			for i := range machines * 64 {
+				m.Returned = append(m.Returned, TaskTry{Task: TaskName("job-100000001", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
+				if full {
+					m.Assigned = append(m.Assigned, TaskTry{Task: TaskName("job-100000002", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
+				}
+			}
+			var assigned, returned []TaskTry
+			pieces := m.Pieces()
+			for i, p := range pieces {
+				lineFits(t, p)
+				if p.More != (full && i+1 < len(pieces)) || full && p.Piece != i {
+					t.Fatalf("piece %d of %d: piece %d, more %v", i, len(pieces), p.Piece, p.More)
+				}
+				assigned, returned = append(assigned, p.Assigned...), append(returned, p.Returned...)
+			}
+			if !reflect.DeepEqual(assigned, m.Assigned) || !reflect.DeepEqual(returned, m.Returned) {
+				t.Fatalf("%d machines, full %v: %d assigned and %d returned", machines, full, len(assigned), len(returned))
+			}
+		}
+	}
+}
+
+// The pieces of a leader's message ask for the same in the same order, each in bounds, and
+// none but the last counts as a message that was read.
+func TestLeaderPiecesAskForTheSame(t *testing.T) {
+	for _, of := range []struct {
+		machines int
+		text     string
+	}{{0, ""}, {1, "for somebody else"}, {4000, strings.Repeat("<", 20)}, {8000, ""}} {
+		m := leaderMessage(of.machines, of.text)
+		pieces := m.LeaderPieces()
+		var got []order
+		for i, p := range pieces {
+			lineFits(t, p)
+			last := i+1 == len(pieces)
+			if p.Epoch != m.Epoch || p.Resync != last || last != (p.Seq == m.Seq) || !last && p.Seq != m.Seq-1 {
+				t.Fatalf("piece %d of %d: epoch %d, seq %d, resync %v", i, len(pieces), p.Epoch, p.Seq, p.Resync)
+			}
+			got = append(got, orders(p)...)
+		}
+		if !slices.Equal(got, orders(m)) {
+			t.Fatalf("%d machines: the %d pieces ask for something else, or in another order", of.machines, len(pieces))
+		}
+		if of.machines <= 1 && (len(pieces) != 1 || !reflect.DeepEqual(pieces[0], m)) {
+			t.Fatalf("a small message becomes %d: %+v", len(pieces), pieces[0])
+		}
+	}
+}
+
+// An entry that is larger than a piece goes alone.
+func TestLeaderPiecesOfOneLargeEntry(t *testing.T) {
+	m := leaderMessage(1, strings.Repeat("x", maxListBytes))
+	var got []order
+	for _, p := range m.LeaderPieces() {
+		lineFits(t, p)
+		got = append(got, orders(p)...)
+	}
+	if !slices.Equal(got, orders(m)) {
+		t.Fatalf("%d orders", len(got))
+	}
+}
+
+// attemptBitsOfTests makes attempts as long as those of a real epoch.
+const attemptBitsOfTests = 32
+
+// leaderMessage asks for all that a leader can, of machines with 64 tasks each.
+func leaderMessage(machines int, text string) PeerMessage {
+	m := PeerMessage{Epoch: 7, Seq: 12, Resync: true}
+	for i := range machines {
+		name := fmt.Sprintf("n-%07d", i)
+		m.Views = append(m.Views, JobView{Job: fmt.Sprint("job-", i), Running: i, Reason: text})
+		m.Cancelled = append(m.Cancelled, fmt.Sprint("job-", i))
+		m.Close, m.Reopen, m.Drain = append(m.Close, name), append(m.Reopen, name), append(m.Drain, name)
+		for k := range 64 {
+			try := TaskTry{Task: TaskName("job-100000001", 64*i+k), Attempt: 7<<attemptBitsOfTests | uint64(k), Machine: name}
+			m.Dispatch, m.Release, m.Drop = append(m.Dispatch, try), append(m.Release, try), append(m.Drop, try)
+			m.Stop = append(m.Stop, TaskStop{Task: try.Task, Machine: name, Why: text})
+		}
+	}
+	return m
+}
+
+// order is one entry of a list of a leader's message.
+type order struct {
+	list  string
+	entry any
+}
+
+// orders lists what a member does for a message of its leader, in that order.
+func orders(m PeerMessage) (out []order) {
+	add := func(what string, n int, entry func(int) any) {
+		for i := range n {
+			out = append(out, order{what, entry(i)})
+		}
+	}
+	add("view", len(m.Views), func(i int) any { return m.Views[i] })
+	add("cancelled", len(m.Cancelled), func(i int) any { return m.Cancelled[i] })
+	add("dispatch", len(m.Dispatch), func(i int) any { return m.Dispatch[i] })
+	add("release", len(m.Release), func(i int) any { return m.Release[i] })
+	add("drop", len(m.Drop), func(i int) any { return m.Drop[i] })
+	add("stop", len(m.Stop), func(i int) any { return m.Stop[i] })
+	add("close", len(m.Close), func(i int) any { return m.Close[i] })
+	add("reopen", len(m.Reopen), func(i int) any { return m.Reopen[i] })
+	add("drain", len(m.Drain), func(i int) any { return m.Drain[i] })
+	return out
+}
+
+// lineFits fails the test if a message is longer than a line of a link may be.
+func lineFits(t *testing.T, m PeerMessage) {
+	t.Helper()
+	line, err := json.Marshal(&m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(line) >= MaxPeerLine {
+		t.Fatalf("a line of %d bytes", len(line))
+	}
+}
