--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/fake"
+	"github.com/chalkhub/chalkhub/internal/simulation"
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
@@ -20,7 +20,7 @@
 			s := begin(t, 95)
 			s.Run(s.Now + 10*second)
 			leader, member := s.leader(), s.follower()
-			s.Between(leader.Label, member.Label, fake.Link{Largest: wire.MaxPeerLine})
+			s.Between(leader.Label, member.Label, simulation.Link{Largest: wire.MaxPeerLine})
 			var asked []wire.TaskTry // of a job that is unknown there: all of them come back
 			var stops []wire.TaskStop
 			for i := range machines * tasks {
@@ -30,7 +30,7 @@
 			}
 			var got, returned []wire.TaskTry
 			var stopped []wire.TaskStop
-			s.Applied = func(n *fake.Node, cmds []core.Command, _ time.Duration) {
+			s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 				for _, c := range cmds {
 					line, ok := c.(core.PeerLine)
 					switch {
