--- a/cmd/chalk/chalk_test.go
+++ b/cmd/chalk/chalk_test.go
@@ -29,10 +29,10 @@
 		t.Errorf("before anything is known:\n%s", v)
 	}
 	now := time.Now()
-	lead := core.Status{Label: "ctl-1", Leader: "ctl-1", Epoch: 4, Entitled: true, Teams: map[string]float64{"main": 12},
-		Machines: map[string]core.Machine{"n-1": {Zone: "a", Tasks: 3}}, Jobs: map[string]int{"running": 40, "done": 9}}
+	lead := core.Status{Label: "ctl-1", Leader: "ctl-1", Epoch: 4, Entitled: true, TeamCPUs: map[string]float64{"main": 12},
+		Machines: map[string]core.MachineStatus{"n-1": {Zone: "a", Tasks: 3}}, Jobs: map[string]int{"running": 40, "done": 9}}
 	for i := range 40 {
-		lead.Queue = append(lead.Queue, core.Waiting{Job: fmt.Sprintf("job-%017d", i), Waiting: i, Reason: strings.Repeat("waits for room ", 9)})
+		lead.Queue = append(lead.Queue, core.QueuedJobStatus{JobID: fmt.Sprintf("job-%017d", i), Waiting: i, Reason: strings.Repeat("waits for room ", 9)})
 	}
 	away := errors.New("connection refused")
 	p.add(looked{[]seen{{page: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, Entitled: true}, at: now}, {page: lead, at: now}, {err: away}}})
@@ -53,7 +53,7 @@
 		}
 	}
 	// A new leader's page takes over from the old one's.
-	p.add(looked{[]seen{{page: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, Entitled: true, Unseen: 2}, at: now}, {err: away}, {err: away}}})
+	p.add(looked{[]seen{{page: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, Entitled: true, UnseenMachines: 2}, at: now}, {err: away}, {err: away}}})
 	if v := p.view(now); !strings.Contains(v, "a take-over waits for 2 machines") || strings.Contains(v, "the leader is away") {
 		t.Errorf("after a take-over:\n%s", v)
 	}
@@ -119,8 +119,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := json.Marshal(&core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 3, Jobs: map[string]int{"done": 7}, Teams: map[string]float64{"main": 2},
-		Answers: core.Spread{N: 9, P50: 2, P99: 40, Max: 50}, Queue: []core.Waiting{{Job: "job-1", Waiting: 4}, {Job: "job-2", Waiting: 1}}})
+	page, err := json.Marshal(&core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 3, Jobs: map[string]int{"done": 7}, TeamCPUs: map[string]float64{"main": 2},
+		ResponseTimes: core.LatencySummary{Count: 9, P50: 2, P99: 40, Max: 50}, Queue: []core.QueuedJobStatus{{JobID: "job-1", Waiting: 4}, {JobID: "job-2", Waiting: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/chalk/metrics.go
+++ b/cmd/chalk/metrics.go
@@ -80,8 +80,8 @@
 			gauge(d, 0)
 		}
 	}
-	spread := func(d *prometheus.Desc, s core.Spread, labels ...string) {
-		out <- prometheus.MustNewConstSummary(d, uint64(s.N), 0, map[float64]float64{
+	spread := func(d *prometheus.Desc, s core.LatencySummary, labels ...string) {
+		out <- prometheus.MustNewConstSummary(d, uint64(s.Count), 0, map[float64]float64{
 			0.5: float64(s.P50) / 1000, 0.9: float64(s.P90) / 1000, 0.99: float64(s.P99) / 1000, 1: float64(s.Max) / 1000,
 		}, append([]string{c.Label}, labels...)...)
 	}
@@ -106,10 +106,10 @@
 		gauge(machinesDesc, float64(n), zone)
 		gauge(tasksDesc, float64(tasks[zone]), zone)
 	}
-	for kind, n := range s.Refused {
+	for kind, n := range s.RejectedRequests {
 		out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(n), c.Label, kind)
 	}
-	spread(answersDesc, s.Answers)
+	spread(answersDesc, s.ResponseTimes)
 	if s.Leader != s.Label {
 		return
 	}
@@ -118,12 +118,12 @@
 		waiting += q.Waiting
 	}
 	gauge(waitingDesc, float64(waiting))
-	gauge(desiredDesc, s.Desired)
-	gauge(unseenDesc, float64(s.Unseen))
-	for team, cpus := range s.Teams {
+	gauge(desiredDesc, s.DesiredCPUs)
+	gauge(unseenDesc, float64(s.UnseenMachines))
+	for team, cpus := range s.TeamCPUs {
 		gauge(teamDesc, cpus, team)
 	}
-	for urgency, w := range s.Waits {
+	for urgency, w := range s.StartLatencies {
 		spread(waitsDesc, w, urgency)
 	}
 }
--- a/cmd/chalk/top.go
+++ b/cmd/chalk/top.go
@@ -138,7 +138,7 @@
 		if s.err != nil {
 			style, note = badStyle, "away, seen "+age(now, s.at)
 		}
-		line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", c.Label, role, s.page.Epoch, len(s.page.Machines), n, open, s.page.Answers.P50, s.page.Answers.P99, note)
+		line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", c.Label, role, s.page.Epoch, len(s.page.Machines), n, open, s.page.ResponseTimes.P50, s.page.ResponseTimes.P99, note)
 	}
 	b.WriteString("\n")
 	line(headStyle, "%-10s %5s %6s", "zone", "mach", "tasks")
@@ -154,31 +154,31 @@
 	if lead.err != nil {
 		line(badStyle, "the leader is away; below is what it said %s", age(now, lead.at))
 	}
-	if lead.page.Unseen > 0 {
-		line(badStyle, "a take-over waits for %d machines", lead.page.Unseen)
+	if lead.page.UnseenMachines > 0 {
+		line(badStyle, "a take-over waits for %d machines", lead.page.UnseenMachines)
 	}
-	line(headStyle, "%-14s %9s %9s %9s   (%.0f CPUs wanted)", "team", "CPUs", "promised", "limit", lead.page.Desired)
-	for _, t := range sorted(lead.page.Teams) {
+	line(headStyle, "%-14s %9s %9s %9s   (%.0f CPUs wanted)", "team", "CPUs", "promised", "limit", lead.page.DesiredCPUs)
+	for _, t := range sorted(lead.page.TeamCPUs) {
 		style := plain
 		promised, limit := "-", "-"
 		if x, ok := p.teams[t]; ok {
 			promised = fmt.Sprintf("%.1f", x.CPUs)
 			if x.CPUsMax > 0 {
 				limit = fmt.Sprintf("%.1f", x.CPUsMax)
-				if lead.page.Teams[t] > 0.99*x.CPUsMax {
+				if lead.page.TeamCPUs[t] > 0.99*x.CPUsMax {
 					style = badStyle
 				}
 			}
 		}
-		line(style, "%-14s %9.1f %9s %9s", t, lead.page.Teams[t], promised, limit)
+		line(style, "%-14s %9.1f %9s %9s", t, lead.page.TeamCPUs[t], promised, limit)
 	}
 	b.WriteString("\n")
-	queue := append([]core.Waiting(nil), lead.page.Queue...)
+	queue := append([]core.QueuedJobStatus(nil), lead.page.Queue...)
 	sort.Slice(queue, func(i, j int) bool {
 		if queue[i].Waiting != queue[j].Waiting {
 			return queue[i].Waiting > queue[j].Waiting
 		}
-		return queue[i].Job < queue[j].Job
+		return queue[i].JobID < queue[j].JobID
 	})
 	line(headStyle, "%-22s %7s %7s  %s", fmt.Sprintf("job (%d open)", len(queue)), "waiting", "placed", "why it waits")
 	room := len(queue)
@@ -190,7 +190,7 @@
 			line(dimStyle, "and %d more", len(queue)-room)
 			break
 		}
-		line(plain, "%-22s %7d %7d  %s", q.Job, q.Waiting, q.Flying, q.Reason)
+		line(plain, "%-22s %7d %7d  %s", q.JobID, q.Waiting, q.InFlight, q.Reason)
 	}
 	return b.String()
 }
--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -120,7 +120,7 @@
 		if !ok {
 			return nil, false
 		}
-		s.Refused = server.Refused()
+		s.RejectedRequests = server.Refused()
 		b, err := json.Marshal(s)
 		return b, err == nil
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -142,7 +142,7 @@
 			write(ctx, 400, wire.ErrorAnswer{Error: err.Error()}, 0)
 			return
 		}
-		s.ask(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.Submit{ID: id, Job: job} })
+		s.ask(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
 	case path == "/ready" && ctx.IsGet():
 		if s.engine.Ready() {
 			ctx.SetStatusCode(200)
@@ -153,9 +153,9 @@
 		ref, verb, _ := strings.Cut(path[len(runsPath)+1:], "/")
 		switch {
 		case verb == "" && ctx.IsGet():
-			s.ask(ctx, kindQuery, func(id core.RequestID) core.Command { return core.Query{ID: id, Job: ref} })
+			s.ask(ctx, kindQuery, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: ref} })
 		case verb == "abort" && ctx.IsPost():
-			s.ask(ctx, kindAbort, func(id core.RequestID) core.Command { return core.Abort{ID: id, Job: ref} })
+			s.ask(ctx, kindAbort, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: ref} })
 		default:
 			write(ctx, 404, wire.ErrorAnswer{Error: "no such page"}, 0)
 		}
@@ -170,7 +170,7 @@
 		write(ctx, 400, wire.ErrorAnswer{Error: "malformed report"}, 0)
 		return
 	}
-	s.ask(ctx, kindReport, func(id core.RequestID) core.Command { return core.WorkerReport{ID: id, Report: rep} })
+	s.ask(ctx, kindReport, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} })
 	if ctx.Response.StatusCode() == 421 {
 		ctx.SetConnectionClose()
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -50,12 +50,12 @@
 func TestAnswers(t *testing.T) {
 	e := &scripted{reply: func(c core.Command) (core.Reply, bool) {
 		switch c := c.(type) {
-		case core.Query:
-			if c.Job == "job-1" {
+		case core.QueryJob:
+			if c.JobID == "job-1" {
 				return core.Reply{Status: 200, Body: wire.JobAnswer{ID: "job-1", State: wire.JobDone}}, true
 			}
 			return core.Reply{Status: 503, Body: wire.ErrorAnswer{}, RetryAfter: time.Second}, true
-		case core.WorkerReport:
+		case core.Heartbeat:
 			return core.Reply{Status: 421, Body: wire.Redirect{ReportTo: "b"}}, true
 		}
 		return core.Reply{}, false
@@ -103,7 +103,7 @@
 	held := make(chan struct{})
 	started := make(chan struct{}, 100)
 	e := &scripted{reply: func(c core.Command) (core.Reply, bool) {
-		if _, ok := c.(core.Query); ok {
+		if _, ok := c.(core.QueryJob); ok {
 			started <- struct{}{}
 			<-held
 		}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -26,32 +26,32 @@
 func New(addr string) *Client { return &Client{rpc: rpc.New(8, timeout), addr: addr} }
 
 // Types asks for the machine types.
-func (c *Client) Types() core.TypesDone {
-	var d core.TypesDone
+func (c *Client) Types() core.MachineTypesResult {
+	var d core.MachineTypesResult
 	d.Outcome = engine.CloudOutcome(c.rpc.Call("GET", c.addr, "/machine_types", nil, &d.Answer, timeout, fasthttp.StatusOK))
 	return d
 }
 
 // List reads a page of the list.
-func (c *Client) List(e core.List) core.ListDone {
+func (c *Client) List(e core.ListInstances) core.ListInstancesResult {
 	q := "/machines?Page=500"
-	if e.Since != "" {
-		q += "&Since=" + url.QueryEscape(e.Since)
+	if e.After != "" {
+		q += "&Since=" + url.QueryEscape(e.After)
 	}
 	var l wire.MachineList
 	status := c.rpc.Call("GET", c.addr, q, nil, &l, timeout, fasthttp.StatusOK)
-	return core.ListDone{Outcome: engine.CloudOutcome(status), Machines: l.Machines, More: l.More}
+	return core.ListInstancesResult{Outcome: engine.CloudOutcome(status), Machines: l.Machines, More: l.More}
 }
 
 // Hire rents machines.
-func (c *Client) Hire(e core.Hire) core.HireDone {
+func (c *Client) Hire(e core.CreateInstances) core.CreateInstancesResult {
 	var n wire.Names
 	status := c.rpc.Call("POST", c.addr, "/machines", e.Request, &n, timeout, fasthttp.StatusOK)
-	return core.HireDone{Request: e.Request.Request, Outcome: engine.CloudOutcome(status), Names: n.Machines}
+	return core.CreateInstancesResult{Request: e.Request.Request, Outcome: engine.CloudOutcome(status), Names: n.Machines}
 }
 
 // Delete returns machines.
-func (c *Client) Delete(e core.Delete) core.DeleteDone {
+func (c *Client) Delete(e core.DeleteInstances) core.DeleteInstancesResult {
 	status := c.rpc.Call("POST", c.addr, "/machines/delete", wire.Names{Machines: e.Names}, nil, timeout)
-	return core.DeleteDone{Names: e.Names, Outcome: engine.CloudOutcome(status)}
+	return core.DeleteInstancesResult{Names: e.Names, Outcome: engine.CloudOutcome(status)}
 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -15,28 +15,28 @@
 
 // Commands from users and workers.
 type (
-	// Submit asks to accept a job.
-	Submit struct {
-		ID  RequestID
-		Job wire.Job
-	}
-	// Query asks for a job's state.
-	Query struct {
-		ID  RequestID
-		Job string
-	}
-	// Abort asks to cancel a job.
-	Abort struct {
-		ID  RequestID
-		Job string
-	}
-	// WorkerReport is a worker's report.
-	WorkerReport struct {
+	// SubmitJob asks to accept a job.
+	SubmitJob struct {
+		ID   RequestID
+		Spec wire.Job
+	}
+	// QueryJob asks for a job's state.
+	QueryJob struct {
+		ID    RequestID
+		JobID string
+	}
+	// CancelJob asks to cancel a job.
+	CancelJob struct {
+		ID    RequestID
+		JobID string
+	}
+	// Heartbeat is a worker's report.
+	Heartbeat struct {
 		ID     RequestID
 		Report wire.Report
 	}
-	// StatusPage asks for the operators' picture.
-	StatusPage struct {
+	// GetStatus asks for the operators' picture.
+	GetStatus struct {
 		ID RequestID
 	}
 )
@@ -45,64 +45,64 @@
 type (
 	// Tick says that time has passed.
 	Tick struct{}
-	// CommitDone answers Commit.
-	CommitDone struct {
+	// CommitResult answers Commit.
+	CommitResult struct {
 		ID      uint64
 		Outcome CommitOutcome
 		Answer  wire.TxnAnswer
 	}
-	// LoadDone answers Load.
-	LoadDone struct {
+	// LoadResult answers Load.
+	LoadResult struct {
 		OK       bool
-		Sent     time.Duration
+		SentAt   time.Duration
 		Items    []wire.Item
 		More     bool
 		Revision uint64
 	}
-	// FollowDone answers Follow. Sent is when the request left.
-	FollowDone struct {
+	// WatchResult answers Follow. Sent is when the request left.
+	WatchResult struct {
 		Barrier bool
-		Sent    time.Duration
+		SentAt  time.Duration
 		Outcome WatchOutcome
 		Answer  wire.Events
 	}
-	// LeaseDone answers Lease.
-	LeaseDone struct {
-		Sent    time.Duration
-		Lease   uint64
+	// LeaseResult answers Lease.
+	LeaseResult struct {
+		SentAt  time.Duration
+		LeaseID uint64
 		Outcome LeaseOutcome
 	}
-	// DoDone answers Do. A report is there if the outcome is DirectExecuted or DirectFenced.
-	DoDone struct {
+	// CallWorkerResult answers Do. A report is there if the outcome is DirectExecuted or DirectFenced.
+	CallWorkerResult struct {
 		Machine string
-		ID      uint64
+		CallID  uint64
 		Outcome DirectOutcome
 		Report  wire.Report
 	}
-	// InspectDone answers Inspect.
-	InspectDone struct {
+	// ProbeResult answers Inspect.
+	ProbeResult struct {
 		Machine string
 		OK      bool
 	}
-	// TypesDone answers Types.
-	TypesDone struct {
+	// MachineTypesResult answers Types.
+	MachineTypesResult struct {
 		Outcome CloudOutcome
 		Answer  wire.MachineTypes
 	}
-	// ListDone answers List with a page.
-	ListDone struct {
+	// ListInstancesResult answers List with a page.
+	ListInstancesResult struct {
 		Outcome  CloudOutcome
 		Machines []wire.Machine
 		More     bool
 	}
-	// HireDone answers Hire.
-	HireDone struct {
+	// CreateInstancesResult answers Hire.
+	CreateInstancesResult struct {
 		Request string
 		Outcome CloudOutcome
 		Names   []string
 	}
-	// DeleteDone answers Delete.
-	DeleteDone struct {
+	// DeleteInstancesResult answers Delete.
+	DeleteInstancesResult struct {
 		Names   []string
 		Outcome CloudOutcome
 	}
@@ -110,36 +110,36 @@
 
 // What the peer link says.
 type (
-	// PeerUp says that a link stands. Label is known only of links we dialled.
-	PeerUp struct {
+	// PeerConnected says that a link stands. Label is known only of links we dialled.
+	PeerConnected struct {
 		Session uint64
 		Label   string
 	}
-	// PeerDown says that a link is gone.
-	PeerDown struct{ Session uint64 }
-	// PeerLine is a message that came over a link.
-	PeerLine struct {
+	// PeerDisconnected says that a link is gone.
+	PeerDisconnected struct{ Session uint64 }
+	// PeerReceived is a message that came over a link.
+	PeerReceived struct {
 		Session uint64
 		Message wire.PeerMessage
 	}
 )
 
-func (Submit) command()       {}
-func (Query) command()        {}
-func (Abort) command()        {}
-func (WorkerReport) command() {}
-func (StatusPage) command()   {}
-func (Tick) command()         {}
-func (CommitDone) command()   {}
-func (LoadDone) command()     {}
-func (FollowDone) command()   {}
-func (LeaseDone) command()    {}
-func (DoDone) command()       {}
-func (InspectDone) command()  {}
-func (TypesDone) command()    {}
-func (ListDone) command()     {}
-func (HireDone) command()     {}
-func (DeleteDone) command()   {}
-func (PeerUp) command()       {}
-func (PeerDown) command()     {}
-func (PeerLine) command()     {}
+func (SubmitJob) command()             {}
+func (QueryJob) command()              {}
+func (CancelJob) command()             {}
+func (Heartbeat) command()             {}
+func (GetStatus) command()             {}
+func (Tick) command()                  {}
+func (CommitResult) command()          {}
+func (LoadResult) command()            {}
+func (WatchResult) command()           {}
+func (LeaseResult) command()           {}
+func (CallWorkerResult) command()      {}
+func (ProbeResult) command()           {}
+func (MachineTypesResult) command()    {}
+func (ListInstancesResult) command()   {}
+func (CreateInstancesResult) command() {}
+func (DeleteInstancesResult) command() {}
+func (PeerConnected) command()         {}
+func (PeerDisconnected) command()      {}
+func (PeerReceived) command()          {}
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -21,14 +21,14 @@
 	for _, n := range []int{1000, 3000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				costs(b, n)
+				measureCosts(b, n)
 			}
 		})
 	}
 }
 
-func costs(b *testing.B, n int) {
-	s := grown(b, 1, n)
+func measureCosts(b *testing.B, n int) {
+	s := startLoaded(b, 1, n)
 	us := map[string]*hdrhistogram.Histogram{}
 	note := func(what string, took time.Duration) {
 		if us[what] == nil {
@@ -47,16 +47,16 @@
 			return
 		}
 		switch cmds[0].(type) {
-		case core.WorkerReport:
+		case core.Heartbeat:
 			note("report", took)
-		case core.Query:
+		case core.QueryJob:
 			note("poll", took)
 		}
 	}
 	lead := s.leader()
 	for range 10 {
 		s.Run(s.Now + second/5)
-		lead.Core.RoundIsDue()
+		lead.Core.ForceRound()
 		due = true
 		lead.Post(core.Tick{})
 		s.Run(s.Now + second/5)
@@ -64,28 +64,28 @@
 	follower := s.follower()
 	for range 5 {
 		begin := time.Now()
-		m := follower.Core.WholePicture()
+		m := follower.Core.FullSnapshot()
 		line, err := json.Marshal(&m)
 		if err != nil {
 			b.Fatal(err)
 		}
 		note("picture-made", time.Since(begin))
 		begin = time.Now()
-		lead.Core.TakePicture(follower.Label, m)
+		lead.Core.ApplySnapshot(follower.Label, m)
 		note("picture-taken", time.Since(begin))
 		b.ReportMetric(float64(len(line))/1024, "picture-KB")
 	}
 	var total, longest time.Duration
 	seen := false
 	s.Applied = func(n *simulation.Node, _ []core.Command, took time.Duration) {
-		if n.Core.Leads() && !seen {
+		if n.Core.IsLeader() && !seen {
 			total += took
 			longest = max(longest, took)
 		}
 	}
 	lead.Crash(0)
 	s.Logs = nil
-	s.within(60*second, "every machine has been seen", func() bool { seen = seen || s.said("every machine has been seen"); return seen })
+	s.eventually(60*second, "every machine has been seen", func() bool { seen = seen || s.logged("every machine has been seen"); return seen })
 	for what, h := range us {
 		b.ReportMetric(float64(h.ValueAtQuantile(50)), what+"-us")
 	}
@@ -98,7 +98,7 @@
 func BenchmarkEnded(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := begin(b, 1)
+			s := newScenario(b, 1)
 			s.State.Ended(n)
 			s.Run(s.Now + 20*second) // the others read them anew: so many changes are not kept
 			for range b.N {
@@ -114,7 +114,7 @@
 					}
 				}
 				nd.Start()
-				s.within(240*second, "the node is ready", func() bool { return nd.Ready })
+				s.eventually(240*second, "the node is ready", func() bool { return nd.Ready })
 				s.Applied = nil
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -28,32 +28,32 @@
 		ID  uint64
 		Txn wire.Txn
 	}
-	// Load reads a page of all keys, those after Since.
-	Load struct{ Since string }
-	// Follow waits for changes. A barrier does not wait.
-	Follow struct {
+	// LoadPage reads a page of all keys, those after Since.
+	LoadPage struct{ After string }
+	// Watch waits for changes. A barrier does not wait.
+	Watch struct {
 		Since   uint64
 		Hold    time.Duration
 		Barrier bool
 	}
-	// Lease renews the lease, or asks for a new one if Lease is 0.
-	Lease struct {
-		Lease uint64
-		TTL   time.Duration
+	// RenewLease renews the lease, or asks for a new one if Lease is 0.
+	RenewLease struct {
+		LeaseID uint64
+		TTL     time.Duration
 	}
 )
 
 // Calls to workers, answered by DoDone and InspectDone.
 type (
-	// Do sends commands straight to a worker.
-	Do struct {
+	// CallWorker sends commands straight to a worker.
+	CallWorker struct {
 		Machine string
-		ID      uint64
+		CallID  uint64
 		Addr    string
 		Body    wire.Do
 	}
-	// Inspect asks a worker for its report, only to know that it can be reached.
-	Inspect struct {
+	// ProbeWorker asks a worker for its report, only to know that it can be reached.
+	ProbeWorker struct {
 		Machine string
 		Addr    string
 	}
@@ -61,33 +61,33 @@
 
 // Calls to the cloud, answered by TypesDone, ListDone, HireDone and DeleteDone.
 type (
-	// Types asks the cloud for its machine types.
-	Types struct{}
-	// List asks the cloud for a page of its machines, those after Since.
-	List struct{ Since string }
-	// Hire rents machines.
-	Hire struct{ Request wire.Hire }
-	// Delete returns machines.
-	Delete struct{ Names []string }
+	// ListMachineTypes asks the cloud for its machine types.
+	ListMachineTypes struct{}
+	// ListInstances asks the cloud for a page of its machines, those after Since.
+	ListInstances struct{ After string }
+	// CreateInstances rents machines.
+	CreateInstances struct{ Request wire.Hire }
+	// DeleteInstances returns machines.
+	DeleteInstances struct{ Names []string }
 )
 
 // The link to the sibling controllers.
 type (
-	// PeerTarget names the sibling to keep a link to; empty for none.
-	PeerTarget struct{ Label string }
-	// PeerSend sends a message over a link.
-	PeerSend struct {
+	// ConnectPeer names the sibling to keep a link to; empty for none.
+	ConnectPeer struct{ Label string }
+	// SendToPeer sends a message over a link.
+	SendToPeer struct {
 		Session uint64
 		Message wire.PeerMessage
 	}
-	// PeerClose ends a link.
-	PeerClose struct{ Session uint64 }
+	// ClosePeer ends a link.
+	ClosePeer struct{ Session uint64 }
 )
 
 // What the process does for its operators.
 type (
-	// Ready says whether the node can take requests.
-	Ready struct{ Yes bool }
+	// SetReady says whether the node can take requests.
+	SetReady struct{ Ready bool }
 	// Log is a line for the operators.
 	Log struct {
 		Level Level
@@ -106,19 +106,19 @@
 	LevelError Level = 8
 )
 
-func (Reply) effect()      {}
-func (Commit) effect()     {}
-func (Load) effect()       {}
-func (Follow) effect()     {}
-func (Lease) effect()      {}
-func (Do) effect()         {}
-func (Inspect) effect()    {}
-func (Types) effect()      {}
-func (List) effect()       {}
-func (Hire) effect()       {}
-func (Delete) effect()     {}
-func (PeerTarget) effect() {}
-func (PeerSend) effect()   {}
-func (PeerClose) effect()  {}
-func (Ready) effect()      {}
-func (Log) effect()        {}
+func (Reply) effect()            {}
+func (Commit) effect()           {}
+func (LoadPage) effect()         {}
+func (Watch) effect()            {}
+func (RenewLease) effect()       {}
+func (CallWorker) effect()       {}
+func (ProbeWorker) effect()      {}
+func (ListMachineTypes) effect() {}
+func (ListInstances) effect()    {}
+func (CreateInstances) effect()  {}
+func (DeleteInstances) effect()  {}
+func (ConnectPeer) effect()      {}
+func (SendToPeer) effect()       {}
+func (ClosePeer) effect()        {}
+func (SetReady) effect()         {}
+func (Log) effect()              {}
--- a/internal/core/estimator.go
+++ b/internal/core/estimator.go
@@ -12,150 +12,152 @@
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
-// mean is a running mean of durations.
-type mean struct {
-	mean, n, last float64
+// runningMean is a running mean of durations.
+type runningMean struct {
+	mean, count, lastAt float64
 }
 
-func (m *mean) add(x, wall, cap float64) {
-	m.n = min(m.n+1, cap)
-	m.mean += (x - m.mean) / m.n
-	m.last = wall
+func (m *runningMean) add(x, wall, cap float64) {
+	m.count = min(m.count+1, cap)
+	m.mean += (x - m.mean) / m.count
+	m.lastAt = wall
 }
 
-// meanKey is whose durations a running mean is of.
-type meanKey struct {
+// historyKey is whose durations a running mean is of.
+type historyKey struct {
 	team, class string
 	cpus, gpus  float64
 }
 
-func keyOf(s *wire.Job) meanKey { return meanKey{s.Team, s.Class, s.CPUs, s.GPUs} }
+func historyKeyOf(s *wire.Job) historyKey { return historyKey{s.Team, s.Class, s.CPUs, s.GPUs} }
 
-func (k meanKey) String() string { return fmt.Sprintf("%s %s %g %g", k.team, k.class, k.cpus, k.gpus) }
+func (k historyKey) String() string {
+	return fmt.Sprintf("%s %s %g %g", k.team, k.class, k.cpus, k.gpus)
+}
 
-func (k meanKey) compare(b meanKey) int {
+func (k historyKey) compare(b historyKey) int {
 	return cmp.Or(cmp.Compare(k.team, b.team), cmp.Compare(k.class, b.class), cmp.Compare(k.cpus, b.cpus), cmp.Compare(k.gpus, b.gpus))
 }
 
 // estimator predicts a task's duration from completed ones only: a task that
 // failed ran for a time that says nothing.
 type estimator struct {
-	c       *Core
-	names   map[meanKey]*mean
-	memo    map[meanKey]float64          // predictions of this round, 0: nothing is known
-	fits    map[meanKey]*calibration.Fit // what the owners' estimates have been worth
-	stale   bool                         // durations have come since
-	changed bool
-	saving  bool
-	savedAt time.Duration
+	core         *Core
+	history      map[historyKey]*runningMean
+	predictions  map[historyKey]float64            // predictions of this round, 0: nothing is known
+	calibrations map[historyKey]*calibration.Model // what the owners' estimates have been worth
+	stale        bool                              // durations have come since
+	unsaved      bool
+	saving       bool
+	savedAt      time.Duration
 }
 
 func newEstimator(c *Core) *estimator {
-	return &estimator{c: c, names: map[meanKey]*mean{}, memo: map[meanKey]float64{}, fits: map[meanKey]*calibration.Fit{}}
+	return &estimator{core: c, history: map[historyKey]*runningMean{}, predictions: map[historyKey]float64{}, calibrations: map[historyKey]*calibration.Model{}}
 }
 
 func (e *estimator) load() {
-	clear(e.names)
-	clear(e.memo)
-	clear(e.fits)
-	e.savedAt = e.c.now.Steady
-	if e.c.ledger.estimate == nil {
+	clear(e.history)
+	clear(e.predictions)
+	clear(e.calibrations)
+	e.savedAt = e.core.now.Monotonic
+	if e.core.mirror.estimates == nil {
 		return
 	}
-	for _, r := range e.c.ledger.estimate.Means {
-		e.names[meanKey{r.Team, r.Class, r.CPUs, r.GPUs}] = &mean{mean: r.Mean, n: r.N, last: r.Last}
+	for _, r := range e.core.mirror.estimates.Means {
+		e.history[historyKey{r.Team, r.Class, r.CPUs, r.GPUs}] = &runningMean{mean: r.Mean, count: r.N, lastAt: r.Last}
 	}
 }
 
-func (e *estimator) add(s *wire.Job, seconds float64) {
-	k := keyOf(s)
-	m := e.names[k]
+func (e *estimator) observe(s *wire.Job, seconds float64) {
+	k := historyKeyOf(s)
+	m := e.history[k]
 	if m == nil {
-		m = &mean{}
-		e.names[k] = m
+		m = &runningMean{}
+		e.history[k] = m
 	}
-	m.add(seconds, e.c.now.Wall, e.c.policy.HistoryTasks)
-	e.changed, e.stale = true, true
+	m.add(seconds, e.core.now.Wall, e.core.policy.HistoryTasks)
+	e.unsaved, e.stale = true, true
 }
 
-// came counts a new job's estimate by its owner among those of its name.
-func (e *estimator) came(s *wire.Job) {
-	k := keyOf(s)
-	if e.fits[k] == nil {
-		if len(e.fits) >= mostFits {
+// jobArrived counts a new job's estimate by its owner among those of its name.
+func (e *estimator) jobArrived(s *wire.Job) {
+	k := historyKeyOf(s)
+	if e.calibrations[k] == nil {
+		if len(e.calibrations) >= maxHistoryKeys {
 			return // names that never come back teach nothing
 		}
-		e.fits[k] = &calibration.Fit{}
+		e.calibrations[k] = &calibration.Model{}
 	}
-	e.fits[k].Came(s.EstimateS)
+	e.calibrations[k].ObserveEstimate(s.EstimateS)
 }
 
-// took counts a completed task. The first of a job tells what its owner's estimate was
+// taskCompleted counts a completed task. The first of a job tells what its owner's estimate was
 // worth.
-func (e *estimator) took(q *queued, seconds float64) {
-	s := &q.j.rec.Spec
-	if f := e.fits[keyOf(s)]; f != nil && q.took.n == 0 && q.j.doneN == 0 {
-		if usual := e.usual(keyOf(s)); usual > 0 {
-			f.Took(s.EstimateS, seconds/usual)
+func (e *estimator) taskCompleted(q *queuedJob, seconds float64) {
+	s := &q.entry.record.Spec
+	if f := e.calibrations[historyKeyOf(s)]; f != nil && q.durations.count == 0 && q.entry.doneCount == 0 {
+		if usual := e.predictFromHistory(historyKeyOf(s)); usual > 0 {
+			f.ObserveDuration(s.EstimateS, seconds/usual)
 		}
 	}
-	q.took.add(seconds, e.c.now.Wall, e.c.policy.HistoryTasks)
-	e.add(s, seconds)
+	q.durations.add(seconds, e.core.now.Wall, e.core.policy.HistoryTasks)
+	e.observe(s, seconds)
 }
 
-// own predicts a task of one job, as distinct from others of its name: by the owner's
+// predictForJob predicts a task of one job, as distinct from others of its name: by the owner's
 // estimate as far as those have been worth something, and by its own completed tasks.
-func (e *estimator) own(q *queued) float64 {
-	x := q.pred
-	if f := e.fits[keyOf(&q.j.rec.Spec)]; f != nil && e.usual(keyOf(&q.j.rec.Spec)) > 0 {
-		x *= f.Factor(q.j.rec.Spec.EstimateS)
+func (e *estimator) predictForJob(q *queuedJob) float64 {
+	x := q.predictedSeconds
+	if f := e.calibrations[historyKeyOf(&q.entry.record.Spec)]; f != nil && e.predictFromHistory(historyKeyOf(&q.entry.record.Spec)) > 0 {
+		x *= f.Factor(q.entry.record.Spec.EstimateS)
 	}
 	// The first tasks to complete are the shortest ones, so a few prove little.
-	return (x*ownWeight + q.took.mean*q.took.n) / (ownWeight + q.took.n)
+	return (x*priorWeight + q.durations.mean*q.durations.count) / (priorWeight + q.durations.count)
 }
 
-// mostFits bounds the names whose durations, and owners' estimates, are followed.
-const mostFits = 1024
+// maxHistoryKeys bounds the names whose durations, and owners' estimates, are followed.
+const maxHistoryKeys = 1024
 
-// ownWeight is how many completed tasks of a job count as much as what is known of others.
-const ownWeight = 4
+// priorWeight is how many completed tasks of a job count as much as what is known of others.
+const priorWeight = 4
 
-// refresh lets predictions take account of what has come since the last round.
+// beginRound lets predictions take account of what has come since the last round.
 // Within one they stay as they are: thousands of open jobs share some dozens of names.
-func (e *estimator) refresh() {
+func (e *estimator) beginRound() {
 	if e.stale {
 		e.stale = false
-		clear(e.memo)
+		clear(e.predictions)
 	}
 }
 
 // predict gives the mean of the team and class; failing that the team's, then
 // that of all with the same GPU (CPU) demand, then the owner's own estimate.
 func (e *estimator) predict(s *wire.Job) float64 {
-	if x := e.usual(keyOf(s)); x > 0 {
+	if x := e.predictFromHistory(historyKeyOf(s)); x > 0 {
 		return x
 	}
 	return max(s.EstimateS, 1)
 }
 
-// usual is the prediction from history, 0 if there is none.
-func (e *estimator) usual(k meanKey) float64 {
-	x, ok := e.memo[k]
+// predictFromHistory is the prediction from history, 0 if there is none.
+func (e *estimator) predictFromHistory(k historyKey) float64 {
+	x, ok := e.predictions[k]
 	if !ok {
-		x = e.known(k)
-		e.memo[k] = x
+		x = e.computeFromHistory(k)
+		e.predictions[k] = x
 	}
 	return x
 }
 
-// known works that out anew.
-func (e *estimator) known(k meanKey) float64 {
-	var name, team, demand mean
-	for _, x := range e.sorted() {
-		m := e.names[x]
-		merge := func(into *mean) {
-			into.mean = (into.mean*into.n + m.mean*m.n) / (into.n + m.n)
-			into.n += m.n
+// computeFromHistory works that out anew.
+func (e *estimator) computeFromHistory(k historyKey) float64 {
+	var name, team, demand runningMean
+	for _, x := range e.sortedKeys() {
+		m := e.history[x]
+		merge := func(into *runningMean) {
+			into.mean = (into.mean*into.count + m.mean*m.count) / (into.count + m.count)
+			into.count += m.count
 		}
 		if x.team == k.team && x.class == k.class {
 			merge(&name)
@@ -167,53 +169,53 @@
 			merge(&demand)
 		}
 	}
-	for _, m := range []mean{name, team, demand} {
-		if m.n > 0 {
+	for _, m := range []runningMean{name, team, demand} {
+		if m.count > 0 {
 			return m.mean
 		}
 	}
 	return 0
 }
 
-// sorted lists whose means there are, so that sums come out the same every time.
-func (e *estimator) sorted() []meanKey {
-	return slices.SortedFunc(maps.Keys(e.names), meanKey.compare)
+// sortedKeys lists whose means there are, so that sums come out the same every time.
+func (e *estimator) sortedKeys() []historyKey {
+	return slices.SortedFunc(maps.Keys(e.history), historyKey.compare)
 }
 
 // save writes the history as one value, the oldest names dropped to fit.
 func (e *estimator) save() {
-	c := e.c
-	if !e.changed || e.saving || c.now.Steady-e.savedAt < 10*c.times.round {
+	c := e.core
+	if !e.unsaved || e.saving || c.now.Monotonic-e.savedAt < 10*c.intervals.maintenance {
 		return
 	}
-	e.changed, e.saving, e.savedAt = false, true, c.now.Steady
+	e.unsaved, e.saving, e.savedAt = false, true, c.now.Monotonic
 	var rec wire.EstimateRecord
-	for _, k := range e.sorted() {
-		m := e.names[k]
+	for _, k := range e.sortedKeys() {
+		m := e.history[k]
 		// Rounded, so that more of them fit: a prediction is not that good.
 		rec.Means = append(rec.Means, wire.MeanRecord{Team: k.team, Class: k.class, CPUs: k.cpus, GPUs: k.gpus,
-			Mean: math.Round(m.mean*100) / 100, N: m.n, Last: math.Floor(m.last)})
+			Mean: math.Round(m.mean*100) / 100, N: m.count, Last: math.Floor(m.lastAt)})
 	}
 	slices.SortStableFunc(rec.Means, func(a, b wire.MeanRecord) int { return cmp.Compare(b.Last, a.Last) })
 	// Names that never come back would pile up here too.
-	for len(rec.Means) > mostFits {
+	for len(rec.Means) > maxHistoryKeys {
 		r := rec.Means[len(rec.Means)-1]
-		delete(e.names, meanKey{r.Team, r.Class, r.CPUs, r.GPUs})
+		delete(e.history, historyKey{r.Team, r.Class, r.CPUs, r.GPUs})
 		rec.Means = rec.Means[:len(rec.Means)-1]
 	}
 	// What does not fit is known to this leader only.
 	size, fit := 16, 0
 	for ; fit < len(rec.Means); fit++ {
-		if size += wire.TextSize(rec.Means[fit]) + 2; size > c.valueSize() {
+		if size += wire.TextSize(rec.Means[fit]) + 2; size > c.maxValueBytes() {
 			break
 		}
 	}
 	rec.Means = rec.Means[:fit]
 	// Late, an older value must not take a newer one's place.
-	c.ledger.commit([]wire.Guard{c.members.leaderGuard(), c.ledger.guard(keyEstimate)}, []wire.Op{{Put: keyEstimate, Value: rec}}, func(d CommitDone) {
+	c.mirror.commit([]wire.Guard{c.membership.leaderGuard(), c.mirror.guard(keyEstimate)}, []wire.Op{{Put: keyEstimate, Value: rec}}, func(d CommitResult) {
 		e.saving = false
 		if d.Outcome != Committed {
-			e.changed = true
+			e.unsaved = true
 		}
 	})
 }
--- a/internal/core/meetings_test.go
+++ b/internal/core/interleavings_test.go
@@ -14,72 +14,72 @@
 
 // Stories in which two troubles meet; docs/meetings.md says what each goes through.
 
-func (s *story) cancelS() time.Duration { return config.Seconds(s.Set.Site.Workers.CancelS) }
+func (s *scenario) cancelSpan() time.Duration { return config.Seconds(s.Set.Site.Workers.CancelS) }
 
-// askedAt has a user ask a node to cancel a job, and hear nothing of its answer.
-func (s *story) askedAt(n *simulation.Node, j *simulation.Job) {
+// abortUnanswered has a user ask a node to cancel a job, and hear nothing of its answer.
+func (s *scenario) abortUnanswered(n *simulation.Node, j *simulation.Job) {
 	s.Users.Wants(j)
-	n.Ask(func(id core.RequestID) core.Command { return core.Abort{ID: id, Job: j.Spec.ID} }, func(core.Reply) {})
+	n.Ask(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: j.Spec.ID} }, func(core.Reply) {})
 }
 
-// third is the controller that neither leads nor is the follower of this story.
-func (s *story) third() *simulation.Node {
-	i := slices.IndexFunc(s.Nodes, func(n *simulation.Node) bool { return !n.Core.Leads() && n != s.follower() })
+// otherFollower is the controller that neither leads nor is the follower of this story.
+func (s *scenario) otherFollower() *simulation.Node {
+	i := slices.IndexFunc(s.Nodes, func(n *simulation.Node) bool { return !n.Core.IsLeader() && n != s.follower() })
 	return s.Nodes[i]
 }
 
-// gap begins a story in which the state service refuses the leader alone, another controller
+// cancellationThenOutage begins a story in which the state service refuses the leader alone, another controller
 // confirms a cancellation as tell has it, and then nobody is served for longer than cancel_s.
-func gap(t *testing.T, seed uint64, tell func(s *story, gone *simulation.Job)) (s *story, long, gone *simulation.Job) {
-	s = begin(t, seed)
+func cancellationThenOutage(t *testing.T, seed uint64, tell func(s *scenario, gone *simulation.Job)) (s *scenario, long, gone *simulation.Job) {
+	s = newScenario(t, seed)
 	long, gone = s.Users.Submit(simulation.Array(12), 200), s.Users.Submit(simulation.Array(6), 300)
-	s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
+	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
 	n := s.leader()
 	s.State.Refuses[n.Label] = true
 	tell(s, gone)
-	s.within(5*second, "its user is told", func() bool { return gone.Told == wire.JobCancelled })
-	s.State.Outage(s.cancelS() + 20*second)
+	s.eventually(5*second, "its user is told", func() bool { return gone.Told == wire.JobCancelled })
+	s.State.Outage(s.cancelSpan() + 20*second)
 	return s, long, gone
 }
 
 // In the gap every cancellation that any user was told of is stopped in time, whoever wrote
 // it and however the one who told it knew; the other tasks live on.
-func TestTheGapHoldsNoCancelledTask(t *testing.T) {
-	unanswered := func(s *story, f func()) {
+func TestCancellationSurvivesStoreOutage(t *testing.T) {
+	unanswered := func(s *scenario, f func()) {
 		s.State.LateShare, s.State.LateBy = 1, time.Millisecond
 		f()
 		s.Run(s.Now + second/2)
 		s.State.LateShare = 0
 	}
-	for name, tell := range map[string]func(*story, *simulation.Job){
-		"by who wrote it": func(s *story, j *simulation.Job) { s.Users.Abort(j) },
-		"by who got no answer to its write": func(s *story, j *simulation.Job) {
+	for name, tell := range map[string]func(*scenario, *simulation.Job){
+		"by who wrote it": func(s *scenario, j *simulation.Job) { s.Users.Abort(j) },
+		"by who got no answer to its write": func(s *scenario, j *simulation.Job) {
 			unanswered(s, func() { s.Users.Abort(j) })
 		},
-		"by another whose mirror has it": func(s *story, j *simulation.Job) {
-			unanswered(s, func() { s.askedAt(s.follower(), j) })
-			s.Users.Only = s.third()
+		"by another whose mirror has it": func(s *scenario, j *simulation.Job) {
+			unanswered(s, func() { s.abortUnanswered(s.follower(), j) })
+			s.Users.Only = s.otherFollower()
 			s.Users.Abort(j)
 		},
-		"by a poll": func(s *story, j *simulation.Job) {
-			unanswered(s, func() { s.askedAt(s.follower(), j) })
-			s.Users.Only = s.third()
+		"by a poll": func(s *scenario, j *simulation.Job) {
+			unanswered(s, func() { s.abortUnanswered(s.follower(), j) })
+			s.Users.Only = s.otherFollower()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				s, long, gone := gap(t, 1000+seed, tell)
+				s, long, gone := cancellationThenOutage(t, 1000+seed, tell)
 				least := 12
 				for range 50 {
 					s.Run(s.Now + second)
 					least = min(least, long.Running())
 				}
-				s.rules()
+				s.requireInvariants()
 				if gone.Running() > 0 || least < 12 {
 					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", gone.Running(), least)
 				}
 				s.State.Refuses, s.Users.Only = map[string]bool{}, nil
-				s.within(200*second, "the work goes on", func() bool { return long.Told == wire.JobDone })
+				s.eventually(200*second, "the work goes on", func() bool { return long.Told == wire.JobDone })
 			}
 		})
 	}
@@ -89,11 +89,11 @@
 // once. Carried out late, the former one's write does not take the place of the new one.
 func TestLateWriteOfAFormerProcessIsVoid(t *testing.T) {
 	for seed := range uint64(4) {
-		s := busy(t, 1100+seed, 10*second)
+		s := newBusyScenario(t, 1100+seed, 10*second)
 		n := s.follower()
 		n.Crash(second)
 		s.State.LateFrom, s.State.LateBy = 4*second, 5*second
-		s.within(5*second, "its key is being written", func() bool {
+		s.eventually(5*second, "its key is being written", func() bool {
 			s.State.LateShare = 0
 			if n.Alive() {
 				s.State.LateShare = 1
@@ -102,21 +102,21 @@
 		})
 		s.State.LateShare = 0
 		n.Crash(second / 5)
-		s.within(5*second, "the next process is in the map", func() bool { return s.said("a controller is back in the map") })
+		s.eventually(5*second, "the next process is in the map", func() bool { return s.logged("a controller is back in the map") })
 		s.Logs = nil
 		s.Run(s.Now + 12*second)
-		if s.said("a controller is outside the map") {
+		if s.logged("a controller is outside the map") {
 			t.Fatalf("it lost its place\n%s", s.lastLogs(*logLines))
 		}
-		s.within(120*second, "the work is done", s.Users.AllTold)
+		s.eventually(120*second, "the work is done", s.Users.AllTold)
 	}
 }
 
 // Most machines die and all controllers end: the next leader, which has only the register's
 // word for those machines, learns from the cloud that they are gone, and waits for none.
-func TestMachinesThatDiedBeforeTheLeaderCame(t *testing.T) {
+func TestMachinesThatDiedBeforeFailover(t *testing.T) {
 	for seed := range uint64(4) {
-		s := withBoxes(t, 1200+seed, 10)
+		s := startWithMachines(t, 1200+seed, 10)
 		for _, k := range s.SomeWorkers(len(s.Workers) - 1) {
 			s.Cloud.Remove(k.Info.Name)
 		}
@@ -124,21 +124,21 @@
 			n.Crash(second + time.Duration(i)*3*second)
 		}
 		s.Logs = nil
-		s.within(45*second, "no machine is waited for", func() bool { return s.said("every machine has been seen") })
-		s.within(200*second, "the work is done", s.Users.AllTold)
+		s.eventually(45*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
+		s.eventually(200*second, "the work is done", s.Users.AllTold)
 	}
 }
 
-// boxes puts up so many machines, and lets them be heard.
-func (s *story) boxes(n int) {
+// addMachines puts up so many machines, and lets them be heard.
+func (s *scenario) addMachines(n int) {
 	for range n {
 		s.Cloud.Add("box", "b", true)
 	}
 	s.Run(s.Now + 6*second)
 }
 
-// others names all ends but one: the state service, and the other controllers.
-func (s *story) others(n *simulation.Node) []string {
+// otherEnds names all ends but one: the state service, and the other controllers.
+func (s *scenario) otherEnds(n *simulation.Node) []string {
 	out := []string{"state"}
 	for _, x := range s.Nodes {
 		if x != n {
@@ -151,42 +151,42 @@
 // A leader is cut from the state service and the other controllers, its workers and users
 // reach it, and jobs are cancelled through the new one: the old one answers no worker any
 // more soon enough for every cancelled task to be gone in time.
-func TestCancelledThroughTheNewLeader(t *testing.T) {
+func TestCancellationThroughTheNewLeader(t *testing.T) {
 	for seed := range uint64(4) {
-		s := begin(t, 1300+seed)
-		s.boxes(12) // on which each controller has some tasks
+		s := newScenario(t, 1300+seed)
+		s.addMachines(12) // on which each controller has some tasks
 		var jobs []*simulation.Job
 		for range 4 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(12), 120))
 		}
-		s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 48 })
+		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 48 })
 		n := s.leader()
 		s.Cloud.Out = true            // or the machines that it answers would be given up and deleted
 		for _, k := range s.Workers { // nor do the others reach its machines, or a raised token would end it
 			for _, x := range s.Nodes {
 				if k.ReportsTo() == n && x != n {
-					s.cutOff(70*second, x.Label, k.Info.Name)
+					s.partition(70*second, x.Label, k.Info.Name)
 				}
 			}
 		}
-		s.cutOff(70*second, n.Label, s.others(n)...)
-		s.within(30*second, "another leads", func() bool { return s.leadsBut(n) })
+		s.partition(70*second, n.Label, s.otherEnds(n)...)
+		s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(n) })
 		s.Users.Only = s.Nodes[(slices.Index(s.Nodes, n)+1)%3]
 		s.Users.Abort(jobs[0])
 		s.Users.Abort(jobs[1])
-		s.within(10*second, "their users are told", told(wire.JobCancelled, jobs[0], jobs[1]))
+		s.eventually(10*second, "their users are told", toldState(wire.JobCancelled, jobs[0], jobs[1]))
 		s.Users.Only = nil
-		s.Run(s.Now + s.cancelS() + second)
+		s.Run(s.Now + s.cancelSpan() + second)
 		s.Cloud.Out = false
-		s.within(300*second, "the others are done", told(wire.JobDone, jobs[2], jobs[3]))
+		s.eventually(300*second, "the others are done", toldState(wire.JobDone, jobs[2], jobs[3]))
 	}
 }
 
 // A third of all transactions get no answer and are carried out 2 to 12 s later, through two
 // ends of the leader, while users cancel: each write is void or harmless by then.
-func TestLateWritesThroughChangesOfLeader(t *testing.T) {
+func TestLateWritesDuringFailovers(t *testing.T) {
 	for seed := range uint64(6) {
-		s := busy(t, 1400+seed, 5*second)
+		s := newBusyScenario(t, 1400+seed, 5*second)
 		s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.35, 2*second, 12*second
 		var jobs []*simulation.Job
 		for range 8 {
@@ -196,7 +196,7 @@
 		s.Users.Abort(jobs[6])
 		s.Users.Abort(jobs[7])
 		for range 2 {
-			if n := s.leads(); n != nil {
+			if n := s.currentLeader(); n != nil {
 				n.Crash(second / 5)
 			}
 			s.Run(s.Now + 15*second)
@@ -204,37 +204,37 @@
 		s.State.LateShare = 0
 		s.Run(s.Now + 13*second)
 		s.Users.Calm = s.Now
-		s.within(300*second, "all is over", s.Users.AllTold)
+		s.eventually(300*second, "all is over", s.Users.AllTold)
 		s.Run(s.Now + 20*second)
-		s.rules()
+		s.requireInvariants()
 	}
 }
 
 // Jobs of three tasks that end far apart, with an end of the leader between any two of them:
 // done is said after the last of them and soon, and what has completed is not started again.
-func TestTasksEndFarApartAcrossLeaders(t *testing.T) {
+func TestTasksEndingAcrossFailovers(t *testing.T) {
 	for seed := range uint64(4) {
-		s := begin(t, 1500+seed)
+		s := newScenario(t, 1500+seed)
 		var jobs []*simulation.Job
 		for range 5 {
 			j := s.Users.Submit(simulation.Array(3), 0)
 			j.RunsS = []float64{4, 20 + float64(seed), 45}
 			jobs = append(jobs, j)
 		}
-		s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 15 })
+		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 15 })
 		ended := 0
 		for ended < 15 { // no write says so before the leader's end
 			s.State.LateShare, s.State.LateFrom, s.State.LateBy = 1, 12*second, 12*second
-			s.within(60*second, "another task ends", func() bool { return s.Users.Done(jobs...) > ended })
+			s.eventually(60*second, "another task ends", func() bool { return s.Users.Done(jobs...) > ended })
 			s.Run(s.Now + 11*second)
 			s.State.LateShare = 0
 			ended = s.Users.Done(jobs...)
-			if n := s.leads(); n != nil {
+			if n := s.currentLeader(); n != nil {
 				n.Crash(second / 5)
 			}
 			s.Run(s.Now + 6*second)
 		}
-		s.within(30*second, "all are done", told(wire.JobDone, jobs...))
+		s.eventually(30*second, "all are done", toldState(wire.JobDone, jobs...))
 		if s.Users.Again > 0 {
 			t.Fatalf("%d completed tasks were started again", s.Users.Again)
 		}
@@ -244,16 +244,16 @@
 // The leader ends while its machines hear no answer, or are not heard either, and the cloud
 // does not delete them: what they run is not started elsewhere, their team gets no task more at
 // its limit until theirs are surely gone, and what is cancelled meanwhile is gone in time.
-func TestLeaderEndsWhileMachinesAreDeaf(t *testing.T) {
+func TestLeaderCrashDuringOneWayPartition(t *testing.T) {
 	for _, team := range []string{"red", "blue"} { // with a limit, and without
 		for seed := range uint64(6) {
-			s := begin(t, 1600+seed)
-			s.boxes(16)
+			s := newScenario(t, 1600+seed)
+			s.addMachines(16)
 			spec := simulation.Array(24) // all that team red may use
 			spec.Team = team
 			s.Users.Submit(spec, 60)
 			gone := s.Users.Submit(simulation.Array(16), 200)
-			s.within(90*second, "all tasks run", func() bool { return s.Users.Running() == 40 })
+			s.eventually(90*second, "all tasks run", func() bool { return s.Users.Running() == 40 })
 			leader, deaf := s.leader(), 0
 			for _, k := range s.Workers {
 				if k.ReportsTo() != leader {
@@ -280,41 +280,41 @@
 			more.Team = team
 			s.Users.Submit(more, 10)
 			s.Users.Abort(gone)
-			s.Run(s.Now + s.cancelS() + 10*second)
+			s.Run(s.Now + s.cancelSpan() + 10*second)
 			s.Cloud.Out = false
-			s.within(400*second, "the work is done", s.Users.AllTold)
+			s.eventually(400*second, "the work is done", s.Users.AllTold)
 		}
 	}
 }
 
 // Copies of every report arrive once more, up to two leases late, while short tasks come and
 // go: they say nothing of what is there now.
-func TestOldReportsAfterNewerOnes(t *testing.T) {
+func TestStaleHeartbeatsAfterNewerOnes(t *testing.T) {
 	for seed := range uint64(4) {
-		s := begin(t, 1700+seed)
-		s.boxes(6)
+		s := newScenario(t, 1700+seed)
+		s.addMachines(6)
 		s.Copies, s.CopyBy = 1, 32*second
 		for k := range 16 {
 			s.Users.Submit(simulation.Array(8), float64(3+k%3*8))
 			s.Run(s.Now + 3*second)
 		}
 		s.Copies = 0
-		s.within(200*second, "the work is done", s.Users.AllTold)
+		s.eventually(200*second, "the work is done", s.Users.AllTold)
 	}
 }
 
 // All controllers end while some machines can't be reached, and the first that the next ones
 // hear of these is an old report from before they had tasks: what they run is not started
 // elsewhere until it is surely gone.
-func TestOldReportIsTheFirstThatAnOwnerHears(t *testing.T) {
+func TestStaleHeartbeatIsTheFirstThatAnOwnerHears(t *testing.T) {
 	for seed := range uint64(6) {
-		s := begin(t, 1750+seed)
-		s.boxes(8)
+		s := newScenario(t, 1750+seed)
+		s.addMachines(8)
 		s.Copies, s.CopyBy = 1, 40*second
 		s.Run(s.Now + 10*second)
 		s.Copies = 0
 		j := s.Users.Submit(simulation.Array(24), 60)
-		s.within(20*second, "all tasks run", func() bool { return j.Running() == 24 })
+		s.eventually(20*second, "all tasks run", func() bool { return j.Running() == 24 })
 		for i := range 24 {
 			for _, n := range s.Nodes {
 				s.Cut(n.Label, j.On(i), false)
@@ -323,16 +323,16 @@
 		for _, n := range s.Nodes {
 			n.Crash(second / 5)
 		}
-		s.boxes(8)
-		s.within(200*second, "the work is done", s.Users.AllTold)
+		s.addMachines(8)
+		s.eventually(200*second, "the work is done", s.Users.AllTold)
 	}
 }
 
 // Every command and every answer to the machines is held up for some seconds, again and
 // again, while jobs are cancelled and others take their room.
-func TestCommandsHeldUp(t *testing.T) {
+func TestDelayedCommands(t *testing.T) {
 	for seed := range uint64(6) {
-		s := busy(t, 1800+seed, 8*second)
+		s := newBusyScenario(t, 1800+seed, 8*second)
 		for _, n := range s.Nodes {
 			s.Link(n.Label, "workers", simulation.Link{Hold: true, Period: time.Duration(2+seed) * second})
 		}
@@ -345,19 +345,19 @@
 			}
 		}
 		s.leader().Crash(second)
-		s.Run(s.Now + s.cancelS())
+		s.Run(s.Now + s.cancelSpan())
 		for _, n := range s.Nodes {
 			s.Link(n.Label, "workers", simulation.Link{})
 		}
-		s.within(300*second, "the work is done", s.Users.AllTold)
+		s.eventually(300*second, "the work is done", s.Users.AllTold)
 	}
 }
 
 // The service is slow, refuses the leader and then everybody for longer than cancel_s, while
 // users cancel and ask: they are told in the end, and what they were told holds.
-func TestSlowThenRefusedThenOut(t *testing.T) {
+func TestStoreSlowThenRefusingThenDown(t *testing.T) {
 	for seed := range uint64(4) {
-		s := busy(t, 1900+seed, 4*second)
+		s := newBusyScenario(t, 1900+seed, 4*second)
 		var jobs []*simulation.Job
 		for range 4 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(5), 90))
@@ -372,26 +372,26 @@
 		s.Run(s.Now + time.Duration(1+seed)*second)
 		s.Users.Abort(jobs[2])
 		s.Run(s.Now + second/2)
-		out := s.cancelS() + 20*second
+		out := s.cancelSpan() + 20*second
 		s.State.Outage(out)
 		s.Run(s.Now + out)
 		delete(s.State.Refuses, n.Label)
 		s.State.Slow = 0
 		s.Users.Calm = s.Now
-		s.within(60*second, "the users are told", told(wire.JobCancelled, jobs[:3]...))
-		s.within(300*second, "the work is done", s.Users.AllTold)
+		s.eventually(60*second, "the users are told", toldState(wire.JobCancelled, jobs[:3]...))
+		s.eventually(300*second, "the work is done", s.Users.AllTold)
 	}
 }
 
 // Controllers hand over and back, all end, and one returns, within a second or some, with one
 // of the production version among them or none.
-func TestOverAndBack(t *testing.T) {
+func TestFailoverAndFailback(t *testing.T) {
 	for seed := range uint64(8) {
-		s := busy(t, 2000+seed, 10*second)
+		s := newBusyScenario(t, 2000+seed, 10*second)
 		back := []time.Duration{50 * time.Millisecond, second / 5, second, 4 * second}[seed%4]
 		s.Nodes[seed%3].Old = seed >= 4
 		for range 3 {
-			if n := s.leads(); n != nil {
+			if n := s.currentLeader(); n != nil {
 				n.Crash(back)
 			}
 			s.Run(s.Now + back/2)
@@ -408,25 +408,25 @@
 			}
 		}
 		s.Run(s.Now + second)
-		s.leaderSoon().Crash(back)
-		s.within(300*second, "the work is done", s.Users.AllTold)
+		s.awaitLeader().Crash(back)
+		s.eventually(300*second, "the work is done", s.Users.AllTold)
 	}
 }
 
-// leaderSoon is the leader, once there is one.
-func (s *story) leaderSoon() *simulation.Node {
-	s.within(30*second, "somebody leads", func() bool { return s.leads() != nil })
+// awaitLeader is the leader, once there is one.
+func (s *scenario) awaitLeader() *simulation.Node {
+	s.eventually(30*second, "somebody leads", func() bool { return s.currentLeader() != nil })
 	return s.leader()
 }
 
 // Machines whose reports arrive and that hear nothing hold up a take-over until their leases
 // must have ended, not for as long as they are deaf.
-func TestDeafMachinesDoNotHoldUpATakeOver(t *testing.T) {
+func TestOneWayPartitionDoesNotDelayFailover(t *testing.T) {
 	for seed := range uint64(6) {
-		s := begin(t, 2200+seed)
-		s.boxes(16)
+		s := newScenario(t, 2200+seed)
+		s.addMachines(16)
 		j := s.Users.Submit(simulation.Array(64), 90)
-		s.within(90*second, "all tasks run", func() bool { return j.Running() == 64 })
+		s.eventually(90*second, "all tasks run", func() bool { return j.Running() == 64 })
 		s.Cloud.Out = true
 		for _, k := range s.SomeWorkers(6) {
 			for _, n := range s.Nodes {
@@ -437,26 +437,26 @@
 			n.Crash(second / 5)
 		}
 		s.Logs = nil
-		s.within(45*second, "no machine is waited for", func() bool { return s.said("every machine has been seen") })
+		s.eventually(45*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
 		for _, k := range s.Workers {
 			for _, n := range s.Nodes {
 				s.Mend(n.Label, k.Info.Name)
 			}
 		}
 		s.Cloud.Out = false
-		s.within(300*second, "the job is done", s.Users.AllTold)
+		s.eventually(300*second, "the job is done", s.Users.AllTold)
 	}
 }
 
 // A report that is not believed, here an old one, is answered with stops of what is cancelled,
 // and with nothing else: no answer renews the lease of a machine and leaves such a task there.
-func TestEveryAnswerStopsWhatIsCancelled(t *testing.T) {
-	s := begin(t, 2300)
+func TestEveryHeartbeatResponseStopsCancelledTasks(t *testing.T) {
+	s := newScenario(t, 2300)
 	gone, stays := s.Users.Submit(simulation.Array(4), 100), s.Users.Submit(simulation.Array(4), 100)
-	s.within(60*second, "all tasks run", func() bool { return s.Users.Running() == 8 })
+	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 8 })
 	k := s.Workers[gone.On(0)]
 	s.Users.Abort(gone)
-	s.within(10*second, "it is cancelled", told(wire.JobCancelled, gone))
+	s.eventually(10*second, "it is cancelled", toldState(wire.JobCancelled, gone))
 	old := wire.Report{Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot, Session: 1,
 		Tasks: []wire.TaskReport{
 			{Task: wire.TaskName(gone.Spec.ID, 0), Attempt: 1, State: wire.TaskRunning},
@@ -464,7 +464,7 @@
 			{Task: wire.TaskName(stays.Spec.ID, 0), Attempt: 1, State: wire.TaskRunning},
 		}}
 	var answer wire.ReportAnswer
-	k.ReportsTo().Ask(func(id core.RequestID) core.Command { return core.WorkerReport{ID: id, Report: old} }, func(r core.Reply) {
+	k.ReportsTo().Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: old} }, func(r core.Reply) {
 		answer, _ = r.Body.(wire.ReportAnswer)
 	})
 	s.Run(s.Now + second)
@@ -476,34 +476,34 @@
 
 // What was learnt of others is not forgotten while this node is entitled by a mirror from
 // before: the rounds may end, since a controller does, just when that is over.
-func TestWhatWasLearntOutlivesAnOldMirror(t *testing.T) {
+func TestLearntCancellationsOutliveAStaleMirror(t *testing.T) {
 	for k := range 24 {
 		set := simulation.Settings(3)
 		set.Site.Workers.CancelS = 24 // little more than two spans and a lease
-		s := &story{World: simulation.Build(2400, set, simulation.Types()), t: t}
+		s := &scenario{World: simulation.Build(2400, set, simulation.Types()), t: t}
 		s.Run(2 * second)
-		s.boxes(12)
+		s.addMachines(12)
 		gone := s.Users.Submit(simulation.Array(40), 100)
-		s.within(60*second, "all tasks run", func() bool { return gone.Running() == 40 })
-		n, third := s.leader(), s.third()
+		s.eventually(60*second, "all tasks run", func() bool { return gone.Running() == 40 })
+		n, third := s.leader(), s.otherFollower()
 		s.State.Refuses[n.Label] = true
 		s.Users.Only = s.follower()
 		s.Users.Abort(gone)
-		s.within(5*second, "its user is told", told(wire.JobCancelled, gone))
+		s.eventually(5*second, "its user is told", toldState(wire.JobCancelled, gone))
 		s.State.Outage(60 * second)
 		s.After(3*second+time.Duration(k)*second/10, func() { third.Crash(0) })
-		s.Run(s.Now + s.cancelS() + second)
-		s.rules()
+		s.Run(s.Now + s.cancelSpan() + second)
+		s.requireInvariants()
 	}
 }
 
 // The checker can fail: each of its rules notices a fault that is seeded.
-func TestCheckerCatchesFaultsOfMeetings(t *testing.T) {
+func TestCheckerCatchesInterleavingFaults(t *testing.T) {
 	// reopened is a job that was done and that one node, with a slow way to the users, has
 	// queued again; forgets it altogether if that node has lost it.
-	reopened := func(s *story, forgets bool) {
+	reopened := func(s *scenario, forgets bool) {
 		j := s.Users.Submit(simulation.Array(2), 3)
-		s.within(40*second, "it is done", told(wire.JobDone, j))
+		s.eventually(40*second, "it is done", toldState(wire.JobDone, j))
 		s.Run(s.Now + 4*second) // its lot is gone
 		if forgets {
 			s.State.Forget("c/job/" + j.Spec.ID)
@@ -519,24 +519,24 @@
 	}
 	for name, fault := range map[string]struct {
 		rule string
-		seed func(s *story, red *simulation.Job)
+		seed func(s *scenario, red *simulation.Job)
 	}{
-		"nobody answers": {"forgotten", func(s *story, red *simulation.Job) {
+		"nobody answers": {"forgotten", func(s *scenario, red *simulation.Job) {
 			s.Users.Calm = s.Now
 			for _, n := range s.Nodes {
 				s.Cut(n.Label, "users", false)
 			}
 			s.Run(s.Now + 90*second)
 		}},
-		"a start long after": {"ran_cancelled", func(s *story, red *simulation.Job) {
+		"a start long after": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Abort(red)
-			s.Run(s.Now + s.cancelS() + 10*second)
+			s.Run(s.Now + s.cancelSpan() + 10*second)
 			s.Workers[s.Cloud.Add("box", "b", true)].Force(wire.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 5*second)
 		}},
-		"a task goes on as its machine does": {"ran_cancelled", func(s *story, red *simulation.Job) {
+		"a task goes on as its machine does": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Abort(red)
-			s.Run(s.Now + s.cancelS() - 5*second)
+			s.Run(s.Now + s.cancelSpan() - 5*second)
 			k := s.Workers[s.Cloud.Add("box", "b", true)]
 			k.Force(wire.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 2*second/10)
@@ -545,16 +545,16 @@
 			k.Hung = false
 			s.Run(s.Now + second)
 		}},
-		"a start after the word": {"late starts", func(s *story, red *simulation.Job) {
+		"a start after the word": {"late starts", func(s *scenario, red *simulation.Job) {
 			s.Users.Abort(red)
-			s.within(10*second, "it is cancelled", told(wire.JobCancelled, red))
+			s.eventually(10*second, "it is cancelled", toldState(wire.JobCancelled, red))
 			s.Workers[s.Cloud.Add("box", "b", true)].Force(wire.TaskName(red.Spec.ID, 3), 99)
 			if s.Users.LateStarts == 1 {
 				s.Broken = append(s.Broken, "late starts: one")
 			}
 		}},
-		"past the limit": {"quota", func(s *story, red *simulation.Job) {
-			s.boxes(8)
+		"past the limit": {"quota", func(s *scenario, red *simulation.Job) {
+			s.addMachines(8)
 			more := simulation.Array(12)
 			more.Team = "red"
 			j := s.Users.Submit(more, 60)
@@ -563,13 +563,13 @@
 			}
 			s.Run(s.Now + 5*second)
 		}},
-		"an older word that comes last": {"went_back", func(s *story, red *simulation.Job) { reopened(s, false) }},
-		"unknown at one node":           {"forgotten", func(s *story, red *simulation.Job) { reopened(s, true) }},
-		"accepted though it can't run": {"wrongly_accepted", func(s *story, red *simulation.Job) {
+		"an older word that comes last": {"went_back", func(s *scenario, red *simulation.Job) { reopened(s, false) }},
+		"unknown at one node":           {"forgotten", func(s *scenario, red *simulation.Job) { reopened(s, true) }},
+		"accepted though it can't run": {"wrongly_accepted", func(s *scenario, red *simulation.Job) {
 			s.Users.Never(simulation.Array(1))
 			s.Run(s.Now + second)
 		}},
-		"room, and a limit that only the checker lifts": {"left_waiting", func(s *story, red *simulation.Job) {
+		"room, and a limit that only the checker lifts": {"left_waiting", func(s *scenario, red *simulation.Job) {
 			s.Set.Site.Teams = []config.Team{{Name: "red", CPUsMax: 100}}
 			most := simulation.Array(6) // of which each leaves a CPU of its machine
 			most.CPUs = 3
@@ -583,12 +583,12 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := begin(t, 2500)
+			s := newScenario(t, 2500)
 			spec := simulation.Array(24) // all that the team may use
 			spec.Team = "red"
 			spec.ImageGB = 0 // or it would be stopped before it has its image
 			red := s.Users.Submit(spec, 300)
-			s.within(60*second, "all tasks run", func() bool { return red.Running() == 24 })
+			s.eventually(60*second, "all tasks run", func() bool { return red.Running() == 24 })
 			fault.seed(s, red)
 			if !slices.ContainsFunc(s.Broken, func(b string) bool { return strings.Contains(b, fault.rule+":") }) {
 				t.Errorf("%s is not noticed: %v", fault.rule, s.Broken)
@@ -598,11 +598,11 @@
 }
 
 // A task that an owner first sees under way says nothing of its duration when it ends.
-func TestTasksMetUnderWayAreNotTimed(t *testing.T) {
-	s := begin(t, 2600)
-	s.boxes(8)
+func TestTasksFoundRunningAreNotTimed(t *testing.T) {
+	s := newScenario(t, 2600)
+	s.addMachines(8)
 	j := s.Users.Submit(simulation.Array(24), 40)
-	s.within(60*second, "all tasks run", func() bool { return j.Running() == 24 })
+	s.eventually(60*second, "all tasks run", func() bool { return j.Running() == 24 })
 	s.Run(s.Now + 30*second)
 	for _, n := range s.Nodes {
 		n.Crash(second / 5)
@@ -611,7 +611,7 @@
 	for range 100 {
 		s.Run(s.Now + second/5)
 		for _, n := range s.Nodes {
-			for _, m := range n.Core.WholePicture().Machines {
+			for _, m := range n.Core.FullSnapshot().Machines {
 				for _, task := range m.Tasks {
 					if task.State == wire.TaskExited {
 						ended++
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -17,7 +17,7 @@
 	const tasks = 64 // of a machine
 	for _, machines := range []int{4000, 8000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			s := begin(t, 95)
+			s := newScenario(t, 95)
 			s.Run(s.Now + 10*second)
 			leader, member := s.leader(), s.follower()
 			s.Between(leader.Label, member.Label, simulation.Link{Largest: wire.MaxPeerLine})
@@ -32,7 +32,7 @@
 			var stopped []wire.TaskStop
 			s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 				for _, c := range cmds {
-					line, ok := c.(core.PeerLine)
+					line, ok := c.(core.PeerReceived)
 					switch {
 					case ok && n == member:
 						got, stopped = append(got, line.Message.Dispatch...), append(stopped, line.Message.Stop...)
@@ -42,7 +42,7 @@
 				}
 			}
 			leader.Core.AskOf(member.Label, asked, stops)
-			s.within(5*second, "all is asked and given back", func() bool { return len(returned) >= len(asked) })
+			s.eventually(5*second, "all is asked and given back", func() bool { return len(returned) >= len(asked) })
 			if !slices.Equal(got, asked) || !slices.Equal(stopped, stops) {
 				t.Fatalf("%d of %d dispatches and %d stops arrive, or not in their order", len(got), len(asked), len(stopped))
 			}
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -14,68 +14,68 @@
 
 // membership keeps this node's lease and key, and, on the leader, the map.
 type membership struct {
-	c *Core
+	core *Core
 
-	lease     uint64
-	leaseSent time.Duration // when the newest answered renewal left
-	askedAt   time.Duration // when the newest renewal left, answered or not
-	unheard   bool          // nothing came back of it
-	asking    bool
-	writing   bool // a write of the node key or the leader key is under way
-	mapping   bool // a write of the map is under way
-	readySaid bool
-	readyNow  bool
-	target    string
+	leaseID            uint64
+	renewedAt          time.Duration // when the newest answered renewal left
+	renewalSentAt      time.Duration // when the newest renewal left, answered or not
+	renewalUnanswered  bool          // nothing came back of it
+	renewing           bool
+	keyWriteInFlight   bool // a write of the node key or the leader key is under way
+	mapWriteInFlight   bool // a write of the map is under way
+	readinessPublished bool
+	ready              bool
+	peerTarget         string
 
-	helm     stepdown.Helm
-	empty    time.Duration // since when nobody leads
-	ledSince time.Duration // since when the leader key is ours
-	leading  bool
-	away     map[string]time.Duration // controllers outside the map, since when
-	watched  *wire.MapRecord          // the map that this was read from
-	want     map[string]string        // members, as they should be
+	stepdown       stepdown.Tracker
+	leaderSeenAt   time.Duration // since when nobody leads
+	leaderSince    time.Duration // since when the leader key is ours
+	leading        bool
+	absentSince    map[string]time.Duration // controllers outside the map, since when
+	observedMap    *wire.MapRecord          // the map that this was read from
+	desiredMembers map[string]string        // members, as they should be
 }
 
 func newMembership(c *Core) *membership {
-	return &membership{c: c, target: "\x00", away: map[string]time.Duration{}, helm: stepdown.Helm{Span: c.times.lease}}
+	return &membership{core: c, peerTarget: "\x00", absentSince: map[string]time.Duration{}, stepdown: stepdown.Tracker{BaseBackoff: c.intervals.workerLease}}
 }
 
-// entitled reports whether this node may answer workers and users act on it:
+// mayServe reports whether this node may answer workers and users act on it:
 // its lease was renewed and its mirror confirmed within fresh.
 //
 // Guards against two owners of a machine: a node that is cut off must fall
 // silent before the others count its lease as over.
-func (m *membership) entitled() bool {
-	return m.lease != 0 && m.c.now.Steady-m.leaseSent < m.c.times.fresh && m.c.ledger.fresh()
+func (m *membership) mayServe() bool {
+	return m.leaseID != 0 && m.core.now.Monotonic-m.renewedAt < m.core.intervals.maxStaleness && m.core.mirror.isFresh()
 }
 
-// member reports whether the map in force names this very process.
-func (m *membership) member() bool {
-	rec := m.c.ledger.mapRec
-	return rec != nil && rec.Members[m.c.set.Label] == m.c.boot
+// isMember reports whether the map in force names this very process.
+func (m *membership) isMember() bool {
+	rec := m.core.mirror.shardMap
+	return rec != nil && rec.Members[m.core.settings.Label] == m.core.bootID
 }
 
-// speaksForAnother reports whether the map in force names another process under a label
+// labelHeldByOther reports whether the map in force names another process under a label
 // than boot. Until the next map such a process has nothing to say of the label's machines.
 //
 // Guards against taking what the former process was given for lost: a process that was back
 // before the map changed told that it has no machines, and all that had just been given to
 // the former one was started a second time.
-func (m *membership) speaksForAnother(label, boot string) bool {
-	rec := m.c.ledger.mapRec
+func (m *membership) labelHeldByOther(label, boot string) bool {
+	rec := m.core.mirror.shardMap
 	return rec != nil && rec.Members[label] != "" && rec.Members[label] != boot
 }
 
 func (m *membership) epoch() uint64 {
-	if rec := m.c.ledger.mapRec; rec != nil {
+	if rec := m.core.mirror.shardMap; rec != nil {
 		return rec.Epoch
 	}
 	return 0
 }
 
-// owner is the member that rendezvous hashing gives a machine to.
-func (m *membership) owner(machine string) string {
-	rec := m.c.ledger.mapRec
+// ownerOf is the member that rendezvous hashing gives a machine to.
+func (m *membership) ownerOf(machine string) string {
+	rec := m.core.mirror.shardMap
 	if rec == nil {
 		return ""
 	}
@@ -90,203 +90,203 @@
 }
 
 // leaderGuard ties a write to our leadership.
-func (m *membership) leaderGuard() wire.Guard { return m.c.ledger.guard(keyLeader) }
+func (m *membership) leaderGuard() wire.Guard { return m.core.mirror.guard(keyLeader) }
 
-// deaf reports whether the lease is better left to end: nothing has come back from the state
+// letsLeaseExpire reports whether the lease is better left to end: nothing has come back from the state
 // service for so long that this node may do nothing, and its renewals may arrive all the same.
 // It asks again once the lease must have ended, or when the mirror hears the service.
 //
 // Guards against a leader whose requests arrive and whose answers do not: its renewals kept
 // its keys alive, so that nobody led and its machines stood still for as long as that lasted.
-func (m *membership) deaf() bool {
-	t := &m.c.times
-	return m.lease != 0 && m.unheard && !m.c.ledger.fresh() && m.c.now.Steady-m.leaseSent >= t.fresh &&
-		m.c.now.Steady-m.askedAt < t.ttl*5/4
+func (m *membership) letsLeaseExpire() bool {
+	t := &m.core.intervals
+	return m.leaseID != 0 && m.renewalUnanswered && !m.core.mirror.isFresh() && m.core.now.Monotonic-m.renewedAt >= t.maxStaleness &&
+		m.core.now.Monotonic-m.renewalSentAt < t.memberLease*5/4
 }
 
-func (m *membership) react() {
-	c := m.c
-	c.ledger.step()
-	if !m.asking && (m.lease == 0 || c.now.Steady-m.leaseSent >= c.times.ttl/6) && !m.deaf() {
-		m.asking, m.askedAt = true, c.now.Steady
-		c.emit(Lease{Lease: m.lease, TTL: c.times.ttl})
+func (m *membership) reconcile() {
+	c := m.core
+	c.mirror.maintain()
+	if !m.renewing && (m.leaseID == 0 || c.now.Monotonic-m.renewedAt >= c.intervals.memberLease/6) && !m.letsLeaseExpire() {
+		m.renewing, m.renewalSentAt = true, c.now.Monotonic
+		c.emit(RenewLease{LeaseID: m.leaseID, TTL: c.intervals.memberLease})
 	}
 	// In an outage that all see, users are told at once to come again, by nodes that the
 	// load balancer finds where they were when it is over.
-	ready := m.entitled() && !c.outage.alone() || c.outage.holds()
-	if ready != m.readyNow || !m.readySaid {
-		m.readyNow, m.readySaid = ready, true
-		c.emit(Ready{Yes: ready})
+	ready := m.mayServe() && !c.degraded.isIsolated() || c.degraded.isActive()
+	if ready != m.ready || !m.readinessPublished {
+		m.ready, m.readinessPublished = ready, true
+		c.emit(SetReady{Ready: ready})
 	}
-	if !c.ledger.ready {
+	if !c.mirror.ready {
 		return
 	}
 	target := ""
-	if l := c.ledger.leader; l != nil && l.Boot != c.boot {
+	if l := c.mirror.leader; l != nil && l.Boot != c.bootID {
 		target = l.Label
 	}
-	if target != m.target {
-		m.target = target
-		c.emit(PeerTarget{Label: target})
+	if target != m.peerTarget {
+		m.peerTarget = target
+		c.emit(ConnectPeer{Label: target})
 	}
 	was := m.leading
-	m.leading = c.ledger.leader != nil && c.ledger.leader.Boot == c.boot
+	m.leading = c.mirror.leader != nil && c.mirror.leader.Boot == c.bootID
 	if m.leading != was {
 		if m.leading {
-			m.ledSince = c.now.Steady
-			clear(m.away)
-			m.watched = nil
-			c.info("this node leads", "revision", c.ledger.versions[keyLeader])
+			m.leaderSince = c.now.Monotonic
+			clear(m.absentSince)
+			m.observedMap = nil
+			c.logInfo("this node leads", "revision", c.mirror.versions[keyLeader])
 		} else {
-			c.info("this node no longer leads")
+			c.logInfo("this node no longer leads")
 		}
-		c.orch.leadership(m.leading)
+		c.scheduler.leadershipChanged(m.leading)
 	}
-	if m.lease == 0 || m.writing || !c.ledger.fresh() {
+	if m.leaseID == 0 || m.keyWriteInFlight || !c.mirror.isFresh() {
 		return
 	}
-	if c.ledger.nodes[c.set.Label].Boot != c.boot {
+	if c.mirror.nodes[c.settings.Label].Boot != c.bootID {
 		// Guarded against a write of this label's former process that is carried out late: it
 		// took the place of the new one, whose machines were others' until it wrote again.
-		key := keyNode + c.set.Label
-		m.write([]wire.Guard{c.ledger.guard(key)}, wire.Op{Put: key, Value: wire.NodeRecord{Boot: c.boot, Level: wire.Level}, Lease: m.lease})
+		key := keyNode + c.settings.Label
+		m.writeKey([]wire.Guard{c.mirror.guard(key)}, wire.Op{Put: key, Value: wire.NodeRecord{Boot: c.bootID, Level: wire.Level}, Lease: m.leaseID})
 		return
 	}
 	// A leader that was restarted takes its own key over at once: its former
 	// process is surely dead, and whatever that one still has in flight is
 	// guarded by the version this write ends.
-	l := c.ledger.leader
+	l := c.mirror.leader
 	if l != nil {
-		m.empty = c.now.Steady
+		m.leaderSeenAt = c.now.Monotonic
 	}
-	others, empty := len(c.ledger.nodes) > 1, c.now.Steady-m.empty
-	if l == nil && (m.helm.StaysBack(c.now.Steady, others, empty, c.times.ttl) || c.part.fit.unfit && others && empty < c.times.round) {
+	others, empty := len(c.mirror.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
+	if l == nil && (m.stepdown.ShouldAbstain(c.now.Monotonic, others, empty, c.intervals.memberLease) || c.shard.reachability.unreachable && others && empty < c.intervals.maintenance) {
 		return // one who reaches machines should lead
 	}
-	if l == nil || l.Label == c.set.Label && l.Boot != c.boot {
-		op := wire.Op{Put: keyLeader, Value: wire.LeaderRecord{Label: c.set.Label, Boot: c.boot}, Lease: m.lease}
-		m.write([]wire.Guard{c.ledger.guard(keyLeader)}, op)
+	if l == nil || l.Label == c.settings.Label && l.Boot != c.bootID {
+		op := wire.Op{Put: keyLeader, Value: wire.LeaderRecord{Label: c.settings.Label, Boot: c.bootID}, Lease: m.leaseID}
+		m.writeKey([]wire.Guard{c.mirror.guard(keyLeader)}, op)
 		return
 	}
 	if m.leading {
-		m.watchNodes()
-		m.keepMap()
+		m.logAbsentMembers()
+		m.reconcileShardMap()
 	}
 }
 
-// watchNodes notes which controllers are outside the map, for those on call.
-func (m *membership) watchNodes() {
-	rec := m.c.ledger.mapRec
-	if rec == nil || rec == m.watched {
+// logAbsentMembers notes which controllers are outside the map, for those on call.
+func (m *membership) logAbsentMembers() {
+	rec := m.core.mirror.shardMap
+	if rec == nil || rec == m.observedMap {
 		return
 	}
-	m.watched = rec
-	for _, label := range m.c.labels {
+	m.observedMap = rec
+	for _, label := range m.core.controllerLabels {
 		_, in := rec.Members[label]
-		since, was := m.away[label]
+		since, was := m.absentSince[label]
 		switch {
 		case !in && !was:
-			m.away[label] = m.c.now.Steady
-			m.c.info("a controller is outside the map", "controller", label)
+			m.absentSince[label] = m.core.now.Monotonic
+			m.core.logInfo("a controller is outside the map", "controller", label)
 		case in && was:
-			delete(m.away, label)
-			m.c.info("a controller is back in the map", "controller", label, "away", m.c.now.Steady-since)
+			delete(m.absentSince, label)
+			m.core.logInfo("a controller is back in the map", "controller", label, "away", m.core.now.Monotonic-since)
 		}
 	}
 }
 
-func (m *membership) write(guards []wire.Guard, op wire.Op) {
-	m.writing = true
-	m.c.ledger.commit(guards, []wire.Op{op}, func(d CommitDone) {
+func (m *membership) writeKey(guards []wire.Guard, op wire.Op) {
+	m.keyWriteInFlight = true
+	m.core.mirror.commit(guards, []wire.Op{op}, func(d CommitResult) {
 		if d.Outcome == CommitRejected {
-			m.lease, m.writing = 0, false // the lease has ended
+			m.leaseID, m.keyWriteInFlight = 0, false // the lease has ended
 			return
 		}
-		m.c.ledger.lookAgain(d.Outcome.Decided(), m.c.times.fresh/16, func() { m.writing = false })
+		m.core.mirror.awaitOutcome(d.Outcome.Decided(), m.core.intervals.maxStaleness/16, func() { m.keyWriteInFlight = false })
 	})
 }
 
-// keepMap writes a new map when the members are not who they should be: those
+// reconcileShardMap writes a new map when the members are not who they should be: those
 // with a live key that this leader can hear. If nobody is left whose machines answer, and
 // others live that it cannot hear, it lets one of them lead.
 //
 // Guards against a leader that reaches the state service alone: it kept the map to itself,
 // and nothing started, while another reached both the state service and the machines.
-func (m *membership) keepMap() {
-	c := m.c
-	if m.mapping {
+func (m *membership) reconcileShardMap() {
+	c := m.core
+	if m.mapWriteInFlight {
 		return
 	}
-	rec := c.ledger.mapRec
-	if m.want == nil {
-		m.want = map[string]string{}
+	rec := c.mirror.shardMap
+	if m.desiredMembers == nil {
+		m.desiredMembers = map[string]string{}
 	}
-	clear(m.want) // looked at with every batch of commands
-	want := m.want
-	settled := c.now.Steady-m.ledSince > c.times.report
+	clear(m.desiredMembers) // looked at with every batch of commands
+	want := m.desiredMembers
+	settled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
 	missing, unheard := false, false
-	for label, n := range c.ledger.nodes {
+	for label, n := range c.mirror.nodes {
 		switch {
-		case label == c.set.Label:
-			if !c.part.fit.unfit || len(c.ledger.nodes) == 1 {
+		case label == c.settings.Label:
+			if !c.shard.reachability.unreachable || len(c.mirror.nodes) == 1 {
 				want[label] = n.Boot
 			}
-		case c.orch.hears(label, n.Boot):
+		case c.scheduler.hearsMember(label, n.Boot):
 			want[label] = n.Boot
 		default:
 			missing = true
-			unheard = unheard || !c.orch.saysUnfit(label, n.Boot)
+			unheard = unheard || !c.scheduler.reportsUnreachable(label, n.Boot)
 		}
 	}
 	idle := len(want) == 0 && unheard
-	if m.helm.Idle(c.now.Steady, idle, c.times.round) && !m.writing {
-		c.info("no machine can be heard here or by any member, another that is not heard may lead")
-		m.helm.HandedOver(c.now.Steady)
-		m.write([]wire.Guard{m.leaderGuard()}, wire.Op{Delete: keyLeader})
+	if m.stepdown.ShouldStepDown(c.now.Monotonic, idle, c.intervals.maintenance) && !m.keyWriteInFlight {
+		c.logInfo("no machine can be heard here or by any member, another that is not heard may lead")
+		m.stepdown.SteppedDown(c.now.Monotonic)
+		m.writeKey([]wire.Guard{m.leaderGuard()}, wire.Op{Delete: keyLeader})
 		return
 	}
 	// A map of this node alone would take the machines from those who may well serve them,
 	// just before another leads, or before this node knows that it reaches none.
-	if idle || unheard && c.part.doubtful() && !c.part.fit.unfit {
+	if idle || unheard && c.shard.machinesSilent() && !c.shard.reachability.unreachable {
 		return
 	}
 	if len(want) == 0 {
-		want[c.set.Label] = c.boot
+		want[c.settings.Label] = c.bootID
 	}
 	// A new leader gives the others a moment to call, so that a change of
 	// leader is one new map and not several.
-	if !settled && (missing || rec == nil && len(want) < c.set.Site.InitialSize) {
+	if !settled && (missing || rec == nil && len(want) < c.settings.Site.InitialSize) {
 		return
 	}
-	if m.epoch() > c.orch.epochAtStart && maps.Equal(rec.Members, want) {
+	if m.epoch() > c.scheduler.epochAtElection && maps.Equal(rec.Members, want) {
 		return
 	}
-	next := wire.MapRecord{Epoch: 1, Leader: c.set.Label, Members: maps.Clone(want)}
+	next := wire.MapRecord{Epoch: 1, Leader: c.settings.Label, Members: maps.Clone(want)}
 	if rec != nil {
 		next.Epoch = rec.Epoch + 1
 	}
-	m.mapping = true
-	guards := []wire.Guard{m.leaderGuard(), c.ledger.guard(keyMap)}
-	c.ledger.commit(guards, []wire.Op{{Put: keyMap, Value: next}}, func(d CommitDone) {
-		c.ledger.lookAgain(d.Outcome == Committed, c.times.fresh/16, func() { m.mapping = false })
+	m.mapWriteInFlight = true
+	guards := []wire.Guard{m.leaderGuard(), c.mirror.guard(keyShardMap)}
+	c.mirror.commit(guards, []wire.Op{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
+		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/16, func() { m.mapWriteInFlight = false })
 	})
 }
 
-func (m *membership) leased(d LeaseDone) {
-	m.asking, m.unheard = false, d.Outcome == LeaseUnknown
-	m.c.outage.refused = d.Outcome != LeaseGranted && d.Outcome != LeaseExpired
+func (m *membership) handleLeaseResult(d LeaseResult) {
+	m.renewing, m.renewalUnanswered = false, d.Outcome == LeaseUnknown
+	m.core.degraded.renewalRefused = d.Outcome != LeaseGranted && d.Outcome != LeaseExpired
 	switch d.Outcome {
 	case LeaseGranted:
-		if d.Lease != m.lease {
-			m.lease = d.Lease
+		if d.LeaseID != m.leaseID {
+			m.leaseID = d.LeaseID
 		}
-		m.leaseSent = max(m.leaseSent, d.Sent)
+		m.renewedAt = max(m.renewedAt, d.SentAt)
 	case LeaseExpired:
-		m.c.info("the lease has ended")
-		m.lease = 0
+		m.core.logInfo("the lease has ended")
+		m.leaseID = 0
 	default:
-		m.asking = true
-		m.c.after(m.c.times.ttl/12, func() { m.asking = false })
+		m.renewing = true
+		m.core.afterFunc(m.core.intervals.memberLease/12, func() { m.renewing = false })
 	}
 }
 
--- a/internal/core/index_test.go
+++ b/internal/core/orderedmap_test.go
@@ -10,9 +10,9 @@
 
 // Whatever comes and goes, also on the way, a walk meets every name that stays once
 // and in order.
-func TestIndexWalksInOrder(t *testing.T) {
+func TestOrderedMapIteratesInOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	x, want := newIndex[int](), map[string]int{}
+	x, want := newOrderedMap[int](), map[string]int{}
 	set := func(name string, v int) { x.set(name, v); want[name] = v }
 	drop := func(name string) { x.delete(name); delete(want, name) }
 	for i := range 20_000 {
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -11,170 +11,170 @@
 
 // victim is a task that may be stopped for others at a small loss.
 type victim struct {
-	f    *flight
-	name string
-	m    *planned
-	loss float64
+	attempt  *inflightAttempt
+	task     string
+	machine  *candidateMachine
+	lostWork float64
 }
 
-// makeRoom stops tasks for the sake of a job that found no room: those that lose
+// preemptFor stops tasks for the sake of a job that found no room: those that lose
 // least, and no more than the job can use. The tasks of lower urgency go for an
 // urgent job; for a job within its team's guarantee, what other teams run beyond
 // theirs.
-func (o *orchestrator) makeRoom(q *queued, p *plan) {
-	c := o.c
-	s := &q.j.rec.Spec
-	may := o.hurries(q) || o.promised(q) || q.in && (c.policy.PreemptForGuarantee || len(c.guests) > 0)
+func (o *scheduler) preemptFor(q *queuedJob, p *schedulingRound) {
+	c := o.core
+	s := &q.entry.record.Spec
+	may := o.isUrgent(q) || o.hasDeadlineObjective(q) || q.withinGuarantee && (c.policy.PreemptForGuarantee || len(c.bestEffortTeams) > 0)
 	if !may {
 		return
 	}
-	if !p.looked {
-		p.looked = true
+	if !p.victimsListed {
+		p.victimsListed = true
 		o.findVictims(p)
 	}
-	need := q.waiting()
-	if o.suspect(q) {
+	need := q.waitingTasks()
+	if o.isCrashLooping(q) {
 		need = 1 // the rest of it would only fail
 	}
-	rooms := map[*planned]*making{}
-	mayUse := q.usable()
+	rooms := map[*candidateMachine]*preemptionSet{}
+	mayUse := q.machineFilter()
 	usable := func(v *victim) bool {
-		return mayUse(v.m.typ, v.m.zone, v.m.spot) && !o.shuns(v.m, q) && o.yields(v.f.job, q)
+		return mayUse(v.machine.typeName, v.machine.zone, v.machine.spot) && !o.isAvoided(v.machine, q) && o.isPreemptible(v.attempt.job, q)
 	}
-	room := func(v *victim) *making {
-		if rooms[v.m] == nil {
-			rooms[v.m] = &making{room: v.m.room}
+	room := func(v *victim) *preemptionSet {
+		if rooms[v.machine] == nil {
+			rooms[v.machine] = &preemptionSet{freeCapacity: v.machine.freeCapacity}
 		}
-		return rooms[v.m]
+		return rooms[v.machine]
 	}
 	// What was asked for already is room on its way, whoever it was asked for:
 	// counting it for one job alone stopped far more than was needed.
 	for i := range p.victims {
-		if v := &p.victims[i]; v.f.asked && usable(v) {
-			need -= room(v).gain(&v.f.job.j.rec.Spec, s)
+		if v := &p.victims[i]; v.attempt.stopRequested && usable(v) {
+			need -= room(v).addFreed(&v.attempt.job.entry.record.Spec, s)
 		}
 	}
 	// Room counts machine by machine: the four smallest losses on four machines
 	// made no room for a task of four CPUs, and thousands were stopped in vain.
-	var found []*making
+	var found []*preemptionSet
 	for i := range p.victims {
 		v := &p.victims[i]
-		if v.f.asked || !usable(v) {
+		if v.attempt.stopRequested || !usable(v) {
 			continue
 		}
 		r := room(v)
-		r.stop = append(r.stop, v)
-		r.loss += v.loss
-		if n := r.gain(&v.f.job.j.rec.Spec, s); n > 0 {
-			found = append(found, &making{stop: r.stop, loss: r.loss, tasks: n})
-			r.stop, r.loss = nil, 0
+		r.victims = append(r.victims, v)
+		r.lostWork += v.lostWork
+		if n := r.addFreed(&v.attempt.job.entry.record.Spec, s); n > 0 {
+			found = append(found, &preemptionSet{victims: r.victims, lostWork: r.lostWork, tasksGained: n})
+			r.victims, r.lostWork = nil, 0
 		}
 	}
-	slices.SortStableFunc(found, func(a, b *making) int {
-		return cmp.Compare(a.loss/float64(a.tasks), b.loss/float64(b.tasks))
+	slices.SortStableFunc(found, func(a, b *preemptionSet) int {
+		return cmp.Compare(a.lostWork/float64(a.tasksGained), b.lostWork/float64(b.tasksGained))
 	})
 	for _, r := range found {
 		if need <= 0 {
 			return
 		}
-		need -= r.tasks
-		for _, v := range r.stop {
-			o.stop(v, q)
+		need -= r.tasksGained
+		for _, v := range r.victims {
+			o.preempt(v, q)
 		}
 	}
 }
 
-// making is room that is made on a machine: whose tasks are to be stopped, and for
+// preemptionSet is room that is made on a machine: whose tasks are to be stopped, and for
 // how many others that makes room.
-type making struct {
-	room
-	stop  []*victim
-	loss  float64
-	tasks int
+type preemptionSet struct {
+	freeCapacity
+	victims     []*victim
+	lostWork    float64
+	tasksGained int
 }
 
-// gain adds the room of a task that is stopped and says how many more of s now fit.
-func (m *making) gain(stopped, s *wire.Job) (n int) {
-	for m.give(stopped); m.fits(s); n++ {
-		m.take(s)
+// addFreed adds the room of a task that is stopped and says how many more of s now fit.
+func (m *preemptionSet) addFreed(stopped, s *wire.Job) (n int) {
+	for m.release(stopped); m.fits(s); n++ {
+		m.allocate(s)
 	}
 	return n
 }
 
 // findVictims lists what may be stopped in this round.
-func (o *orchestrator) findVictims(p *plan) {
-	for _, m := range p.rooms {
-		if m.part.session == 0 {
+func (o *scheduler) findVictims(p *schedulingRound) {
+	for _, m := range p.machines {
+		if m.shard.session == 0 {
 			continue
 		}
-		for name, f := range m.view.tasks {
-			vs := &f.job.j.rec.Spec
-			loss, ok := o.loss(f)
-			if (ok || f.asked) && vs.Kind != wire.KindService {
+		for name, f := range m.view.attempts {
+			vs := &f.job.entry.record.Spec
+			loss, ok := o.lostWork(f)
+			if (ok || f.stopRequested) && vs.Kind != wire.KindService {
 				p.victims = append(p.victims, victim{f, name, m, loss})
 			}
 		}
 	}
 	slices.SortFunc(p.victims, func(a, b victim) int {
-		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.lostWork, b.lostWork), cmp.Compare(a.task, b.task))
 	})
 }
 
-// stop asks for a task to be stopped for the sake of a job.
-func (o *orchestrator) stop(v *victim, q *queued) {
+// preempt asks for a task to be stopped for the sake of a job.
+func (o *scheduler) preempt(v *victim, q *queuedJob) {
 	why := "tasks stopped to make room for more urgent work"
-	if v.f.job.urg <= q.urg {
+	if v.attempt.job.effectiveUrgency <= q.effectiveUrgency {
 		why = "tasks stopped to give another team its guarantee"
 	}
-	o.ask(v.m.part, v.f, wire.TaskStop{Task: v.name, Machine: v.m.name, Why: why, Now: o.hurries(q)}, q.urg)
-	v.m.made, v.m.due = true, min(v.f.askedFor, v.m.due)
+	o.requestStop(v.machine.shard, v.attempt, wire.TaskStop{Task: v.task, Machine: v.machine.name, Why: why, Now: o.isUrgent(q)}, q.effectiveUrgency)
+	v.machine.preempting, v.machine.preemptorUrgency = true, min(v.attempt.stopUrgency, v.machine.preemptorUrgency)
 }
 
-// ask has a part stop a task. Until it has, work that is less urgent than due does not
+// requestStop has a part stop a task. Until it has, work that is less urgent than due does not
 // take its room.
-func (o *orchestrator) ask(p *partView, f *flight, stop wire.TaskStop, due int) {
-	f.asked, f.askedFor = true, due
-	o.asks[stop.Task] = f
-	f.job.stops++
-	f.job.stopWhy = stop.Why
+func (o *scheduler) requestStop(p *shardView, f *inflightAttempt, stop wire.TaskStop, due int) {
+	f.stopRequested, f.stopUrgency = true, due
+	o.stopRequests[stop.Task] = f
+	f.job.stopCount++
+	f.job.stopReason = stop.Why
 	p.outbox.Stop = append(p.outbox.Stop, stop)
-	p.dirty = true
-	if f.job.stops == 1 {
-		o.c.info("stopping tasks", "job", f.job.id, "why", stop.Why)
+	p.outboxDue = true
+	if f.job.stopCount == 1 {
+		o.core.logInfo("stopping tasks", "job", f.job.id, "why", stop.Why)
 	}
 }
 
-// yields reports whether the tasks of one job may be stopped for another.
-func (o *orchestrator) yields(victim, q *queued) bool {
-	v := &victim.j.rec.Spec
-	if victim == q || v.Kind == wire.KindService || victim.held || !q.before(victim) {
+// isPreemptible reports whether the tasks of one job may be stopped for another.
+func (o *scheduler) isPreemptible(victim, q *queuedJob) bool {
+	v := &victim.entry.record.Spec
+	if victim == q || v.Kind == wire.KindService || victim.protected || !q.ranksBefore(victim) {
 		return false
 	}
-	if victim.urg > q.urg {
+	if victim.effectiveUrgency > q.effectiveUrgency {
 		// Never those that may stop its own tasks in turn.
-		return (o.hurries(q) || o.promised(q)) && !o.reclaims(victim, q)
+		return (o.isUrgent(q) || o.hasDeadlineObjective(q)) && !o.reclaimsGuarantee(victim, q)
 	}
-	return o.reclaims(q, victim)
+	return o.reclaimsGuarantee(q, victim)
 }
 
-// reclaims reports whether a job may have tasks of another team stopped for the sake of
+// reclaimsGuarantee reports whether a job may have tasks of another team stopped for the sake of
 // its own team's guarantee.
-func (o *orchestrator) reclaims(q, victim *queued) bool {
-	v, s := &victim.j.rec.Spec, &q.j.rec.Spec
-	if !q.in || victim.in || v.Team == s.Team {
+func (o *scheduler) reclaimsGuarantee(q, victim *queuedJob) bool {
+	v, s := &victim.entry.record.Spec, &q.entry.record.Spec
+	if !q.withinGuarantee || victim.withinGuarantee || v.Team == s.Team {
 		return false
 	}
 	// A guest's task that saves loses little, and a guest was promised nothing.
-	return o.c.policy.PreemptForGuarantee || o.c.guests[v.Team] && v.CheckpointS > 0
+	return o.core.policy.PreemptForGuarantee || o.core.bestEffortTeams[v.Team] && v.CheckpointS > 0
 }
 
-// hurries reports whether a job's tasks should start at once.
-func (o *orchestrator) hurries(q *queued) bool { return q.urg <= 1 }
+// isUrgent reports whether a job's tasks should start at once.
+func (o *scheduler) isUrgent(q *queuedJob) bool { return q.effectiveUrgency <= 1 }
 
-// promised reports whether a job has a deadline that its class is held to.
-func (o *orchestrator) promised(q *queued) bool {
-	s := &q.j.rec.Spec
-	for _, a := range o.c.set.Site.Objectives {
+// hasDeadlineObjective reports whether a job has a deadline that its class is held to.
+func (o *scheduler) hasDeadlineObjective(q *queuedJob) bool {
+	s := &q.entry.record.Spec
+	for _, a := range o.core.settings.Site.Objectives {
 		if a.Class == s.Class && a.Kind == "deadline" {
 			return s.DeadlineS > 0
 		}
@@ -182,16 +182,16 @@
 	return false
 }
 
-// loss is how many seconds of work a task loses if it is stopped now; not ok if
+// lostWork is how many seconds of work a task loses if it is stopped now; not ok if
 // that is too much to ask.
-func (o *orchestrator) loss(f *flight) (float64, bool) {
-	if f.runAt == 0 {
-		return 0, f.machine != "" && f.state == wire.TaskFetching
+func (o *scheduler) lostWork(f *inflightAttempt) (float64, bool) {
+	if f.runningSince == 0 {
+		return 0, f.machine != "" && f.taskState == wire.TaskFetching
 	}
-	ran := (o.c.now.Steady - f.runAt).Seconds()
-	s := &f.job.j.rec.Spec
+	ran := (o.core.now.Monotonic - f.runningSince).Seconds()
+	s := &f.job.entry.record.Spec
 	if s.CheckpointS > 0 {
 		ran = math.Mod(ran, s.CheckpointS)
 	}
-	return ran * s.CPUs, time.Duration(ran*float64(time.Second)) <= scaled(o.c.times.report, o.c.policy.PreemptReports)
+	return ran * s.CPUs, time.Duration(ran*float64(time.Second)) <= scaleDuration(o.core.intervals.heartbeat, o.core.policy.PreemptReports)
 }
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -11,33 +11,33 @@
 )
 
 // usage is what tasks take.
-type usage struct{ cpus, gpus, mem float64 }
+type usage struct{ cpus, gpus, memoryGB float64 }
 
 func (u *usage) add(s *wire.Job, n float64) {
 	u.cpus += n * s.CPUs
 	u.gpus += n * s.GPUs
-	u.mem += n * s.MemoryGB
+	u.memoryGB += n * s.MemoryGB
 }
 
-// use is what each team's tasks may be taking. Every machine that has not been
+// computeTeamUsage is what each team's tasks may be taking. Every machine that has not been
 // seen counts as full of the team's tasks.
-func (o *orchestrator) use() map[string]*usage {
+func (o *scheduler) computeTeamUsage() map[string]*usage {
 	var u usage
-	for name, v := range o.rigs.all() { // every machine of the register has a view
+	for name, v := range o.machines.all() { // every machine of the register has a view
 		switch {
-		case !v.registered || v.known() || v.leaving && o.c.fleet.wasDeleted(name):
-		case v.mt == nil:
+		case !v.registered || v.listComplete() || v.leaving && o.core.fleet.wasDeleted(name):
+		case v.machineType == nil:
 			u.cpus, u.gpus = math.Inf(1), math.Inf(1)
 		default:
-			u.cpus += v.mt.CPUs - v.taken.cpus // these are counted already
-			u.gpus += v.mt.GPUs - v.taken.gpus
+			u.cpus += v.machineType.CPUs - v.used.cpus // these are counted already
+			u.gpus += v.machineType.GPUs - v.used.gpus
 		}
 	}
 	use := map[string]*usage{}
-	for i := range o.c.set.Site.Teams {
-		t := o.c.set.Site.Teams[i].Name
+	for i := range o.core.settings.Site.Teams {
+		t := o.core.settings.Site.Teams[i].Name
 		x := usage{cpus: max(u.cpus, 0), gpus: max(u.gpus, 0)}
-		if own := o.used[t]; own != nil {
+		if own := o.teamUsage[t]; own != nil {
 			x.cpus += own.cpus
 			x.gpus += own.gpus
 		}
@@ -46,50 +46,50 @@
 	return use
 }
 
-// guarantees marks the jobs that, with their team's earlier unfinished ones,
+// markWithinGuarantee marks the jobs that, with their team's earlier unfinished ones,
 // fit into the team's guarantee.
-func (o *orchestrator) guarantees() {
-	byTeam := map[string][]*queued{}
+func (o *scheduler) markWithinGuarantee() {
+	byTeam := map[string][]*queuedJob{}
 	for _, q := range o.queue.all() {
-		q.in = false
-		if !q.j.final() {
-			byTeam[q.j.rec.Spec.Team] = append(byTeam[q.j.rec.Spec.Team], q)
+		q.withinGuarantee = false
+		if !q.entry.isFinal() {
+			byTeam[q.entry.record.Spec.Team] = append(byTeam[q.entry.record.Spec.Team], q)
 		}
 	}
-	for i := range o.c.set.Site.Teams {
-		t := &o.c.set.Site.Teams[i]
+	for i := range o.core.settings.Site.Teams {
+		t := &o.core.settings.Site.Teams[i]
 		jobs := byTeam[t.Name]
-		slices.SortStableFunc(jobs, func(a, b *queued) int { return cmp.Compare(a.j.since(), b.j.since()) })
+		slices.SortStableFunc(jobs, func(a, b *queuedJob) int { return cmp.Compare(a.entry.waitingSince(), b.entry.waitingSince()) })
 		var cpus, gpus float64
 		for _, q := range jobs {
-			s := &q.j.rec.Spec
+			s := &q.entry.record.Spec
 			n := float64(s.Tasks)
 			cpus += n * s.CPUs
 			gpus += n * s.GPUs
-			if cpus > t.CPUs+slack || gpus > t.GPUs+slack {
+			if cpus > t.CPUs+roundingSlack || gpus > t.GPUs+roundingSlack {
 				break
 			}
-			q.in = true
+			q.withinGuarantee = true
 		}
 	}
 }
 
-// overLimit says why n more tasks of a team may not be dispatched, if so: they
+// overLimitReason says why n more tasks of a team may not be dispatched, if so: they
 // would take it past its limit, or they are a guest's and the others need the room.
-func (o *orchestrator) overLimit(s *wire.Job, n float64, p *plan) string {
-	t, u := o.c.team(s.Team), p.use[s.Team]
+func (o *scheduler) overLimitReason(s *wire.Job, n float64, p *schedulingRound) string {
+	t, u := o.core.team(s.Team), p.teamUsage[s.Team]
 	switch {
 	case t == nil:
-	case t.CPUsMax > 0 && u.cpus+n*s.CPUs > t.CPUsMax+slack || t.GPUsMax > 0 && u.gpus+n*s.GPUs > t.GPUsMax+slack:
+	case t.CPUsMax > 0 && u.cpus+n*s.CPUs > t.CPUsMax+roundingSlack || t.GPUsMax > 0 && u.gpus+n*s.GPUs > t.GPUsMax+roundingSlack:
 		return fmt.Sprintf("team %s is at its limit", s.Team)
-	case o.c.guests[s.Team] && p.guests+n*s.CPUs > p.spare:
+	case o.core.bestEffortTeams[s.Team] && p.bestEffortCPUs+n*s.CPUs > p.bestEffortLimit:
 		return fmt.Sprintf("team %s has no guarantee and waits for what the others leave", s.Team)
 	}
 	return ""
 }
 
-// guestTeams lists the teams that have no guarantee where others have one.
-func guestTeams(teams []config.Team) map[string]bool {
+// bestEffortTeams lists the teams that have no guarantee where others have one.
+func bestEffortTeams(teams []config.Team) map[string]bool {
 	guests := map[string]bool{}
 	for i := range teams {
 		if t := &teams[i]; t.CPUs == 0 && t.GPUs == 0 {
@@ -102,11 +102,11 @@
 	return guests
 }
 
-// guestShare is the share of the machines that guests may use whatever the others
+// bestEffortShare is the share of the machines that guests may use whatever the others
 // need, so that they do not starve.
-const guestShare = 1.0 / 8
+const bestEffortShare = 1.0 / 8
 
-// leave works out what guests may take: what the others' work, as it has been
+// limitBestEffort works out what guests may take: what the others' work, as it has been
 // coming in, does not need.
 //
 // Guards against long tasks of a guest that fill every machine in a quiet moment:
@@ -115,25 +115,25 @@
 //
 // What is left on machines that were given nothing for so long the others do not need
 // either. Guards against a guest that waits beside idle machines after a burst of theirs.
-func (o *orchestrator) leave(p *plan) {
+func (o *scheduler) limitBestEffort(p *schedulingRound) {
 	var all, idle float64
-	for _, m := range p.rooms {
-		all += m.view.mt.CPUs
-		if o.c.now.Steady-m.view.takenAt >= o.c.times.idle {
+	for _, m := range p.machines {
+		all += m.view.machineType.CPUs
+		if o.core.now.Monotonic-m.view.lastClaimedAt >= o.core.intervals.reservationExpiry {
 			idle += m.cpus
 		}
 	}
 	// Less than a CPU is nothing: what is left of an inflow that ended long ago once kept
 	// a gang that needs every machine from starting, for a millionth of a CPU.
-	hosts := o.c.fleet.hosts
+	hosts := o.core.fleet.guaranteedInflow
 	if hosts < 1 {
 		hosts = 0
 	}
-	p.spare = max(all-hosts/2, all*guestShare)
-	for t := range o.c.guests {
-		if own := o.used[t]; own != nil {
-			p.guests += own.cpus
+	p.bestEffortLimit = max(all-hosts/2, all*bestEffortShare)
+	for t := range o.core.bestEffortTeams {
+		if own := o.teamUsage[t]; own != nil {
+			p.bestEffortCPUs += own.cpus
 		}
 	}
-	p.spare = max(p.spare, p.guests+idle)
+	p.bestEffortLimit = max(p.bestEffortLimit, p.bestEffortCPUs+idle)
 }
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -8,89 +8,89 @@
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
-// rank sorts the unfinished jobs: services, then what is urgent, then what its
+// rankJobs sorts the unfinished jobs: services, then what is urgent, then what its
 // team's guarantee covers, then by urgency, and on the ordinary path by CPUs
 // (GPUs) times predicted duration of what is left of the job, which waiting shrinks.
-func (o *orchestrator) rank() []*queued {
-	o.guarantees()
-	o.c.est.refresh()
-	o.weigh()
-	var jobs []*queued
+func (o *scheduler) rankJobs() []*queuedJob {
+	o.markWithinGuarantee()
+	o.core.estimator.beginRound()
+	o.updateDependencyWeights()
+	var jobs []*queuedJob
 	for _, q := range o.queue.all() {
-		if q.j.final() || q.ending {
+		if q.entry.isFinal() || q.finalizing {
 			continue
 		}
 		q.reason = ""
-		if len(q.blame.on) > 0 && !q.works(&o.c.times) {
-			q.reason = o.failedWhere(q)
+		if len(q.failures.machines) > 0 && !q.provenToRun(&o.core.intervals) {
+			q.reason = o.failureReason(q)
 		}
 		// A task that has outlived the prediction twice over disproves it: a name
 		// without history once took the mean of its team's tiny tasks, so that
 		// hours of work seemed to be worth no machine.
-		q.pred = o.c.est.predict(&q.j.rec.Spec)
-		if ran := q.longest.Seconds(); ran > 2*q.pred && q.j.rec.Spec.Kind != wire.KindService {
-			q.pred = ran
+		q.predictedSeconds = o.core.estimator.predict(&q.entry.record.Spec)
+		if ran := q.longestRunning.Seconds(); ran > 2*q.predictedSeconds && q.entry.record.Spec.Kind != wire.KindService {
+			q.predictedSeconds = ran
 		}
-		q.urg, q.latest = urgency(q.j.rec.Spec.Urgency), math.Inf(1)
-		if w, ok := o.c.ledger.pipes.Weight(q.id); ok {
-			q.urg, q.latest = min(q.urg, w.Urgency), w.Latest
+		q.effectiveUrgency, q.dependentsDeadline = urgencyLevel(q.entry.record.Spec.Urgency), math.Inf(1)
+		if w, ok := o.core.mirror.dependencies.Priority(q.id); ok {
+			q.effectiveUrgency, q.dependentsDeadline = min(q.effectiveUrgency, w.Urgency), w.LatestFinish
 		}
-		q.band, q.size = o.order(q)
+		q.rankBand, q.rankInBand = o.rankOf(q)
 		jobs = append(jobs, q)
 	}
-	o.turns(jobs)
-	slices.SortStableFunc(jobs, (*queued).compare)
+	o.applyFairShare(jobs)
+	slices.SortStableFunc(jobs, (*queuedJob).compareRank)
 	return jobs
 }
 
-// compare orders jobs by their rank, the first to start first.
-func (q *queued) compare(b *queued) int {
-	return cmp.Or(cmp.Compare(q.band, b.band), cmp.Compare(q.size, b.size))
+// compareRank orders jobs by their rank, the first to start first.
+func (q *queuedJob) compareRank(b *queuedJob) int {
+	return cmp.Or(cmp.Compare(q.rankBand, b.rankBand), cmp.Compare(q.rankInBand, b.rankInBand))
 }
 
-// before reports whether a job takes free room before another one does.
+// ranksBefore reports whether a job takes free room before another one does.
 //
 // Guards against stopping tasks whose job then takes the room itself: one in its
 // guarantee ranks before another's promised work, was stopped for that although it was
 // less urgent, and started its next tasks there, once a round for half an hour.
-func (q *queued) before(b *queued) bool { return q.compare(b) < 0 }
+func (q *queuedJob) ranksBefore(b *queuedJob) bool { return q.compareRank(b) < 0 }
 
-// order is a job's band, and its size within that. A guest's work comes after what a
+// rankOf is a job's band, and its size within that. A guest's work comes after what a
 // guarantee covers, however urgent it is: it took the room that its own tasks had been
 // stopped for, and was stopped again, once a round.
-func (o *orchestrator) order(q *queued) (band int, size float64) {
-	s := &q.j.rec.Spec
-	u := q.urg
+func (o *scheduler) rankOf(q *queuedJob) (band int, size float64) {
+	s := &q.entry.record.Spec
+	u := q.effectiveUrgency
 	switch {
 	case s.Kind == wire.KindService:
 		band = u - 10
-	case u <= 1 && !o.c.guests[s.Team]:
+	case u <= 1 && !o.core.bestEffortTeams[s.Team]:
 		band = u
-	case q.in:
+	case q.withinGuarantee:
 		band = 2
 	default:
 		band = 10 + u
 	}
-	size = width(s)
-	aged := 1 + max(o.c.now.Wall-q.j.since(), 0)/(o.c.policy.AgingLeases*o.c.times.lease.Seconds())
+	size = taskWidth(s)
+	aged := 1 + max(o.core.now.Wall-q.entry.waitingSince(), 0)/(o.core.policy.AgingLeases*o.core.intervals.workerLease.Seconds())
 	if s.Kind != wire.KindService {
 		// All that is left of a job, as the paper counts all GPUs of a job. By a
 		// task's product alone the jobs of one name tie, their age decides, and
 		// under load they all wait as long as the last one may.
-		size *= float64(max(s.Tasks-q.j.doneN-len(q.finished), 1))
+		size *= float64(max(s.Tasks-q.entry.doneCount-len(q.unsavedTasks), 1))
 	}
-	return band, size * q.pred / aged
+	return band, size * q.predictedSeconds / aged
 }
 
-// width is what a task counts with in the paper's product.
-func width(s *wire.Job) float64 {
+// taskWidth is what a task counts with in the paper's product.
+func taskWidth(s *wire.Job) float64 {
 	if s.GPUs > 0 {
 		return s.GPUs
 	}
 	return s.CPUs
 }
 
-func urgency(u string) int {
+func urgencyLevel(u string) int {
 	switch u {
 	case wire.UrgencyProduction:
 		return 0
@@ -99,7 +99,7 @@
 	case wire.UrgencyNormal:
 		return 2
 	}
-	return leastUrgent
+	return lowestUrgency
 }
 
-const leastUrgent = 3
+const lowestUrgency = 3
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -14,23 +14,23 @@
 // cancelled in the middle.
 func TestFastRestarts(t *testing.T) {
 	const soon = second / 20
-	for name, ends := range map[string]func(s *story){
-		"the leader is back before its keys have ended": func(s *story) { s.leader().Crash(soon) },
-		"it ends again as soon as it has the leader key": func(s *story) {
+	for name, ends := range map[string]func(s *scenario){
+		"the leader is back before its keys have ended": func(s *scenario) { s.leader().Crash(soon) },
+		"it ends again as soon as it has the leader key": func(s *scenario) {
 			n := s.leader()
 			for range 4 {
 				n.Crash(soon)
-				s.within(30*second, "it leads again", func() bool { return s.leads() == n })
+				s.eventually(30*second, "it leads again", func() bool { return s.currentLeader() == n })
 			}
 		},
-		"it ends between the map and the first dispatch": func(s *story) {
+		"it ends between the map and the first dispatch": func(s *scenario) {
 			n := s.leader()
 			n.Crash(soon)
 			s.Logs = nil
-			s.within(30*second, "there is a new map", func() bool { return s.said(n.Label + " new map") })
+			s.eventually(30*second, "there is a new map", func() bool { return s.logged(n.Label + " new map") })
 			n.Crash(soon)
 		},
-		"a member is back while its former life's words are held": func(s *story) {
+		"a member is back while its former life's words are held": func(s *scenario) {
 			n := s.follower()
 			s.Cut(n.Label, "state", true)
 			s.Cut(n.Label, "workers", true)
@@ -40,31 +40,31 @@
 			n.Crash(soon) // none of the three can be heard
 			s.After(20*second, func() { s.Mend(n.Label, "state"); s.Mend(n.Label, "workers") })
 		},
-		"all end and return in another order": func(s *story) {
+		"all end and return in another order": func(s *scenario) {
 			for i, n := range s.Nodes {
 				n.Crash(soon * time.Duration(1+(i+2)%3))
 			}
 		},
-		"ten ends in ten seconds": func(s *story) {
+		"ten ends in ten seconds": func(s *scenario) {
 			for i := range 10 {
 				s.Nodes[i%3].Crash(soon)
 				s.Run(s.Now + second)
 			}
 		},
-		"whoever takes the lead ends": func(s *story) {
+		"whoever takes the lead ends": func(s *scenario) {
 			for range 3 {
 				s.leader().Crash(8 * second)
-				s.within(30*second, "another one leads", func() bool { return s.leads() != nil })
+				s.eventually(30*second, "another one leads", func() bool { return s.currentLeader() != nil })
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				s := begin(t, 800+seed)
+				s := newScenario(t, 800+seed)
 				s.Copies, s.CopyBy = 0.3, 100*second
-				long := s.accept(simulation.Array(12), 30)
-				next := s.accept(behind(6, long), 5)
-				cut := s.accept(simulation.Array(10), 200)
+				long := s.submitAccepted(simulation.Array(12), 30)
+				next := s.submitAccepted(dependentArray(6, long), 5)
+				cut := s.submitAccepted(simulation.Array(10), 200)
 				for range 3 {
 					s.Users.Submit(simulation.Array(8), 6)
 				}
@@ -72,10 +72,10 @@
 				ends(s)
 				s.Users.Abort(cut)
 				s.Users.Submit(simulation.Array(5), 4)
-				s.within(300*second, "all come to their end", s.Users.AllTold)
+				s.eventually(300*second, "all come to their end", s.Users.AllTold)
 				s.Run(s.Now + 100*second) // the last copies arrive
-				s.rules()
-				if !told(wire.JobDone, long, next)() || cut.Told != wire.JobCancelled {
+				s.requireInvariants()
+				if !toldState(wire.JobDone, long, next)() || cut.Told != wire.JobCancelled {
 					t.Fatal(long.Told, next.Told, cut.Told)
 				}
 			}
@@ -86,9 +86,9 @@
 // A member that is back at once, while the map still names its former process, has no
 // machines to tell of. That is no word about what its former process was given: its starts
 // may still be on their way, and the leader once took them for lost and had them run twice.
-func TestNewProcessUnderAnOldMapSpeaksForNothing(t *testing.T) {
+func TestNewProcessUnderStaleMapReportsNothing(t *testing.T) {
 	for _, old := range []bool{false, true} { // the leader, as it is in production
-		s := begin(t, 90)
+		s := newScenario(t, 90)
 		for range 12 {
 			s.Cloud.Add("box", "b", true)
 		}
@@ -102,7 +102,7 @@
 		s.Link(member.Label, "workers", simulation.Link{Delay: 300 * time.Millisecond})
 		s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 			for _, c := range cmds {
-				line, ok := c.(core.PeerLine)
+				line, ok := c.(core.PeerReceived)
 				if ok && ended && n != member && line.Message.Full && line.Message.Epoch == epoch {
 					t.Error("the new process tells of the former one's machines")
 				}
@@ -128,9 +128,9 @@
 		for range 8 {
 			s.Users.Submit(simulation.Array(4), 10)
 		}
-		s.within(30*second, "the member ends", func() bool { return ended })
+		s.eventually(30*second, "the member ends", func() bool { return ended })
 		s.Run(s.Now + 5*second)
 		s.Link(member.Label, "workers", simulation.Link{})
-		s.within(200*second, "the work ends", s.Users.AllTold)
+		s.eventually(200*second, "the work ends", s.Users.AllTold)
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -11,11 +11,11 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// grown begins a story with n machines of 16 CPUs that are full, and as much
+// startLoaded begins a story with n machines of 16 CPUs that are full, and as much
 // work again waiting.
-func grown(tb testing.TB, seed uint64, n int) *story {
+func startLoaded(tb testing.TB, seed uint64, n int) *scenario {
 	tb.Helper()
-	s := begin(tb, seed)
+	s := newScenario(tb, seed)
 	for i := range n {
 		zone := "a"
 		if i%2 == 1 {
@@ -26,7 +26,7 @@
 	for range n / 10 {
 		s.Users.Submit(simulation.Array(16*10*2), 20+s.Rand.Float64()*20)
 	}
-	s.within(90*second, "nearly every CPU is taken", func() bool { return s.Users.Running() >= n*15 })
+	s.eventually(90*second, "nearly every CPU is taken", func() bool { return s.Users.Running() >= n*15 })
 	return s
 }
 
@@ -35,7 +35,7 @@
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := grown(b, 1, n)
+			s := startLoaded(b, 1, n)
 			b.ReportAllocs()
 			var own time.Duration
 			s.Applied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
@@ -54,7 +54,7 @@
 func BenchmarkDependents(b *testing.B) {
 	for _, n := range []int{0, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := grown(b, 1, 1000)
+			s := startLoaded(b, 1, 1000)
 			first := simulation.Array(1)
 			first.ID, first.CPUs = "job-900000000", 16
 			s.State.Behind(first, n)
@@ -73,15 +73,15 @@
 
 // Hundreds of machines come up at once: the register must not take the write
 // budget of many seconds, and all of them work soon.
-func TestRegisterTakesFewWrites(t *testing.T) {
-	s := begin(t, 33)
+func TestRegistrationBatchesWrites(t *testing.T) {
+	s := newScenario(t, 33)
 	s.Users.Submit(simulation.Array(3200), 60)
 	s.Run(s.Now + 2*second)
 	before := s.State.Writes
 	for range 200 {
 		s.Cloud.Add("barn", "a", true)
 	}
-	s.within(8*second, "every machine works", func() bool { return s.Users.Running() >= 3200 })
+	s.eventually(8*second, "every machine works", func() bool { return s.Users.Running() >= 3200 })
 	if n := s.State.Writes - before; n > 40 {
 		t.Fatalf("%d writes for 200 machines", n)
 	}
@@ -89,8 +89,8 @@
 
 // The rules hold at size too: a crash of the leader, a state outage, a crash of
 // every node, and machines that are taken away.
-func TestGrownThroughTroubles(t *testing.T) {
-	s := grown(t, 34, 150)
+func TestLoadedClusterSurvivesFaults(t *testing.T) {
+	s := startLoaded(t, 34, 150)
 	s.leader().Crash(3 * second)
 	s.Run(s.Now + 10*second)
 	s.State.Outage(8 * second)
@@ -101,21 +101,21 @@
 	for _, n := range s.Nodes {
 		n.Crash(4 * second)
 	}
-	s.within(60*second, "the machines are full again", func() bool { return s.Users.Running() >= 130*15 })
-	s.within(400*second, "nothing accepted is lost", s.Users.AllTold)
+	s.eventually(60*second, "the machines are full again", func() bool { return s.Users.Running() >= 130*15 })
+	s.eventually(400*second, "nothing accepted is lost", s.Users.AllTold)
 }
 
 // After all nodes have ended, hundreds of machines are seen again, and none is
 // given up, within a few seconds.
-func TestTakeOverAtSize(t *testing.T) {
-	s := grown(t, 37, 300)
+func TestFailoverAtScale(t *testing.T) {
+	s := startLoaded(t, 37, 300)
 	deleted := s.Cloud.Deleted
 	for _, n := range s.Nodes {
 		n.Crash(3 * second)
 	}
 	s.Logs = nil
-	s.within(5*second, "every machine has been seen", func() bool {
-		return s.said("every machine has been seen")
+	s.eventually(5*second, "every machine has been seen", func() bool {
+		return s.logged("every machine has been seen")
 	})
 	s.Run(s.Now + 10*second)
 	if n := s.Cloud.Deleted - deleted; n > 0 {
@@ -126,13 +126,13 @@
 // BenchmarkPoll is a poll of a job that is not over, as the core sees it: many share
 // one read of the state service.
 func BenchmarkPoll(b *testing.B) {
-	s := begin(b, 1)
+	s := newScenario(b, 1)
 	j := s.Users.Submit(simulation.Array(4), 1e6)
-	s.within(30*second, "the job is accepted", func() bool { return j.Accepted })
+	s.eventually(30*second, "the job is accepted", func() bool { return j.Accepted })
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		s.Nodes[0].Ask(func(id core.RequestID) core.Command { return core.Query{ID: id, Job: j.Spec.ID} }, func(core.Reply) {})
+		s.Nodes[0].Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(core.Reply) {})
 		if i%50 == 0 {
 			s.Run(s.Now + second/10)
 		}
@@ -144,16 +144,16 @@
 func BenchmarkStandstill(b *testing.B) {
 	for _, end := range []struct {
 		who  string
-		ends func(s *story, back time.Duration)
+		ends func(s *scenario, back time.Duration)
 	}{
-		{"leader", func(s *story, back time.Duration) { s.leader().Crash(back) }},
-		{"member", func(s *story, back time.Duration) { s.follower().Crash(back) }},
-		{"all", func(s *story, back time.Duration) {
+		{"leader", func(s *scenario, back time.Duration) { s.leader().Crash(back) }},
+		{"member", func(s *scenario, back time.Duration) { s.follower().Crash(back) }},
+		{"all", func(s *scenario, back time.Duration) {
 			for _, n := range s.Nodes {
 				n.Crash(back)
 			}
 		}},
-		{"leader twice", func(s *story, back time.Duration) {
+		{"leader twice", func(s *scenario, back time.Duration) {
 			n := s.leader()
 			n.Crash(back)
 			s.After(back+second/10, func() { n.Crash(back) })
@@ -163,7 +163,7 @@
 			b.Run(fmt.Sprint(end.who, " back in ", back), func(b *testing.B) {
 				gaps := hdrhistogram.New(1, 100_000, 3)
 				for seed := range uint64(5) {
-					s := begin(b, 700+seed)
+					s := newScenario(b, 700+seed)
 					s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // what is up must do
 					for i := range 16 {
 						s.Cloud.Add("box", []string{"a", "b"}[i%2], true)
@@ -180,7 +180,7 @@
 						}
 						worst = max(worst, s.Now-last)
 					}
-					s.rules()
+					s.requireInvariants()
 					_ = gaps.RecordValue(worst.Milliseconds()) // within bounds
 				}
 				b.ReportMetric(float64(gaps.ValueAtQuantile(50)), "median-ms")
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -22,24 +22,24 @@
 // of their own.
 type Outside struct {
 	State interface {
-		Commit(core.Commit) core.CommitDone
-		Load(core.Load) core.LoadDone
-		Follow(core.Follow) core.FollowDone
-		Lease(core.Lease) core.LeaseDone
+		Commit(core.Commit) core.CommitResult
+		Load(core.LoadPage) core.LoadResult
+		Follow(core.Watch) core.WatchResult
+		Lease(core.RenewLease) core.LeaseResult
 	}
 	Cloud interface {
-		Types() core.TypesDone
-		List(core.List) core.ListDone
-		Hire(core.Hire) core.HireDone
-		Delete(core.Delete) core.DeleteDone
+		Types() core.MachineTypesResult
+		List(core.ListInstances) core.ListInstancesResult
+		Hire(core.CreateInstances) core.CreateInstancesResult
+		Delete(core.DeleteInstances) core.DeleteInstancesResult
 	}
 	Worker interface {
-		Do(core.Do) core.DoDone
-		Inspect(core.Inspect) core.InspectDone
+		Do(core.CallWorker) core.CallWorkerResult
+		Inspect(core.ProbeWorker) core.ProbeResult
 	}
 	Peer interface {
 		Target(label string)
-		Send(core.PeerSend)
+		Send(core.SendToPeer)
 		Close(session uint64)
 	}
 }
@@ -112,13 +112,13 @@
 
 // Status asks the core for its picture and adds the answer times.
 func (e *Engine) Status(timeout time.Duration) (*core.Status, bool) {
-	r, ok := e.Ask(func(id core.RequestID) core.Command { return core.StatusPage{ID: id} }, timeout)
+	r, ok := e.Ask(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, timeout)
 	if !ok {
 		return nil, false
 	}
 	s := r.Body.(*core.Status)
 	e.mu.Lock()
-	s.Answers = core.SpreadOf(e.answers)
+	s.ResponseTimes = core.Summarize(e.answers)
 	e.mu.Unlock()
 	return s, true
 }
@@ -146,11 +146,11 @@
 				break more
 			}
 		}
-		now := core.Now{Steady: e.Clock(), Wall: float64(time.Now().UnixMicro()) / 1e6}
+		now := core.Instant{Monotonic: e.Clock(), Wall: float64(time.Now().UnixMicro()) / 1e6}
 		for _, eff := range e.core.Apply(now, cmds) {
 			e.perform(eff)
 		}
-		timer.Reset(max(e.core.Next()-e.Clock(), 2*time.Millisecond))
+		timer.Reset(max(e.core.NextDeadline()-e.Clock(), 2*time.Millisecond))
 	}
 }
 
@@ -166,33 +166,33 @@
 		}
 	case core.Log:
 		e.log.Log(context.Background(), slog.Level(f.Level), f.Text, f.Args...)
-	case core.Ready:
-		e.ready.Store(f.Yes)
-	case core.PeerSend:
+	case core.SetReady:
+		e.ready.Store(f.Ready)
+	case core.SendToPeer:
 		e.out.Peer.Send(f)
-	case core.PeerTarget:
+	case core.ConnectPeer:
 		e.out.Peer.Target(f.Label)
-	case core.PeerClose:
+	case core.ClosePeer:
 		e.out.Peer.Close(f.Session)
 	case core.Commit:
 		go func() { e.Post(e.out.State.Commit(f)) }()
-	case core.Load:
+	case core.LoadPage:
 		go func() { e.Post(e.out.State.Load(f)) }()
-	case core.Follow:
+	case core.Watch:
 		go func() { e.Post(e.out.State.Follow(f)) }()
-	case core.Lease:
+	case core.RenewLease:
 		go func() { e.Post(e.out.State.Lease(f)) }()
-	case core.Do:
+	case core.CallWorker:
 		go func() { e.Post(e.out.Worker.Do(f)) }()
-	case core.Inspect:
+	case core.ProbeWorker:
 		go func() { e.Post(e.out.Worker.Inspect(f)) }()
-	case core.Types:
+	case core.ListMachineTypes:
 		go func() { e.Post(e.out.Cloud.Types()) }()
-	case core.List:
+	case core.ListInstances:
 		go func() { e.Post(e.out.Cloud.List(f)) }()
-	case core.Hire:
+	case core.CreateInstances:
 		go func() { e.Post(e.out.Cloud.Hire(f)) }()
-	case core.Delete:
+	case core.DeleteInstances:
 		go func() { e.Post(e.out.Cloud.Delete(f)) }()
 	default:
 		panic("engine: unknown effect")
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -31,8 +31,8 @@
 }
 
 // Commit runs a transaction.
-func (c *Client) Commit(e core.Commit) core.CommitDone {
-	d := core.CommitDone{ID: e.ID}
+func (c *Client) Commit(e core.Commit) core.CommitResult {
+	d := core.CommitResult{ID: e.ID}
 	if e.Txn.If == nil {
 		e.Txn.If = []wire.Guard{}
 	}
@@ -41,11 +41,11 @@
 }
 
 // Load reads a page of our keys.
-func (c *Client) Load(e core.Load) core.LoadDone {
-	d := core.LoadDone{Sent: c.clock()}
+func (c *Client) Load(e core.LoadPage) core.LoadResult {
+	d := core.LoadResult{SentAt: c.clock()}
 	q := "/store?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Page=" + strconv.Itoa(page)
-	if e.Since != "" {
-		q += "&Since=" + url.QueryEscape(e.Since)
+	if e.After != "" {
+		q += "&Since=" + url.QueryEscape(e.After)
 	}
 	var items wire.Items
 	if c.rpc.Call("GET", c.addr, q, nil, &items, c.timeout, fasthttp.StatusOK) == fasthttp.StatusOK {
@@ -55,8 +55,8 @@
 }
 
 // Follow waits for changes.
-func (c *Client) Follow(e core.Follow) core.FollowDone {
-	d := core.FollowDone{Barrier: e.Barrier, Sent: c.clock()}
+func (c *Client) Follow(e core.Watch) core.WatchResult {
+	d := core.WatchResult{Barrier: e.Barrier, SentAt: c.clock()}
 	q := "/follow?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Since=" + strconv.FormatUint(e.Since, 10) +
 		"&HoldMs=" + strconv.FormatInt(e.Hold.Milliseconds(), 10)
 	d.Outcome = engine.WatchOutcome(c.rpc.Call("GET", c.addr, q, nil, &d.Answer, c.timeout+e.Hold, fasthttp.StatusOK))
@@ -64,14 +64,14 @@
 }
 
 // Lease renews a lease, or asks for one.
-func (c *Client) Lease(e core.Lease) core.LeaseDone {
-	d := core.LeaseDone{Sent: c.clock(), Lease: e.Lease}
-	if e.Lease != 0 {
-		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds/"+strconv.FormatUint(e.Lease, 10)+"/extend", nil, nil, c.timeout))
+func (c *Client) Lease(e core.RenewLease) core.LeaseResult {
+	d := core.LeaseResult{SentAt: c.clock(), LeaseID: e.LeaseID}
+	if e.LeaseID != 0 {
+		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds/"+strconv.FormatUint(e.LeaseID, 10)+"/extend", nil, nil, c.timeout))
 		return d
 	}
 	var a wire.LeaseAnswer
 	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds", wire.LeaseRequest{TTLms: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
-	d.Lease = a.Lease
+	d.LeaseID = a.Lease
 	return d
 }
--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -113,7 +113,7 @@
 				if Page(x.Status, &s) != nil {
 					continue
 				}
-				p99 = max(p99, s.Answers.P99)
+				p99 = max(p99, s.ResponseTimes.P99)
 				for _, m := range s.Machines {
 					seen++
 					if m.Silent {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -146,7 +146,7 @@
 	s := &session{id: l.next, conn: conn, out: make(chan wire.PeerMessage, maxQueue)}
 	l.links[s.id] = s
 	l.mu.Unlock()
-	l.post(core.PeerUp{Session: s.id, Label: label})
+	l.post(core.PeerConnected{Session: s.id, Label: label})
 	go l.write(s)
 	for {
 		conn.SetReadDeadline(time.Now().Add(4 * l.timeout))
@@ -158,10 +158,10 @@
 		if err := json.Unmarshal(line, &m); err != nil {
 			break
 		}
-		l.post(core.PeerLine{Session: s.id, Message: m})
+		l.post(core.PeerReceived{Session: s.id, Message: m})
 	}
 	l.drop(s)
-	l.post(core.PeerDown{Session: s.id})
+	l.post(core.PeerDisconnected{Session: s.id})
 }
 
 func readLine(r *bufio.Reader) ([]byte, error) {
@@ -201,7 +201,7 @@
 
 // Send puts a message on its way. A link that can't keep up is closed: the next
 // one starts with the whole picture.
-func (l *Link) Send(e core.PeerSend) {
+func (l *Link) Send(e core.SendToPeer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.links[e.Session]
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,16 +29,16 @@
 	sent := make(chan core.Command, 16)
 	a := New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, time.Second, func(c core.Command) { sent <- c }, page)
 	a.Target("b")
-	up := next[core.PeerUp](t, sent)
-	a.Send(core.PeerSend{Session: up.Session, Message: wire.PeerMessage{Hello: &wire.Hello{Label: "a", Boot: "1"}}})
-	there := next[core.PeerUp](t, got)
-	line := next[core.PeerLine](t, got)
+	up := next[core.PeerConnected](t, sent)
+	a.Send(core.SendToPeer{Session: up.Session, Message: wire.PeerMessage{Hello: &wire.Hello{Label: "a", Boot: "1"}}})
+	there := next[core.PeerConnected](t, got)
+	line := next[core.PeerReceived](t, got)
 	if line.Session != there.Session || line.Message.Hello.Label != "a" {
 		t.Fatalf("%+v", line)
 	}
 	b.Close(there.Session)
-	next[core.PeerDown](t, sent)
-	if again := next[core.PeerUp](t, sent); again.Session == up.Session {
+	next[core.PeerDisconnected](t, sent)
+	if again := next[core.PeerConnected](t, sent); again.Session == up.Session {
 		t.Fatal("a new link has the number of the old one")
 	}
 
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -149,9 +149,9 @@
 }
 
 // list shows a page of the machines as they were a while ago.
-func (c *Cloud) list(since string) core.ListDone {
+func (c *Cloud) list(since string) core.ListInstancesResult {
 	if outcome := c.refuses(); outcome != core.CloudDone {
-		return core.ListDone{Outcome: outcome}
+		return core.ListInstancesResult{Outcome: outcome}
 	}
 	lag := config.Seconds(c.w.Set.Site.Cloud.ListLagS)
 	var out []wire.Machine
@@ -165,5 +165,5 @@
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	n := min(len(out), 500)
-	return core.ListDone{Outcome: core.CloudDone, Machines: out[:n], More: n < len(out)}
+	return core.ListInstancesResult{Outcome: core.CloudDone, Machines: out[:n], More: n < len(out)}
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -243,8 +243,8 @@
 			w.linkID++
 			l := &peerLink{w: w, id: w.linkID, a: n, b: b}
 			w.peers[l.id] = l
-			n.Post(core.PeerUp{Session: l.id, Label: b.Label})
-			b.Post(core.PeerUp{Session: l.id})
+			n.Post(core.PeerConnected{Session: l.id, Label: b.Label})
+			b.Post(core.PeerConnected{Session: l.id})
 		}
 	}
 }
@@ -274,7 +274,7 @@
 	l.last[side] = max(l.last[side], w.Now+w.delay()+way.Delay+w.PeerLatency)
 	w.At(l.last[side], to.inLife(func() {
 		if w.peers[l.id] == l {
-			to.Post(core.PeerLine{Session: l.id, Message: m})
+			to.Post(core.PeerReceived{Session: l.id, Message: m})
 		}
 	}))
 }
@@ -294,8 +294,8 @@
 		return
 	}
 	delete(w.peers, l.id)
-	l.a.Post(core.PeerDown{Session: l.id})
-	l.b.Post(core.PeerDown{Session: l.id})
+	l.a.Post(core.PeerDisconnected{Session: l.id})
+	l.b.Post(core.PeerDisconnected{Session: l.id})
 	if l.a.Alive() {
 		w.After(200*time.Millisecond, l.a.inLife(l.a.dial))
 	}
--- a/internal/simulation/old.go
+++ b/internal/simulation/old.go
@@ -26,10 +26,10 @@
 // oldTakes is what of a command an old controller understands.
 func oldTakes(c core.Command) core.Command {
 	switch c := c.(type) {
-	case core.Submit:
-		c.Job.Needs = nil
+	case core.SubmitJob:
+		c.Spec.Needs = nil
 		return c
-	case core.LoadDone:
+	case core.LoadResult:
 		var items []wire.Item
 		for _, it := range c.Items {
 			if knownToOld(it.Key) {
@@ -41,7 +41,7 @@
 		}
 		c.Items = items
 		return c
-	case core.FollowDone:
+	case core.WatchResult:
 		var events []wire.Event
 		for _, e := range c.Answer.Events {
 			if knownToOld(e.Put + e.Delete) {
@@ -76,12 +76,12 @@
 func oldSays(m wire.PeerMessage) wire.PeerMessage {
 	if m.Word != nil {
 		w := *m.Word
-		w.Mirrored = false
+		w.IncludesMirror = false
 		m.Word = &w
 	}
 	if m.Ask != nil {
 		a := *m.Ask
-		a.Mirrored = false
+		a.VotesIncludeMirror = false
 		m.Ask = &a
 	}
 	return m
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -118,19 +118,19 @@
 	s.wake()
 }
 
-func (s *State) lease(node string, e core.Lease) (uint64, core.LeaseOutcome) {
+func (s *State) lease(node string, e core.RenewLease) (uint64, core.LeaseOutcome) {
 	if s.refuses(node) {
-		return e.Lease, core.LeaseRefused
+		return e.LeaseID, core.LeaseRefused
 	}
 	if s.limited(0) {
-		return e.Lease, core.LeaseRefused
+		return e.LeaseID, core.LeaseRefused
 	}
-	if e.Lease != 0 {
-		if _, ok := s.now.Begin().Alive(e.Lease); !ok {
-			return e.Lease, core.LeaseExpired
+	if e.LeaseID != 0 {
+		if _, ok := s.now.Begin().Alive(e.LeaseID); !ok {
+			return e.LeaseID, core.LeaseExpired
 		}
-		s.arm(e.Lease)
-		return e.Lease, core.LeaseGranted
+		s.arm(e.LeaseID)
+		return e.LeaseID, core.LeaseGranted
 	}
 	var id uint64
 	s.change(func(b *kvstore.Batch) { id = b.Grant(e.TTL.Milliseconds()) })
@@ -187,8 +187,8 @@
 }
 
 // load answers with a page of keys.
-func (s *State) load(node string, since string, sent time.Duration) core.LoadDone {
-	d := core.LoadDone{Sent: sent, Revision: s.now.Revision}
+func (s *State) load(node string, since string, sent time.Duration) core.LoadResult {
+	d := core.LoadResult{SentAt: sent, Revision: s.now.Revision}
 	if s.refuses(node) || s.limited(0) {
 		return d
 	}
@@ -207,7 +207,7 @@
 	done(core.WatchServed, e)
 }
 
-func (s *State) follow(node string, e core.Follow, done func(core.WatchOutcome, wire.Events)) {
+func (s *State) follow(node string, e core.Watch, done func(core.WatchOutcome, wire.Events)) {
 	if s.refuses(node) {
 		if e.Hold == 0 {
 			done(core.WatchUnavailable, wire.Events{})
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -110,7 +110,7 @@
 
 func (u *Users) send(j *Job) {
 	sent := u.w.Now
-	u.ask(func(id core.RequestID) core.Command { return core.Submit{ID: id, Job: j.Spec} }, func(r core.Reply) {
+	u.ask(func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} }, func(r core.Reply) {
 		switch r.Status {
 		case 200, 201:
 			if j.Never {
@@ -163,9 +163,9 @@
 	for k := range 3 {
 		w.After(time.Duration(k)*4*time.Millisecond, func() {
 			for i, n := range w.Nodes {
-				at(n, func(id core.RequestID) core.Command { return core.Query{ID: id, Job: j.Spec.ID} })
+				at(n, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} })
 				if i == k%len(w.Nodes) {
-					at(n, func(id core.RequestID) core.Command { return core.Submit{ID: id, Job: j.Spec} })
+					at(n, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} })
 				}
 			}
 		})
@@ -191,7 +191,7 @@
 		j.knownAt = u.w.Now // said once
 	}
 	u.checkWaiting(j)
-	u.ask(func(id core.RequestID) core.Command { return core.Query{ID: id, Job: j.Spec.ID} }, func(r core.Reply) {
+	u.ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
 		switch r.Status {
 		case 200:
 			u.hear(j, r.Body.(wire.JobAnswer), sent)
@@ -208,7 +208,7 @@
 	id := fmt.Sprintf("job-%06d", n)
 	j, sent := u.jobs[id], u.w.Now
 	known := j != nil && j.Accepted
-	u.ask(func(id2 core.RequestID) core.Command { return core.Query{ID: id2, Job: id} }, func(r core.Reply) {
+	u.ask(func(id2 core.RequestID) core.Command { return core.QueryJob{ID: id2, JobID: id} }, func(r core.Reply) {
 		switch {
 		case r.Status == 200 && j == nil:
 			u.w.broke("invented", "%s is answered 200", id)
@@ -227,7 +227,7 @@
 	j.Never = true
 	for _, n := range u.w.Nodes {
 		call(u.w, "users", n.Label, 5*time.Second, func(reply func(core.Reply)) {
-			n.Ask(func(id core.RequestID) core.Command { return core.Submit{ID: id, Job: j.Spec} }, reply)
+			n.Ask(func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} }, reply)
 		}, func(r core.Reply) {
 			if r.Status != 422 && r.Status != 400 && r.Status != 503 {
 				u.w.broke("wrongly_accepted", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
@@ -241,7 +241,7 @@
 func (u *Users) Abort(j *Job) {
 	j.aborting = true
 	sent := u.w.Now
-	u.ask(func(id core.RequestID) core.Command { return core.Abort{ID: id, Job: j.Spec.ID} }, func(r core.Reply) {
+	u.ask(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
 		if r.Status != 200 {
 			u.w.After(time.Second, func() { u.Abort(j) })
 			return
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -189,7 +189,7 @@
 		elsewhere()
 	}
 	call(k.w, k.Info.Name, node.Label, 4*time.Second, func(reply func(core.Reply)) {
-		node.Ask(func(id core.RequestID) core.Command { return core.WorkerReport{ID: id, Report: rep} }, reply)
+		node.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} }, reply)
 	}, got, elsewhere)
 }
 
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -326,7 +326,7 @@
 	}
 	cmds := n.queue
 	n.queue = nil
-	now := core.Now{Steady: n.clock(), Wall: 1e9 + n.w.Now.Seconds()}
+	now := core.Instant{Monotonic: n.clock(), Wall: 1e9 + n.w.Now.Seconds()}
 	begin := time.Now()
 	effects := append([]core.Effect(nil), n.Core.Apply(now, cmds)...)
 	if n.w.Applied != nil {
@@ -339,7 +339,7 @@
 	for _, e := range effects {
 		n.perform(e)
 	}
-	n.wake(max(n.Core.Next()-n.clock(), 5*time.Millisecond))
+	n.wake(max(n.Core.NextDeadline()-n.clock(), 5*time.Millisecond))
 }
 
 // Ask posts a request and calls back with its reply.
@@ -373,78 +373,78 @@
 		}
 	case core.Log:
 		w.Logs = append(w.Logs, fmt.Sprintf("%.3f %s %s %v", w.Now.Seconds(), n.Label, e.Text, e.Args))
-	case core.Ready:
-		n.Ready = e.Yes
+	case core.SetReady:
+		n.Ready = e.Ready
 	case core.Commit:
 		old := n.old
 		if old {
 			e.Txn = oldWrites(e.Txn)
 		}
-		call(w, n.Label, "state", timeout, func(reply func(core.CommitDone)) {
+		call(w, n.Label, "state", timeout, func(reply func(core.CommitResult)) {
 			if outcome, ans := w.State.Commit(n.Label, old, e.Txn); outcome != core.CommitUnknown {
-				reply(core.CommitDone{ID: e.ID, Outcome: outcome, Answer: ans})
+				reply(core.CommitResult{ID: e.ID, Outcome: outcome, Answer: ans})
 			}
-		}, func(d core.CommitDone) { mine(func() { post(d) })() }, mine(func() { post(core.CommitDone{ID: e.ID}) }))
-	case core.Load:
-		call(w, n.Label, "state", timeout, func(reply func(core.LoadDone)) {
-			reply(w.State.load(n.Label, e.Since, sent))
-		}, func(d core.LoadDone) { mine(func() { post(d) })() }, mine(func() { post(core.LoadDone{}) }))
-	case core.Follow:
-		call(w, n.Label, "state", timeout+e.Hold, func(reply func(core.FollowDone)) {
+		}, func(d core.CommitResult) { mine(func() { post(d) })() }, mine(func() { post(core.CommitResult{ID: e.ID}) }))
+	case core.LoadPage:
+		call(w, n.Label, "state", timeout, func(reply func(core.LoadResult)) {
+			reply(w.State.load(n.Label, e.After, sent))
+		}, func(d core.LoadResult) { mine(func() { post(d) })() }, mine(func() { post(core.LoadResult{}) }))
+	case core.Watch:
+		call(w, n.Label, "state", timeout+e.Hold, func(reply func(core.WatchResult)) {
 			w.State.follow(n.Label, e, func(outcome core.WatchOutcome, ev wire.Events) {
-				reply(core.FollowDone{Barrier: e.Barrier, Sent: sent, Outcome: outcome, Answer: ev})
+				reply(core.WatchResult{Barrier: e.Barrier, SentAt: sent, Outcome: outcome, Answer: ev})
 			})
-		}, func(d core.FollowDone) { mine(func() { post(d) })() }, mine(func() { post(core.FollowDone{Barrier: e.Barrier, Sent: sent}) }))
-	case core.Lease:
-		call(w, n.Label, "state", timeout, func(reply func(core.LeaseDone)) {
+		}, func(d core.WatchResult) { mine(func() { post(d) })() }, mine(func() { post(core.WatchResult{Barrier: e.Barrier, SentAt: sent}) }))
+	case core.RenewLease:
+		call(w, n.Label, "state", timeout, func(reply func(core.LeaseResult)) {
 			id, outcome := w.State.lease(n.Label, e)
-			reply(core.LeaseDone{Sent: sent, Lease: id, Outcome: outcome})
-		}, func(d core.LeaseDone) { mine(func() { post(d) })() }, mine(func() { post(core.LeaseDone{Sent: sent}) }))
-	case core.Do:
+			reply(core.LeaseResult{SentAt: sent, LeaseID: id, Outcome: outcome})
+		}, func(d core.LeaseResult) { mine(func() { post(d) })() }, mine(func() { post(core.LeaseResult{SentAt: sent}) }))
+	case core.CallWorker:
 		patience := config.Seconds(w.Set.Site.Workers.ReportS)
 		if len(e.Body.Commands) == 0 {
 			patience /= 4
 		}
-		call(w, n.Label, e.Machine, patience, func(reply func(core.DoDone)) {
+		call(w, n.Label, e.Machine, patience, func(reply func(core.CallWorkerResult)) {
 			if k := w.Workers[e.Machine]; k != nil {
 				k.do(e.Body, func(outcome core.DirectOutcome, r wire.Report) {
-					reply(core.DoDone{Machine: e.Machine, ID: e.ID, Outcome: outcome, Report: r})
+					reply(core.CallWorkerResult{Machine: e.Machine, CallID: e.CallID, Outcome: outcome, Report: r})
 				})
 			}
-		}, func(d core.DoDone) { mine(func() { post(d) })() }, mine(func() { post(core.DoDone{Machine: e.Machine, ID: e.ID}) }))
-	case core.Inspect:
-		call(w, n.Label, e.Machine, config.Seconds(w.Set.Site.Workers.ReportS), func(reply func(core.InspectDone)) {
+		}, func(d core.CallWorkerResult) { mine(func() { post(d) })() }, mine(func() { post(core.CallWorkerResult{Machine: e.Machine, CallID: e.CallID}) }))
+	case core.ProbeWorker:
+		call(w, n.Label, e.Machine, config.Seconds(w.Set.Site.Workers.ReportS), func(reply func(core.ProbeResult)) {
 			if k := w.Workers[e.Machine]; k != nil && !k.Hung {
-				reply(core.InspectDone{Machine: e.Machine, OK: true})
+				reply(core.ProbeResult{Machine: e.Machine, OK: true})
 			}
-		}, func(d core.InspectDone) { mine(func() { post(d) })() }, mine(func() { post(core.InspectDone{Machine: e.Machine}) }))
-	case core.Types:
-		call(w, n.Label, "cloud", timeout, func(reply func(core.TypesDone)) {
+		}, func(d core.ProbeResult) { mine(func() { post(d) })() }, mine(func() { post(core.ProbeResult{Machine: e.Machine}) }))
+	case core.ListMachineTypes:
+		call(w, n.Label, "cloud", timeout, func(reply func(core.MachineTypesResult)) {
 			if outcome := w.Cloud.refuses(); outcome != core.CloudDone {
-				reply(core.TypesDone{Outcome: outcome})
+				reply(core.MachineTypesResult{Outcome: outcome})
 				return
 			}
-			reply(core.TypesDone{Outcome: core.CloudDone, Answer: wire.MachineTypes{Types: w.Cloud.types}})
-		}, func(d core.TypesDone) { mine(func() { post(d) })() }, mine(func() { post(core.TypesDone{}) }))
-	case core.List:
-		call(w, n.Label, "cloud", timeout, func(reply func(core.ListDone)) {
-			reply(w.Cloud.list(e.Since))
-		}, func(d core.ListDone) { mine(func() { post(d) })() }, mine(func() { post(core.ListDone{}) }))
-	case core.Hire:
-		call(w, n.Label, "cloud", timeout, func(reply func(core.HireDone)) {
+			reply(core.MachineTypesResult{Outcome: core.CloudDone, Answer: wire.MachineTypes{Types: w.Cloud.types}})
+		}, func(d core.MachineTypesResult) { mine(func() { post(d) })() }, mine(func() { post(core.MachineTypesResult{}) }))
+	case core.ListInstances:
+		call(w, n.Label, "cloud", timeout, func(reply func(core.ListInstancesResult)) {
+			reply(w.Cloud.list(e.After))
+		}, func(d core.ListInstancesResult) { mine(func() { post(d) })() }, mine(func() { post(core.ListInstancesResult{}) }))
+	case core.CreateInstances:
+		call(w, n.Label, "cloud", timeout, func(reply func(core.CreateInstancesResult)) {
 			names, outcome := w.Cloud.hire(e.Request)
-			reply(core.HireDone{Request: e.Request.Request, Outcome: outcome, Names: names})
-		}, func(d core.HireDone) { mine(func() { post(d) })() }, mine(func() { post(core.HireDone{Request: e.Request.Request}) }))
-	case core.Delete:
-		call(w, n.Label, "cloud", timeout, func(reply func(core.DeleteDone)) {
+			reply(core.CreateInstancesResult{Request: e.Request.Request, Outcome: outcome, Names: names})
+		}, func(d core.CreateInstancesResult) { mine(func() { post(d) })() }, mine(func() { post(core.CreateInstancesResult{Request: e.Request.Request}) }))
+	case core.DeleteInstances:
+		call(w, n.Label, "cloud", timeout, func(reply func(core.DeleteInstancesResult)) {
 			if outcome := w.Cloud.refuses(); outcome != core.CloudDone {
-				reply(core.DeleteDone{Names: e.Names, Outcome: outcome})
+				reply(core.DeleteInstancesResult{Names: e.Names, Outcome: outcome})
 				return
 			}
 			w.Cloud.Remove(e.Names...)
-			reply(core.DeleteDone{Names: e.Names, Outcome: core.CloudDone})
-		}, func(d core.DeleteDone) { mine(func() { post(d) })() }, mine(func() { post(core.DeleteDone{Names: e.Names}) }))
-	case core.PeerTarget:
+			reply(core.DeleteInstancesResult{Names: e.Names, Outcome: core.CloudDone})
+		}, func(d core.DeleteInstancesResult) { mine(func() { post(d) })() }, mine(func() { post(core.DeleteInstancesResult{Names: e.Names}) }))
+	case core.ConnectPeer:
 		n.target = e.Label
 		for _, l := range w.siblings() {
 			if l.a == n && l.b.Label != e.Label {
@@ -452,14 +452,14 @@
 			}
 		}
 		n.dial()
-	case core.PeerSend:
+	case core.SendToPeer:
 		if n.old {
 			e.Message = oldSays(e.Message)
 		}
 		if l := w.peers[e.Session]; l != nil {
 			l.send(n, e.Message)
 		}
-	case core.PeerClose:
+	case core.ClosePeer:
 		if l := w.peers[e.Session]; l != nil {
 			l.close()
 		}
@@ -482,7 +482,7 @@
 // leads names the process that leads, empty: none does.
 func (w *World) leads() string {
 	for _, n := range w.Nodes {
-		if n.Alive() && n.Core.Leads() {
+		if n.Alive() && n.Core.IsLeader() {
 			return fmt.Sprintf("%s.%d", n.Label, n.life)
 		}
 	}
@@ -503,7 +503,7 @@
 		for _, n := range w.Nodes {
 			for _, after := range []time.Duration{0, 60, 130, 250, 500, 1000, 2000} {
 				w.After(after*time.Millisecond+w.delay(), func() {
-					n.Ask(func(id core.RequestID) core.Command { return core.WorkerReport{ID: id, Report: kept[name]} }, func(core.Reply) {})
+					n.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: kept[name]} }, func(core.Reply) {})
 				})
 			}
 		}
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -26,14 +26,14 @@
 }
 
 // Inspect asks a worker for its report.
-func (c *Client) Inspect(e core.Inspect) core.InspectDone {
+func (c *Client) Inspect(e core.ProbeWorker) core.ProbeResult {
 	status := c.rpc.Call("GET", e.Addr, "/inspect", nil, nil, c.timeout)
-	return core.InspectDone{Machine: e.Machine, OK: status == fasthttp.StatusOK}
+	return core.ProbeResult{Machine: e.Machine, OK: status == fasthttp.StatusOK}
 }
 
 // Do sends commands to a worker.
-func (c *Client) Do(e core.Do) core.DoDone {
-	d := core.DoDone{Machine: e.Machine, ID: e.ID}
+func (c *Client) Do(e core.CallWorker) core.CallWorkerResult {
+	d := core.CallWorkerResult{Machine: e.Machine, CallID: e.CallID}
 	timeout := c.timeout
 	if len(e.Body.Commands) == 0 {
 		timeout /= 4 // only a question, which may be asked again
