--- a/internal/core/archive.go
+++ b/internal/core/archive.go
@@ -17,7 +17,7 @@
 	reasons []string
 	why     map[string]uint32
 	rules   fairshare.Rules
-	books   fairshare.Books // what was served, of each class of each team
+	books   fairshare.Accounting // what was served, of each class of each team
 }
 
 // ended is a job that is over.
@@ -59,7 +59,7 @@
 		a.reasons = append(a.reasons, rec.Bad)
 	}
 	if was, known := a.jobs[s.ID]; rec.State == wire.JobDone && !(known && was.done) {
-		a.books.Done(fairshare.Account{Team: s.Team, Class: s.Class}, rec.At, &a.rules)
+		a.books.RecordCompleted(fairshare.Account{Team: s.Team, Class: s.Class}, rec.At, &a.rules)
 	}
 	a.jobs[s.ID] = ended{version: version, at: seconds32(rec.At), over: seconds32(rec.Over), tasks: uint32(s.Tasks),
 		kind: n, reason: w, done: rec.State == wire.JobDone}
--- a/internal/core/behind.go
+++ b/internal/core/behind.go
@@ -84,7 +84,7 @@
 const namesSaid = 5
 
 func (l *ledger) waitsFor(id string) string {
-	names, more := l.pipes.For(id, namesSaid)
+	names, more := l.pipes.UnmetDependencies(id, namesSaid)
 	slices.Sort(names)
 	why := "waits for " + strings.Join(names, ", ")
 	if more > 0 {
@@ -97,9 +97,9 @@
 func (l *ledger) met(j *job) {
 	if !j.final() {
 		if s := &j.rec.Spec; len(s.Needs) > 0 {
-			l.pipes.Put(s.ID, s.Needs, l.look)
+			l.pipes.AddJob(s.ID, s.Needs, l.look)
 		} else {
-			l.pipes.Met(s.ID)
+			l.pipes.MarkOpen(s.ID)
 		}
 	}
 	l.c.orch.jobChanged(j)
@@ -122,13 +122,13 @@
 // settle takes what the graph has found out since: jobs that are ready, and those that
 // are aborted because of another one.
 func (l *ledger) settle() {
-	for _, v := range l.pipes.News() {
+	for _, v := range l.pipes.TakeEvents() {
 		j := l.jobs[v.Job]
 		if j == nil {
 			continue
 		}
 		if !v.Aborted {
-			j.ready, j.late = v.Ready, l.c.members.leading
+			j.ready, j.late = v.ReadyAt, l.c.members.leading
 			if l.c.members.leading {
 				l.c.debugf("ready", "job", v.Job, "class", j.rec.Spec.Class, "needed", j.rec.Spec.Needs)
 			}
@@ -152,8 +152,8 @@
 		return
 	}
 	o.weighedAt = c.now.Steady
-	c.ledger.pipes.Weigh(func(id string) dag.Weight {
-		w := dag.Weight{Urgency: leastUrgent, Latest: math.Inf(1)}
+	c.ledger.pipes.UpdatePriorities(func(id string) dag.Priority {
+		w := dag.Priority{Urgency: leastUrgent, LatestFinish: math.Inf(1)}
 		j := c.ledger.jobs[id]
 		if j == nil || j.version == 0 {
 			return w
@@ -161,11 +161,11 @@
 		s := &j.rec.Spec
 		w.Urgency = urgency(s.Urgency)
 		if s.DeadlineS > 0 {
-			w.Latest = j.rec.At + s.DeadlineS
+			w.LatestFinish = j.rec.At + s.DeadlineS
 		}
-		w.Takes = c.est.predict(s) + c.fleet.fetches(s)
+		w.Duration = c.est.predict(s) + c.fleet.fetches(s)
 		if q := o.queue.get(id); q != nil && q.waiting() == 0 {
-			w.Takes /= 2 // all that is left of it is under way
+			w.Duration /= 2 // all that is left of it is under way
 		}
 		return w
 	})
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -125,7 +125,7 @@
 	}
 	l := f.c.ledger
 	for _, id := range sortedKeys(l.jobs) {
-		if j := l.jobs[id]; j.version > 0 && !l.pipes.Waits(id) {
+		if j := l.jobs[id]; j.version > 0 && !l.pipes.IsWaiting(id) {
 			count(&j.rec.Spec, j.since())
 		}
 	}
--- a/internal/core/estimator.go
+++ b/internal/core/estimator.go
@@ -42,16 +42,16 @@
 type estimator struct {
 	c       *Core
 	names   map[meanKey]*mean
-	memo    map[meanKey]float64          // predictions of this round, 0: nothing is known
-	fits    map[meanKey]*calibration.Fit // what the owners' estimates have been worth
-	stale   bool                         // durations have come since
+	memo    map[meanKey]float64            // predictions of this round, 0: nothing is known
+	fits    map[meanKey]*calibration.Model // what the owners' estimates have been worth
+	stale   bool                           // durations have come since
 	changed bool
 	saving  bool
 	savedAt time.Duration
 }
 
 func newEstimator(c *Core) *estimator {
-	return &estimator{c: c, names: map[meanKey]*mean{}, memo: map[meanKey]float64{}, fits: map[meanKey]*calibration.Fit{}}
+	return &estimator{c: c, names: map[meanKey]*mean{}, memo: map[meanKey]float64{}, fits: map[meanKey]*calibration.Model{}}
 }
 
 func (e *estimator) load() {
@@ -85,9 +85,9 @@
 		if len(e.fits) >= mostFits {
 			return // names that never come back teach nothing
 		}
-		e.fits[k] = &calibration.Fit{}
+		e.fits[k] = &calibration.Model{}
 	}
-	e.fits[k].Came(s.EstimateS)
+	e.fits[k].ObserveEstimate(s.EstimateS)
 }
 
 // took counts a completed task. The first of a job tells what its owner's estimate was
@@ -96,7 +96,7 @@
 	s := &q.j.rec.Spec
 	if f := e.fits[keyOf(s)]; f != nil && q.took.n == 0 && q.j.doneN == 0 {
 		if usual := e.usual(keyOf(s)); usual > 0 {
-			f.Took(s.EstimateS, seconds/usual)
+			f.ObserveDuration(s.EstimateS, seconds/usual)
 		}
 	}
 	q.took.add(seconds, e.c.now.Wall, e.c.policy.HistoryTasks)
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -27,7 +27,7 @@
 	}
 	n := q.waiting()
 	over := o.overLimit(s, float64(n), p)
-	if over != "" && q.turn == fairshare.None {
+	if over != "" && q.turn == fairshare.NoBoost {
 		q.reason = over
 		return
 	}
--- a/internal/core/ledger.go
+++ b/internal/core/ledger.go
@@ -97,7 +97,7 @@
 	loadSent time.Duration // when that left
 	loadAt   time.Duration // when the next page may be asked for
 
-	cancelled degraded.Log // of which this node may have told
+	cancelled degraded.CancellationLog // of which this node may have told
 
 	versions map[string]uint64 // of keys other than jobs
 	jobs     map[string]*job   // that are not over
@@ -393,7 +393,7 @@
 		return err
 	}
 	if rec.State == wire.JobCancelled && version > l.loadRev {
-		l.cancelled.Note(id, version) // what was loaded is told by loadRev
+		l.cancelled.Record(id, version) // what was loaded is told by loadRev
 	}
 	if e, ok := l.ended.jobs[id]; ok {
 		if version > e.version && rec.State != wire.JobQueued {
@@ -441,7 +441,7 @@
 	l.c.part.jobOver(j)
 	l.ended.put(&j.rec, j.version)
 	delete(l.jobs, id)
-	l.pipes.Over(id, j.rec.State == wire.JobDone, j.rec.Over)
+	l.pipes.MarkFinished(id, j.rec.State == wire.JobDone, j.rec.Over)
 }
 
 func (l *ledger) report(key string, err error) {
@@ -549,7 +549,7 @@
 	if !j.final() {
 		a.Running = j.view.Running
 		a.Reason = j.view.Reason
-		if l.pipes.Waits(a.ID) {
+		if l.pipes.IsWaiting(a.ID) {
 			a.Reason = l.waitsFor(a.ID)
 		}
 		if a.Running > 0 {
@@ -742,7 +742,7 @@
 		l.commit([]wire.Guard{j.ownGuard()}, l.finalOps(j, rec), func(d CommitDone) {
 			switch {
 			case d.Status == 200:
-				l.cancelled.Note(ref, d.Answer.Revision)
+				l.cancelled.Record(ref, d.Answer.Revision)
 				l.c.outage.confirmed(ref)
 				l.c.emit(Reply{ID: id, Status: 200, Body: wire.JobAnswer{ID: ref, State: wire.JobCancelled, Done: j.doneN}})
 			case (d.Status == 409 || d.Status == 0) && tries < 3:
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -27,7 +27,7 @@
 	readyNow  bool
 	target    string
 
-	helm     stepdown.Helm
+	helm     stepdown.Tracker
 	empty    time.Duration // since when nobody leads
 	ledSince time.Duration // since when the leader key is ours
 	leading  bool
@@ -37,7 +37,7 @@
 }
 
 func newMembership(c *Core) *membership {
-	return &membership{c: c, target: "\x00", away: map[string]time.Duration{}, helm: stepdown.Helm{Span: c.times.lease}}
+	return &membership{c: c, target: "\x00", away: map[string]time.Duration{}, helm: stepdown.Tracker{BaseBackoff: c.times.lease}}
 }
 
 // entitled reports whether this node may answer workers and users act on it:
@@ -160,7 +160,7 @@
 		m.empty = c.now.Steady
 	}
 	others, empty := len(c.ledger.nodes) > 1, c.now.Steady-m.empty
-	if l == nil && (m.helm.StaysBack(c.now.Steady, others, empty, c.times.ttl) || c.part.fit.unfit && others && empty < c.times.round) {
+	if l == nil && (m.helm.ShouldAbstain(c.now.Steady, others, empty, c.times.ttl) || c.part.fit.unfit && others && empty < c.times.round) {
 		return // one who reaches machines should lead
 	}
 	if l == nil || l.Label == c.set.Label && l.Boot != c.boot {
@@ -239,9 +239,9 @@
 		}
 	}
 	idle := len(want) == 0 && unheard
-	if m.helm.Idle(c.now.Steady, idle, c.times.round) && !m.writing {
+	if m.helm.ShouldStepDown(c.now.Steady, idle, c.times.round) && !m.writing {
 		c.info("no machine can be heard here or by any member, another that is not heard may lead")
-		m.helm.HandedOver(c.now.Steady)
+		m.helm.SteppedDown(c.now.Steady)
 		m.write([]wire.Guard{m.leaderGuard()}, wire.Op{Delete: keyLeader})
 		return
 	}
--- a/internal/core/orchestrator.go
+++ b/internal/core/orchestrator.go
@@ -29,17 +29,17 @@
 	reason   string
 	said     wire.JobView
 	pred     float64
-	took     mean           // of its own completed tasks that this leader has seen
-	band     int            // its place in the order: first the band,
-	size     float64        // then the size
-	in       bool           // within its team's guarantee
-	turn     fairshare.Turn // its class's turn, whatever its urgency
-	held     bool           // its class is short, or it has only just begun: its tasks are not stopped for others
-	begins   bool           // it is to begin by now: its first task goes before its rank
-	urg      int            // its urgency, or that of the most urgent job that needs it
-	latest   float64        // time of day by which it is to be done for those to be in time, +Inf: no matter
-	keptAt   time.Duration  // since when its limit or machines are kept for it, 0: they are not
-	stopped  map[int]bool   // tasks that were stopped: what is left of them says nothing of their duration
+	took     mean            // of its own completed tasks that this leader has seen
+	band     int             // its place in the order: first the band,
+	size     float64         // then the size
+	in       bool            // within its team's guarantee
+	turn     fairshare.Boost // its class's turn, whatever its urgency
+	held     bool            // its class is short, or it has only just begun: its tasks are not stopped for others
+	begins   bool            // it is to begin by now: its first task goes before its rank
+	urg      int             // its urgency, or that of the most urgent job that needs it
+	latest   float64         // time of day by which it is to be done for those to be in time, +Inf: no matter
+	keptAt   time.Duration   // since when its limit or machines are kept for it, 0: they are not
+	stopped  map[int]bool    // tasks that were stopped: what is left of them says nothing of their duration
 	stops    int
 	stopWhy  string
 	released bool // a gang's tasks were told to start
@@ -101,7 +101,7 @@
 	writesAt     time.Duration
 	saveDue      bool
 	saveAt       time.Duration
-	floors       []fairshare.State          // how each class of each team stands, in this round
+	floors       []fairshare.AccountState   // how each class of each team stands, in this round
 	waits        [4]*hdrhistogram.Histogram // ms from submission to running, by urgency
 }
 
@@ -154,7 +154,7 @@
 		return
 	}
 	id := j.rec.Spec.ID
-	if o.c.ledger.pipes.Waits(id) {
+	if o.c.ledger.pipes.IsWaiting(id) {
 		return // it holds nothing, and comes again once it is ready
 	}
 	q := o.queue.get(id)
--- a/internal/core/outage.go
+++ b/internal/core/outage.go
@@ -17,8 +17,8 @@
 type outage struct {
 	c       *Core
 	refused bool // the lease was not renewed last time
-	leader  degraded.Leader
-	member  degraded.Member
+	leader  degraded.Coordinator
+	member  degraded.Voter
 	epoch   uint64                   // that these speak of
 	learnt  map[string]time.Duration // jobs that somebody was told are cancelled, and when we last learnt of it
 	holding bool                     // as was last said
@@ -43,9 +43,9 @@
 
 func (u *outage) till() time.Duration {
 	if u.c.members.leading {
-		return u.leader.Till()
+		return u.leader.MayServeUntil()
 	}
-	return u.member.Till()
+	return u.member.MayServeUntil()
 }
 
 // react asks the next round, on the leader, and notes when an outage is over.
@@ -55,7 +55,7 @@
 		return
 	}
 	if e := c.members.epoch(); e != u.epoch {
-		u.epoch, u.leader, u.member = e, degraded.Leader{}, degraded.Member{}
+		u.epoch, u.leader, u.member = e, degraded.Coordinator{}, degraded.Voter{}
 	}
 	// Guards against forgetting them while this node is entitled by a mirror from before.
 	maps.DeleteFunc(u.learnt, func(_ string, learnt time.Duration) bool { return learnt < c.ledger.freshAt })
@@ -76,7 +76,7 @@
 			return // without all of them there is no vigil
 		}
 	}
-	ask, due := u.leader.Next(c.now.Steady, c.times.fresh/8, c.times.fresh)
+	ask, due := u.leader.NextRound(c.now.Steady, c.times.fresh/8, c.times.fresh)
 	if !due {
 		return
 	}
@@ -87,29 +87,29 @@
 }
 
 // asked answers the leader's question.
-func (u *outage) asked(epoch uint64, a *degraded.Ask) {
+func (u *outage) asked(epoch uint64, a *degraded.Round) {
 	c := u.c
 	if !c.ledger.ready || epoch != u.epoch || epoch != c.members.epoch() {
 		return
 	}
 	w := u.word(a)
-	u.member.Answer(c.now.Steady, c.times.fresh, *a)
+	u.member.HandleRound(c.now.Steady, c.times.fresh, *a)
 	u.cancel(a.Cancelled)
 	c.emit(PeerSend{Session: c.part.link, Message: wire.PeerMessage{Epoch: epoch, Word: &w}})
 }
 
 // word is what this node says in a round.
-func (u *outage) word(a *degraded.Ask) degraded.Word {
+func (u *outage) word(a *degraded.Round) degraded.Vote {
 	l := u.c.ledger
-	w := degraded.Word{Round: a.Round, Epoch: u.epoch, Out: u.out(), Revision: l.revision, Loaded: l.loadRev, Mirrored: true}
-	w.Since, w.Cancelled = l.cancelled.Since(a.Since)
+	w := degraded.Vote{Round: a.Number, Epoch: u.epoch, StoreDown: u.out(), MirrorRevision: l.revision, LoadedRevision: l.loadRev, IncludesMirror: true}
+	w.CancelledSince, w.Cancelled = l.cancelled.Since(a.CancelledSince)
 	return w
 }
 
 // heard takes a controller's word.
-func (u *outage) heard(label string, w degraded.Word) {
-	u.leader.Hear(label, w, u.epoch, u.c.times.fresh, u.c.labels)
-	u.cancel(u.leader.Cancelled())
+func (u *outage) heard(label string, w degraded.Vote) {
+	u.leader.ReceiveVote(label, w, u.epoch, u.c.times.fresh, u.c.labels)
+	u.cancel(u.leader.CancelledJobs())
 }
 
 // cancelled reports whether a job is cancelled by another controller's word.
--- a/internal/core/pictures.go
+++ b/internal/core/pictures.go
@@ -81,7 +81,7 @@
 }
 
 // word takes what a controller says in a round of the vigil.
-func (o *orchestrator) word(session uint64, w *degraded.Word) {
+func (o *orchestrator) word(session uint64, w *degraded.Vote) {
 	label := o.sessions[session]
 	p := o.parts[label]
 	if p == nil || p.session != session || !o.on {
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -32,8 +32,8 @@
 			q.pred = ran
 		}
 		q.urg, q.latest = urgency(q.j.rec.Spec.Urgency), math.Inf(1)
-		if w, ok := o.c.ledger.pipes.Weight(q.id); ok {
-			q.urg, q.latest = min(q.urg, w.Urgency), w.Latest
+		if w, ok := o.c.ledger.pipes.Priority(q.id); ok {
+			q.urg, q.latest = min(q.urg, w.Urgency), w.LatestFinish
 		}
 		q.band, q.size = o.order(q)
 		jobs = append(jobs, q)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -91,7 +91,7 @@
 	if c.ledger.mapRec != nil {
 		s.Members = sortedKeys(c.ledger.mapRec.Members)
 	}
-	s.Behind = c.ledger.pipes.Waiting()
+	s.Behind = c.ledger.pipes.WaitingCount()
 	for _, j := range c.ledger.jobs {
 		s.Jobs[j.rec.State]++
 	}
@@ -149,8 +149,8 @@
 		s.Unseen++
 	}
 	for i := range c.orch.floors {
-		if x := &c.orch.floors[i]; x.Turn != fairshare.None {
-			s.Turns = append(s.Turns, Turn{x.Team, x.Class, x.Served, x.Overdue, x.Turn == fairshare.Ahead})
+		if x := &c.orch.floors[i]; x.Boost != fairshare.NoBoost {
+			s.Turns = append(s.Turns, Turn{x.Team, x.Class, x.Served, x.Overdue, x.Boost == fairshare.BoostAboveUrgent})
 		}
 	}
 	for zone, since := range c.fleet.cuts {
--- a/internal/core/turns.go
+++ b/internal/core/turns.go
@@ -17,8 +17,8 @@
 // the ordinary order, since half of the jobs counts.
 func (c *Core) floorRules() fairshare.Rules {
 	patience := c.policy.FloorLeases * c.times.lease.Seconds()
-	return fairshare.Rules{Share: c.policy.FloorShare, Patience: patience, Memory: 8 * patience,
-		Aging: 4 * c.policy.AgingLeases * c.times.lease.Seconds()}
+	return fairshare.Rules{MinShare: c.policy.FloorShare, OverdueAfter: patience, DecayTime: 8 * patience,
+		AgingTime: 4 * c.policy.AgingLeases * c.times.lease.Seconds()}
 }
 
 // Where a job stands that has its class's turn: behind what a guarantee covers and before
@@ -37,26 +37,26 @@
 		service := s.Kind == wire.KindService
 		left := float64(max(s.Tasks-q.j.doneN-len(q.finished), 0))
 		jobs = append(jobs, fairshare.Job{
-			Account: fairshare.Account{Team: s.Team, Class: s.Class},
-			Age:     max(o.c.now.Wall-q.j.since(), 0),
-			Part:    1 - float64(max(q.waiting(), 0))/float64(s.Tasks),
-			Work:    left * width(s) * o.c.est.own(q),
-			Using:   float64(len(q.flights)) * s.CPUs,
-			First:   q.band < bandBehind && !service, // services never end, whoever else waits
-			Futile:  o.suspect(q) || service,
+			Account:       fairshare.Account{Team: s.Team, Class: s.Class},
+			Age:           max(o.c.now.Wall-q.j.since(), 0),
+			StartedShare:  1 - float64(max(q.waiting(), 0))/float64(s.Tasks),
+			RemainingWork: left * width(s) * o.c.est.own(q),
+			CPUsInUse:     float64(len(q.flights)) * s.CPUs,
+			OutranksBoost: q.band < bandBehind && !service, // services never end, whoever else waits
+			Ineligible:    o.suspect(q) || service,
 		})
 	}
-	o.floors = o.c.ledger.ended.books.Judge(o.c.now.Wall, jobs, &o.c.floors)
+	o.floors = o.c.ledger.ended.books.Evaluate(o.c.now.Wall, jobs, &o.c.floors)
 	if o.c.debug {
 		for i := range o.floors {
-			if x := &o.floors[i]; x.Turn != fairshare.None {
-				o.c.debugf("turn", "team", x.Team, "class", x.Class, "served", x.Served, "overdue", x.Overdue, "late", x.Late, "owed", x.Owed)
+			if x := &o.floors[i]; x.Boost != fairshare.NoBoost {
+				o.c.debugf("turn", "team", x.Team, "class", x.Class, "served", x.Served, "overdue", x.Overdue, "late", x.LongOverdue, "owed", x.Deficit)
 			}
 		}
 	}
 	due := map[fairshare.Account]bool{}
 	for i := range o.floors {
-		due[o.floors[i].Account] = o.floors[i].Turn != fairshare.None
+		due[o.floors[i].Account] = o.floors[i].Boost != fairshare.NoBoost
 	}
 	var large map[*queued]bool // looked for only where somebody has waited for long enough
 	if from := o.beginsFrom(); slices.ContainsFunc(jobs, func(j fairshare.Job) bool { return j.Age >= from }) {
@@ -64,12 +64,12 @@
 	}
 	for i, q := range ranked {
 		j := &jobs[i]
-		q.held, q.begins = j.Held, false
-		switch q.turn = j.Turn; {
-		case j.Turn == fairshare.Behind && q.band > bandBehind:
-			q.band, q.size = bandBehind, float64(j.Rank)
-		case j.Turn == fairshare.Ahead && q.band > bandAhead:
-			q.band, q.size = bandAhead, float64(j.Rank)
+		q.held, q.begins = j.Protected, false
+		switch q.turn = j.Boost; {
+		case j.Boost == fairshare.BoostBelowUrgent && q.band > bandBehind:
+			q.band, q.size = bandBehind, float64(j.BoostRank)
+		case j.Boost == fairshare.BoostAboveUrgent && q.band > bandAhead:
+			q.band, q.size = bandAhead, float64(j.BoostRank)
 		}
 		if large[q] {
 			o.begin(q, j.Age)
@@ -216,10 +216,10 @@
 // long as a patience lasts, and after as long a pause again, so that a turn that can't be
 // taken for a reason nobody foresaw holds up the others for half of the time at most.
 func (o *orchestrator) keeps(q *queued, n int, p *plan) bool {
-	if q.turn == fairshare.None && !q.begins || float64(n)*q.j.rec.Spec.CPUs <= p.least+slack {
+	if q.turn == fairshare.NoBoost && !q.begins || float64(n)*q.j.rec.Spec.CPUs <= p.least+slack {
 		return false
 	}
-	patience := config.Seconds(o.c.floors.Patience)
+	patience := config.Seconds(o.c.floors.OverdueAfter)
 	if q.keptAt == 0 || o.c.now.Steady-q.keptAt > 2*patience {
 		q.keptAt = max(o.c.now.Steady, time.Nanosecond)
 	}
--- a/internal/dag/pipeline_test.go
+++ b/internal/dag/graph_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// story is a set of jobs with what they need, and how some of them ended.
-type story struct {
-	needs map[string][]string
-	done  map[string]float64
-	off   map[string]bool
+// scenario is a set of jobs with what they need, and how some of them ended.
+type scenario struct {
+	needs     map[string][]string
+	done      map[string]float64
+	cancelled map[string]bool
 }
 
-// read tells a graph all of it, in the order that luck gives, and returns who is ready and
+// replay tells a graph all of it, in the order that luck gives, and returns who is ready and
 // who is aborted.
-func (s *story) read(luck *rand.Rand) (ready map[string]float64, aborted map[string]bool, g *Graph) {
+func (s *scenario) replay(luck *rand.Rand) (ready map[string]float64, aborted map[string]bool, g *Graph) {
 	var order []string
 	for id := range s.needs {
 		order = append(order, id)
@@ -29,11 +29,11 @@
 	ready, aborted = map[string]float64{}, map[string]bool{}
 	read := map[string]bool{}
 	take := func() {
-		for _, v := range g.News() {
+		for _, v := range g.TakeEvents() {
 			if v.Aborted {
 				aborted[v.Job] = true
 			} else {
-				ready[v.Job] = v.Ready
+				ready[v.Job] = v.ReadyAt
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 			return Unknown, 0
 		case ok:
 			return Done, at
-		case s.off[id] || aborted[id]:
+		case s.cancelled[id] || aborted[id]:
 			return Aborted, 0
 		}
 		return Open, 0
@@ -52,12 +52,12 @@
 		read[id] = true
 		at, done := s.done[id]
 		switch {
-		case done || s.off[id]:
-			g.Over(id, done, at)
+		case done || s.cancelled[id]:
+			g.MarkFinished(id, done, at)
 		case len(s.needs[id]) > 0:
-			g.Put(id, s.needs[id], look)
+			g.AddJob(id, s.needs[id], look)
 		default:
-			g.Met(id)
+			g.MarkOpen(id)
 		}
 		if luck.IntN(2) == 0 {
 			take()
@@ -69,10 +69,10 @@
 
 // In whatever order records are read, the same jobs are ready and aborted: those whose
 // needs are all done, and those behind one that is cancelled.
-func TestOrderOfReadingMakesNoDifference(t *testing.T) {
+func TestResultIsIndependentOfReadOrder(t *testing.T) {
 	for seed := range uint64(400) {
 		luck := rand.New(rand.NewPCG(seed, 1))
-		s := story{needs: map[string][]string{}, done: map[string]float64{}, off: map[string]bool{}}
+		s := scenario{needs: map[string][]string{}, done: map[string]float64{}, cancelled: map[string]bool{}}
 		n := 1 + luck.IntN(40)
 		wantReady, wantAborted := map[string]float64{}, map[string]bool{}
 		for i := range n {
@@ -90,11 +90,11 @@
 				s.needs[id] = append(s.needs[id], name)
 				at, done := s.done[name]
 				ready, all = max(ready, at), all && done
-				off = off || s.off[name] || wantAborted[name]
+				off = off || s.cancelled[name] || wantAborted[name]
 			}
 			switch k := luck.IntN(6); {
 			case k == 0:
-				s.off[id] = true // by its user, wherever it stands
+				s.cancelled[id] = true // by its user, wherever it stands
 			case off:
 				wantAborted[id] = true
 			case all && k < 4:
@@ -103,7 +103,7 @@
 				wantReady[id] = ready
 			}
 		}
-		ready, aborted, g := s.read(luck)
+		ready, aborted, g := s.replay(luck)
 		if fmt.Sprint(ready) != fmt.Sprint(wantReady) || fmt.Sprint(aborted) != fmt.Sprint(wantAborted) {
 			t.Fatalf("seed %d: ready %v, not %v; aborted %v, not %v", seed, ready, wantReady, aborted, wantAborted)
 		}
@@ -111,23 +111,23 @@
 		for id := range s.needs {
 			_, done := s.done[id]
 			_, isReady := wantReady[id]
-			open := !done && !s.off[id] && !wantAborted[id] && !isReady && len(s.needs[id]) > 0
+			open := !done && !s.cancelled[id] && !wantAborted[id] && !isReady && len(s.needs[id]) > 0
 			if open {
 				waiting++
 			}
-			if g.Waits(id) != open {
+			if g.IsWaiting(id) != open {
 				t.Fatalf("seed %d: %s waits: %v", seed, id, !open)
 			}
 		}
-		if g.Waiting() != waiting {
-			t.Fatalf("seed %d: %d wait, not %d", seed, g.Waiting(), waiting)
+		if g.WaitingCount() != waiting {
+			t.Fatalf("seed %d: %d wait, not %d", seed, g.WaitingCount(), waiting)
 		}
 	}
 }
 
 // A chain of a hundred thousand, a fan and a lattice are settled in time in proportion to
 // their edges, and leave nothing behind.
-func TestLargePipelines(t *testing.T) {
+func TestLargeGraphsSettleInLinearTime(t *testing.T) {
 	open := func(string) (State, float64) { return Open, 0 }
 	const n = 100_000
 	id := func(i int) string { return fmt.Sprint("job-", i) }
@@ -139,20 +139,20 @@
 		for _, done := range []bool{false, true} {
 			g, begin := New(), time.Now()
 			for i := 1; i < n; i++ {
-				g.Put(id(i), slices.Compact(needs(i)), open)
+				g.AddJob(id(i), slices.Compact(needs(i)), open)
 			}
-			g.Weigh(func(string) Weight { return Weight{Urgency: 3, Latest: math.Inf(1), Takes: 1} })
+			g.UpdatePriorities(func(string) Priority { return Priority{Urgency: 3, LatestFinish: math.Inf(1), Duration: 1} })
 			over := 0
-			g.Over(id(0), done, 1)
-			for todo := g.News(); len(todo) > 0; todo = g.News() {
+			g.MarkFinished(id(0), done, 1)
+			for todo := g.TakeEvents(); len(todo) > 0; todo = g.TakeEvents() {
 				for _, v := range todo {
 					if over++; done {
-						g.Over(v.Job, true, 1)
+						g.MarkFinished(v.Job, true, 1)
 					}
 				}
 			}
-			if over != n-1 || len(g.nodes) != 0 || g.waiting != 0 {
-				t.Errorf("%s: %d of %d settled, %d left, %d wait", name, over, n-1, len(g.nodes), g.waiting)
+			if over != n-1 || len(g.nodes) != 0 || g.waitingCount != 0 {
+				t.Errorf("%s: %d of %d settled, %d left, %d wait", name, over, n-1, len(g.nodes), g.waitingCount)
 			}
 			if took := time.Since(begin); took > 10*time.Second {
 				t.Errorf("%s took %v", name, took)
@@ -162,35 +162,35 @@
 }
 
 // Urgency and deadlines reach back along the longest path.
-func TestWeights(t *testing.T) {
+func TestPrioritiesPropagateToDependencies(t *testing.T) {
 	g := New()
 	open := func(string) (State, float64) { return Open, 0 }
-	g.Put("b", []string{"a"}, open)
-	g.Put("c", []string{"a"}, open)
-	g.Put("d", []string{"b", "c"}, open)
-	g.Put("e", []string{"c"}, open)
-	own := map[string]Weight{
-		"a": {Urgency: 3, Latest: math.Inf(1), Takes: 10}, "b": {Urgency: 3, Latest: math.Inf(1), Takes: 5},
-		"c": {Urgency: 3, Latest: math.Inf(1), Takes: 20}, "d": {Urgency: 1, Latest: 100, Takes: 8},
-		"e": {Urgency: 0, Latest: 300, Takes: 1},
+	g.AddJob("b", []string{"a"}, open)
+	g.AddJob("c", []string{"a"}, open)
+	g.AddJob("d", []string{"b", "c"}, open)
+	g.AddJob("e", []string{"c"}, open)
+	own := map[string]Priority{
+		"a": {Urgency: 3, LatestFinish: math.Inf(1), Duration: 10}, "b": {Urgency: 3, LatestFinish: math.Inf(1), Duration: 5},
+		"c": {Urgency: 3, LatestFinish: math.Inf(1), Duration: 20}, "d": {Urgency: 1, LatestFinish: 100, Duration: 8},
+		"e": {Urgency: 0, LatestFinish: 300, Duration: 1},
 	}
-	g.Weigh(func(id string) Weight { return own[id] })
-	for id, want := range map[string]Weight{
-		"a": {Urgency: 0, Latest: 72, Takes: 10}, "b": {Urgency: 1, Latest: 92, Takes: 5},
-		"c": {Urgency: 0, Latest: 92, Takes: 20}, "d": {Urgency: 1, Latest: 100, Takes: 8},
-		"e": {Urgency: 0, Latest: 300, Takes: 1},
+	g.UpdatePriorities(func(id string) Priority { return own[id] })
+	for id, want := range map[string]Priority{
+		"a": {Urgency: 0, LatestFinish: 72, Duration: 10}, "b": {Urgency: 1, LatestFinish: 92, Duration: 5},
+		"c": {Urgency: 0, LatestFinish: 92, Duration: 20}, "d": {Urgency: 1, LatestFinish: 100, Duration: 8},
+		"e": {Urgency: 0, LatestFinish: 300, Duration: 1},
 	} {
-		if w, ok := g.Weight(id); !ok || w != want {
+		if w, ok := g.Priority(id); !ok || w != want {
 			t.Errorf("%s: %+v, not %+v", id, w, want)
 		}
 	}
-	names, more := g.For("d", 1)
+	names, more := g.UnmetDependencies("d", 1)
 	if len(names) != 1 || more != 1 {
 		t.Error(names, more)
 	}
-	g.Over("c", true, 50)
-	g.Over("b", true, 60)
-	if v := g.News(); len(v) != 2 || v[1] != (Verdict{Job: "d", Ready: 60}) {
+	g.MarkFinished("c", true, 50)
+	g.MarkFinished("b", true, 60)
+	if v := g.TakeEvents(); len(v) != 2 || v[1] != (Event{Job: "d", ReadyAt: 60}) {
 		t.Error(v)
 	}
 }
--- a/internal/degraded/log.go
+++ b/internal/degraded/log.go
@@ -3,13 +3,13 @@
 // logMost is how many cancellations a Log holds; a round needs those of the last moments.
 const logMost = 1024
 
-// Log remembers the cancellations that a controller may have told of since it was started:
+// CancellationLog remembers the cancellations that a controller may have told of since it was started:
 // those that its mirror has brought, and those of its own that the mirror has yet to bring.
 // The zero value is ready.
 //
 // Guards against a memory of answers alone: a user was told by a controller that had not
 // written the cancellation, or had got no answer to its write, and nobody listed it.
-type Log struct {
+type CancellationLog struct {
 	from    uint64 // all that are newer are there
 	entries []entry
 }
@@ -19,9 +19,9 @@
 	revision uint64
 }
 
-// Note adds a cancellation and the revision of its write. The same one may come twice, in
+// Record adds a cancellation and the revision of its write. The same one may come twice, in
 // any order with others.
-func (l *Log) Note(job string, revision uint64) {
+func (l *CancellationLog) Record(job string, revision uint64) {
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		if l.entries[i].job == job {
 			return
@@ -36,7 +36,7 @@
 
 // Since lists the cancellations that are newer than a revision; all of them, if the one
 // returned is no newer than that.
-func (l *Log) Since(revision uint64) (since uint64, jobs []string) {
+func (l *CancellationLog) Since(revision uint64) (since uint64, jobs []string) {
 	since = max(revision, l.from)
 	for _, e := range l.entries {
 		if e.revision > since {
--- a/internal/simulation/old.go
+++ b/internal/simulation/old.go
@@ -76,12 +76,12 @@
 func oldSays(m wire.PeerMessage) wire.PeerMessage {
 	if m.Word != nil {
 		w := *m.Word
-		w.Mirrored = false
+		w.IncludesMirror = false
 		m.Word = &w
 	}
 	if m.Ask != nil {
 		a := *m.Ask
-		a.Mirrored = false
+		a.VotesIncludeMirror = false
 		m.Ask = &a
 	}
 	return m
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -19,21 +19,21 @@
 	Returned []TaskTry      `json:"returned,omitempty"` // could not be placed
 	Dropped  []string       `json:"dropped,omitempty"`  // machines it no longer looks after
 	Unfit    bool           `json:"unfit,omitempty"`    // reaches no worker
-	Word     *degraded.Word `json:"word,omitempty"`     // alone in its message
+	Word     *degraded.Vote `json:"word,omitempty"`     // alone in its message
 	// Cancelled names jobs of which a user is told now that they are, so that nothing more of
 	// them is started before the mirrors say so. No rule rests on its arrival.
 	Cancelled []string `json:"cancelled,omitempty"`
 
-	Dispatch []TaskTry     `json:"dispatch,omitempty"`
-	Stop     []TaskStop    `json:"stop,omitempty"`
-	Release  []TaskTry     `json:"release,omitempty"` // start what is held
-	Drop     []TaskTry     `json:"drop,omitempty"`    // let go what is held
-	Drain    []string      `json:"drain,omitempty"`
-	Close    []string      `json:"close,omitempty"`  // machines that get no new tasks
-	Reopen   []string      `json:"reopen,omitempty"` // machines that get them again
-	Views    []JobView     `json:"views,omitempty"`
-	Resync   bool          `json:"resync,omitempty"` // the whole picture again, please
-	Ask      *degraded.Ask `json:"ask,omitempty"`    // alone in its message
+	Dispatch []TaskTry       `json:"dispatch,omitempty"`
+	Stop     []TaskStop      `json:"stop,omitempty"`
+	Release  []TaskTry       `json:"release,omitempty"` // start what is held
+	Drop     []TaskTry       `json:"drop,omitempty"`    // let go what is held
+	Drain    []string        `json:"drain,omitempty"`
+	Close    []string        `json:"close,omitempty"`  // machines that get no new tasks
+	Reopen   []string        `json:"reopen,omitempty"` // machines that get them again
+	Views    []JobView       `json:"views,omitempty"`
+	Resync   bool            `json:"resync,omitempty"` // the whole picture again, please
+	Ask      *degraded.Round `json:"ask,omitempty"`    // alone in its message
 }
 
 // pieceSize is how many machines and tasks one message tells of, at the most, but for
