--- /dev/null
+++ b/internal/vault/golden_test.go
@@ -0,0 +1,118 @@
+package vault
+
+import (
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+
+	"github.com/chalkhub/chalkhub/internal/store"
+	"github.com/chalkhub/chalkhub/internal/wire"
+)
+
+// goldenFolder holds a state file that commit 587869a made by the changes of goldenChanges,
+// and its records as text. The commit in production then (4eec271) has the same vault.
+const goldenFolder = "testdata/golden/587869a"
+
+// goldenChanges makes a file with keys, keys of a lease, a lease that ended, a deleted key,
+// and a change to each.
+func goldenChanges(t *testing.T, path string) {
+	t.Helper()
+	v, s, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	write := func(change func(b *store.Batch)) {
+		t.Helper()
+		b := s.Begin()
+		change(b)
+		s = b.Next()
+		if err := v.Write(b, s); err != nil {
+			t.Fatal(err)
+		}
+	}
+	put := func(key, value string, lease uint64) *store.Txn {
+		return &store.Txn{Then: []store.Op{{Put: key, Value: wire.Encode(value), Lease: lease}}}
+	}
+	write(func(b *store.Batch) {
+		b.Commit(put("c/plain", "first", 0))
+		b.Commit(put("c/gone", "soon", 0))
+	})
+	write(func(b *store.Batch) {
+		lives, ends := b.Grant(5000), b.Grant(6000)
+		b.Commit(put("c/held", "by a lease", lives))
+		b.Commit(put("c/ends", "with its lease", ends))
+	})
+	write(func(b *store.Batch) {
+		b.Commit(put("c/plain", "second", 0))
+		b.Commit(&store.Txn{Then: []store.Op{{Delete: "c/gone"}}})
+		b.End(2)
+	})
+	if err := v.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// recordsOf is every record of a file as text, a line each: bucket, key, bytes.
+func recordsOf(t *testing.T, path string) string {
+	t.Helper()
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := db.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	var b strings.Builder
+	err = db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(name []byte, bucket *bolt.Bucket) error {
+			return bucket.ForEach(func(key, value []byte) error {
+				_, err := fmt.Fprintf(&b, "%s %s %s\n", name, hex.EncodeToString(key), hex.EncodeToString(value))
+				return err
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b.String()
+}
+
+// TestGoldenStateFile pins the state file, and so the snapshots, which are copies of it: one
+// that an earlier version made is read, and the same changes make the same records.
+func TestGoldenStateFile(t *testing.T) {
+	golden := filepath.Join(goldenFolder, "state.db")
+	text, err := os.ReadFile(filepath.Join(goldenFolder, "records.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := recordsOf(t, golden); got != string(text) {
+		t.Fatalf("the golden file holds\n%snot\n%s", got, text)
+	}
+	path := filepath.Join(t.TempDir(), "state.db")
+	goldenChanges(t, path)
+	if got := recordsOf(t, path); got != string(text) {
+		t.Errorf("the file is written in another way\n was\n%s now\n%s", text, got)
+	}
+	old, err := Verify(golden)
+	if err != nil {
+		t.Fatalf("the golden file is not read: %v", err)
+	}
+	made, err := Verify(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want, got := dump(made), dump(old); got != want {
+		t.Errorf("the golden file is read as\n%q, not\n%q", got, want)
+	}
+	if name := SnapshotName(1234); name != "snapshot-0000000000001234.db" {
+		t.Errorf("a snapshot is named %s", name)
+	}
+}
