--- a/client/client.go
+++ b/client/client.go
@@ -14,7 +14,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Spans of the PROTOCOL, "POST /v2/runs" and "GET /v2/runs/{id}".
@@ -68,8 +68,8 @@
 
 // Kinds of job: an array's tasks run to completion, a service's until it is cancelled.
 const (
-	Array   Kind = wire.KindArray
-	Service Kind = wire.KindService
+	Array   Kind = protocol.KindArray
+	Service Kind = protocol.KindService
 )
 
 // Urgency of a job.
@@ -77,10 +77,10 @@
 
 // Urgencies, the most urgent first.
 const (
-	Production Urgency = wire.UrgencyProduction
-	High       Urgency = wire.UrgencyHigh
-	Normal     Urgency = wire.UrgencyNormal
-	Low        Urgency = wire.UrgencyLow
+	Production Urgency = protocol.UrgencyProduction
+	High       Urgency = protocol.UrgencyHigh
+	Normal     Urgency = protocol.UrgencyNormal
+	Low        Urgency = protocol.UrgencyLow
 )
 
 // Job is what a user asks for. Spans are how long a task runs, not the job.
@@ -117,8 +117,8 @@
 	Simulate time.Duration
 }
 
-func (j *Job) wire() wire.Job {
-	w := wire.Job{ID: j.ID, Class: j.Class, Team: j.Team, Kind: string(j.Kind), Urgency: string(j.Urgency), Tasks: j.Tasks,
+func (j *Job) wire() protocol.Job {
+	w := protocol.Job{ID: j.ID, Class: j.Class, Team: j.Team, Kind: string(j.Kind), Urgency: string(j.Urgency), Tasks: j.Tasks,
 		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Image: j.Image, ImageGB: j.ImageGB, Types: j.Types, Zone: j.Zone,
 		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, EstimateS: j.Estimate.Seconds(), CheckpointS: j.Checkpoint.Seconds(),
 		SaveS: j.Save.Seconds(), DeadlineS: j.Deadline.Seconds(), Needs: j.After}
@@ -128,13 +128,13 @@
 		}
 	}
 	or(&w.Class, "default")
-	or(&w.Kind, wire.KindArray)
-	or(&w.Urgency, wire.UrgencyNormal)
+	or(&w.Kind, protocol.KindArray)
+	or(&w.Urgency, protocol.UrgencyNormal)
 	or(&w.Image, "none")
 	if w.Tasks == 0 {
 		w.Tasks = 1
 	}
-	if w.Kind == wire.KindService {
+	if w.Kind == protocol.KindService {
 		w.EstimateS = 0
 	}
 	return w
@@ -160,7 +160,7 @@
 }
 
 // Final reports whether the job is over.
-func (s *Status) Final() bool { return s.State == wire.JobDone || s.State == wire.JobCancelled }
+func (s *Status) Final() bool { return s.State == protocol.JobDone || s.State == protocol.JobCancelled }
 
 // Client talks to a cluster. Its methods may be called from any goroutine.
 type Client struct {
@@ -193,8 +193,8 @@
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + host + path)
 	if body != nil {
-		req.Header.SetContentType(wire.ContentType)
-		req.SetBodyRaw(wire.Encode(body))
+		req.Header.SetContentType(protocol.ContentType)
+		req.SetBodyRaw(protocol.Encode(body))
 	}
 	if end, ok := ctx.Deadline(); ok {
 		wait = min(wait, time.Until(end))
@@ -220,8 +220,8 @@
 }
 
 func text(b []byte) string {
-	var e wire.ErrorAnswer
-	if wire.Decode(b, &e) != nil {
+	var e protocol.ErrorAnswer
+	if protocol.Decode(b, &e) != nil {
 		return ""
 	}
 	return e.Error
@@ -276,7 +276,7 @@
 	}
 	w := j.wire()
 	if c.depot != "" {
-		d := wire.Description{Job: w, Command: j.Command, Env: j.Env, Folder: j.Folder, RunS: j.Simulate.Seconds()}
+		d := protocol.Description{Job: w, Command: j.Command, Env: j.Env, Folder: j.Folder, RunS: j.Simulate.Seconds()}
 		if err := d.Check(); err != nil {
 			return nil, &Error{Kind: ErrMalformed, Text: err.Error()}
 		}
@@ -296,12 +296,12 @@
 }
 
 // submission has every field that the PROTOCOL wants, also those that are zero.
-func submission(w *wire.Job) map[string]any {
+func submission(w *protocol.Job) map[string]any {
 	var m map[string]any
-	if err := wire.Decode(wire.Encode(w), &m); err != nil {
+	if err := protocol.Decode(protocol.Encode(w), &m); err != nil {
 		panic(fmt.Sprintf("client: a job does not decode: %v", err))
 	}
-	for field, zero := range wire.JobDefaults() {
+	for field, zero := range protocol.JobDefaults() {
 		if _, ok := m[field]; !ok {
 			m[field] = zero
 		}
@@ -309,7 +309,7 @@
 	return m
 }
 
-func (c *Client) upload(ctx context.Context, d *wire.Description) error {
+func (c *Client) upload(ctx context.Context, d *protocol.Description) error {
 	end := time.Now().Add(c.give)
 	for {
 		s, b, _ := c.call(ctx, "PUT", c.depot, "/jobs/"+d.Job.ID, d, tryWait)
@@ -331,8 +331,8 @@
 }
 
 func status(b []byte) (*Status, error) {
-	var a wire.JobAnswer
-	if err := wire.Decode(b, &a); err != nil {
+	var a protocol.JobAnswer
+	if err := protocol.Decode(b, &a); err != nil {
 		return nil, &Error{Kind: ErrNotNow, Status: 200, Text: err.Error()}
 	}
 	return &Status{ID: a.ID, State: a.State, Done: a.Done, Running: a.Running, Reason: a.Reason}, nil
@@ -341,7 +341,7 @@
 // Query asks about a job, each controller at most twice. ErrNotNow means that none
 // knows at the moment.
 func (c *Client) Query(ctx context.Context, id string) (*Status, error) {
-	if !wire.ValidJobID(id) {
+	if !protocol.ValidJobID(id) {
 		return nil, &Error{Kind: ErrMalformed, Text: fmt.Sprintf("%q is not a job id", id)}
 	}
 	b, err := c.request(ctx, "GET", "/v2/runs/"+id, nil, pollWait, time.Duration(2*len(c.addrs))*(pollWait+c.gap), 200)
@@ -353,7 +353,7 @@
 
 // Abort cancels a job. The state may be done: then it was over already.
 func (c *Client) Abort(ctx context.Context, id string) (*Status, error) {
-	if !wire.ValidJobID(id) {
+	if !protocol.ValidJobID(id) {
 		return nil, &Error{Kind: ErrMalformed, Text: fmt.Sprintf("%q is not a job id", id)}
 	}
 	b, err := c.request(ctx, "POST", "/v2/runs/"+id+"/abort", nil, tryWait, c.give, 200)
@@ -400,8 +400,8 @@
 // there are others beyond skip.
 func (c *Client) Jobs(ctx context.Context, skip int) (jobs []Listed, more bool, err error) {
 	s, b, _ := c.call(ctx, "GET", c.depot, fmt.Sprintf("/jobs?Skip=%d", skip), nil, tryWait)
-	var l wire.Jobs
-	if s != 200 || wire.Decode(b, &l) != nil {
+	var l protocol.Jobs
+	if s != 200 || protocol.Decode(b, &l) != nil {
 		return nil, false, &Error{Kind: ErrNotNow, Status: s, Text: "the depot does not answer"}
 	}
 	for _, j := range l.Jobs {
@@ -420,8 +420,8 @@
 // Outputs lists a job's attempts that have output.
 func (c *Client) Outputs(ctx context.Context, id string) ([]Output, error) {
 	s, b, _ := c.call(ctx, "GET", c.depot, "/jobs/"+id+"/output", nil, tryWait)
-	var l wire.Outputs
-	if s != 200 || wire.Decode(b, &l) != nil {
+	var l protocol.Outputs
+	if s != 200 || protocol.Decode(b, &l) != nil {
 		return nil, &Error{Kind: ErrNotNow, Status: s, Text: "the depot does not answer"}
 	}
 	var out []Output
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // script is a controller that answers with one status after another, the last one for
@@ -47,9 +47,9 @@
 			ctx.Response.Header.Set("Retry-After", s.retry)
 		}
 		if status < 300 {
-			ctx.Response.SetBodyRaw(wire.Encode(wire.JobAnswer{ID: "job-1", State: wire.JobQueued, Reason: "waits"}))
+			ctx.Response.SetBodyRaw(protocol.Encode(protocol.JobAnswer{ID: "job-1", State: protocol.JobQueued, Reason: "waits"}))
 		} else {
-			ctx.Response.SetBodyRaw(wire.Encode(wire.ErrorAnswer{Error: "because"}))
+			ctx.Response.SetBodyRaw(protocol.Encode(protocol.ErrorAnswer{Error: "because"}))
 		}
 	}}
 	go srv.Serve(l)
@@ -81,13 +81,13 @@
 	c := clientOf(t, "127.0.0.1:1", down.serve(t), broken.serve(t), busy.serve(t), up.serve(t))
 	j := &Job{Team: "main", CPUs: 1, MemoryGB: 1, Estimate: time.Second, Command: []string{"true"}}
 	s, err := c.Submit(context.Background(), j)
-	if err != nil || s.State != wire.JobQueued || s.Reason != "waits" {
+	if err != nil || s.State != protocol.JobQueued || s.Reason != "waits" {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for _, x := range []*script{down, broken, busy, up} {
 		bodies, _ := x.seen()
-		w, err := wire.DecodeJob(bodies[0])
-		if err != nil || w.ID != j.ID || w.Tasks != 1 || w.Urgency != wire.UrgencyNormal {
+		w, err := protocol.DecodeJob(bodies[0])
+		if err != nil || w.ID != j.ID || w.Tasks != 1 || w.Urgency != protocol.UrgencyNormal {
 			t.Fatalf("%+v, %v", w, err)
 		}
 	}
@@ -130,7 +130,7 @@
 	seen := map[string]bool{}
 	for range 1000 {
 		id, err := NewID()
-		if err != nil || !wire.ValidJobID(id) || seen[id] {
+		if err != nil || !protocol.ValidJobID(id) || seen[id] {
 			t.Fatalf("%s, %v", id, err)
 		}
 		seen[id] = true
--- a/cmd/chalk/serve.go
+++ b/cmd/chalk/serve.go
@@ -24,8 +24,8 @@
 	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/local"
 	"github.com/chalkhub/chalkhub/internal/localcloud"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/shim"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 func read(path string, out any) error {
@@ -250,7 +250,7 @@
 	set.Agent = agent.Settings{Machine: f.Machine, Type: f.Type, Zone: f.Zone, Spot: f.Spot, CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB,
 		CacheGB: f.CacheGB, FetchGBps: f.FetchGBps, Workers: f.Workers}
 	for _, x := range f.Controllers {
-		set.Agent.Controllers = append(set.Agent.Controllers, wire.Redirect{ReportTo: x.Label})
+		set.Agent.Controllers = append(set.Agent.Controllers, protocol.Redirect{ReportTo: x.Label})
 		set.Addrs = append(set.Addrs, x.Serve)
 	}
 	var l net.Listener
@@ -303,7 +303,7 @@
 	if err != nil {
 		return err
 	}
-	start := func(m wire.Machine, t localcloud.Type, listener, alive *os.File) (*exec.Cmd, error) {
+	start := func(m protocol.Machine, t localcloud.Type, listener, alive *os.File) (*exec.Cmd, error) {
 		dir := filepath.Join(f.Folder, "machines", m.Name)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Spans that the PROTOCOL gives as they are.
@@ -24,7 +24,7 @@
 	Spot                      bool
 	CPUs, GPUs, MemoryGB      float64
 	CacheGB, FetchGBps        float64 // images; no rate: they are there at once
-	Controllers               []wire.Redirect
+	Controllers               []protocol.Redirect
 	Workers                   config.Workers
 }
 
@@ -39,22 +39,22 @@
 	// Asked is a direct command.
 	Asked struct {
 		ID int
-		Do wire.Do
+		Do protocol.Do
 	}
 	// Inspected asks for the report.
 	Inspected struct{ ID int }
 	// Answered is how a report ended; status 0: no answer came.
 	Answered struct {
 		Status   int
-		Answer   wire.ReportAnswer
-		Redirect wire.Redirect
+		Answer   protocol.ReportAnswer
+		Redirect protocol.Redirect
 	}
 	// Described is a job's description. Nobody uploaded it: Found is false. A depot
 	// that does not answer is asked again by whoever runs the agent.
 	Described struct {
 		Key
 		Found bool
-		What  wire.Description
+		What  protocol.Description
 		Done  bool // the task's result is kept already
 	}
 	// Fetched says that an attempt's image is there.
@@ -76,12 +76,12 @@
 	Reply struct {
 		ID     int
 		Status int
-		Report wire.Report
+		Report protocol.Report
 	}
 	// Send sends a report to a controller, by its number in the settings.
 	Send struct {
 		Controller int
-		Report     wire.Report
+		Report     protocol.Report
 	}
 	// Describe asks the depot for a job and the task's result.
 	Describe struct{ Key }
@@ -94,7 +94,7 @@
 	// Launch starts an attempt's command.
 	Launch struct {
 		Key
-		What wire.Description
+		What protocol.Description
 	}
 	// Term asks an attempt to save and end.
 	Term struct{ Key }
@@ -109,11 +109,11 @@
 	state    string
 	why      string
 	saved    bool
-	what     *wire.Description // nil: not described yet
-	launched bool              // a process may exist
-	killAt   time.Duration     // when saving has had its time, 0: never
-	told     bool              // it was told to stop
-	ending   bool              // Kill was sent
+	what     *protocol.Description // nil: not described yet
+	launched bool                  // a process may exist
+	killAt   time.Duration         // when saving has had its time, 0: never
+	told     bool                  // it was told to stop
+	ending   bool                  // Kill was sent
 }
 
 // Agent is one machine's agent. Handle and Tick are called by one goroutine.
@@ -224,7 +224,7 @@
 // agent says nothing: a report without tasks would be a lie.
 func (a *Agent) begin(now time.Duration) {
 	for _, t := range a.tasks {
-		if t.launched && t.state != wire.TaskExited {
+		if t.launched && t.state != protocol.TaskExited {
 			return
 		}
 	}
@@ -237,7 +237,7 @@
 }
 
 func (a *Agent) kill(t *task) {
-	if t.state == wire.TaskExited || t.ending {
+	if t.state == protocol.TaskExited || t.ending {
 		return
 	}
 	t.ending = true
@@ -245,21 +245,21 @@
 		a.emit(Kill{t.Key})
 		return
 	}
-	t.state, t.why = wire.TaskExited, wire.WhyStopped
+	t.state, t.why = protocol.TaskExited, protocol.WhyStopped
 }
 
-func (a *Agent) message(now time.Duration) wire.Report {
+func (a *Agent) message(now time.Duration) protocol.Report {
 	a.seq++
-	r := wire.Report{
+	r := protocol.Report{
 		Machine: a.set.Machine, Addr: a.set.Addr, Type: a.set.Type, Zone: a.set.Zone, Spot: a.set.Spot,
-		Session: a.session, Seq: a.seq, Token: a.token, Tasks: []wire.TaskReport{},
+		Session: a.session, Seq: a.seq, Token: a.token, Tasks: []protocol.TaskReport{},
 	}
 	if a.noticed {
 		left := max(a.notice-now, 0).Seconds()
 		r.NoticeS = &left
 	}
 	for _, t := range a.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.Task, Attempt: t.Attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.Task, Attempt: t.Attempt, State: t.state, Why: t.why, Saved: t.saved})
 	}
 	return r
 }
@@ -369,19 +369,19 @@
 	a.emit(Reply{ID: e.ID, Status: 200, Report: a.message(now)})
 }
 
-func (a *Agent) execute(now time.Duration, cmds []wire.Command) {
+func (a *Agent) execute(now time.Duration, cmds []protocol.Command) {
 	for _, c := range cmds {
 		switch c.Op {
-		case wire.OpStart:
+		case protocol.OpStart:
 			a.start(now, c)
-		case wire.OpStop:
-			if t := a.find(Key{c.Task, c.Attempt}); t != nil && t.state != wire.TaskExited {
+		case protocol.OpStop:
+			if t := a.find(Key{c.Task, c.Attempt}); t != nil && t.state != protocol.TaskExited {
 				a.stop(now, t, c.GraceS)
 				a.changed(now)
 			}
-		case wire.OpForget:
+		case protocol.OpForget:
 			for i, t := range a.tasks {
-				if t.Task == c.Task && t.Attempt == c.Attempt && t.state == wire.TaskExited {
+				if t.Task == c.Task && t.Attempt == c.Attempt && t.state == protocol.TaskExited {
 					a.tasks = append(a.tasks[:i], a.tasks[i+1:]...)
 					a.changed(now)
 					break
@@ -400,39 +400,39 @@
 	return nil
 }
 
-func (a *Agent) start(now time.Duration, c wire.Command) {
+func (a *Agent) start(now time.Duration, c protocol.Command) {
 	k := Key{c.Task, c.Attempt}
 	if a.find(k) != nil {
 		return
 	}
-	t := &task{Key: k, state: wire.TaskFetching}
-	refuse := func(why string) { t.state, t.why = wire.TaskExited, why }
-	if _, _, err := wire.ParseTask(c.Task); err != nil || c.Attempt == 0 {
-		refuse(wire.WhyUnknown)
+	t := &task{Key: k, state: protocol.TaskFetching}
+	refuse := func(why string) { t.state, t.why = protocol.TaskExited, why }
+	if _, _, err := protocol.ParseTask(c.Task); err != nil || c.Attempt == 0 {
+		refuse(protocol.WhyUnknown)
 	}
 	for _, x := range a.tasks {
-		if x.Task == c.Task && x.state != wire.TaskExited {
-			refuse(wire.WhyBusy)
+		if x.Task == c.Task && x.state != protocol.TaskExited {
+			refuse(protocol.WhyBusy)
 		}
 	}
 	a.tasks = append(a.tasks, t)
 	a.changed(now)
-	if t.state == wire.TaskFetching {
+	if t.state == protocol.TaskFetching {
 		a.emit(Describe{k})
 	}
 }
 
 // stop is the command "kill".
 func (a *Agent) stop(now time.Duration, t *task, graceS float64) {
-	if t.state == wire.TaskRunning && !t.told && t.what.Job.CheckpointS > 0 && graceS >= t.what.Job.SaveS {
+	if t.state == protocol.TaskRunning && !t.told && t.what.Job.CheckpointS > 0 && graceS >= t.what.Job.SaveS {
 		t.told = true
-		t.state = wire.TaskSaving
+		t.state = protocol.TaskSaving
 		t.killAt = now + max(config.Seconds(graceS), time.Millisecond)
 		a.emit(Term{t.Key})
 		return
 	}
 	// A repeated order to save, with time left to do it, is the same order.
-	if t.state == wire.TaskSaving && graceS > 0 {
+	if t.state == protocol.TaskSaving && graceS > 0 {
 		return
 	}
 	t.told, t.killAt = true, 0
@@ -441,18 +441,18 @@
 
 func (a *Agent) described(now time.Duration, e Described) {
 	t := a.find(e.Key)
-	if t == nil || t.state != wire.TaskFetching || t.what != nil {
+	if t == nil || t.state != protocol.TaskFetching || t.what != nil {
 		return
 	}
 	a.changed(now)
-	_, i, _ := wire.ParseTask(t.Task) // parsed at its start
+	_, i, _ := protocol.ParseTask(t.Task) // parsed at its start
 	j := &e.What.Job
-	if !e.Found || i >= j.Tasks || j.Kind == wire.KindGang {
-		t.state, t.why = wire.TaskExited, wire.WhyUnknown
+	if !e.Found || i >= j.Tasks || j.Kind == protocol.KindGang {
+		t.state, t.why = protocol.TaskExited, protocol.WhyUnknown
 		return
 	}
 	if !a.fits(j) {
-		t.state, t.why = wire.TaskExited, wire.WhyNoRoom
+		t.state, t.why = protocol.TaskExited, protocol.WhyNoRoom
 		return
 	}
 	t.what = &e.What
@@ -468,10 +468,10 @@
 
 // fits reports whether a job's task has room beside what is here. Tasks that are being
 // killed still take theirs.
-func (a *Agent) fits(j *wire.Job) bool {
+func (a *Agent) fits(j *protocol.Job) bool {
 	cpus, gpus, mem := a.set.CPUs, a.set.GPUs, a.set.MemoryGB
 	for _, t := range a.tasks {
-		if t.what != nil && t.state != wire.TaskExited {
+		if t.what != nil && t.state != protocol.TaskExited {
 			cpus -= t.what.Job.CPUs
 			gpus -= t.what.Job.GPUs
 			mem -= t.what.Job.MemoryGB
@@ -493,7 +493,7 @@
 
 func (a *Agent) fetched(now time.Duration, e Fetched) {
 	t := a.find(e.Key)
-	if t == nil || t.state != wire.TaskFetching || t.what == nil || t.ending {
+	if t == nil || t.state != protocol.TaskFetching || t.what == nil || t.ending {
 		return
 	}
 	if !a.cached(t.what.Job.Image) {
@@ -509,30 +509,30 @@
 	}
 	a.changed(now)
 	if len(t.what.Command) == 0 && t.what.RunS == 0 {
-		t.state, t.why = wire.TaskExited, wire.WhyDone
+		t.state, t.why = protocol.TaskExited, protocol.WhyDone
 		return
 	}
-	t.state, t.launched = wire.TaskRunning, true
+	t.state, t.launched = protocol.TaskRunning, true
 	a.emit(Launch{Key: t.Key, What: *t.what})
 }
 
 func (a *Agent) exited(now time.Duration, e Exited) {
 	t := a.find(e.Key)
-	if t == nil || t.state == wire.TaskExited {
+	if t == nil || t.state == protocol.TaskExited {
 		return
 	}
 	// A command that was told to save and ended by itself has saved; one that a signal
 	// ended has not. Exit code 0 before that word is done.
-	t.saved = t.told && t.state == wire.TaskSaving && e.Code >= 0 && !t.ending
+	t.saved = t.told && t.state == protocol.TaskSaving && e.Code >= 0 && !t.ending
 	t.killAt = 0
 	switch {
 	case t.told || t.ending:
-		t.why = wire.WhyStopped
+		t.why = protocol.WhyStopped
 	case e.Code == 0 && e.Error == "":
-		t.why = wire.WhyDone
+		t.why = protocol.WhyDone
 	default:
-		t.why = wire.WhyError
+		t.why = protocol.WhyError
 	}
-	t.state = wire.TaskExited
+	t.state = protocol.TaskExited
 	a.changed(now)
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // bench is an agent with a clock and a record of what runs.
@@ -38,7 +38,7 @@
 }) *bench {
 	b := &bench{t: t, running: map[Key]bool{}, killed: map[Key]bool{}, termed: map[Key]bool{}}
 	b.a = New(Settings{Machine: "n-1", Addr: "x", Type: "small", Zone: "a", CPUs: 4, MemoryGB: 8,
-		Controllers: []wire.Redirect{{ReportTo: "ctl-0"}, {ReportTo: "ctl-1"}}, Workers: config.Workers{ReportS: 1, LeaseS: 12, CancelS: 20}}, 1, 0, Memory{})
+		Controllers: []protocol.Redirect{{ReportTo: "ctl-0"}, {ReportTo: "ctl-1"}}, Workers: config.Workers{ReportS: 1, LeaseS: 12, CancelS: 20}}, 1, 0, Memory{})
 	b.run(b.a.Tick(0))
 	return b
 }
@@ -46,14 +46,14 @@
 // run notes effects and holds them against what must always be so.
 func (b *bench) run(effects []any) {
 	b.t.Helper()
-	heard := func(r *wire.Report) {
+	heard := func(r *protocol.Report) {
 		if r.Session < b.session || r.Seq <= b.seq {
 			b.t.Fatalf("report %d.%d after %d.%d", r.Session, r.Seq, b.session, b.seq)
 		}
 		b.session, b.seq = r.Session, r.Seq
 		on := map[Key]bool{}
 		for _, t := range r.Tasks {
-			if t.State != wire.TaskExited {
+			if t.State != protocol.TaskExited {
 				on[Key{t.Task, t.Attempt}] = true
 			}
 		}
@@ -118,7 +118,7 @@
 }
 
 // report waits for the next report.
-func (b *bench) report() *wire.Report {
+func (b *bench) report() *protocol.Report {
 	b.t.Helper()
 	for end := b.now + 10*time.Second; b.sent == nil; {
 		if b.now >= end {
@@ -130,21 +130,21 @@
 }
 
 // answer answers the report that is under way.
-func (b *bench) answer(token uint64, cmds ...wire.Command) {
+func (b *bench) answer(token uint64, cmds ...protocol.Command) {
 	b.t.Helper()
 	b.report()
 	b.sent = nil
-	b.tell(Answered{Status: 200, Answer: wire.ReportAnswer{Token: token, Commands: cmds}})
+	b.tell(Answered{Status: 200, Answer: protocol.ReportAnswer{Token: token, Commands: cmds}})
 }
 
-func start(task string, try uint64) wire.Command {
-	return wire.Command{Op: wire.OpStart, Task: task, Attempt: try}
+func start(task string, try uint64) protocol.Command {
+	return protocol.Command{Op: protocol.OpStart, Task: task, Attempt: try}
 }
 
 func (b *bench) describe(k Key, change func(*Described)) {
 	b.t.Helper()
 	d := Described{Key: k, Found: true}
-	d.What.Job = wire.Job{ID: "job-1", Tasks: 100, CPUs: 1, MemoryGB: 1, Image: "i"}
+	d.What.Job = protocol.Job{ID: "job-1", Tasks: 100, CPUs: 1, MemoryGB: 1, Image: "i"}
 	d.What.Command = []string{"true"}
 	if change != nil {
 		change(&d)
@@ -183,7 +183,7 @@
 	b.want(k, "ended done false")
 	b.answer(5, start(k.Task, 7)) // exited included
 	b.want(k, "ended done false")
-	b.answer(5, wire.Command{Op: wire.OpForget, Task: k.Task, Attempt: 7})
+	b.answer(5, protocol.Command{Op: protocol.OpForget, Task: k.Task, Attempt: 7})
 	b.want(k, "none")
 	b.answer(5, start(k.Task, 7)) // after clear it starts once more
 	b.describe(k, func(d *Described) { d.Done = true })
@@ -207,8 +207,8 @@
 func TestSavingHasItsTime(t *testing.T) {
 	b := newBench(t)
 	saves := func(d *Described) { d.What.Job.CheckpointS, d.What.Job.SaveS = 10, 2 }
-	kill := func(k Key, grace float64) wire.Command {
-		return wire.Command{Op: wire.OpStop, Task: k.Task, Attempt: k.Attempt, GraceS: grace}
+	kill := func(k Key, grace float64) protocol.Command {
+		return protocol.Command{Op: protocol.OpStop, Task: k.Task, Attempt: k.Attempt, GraceS: grace}
 	}
 	ks := []Key{{"job-1/0", 1}, {"job-1/1", 1}, {"job-1/2", 1}, {"job-1/3", 1}}
 	for _, k := range ks {
@@ -254,8 +254,8 @@
 	if b.lease != lease {
 		t.Fatal("the lease was renewed by what does not count")
 	}
-	b.tell(Asked{ID: 1, Do: wire.Do{Token: 8, Session: 1, Commands: []wire.Command{start("job-1/0", 1)}}})
-	b.tell(Asked{ID: 2, Do: wire.Do{Token: 11, Session: 2, Commands: []wire.Command{start("job-1/0", 1)}}})
+	b.tell(Asked{ID: 1, Do: protocol.Do{Token: 8, Session: 1, Commands: []protocol.Command{start("job-1/0", 1)}}})
+	b.tell(Asked{ID: 2, Do: protocol.Do{Token: 11, Session: 2, Commands: []protocol.Command{start("job-1/0", 1)}}})
 	if n := len(b.replies); b.replies[n-1].Status != 409 || b.replies[n-2].Status != 409 || b.replies[n-1].Report.Token != 11 {
 		t.Fatalf("%+v", b.replies[n-2:])
 	}
@@ -284,7 +284,7 @@
 	}
 	n := len(b.sentAt)
 	b.pass(3 * time.Second)
-	b.tell(Asked{ID: 9, Do: wire.Do{Token: 5, Session: 1, Commands: []wire.Command{start("job-1/9", 1)}}})
+	b.tell(Asked{ID: 9, Do: protocol.Do{Token: 5, Session: 1, Commands: []protocol.Command{start("job-1/9", 1)}}})
 	if len(b.sentAt) > n || b.replies[len(b.replies)-1].Status != 409 {
 		t.Fatal("it goes on although its last session is not over")
 	}
@@ -301,14 +301,14 @@
 	other := b.a.set.Controllers[1-first].ReportTo
 	b.sent = nil
 	at := b.now
-	b.tell(Answered{Status: 421, Redirect: wire.Redirect{ReportTo: other}})
+	b.tell(Answered{Status: 421, Redirect: protocol.Redirect{ReportTo: other}})
 	b.report()
 	if b.sent.Controller == first || b.now-at > pause+20*time.Millisecond {
 		t.Fatalf("it went to %d after %v", b.sent.Controller, b.now-at)
 	}
 	b.sent = nil
 	at = b.now
-	b.tell(Answered{Status: 421, Redirect: wire.Redirect{ReportTo: other}}) // its own name
+	b.tell(Answered{Status: 421, Redirect: protocol.Redirect{ReportTo: other}}) // its own name
 	b.report()
 	if b.sent.Controller != first || b.now-at < nextAfter {
 		t.Fatalf("it went to %d after %v", b.sent.Controller, b.now-at)
@@ -323,9 +323,9 @@
 		tasks := []string{"job-1/0", "job-1/1", "job-1/2"}
 		for range rapid.IntRange(5, 120).Draw(t, "steps") {
 			b.pass(time.Duration(rapid.SampledFrom([]int{1, 30, 400, 2500, 9000}).Draw(t, "ms")) * time.Millisecond)
-			var cmds []wire.Command
+			var cmds []protocol.Command
 			for range rapid.IntRange(0, 3).Draw(t, "commands") {
-				cmds = append(cmds, wire.Command{Op: rapid.SampledFrom([]string{wire.OpStart, wire.OpStart, wire.OpStop, wire.OpForget}).Draw(t, "op"),
+				cmds = append(cmds, protocol.Command{Op: rapid.SampledFrom([]string{protocol.OpStart, protocol.OpStart, protocol.OpStop, protocol.OpForget}).Draw(t, "op"),
 					Task: rapid.SampledFrom(tasks).Draw(t, "task"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt"), GraceS: rapid.Float64Range(0, 5).Draw(t, "grace")})
 			}
 			token := rapid.Uint64Range(1, 4).Draw(t, "token")
@@ -334,10 +334,10 @@
 				if b.sent != nil {
 					b.sent = nil
 					status := rapid.SampledFrom([]int{200, 200, 200, 421, 503, 0}).Draw(t, "status")
-					b.tell(Answered{Status: status, Answer: wire.ReportAnswer{Token: token, Commands: cmds}})
+					b.tell(Answered{Status: status, Answer: protocol.ReportAnswer{Token: token, Commands: cmds}})
 				}
 			case 2:
-				b.tell(Asked{ID: 1, Do: wire.Do{Token: token, Session: rapid.Uint64Range(1, 3).Draw(t, "session"), Commands: cmds}})
+				b.tell(Asked{ID: 1, Do: protocol.Do{Token: token, Session: rapid.Uint64Range(1, 3).Draw(t, "session"), Commands: cmds}})
 			case 3:
 				if len(b.asked) > 0 {
 					k := b.asked[0]
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Asker is the engine as the server sees it.
@@ -87,7 +87,7 @@
 		ErrorHandler:          broken,
 		Name:                  "chalkhub",
 		Concurrency:           conns,
-		MaxRequestBodySize:    wire.MaxBody,
+		MaxRequestBodySize:    protocol.MaxBody,
 		ReadBufferSize:        4096,
 		WriteBufferSize:       4096,
 		IdleTimeout:           2 * time.Minute,
@@ -116,17 +116,17 @@
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		why = "the body is over 64 KiB"
 	}
-	write(ctx, 400, wire.ErrorAnswer{Error: why}, 0)
+	write(ctx, 400, protocol.ErrorAnswer{Error: why}, 0)
 }
 
 func write(ctx *fasthttp.RequestCtx, status int, body any, retry time.Duration) {
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(status)
-	ctx.SetContentType(wire.ContentType)
+	ctx.SetContentType(protocol.ContentType)
 	if retry > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.Itoa(int(math.Ceil(retry.Seconds()))))
 	}
-	ctx.Response.SetBodyRaw(wire.Encode(body))
+	ctx.Response.SetBodyRaw(protocol.Encode(body))
 }
 
 const runsPath = "/v2/runs"
@@ -137,9 +137,9 @@
 	case path == "/v1/report" && ctx.IsPost():
 		s.report(ctx)
 	case path == runsPath && ctx.IsPost():
-		job, err := wire.DecodeJob(ctx.PostBody())
+		job, err := protocol.DecodeJob(ctx.PostBody())
 		if err != nil {
-			write(ctx, 400, wire.ErrorAnswer{Error: err.Error()}, 0)
+			write(ctx, 400, protocol.ErrorAnswer{Error: err.Error()}, 0)
 			return
 		}
 		s.ask(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
@@ -147,7 +147,7 @@
 		if s.engine.Ready() {
 			ctx.SetStatusCode(200)
 		} else {
-			write(ctx, 503, wire.ErrorAnswer{Error: "not ready"}, time.Second)
+			write(ctx, 503, protocol.ErrorAnswer{Error: "not ready"}, time.Second)
 		}
 	case strings.HasPrefix(path, runsPath+"/"):
 		ref, verb, _ := strings.Cut(path[len(runsPath)+1:], "/")
@@ -157,17 +157,17 @@
 		case verb == "abort" && ctx.IsPost():
 			s.ask(ctx, kindAbort, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: ref} })
 		default:
-			write(ctx, 404, wire.ErrorAnswer{Error: "no such page"}, 0)
+			write(ctx, 404, protocol.ErrorAnswer{Error: "no such page"}, 0)
 		}
 	default:
-		write(ctx, 404, wire.ErrorAnswer{Error: "no such page"}, 0)
+		write(ctx, 404, protocol.ErrorAnswer{Error: "no such page"}, 0)
 	}
 }
 
 func (s *Server) report(ctx *fasthttp.RequestCtx) {
-	var rep wire.Report
-	if err := wire.Decode(ctx.PostBody(), &rep); err != nil || rep.Machine == "" {
-		write(ctx, 400, wire.ErrorAnswer{Error: "malformed report"}, 0)
+	var rep protocol.Report
+	if err := protocol.Decode(ctx.PostBody(), &rep); err != nil || rep.Machine == "" {
+		write(ctx, 400, protocol.ErrorAnswer{Error: "malformed report"}, 0)
 		return
 	}
 	s.ask(ctx, kindReport, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} })
@@ -179,14 +179,14 @@
 func (s *Server) ask(ctx *fasthttp.RequestCtx, kind string, build func(core.RequestID) core.Command) {
 	g := s.gates[kind]
 	if !g.enter() {
-		write(ctx, 503, wire.ErrorAnswer{Error: "too many requests of this kind"}, time.Second)
+		write(ctx, 503, protocol.ErrorAnswer{Error: "too many requests of this kind"}, time.Second)
 		return
 	}
 	defer g.leave()
 	r, ok := s.engine.Ask(build, s.timeout)
 	if !ok {
 		g.refused.Add(1)
-		write(ctx, 503, wire.ErrorAnswer{Error: "busy"}, time.Second)
+		write(ctx, 503, protocol.ErrorAnswer{Error: "busy"}, time.Second)
 		return
 	}
 	write(ctx, int(r.Status), r.Body, r.RetryAfter)
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // scripted answers as the engine would.
@@ -52,11 +52,11 @@
 		switch c := c.(type) {
 		case core.QueryJob:
 			if c.JobID == "job-1" {
-				return core.Reply{Status: 200, Body: wire.JobAnswer{ID: "job-1", State: wire.JobDone}}, true
+				return core.Reply{Status: 200, Body: protocol.JobAnswer{ID: "job-1", State: protocol.JobDone}}, true
 			}
-			return core.Reply{Status: 503, Body: wire.ErrorAnswer{}, RetryAfter: time.Second}, true
+			return core.Reply{Status: 503, Body: protocol.ErrorAnswer{}, RetryAfter: time.Second}, true
 		case core.Heartbeat:
-			return core.Reply{Status: 421, Body: wire.Redirect{ReportTo: "b"}}, true
+			return core.Reply{Status: 421, Body: protocol.Redirect{ReportTo: "b"}}, true
 		}
 		return core.Reply{}, false
 	}}
@@ -73,7 +73,7 @@
 		{"POST", "/v2/runs/job-1/abort", nil, 503, "1"}, // the engine is busy
 		{"POST", "/v2/runs", []byte("{}"), 400, ""},
 		{"POST", "/v1/report", []byte{0xc1}, 400, ""},
-		{"POST", "/v1/report", wire.Encode(wire.Report{Machine: "n-1"}), 421, ""},
+		{"POST", "/v1/report", protocol.Encode(protocol.Report{Machine: "n-1"}), 421, ""},
 		{"GET", "/elsewhere", nil, 404, ""},
 	} {
 		if status, retry := do(t, c, x.method, x.path, x.body); status != x.status || retry != x.retry {
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(conn, "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", wire.MaxBody+1)
+	fmt.Fprintf(conn, "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", protocol.MaxBody+1)
 	var resp fasthttp.Response
 	if err := resp.Read(bufio.NewReader(conn)); err != nil || resp.StatusCode() != 400 {
 		t.Errorf("a body that is too long: %d, %v", resp.StatusCode(), err)
@@ -107,7 +107,7 @@
 			started <- struct{}{}
 			<-held
 		}
-		return core.Reply{Status: 200, Body: wire.ReportAnswer{}}, true
+		return core.Reply{Status: 200, Body: protocol.ReportAnswer{}}, true
 	}}
 	c := serve(t, e)
 	for range 25 { // a quarter of the connections that serve allows
@@ -124,7 +124,7 @@
 	if status, retry := do(t, c, "GET", "/v2/runs/job-2", nil); status != 503 || retry != "1" {
 		t.Errorf("a poll too many: %d, Retry-After %q", status, retry)
 	}
-	if status, _ := do(t, c, "POST", "/v1/report", wire.Encode(wire.Report{Machine: "n-1"})); status != 200 {
+	if status, _ := do(t, c, "POST", "/v1/report", protocol.Encode(protocol.Report{Machine: "n-1"})); status != 200 {
 		t.Errorf("a report: %d", status)
 	}
 	close(held)
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -9,8 +9,8 @@
 
 	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/engine"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/rpc"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // timeout bounds a call.
@@ -38,20 +38,20 @@
 	if e.After != "" {
 		q += "&Since=" + url.QueryEscape(e.After)
 	}
-	var l wire.MachineList
+	var l protocol.MachineList
 	status := c.rpc.Call("GET", c.addr, q, nil, &l, timeout, fasthttp.StatusOK)
 	return core.ListInstancesResult{Outcome: engine.CloudOutcome(status), Machines: l.Machines, More: l.More}
 }
 
 // Hire rents machines.
 func (c *Client) Hire(e core.CreateInstances) core.CreateInstancesResult {
-	var n wire.Names
+	var n protocol.Names
 	status := c.rpc.Call("POST", c.addr, "/machines", e.Request, &n, timeout, fasthttp.StatusOK)
 	return core.CreateInstancesResult{Request: e.Request.Request, Outcome: engine.CloudOutcome(status), Names: n.Machines}
 }
 
 // Delete returns machines.
 func (c *Client) Delete(e core.DeleteInstances) core.DeleteInstancesResult {
-	status := c.rpc.Call("POST", c.addr, "/machines/delete", wire.Names{Machines: e.Names}, nil, timeout)
+	status := c.rpc.Call("POST", c.addr, "/machines/delete", protocol.Names{Machines: e.Names}, nil, timeout)
 	return core.DeleteInstancesResult{Names: e.Names, Outcome: engine.CloudOutcome(status)}
 }
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -6,7 +6,8 @@
 	"strings"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // admissionBatches accepts many jobs with one write. A job of its own key costs a write when it is
@@ -34,7 +35,7 @@
 // submission is a job that waits to be accepted with others.
 type submission struct {
 	requestID         RequestID
-	record            wire.JobRecord
+	record            records.JobRecord
 	namesDependencies bool // its user named jobs that it needs
 	size              int  // of the record, as text
 }
@@ -123,8 +124,8 @@
 	l := x.core.mirror
 	x.writeCount++
 	key := fmt.Sprintf("%s%s-%d", batch[0].batchPrefix(), x.core.bootID, x.writeCount)
-	guards := []wire.Guard{{Key: key}}
-	var rec wire.LotRecord
+	guards := []protocol.Guard{{Key: key}}
+	var rec records.LotRecord
 	for i := range batch {
 		own := notAcceptedGuards(batch[i].record.Spec.ID, batch[i].namesDependencies)
 		if slices.Contains(guards, own[0]) {
@@ -133,7 +134,7 @@
 		guards = append(guards, own...)
 		rec.Jobs = append(rec.Jobs, batch[i].record)
 	}
-	l.commit(guards, []wire.Op{{Put: key, Value: rec}}, func(d CommitResult) {
+	l.commit(guards, []protocol.Op{{Put: key, Value: rec}}, func(d CommitResult) {
 		switch d.Outcome {
 		case Committed:
 			for i := range batch {
@@ -164,9 +165,9 @@
 }
 
 // applyBatch takes a lot into the mirror.
-func (x *admissionBatches) applyBatch(key string, value wire.Raw, version uint64) error {
-	var rec wire.LotRecord
-	if err := wire.Decode(value, &rec); err != nil {
+func (x *admissionBatches) applyBatch(key string, value protocol.Raw, version uint64) error {
+	var rec records.LotRecord
+	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
 	l, in := x.core.mirror, &admissionBatch{version: version}
@@ -203,8 +204,8 @@
 		}
 		c.scheduler.progressWriteTokens--
 		x.deleting = true
-		guards := []wire.Guard{c.membership.leaderGuard(), {Key: key, Version: in.version}}
-		c.mirror.commit(guards, []wire.Op{{Delete: key}}, func(d CommitResult) {
+		guards := []protocol.Guard{c.membership.leaderGuard(), {Key: key, Version: in.version}}
+		c.mirror.commit(guards, []protocol.Op{{Delete: key}}, func(d CommitResult) {
 			c.mirror.awaitOutcome(d.Outcome.Decided(), c.intervals.maintenance, func() { x.deleting = false })
 		})
 		return
--- a/internal/core/archive.go
+++ b/internal/core/archive.go
@@ -4,7 +4,8 @@
 	"math"
 
 	"github.com/chalkhub/chalkhub/internal/fairshare"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // jobArchive keeps what users may still ask of jobs that are over, some eighty bytes a
@@ -12,7 +13,7 @@
 // thousand of them on every controller.
 type jobArchive struct {
 	jobs        map[string]archivedJob
-	shapes      []wire.Job // what jobs of one kind share, without id and tasks
+	shapes      []protocol.Job // what jobs of one kind share, without id and tasks
 	shapeIndex  map[jobShape]uint32
 	reasons     []string
 	reasonIndex map[string]uint32
@@ -42,14 +43,14 @@
 }
 
 // add takes the record of a job that is over.
-func (a *jobArchive) add(rec *wire.JobRecord, version uint64) {
+func (a *jobArchive) add(rec *records.JobRecord, version uint64) {
 	s := &rec.Spec
 	k := jobShape{s.Class, s.Team, s.Kind, s.Urgency, s.CPUs, s.GPUs, s.MemoryGB}
 	n, ok := a.shapeIndex[k]
 	if !ok {
 		n = uint32(len(a.shapes))
 		a.shapeIndex[k] = n
-		a.shapes = append(a.shapes, wire.Job{Class: s.Class, Team: s.Team, Kind: s.Kind, Urgency: s.Urgency,
+		a.shapes = append(a.shapes, protocol.Job{Class: s.Class, Team: s.Team, Kind: s.Kind, Urgency: s.Urgency,
 			CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB})
 	}
 	w, ok := a.reasonIndex[rec.Bad]
@@ -58,11 +59,11 @@
 		a.reasonIndex[rec.Bad] = w
 		a.reasons = append(a.reasons, rec.Bad)
 	}
-	if was, known := a.jobs[s.ID]; rec.State == wire.JobDone && !(known && was.done) {
+	if was, known := a.jobs[s.ID]; rec.State == protocol.JobDone && !(known && was.done) {
 		a.served.RecordCompleted(fairshare.Account{Team: s.Team, Class: s.Class}, rec.At, &a.rules)
 	}
 	a.jobs[s.ID] = archivedJob{version: version, submittedAt: seconds32(rec.At), doneAt: seconds32(rec.Over), tasks: uint32(s.Tasks),
-		shape: n, reason: w, done: rec.State == wire.JobDone}
+		shape: n, reason: w, done: rec.State == protocol.JobDone}
 }
 
 func seconds32(x float64) uint32 { return uint32(min(max(x, 0), math.MaxUint32)) }
@@ -75,10 +76,10 @@
 		return nil
 	}
 	j := &jobEntry{version: e.version, recordVersion: e.version}
-	j.record = wire.JobRecord{Spec: a.shapes[e.shape], State: wire.JobCancelled, At: float64(e.submittedAt), Bad: a.reasons[e.reason]}
+	j.record = records.JobRecord{Spec: a.shapes[e.shape], State: protocol.JobCancelled, At: float64(e.submittedAt), Bad: a.reasons[e.reason]}
 	j.record.Spec.ID, j.record.Spec.Tasks = id, int(e.tasks)
 	if e.done {
-		j.record.State, j.doneCount = wire.JobDone, int(e.tasks)
+		j.record.State, j.doneCount = protocol.JobDone, int(e.tasks)
 	}
 	return j
 }
--- a/internal/core/capacity.go
+++ b/internal/core/capacity.go
@@ -4,7 +4,8 @@
 	"cmp"
 	"slices"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // roundingSlack absorbs rounding in sums of resources.
@@ -19,17 +20,17 @@
 	cachedImages         map[string]bool
 }
 
-func (r *freeCapacity) fits(j *wire.Job) bool {
+func (r *freeCapacity) fits(j *protocol.Job) bool {
 	return r.cpus+roundingSlack >= j.CPUs && r.gpus+roundingSlack >= j.GPUs && r.memoryGB+roundingSlack >= j.MemoryGB
 }
 
-func (r *freeCapacity) allocate(j *wire.Job) {
+func (r *freeCapacity) allocate(j *protocol.Job) {
 	r.cpus -= j.CPUs
 	r.gpus -= j.GPUs
 	r.memoryGB -= j.MemoryGB
 }
 
-func (r *freeCapacity) release(j *wire.Job) {
+func (r *freeCapacity) release(j *protocol.Job) {
 	r.cpus += j.CPUs
 	r.gpus += j.GPUs
 	r.memoryGB += j.MemoryGB
@@ -70,7 +71,7 @@
 }
 
 // allowsType reports whether a job may run on a machine type at all.
-func allowsType(j *wire.Job, typ string) bool {
+func allowsType(j *protocol.Job, typ string) bool {
 	if len(j.Types) == 0 {
 		return true
 	}
@@ -83,19 +84,19 @@
 }
 
 // fitsEmptyMachine reports whether an empty machine of the type has room for one task.
-func fitsEmptyMachine(t *wire.MachineType, j *wire.Job) bool {
+func fitsEmptyMachine(t *protocol.MachineType, j *protocol.Job) bool {
 	return t.CPUs+roundingSlack >= j.CPUs && t.GPUs+roundingSlack >= j.GPUs && t.MemoryGB+roundingSlack >= j.MemoryGB
 }
 
 // allowsMachine reports whether a job allows a type, zone and kind of machine.
-func allowsMachine(j *wire.Job, typ, zone string, spot bool) bool {
+func allowsMachine(j *protocol.Job, typ, zone string, spot bool) bool {
 	return allowsType(j, typ) && (j.Zone == "" || j.Zone == zone) && (!spot || j.Spot)
 }
 
 // taskMayRunOn reports whether task i of a job may be on such a machine. Guards
 // against wrong_place: type, zone and kind, and for a job tied to one zone or
 // spread over two, the zones written into its record before its first start.
-func taskMayRunOn(rec *wire.JobRecord, i int, typ, zone string, spot bool) bool {
+func taskMayRunOn(rec *records.JobRecord, i int, typ, zone string, spot bool) bool {
 	j := &rec.Spec
 	if !allowsMachine(j, typ, zone, spot) {
 		return false
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -10,7 +10,8 @@
 	"strings"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // chunkedRecords accepts jobs whose records are larger than a value: a user may name thousands of
@@ -30,7 +31,7 @@
 
 // chunkedWrite is a record on its way into the state service.
 type chunkedWrite struct {
-	record        wire.JobRecord // the whole
+	record        records.JobRecord // the whole
 	nonce         string
 	chunks        []string
 	sentChunks    int
@@ -46,7 +47,7 @@
 }
 
 // admit begins an attempt, one at a time, and has the user come again.
-func (x *chunkedRecords) admit(id RequestID, rec wire.JobRecord) {
+func (x *chunkedRecords) admit(id RequestID, rec records.JobRecord) {
 	l := x.core.mirror
 	if l.replyIfUpgrading(id, "descriptions of this size") {
 		return
@@ -54,7 +55,7 @@
 	if x.current == nil {
 		var packed bytes.Buffer
 		w, _ := flate.NewWriter(&packed, flate.BestCompression) // the level is one of its own
-		_, _ = w.Write(wire.Encode(rec))                        // a buffer takes all
+		_, _ = w.Write(protocol.Encode(rec))                    // a buffer takes all
 		_ = w.Close()
 		text := base64.RawStdEncoding.EncodeToString(packed.Bytes())
 		x.writeCount++
@@ -82,22 +83,22 @@
 		x.current = nil // in vain: another one was first, or it takes too long
 		return
 	}
-	guards := []wire.Guard{}
-	var ops []wire.Op
+	guards := []protocol.Guard{}
+	var ops []protocol.Op
 	last := a.sentChunks == len(a.chunks)
 	for ; a.sentChunks < len(a.chunks) && len(ops) < x.core.maxTxnOps(); a.sentChunks++ {
 		if len(ops) > 0 && l.batches.takeToken() > 0 {
 			break
 		}
 		key := chunkKey(spec.ID, a.nonce, a.sentChunks)
-		guards = append(guards, wire.Guard{Key: key})
-		ops = append(ops, wire.Op{Put: key, Value: wire.PieceRecord{Text: a.chunks[a.sentChunks]}})
+		guards = append(guards, protocol.Guard{Key: key})
+		ops = append(ops, protocol.Op{Put: key, Value: records.PieceRecord{Text: a.chunks[a.sentChunks]}})
 	}
 	if last {
 		// As long as the first piece is there none has been swept: it goes first.
-		guards = append(notAcceptedGuards(spec.ID, true), wire.Guard{Key: chunkKey(spec.ID, a.nonce, 0), Version: a.firstRevision})
-		short := wire.JobRecord{Spec: wire.Job{ID: spec.ID}, State: a.record.State, At: a.record.At, Pieces: len(a.chunks), Nonce: a.nonce}
-		ops = []wire.Op{{Put: keyDependentJob + spec.ID, Value: short}}
+		guards = append(notAcceptedGuards(spec.ID, true), protocol.Guard{Key: chunkKey(spec.ID, a.nonce, 0), Version: a.firstRevision})
+		short := records.JobRecord{Spec: protocol.Job{ID: spec.ID}, State: a.record.State, At: a.record.At, Pieces: len(a.chunks), Nonce: a.nonce}
+		ops = []protocol.Op{{Put: keyDependentJob + spec.ID, Value: short}}
 	}
 	l.commit(guards, ops, func(d CommitResult) {
 		switch {
@@ -128,9 +129,9 @@
 }
 
 // applyChunk and dropPiece follow the pieces in the mirror.
-func (l *storeMirror) applyChunk(key string, value wire.Raw) error {
-	var rec wire.PieceRecord
-	if err := wire.Decode(value, &rec); err != nil {
+func (l *storeMirror) applyChunk(key string, value protocol.Raw) error {
+	var rec records.PieceRecord
+	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
 	id, _, _ := strings.Cut(key[len(keyChunk):], "/")
@@ -150,7 +151,7 @@
 
 // assembleRecord makes a job's record whole. Its pieces are read before its own key, since they were
 // written before it and their keys come first.
-func (l *storeMirror) assembleRecord(rec *wire.JobRecord) error {
+func (l *storeMirror) assembleRecord(rec *records.JobRecord) error {
 	id := rec.Spec.ID
 	var text strings.Builder
 	for n := range rec.Pieces {
@@ -167,12 +168,12 @@
 	if err != nil {
 		return err
 	}
-	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), 4*wire.MaxBody))
+	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), 4*protocol.MaxBody))
 	if err != nil {
 		return err
 	}
-	var whole wire.JobRecord
-	if err := wire.Decode(b, &whole); err != nil {
+	var whole records.JobRecord
+	if err := protocol.Decode(b, &whole); err != nil {
 		return err
 	}
 	whole.State, whole.At, whole.Zones = rec.State, rec.At, rec.Zones
@@ -181,9 +182,9 @@
 }
 
 // applyZones takes the zones of a job whose record could not be written again.
-func (l *storeMirror) applyZones(key string, value wire.Raw) error {
-	var rec wire.JobRecord
-	if err := wire.Decode(value, &rec); err != nil {
+func (l *storeMirror) applyZones(key string, value protocol.Raw) error {
+	var rec records.JobRecord
+	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
 	if j := l.ownKey(key[len(keyJobZones):], key); j != nil {
@@ -223,7 +224,7 @@
 			x.deleting = true
 			delete(x.orphanedSince, key)
 			guards := append(notAcceptedGuards(id, true), c.membership.leaderGuard(), l.guard(key))
-			l.commit(guards, []wire.Op{{Delete: key}}, func(d CommitResult) {
+			l.commit(guards, []protocol.Op{{Delete: key}}, func(d CommitResult) {
 				l.awaitOutcome(d.Outcome.Decided(), c.intervals.maintenance, func() { x.deleting = false })
 			})
 			return
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Command is something that happened: a request, an answer, a tick. The set is closed: only
@@ -18,7 +19,7 @@
 	// SubmitJob asks to accept a job.
 	SubmitJob struct {
 		ID   RequestID
-		Spec wire.Job
+		Spec protocol.Job
 	}
 	// QueryJob asks for a job's state.
 	QueryJob struct {
@@ -33,7 +34,7 @@
 	// Heartbeat is a worker's report.
 	Heartbeat struct {
 		ID     RequestID
-		Report wire.Report
+		Report protocol.Report
 	}
 	// GetStatus asks for the operators' picture.
 	GetStatus struct {
@@ -49,13 +50,13 @@
 	CommitResult struct {
 		ID      uint64
 		Outcome CommitOutcome
-		Answer  wire.TxnAnswer
+		Answer  protocol.TxnAnswer
 	}
 	// LoadResult answers Load.
 	LoadResult struct {
 		OK       bool
 		SentAt   time.Duration
-		Items    []wire.Item
+		Items    []protocol.Item
 		More     bool
 		Revision uint64
 	}
@@ -64,7 +65,7 @@
 		Barrier bool
 		SentAt  time.Duration
 		Outcome WatchOutcome
-		Answer  wire.Events
+		Answer  protocol.Events
 	}
 	// LeaseResult answers Lease.
 	LeaseResult struct {
@@ -77,7 +78,7 @@
 		Machine string
 		CallID  uint64
 		Outcome DirectOutcome
-		Report  wire.Report
+		Report  protocol.Report
 	}
 	// ProbeResult answers Inspect.
 	ProbeResult struct {
@@ -87,12 +88,12 @@
 	// MachineTypesResult answers Types.
 	MachineTypesResult struct {
 		Outcome CloudOutcome
-		Answer  wire.MachineTypes
+		Answer  protocol.MachineTypes
 	}
 	// ListInstancesResult answers List with a page.
 	ListInstancesResult struct {
 		Outcome  CloudOutcome
-		Machines []wire.Machine
+		Machines []protocol.Machine
 		More     bool
 	}
 	// CreateInstancesResult answers Hire.
@@ -120,7 +121,7 @@
 	// PeerReceived is a message that came over a link.
 	PeerReceived struct {
 		Session uint64
-		Message wire.PeerMessage
+		Message peerproto.PeerMessage
 	}
 )
 
--- a/internal/core/compound_faults_test.go
+++ b/internal/core/compound_faults_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/simulation"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // Stories of the meetings that the users named first; docs/meetings.md says what each goes
@@ -80,7 +80,7 @@
 		s := startScenario(t, seed, controllers, nil)
 		s.addMachines(8)
 		s.Users.CloseLooks, s.Users.AtEnd = true, 0.3
-		kinds := []wire.Job{simulation.Array(1), simulation.Array(3), simulation.Array(40), simulation.Array(2), simulation.Array(1)}
+		kinds := []protocol.Job{simulation.Array(1), simulation.Array(3), simulation.Array(40), simulation.Array(2), simulation.Array(1)}
 		kinds[3].Types = []string{"box", "barn"}
 		kinds[4] = withManyTypes(kinds[4]) // its description goes into pieces
 		var last *simulation.Job
@@ -193,7 +193,7 @@
 }
 
 // withManyTypes makes a job's description larger than a value.
-func withManyTypes(spec wire.Job) wire.Job {
+func withManyTypes(spec protocol.Job) protocol.Job {
 	for n := range 2500 {
 		spec.Types = append(spec.Types, fmt.Sprintf("type-%06d", n))
 	}
@@ -339,7 +339,7 @@
 					}
 					s.eventually(s.cancelSpan()+20*second, "all are cancelled", func() bool {
 						s.State.Refuses = map[string]bool{}
-						return toldState(wire.JobCancelled, jobs...)()
+						return toldState(protocol.JobCancelled, jobs...)()
 					})
 					s.Run(s.Now + s.cancelSpan() + second)
 					s.requireInvariants()
@@ -507,7 +507,7 @@
 			}
 		}
 		s.eventually(20*second, "cancellations are confirmed", func() bool {
-			return !slices.ContainsFunc(gone, func(j *simulation.Job) bool { return j.Told != wire.JobCancelled && j.Told != wire.JobDone })
+			return !slices.ContainsFunc(gone, func(j *simulation.Job) bool { return j.Told != protocol.JobCancelled && j.Told != protocol.JobDone })
 		})
 		s.recoverAndFinish(120 * second)
 		if s.State.Refused > 1000 { // thousands, if each submission has a write of its own
@@ -569,8 +569,8 @@
 			s.Users.Look(j)
 			s.Users.Abort(j)
 			s.Users.Resubmit(j)
-			s.eventually(3*second, "it is over", func() bool { return toldState(wire.JobDone, j)() || toldState(wire.JobCancelled, j)() })
-			if j.Told == wire.JobDone {
+			s.eventually(3*second, "it is over", func() bool { return toldState(protocol.JobDone, j)() || toldState(protocol.JobCancelled, j)() })
+			if j.Told == protocol.JobDone {
 				done++
 			} else {
 				gone++
@@ -606,7 +606,7 @@
 			s.Users.Abort(gone)
 			s.Run(s.Now + s.cancelSpan() + 20*second)
 			s.recoverAndFinish(300 * second)
-			if red.Told != wire.JobDone {
+			if red.Told != protocol.JobDone {
 				t.Fatalf("the other job is %s", red.Told)
 			}
 		})
@@ -634,7 +634,7 @@
 				case 2:
 					spec.Spread = true
 				case 3:
-					spec.OneZone, spec.Kind = true, wire.KindGang
+					spec.OneZone, spec.Kind = true, protocol.KindGang
 				}
 				jobs = append(jobs, s.Users.Submit(spec, 25))
 			}
@@ -653,7 +653,7 @@
 			}
 			s.Run(s.Now + 45*second)
 			s.recoverAndFinish(400 * second)
-			if !toldState(wire.JobDone, jobs...)() {
+			if !toldState(protocol.JobDone, jobs...)() {
 				t.Fatal("not all are done")
 			}
 		})
@@ -700,9 +700,9 @@
 		var urgent, idle []*simulation.Job
 		for k := range 16 {
 			spec := simulation.Array(12)
-			spec.Class, spec.Urgency = "reports", wire.UrgencyLow
+			spec.Class, spec.Urgency = "reports", protocol.UrgencyLow
 			if k%2 == 0 {
-				spec.Class, spec.Urgency = "alerts", wire.UrgencyHigh
+				spec.Class, spec.Urgency = "alerts", protocol.UrgencyHigh
 			}
 			j := s.Users.Submit(spec, 8)
 			if k%2 == 0 {
@@ -718,7 +718,7 @@
 			}
 			s.Run(s.Now + 3*second)
 		}
-		s.eventually(32*second, "urgent work is done", toldState(wire.JobDone, urgent...))
+		s.eventually(32*second, "urgent work is done", toldState(protocol.JobDone, urgent...))
 		s.Mend("node-0", "workers")
 		s.PeerLatency = 0
 		for _, n := range s.Nodes {
@@ -734,7 +734,7 @@
 	acrossSeeds(t, 4300, 4, func(t *testing.T, k, controllers int, seed uint64) {
 		s, gone := startFull(t, seed, controllers)
 		s.Users.Abort(gone)
-		s.Until(s.Now+2*second, toldState(wire.JobCancelled, gone))
+		s.Until(s.Now+2*second, toldState(protocol.JobCancelled, gone))
 		away := time.Duration(8+6*k) * second // up to well over the lease
 		for i, n := range s.Nodes {
 			n.Crash(away + time.Duration(i)*second*time.Duration(k%2*3))
@@ -789,12 +789,12 @@
 // leader: a spread job's half in a third zone, or in the other's once that is done; a job of
 // one zone once none of its tasks can be anywhere.
 func TestTasksMoveToZoneWithCapacity(t *testing.T) {
-	for name, change := range map[string]func(*wire.Job){
-		"spread":            func(x *wire.Job) { x.Spread = true },
-		"spread service":    func(x *wire.Job) { x.Spread, x.Kind, x.EstimateS = true, wire.KindService, 0 },
-		"one zone":          func(x *wire.Job) { x.OneZone = true },
-		"gang of one zone":  func(x *wire.Job) { x.OneZone, x.Kind = true, wire.KindGang },
-		"spread, two zones": func(x *wire.Job) { x.Spread, x.Types = true, []string{"cask"} },
+	for name, change := range map[string]func(*protocol.Job){
+		"spread":            func(x *protocol.Job) { x.Spread = true },
+		"spread service":    func(x *protocol.Job) { x.Spread, x.Kind, x.EstimateS = true, protocol.KindService, 0 },
+		"one zone":          func(x *protocol.Job) { x.OneZone = true },
+		"gang of one zone":  func(x *protocol.Job) { x.OneZone, x.Kind = true, protocol.KindGang },
+		"spread, two zones": func(x *protocol.Job) { x.Spread, x.Types = true, []string{"cask"} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			acrossSeeds(t, 4500, 6, func(t *testing.T, k, controllers int, seed uint64) {
@@ -836,7 +836,7 @@
 					return j.Running()+s.Users.Done(j) == 7
 				})
 				s.Users.Calm = s.Now
-				if spec.Kind == wire.KindService {
+				if spec.Kind == protocol.KindService {
 					s.Run(s.Now + 60*second)
 					s.Users.Abort(j)
 				}
@@ -906,16 +906,16 @@
 		}
 		s.Run(s.Now + 4*second)
 		urgent := simulation.Array(12)
-		urgent.Class, urgent.Urgency, urgent.OneZone, urgent.CPUs = "alerts", wire.UrgencyHigh, true, 4
+		urgent.Class, urgent.Urgency, urgent.OneZone, urgent.CPUs = "alerts", protocol.UrgencyHigh, true, 4
 		first := s.Users.Submit(urgent, 40)
 		s.eventually(30*second, "it has its zone", func() bool { return first.Running() == 2 })
 		var small []*simulation.Job
 		for range 8 {
 			spec := simulation.Array(1)
-			spec.Urgency = wire.UrgencyLow
+			spec.Urgency = protocol.UrgencyLow
 			small = append(small, s.Users.Submit(spec, 6))
 		}
-		s.eventually(40*second, "the other zone serves the rest", toldState(wire.JobDone, small...))
+		s.eventually(40*second, "the other zone serves the rest", toldState(protocol.JobDone, small...))
 		if s.logged("stopping tasks") {
 			t.Fatalf("tasks were stopped in vain\n%s", s.lastLogs(*logLines))
 		}
@@ -976,10 +976,10 @@
 		s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 		s.addMachines(2)
 		bad := simulation.Array(8)
-		bad.Urgency = wire.UrgencyHigh
+		bad.Urgency = protocol.UrgencyHigh
 		s.Users.Submit(bad, 5).Mistaken = true
 		s.Run(s.Now + 6*second)
 		j := s.Users.Submit(simulation.Array(4), 5)
-		s.eventually(25*second, "the other job is done", toldState(wire.JobDone, j))
+		s.eventually(25*second, "the other job is done", toldState(protocol.JobDone, j))
 	}
 }
--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -1,7 +1,8 @@
 package core
 
 import (
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // A machine is closing while there is clearly more than the work needs and it is
@@ -52,7 +53,7 @@
 		room -= v.used.cpus
 		for _, name := range sortedKeys(v.attempts) {
 			if t := v.attempts[name]; !t.stopRequested {
-				c.scheduler.requestStop(p, t, wire.TaskStop{Task: name, Machine: h.name, Why: "tasks moved off a machine that is no longer needed"}, lowestUrgency)
+				c.scheduler.requestStop(p, t, peerproto.TaskStop{Task: name, Machine: h.name, Why: "tasks moved off a machine that is no longer needed"}, lowestUrgency)
 			}
 		}
 	}
@@ -62,7 +63,7 @@
 func canEvictAll(v *machineView) bool {
 	for _, t := range v.attempts {
 		s := &t.job.entry.record.Spec
-		if s.Kind != wire.KindArray || s.CheckpointS <= 0 || t.taskState != wire.TaskRunning && !t.stopRequested {
+		if s.Kind != protocol.KindArray || s.CheckpointS <= 0 || t.taskState != protocol.TaskRunning && !t.stopRequested {
 			return false
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,7 +13,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Instant is a moment: the steady clock measures spans, the time of day only dates.
@@ -296,4 +296,4 @@
 	return nil
 }
 
-func (c *Core) machineTypes() map[string]*wire.MachineType { return c.mirror.machineTypes }
+func (c *Core) machineTypes() map[string]*protocol.MachineType { return c.mirror.machineTypes }
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/degraded"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
 // degradedMode keeps the workers' leases alive through an outage of the state service that all
@@ -85,7 +85,7 @@
 		return
 	}
 	for _, label := range others {
-		c.emit(SendToPeer{Session: c.scheduler.shards[label].session, Message: wire.PeerMessage{Epoch: u.epoch, Ask: &ask}})
+		c.emit(SendToPeer{Session: c.scheduler.shards[label].session, Message: peerproto.PeerMessage{Epoch: u.epoch, Ask: &ask}})
 	}
 	u.handleVote(c.settings.Label, u.vote(&ask))
 }
@@ -99,7 +99,7 @@
 	w := u.vote(a)
 	u.member.HandleRound(c.now.Monotonic, c.intervals.maxStaleness, *a)
 	u.cancelJobs(a.Cancelled)
-	c.emit(SendToPeer{Session: c.shard.leaderLink, Message: wire.PeerMessage{Epoch: epoch, Word: &w}})
+	c.emit(SendToPeer{Session: c.shard.leaderLink, Message: peerproto.PeerMessage{Epoch: epoch, Word: &w}})
 }
 
 // vote is what this node says in a round.
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // capacityDemand is how many CPUs the unfinished work should have. soon is for work to be
@@ -37,7 +37,7 @@
 		cpus := (waiting + flying) * s.CPUs
 		d.inUse += flying * s.CPUs
 		work := (waiting*pred + flying*pred/2) * s.CPUs
-		if s.Kind == wire.KindArray {
+		if s.Kind == protocol.KindArray {
 			if c.scheduler.isCrashLooping(q) {
 				waiting = min(waiting, 1)
 				work = waiting * pred * s.CPUs
@@ -52,7 +52,7 @@
 		if !s.Spot {
 			d.totalOnDemand += cpus
 		}
-		if s.Kind != wire.KindArray {
+		if s.Kind != protocol.KindArray {
 			d.onTime += cpus // replicas run for ever: their room is never free
 			if !s.Spot {
 				firm += cpus
@@ -118,7 +118,7 @@
 func (f *fleet) restoreInflow() {
 	span := 8 * f.core.intervals.workerLease.Seconds()
 	f.guaranteedInflow = 0
-	count := func(s *wire.Job, at float64) {
+	count := func(s *protocol.Job, at float64) {
 		if !f.core.bestEffortTeams[s.Team] {
 			f.guaranteedInflow += float64(s.Tasks) * s.CPUs * f.core.estimator.predict(s) / span * math.Exp(-max(f.core.now.Wall-at, 0)/span)
 		}
@@ -161,7 +161,7 @@
 
 // minUsefulSeconds is the shortest time in which queued work is worth a cheap machine:
 // its boot is paid as well.
-func (f *fleet) minUsefulSeconds(s *wire.Job) float64 {
+func (f *fleet) minUsefulSeconds(s *protocol.Job) float64 {
 	boot := math.Inf(1)
 	for _, t := range f.core.machineTypes() {
 		if allowsType(s, t.Name) && fitsEmptyMachine(t, s) {
@@ -217,7 +217,7 @@
 }
 
 // hasObjective reports whether the users have set an aim for a job's class.
-func (f *fleet) hasObjective(s *wire.Job) bool {
+func (f *fleet) hasObjective(s *protocol.Job) bool {
 	return slices.ContainsFunc(f.core.settings.Site.Objectives, func(a config.Objective) bool { return a.Class == s.Class })
 }
 
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -7,7 +7,8 @@
 	"strings"
 
 	"github.com/chalkhub/chalkhub/internal/dag"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // Jobs that need others: how they are accepted, and what the graph of package pipeline
@@ -15,7 +16,7 @@
 
 // submitDependent accepts a job that names others. looked: the mirror holds all that was
 // accepted before the request came.
-func (l *storeMirror) submitDependent(id RequestID, rec wire.JobRecord, looked bool) {
+func (l *storeMirror) submitDependent(id RequestID, rec records.JobRecord, looked bool) {
 	if l.replyIfUpgrading(id, "jobs that need others") {
 		return
 	}
@@ -37,20 +38,20 @@
 			})
 			return
 		case j == nil:
-			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: wire.ErrorAnswer{Error: "it needs " + name + ", which was never accepted: submit that one first"}})
+			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorAnswer{Error: "it needs " + name + ", which was never accepted: submit that one first"}})
 			return
-		case j.record.Spec.Kind == wire.KindService:
-			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: wire.ErrorAnswer{Error: "it needs " + name + ", which is a service and is never done"}})
+		case j.record.Spec.Kind == protocol.KindService:
+			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorAnswer{Error: "it needs " + name + ", which is a service and is never done"}})
 			return
-		case j.record.State == wire.JobCancelled:
+		case j.record.State == protocol.JobCancelled:
 			cancelled = name
-		case j.record.State != wire.JobDone:
+		case j.record.State != protocol.JobDone:
 			open = append(open, name)
 		}
 	}
 	rec.Spec.Needs = open // what is done stays done
 	if cancelled != "" {
-		rec = finalRecord(&jobEntry{record: rec}, wire.JobCancelled, dependencyCancelled(cancelled))
+		rec = finalRecord(&jobEntry{record: rec}, protocol.JobCancelled, dependencyCancelled(cancelled))
 	}
 	l.admit(id, rec, true)
 }
@@ -71,7 +72,7 @@
 // olderController is a live controller that says that its version is older, empty: there is none.
 func (l *storeMirror) olderController() string {
 	for _, label := range sortedKeys(l.nodes) {
-		if l.nodes[label].Level < wire.Level {
+		if l.nodes[label].Level < records.Level {
 			return label
 		}
 	}
@@ -138,7 +139,7 @@
 		}
 		// It never had a task, so there is nothing to stop, and its own record need not
 		// say so: whoever reads that of the cause comes to this again.
-		j.record = finalRecord(j, wire.JobCancelled, dependencyCancelled(v.Cause))
+		j.record = finalRecord(j, protocol.JobCancelled, dependencyCancelled(v.Cause))
 		l.core.scheduler.jobChanged(j)
 		l.derivedAborts[v.Job] = j.recordVersion == 0
 		l.archiveJob(j)
@@ -176,7 +177,7 @@
 
 // imagePullSeconds is how many seconds a job's image takes on the machine type that is the fastest
 // at that.
-func (f *fleet) imagePullSeconds(s *wire.Job) float64 {
+func (f *fleet) imagePullSeconds(s *protocol.Job) float64 {
 	rate := 0.0
 	for _, t := range f.core.machineTypes() {
 		if allowsType(s, t.Name) && fitsEmptyMachine(t, s) {
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/simulation"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // dependentArray describes a job of n tasks that needs others.
-func dependentArray(n int, needs ...*simulation.Job) wire.Job {
+func dependentArray(n int, needs ...*simulation.Job) protocol.Job {
 	spec := simulation.Array(n)
 	for _, j := range needs {
 		spec.Needs = append(spec.Needs, j.Spec.ID)
@@ -22,7 +22,7 @@
 }
 
 // hand submits a job and waits until it is accepted.
-func (s *scenario) submitAccepted(spec wire.Job, run float64) *simulation.Job {
+func (s *scenario) submitAccepted(spec protocol.Job, run float64) *simulation.Job {
 	s.t.Helper()
 	j := s.Users.Submit(spec, run)
 	s.eventually(30*second, "a job is accepted", func() bool { return j.Accepted })
@@ -77,10 +77,10 @@
 		return strings.HasPrefix(jobs[3].Answer.Reason, "waits for "+jobs[1].Spec.ID)
 	})
 	s.leader().Crash(second / 5)
-	s.eventually(200*second, "all are done", toldState(wire.JobDone, jobs...))
+	s.eventually(200*second, "all are done", toldState(protocol.JobDone, jobs...))
 	// The last job of a pipeline may come when all else is over.
 	last := s.submitAccepted(dependentArray(1, jobs...), 1)
-	s.eventually(60*second, "that one too", toldState(wire.JobDone, last))
+	s.eventually(60*second, "that one too", toldState(protocol.JobDone, last))
 }
 
 func TestCancellationReachesAllDependents(t *testing.T) {
@@ -88,9 +88,9 @@
 	jobs := s.submitDiamond()
 	other := s.submitAccepted(simulation.Array(1), 300)
 	s.Users.Abort(jobs[0])
-	s.eventually(45*second, "all behind it are cancelled", toldState(wire.JobCancelled, jobs...))
+	s.eventually(45*second, "all behind it are cancelled", toldState(protocol.JobCancelled, jobs...))
 	late := s.submitAccepted(dependentArray(2, other, jobs[3]), 1)
-	s.eventually(10*second, "who names a cancelled one is accepted and cancelled", toldState(wire.JobCancelled, late))
+	s.eventually(10*second, "who names a cancelled one is accepted and cancelled", toldState(protocol.JobCancelled, late))
 	if !strings.Contains(late.Answer.Reason, jobs[3].Spec.ID) {
 		t.Fatalf("the reason is %q", late.Answer.Reason)
 	}
@@ -108,8 +108,8 @@
 	s := newScenario(t, 302)
 	jobs := s.submitDiamond()
 	s.Users.Abort(jobs[1])
-	s.eventually(60*second, "the end is cancelled", toldState(wire.JobCancelled, jobs[1], jobs[3]))
-	s.eventually(60*second, "the other branch is done", toldState(wire.JobDone, jobs[0], jobs[2]))
+	s.eventually(60*second, "the end is cancelled", toldState(protocol.JobCancelled, jobs[1], jobs[3]))
+	s.eventually(60*second, "the other branch is done", toldState(protocol.JobDone, jobs[0], jobs[2]))
 }
 
 // Whichever of done and cancelled comes first, those behind follow it, wherever they are
@@ -128,11 +128,11 @@
 			s.leader().Crash(second / 20)
 		}
 		s.eventually(200*second, "all come to the same end", func() bool {
-			return c.Told == a.Told && b.Told == a.Told && toldState(c.Told, a)() && a.Told != "" && a.Told != wire.JobQueued && a.Told != wire.JobRunning
+			return c.Told == a.Told && b.Told == a.Told && toldState(c.Told, a)() && a.Told != "" && a.Told != protocol.JobQueued && a.Told != protocol.JobRunning
 		})
 		outcomes[a.Told]++
 	}
-	if outcomes[wire.JobDone] == 0 || outcomes[wire.JobCancelled] == 0 {
+	if outcomes[protocol.JobDone] == 0 || outcomes[protocol.JobCancelled] == 0 {
 		t.Fatalf("the story shows one outcome only: %v", outcomes)
 	}
 }
@@ -140,7 +140,7 @@
 func TestUnsatisfiableDependenciesAreRejected(t *testing.T) {
 	s := newScenario(t, 303)
 	service := simulation.Array(1)
-	service.Kind, service.EstimateS = wire.KindService, 0
+	service.Kind, service.EstimateS = protocol.KindService, 0
 	up := s.submitAccepted(service, 1)
 	self := simulation.Array(1)
 	self.ID, self.Needs = "job-777777", []string{"job-777777"}
@@ -165,11 +165,11 @@
 	first := s.submitAccepted(spec, 40) // its team's whole limit
 	for range 3 {
 		w := dependentArray(24, first)
-		w.Team, w.Urgency = "red", wire.UrgencyProduction
+		w.Team, w.Urgency = "red", protocol.UrgencyProduction
 		s.submitAccepted(w, 5)
 	}
 	free := s.submitAccepted(simulation.Array(8), 5) // team blue's guarantee
-	s.eventually(60*second, "other work is done", toldState(wire.JobDone, free))
+	s.eventually(60*second, "other work is done", toldState(protocol.JobDone, free))
 	s.eventually(400*second, "and in the end all", s.Users.AllTold)
 }
 
@@ -181,14 +181,14 @@
 			s.submitAccepted(simulation.Array(40), 8)
 		}
 		spec := simulation.Array(8)
-		spec.Urgency, spec.Class = wire.UrgencyLow, "steps"
+		spec.Urgency, spec.Class = protocol.UrgencyLow, "steps"
 		step := s.submitAccepted(spec, 8)
 		if urgent {
 			last := dependentArray(1, step)
-			last.Urgency = wire.UrgencyHigh
+			last.Urgency = protocol.UrgencyHigh
 			s.submitAccepted(last, 2)
 		}
-		s.eventually(900*second, "the step is done", toldState(wire.JobDone, step))
+		s.eventually(900*second, "the step is done", toldState(protocol.JobDone, step))
 		return s.Now
 	}
 	if plain, urgent := done(false), done(true); urgent*5 > plain*4 {
@@ -226,7 +226,7 @@
 			s.Link("users", old.Label, simulation.Link{})
 		}
 	}
-	s.eventually(200*second, "all is done", func() bool { return toldState(wire.JobDone, before)() && after.Told == wire.JobDone })
+	s.eventually(200*second, "all is done", func() bool { return toldState(protocol.JobDone, before)() && after.Told == protocol.JobDone })
 }
 
 // The limits of the state service fall without notice, to sizes that what is stored is
@@ -260,10 +260,10 @@
 	for range 40 {
 		s.Cloud.Add("box", "b", false)
 	}
-	s.eventually(300*second, "all is done", toldState(wire.JobDone, jobs...))
+	s.eventually(300*second, "all is done", toldState(protocol.JobDone, jobs...))
 	s.Run(s.Now + 60*second)
 	s.Users.Abort(big)
-	s.eventually(60*second, "the huge one is cancelled", toldState(wire.JobCancelled, big))
+	s.eventually(60*second, "the huge one is cancelled", toldState(protocol.JobCancelled, big))
 	s.crashAll(second / 5)
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
@@ -293,7 +293,7 @@
 		s.Nodes[k%3].Crash(second / 5)
 	}
 	s.eventually(60*second, "the list is accepted", func() bool { return last.Accepted })
-	s.eventually(10*second, "it waits", func() bool { return last.Told == wire.JobQueued })
+	s.eventually(10*second, "it waits", func() bool { return last.Told == protocol.JobQueued })
 	s.crashAll(second / 5)
 	s.eventually(400*second, "all is done", s.Users.AllTold)
 	s.eventually(500*second, "nothing of it is left", func() bool { return s.State.Count("c/long/") == 0 })
@@ -323,7 +323,7 @@
 	if j.Answer.Done < was {
 		t.Fatalf("%d tasks were done, now %d", was, j.Answer.Done)
 	}
-	s.eventually(900*second, "it is done", toldState(wire.JobDone, j))
+	s.eventually(900*second, "it is done", toldState(protocol.JobDone, j))
 	s.eventually(100*second, "nothing of it is left", func() bool { return s.State.Count("c/fine/")+s.State.Count("c/prog/") == 0 })
 }
 
@@ -352,7 +352,7 @@
 	s.eventually(100*second, "it is accepted too", func() bool { return now.Accepted && gone.Accepted })
 	s.Users.Abort(gone)
 	s.eventually(200*second, "all come to their end", s.Users.AllTold)
-	if old.Told != wire.JobDone || now.Told != wire.JobDone {
+	if old.Told != protocol.JobDone || now.Told != protocol.JobDone {
 		t.Fatal(old.Told, now.Told)
 	}
 }
@@ -380,7 +380,7 @@
 	first = s.submitAccepted(simulation.Array(2), 600)
 	rest := s.submitAccepted(dependentArray(2, first), 5)
 	s.Users.Abort(first)
-	s.eventually(60*second, "both are cancelled", toldState(wire.JobCancelled, first, rest))
+	s.eventually(60*second, "both are cancelled", toldState(protocol.JobCancelled, first, rest))
 	s.State.Reopen(first.Spec)
 	s.crashAll(second)
 	s.Run(s.Now + 100*second)
@@ -404,19 +404,19 @@
 	rest := []*simulation.Job{s.submitAccepted(dependentArray(40, head), 5)}
 	rest = append(rest, s.submitAccepted(dependentArray(3, rest[0]), 5))
 	free := s.submitAccepted(simulation.Array(8), 5)
-	s.eventually(100*second, "other work is done", toldState(wire.JobDone, free))
+	s.eventually(100*second, "other work is done", toldState(protocol.JobDone, free))
 	s.Run(s.Now + 60*second)
 	if why := rest[1].Answer.Reason; why != "waits for "+rest[0].Spec.ID {
 		t.Fatalf("the last says %q", why)
 	}
 	s.Users.Abort(head)
-	s.eventually(60*second, "all are cancelled", toldState(wire.JobCancelled, head, rest[0], rest[1]))
+	s.eventually(60*second, "all are cancelled", toldState(protocol.JobCancelled, head, rest[0], rest[1]))
 }
 
 // A chain across teams, one of which is at its limit for long.
 func TestDependencyChainAcrossTeams(t *testing.T) {
 	s := newScenario(t, 315)
-	red := func(n int, needs ...*simulation.Job) wire.Job {
+	red := func(n int, needs ...*simulation.Job) protocol.Job {
 		spec := dependentArray(n, needs...)
 		spec.Team = "red"
 		return spec
@@ -426,12 +426,12 @@
 	a := s.submitAccepted(simulation.Array(4), 4)
 	b := s.submitAccepted(red(4, a), 4)
 	c := s.submitAccepted(dependentArray(4, b), 4)
-	s.eventually(60*second, "the first is done", toldState(wire.JobDone, a))
+	s.eventually(60*second, "the first is done", toldState(protocol.JobDone, a))
 	s.Run(s.Now + 8*second)
 	if !strings.Contains(b.Answer.Reason, "at its limit") {
 		t.Fatalf("the second is %s and says %q, %d of the first run", b.Told, b.Answer.Reason, full.Running())
 	}
-	s.eventually(300*second, "all are done", toldState(wire.JobDone, full, a, b, c))
+	s.eventually(300*second, "all are done", toldState(protocol.JobDone, full, a, b, c))
 }
 
 // Everything at once across a roll: a controller that is cut off, one that stands still,
@@ -475,6 +475,6 @@
 		jobs = append(jobs, s.Users.Submit(simulation.Array(5), 4))
 		s.eventually(60*second, "it is accepted", func() bool { return jobs[8].Accepted })
 		jobs = append(jobs, s.Users.Submit(dependentArray(5, jobs...), 4))
-		s.eventually(400*second, "all is done", toldState(wire.JobDone, jobs...))
+		s.eventually(400*second, "all is done", toldState(protocol.JobDone, jobs...))
 	}
 }
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -4,7 +4,8 @@
 	"slices"
 	"strings"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // schedulingRound is what one round works with: the room on every machine that can be given
@@ -314,11 +315,11 @@
 	}
 	f := &inflightAttempt{job: q, taskIndex: i, number: attempt, plannedMachine: m.name, shard: m.shard.label,
 		dispatchSession: m.shard.session, dispatchSeq: m.shard.messagesSent + 1, awaitingPlacement: true, claimants: map[string]bool{}}
-	name := wire.TaskName(q.id, i)
+	name := protocol.TaskName(q.id, i)
 	o.trackAttempt(name, f)
 	o.unplacedAttempts[name] = f
 	delete(q.retryAt, i)
-	try := wire.TaskTry{Task: name, Attempt: f.number}
+	try := peerproto.TaskTry{Task: name, Attempt: f.number}
 	if s.OneZone || s.Spread {
 		try.Version, f.recordVersion = q.entry.recordVersion, q.entry.recordVersion
 		delete(q.zoneFullSince, zoneIndex(q, i))
@@ -330,7 +331,7 @@
 	m.shard.outboxDue = true
 }
 
-func (o *scheduler) noRoomReason(s *wire.Job) string {
+func (o *scheduler) noRoomReason(s *protocol.Job) string {
 	if why := o.core.fleet.noCapacityReason(s); why != "" {
 		return why
 	}
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Effect is something to be done outside: an answer, a call, a line to a peer. The set is
@@ -26,7 +27,7 @@
 	// Commit runs a transaction.
 	Commit struct {
 		ID  uint64
-		Txn wire.Txn
+		Txn protocol.Txn
 	}
 	// LoadPage reads a page of all keys, those after Since.
 	LoadPage struct{ After string }
@@ -50,7 +51,7 @@
 		Machine string
 		CallID  uint64
 		Addr    string
-		Body    wire.Do
+		Body    protocol.Do
 	}
 	// ProbeWorker asks a worker for its report, only to know that it can be reached.
 	ProbeWorker struct {
@@ -66,7 +67,7 @@
 	// ListInstances asks the cloud for a page of its machines, those after Since.
 	ListInstances struct{ After string }
 	// CreateInstances rents machines.
-	CreateInstances struct{ Request wire.Hire }
+	CreateInstances struct{ Request protocol.Hire }
 	// DeleteInstances returns machines.
 	DeleteInstances struct{ Names []string }
 )
@@ -78,7 +79,7 @@
 	// SendToPeer sends a message over a link.
 	SendToPeer struct {
 		Session uint64
-		Message wire.PeerMessage
+		Message peerproto.PeerMessage
 	}
 	// ClosePeer ends a link.
 	ClosePeer struct{ Session uint64 }
--- a/internal/core/estimator.go
+++ b/internal/core/estimator.go
@@ -9,7 +9,8 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/calibration"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // runningMean is a running mean of durations.
@@ -29,7 +30,7 @@
 	cpus, gpus  float64
 }
 
-func historyKeyOf(s *wire.Job) historyKey { return historyKey{s.Team, s.Class, s.CPUs, s.GPUs} }
+func historyKeyOf(s *protocol.Job) historyKey { return historyKey{s.Team, s.Class, s.CPUs, s.GPUs} }
 
 func (k historyKey) String() string {
 	return fmt.Sprintf("%s %s %g %g", k.team, k.class, k.cpus, k.gpus)
@@ -69,7 +70,7 @@
 	}
 }
 
-func (e *estimator) observe(s *wire.Job, seconds float64) {
+func (e *estimator) observe(s *protocol.Job, seconds float64) {
 	k := historyKeyOf(s)
 	m := e.history[k]
 	if m == nil {
@@ -81,7 +82,7 @@
 }
 
 // jobArrived counts a new job's estimate by its owner among those of its name.
-func (e *estimator) jobArrived(s *wire.Job) {
+func (e *estimator) jobArrived(s *protocol.Job) {
 	k := historyKeyOf(s)
 	if e.calibrations[k] == nil {
 		if len(e.calibrations) >= maxHistoryKeys {
@@ -133,7 +134,7 @@
 
 // predict gives the mean of the team and class; failing that the team's, then
 // that of all with the same GPU (CPU) demand, then the owner's own estimate.
-func (e *estimator) predict(s *wire.Job) float64 {
+func (e *estimator) predict(s *protocol.Job) float64 {
 	if x := e.predictFromHistory(historyKeyOf(s)); x > 0 {
 		return x
 	}
@@ -189,14 +190,14 @@
 		return
 	}
 	e.unsaved, e.saving, e.savedAt = false, true, c.now.Monotonic
-	var rec wire.EstimateRecord
+	var rec records.EstimateRecord
 	for _, k := range e.sortedKeys() {
 		m := e.history[k]
 		// Rounded, so that more of them fit: a prediction is not that good.
-		rec.Means = append(rec.Means, wire.MeanRecord{Team: k.team, Class: k.class, CPUs: k.cpus, GPUs: k.gpus,
+		rec.Means = append(rec.Means, records.MeanRecord{Team: k.team, Class: k.class, CPUs: k.cpus, GPUs: k.gpus,
 			Mean: math.Round(m.mean*100) / 100, N: m.count, Last: math.Floor(m.lastAt)})
 	}
-	slices.SortStableFunc(rec.Means, func(a, b wire.MeanRecord) int { return cmp.Compare(b.Last, a.Last) })
+	slices.SortStableFunc(rec.Means, func(a, b records.MeanRecord) int { return cmp.Compare(b.Last, a.Last) })
 	// Names that never come back would pile up here too.
 	for len(rec.Means) > maxHistoryKeys {
 		r := rec.Means[len(rec.Means)-1]
@@ -206,13 +207,13 @@
 	// What does not fit is known to this leader only.
 	size, fit := 16, 0
 	for ; fit < len(rec.Means); fit++ {
-		if size += wire.TextSize(rec.Means[fit]) + 2; size > c.maxValueBytes() {
+		if size += protocol.TextSize(rec.Means[fit]) + 2; size > c.maxValueBytes() {
 			break
 		}
 	}
 	rec.Means = rec.Means[:fit]
 	// Late, an older value must not take a newer one's place.
-	c.mirror.commit([]wire.Guard{c.membership.leaderGuard(), c.mirror.guard(keyEstimate)}, []wire.Op{{Put: keyEstimate, Value: rec}}, func(d CommitResult) {
+	c.mirror.commit([]protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyEstimate)}, []protocol.Op{{Put: keyEstimate, Value: rec}}, func(d CommitResult) {
 		e.saving = false
 		if d.Outcome != Committed {
 			e.unsaved = true
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -1,6 +1,8 @@
 package core
 
-import "github.com/chalkhub/chalkhub/internal/wire"
+import (
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+)
 
 // ForceRound has the leader's next batch of commands rank, dispatch and look after
 // the fleet, however little time has passed since it last did.
@@ -9,8 +11,8 @@
 }
 
 // FullSnapshot is what this member would tell a leader over a new link.
-func (c *Core) FullSnapshot() wire.PeerMessage {
-	m := wire.PeerMessage{Epoch: c.shard.epoch, Full: true}
+func (c *Core) FullSnapshot() peerproto.PeerMessage {
+	m := peerproto.PeerMessage{Epoch: c.shard.epoch, Full: true}
 	for _, r := range c.shard.machines.all() {
 		whole, left := r.fullStateDue, r.droppedTasks
 		r.fullStateDue = true
@@ -21,7 +23,7 @@
 }
 
 // ApplySnapshot has the leader take a member's whole picture.
-func (c *Core) ApplySnapshot(label string, m wire.PeerMessage) {
+func (c *Core) ApplySnapshot(label string, m peerproto.PeerMessage) {
 	if p := c.scheduler.shards[label]; p != nil {
 		c.scheduler.handleShardMessage(p.session, &m)
 	}
@@ -29,7 +31,7 @@
 
 // AskOf has the leader dispatch tasks to a member, and ask it to stop some, with its next
 // batch of commands.
-func (c *Core) AskOf(label string, dispatch []wire.TaskTry, stop []wire.TaskStop) {
+func (c *Core) AskOf(label string, dispatch []peerproto.TaskTry, stop []peerproto.TaskStop) {
 	p := c.scheduler.shards[label]
 	p.outbox.Dispatch, p.outbox.Stop, p.outboxDue = append(p.outbox.Dispatch, dispatch...), append(p.outbox.Stop, stop...), true
 }
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -9,7 +9,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // newFairShareRules turns the operators' choices into spans: what was served is remembered for
@@ -34,7 +34,7 @@
 	jobs := make([]fairshare.Job, 0, len(ranked))
 	for _, q := range ranked {
 		s := &q.entry.record.Spec
-		service := s.Kind == wire.KindService
+		service := s.Kind == protocol.KindService
 		left := float64(max(s.Tasks-q.entry.doneCount-len(q.unsavedTasks), 0))
 		jobs = append(jobs, fairshare.Job{
 			Account:       fairshare.Account{Team: s.Team, Class: s.Class},
@@ -116,7 +116,7 @@
 // class come all the time: counted by jobs the class is served well. Where it is due, jobs that
 // are completed count for more than jobs that are begun.
 func (o *scheduler) startEarly(q *queuedJob, age float64) {
-	if age < o.earlyStartAge() || q.entry.record.Spec.Kind != wire.KindArray || q.entry.doneCount+len(q.unsavedTasks) > 0 || o.isCrashLooping(q) {
+	if age < o.earlyStartAge() || q.entry.record.Spec.Kind != protocol.KindArray || q.entry.doneCount+len(q.unsavedTasks) > 0 || o.isCrashLooping(q) {
 		return
 	}
 	q.protected = q.protected || len(q.inflight) == 1
@@ -148,7 +148,7 @@
 	need := usage{}
 	need.add(s, float64(n))
 	for _, x := range o.queue.all() { // what endless services use never gets free
-		if xs := &x.entry.record.Spec; xs.Kind == wire.KindService && xs.Team == s.Team {
+		if xs := &x.entry.record.Spec; xs.Kind == protocol.KindService && xs.Team == s.Team {
 			need.add(xs, float64(len(x.inflight)))
 		}
 	}
@@ -203,7 +203,7 @@
 	r := m.freeCapacity
 	r.cpus, r.gpus, r.memoryGB = m.view.machineType.CPUs, m.view.machineType.GPUs, m.view.machineType.MemoryGB
 	for _, f := range m.view.attempts {
-		if s := &f.job.entry.record.Spec; s.Kind == wire.KindService {
+		if s := &f.job.entry.record.Spec; s.Kind == protocol.KindService {
 			r.allocate(s)
 		}
 	}
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/simulation"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // jobStream is jobs of one class that come again and again.
@@ -17,19 +17,19 @@
 	interval             time.Duration
 	tasks                int
 	cpus, runSeconds     float64
-	customize            func(*wire.Job)
+	customize            func(*protocol.Job)
 }
 
 // The work of team red, whose limit is 24 CPUs: photos and alerts want 22 of them, and
 // the reports, which rank last, 4.8.
 func photoJobs() jobStream {
-	return jobStream{"red", "photos", wire.UrgencyNormal, 6 * second, 12, 1, 10, nil}
+	return jobStream{"red", "photos", protocol.UrgencyNormal, 6 * second, 12, 1, 10, nil}
 }
 func alertJobs() jobStream {
-	return jobStream{"red", "alerts", wire.UrgencyHigh, 8 * second, 2, 1, 8, nil}
+	return jobStream{"red", "alerts", protocol.UrgencyHigh, 8 * second, 2, 1, 8, nil}
 }
 func reportJobs() jobStream {
-	return jobStream{"red", "reports", wire.UrgencyLow, 40 * second, 4, 4, 12, nil}
+	return jobStream{"red", "reports", protocol.UrgencyLow, 40 * second, 4, 4, 12, nil}
 }
 
 // startContended begins a story of three controllers in which work comes for a while.
@@ -196,9 +196,9 @@
 	for i := range 40 {
 		team := fmt.Sprintf("team-%02d", i)
 		set.Site.Teams = append(set.Site.Teams, config.Team{Name: team, CPUs: 2, CPUsMax: 4})
-		for _, x := range []jobStream{{class: "photos", urgency: wire.UrgencyNormal, interval: 24 * second, tasks: 8, cpus: 1, runSeconds: 10},
-			{class: "alerts", urgency: wire.UrgencyHigh, interval: 30 * second, tasks: 2, cpus: 1, runSeconds: 6},
-			{class: "reports", urgency: wire.UrgencyLow, interval: 60 * second, tasks: 3, cpus: 2, runSeconds: 10}} {
+		for _, x := range []jobStream{{class: "photos", urgency: protocol.UrgencyNormal, interval: 24 * second, tasks: 8, cpus: 1, runSeconds: 10},
+			{class: "alerts", urgency: protocol.UrgencyHigh, interval: 30 * second, tasks: 2, cpus: 1, runSeconds: 6},
+			{class: "reports", urgency: protocol.UrgencyLow, interval: 60 * second, tasks: 3, cpus: 2, runSeconds: 10}} {
 			x.team = team
 			streams = append(streams, x)
 		}
@@ -219,7 +219,7 @@
 			s.Cloud.Capacity["barn"] = 0 // where two machines hold all, each failure would count for much
 			for at := 5 * second; at < day; at += 30 * second {
 				s.At(at, func() {
-					j := s.submitFrom(jobStream{"red", "broken", wire.UrgencyLow, 0, 4, 4, 12, nil})
+					j := s.submitFrom(jobStream{"red", "broken", protocol.UrgencyLow, 0, 4, 4, 12, nil})
 					j.Mistaken = true
 				})
 			}
@@ -228,7 +228,7 @@
 			s.At(second, func() { s.CutZone("b", "", false) })
 			for at := 5 * second; at < day; at += 30 * second {
 				s.At(at, func() {
-					s.submitFrom(jobStream{"red", "far", wire.UrgencyLow, 0, 4, 4, 12, func(j *wire.Job) { j.Zone = "b" }})
+					s.submitFrom(jobStream{"red", "far", protocol.UrgencyLow, 0, 4, 4, 12, func(j *protocol.Job) { j.Zone = "b" }})
 				})
 			}
 		},
@@ -236,13 +236,13 @@
 			s.Cloud.Capacity["barn"] = 0
 			for at := 5 * second; at < day; at += 30 * second {
 				s.At(at, func() {
-					s.submitFrom(jobStream{"red", "large", wire.UrgencyLow, 0, 4, 4, 12, func(j *wire.Job) { j.Types = []string{"barn"} }})
+					s.submitFrom(jobStream{"red", "large", protocol.UrgencyLow, 0, 4, 4, 12, func(j *protocol.Job) { j.Types = []string{"barn"} }})
 				})
 			}
 		},
 		"services": func(s *scenario) {
 			s.At(5*second, func() {
-				s.submitFrom(jobStream{"red", "gateway", wire.UrgencyNormal, 0, 6, 1, 0, func(j *wire.Job) { j.Kind, j.EstimateS = wire.KindService, 0 }})
+				s.submitFrom(jobStream{"red", "gateway", protocol.UrgencyNormal, 0, 6, 1, 0, func(j *protocol.Job) { j.Kind, j.EstimateS = protocol.KindService, 0 }})
 			})
 		},
 	} {
@@ -263,9 +263,9 @@
 func TestFairShareForLargeTasksAndGangs(t *testing.T) {
 	t.Parallel()
 	const day = 300 * second
-	large := jobStream{"red", "large", wire.UrgencyLow, 50 * second, 1, 4, 15, nil}
+	large := jobStream{"red", "large", protocol.UrgencyLow, 50 * second, 1, 4, 15, nil}
 	gang := func(n int) jobStream {
-		return jobStream{"red", "gangs", wire.UrgencyLow, 30 * second, n, 1, 10, func(j *wire.Job) { j.Kind = wire.KindGang }}
+		return jobStream{"red", "gangs", protocol.UrgencyLow, 30 * second, n, 1, 10, func(j *protocol.Job) { j.Kind = protocol.KindGang }}
 	}
 	for _, c := range []struct {
 		what  string
@@ -281,7 +281,7 @@
 			set.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
 			streams := []jobStream{c.x}
 			for i := range 4 { // some at a time, that end one by one
-				streams = append(streams, jobStream{"red", "photos", wire.UrgencyNormal,
+				streams = append(streams, jobStream{"red", "photos", protocol.UrgencyNormal,
 					c.every * time.Duration(20+i) / 20, c.small, 1, float64(9 + i), nil})
 			}
 			s := startContended(t, 507, day, func(p *config.Policy) {
@@ -309,7 +309,7 @@
 	s := startContended(t, 509, day, nil, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
 	for k := range 80 {
 		s.At(time.Duration(10+4*k)*second, func() {
-			s.submitFrom(jobStream{"red", fmt.Sprintf("once-%d", k), wire.UrgencyLow, 0, 2, 1, 10, nil})
+			s.submitFrom(jobStream{"red", fmt.Sprintf("once-%d", k), protocol.UrgencyLow, 0, 2, 1, 10, nil})
 		})
 	}
 	s.Run(day)
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -1,6 +1,8 @@
 package core
 
-import "github.com/chalkhub/chalkhub/internal/wire"
+import (
+	"github.com/chalkhub/chalkhub/internal/protocol"
+)
 
 // checkMachine looks after a machine's clock: fencing, silence, machines that are gone.
 func (p *shard) checkMachine(r *machine) {
@@ -98,14 +100,14 @@
 )
 
 // callMachine sends commands straight to a worker; without commands it only fences.
-func (p *shard) callMachine(r *machine, cmds []wire.Command) {
+func (p *shard) callMachine(r *machine, cmds []protocol.Command) {
 	p.lastCallID++
 	r.callInFlight = p.lastCallID
 	r.expedited = false
 	if len(cmds) == 0 {
 		p.fencingCalls[r.callInFlight] = true
 	}
-	p.core.emit(CallWorker{Machine: r.name, CallID: p.lastCallID, Addr: r.addr, Body: wire.Do{Token: r.token, Session: max(r.session, 1), Commands: cmds}})
+	p.core.emit(CallWorker{Machine: r.name, CallID: p.lastCallID, Addr: r.addr, Body: protocol.Do{Token: r.token, Session: max(r.session, 1), Commands: cmds}})
 }
 
 func (p *shard) handleCallResult(d *CallWorkerResult) {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // instance is a machine that is rented, as far as the leader knows.
@@ -46,7 +46,7 @@
 	listsCompleted     int
 	typesRequested     bool // for machine types
 	typesWriteInFlight bool
-	cloudTypes         *wire.MachineTypes
+	cloudTypes         *protocol.MachineTypes
 	callDeferred       bool // a call was due that the budget did not allow
 	callsSinceList     int  // to rent or delete, since the last for the list
 	callTokens         float64
@@ -141,11 +141,11 @@
 		}
 		return
 	}
-	guards := []wire.Guard{c.membership.leaderGuard()}
-	var ops []wire.Op
+	guards := []protocol.Guard{c.membership.leaderGuard()}
+	var ops []protocol.Op
 	for key, rec := range paginateTypes(f.cloudTypes.Types, c.maxValueBytes()/2) {
 		if _, there := c.mirror.versions[key]; !there && len(ops) < c.registry.maxPagesPerWrite() {
-			ops = append(ops, wire.Op{Put: key, Value: rec})
+			ops = append(ops, protocol.Op{Put: key, Value: rec})
 		}
 	}
 	if len(ops) == 0 {
@@ -159,8 +159,8 @@
 
 // paginateTypes divides machine types over keys, each value at most limit bytes by a
 // generous size of a type's description.
-func paginateTypes(types []wire.MachineType, limit int) iter.Seq2[string, wire.MachineTypes] {
-	return func(yield func(string, wire.MachineTypes) bool) {
+func paginateTypes(types []protocol.MachineType, limit int) iter.Seq2[string, protocol.MachineTypes] {
+	return func(yield func(string, protocol.MachineTypes) bool) {
 		total := len(types)
 		for n := 0; len(types) > 0; n++ {
 			size, k := 0, 0
@@ -177,7 +177,7 @@
 			if n > 0 {
 				key = fmt.Sprintf("%s/%04d", keyMachineTypes, n)
 			}
-			if !yield(key, wire.MachineTypes{Types: types[:k], Total: total}) {
+			if !yield(key, protocol.MachineTypes{Types: types[:k], Total: total}) {
 				return
 			}
 			types = types[k:]
@@ -187,7 +187,7 @@
 
 // applyMachineTypes takes one key of the machine types into the mirror. They are of use once
 // all are there: a job was else refused for a type that was still to be read.
-func (l *storeMirror) applyMachineTypes(rec *wire.MachineTypes) {
+func (l *storeMirror) applyMachineTypes(rec *protocol.MachineTypes) {
 	for i := range rec.Types {
 		l.partialTypes[rec.Types[i].Name] = &rec.Types[i]
 	}
@@ -262,7 +262,7 @@
 
 // isUsable reports whether a machine is or will be of use.
 func (f *fleet) isUsable(h *instance) bool {
-	if h.returnReason != "" || h.cloudState == wire.MachineFailed || h.missedLists >= 2 {
+	if h.returnReason != "" || h.cloudState == protocol.MachineFailed || h.missedLists >= 2 {
 		return false
 	}
 	if v := f.core.scheduler.machines.get(h.name); v != nil {
@@ -282,7 +282,7 @@
 	for name, v := range c.scheduler.machines.all() {
 		if f.instances.get(name) == nil && !f.deletedNames[name] && (v.state.Up || c.mirror.machineRecords.get(name) != nil) {
 			h := f.adopt(name, v.state.Type, v.state.Zone, v.state.Spot)
-			h.cloudState = wire.MachineRunning
+			h.cloudState = protocol.MachineRunning
 		}
 	}
 	f.callDeferred = false
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -3,7 +3,8 @@
 import (
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // dispatchGang has room held for all tasks of a gang, if there is room for all. A
@@ -86,14 +87,14 @@
 // that did not get it in time.
 func (o *scheduler) releaseGangs() {
 	for id, q := range o.queue.all() {
-		if q.entry.record.Spec.Kind != wire.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
+		if q.entry.record.Spec.Kind != protocol.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
 			continue
 		}
 		held := 0
 		for _, f := range q.inflight {
 			switch {
 			case f.unlocated || f.awaitingPlacement || f.machine == "":
-			case f.taskState == wire.StateHeld:
+			case f.taskState == peerproto.StateHeld:
 				held++
 			default:
 				q.gangReleased = true // an earlier leader has started it
@@ -111,10 +112,10 @@
 		for _, i := range sortedKeys(q.inflight) {
 			f := q.inflight[i]
 			p := o.shards[f.shard]
-			if p == nil || f.taskState != wire.StateHeld {
+			if p == nil || f.taskState != peerproto.StateHeld {
 				continue
 			}
-			try := wire.TaskTry{Task: wire.TaskName(id, i), Attempt: f.number, Machine: f.machine}
+			try := peerproto.TaskTry{Task: protocol.TaskName(id, i), Attempt: f.number, Machine: f.machine}
 			if all {
 				p.outbox.Release = append(p.outbox.Release, try)
 			} else {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -1,9 +1,11 @@
 package core
 
-import "github.com/chalkhub/chalkhub/internal/wire"
+import (
+	"github.com/chalkhub/chalkhub/internal/protocol"
+)
 
 // handleHeartbeat takes a worker's report and answers it.
-func (p *shard) handleHeartbeat(id RequestID, rep *wire.Report) {
+func (p *shard) handleHeartbeat(id RequestID, rep *protocol.Report) {
 	c := p.core
 	r := p.machines.get(rep.Machine)
 	// A worker sends its next report only when nobody waits for the answer to this one any
@@ -23,11 +25,11 @@
 	}
 	entitled := c.membership.mayServe()
 	if !entitled && !c.degraded.isActive() || c.mirror.shardMap == nil {
-		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: wire.ErrorAnswer{Error: "not entitled"}})
+		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorAnswer{Error: "not entitled"}})
 		return
 	}
 	if owner := c.membership.ownerOf(rep.Machine); owner != c.settings.Label || !p.isMember {
-		c.emit(Reply{ID: id, Status: ReplyMisdirected, Body: wire.Redirect{ReportTo: owner}})
+		c.emit(Reply{ID: id, Status: ReplyMisdirected, Body: protocol.Redirect{ReportTo: owner}})
 		return
 	}
 	if r = p.machines.get(rep.Machine); r == nil {
@@ -38,7 +40,7 @@
 	}
 	if rep.Token > r.token {
 		// Somebody has a newer map than we do.
-		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: wire.ErrorAnswer{Error: "not entitled"}})
+		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorAnswer{Error: "not entitled"}})
 		return
 	}
 	newest := rep.Newer(r.session, r.seq)
@@ -59,7 +61,7 @@
 	if fresh {
 		r.lastAnsweredAt = max(r.lastAnsweredAt, c.now.Monotonic)
 	}
-	var ans wire.ReportAnswer
+	var ans protocol.ReportAnswer
 	if newest && r.trusted {
 		if entitled {
 			p.placeAssigned()
@@ -75,7 +77,7 @@
 // applyReport takes what a machine says of itself. Only a message with our own current
 // token is believed: one with an older token may miss a start that a former
 // owner's command has yet to cause.
-func (p *shard) applyReport(r *machine, rep *wire.Report, doID uint64, viaReport bool) {
+func (p *shard) applyReport(r *machine, rep *protocol.Report, doID uint64, viaReport bool) {
 	c := p.core
 	if !rep.Newer(r.session, r.seq) {
 		return
@@ -134,7 +136,7 @@
 // applyTaskReport takes one line of a trusted list. The search begins at a place, and the
 // place after the one found is returned: lists keep their order, so that a
 // machine of many tasks is not searched from the start for each.
-func (p *shard) applyTaskReport(r *machine, tr *wire.TaskReport, at int) int {
+func (p *shard) applyTaskReport(r *machine, tr *protocol.TaskReport, at int) int {
 	var t *taskAttempt
 	for n := range r.attempts {
 		i := (at + n) % len(r.attempts)
@@ -144,12 +146,12 @@
 		}
 	}
 	if t == nil {
-		ref, index, err := wire.ParseTask(tr.Task)
+		ref, index, err := protocol.ParseTask(tr.Task)
 		if err != nil {
 			p.core.emit(Log{Level: LevelError, Text: "worker lists a task with a strange name", Args: []any{"machine", r.name, "task", tr.Task}})
 			return at
 		}
-		t = &taskAttempt{task: tr.Task, jobID: ref, taskIndex: index, number: tr.Attempt, foundRunning: tr.State == wire.TaskRunning}
+		t = &taskAttempt{task: tr.Task, jobID: ref, taskIndex: index, number: tr.Attempt, foundRunning: tr.State == protocol.TaskRunning}
 		if j := p.core.mirror.acceptedJob(ref); j != nil {
 			t.spec = &j.record.Spec
 		}
@@ -161,13 +163,13 @@
 	}
 	p.markChanged(r)
 	p.core.logDebug("task", "task", t.task, "machine", r.name, "state", tr.State, "why", tr.Why)
-	if tr.State == wire.TaskRunning && t.runningSince == 0 {
+	if tr.State == protocol.TaskRunning && t.runningSince == 0 {
 		t.runningSince = p.core.now.Monotonic
 		if t.spec != nil {
 			p.recordImage(r, t.spec)
 		}
 	}
-	if tr.State == wire.TaskExited && t.state != wire.TaskExited {
+	if tr.State == protocol.TaskExited && t.state != protocol.TaskExited {
 		t.endedAt = p.core.now.Monotonic
 		// Guards against durations that count from a change of owners: reports of minutes
 		// were predicted to take 1.7 s, and no machine was rented for them.
@@ -189,11 +191,11 @@
 // Guards against a leader that does: it dispatched the same tasks to the same room every round,
 // got them back, and nobody else had that room for four leases.
 func causesBackoff(why string) bool {
-	return why == wire.WhyError || why == wire.WhyNoRoom || why == wire.WhyUnknown
+	return why == protocol.WhyError || why == protocol.WhyNoRoom || why == protocol.WhyUnknown
 }
 
 // recordImage notes that a machine has, or is about to fetch, a task's image.
-func (p *shard) recordImage(r *machine, j *wire.Job) {
+func (p *shard) recordImage(r *machine, j *protocol.Job) {
 	cache := 0.0
 	if r.machineType != nil {
 		cache = r.machineType.CacheGB
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -5,7 +5,9 @@
 	"slices"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // The leader's book-keeping of what has been dispatched: which machine holds which
@@ -33,9 +35,9 @@
 
 // machineView is the leader's picture of a machine.
 type machineView struct {
-	state         wire.MachineState
+	state         peerproto.MachineState
 	shard         string
-	machineType   *wire.MachineType
+	machineType   *protocol.MachineType
 	attempts      map[string]*inflightAttempt
 	used          usage // by them
 	images        map[string]bool
@@ -65,8 +67,8 @@
 }
 
 // free is what its tasks leave of a machine.
-func (v *machineView) free() wire.MachineType {
-	return wire.MachineType{CPUs: v.machineType.CPUs - v.used.cpus, GPUs: v.machineType.GPUs - v.used.gpus, MemoryGB: v.machineType.MemoryGB - v.used.memoryGB}
+func (v *machineView) free() protocol.MachineType {
+	return protocol.MachineType{CPUs: v.machineType.CPUs - v.used.cpus, GPUs: v.machineType.GPUs - v.used.gpus, MemoryGB: v.machineType.MemoryGB - v.used.memoryGB}
 }
 
 // claim and give follow which flights a machine has a claim on.
@@ -96,7 +98,7 @@
 		v.leaving = o.core.fleet.isReturning(name)
 		if rec := o.core.mirror.machineRecords.get(name); rec != nil {
 			v.registered = true
-			v.state = wire.MachineState{Name: name, Addr: rec.Addr, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
+			v.state = peerproto.MachineState{Name: name, Addr: rec.Addr, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
 			v.machineType = o.core.machineTypes()[rec.Type]
 		}
 		o.machines.set(name, v)
@@ -160,8 +162,8 @@
 }
 
 // unseenMachines walks over the machines that may hold tasks this leader does not know.
-func (o *scheduler) unseenMachines() iter.Seq2[string, *wire.MachineRecord] {
-	return func(yield func(string, *wire.MachineRecord) bool) {
+func (o *scheduler) unseenMachines() iter.Seq2[string, *records.MachineRecord] {
+	return func(yield func(string, *records.MachineRecord) bool) {
 		for name, rec := range o.core.mirror.machineRecords.all() {
 			if o.isUnseen(name) && !yield(name, rec) {
 				return
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/simulation"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // Stories in which two troubles meet; docs/meetings.md says what each goes through.
@@ -37,7 +37,7 @@
 	n := s.leader()
 	s.State.Refuses[n.Label] = true
 	tell(s, gone)
-	s.eventually(5*second, "its user is told", func() bool { return gone.Told == wire.JobCancelled })
+	s.eventually(5*second, "its user is told", func() bool { return gone.Told == protocol.JobCancelled })
 	s.State.Outage(s.cancelSpan() + 20*second)
 	return s, long, gone
 }
@@ -79,7 +79,7 @@
 					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", gone.Running(), least)
 				}
 				s.State.Refuses, s.Users.Only = map[string]bool{}, nil
-				s.eventually(200*second, "the work goes on", func() bool { return long.Told == wire.JobDone })
+				s.eventually(200*second, "the work goes on", func() bool { return long.Told == protocol.JobDone })
 			}
 		})
 	}
@@ -174,11 +174,11 @@
 		s.Users.Only = s.Nodes[(slices.Index(s.Nodes, n)+1)%3]
 		s.Users.Abort(jobs[0])
 		s.Users.Abort(jobs[1])
-		s.eventually(10*second, "their users are told", toldState(wire.JobCancelled, jobs[0], jobs[1]))
+		s.eventually(10*second, "their users are told", toldState(protocol.JobCancelled, jobs[0], jobs[1]))
 		s.Users.Only = nil
 		s.Run(s.Now + s.cancelSpan() + second)
 		s.Cloud.Out = false
-		s.eventually(300*second, "the others are done", toldState(wire.JobDone, jobs[2], jobs[3]))
+		s.eventually(300*second, "the others are done", toldState(protocol.JobDone, jobs[2], jobs[3]))
 	}
 }
 
@@ -234,7 +234,7 @@
 			}
 			s.Run(s.Now + 6*second)
 		}
-		s.eventually(30*second, "all are done", toldState(wire.JobDone, jobs...))
+		s.eventually(30*second, "all are done", toldState(protocol.JobDone, jobs...))
 		if s.Users.Again > 0 {
 			t.Fatalf("%d completed tasks were started again", s.Users.Again)
 		}
@@ -378,7 +378,7 @@
 		delete(s.State.Refuses, n.Label)
 		s.State.Slow = 0
 		s.Users.Calm = s.Now
-		s.eventually(60*second, "the users are told", toldState(wire.JobCancelled, jobs[:3]...))
+		s.eventually(60*second, "the users are told", toldState(protocol.JobCancelled, jobs[:3]...))
 		s.eventually(300*second, "the work is done", s.Users.AllTold)
 	}
 }
@@ -456,19 +456,19 @@
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 8 })
 	k := s.Workers[gone.On(0)]
 	s.Users.Abort(gone)
-	s.eventually(10*second, "it is cancelled", toldState(wire.JobCancelled, gone))
-	old := wire.Report{Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot, Session: 1,
-		Tasks: []wire.TaskReport{
-			{Task: wire.TaskName(gone.Spec.ID, 0), Attempt: 1, State: wire.TaskRunning},
-			{Task: wire.TaskName(gone.Spec.ID, 1), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone},
-			{Task: wire.TaskName(stays.Spec.ID, 0), Attempt: 1, State: wire.TaskRunning},
+	s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, gone))
+	old := protocol.Report{Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot, Session: 1,
+		Tasks: []protocol.TaskReport{
+			{Task: protocol.TaskName(gone.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
+			{Task: protocol.TaskName(gone.Spec.ID, 1), Attempt: 1, State: protocol.TaskExited, Why: protocol.WhyDone},
+			{Task: protocol.TaskName(stays.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
 		}}
-	var answer wire.ReportAnswer
+	var answer protocol.ReportAnswer
 	k.ReportsTo().Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: old} }, func(r core.Reply) {
-		answer, _ = r.Body.(wire.ReportAnswer)
+		answer, _ = r.Body.(protocol.ReportAnswer)
 	})
 	s.Run(s.Now + second)
-	stop := wire.Command{Op: wire.OpStop, Task: old.Tasks[0].Task, Attempt: 1}
+	stop := protocol.Command{Op: protocol.OpStop, Task: old.Tasks[0].Task, Attempt: 1}
 	if len(answer.Commands) != 1 || answer.Commands[0] != stop {
 		t.Fatalf("the answer has %+v", answer.Commands)
 	}
@@ -489,7 +489,7 @@
 		s.State.Refuses[n.Label] = true
 		s.Users.Only = s.follower()
 		s.Users.Abort(gone)
-		s.eventually(5*second, "its user is told", toldState(wire.JobCancelled, gone))
+		s.eventually(5*second, "its user is told", toldState(protocol.JobCancelled, gone))
 		s.State.Outage(60 * second)
 		s.After(3*second+time.Duration(k)*second/10, func() { third.Crash(0) })
 		s.Run(s.Now + s.cancelSpan() + second)
@@ -503,7 +503,7 @@
 	// queued again; forgets it altogether if that node has lost it.
 	reopened := func(s *scenario, forgets bool) {
 		j := s.Users.Submit(simulation.Array(2), 3)
-		s.eventually(40*second, "it is done", toldState(wire.JobDone, j))
+		s.eventually(40*second, "it is done", toldState(protocol.JobDone, j))
 		s.Run(s.Now + 4*second) // its lot is gone
 		if forgets {
 			s.State.Forget("c/job/" + j.Spec.ID)
@@ -531,14 +531,14 @@
 		"a start long after": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Abort(red)
 			s.Run(s.Now + s.cancelSpan() + 10*second)
-			s.Workers[s.Cloud.Add("box", "b", true)].Force(wire.TaskName(red.Spec.ID, 3), 99)
+			s.Workers[s.Cloud.Add("box", "b", true)].Force(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 5*second)
 		}},
 		"a task goes on as its machine does": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Abort(red)
 			s.Run(s.Now + s.cancelSpan() - 5*second)
 			k := s.Workers[s.Cloud.Add("box", "b", true)]
-			k.Force(wire.TaskName(red.Spec.ID, 3), 99)
+			k.Force(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 2*second/10)
 			k.Hung = true // before it could be stopped, and beyond cancel_s
 			s.Run(s.Now + 10*second)
@@ -547,8 +547,8 @@
 		}},
 		"a start after the word": {"late starts", func(s *scenario, red *simulation.Job) {
 			s.Users.Abort(red)
-			s.eventually(10*second, "it is cancelled", toldState(wire.JobCancelled, red))
-			s.Workers[s.Cloud.Add("box", "b", true)].Force(wire.TaskName(red.Spec.ID, 3), 99)
+			s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, red))
+			s.Workers[s.Cloud.Add("box", "b", true)].Force(protocol.TaskName(red.Spec.ID, 3), 99)
 			if s.Users.LateStarts == 1 {
 				s.Broken = append(s.Broken, "late starts: one")
 			}
@@ -559,7 +559,7 @@
 			more.Team = "red"
 			j := s.Users.Submit(more, 60)
 			for i, k := range s.SomeWorkers(8) {
-				k.Force(wire.TaskName(j.Spec.ID, i), 99)
+				k.Force(protocol.TaskName(j.Spec.ID, i), 99)
 			}
 			s.Run(s.Now + 5*second)
 		}},
@@ -613,7 +613,7 @@
 		for _, n := range s.Nodes {
 			for _, m := range n.Core.FullSnapshot().Machines {
 				for _, task := range m.Tasks {
-					if task.State == wire.TaskExited {
+					if task.State == protocol.TaskExited {
 						ended++
 					}
 					if task.RanS > 0 && task.RanS < 39 {
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -4,7 +4,8 @@
 	"slices"
 	"strings"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // The link of a part to its leader.
@@ -22,7 +23,7 @@
 		}
 	}
 	p.leaderHeardAt = p.core.now.Monotonic
-	p.core.emit(SendToPeer{Session: session, Message: wire.PeerMessage{Hello: &wire.Hello{Label: p.core.settings.Label, Boot: p.core.bootID}, Unfit: p.reachability.unreachable}})
+	p.core.emit(SendToPeer{Session: session, Message: peerproto.PeerMessage{Hello: &peerproto.Hello{Label: p.core.settings.Label, Boot: p.core.bootID}, Unfit: p.reachability.unreachable}})
 }
 
 func (p *shard) leaderLinkDown(session uint64) {
@@ -32,7 +33,7 @@
 }
 
 // handleLeaderMessage takes the leader's orders; those of another epoch are void.
-func (p *shard) handleLeaderMessage(m *wire.PeerMessage) {
+func (p *shard) handleLeaderMessage(m *peerproto.PeerMessage) {
 	c := p.core
 	p.leaderHeardAt, p.lastLeaderSeq = c.now.Monotonic, m.Seq
 	for _, v := range m.Views {
@@ -46,10 +47,10 @@
 	}
 	p.fullSnapshotDue = p.fullSnapshotDue || m.Resync
 	for _, d := range m.Dispatch {
-		ref, index, err := wire.ParseTask(d.Task)
+		ref, index, err := protocol.ParseTask(d.Task)
 		j := c.mirror.acceptedJob(ref)
 		if err != nil || p.mustNotRun(ref, j) || j.isTaskDone(index) {
-			p.returned = append(p.returned, wire.TaskTry{Task: d.Task, Attempt: d.Attempt})
+			p.returned = append(p.returned, peerproto.TaskTry{Task: d.Task, Attempt: d.Attempt})
 			continue
 		}
 		t := &taskAttempt{task: d.Task, jobID: ref, taskIndex: index, number: d.Attempt, recordVersion: d.Version, spec: &j.record.Spec}
@@ -113,13 +114,13 @@
 		p.leaderLink = 0
 		return
 	}
-	m := wire.PeerMessage{Epoch: p.epoch, Unfit: p.reachability.unreachable}
+	m := peerproto.PeerMessage{Epoch: p.epoch, Unfit: p.reachability.unreachable}
 	// An older leader takes any whole picture of this label for the member's.
 	full := p.fullSnapshotDue && !c.membership.labelHeldByOther(c.settings.Label, c.bootID)
 	if full {
 		m.Full, m.Read = true, p.lastLeaderSeq
 		for _, t := range p.unplaced {
-			m.Assigned = append(m.Assigned, wire.TaskTry{Task: t.task, Attempt: t.number})
+			m.Assigned = append(m.Assigned, peerproto.TaskTry{Task: t.task, Attempt: t.number})
 		}
 	}
 	told := p.unpublished
@@ -132,7 +133,7 @@
 		m.Dropped = p.releasedMachines
 		slices.SortFunc(told, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
 	}
-	m.Machines = make([]wire.MachineState, 0, len(told))
+	m.Machines = make([]peerproto.MachineState, 0, len(told))
 	for _, r := range told {
 		r.unpublished = false
 		r.fullStateDue = r.fullStateDue || full
@@ -158,8 +159,8 @@
 }
 
 // machineState is what the leader is told of a machine: all of it, or what has changed.
-func (p *shard) machineState(r *machine) wire.MachineState {
-	s := wire.MachineState{
+func (p *shard) machineState(r *machine) peerproto.MachineState {
+	s := peerproto.MachineState{
 		Name: r.name, Sure: r.trusted || r.leaseExpired, Kept: r.keptFromLastEpoch, Up: r.trusted && !r.leaseExpired && r.machineType != nil,
 		Notice: r.interruptionNotice, Draining: r.draining, Silent: r.silent, Partial: !r.fullStateDue,
 	}
@@ -172,7 +173,7 @@
 	for _, t := range r.attempts {
 		if r.fullStateDue || !t.published {
 			t.published = true
-			s.Tasks = append(s.Tasks, wire.TaskState{Task: t.task, Attempt: t.number, State: t.state, Why: t.exitReason, RanS: t.ranSeconds})
+			s.Tasks = append(s.Tasks, peerproto.TaskState{Task: t.task, Attempt: t.number, State: t.state, Why: t.exitReason, RanS: t.ranSeconds})
 			if !t.live() {
 				r.droppedTasks = append(r.droppedTasks, t.task)
 			}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -7,8 +7,9 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/simulation"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // What one round asks of a member with thousands of machines, and what that gives back at
@@ -20,16 +21,16 @@
 			s := newScenario(t, 95)
 			s.Run(s.Now + 10*second)
 			leader, member := s.leader(), s.follower()
-			s.Between(leader.Label, member.Label, simulation.Link{Largest: wire.MaxPeerLine})
-			var asked []wire.TaskTry // of a job that is unknown there: all of them come back
-			var stops []wire.TaskStop
+			s.Between(leader.Label, member.Label, simulation.Link{Largest: peerproto.MaxPeerLine})
+			var asked []peerproto.TaskTry // of a job that is unknown there: all of them come back
+			var stops []peerproto.TaskStop
 			for i := range machines * tasks {
-				try := wire.TaskTry{Task: wire.TaskName("job-900000001", i), Attempt: 1<<40 + uint64(i), Machine: fmt.Sprintf("n-%07d", i/tasks)}
+				try := peerproto.TaskTry{Task: protocol.TaskName("job-900000001", i), Attempt: 1<<40 + uint64(i), Machine: fmt.Sprintf("n-%07d", i/tasks)}
 				asked = append(asked, try)
-				stops = append(stops, wire.TaskStop{Task: try.Task, Machine: try.Machine, Why: "room for a more urgent job"})
+				stops = append(stops, peerproto.TaskStop{Task: try.Task, Machine: try.Machine, Why: "room for a more urgent job"})
 			}
-			var got, returned []wire.TaskTry
-			var stopped []wire.TaskStop
+			var got, returned []peerproto.TaskTry
+			var stopped []peerproto.TaskStop
 			s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 				for _, c := range cmds {
 					line, ok := c.(core.PeerReceived)
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // startPhase is how sure the part is that a start has reached its machine.
@@ -34,20 +34,20 @@
 	ranSeconds    float64
 	stopRequested bool // asked to stop
 	stopNow       bool // without time to save
-	spec          *wire.Job
+	spec          *protocol.Job
 	lastListed    uint64        // of the list it was last seen in
 	endedAt       time.Duration // when it was first seen to have ended
 	published     bool          // the leader knows of it as it is
 }
 
 // live reports whether the attempt takes room.
-func (p *taskAttempt) live() bool { return p.state != wire.TaskExited }
+func (p *taskAttempt) live() bool { return p.state != protocol.TaskExited }
 
 // machine is a machine that this member owns.
 type machine struct {
 	name, addr, typeName, zone string
 	spot                       bool
-	machineType                *wire.MachineType
+	machineType                *protocol.MachineType
 
 	session, seq       uint64                        // newest message seen
 	lastHeartbeat      struct{ session, seq uint64 } // newest of them that was a report
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -8,8 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 	"github.com/chalkhub/chalkhub/internal/stepdown"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // membership keeps this node's lease and key, and, on the leader, the map.
@@ -32,7 +33,7 @@
 	leaderSince    time.Duration // since when the leader key is ours
 	leading        bool
 	absentSince    map[string]time.Duration // controllers outside the map, since when
-	observedMap    *wire.MapRecord          // the map that this was read from
+	observedMap    *records.MapRecord       // the map that this was read from
 	desiredMembers map[string]string        // members, as they should be
 }
 
@@ -90,7 +91,7 @@
 }
 
 // leaderGuard ties a write to our leadership.
-func (m *membership) leaderGuard() wire.Guard { return m.core.mirror.guard(keyLeader) }
+func (m *membership) leaderGuard() protocol.Guard { return m.core.mirror.guard(keyLeader) }
 
 // letsLeaseExpire reports whether the lease is better left to end: nothing has come back from the state
 // service for so long that this node may do nothing, and its renewals may arrive all the same.
@@ -149,7 +150,7 @@
 		// Guarded against a write of this label's former process that is carried out late: it
 		// took the place of the new one, whose machines were others' until it wrote again.
 		key := keyNode + c.settings.Label
-		m.writeKey([]wire.Guard{c.mirror.guard(key)}, wire.Op{Put: key, Value: wire.NodeRecord{Boot: c.bootID, Level: wire.Level}, Lease: m.leaseID})
+		m.writeKey([]protocol.Guard{c.mirror.guard(key)}, protocol.Op{Put: key, Value: records.NodeRecord{Boot: c.bootID, Level: records.Level}, Lease: m.leaseID})
 		return
 	}
 	// A leader that was restarted takes its own key over at once: its former
@@ -164,8 +165,8 @@
 		return // one who reaches machines should lead
 	}
 	if l == nil || l.Label == c.settings.Label && l.Boot != c.bootID {
-		op := wire.Op{Put: keyLeader, Value: wire.LeaderRecord{Label: c.settings.Label, Boot: c.bootID}, Lease: m.leaseID}
-		m.writeKey([]wire.Guard{c.mirror.guard(keyLeader)}, op)
+		op := protocol.Op{Put: keyLeader, Value: records.LeaderRecord{Label: c.settings.Label, Boot: c.bootID}, Lease: m.leaseID}
+		m.writeKey([]protocol.Guard{c.mirror.guard(keyLeader)}, op)
 		return
 	}
 	if m.leading {
@@ -195,9 +196,9 @@
 	}
 }
 
-func (m *membership) writeKey(guards []wire.Guard, op wire.Op) {
+func (m *membership) writeKey(guards []protocol.Guard, op protocol.Op) {
 	m.keyWriteInFlight = true
-	m.core.mirror.commit(guards, []wire.Op{op}, func(d CommitResult) {
+	m.core.mirror.commit(guards, []protocol.Op{op}, func(d CommitResult) {
 		if d.Outcome == CommitRejected {
 			m.leaseID, m.keyWriteInFlight = 0, false // the lease has ended
 			return
@@ -242,7 +243,7 @@
 	if m.stepdown.ShouldStepDown(c.now.Monotonic, idle, c.intervals.maintenance) && !m.keyWriteInFlight {
 		c.logInfo("no machine can be heard here or by any member, another that is not heard may lead")
 		m.stepdown.SteppedDown(c.now.Monotonic)
-		m.writeKey([]wire.Guard{m.leaderGuard()}, wire.Op{Delete: keyLeader})
+		m.writeKey([]protocol.Guard{m.leaderGuard()}, protocol.Op{Delete: keyLeader})
 		return
 	}
 	// A map of this node alone would take the machines from those who may well serve them,
@@ -261,13 +262,13 @@
 	if m.epoch() > c.scheduler.epochAtElection && maps.Equal(rec.Members, want) {
 		return
 	}
-	next := wire.MapRecord{Epoch: 1, Leader: c.settings.Label, Members: maps.Clone(want)}
+	next := records.MapRecord{Epoch: 1, Leader: c.settings.Label, Members: maps.Clone(want)}
 	if rec != nil {
 		next.Epoch = rec.Epoch + 1
 	}
 	m.mapWriteInFlight = true
-	guards := []wire.Guard{m.leaderGuard(), c.mirror.guard(keyShardMap)}
-	c.mirror.commit(guards, []wire.Op{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
+	guards := []protocol.Guard{m.leaderGuard(), c.mirror.guard(keyShardMap)}
+	c.mirror.commit(guards, []protocol.Op{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
 		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/16, func() { m.mapWriteInFlight = false })
 	})
 }
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -10,7 +10,9 @@
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/dag"
 	"github.com/chalkhub/chalkhub/internal/degraded"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // Keys in the state service. All share one prefix, so one watch sees them all.
@@ -47,16 +49,16 @@
 
 // jobEntry is a job in the mirror.
 type jobEntry struct {
-	record        wire.JobRecord
-	version       uint64         // of what the mirror holds of it, 0: it is not accepted
-	recordVersion uint64         // of its own key, 0: there is none yet
-	doneBlocks    []wire.TaskSet // by block
+	record        records.JobRecord
+	version       uint64            // of what the mirror holds of it, 0: it is not accepted
+	recordVersion uint64            // of its own key, 0: there is none yet
+	doneBlocks    []records.TaskSet // by block
 	doneCount     int
-	ownedKeys     []string     // keys that go with it when it is over: progress, pieces, zones
-	leaderView    wire.JobView // what the leader says
-	dependent     bool         // its own key is below keyRun
-	readyThisTerm bool         // became ready while this node led: no leader before gave it a task
-	readyAt       float64      // time of day when the last job that it needs was done, in seconds
+	ownedKeys     []string          // keys that go with it when it is over: progress, pieces, zones
+	leaderView    peerproto.JobView // what the leader says
+	dependent     bool              // its own key is below keyRun
+	readyThisTerm bool              // became ready while this node led: no leader before gave it a task
+	readyAt       float64           // time of day when the last job that it needs was done, in seconds
 }
 
 // recordKey is where a job's own record is, or will be.
@@ -68,15 +70,15 @@
 }
 
 // recordGuard ties a write to what the mirror holds of the job's own record.
-func (j *jobEntry) recordGuard() wire.Guard {
-	return wire.Guard{Key: j.recordKey(), Version: j.recordVersion}
+func (j *jobEntry) recordGuard() protocol.Guard {
+	return protocol.Guard{Key: j.recordKey(), Version: j.recordVersion}
 }
 
 // waitingSince is the time of day, in seconds, from which a job's waiting counts: its submission,
 // or when the last job that it needs was done.
 func (j *jobEntry) waitingSince() float64 { return max(j.record.At, j.readyAt) }
 
-func (j *jobEntry) isFinal() bool { return j.record.State != wire.JobQueued }
+func (j *jobEntry) isFinal() bool { return j.record.State != protocol.JobQueued }
 
 func (j *jobEntry) isTaskDone(i int) bool {
 	b := i / progressBlockTasks
@@ -110,14 +112,14 @@
 	garbage        map[string]bool              // keys of jobs that are over, to be deleted
 	chunks         map[string]map[string]string // of long records, by job and key
 	chunkedRecords *chunkedRecords
-	nodes          map[string]wire.NodeRecord
-	leader         *wire.LeaderRecord
-	shardMap       *wire.MapRecord
-	machineRecords *orderedMap[*wire.MachineRecord]
-	registryPages  *orderedMap[[]string]        // the register's keys, and the machines that each holds
-	machineTypes   map[string]*wire.MachineType // empty until all are known
-	partialTypes   map[string]*wire.MachineType // those that have been read so far
-	estimates      *wire.EstimateRecord
+	nodes          map[string]records.NodeRecord
+	leader         *records.LeaderRecord
+	shardMap       *records.MapRecord
+	machineRecords *orderedMap[*records.MachineRecord]
+	registryPages  *orderedMap[[]string]            // the register's keys, and the machines that each holds
+	machineTypes   map[string]*protocol.MachineType // empty until all are known
+	partialTypes   map[string]*protocol.MachineType // those that have been read so far
+	estimates      *records.EstimateRecord
 
 	nextWatchAt    time.Duration // when the next watch may be opened
 	nextBarrierAt  time.Duration // when the next barrier may leave
@@ -140,10 +142,10 @@
 	l.dependencies, l.derivedAborts = dag.New(), map[string]bool{}
 	l.garbage, l.chunks = map[string]bool{}, map[string]map[string]string{}
 	clear(l.batches.stored)
-	l.nodes = map[string]wire.NodeRecord{}
+	l.nodes = map[string]records.NodeRecord{}
 	l.leader, l.shardMap, l.estimates = nil, nil, nil
-	l.machineRecords, l.registryPages = newOrderedMap[*wire.MachineRecord](), newOrderedMap[[]string]()
-	l.machineTypes, l.partialTypes = map[string]*wire.MachineType{}, map[string]*wire.MachineType{}
+	l.machineRecords, l.registryPages = newOrderedMap[*records.MachineRecord](), newOrderedMap[[]string]()
+	l.machineTypes, l.partialTypes = map[string]*protocol.MachineType{}, map[string]*protocol.MachineType{}
 }
 
 // isFresh reports whether the mirror is young enough to act on.
@@ -300,10 +302,10 @@
 }
 
 // commit runs a transaction; f gets the outcome.
-func (l *storeMirror) commit(guards []wire.Guard, ops []wire.Op, f func(CommitResult)) {
+func (l *storeMirror) commit(guards []protocol.Guard, ops []protocol.Op, f func(CommitResult)) {
 	l.lastCommitID++
 	l.pendingCommits[l.lastCommitID] = f
-	l.core.emit(Commit{ID: l.lastCommitID, Txn: wire.Txn{If: guards, Then: ops}})
+	l.core.emit(Commit{ID: l.lastCommitID, Txn: protocol.Txn{If: guards, Then: ops}})
 }
 
 // awaitOutcome calls f once the mirror holds what became of a write: at once if the
@@ -329,11 +331,11 @@
 	}
 }
 
-func (l *storeMirror) guard(key string) wire.Guard {
-	return wire.Guard{Key: key, Version: l.versions[key]}
+func (l *storeMirror) guard(key string) protocol.Guard {
+	return protocol.Guard{Key: key, Version: l.versions[key]}
 }
 
-func (l *storeMirror) applyPut(key string, value wire.Raw, version uint64) {
+func (l *storeMirror) applyPut(key string, value protocol.Raw, version uint64) {
 	if l.versions[key] > version {
 		return
 	}
@@ -356,33 +358,33 @@
 	case strings.HasPrefix(key, keyJobZones):
 		err = l.applyZones(key, value)
 	case strings.HasPrefix(key, keyNode):
-		var rec wire.NodeRecord
-		if err = wire.Decode(value, &rec); err == nil {
+		var rec records.NodeRecord
+		if err = protocol.Decode(value, &rec); err == nil {
 			l.nodes[key[len(keyNode):]] = rec
 		}
 	case strings.HasPrefix(key, keyRegistryPage):
-		rec := &wire.MachinesRecord{}
-		if err = wire.Decode(value, rec); err == nil {
+		rec := &records.MachinesRecord{}
+		if err = protocol.Decode(value, rec); err == nil {
 			l.putRegistryPage(key[len(keyRegistryPage):], rec)
 		}
 	case key == keyLeader:
-		rec := &wire.LeaderRecord{}
-		if err = wire.Decode(value, rec); err == nil {
+		rec := &records.LeaderRecord{}
+		if err = protocol.Decode(value, rec); err == nil {
 			l.leader = rec
 		}
 	case key == keyShardMap:
-		rec := &wire.MapRecord{}
-		if err = wire.Decode(value, rec); err == nil {
+		rec := &records.MapRecord{}
+		if err = protocol.Decode(value, rec); err == nil {
 			l.shardMap = rec
 		}
 	case strings.HasPrefix(key, keyMachineTypes):
-		var rec wire.MachineTypes
-		if err = wire.Decode(value, &rec); err == nil {
+		var rec protocol.MachineTypes
+		if err = protocol.Decode(value, &rec); err == nil {
 			l.applyMachineTypes(&rec)
 		}
 	case key == keyEstimate:
-		rec := &wire.EstimateRecord{}
-		if err = wire.Decode(value, rec); err == nil {
+		rec := &records.EstimateRecord{}
+		if err = protocol.Decode(value, rec); err == nil {
 			l.estimates = rec
 		}
 	}
@@ -391,16 +393,16 @@
 }
 
 // applyJob takes a job's own record into the mirror.
-func (l *storeMirror) applyJob(id string, run bool, value wire.Raw, version uint64) error {
-	var rec wire.JobRecord
-	if err := wire.Decode(value, &rec); err != nil {
+func (l *storeMirror) applyJob(id string, run bool, value protocol.Raw, version uint64) error {
+	var rec records.JobRecord
+	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
-	if rec.State == wire.JobCancelled && version > l.loadRevision {
+	if rec.State == protocol.JobCancelled && version > l.loadRevision {
 		l.cancellations.Record(id, version) // what was loaded is told by loadRev
 	}
 	if e, ok := l.archive.jobs[id]; ok {
-		if version > e.version && rec.State != wire.JobQueued {
+		if version > e.version && rec.State != protocol.JobQueued {
 			l.archive.add(&rec, version)
 			delete(l.derivedAborts, id)
 		}
@@ -418,10 +420,10 @@
 	if len(rec.Zones) == 0 {
 		rec.Zones = j.record.Zones // they may have a key of their own
 	}
-	over := !j.isFinal() && rec.State != wire.JobQueued
+	over := !j.isFinal() && rec.State != protocol.JobQueued
 	j.record, j.version, j.recordVersion, j.dependent = rec, version, version, run
 	if j.isFinal() {
-		if rec.State == wire.JobDone {
+		if rec.State == protocol.JobDone {
 			j.doneCount = rec.Spec.Tasks
 		}
 		j.doneBlocks = nil
@@ -445,7 +447,7 @@
 	l.core.shard.stopJob(j)
 	l.archive.add(&j.record, j.version)
 	delete(l.jobs, id)
-	l.dependencies.MarkFinished(id, j.record.State == wire.JobDone, j.record.Over)
+	l.dependencies.MarkFinished(id, j.record.State == protocol.JobDone, j.record.Over)
 }
 
 func (l *storeMirror) logUnreadable(key string, err error) {
@@ -455,17 +457,17 @@
 }
 
 // applyProgress takes a block of a job's completed tasks, so many to a block.
-func (l *storeMirror) applyProgress(key, name string, tasks int, value wire.Raw) error {
+func (l *storeMirror) applyProgress(key, name string, tasks int, value protocol.Raw) error {
 	id, num, _ := strings.Cut(name, "/")
 	n, err := strconv.Atoi(num)
-	if err != nil || n < 0 || n > wire.MaxTasks/tasks {
+	if err != nil || n < 0 || n > protocol.MaxTasks/tasks {
 		return fmt.Errorf("progress key %q", name)
 	}
-	var rec wire.ProgressRecord
-	if err := wire.Decode(value, &rec); err != nil {
+	var rec records.ProgressRecord
+	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
-	set, err := wire.ParseTaskSet(rec.Bits)
+	set, err := records.ParseTaskSet(rec.Bits)
 	if err != nil {
 		return err
 	}
@@ -500,7 +502,7 @@
 	j := l.jobs[id]
 	if j == nil {
 		j = &jobEntry{}
-		j.record.State = wire.JobQueued
+		j.record.State = protocol.JobQueued
 		l.jobs[id] = j
 	}
 	return j
@@ -541,15 +543,15 @@
 
 // replyRetry answers that the request must be repeated, at once and with a time.
 func (l *storeMirror) replyRetry(id RequestID, why string) {
-	l.core.emit(Reply{ID: id, Status: ReplyUnavailable, Body: wire.ErrorAnswer{Error: why}, RetryAfter: time.Second})
+	l.core.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorAnswer{Error: why}, RetryAfter: time.Second})
 }
 
 func (l *storeMirror) replyUnknownJob(id RequestID) {
-	l.core.emit(Reply{ID: id, Status: ReplyNotFound, Body: wire.ErrorAnswer{Error: "no such job"}})
+	l.core.emit(Reply{ID: id, Status: ReplyNotFound, Body: protocol.ErrorAnswer{Error: "no such job"}})
 }
 
 func (l *storeMirror) replyJob(id RequestID, status ReplyStatus, j *jobEntry) {
-	a := wire.JobAnswer{ID: j.record.Spec.ID, State: j.record.State, Done: j.doneCount, Reason: j.record.Bad}
+	a := protocol.JobAnswer{ID: j.record.Spec.ID, State: j.record.State, Done: j.doneCount, Reason: j.record.Bad}
 	if !j.isFinal() {
 		a.Running = j.leaderView.Running
 		a.Reason = j.leaderView.Reason
@@ -557,7 +559,7 @@
 			a.Reason = l.dependencyReason(a.ID)
 		}
 		if a.Running > 0 {
-			a.State = wire.JobRunning
+			a.State = protocol.JobRunning
 		}
 		if a.Reason == "" && a.Running == 0 {
 			a.Reason = "waits for the scheduler's next round"
@@ -586,14 +588,14 @@
 }
 
 func (l *storeMirror) query(id RequestID, ref string) {
-	if !wire.ValidJobID(ref) {
+	if !protocol.ValidJobID(ref) {
 		l.replyUnknownJob(id)
 		return
 	}
 	l.replyCurrent(id, ref)
 }
 
-func (l *storeMirror) submit(id RequestID, spec wire.Job) {
+func (l *storeMirror) submit(id RequestID, spec protocol.Job) {
 	if l.acceptedJob(spec.ID) != nil {
 		l.replyCurrent(id, spec.ID)
 		return
@@ -606,7 +608,7 @@
 		l.reject(id, spec.ID, why)
 		return
 	}
-	rec := wire.JobRecord{Spec: spec, State: wire.JobQueued, At: l.core.now.Wall}
+	rec := records.JobRecord{Spec: spec, State: protocol.JobQueued, At: l.core.now.Wall}
 	if len(spec.Needs) > 0 {
 		l.submitDependent(id, rec, false)
 		return
@@ -625,25 +627,25 @@
 		case l.acceptedJob(ref) != nil:
 			l.replyJob(id, ReplyOK, l.acceptedJob(ref))
 		default:
-			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: wire.ErrorAnswer{Error: why}})
+			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorAnswer{Error: why}})
 		}
 	})
 }
 
 // notAcceptedGuards hold as long as nobody has accepted a job. Whoever names jobs that it needs
 // may be kept below either prefix, as those were over or not when it was looked at.
-func notAcceptedGuards(id string, needy bool) []wire.Guard {
-	guards := []wire.Guard{{Key: keyJob + id}}
+func notAcceptedGuards(id string, needy bool) []protocol.Guard {
+	guards := []protocol.Guard{{Key: keyJob + id}}
 	if needy {
-		guards = append(guards, wire.Guard{Key: keyDependentJob + id})
+		guards = append(guards, protocol.Guard{Key: keyDependentJob + id})
 	}
 	return guards
 }
 
 // admit writes a submission; needy: its user named jobs that it needs.
-func (l *storeMirror) admit(id RequestID, rec wire.JobRecord, needy bool) {
+func (l *storeMirror) admit(id RequestID, rec records.JobRecord, needy bool) {
 	spec := rec.Spec
-	size := wire.TextSize(rec)
+	size := protocol.TextSize(rec)
 	if size > l.core.maxValueBytes()-batchOverhead {
 		l.chunkedRecords.admit(id, rec)
 		return
@@ -653,7 +655,7 @@
 		return
 	}
 	key := (&jobEntry{record: rec, dependent: len(spec.Needs) > 0}).recordKey()
-	l.commit(notAcceptedGuards(spec.ID, needy), []wire.Op{{Put: key, Value: rec}}, func(d CommitResult) {
+	l.commit(notAcceptedGuards(spec.ID, needy), []protocol.Op{{Put: key, Value: rec}}, func(d CommitResult) {
 		switch d.Outcome {
 		case Committed:
 			l.replyAccepted(id, &rec)
@@ -673,11 +675,11 @@
 }
 
 // replyAccepted tells a user that a job is accepted.
-func (l *storeMirror) replyAccepted(id RequestID, rec *wire.JobRecord) {
+func (l *storeMirror) replyAccepted(id RequestID, rec *records.JobRecord) {
 	s := &rec.Spec
 	l.core.logDebug("accepted", "job", s.ID, "class", s.Class, "team", s.Team, "urgency", s.Urgency,
 		"tasks", s.Tasks, "cpus", s.CPUs, "estimate", s.EstimateS, "checkpoint", s.CheckpointS)
-	l.core.emit(Reply{ID: id, Status: ReplyAccepted, Body: wire.JobAnswer{ID: s.ID, State: rec.State, Reason: rec.Bad}})
+	l.core.emit(Reply{ID: id, Status: ReplyAccepted, Body: protocol.JobAnswer{ID: s.ID, State: rec.State, Reason: rec.Bad}})
 }
 
 // replyUncertain answers a submission whose write had no answer, once the mirror has been read.
@@ -690,7 +692,7 @@
 }
 
 // infeasible says why a job can never run, if so.
-func (l *storeMirror) infeasible(j *wire.Job) string {
+func (l *storeMirror) infeasible(j *protocol.Job) string {
 	team := l.core.team(j.Team)
 	if team == nil {
 		if len(l.core.settings.Site.Teams) > 0 {
@@ -711,11 +713,11 @@
 	if len(zones) == 0 {
 		return "a task fits no allowed machine type"
 	}
-	if j.Kind == wire.KindGang && j.Spread && j.Tasks > 1 && len(zones) == 1 {
+	if j.Kind == protocol.KindGang && j.Spread && j.Tasks > 1 && len(zones) == 1 {
 		return "its tasks run together, and there is no second zone to spread them over"
 	}
 	n := 1.0
-	if j.Kind != wire.KindArray {
+	if j.Kind != protocol.KindArray {
 		n = float64(j.Tasks)
 	}
 	if team.CPUsMax > 0 && n*j.CPUs > team.CPUsMax+roundingSlack || team.GPUsMax > 0 && n*j.GPUs > team.GPUsMax+roundingSlack {
@@ -725,7 +727,7 @@
 }
 
 func (l *storeMirror) cancel(id RequestID, ref string, tries int) {
-	if !wire.ValidJobID(ref) {
+	if !protocol.ValidJobID(ref) {
 		l.replyUnknownJob(id)
 		return
 	}
@@ -742,13 +744,13 @@
 			l.replyJob(id, ReplyOK, j)
 			return
 		}
-		rec := finalRecord(j, wire.JobCancelled, "cancelled by its user")
-		l.commit([]wire.Guard{j.recordGuard()}, l.finalOps(j, rec), func(d CommitResult) {
+		rec := finalRecord(j, protocol.JobCancelled, "cancelled by its user")
+		l.commit([]protocol.Guard{j.recordGuard()}, l.finalOps(j, rec), func(d CommitResult) {
 			switch {
 			case d.Outcome == Committed:
 				l.cancellations.Record(ref, d.Answer.Revision)
 				l.core.degraded.cancellationConfirmed(ref)
-				l.core.emit(Reply{ID: id, Status: ReplyOK, Body: wire.JobAnswer{ID: ref, State: wire.JobCancelled, Done: j.doneCount}})
+				l.core.emit(Reply{ID: id, Status: ReplyOK, Body: protocol.JobAnswer{ID: ref, State: protocol.JobCancelled, Done: j.doneCount}})
 			case (d.Outcome == CommitConflict || d.Outcome == CommitUnknown) && tries < 3:
 				l.cancel(id, ref, tries+1) // done came first, or the outcome is open: look again
 			default:
@@ -759,10 +761,10 @@
 }
 
 // finalRecord is what is kept of a job that is over.
-func finalRecord(j *jobEntry, state, why string) wire.JobRecord {
+func finalRecord(j *jobEntry, state, why string) records.JobRecord {
 	s := j.record.Spec
-	return wire.JobRecord{
-		Spec: wire.Job{ID: s.ID, Class: s.Class, Team: s.Team, Kind: s.Kind, Urgency: s.Urgency, Tasks: s.Tasks,
+	return records.JobRecord{
+		Spec: protocol.Job{ID: s.ID, Class: s.Class, Team: s.Team, Kind: s.Kind, Urgency: s.Urgency, Tasks: s.Tasks,
 			CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB},
 		State: state, At: j.record.At, Bad: why,
 	}
@@ -770,10 +772,10 @@
 
 // finalOps writes a job's final state and drops what else is kept of it, as far as one
 // transaction goes.
-func (l *storeMirror) finalOps(j *jobEntry, rec wire.JobRecord) []wire.Op {
-	ops := []wire.Op{{Put: j.recordKey(), Value: rec}}
+func (l *storeMirror) finalOps(j *jobEntry, rec records.JobRecord) []protocol.Op {
+	ops := []protocol.Op{{Put: j.recordKey(), Value: rec}}
 	for _, key := range j.ownedKeys[:min(len(j.ownedKeys), l.core.maxTxnOps()-1)] {
-		ops = append(ops, wire.Op{Delete: key})
+		ops = append(ops, protocol.Op{Delete: key})
 	}
 	return ops
 }
@@ -784,8 +786,8 @@
 	if l.collectingGarbage || len(l.garbage) == 0 {
 		return
 	}
-	guards := []wire.Guard{c.membership.leaderGuard()}
-	var ops []wire.Op
+	guards := []protocol.Guard{c.membership.leaderGuard()}
+	var ops []protocol.Op
 	for _, key := range sortedKeys(l.garbage) {
 		if l.versions[key] == 0 {
 			delete(l.garbage, key)
@@ -796,7 +798,7 @@
 		}
 		c.scheduler.progressWriteTokens--
 		guards = append(guards, l.guard(key))
-		ops = append(ops, wire.Op{Delete: key})
+		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) == 0 {
 		return
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -1,14 +1,15 @@
 package core
 
 import (
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // machineCommands lists what the machine must do now: kills first, then clears, then
 // starts, if any may go out. doID is that of the /do they go with, 0 for a response to a
 // report.
-func (p *shard) machineCommands(r *machine, doID uint64, start bool) []wire.Command {
-	var cmds, clears []wire.Command
+func (p *shard) machineCommands(r *machine, doID uint64, start bool) []protocol.Command {
+	var cmds, clears []protocol.Command
 	clearNow, direct, starts := false, false, false
 	for _, t := range r.attempts {
 		starts = starts || t.phase == phaseQueued && start
@@ -18,18 +19,18 @@
 		j := p.core.mirror.acceptedJob(t.jobID)
 		over := p.mustNotRun(t.jobID, j)
 		switch {
-		case t.state == wire.TaskExited:
+		case t.state == protocol.TaskExited:
 			// A completed task is cleared only once that is durable, or a crash
 			// of every controller would lose the only trace of it.
-			if t.exitReason != wire.WhyDone || over || j.isTaskDone(t.taskIndex) || j.record.Spec.Kind == wire.KindService {
-				clears = append(clears, wire.Command{Op: wire.OpForget, Task: t.task, Attempt: t.number})
+			if t.exitReason != protocol.WhyDone || over || j.isTaskDone(t.taskIndex) || j.record.Spec.Kind == protocol.KindService {
+				clears = append(clears, protocol.Command{Op: protocol.OpForget, Task: t.task, Attempt: t.number})
 				direct = direct || t.callID != 0 && t.startToken == r.token
-				clearNow = clearNow || t.exitReason != wire.WhyDone || p.core.now.Monotonic-t.endedAt > p.core.intervals.workerLease/2
+				clearNow = clearNow || t.exitReason != protocol.WhyDone || p.core.now.Monotonic-t.endedAt > p.core.intervals.workerLease/2
 			}
 		case over || j.isTaskDone(t.taskIndex):
-			cmds = append(cmds, wire.Command{Op: wire.OpStop, Task: t.task, Attempt: t.number})
-		case t.stopRequested && (t.stopNow || t.state != wire.TaskSaving):
-			stop := wire.Command{Op: wire.OpStop, Task: t.task, Attempt: t.number}
+			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: t.task, Attempt: t.number})
+		case t.stopRequested && (t.stopNow || t.state != protocol.TaskSaving):
+			stop := protocol.Command{Op: protocol.OpStop, Task: t.task, Attempt: t.number}
 			if !t.stopNow {
 				stop.GraceS = j.record.Spec.SaveS
 			}
@@ -58,7 +59,7 @@
 		} else {
 			t.phase = phaseSentInReply
 		}
-		cmds = append(cmds, wire.Command{Op: wire.OpStart, Task: t.task, Attempt: t.number})
+		cmds = append(cmds, protocol.Command{Op: protocol.OpStart, Task: t.task, Attempt: t.number})
 	}
 	return cmds
 }
@@ -72,13 +73,13 @@
 // is not to be trusted for more.
 //
 // Guards against renewing a machine's lease with an answer that leaves a cancelled task on it.
-func (p *shard) stopCommands(rep *wire.Report) []wire.Command {
-	var cmds []wire.Command
+func (p *shard) stopCommands(rep *protocol.Report) []protocol.Command {
+	var cmds []protocol.Command
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
-		ref, _, err := wire.ParseTask(t.Task)
-		if err == nil && t.State != wire.TaskExited && p.mustNotRun(ref, p.core.mirror.acceptedJob(ref)) {
-			cmds = append(cmds, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt})
+		ref, _, err := protocol.ParseTask(t.Task)
+		if err == nil && t.State != protocol.TaskExited && p.mustNotRun(ref, p.core.mirror.acceptedJob(ref)) {
+			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	return cmds
@@ -172,13 +173,13 @@
 	if !r.freeCapacity().fits(t.spec) {
 		return false
 	}
-	t.phase, t.state = phaseHeld, wire.StateHeld
+	t.phase, t.state = phaseHeld, peerproto.StateHeld
 	p.addAttempt(r, t)
 	return true
 }
 
 // resolveHeld lets f decide which of the held tasks stay.
-func (p *shard) resolveHeld(list []wire.TaskTry, f func(*machine, *taskAttempt) bool) {
+func (p *shard) resolveHeld(list []peerproto.TaskTry, f func(*machine, *taskAttempt) bool) {
 	for _, x := range list {
 		r := p.machines.get(x.Machine)
 		if r == nil {
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -6,7 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // victim is a task that may be stopped for others at a small loss.
@@ -94,7 +95,7 @@
 }
 
 // addFreed adds the room of a task that is stopped and says how many more of s now fit.
-func (m *preemptionSet) addFreed(stopped, s *wire.Job) (n int) {
+func (m *preemptionSet) addFreed(stopped, s *protocol.Job) (n int) {
 	for m.release(stopped); m.fits(s); n++ {
 		m.allocate(s)
 	}
@@ -110,7 +111,7 @@
 		for name, f := range m.view.attempts {
 			vs := &f.job.entry.record.Spec
 			loss, ok := o.lostWork(f)
-			if (ok || f.stopRequested) && vs.Kind != wire.KindService {
+			if (ok || f.stopRequested) && vs.Kind != protocol.KindService {
 				p.victims = append(p.victims, victim{f, name, m, loss})
 			}
 		}
@@ -126,13 +127,13 @@
 	if v.attempt.job.effectiveUrgency <= q.effectiveUrgency {
 		why = "tasks stopped to give another team its guarantee"
 	}
-	o.requestStop(v.machine.shard, v.attempt, wire.TaskStop{Task: v.task, Machine: v.machine.name, Why: why, Now: o.isUrgent(q)}, q.effectiveUrgency)
+	o.requestStop(v.machine.shard, v.attempt, peerproto.TaskStop{Task: v.task, Machine: v.machine.name, Why: why, Now: o.isUrgent(q)}, q.effectiveUrgency)
 	v.machine.preempting, v.machine.preemptorUrgency = true, min(v.attempt.stopUrgency, v.machine.preemptorUrgency)
 }
 
 // requestStop has a part stop a task. Until it has, work that is less urgent than due does not
 // take its room.
-func (o *scheduler) requestStop(p *shardView, f *inflightAttempt, stop wire.TaskStop, due int) {
+func (o *scheduler) requestStop(p *shardView, f *inflightAttempt, stop peerproto.TaskStop, due int) {
 	f.stopRequested, f.stopUrgency = true, due
 	o.stopRequests[stop.Task] = f
 	f.job.stopCount++
@@ -147,7 +148,7 @@
 // isPreemptible reports whether the tasks of one job may be stopped for another.
 func (o *scheduler) isPreemptible(victim, q *queuedJob) bool {
 	v := &victim.entry.record.Spec
-	if victim == q || v.Kind == wire.KindService || victim.protected || !q.ranksBefore(victim) {
+	if victim == q || v.Kind == protocol.KindService || victim.protected || !q.ranksBefore(victim) {
 		return false
 	}
 	if victim.effectiveUrgency > q.effectiveUrgency {
@@ -186,7 +187,7 @@
 // that is too much to ask.
 func (o *scheduler) lostWork(f *inflightAttempt) (float64, bool) {
 	if f.runningSince == 0 {
-		return 0, f.machine != "" && f.taskState == wire.TaskFetching
+		return 0, f.machine != "" && f.taskState == protocol.TaskFetching
 	}
 	ran := (o.core.now.Monotonic - f.runningSince).Seconds()
 	s := &f.job.entry.record.Spec
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -6,7 +6,8 @@
 	"sort"
 	"strconv"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // saveProgress makes completed tasks durable: jobs that are complete first, then
@@ -45,9 +46,9 @@
 func (o *scheduler) writeCompletion(q *queuedJob) {
 	q.finalizing = true
 	j := q.entry
-	rec := finalRecord(j, wire.JobDone, "")
+	rec := finalRecord(j, protocol.JobDone, "")
 	rec.Over = math.Floor(o.core.now.Wall) // as the archive keeps it, so that it is the same for every leader
-	guards := []wire.Guard{o.core.membership.leaderGuard(), j.recordGuard()}
+	guards := []protocol.Guard{o.core.membership.leaderGuard(), j.recordGuard()}
 	o.core.mirror.commit(guards, o.core.mirror.finalOps(j, rec), func(d CommitResult) {
 		o.core.mirror.awaitOutcome(d.Outcome.Decided(), o.core.intervals.maintenance/4, func() { q.finalizing = false })
 	})
@@ -59,7 +60,7 @@
 
 // doneRange is which of a job's tasks are durably done, of size from a first one on: both
 // whole bytes of the sets.
-func (j *jobEntry) doneRange(first, size int) wire.TaskSet {
+func (j *jobEntry) doneRange(first, size int) records.TaskSet {
 	b, at := first/progressBlockTasks, first%progressBlockTasks/8
 	if b >= len(j.doneBlocks) || at >= len(j.doneBlocks[b]) {
 		return nil
@@ -73,7 +74,7 @@
 	if o.core.maxValueBytes() < fullBlockBytes && q.entry.record.Spec.Tasks > fineBlockTasks {
 		size, prefix = fineBlockTasks, keyFineProgress
 	}
-	sets := map[int]wire.TaskSet{}
+	sets := map[int]records.TaskSet{}
 	for i := range q.unsavedTasks {
 		b := i / size
 		if sets[b] == nil {
@@ -87,13 +88,13 @@
 	// The guard on the job's key keeps progress from outliving the job, those on
 	// the blocks keep a write that is applied late from taking back what a later
 	// one has added: a task was once missing from both and never started again.
-	guards := []wire.Guard{o.core.membership.leaderGuard(), q.entry.recordGuard()}
-	var ops []wire.Op
+	guards := []protocol.Guard{o.core.membership.leaderGuard(), q.entry.recordGuard()}
+	var ops []protocol.Op
 	for _, b := range sortedKeys(sets) {
 		if len(ops) < o.core.maxTxnOps() {
 			key := prefix + q.id + "/" + strconv.Itoa(b)
 			guards = append(guards, o.core.mirror.guard(key))
-			ops = append(ops, wire.Op{Put: key, Value: wire.ProgressRecord{Bits: sets[b].Text()}})
+			ops = append(ops, protocol.Op{Put: key, Value: records.ProgressRecord{Bits: sets[b].Text()}})
 		}
 	}
 	o.progressWriteTokens -= float64(len(ops))
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -7,13 +7,13 @@
 	"slices"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // usage is what tasks take.
 type usage struct{ cpus, gpus, memoryGB float64 }
 
-func (u *usage) add(s *wire.Job, n float64) {
+func (u *usage) add(s *protocol.Job, n float64) {
 	u.cpus += n * s.CPUs
 	u.gpus += n * s.GPUs
 	u.memoryGB += n * s.MemoryGB
@@ -76,7 +76,7 @@
 
 // overLimitReason says why n more tasks of a team may not be dispatched, if so: they
 // would take it past its limit, or they are a guest's and the others need the room.
-func (o *scheduler) overLimitReason(s *wire.Job, n float64, p *schedulingRound) string {
+func (o *scheduler) overLimitReason(s *protocol.Job, n float64, p *schedulingRound) string {
 	t, u := o.core.team(s.Team), p.teamUsage[s.Team]
 	switch {
 	case t == nil:
--- a/internal/core/randomized_test.go
+++ b/internal/core/randomized_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 
 	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/simulation"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // The same worlds in every run, unless others are asked for:
@@ -104,7 +104,7 @@
 // deployment is what was drawn.
 type deployment struct {
 	settings    config.Settings
-	types       []wire.MachineType
+	types       []protocol.MachineType
 	lastFaultAt time.Duration // when the last trouble is
 	upgradedAt  time.Duration // when all controllers run the new version
 	cpuSeconds  float64       // CPU seconds
@@ -134,7 +134,7 @@
 func (d *deployment) unfinished(s *scenario) string {
 	var left []string
 	for _, j := range d.jobs {
-		if j.Refused == 0 && j.Told != wire.JobDone && j.Told != wire.JobCancelled {
+		if j.Refused == 0 && j.Told != protocol.JobDone && j.Told != protocol.JobCancelled {
 			left = append(left, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", j.Spec.ID, j.Spec.Kind, j.Spec.Team,
 				j.Spec.Tasks, j.Spec.CPUs, j.Told, j.Answer.Reason))
 		}
@@ -176,7 +176,7 @@
 	s.Cloud = config.Cloud{RPS: drawFloat(rt, "cloud rps", 1, 10), ListLagS: drawFloat(rt, "list lag", 1, 20)}
 	s.Resources = config.Resources{Cores: 0.2, RAMMB: 128, MaxSockets: 1000}
 	for i := range rapid.IntRange(1, 5).Draw(rt, "types") {
-		t := wire.MachineType{Name: fmt.Sprintf("t%d", i), CPUs: float64(int(4) << rapid.IntRange(0, 4).Draw(rt, "cpus")),
+		t := protocol.MachineType{Name: fmt.Sprintf("t%d", i), CPUs: float64(int(4) << rapid.IntRange(0, 4).Draw(rt, "cpus")),
 			CacheGB: 30, FetchGBps: 0.5, BootS: drawFloat(rt, "boot", 5, 50), Zones: zones}
 		t.MemoryGB, t.Price = t.CPUs*4, t.CPUs*0.05
 		if rapid.Bool().Draw(rt, "spot") {
@@ -269,7 +269,7 @@
 			spec.Team = rapid.SampledFrom(teams).Draw(rt, "team").Name
 		}
 		spec.Class = rapid.SampledFrom(jobClasses).Draw(rt, "class")
-		spec.Urgency = rapid.SampledFrom([]string{wire.UrgencyNormal, wire.UrgencyLow, wire.UrgencyHigh, wire.UrgencyProduction}).Draw(rt, "urgency")
+		spec.Urgency = rapid.SampledFrom([]string{protocol.UrgencyNormal, protocol.UrgencyLow, protocol.UrgencyHigh, protocol.UrgencyProduction}).Draw(rt, "urgency")
 		spec.CPUs = rapid.SampledFrom([]float64{1, 0.5, 2, 4}).Draw(rt, "cpus")
 		spec.Image = fmt.Sprintf("img-%d", rapid.IntRange(0, 3).Draw(rt, "image"))
 		spec.Spot = rapid.Bool().Draw(rt, "spot")
@@ -284,9 +284,9 @@
 		forever := false
 		switch rapid.IntRange(0, 9).Draw(rt, "kind") {
 		case 1:
-			spec.Kind, spec.EstimateS, spec.Tasks, forever = wire.KindService, 0, min(spec.Tasks, 6), true
+			spec.Kind, spec.EstimateS, spec.Tasks, forever = protocol.KindService, 0, min(spec.Tasks, 6), true
 		case 2:
-			spec.Kind, spec.Tasks, spec.CPUs = wire.KindGang, min(spec.Tasks, 8), 1
+			spec.Kind, spec.Tasks, spec.CPUs = protocol.KindGang, min(spec.Tasks, 8), 1
 		}
 		switch rapid.IntRange(0, 7).Draw(rt, "where") {
 		case 1:
@@ -328,7 +328,7 @@
 // old controllers live nobody asks for that.
 func (d *deployment) newestAccepted(n int) (names []string) {
 	for _, j := range slices.Backward(d.jobs) {
-		if j.Accepted && j.Spec.Kind != wire.KindService && len(names) < n-2 {
+		if j.Accepted && j.Spec.Kind != protocol.KindService && len(names) < n-2 {
 			names = append(names, j.Spec.ID)
 		}
 	}
@@ -338,7 +338,7 @@
 // cancelRunning has users cancel up to n of the jobs that are under way.
 func (d *deployment) cancelRunning(s *scenario, n int) {
 	for _, j := range d.jobs {
-		if j.Told == wire.JobRunning && n > 0 {
+		if j.Told == protocol.JobRunning && n > 0 {
 			s.Users.Abort(j)
 			n--
 		}
@@ -637,7 +637,7 @@
 	s.Users.Never(spec)
 	for _, j := range d.jobs {
 		switch {
-		case j.Told == wire.JobDone:
+		case j.Told == protocol.JobDone:
 			s.Users.Abort(j)
 		case j.Accepted:
 			s.Users.Resubmit(j)
@@ -700,7 +700,7 @@
 			limits += team.CPUsMax
 			for k := range rapid.IntRange(2, 4).Draw(rt, "classes") {
 				x := jobStream{team: team.Name, class: fmt.Sprintf("class-%d", k),
-					urgency:    rapid.SampledFrom([]string{wire.UrgencyLow, wire.UrgencyNormal, wire.UrgencyHigh}).Draw(rt, "urgency"),
+					urgency:    rapid.SampledFrom([]string{protocol.UrgencyLow, protocol.UrgencyNormal, protocol.UrgencyHigh}).Draw(rt, "urgency"),
 					tasks:      rapid.IntRange(1, 8).Draw(rt, "tasks"),
 					cpus:       rapid.SampledFrom([]float64{1, 2, 4}).Draw(rt, "cpus"),
 					runSeconds: drawFloat(rt, "run", 4, 20)}
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // rankJobs sorts the unfinished jobs: services, then what is urgent, then what its
@@ -28,7 +28,7 @@
 		// without history once took the mean of its team's tiny tasks, so that
 		// hours of work seemed to be worth no machine.
 		q.predictedSeconds = o.core.estimator.predict(&q.entry.record.Spec)
-		if ran := q.longestRunning.Seconds(); ran > 2*q.predictedSeconds && q.entry.record.Spec.Kind != wire.KindService {
+		if ran := q.longestRunning.Seconds(); ran > 2*q.predictedSeconds && q.entry.record.Spec.Kind != protocol.KindService {
 			q.predictedSeconds = ran
 		}
 		q.effectiveUrgency, q.dependentsDeadline = urgencyLevel(q.entry.record.Spec.Urgency), math.Inf(1)
@@ -62,7 +62,7 @@
 	s := &q.entry.record.Spec
 	u := q.effectiveUrgency
 	switch {
-	case s.Kind == wire.KindService:
+	case s.Kind == protocol.KindService:
 		band = u - 10
 	case u <= 1 && !o.core.bestEffortTeams[s.Team]:
 		band = u
@@ -73,7 +73,7 @@
 	}
 	size = taskWidth(s)
 	aged := 1 + max(o.core.now.Wall-q.entry.waitingSince(), 0)/(o.core.policy.AgingLeases*o.core.intervals.workerLease.Seconds())
-	if s.Kind != wire.KindService {
+	if s.Kind != protocol.KindService {
 		// All that is left of a job, as the paper counts all GPUs of a job. By a
 		// task's product alone the jobs of one name tie, their age decides, and
 		// under load they all wait as long as the last one may.
@@ -83,7 +83,7 @@
 }
 
 // taskWidth is what a task counts with in the paper's product.
-func taskWidth(s *wire.Job) float64 {
+func taskWidth(s *protocol.Job) float64 {
 	if s.GPUs > 0 {
 		return s.GPUs
 	}
@@ -92,11 +92,11 @@
 
 func urgencyLevel(u string) int {
 	switch u {
-	case wire.UrgencyProduction:
+	case protocol.UrgencyProduction:
 		return 0
-	case wire.UrgencyHigh:
+	case protocol.UrgencyHigh:
 		return 1
-	case wire.UrgencyNormal:
+	case protocol.UrgencyNormal:
 		return 2
 	}
 	return lowestUrgency
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -5,7 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // machineRegistry is the leader's list, in the state service, of the machines that may
@@ -29,7 +30,7 @@
 
 // recordSize is how many bytes a machine takes on its shelf, in the form in which limits
 // are counted, or a few more.
-func recordSize(name string, m *wire.MachineRecord) int {
+func recordSize(name string, m *records.MachineRecord) int {
 	return 64 + len(name) + len(m.Addr) + len(m.Type) + len(m.Zone)
 }
 
@@ -50,7 +51,7 @@
 
 // pageUpdate is a shelf as it is to be written.
 type pageUpdate struct {
-	machines map[string]wire.MachineRecord
+	machines map[string]records.MachineRecord
 	bytes    int
 }
 
@@ -74,12 +75,12 @@
 		return
 	}
 	g.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
-	record := func(name string) wire.MachineRecord {
+	record := func(name string) records.MachineRecord {
 		if m := c.mirror.machineRecords.get(name); m != nil {
 			return *m
 		}
 		s := c.scheduler.machines.get(name).state
-		return wire.MachineRecord{Addr: s.Addr, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
+		return records.MachineRecord{Addr: s.Addr, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
 	}
 	goes := func(name string) bool { return c.fleet.wasDeleted(name) || c.fleet.mayDeregister(name) }
 	filled, large := map[string]int{}, map[string]bool{}
@@ -90,7 +91,7 @@
 	changed := map[string]*pageUpdate{}
 	edit := func(shelf string) *pageUpdate {
 		if changed[shelf] == nil {
-			changed[shelf] = &pageUpdate{machines: map[string]wire.MachineRecord{}, bytes: filled[shelf]}
+			changed[shelf] = &pageUpdate{machines: map[string]records.MachineRecord{}, bytes: filled[shelf]}
 			for _, name := range c.mirror.registryPages.get(shelf) {
 				changed[shelf].machines[name] = record(name)
 			}
@@ -171,13 +172,13 @@
 	c := g.core
 	// The map's version too: its part keeps a machine that is withdrawn empty in this
 	// epoch, and whoever owns it in a later one has seen that it is out.
-	guards := []wire.Guard{c.membership.leaderGuard(), c.mirror.guard(keyShardMap)}
-	var ops []wire.Op
+	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyShardMap)}
+	var ops []protocol.Op
 	for _, shelf := range sortedKeys(changed) {
 		guards = append(guards, c.mirror.guard(keyRegistryPage+shelf))
-		op := wire.Op{Put: keyRegistryPage + shelf, Value: wire.MachinesRecord{Machines: changed[shelf].machines}}
+		op := protocol.Op{Put: keyRegistryPage + shelf, Value: records.MachinesRecord{Machines: changed[shelf].machines}}
 		if len(changed[shelf].machines) == 0 {
-			op = wire.Op{Delete: keyRegistryPage + shelf}
+			op = protocol.Op{Delete: keyRegistryPage + shelf}
 		}
 		ops = append(ops, op)
 	}
@@ -190,7 +191,7 @@
 func pageKey(n int) string { return fmt.Sprintf("%04d", n) }
 
 // putRegistryPage takes a key of the register into the mirror.
-func (l *storeMirror) putRegistryPage(shelf string, rec *wire.MachinesRecord) {
+func (l *storeMirror) putRegistryPage(shelf string, rec *records.MachinesRecord) {
 	was := l.registryPages.get(shelf)
 	names := sortedKeys(rec.Machines)
 	l.registryPages.set(shelf, names)
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/simulation"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // Processes that end and are back within a fraction of a second, at the moments that matter.
@@ -75,7 +75,7 @@
 				s.eventually(300*second, "all come to their end", s.Users.AllTold)
 				s.Run(s.Now + 100*second) // the last copies arrive
 				s.requireInvariants()
-				if !toldState(wire.JobDone, long, next)() || cut.Told != wire.JobCancelled {
+				if !toldState(protocol.JobDone, long, next)() || cut.Told != protocol.JobCancelled {
 					t.Fatal(long.Told, next.Told, cut.Told)
 				}
 			}
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // scaleIn returns machines that are not needed. An ordinary machine that the
@@ -82,11 +82,11 @@
 // and returned for a new one, for ever, where nothing is rented cheap.
 func (f *fleet) isConstrained(q *queuedJob) bool {
 	s := &q.entry.record.Spec
-	return len(s.Types) > 0 || s.Zone != "" || s.OneZone || s.Spread || !s.Spot || s.Kind == wire.KindGang || !f.hasSpotType(s)
+	return len(s.Types) > 0 || s.Zone != "" || s.OneZone || s.Spread || !s.Spot || s.Kind == protocol.KindGang || !f.hasSpotType(s)
 }
 
 // hasSpotType reports whether a machine type that holds a task is rented cheap.
-func (f *fleet) hasSpotType(s *wire.Job) bool {
+func (f *fleet) hasSpotType(s *protocol.Job) bool {
 	for _, mt := range f.core.machineTypes() {
 		if mt.SpotPrice > 0 && allowsType(s, mt.Name) && fitsEmptyMachine(mt, s) {
 			return true
@@ -136,7 +136,7 @@
 		age := c.now.Monotonic - h.createdAt
 		switch {
 		case h.returnReason != "":
-		case h.cloudState == wire.MachineFailed:
+		case h.cloudState == protocol.MachineFailed:
 			f.beginReturn(h, "failed")
 		case h.missedLists >= 2 && !up && age > 4*f.listLag():
 			f.beginReturn(h, "taken back")
@@ -176,13 +176,13 @@
 				continue
 			}
 		}
-		if v != nil && len(v.attempts) > 0 && !h.forced && h.returnReason != "faulty" && h.cloudState != wire.MachineFailed {
+		if v != nil && len(v.attempts) > 0 && !h.forced && h.returnReason != "faulty" && h.cloudState != protocol.MachineFailed {
 			continue
 		}
 		if f.mayDeregister(name) && c.mirror.machineRecords.get(name) != nil {
 			continue // out of the register first
 		}
-		if len(names) < wire.MaxDelete {
+		if len(names) < protocol.MaxDelete {
 			names = append(names, name)
 		}
 	}
@@ -200,7 +200,7 @@
 //
 // Guards against giving up every machine just before it is up where all boots take several
 // times as long as usual, one after another for twenty minutes.
-func (f *fleet) bootTimeout(mt *wire.MachineType) time.Duration {
+func (f *fleet) bootTimeout(mt *protocol.MachineType) time.Duration {
 	return config.Seconds(mt.BootS * f.core.policy.BootPatience * float64(int(1)<<min(f.failedBoots[mt.Name], 2)))
 }
 
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -6,12 +6,12 @@
 	"math"
 	"sort"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // createRequest is a rental request under way.
 type createRequest struct {
-	request  wire.Hire
+	request  protocol.Hire
 	attempts int
 }
 
@@ -26,13 +26,13 @@
 // offer is a pool with what a unit of work costs there.
 type offer struct {
 	pool
-	machineType *wire.MachineType
+	machineType *protocol.MachineType
 	cost        float64
 }
 
 // eligiblePools walks over those that could serve a job and have not refused lately.
-func (f *fleet) eligiblePools(s *wire.Job) iter.Seq2[pool, *wire.MachineType] {
-	return func(yield func(pool, *wire.MachineType) bool) {
+func (f *fleet) eligiblePools(s *protocol.Job) iter.Seq2[pool, *protocol.MachineType] {
+	return func(yield func(pool, *protocol.MachineType) bool) {
 		for _, name := range sortedKeys(f.core.machineTypes()) {
 			mt := f.core.machineTypes()[name]
 			if !fitsEmptyMachine(mt, s) {
@@ -52,7 +52,7 @@
 
 // offers lists the pools that could serve a job, cheapest first. A machine's
 // boot and first fetch are paid too, so they are spread over a usual stay.
-func (f *fleet) offers(s *wire.Job, ordinaryOnly bool) []offer {
+func (f *fleet) offers(s *protocol.Job, ordinaryOnly bool) []offer {
 	c := f.core
 	stay := 6 * c.intervals.workerLease.Seconds()
 	inZone := map[string]int{}
@@ -119,12 +119,12 @@
 			if strandedIn == "" {
 				n = (n + len(o.machineType.Zones) - 1) / len(o.machineType.Zones)
 			}
-			n = min(n, wire.MaxHire)
+			n = min(n, protocol.MaxHire)
 			if f.requestPending(o.pool) || !f.takeScalingCall() {
 				continue
 			}
 			f.requestCounter++
-			req := wire.Hire{
+			req := protocol.Hire{
 				Request: fmt.Sprintf("h-%s-%d-%d", c.bootID, c.scheduler.epoch, f.requestCounter),
 				Type:    o.typeName, Zone: o.zone, Spot: o.spot, Count: n,
 			}
@@ -151,7 +151,7 @@
 		zones = q.entry.record.Zones
 	}
 	tasks := math.Ceil(float64(q.waitingTasks()+len(q.inflight)) / float64(len(zones)))
-	if s.Kind == wire.KindArray {
+	if s.Kind == protocol.KindArray {
 		few := math.Ceil(tasks * q.predictedSeconds / max(f.minUsefulSeconds(s), q.predictedSeconds, 1))
 		if len(s.Types) == 0 && zones[0] == "" && s.Spot {
 			few = 1 // any machine will do: it takes part in the common demand
@@ -178,7 +178,7 @@
 }
 
 // tasksPerMachine is how many tasks of a job an empty machine holds.
-func tasksPerMachine(mt *wire.MachineType, s *wire.Job) float64 {
+func tasksPerMachine(mt *protocol.MachineType, s *protocol.Job) float64 {
 	slots := math.Inf(1)
 	for _, x := range [][2]float64{{mt.CPUs, s.CPUs}, {mt.GPUs, s.GPUs}, {mt.MemoryGB, s.MemoryGB}} {
 		if x[1] > 0 {
@@ -212,7 +212,7 @@
 		delete(f.createRequests, d.Request)
 		for _, n := range d.Names {
 			if f.instances.get(n) == nil && !f.deletedNames[n] {
-				f.adopt(n, p.typeName, p.zone, p.spot).cloudState = wire.MachineBooting
+				f.adopt(n, p.typeName, p.zone, p.spot).cloudState = protocol.MachineBooting
 			}
 		}
 		if len(d.Names) > 0 {
@@ -254,7 +254,7 @@
 }
 
 // noCapacityReason says which capacity a job waits for, if every pool has refused.
-func (f *fleet) noCapacityReason(s *wire.Job) string {
+func (f *fleet) noCapacityReason(s *protocol.Job) string {
 	for range f.eligiblePools(s) {
 		return ""
 	}
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/simulation"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 const second = time.Second
@@ -150,7 +150,7 @@
 	j := s.Users.Submit(simulation.Array(1), 60)
 	s.eventually(60*second, "the task runs", func() bool { return j.Running() == 1 })
 	other := s.Cloud.Add("box", "b", false)
-	s.Workers[other].Force(wire.TaskName(j.Spec.ID, 0), 99)
+	s.Workers[other].Force(protocol.TaskName(j.Spec.ID, 0), 99)
 	s.Run(s.Now + 5*second)
 	if len(s.Broken) == 0 || !strings.Contains(s.Broken[0], "ran_twice") {
 		t.Fatalf("the checker saw %q", s.Broken)
@@ -322,7 +322,7 @@
 	s.eventually(60*second, "tasks run", func() bool { return j.Running() > 5 })
 	s.Users.Abort(j)
 	s.leader().Crash(5 * second)
-	s.eventually(40*second, "no task is left", func() bool { return j.Told == wire.JobCancelled && j.Running() == 0 })
+	s.eventually(40*second, "no task is left", func() bool { return j.Told == protocol.JobCancelled && j.Running() == 0 })
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
 	if !strings.Contains(j.Answer.Reason, "cancelled") {
@@ -370,7 +370,7 @@
 func TestServiceRunsUntilCancelled(t *testing.T) {
 	s := newScenario(t, 54)
 	spec := simulation.Array(4)
-	spec.Kind, spec.EstimateS = wire.KindService, 0
+	spec.Kind, spec.EstimateS = protocol.KindService, 0
 	j := s.Users.Submit(spec, 0)
 	s.eventually(60*second, "all replicas run", func() bool { return j.Running() == 4 })
 	s.Cloud.Remove(j.On(0))
@@ -406,7 +406,7 @@
 		bad = append(bad, j)
 	}
 	good := s.Users.Submit(simulation.Array(12), 25)
-	s.eventually(120*second, "the good job is done", func() bool { return good.Told == wire.JobDone })
+	s.eventually(120*second, "the good job is done", func() bool { return good.Told == protocol.JobDone })
 	s.eventually(60*second, "a bad one says why", func() bool { return strings.Contains(bad[0].Answer.Reason, "one is tried again at") })
 	s.Run(s.Now + 100*second)
 	failed := 0
@@ -422,7 +422,7 @@
 		t.Fatalf("%d failed starts of 72 tasks", failed)
 	}
 	bad[1].Mistaken = false // it was the machines after all
-	s.eventually(200*second, "a job that has been mended is done", func() bool { return bad[1].Told == wire.JobDone })
+	s.eventually(200*second, "a job that has been mended is done", func() bool { return bad[1].Told == protocol.JobDone })
 	s.Users.Abort(bad[0])
 	s.Users.Abort(bad[2])
 	s.eventually(60*second, "all are over", s.Users.AllTold)
@@ -494,12 +494,12 @@
 	team.Team = "green"
 	size.CPUs = 17
 	zone.Zone, zone.Types = "b", []string{"barn"}
-	limit.Team, limit.Kind, limit.Tasks = "red", wire.KindService, 25
+	limit.Team, limit.Kind, limit.Tasks = "red", protocol.KindService, 25
 	s.requireRejected(team, size, zone, limit)
 }
 
 // requireRejected submits jobs that can never run.
-func (s *scenario) requireRejected(specs ...wire.Job) {
+func (s *scenario) requireRejected(specs ...protocol.Job) {
 	s.t.Helper()
 	var jobs []*simulation.Job
 	for _, spec := range specs {
@@ -514,9 +514,9 @@
 	s := newScenario(t, 65)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
 	low, high := simulation.Array(30), simulation.Array(10)
-	low.Urgency, high.Urgency = wire.UrgencyLow, wire.UrgencyHigh
+	low.Urgency, high.Urgency = protocol.UrgencyLow, protocol.UrgencyHigh
 	l, h := s.Users.Submit(low, 10), s.Users.Submit(high, 10)
-	s.eventually(200*second, "the urgent job is done", func() bool { return h.Told == wire.JobDone })
+	s.eventually(200*second, "the urgent job is done", func() bool { return h.Told == protocol.JobDone })
 	if l.Answer.Done > 10 {
 		t.Fatalf("%d tasks of the report are done before the urgent job", l.Answer.Done)
 	}
@@ -526,7 +526,7 @@
 func TestJobWithMaxTasksIsAccepted(t *testing.T) {
 	s := newScenario(t, 66)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
-	j := s.Users.Submit(simulation.Array(wire.MaxTasks), 1)
+	j := s.Users.Submit(simulation.Array(protocol.MaxTasks), 1)
 	s.eventually(120*second, "progress is told", func() bool { return j.Answer.Done > 100 })
 }
 
@@ -616,11 +616,11 @@
 	s := newScenario(t, 67)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
 	low := simulation.Array(16)
-	low.Urgency, low.CheckpointS, low.SaveS = wire.UrgencyLow, 4, 2
+	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	l := s.Users.Submit(low, 300)
 	s.eventually(60*second, "the report fills the machine", func() bool { return l.Running() == 16 })
 	high := simulation.Array(8)
-	high.Urgency = wire.UrgencyHigh
+	high.Urgency = protocol.UrgencyHigh
 	h := s.Users.Submit(high, 20)
 	s.eventually(10*second, "the urgent tasks run", func() bool { return h.Running() == 8 })
 	s.eventually(10*second, "the report says why", func() bool { return strings.Contains(l.Answer.Reason, "more urgent work") })
@@ -632,7 +632,7 @@
 	for seed := range uint64(3) {
 		s := newScenario(t, 70+seed)
 		spec := simulation.Array(20)
-		spec.Kind, spec.EstimateS = wire.KindGang, 30
+		spec.Kind, spec.EstimateS = protocol.KindGang, 30
 		spec.OneZone = seed == 1
 		spec.Spread = seed == 2
 		if seed == 1 {
@@ -824,11 +824,11 @@
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("barn", "a", true)
 	long := simulation.Array(40)
-	long.Team, long.CheckpointS, long.SaveS, long.Urgency = "guest", 4, 1, wire.UrgencyLow
+	long.Team, long.CheckpointS, long.SaveS, long.Urgency = "guest", 4, 1, protocol.UrgencyLow
 	g := s.Users.Submit(long, 300)
 	s.eventually(30*second, "the guest fills the machine", func() bool { return g.Running() == 16 })
 	own := simulation.Array(8)
-	own.Urgency = wire.UrgencyLow
+	own.Urgency = protocol.UrgencyLow
 	j := s.Users.Submit(own, 10)
 	s.eventually(15*second, "the other team has its guarantee", func() bool { return j.Running() == 8 })
 	s.eventually(10*second, "the guest is told why", func() bool { return strings.Contains(g.Answer.Reason, "its guarantee") })
@@ -866,11 +866,11 @@
 		s.Cloud.Add("barn", "a", true)
 	}
 	low := simulation.Array(16)
-	low.Urgency, low.CPUs, low.CheckpointS, low.SaveS = wire.UrgencyLow, 4, 4, 2
+	low.Urgency, low.CPUs, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 4, 2
 	l := s.Users.Submit(low, 300)
 	s.eventually(60*second, "the reports fill the machines", func() bool { return l.Running() == 16 })
 	high := simulation.Array(16)
-	high.Urgency = wire.UrgencyHigh
+	high.Urgency = protocol.UrgencyHigh
 	h := s.Users.Submit(high, 20)
 	s.eventually(10*second, "the urgent tasks run", func() bool { return h.Running() == 16 })
 	if n := l.Running(); n < 11 {
@@ -887,12 +887,12 @@
 		s.Cloud.Add("barn", "a", true)
 	}
 	bad := simulation.Array(60)
-	bad.Urgency = wire.UrgencyHigh
+	bad.Urgency = protocol.UrgencyHigh
 	h := s.Users.Submit(bad, 10)
 	h.Mistaken = true
 	s.eventually(60*second, "it is known to fail", func() bool { return strings.Contains(h.Answer.Reason, "one is tried again at") })
 	low := simulation.Array(80)
-	low.Urgency, low.CheckpointS, low.SaveS = wire.UrgencyLow, 4, 2
+	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	l := s.Users.Submit(low, 600)
 	s.eventually(30*second, "the reports fill the machines", func() bool { return l.Running() >= 62 })
 	least := 64
@@ -953,8 +953,8 @@
 	large := s.Users.Submit(simulation.Array(300), 10)
 	s.Run(s.Now + 5*second)
 	small := s.Users.Submit(simulation.Array(16), 10)
-	s.eventually(40*second, "the small job is done", func() bool { return small.Told == wire.JobDone })
-	if large.Told == wire.JobDone {
+	s.eventually(40*second, "the small job is done", func() bool { return small.Told == protocol.JobDone })
+	if large.Told == protocol.JobDone {
 		t.Fatal("the large job was done first")
 	}
 }
@@ -1001,10 +1001,10 @@
 	types[0].Zones = []string{"a"}
 	s := &scenario{World: simulation.Build(44, simulation.Settings(3), types), t: t}
 	halves, gang := simulation.Array(9), simulation.Array(4)
-	halves.Spread, gang.Spread, gang.Kind = true, true, wire.KindGang
+	halves.Spread, gang.Spread, gang.Kind = true, true, protocol.KindGang
 	h, g := s.Users.Submit(halves, 10), s.Users.Submit(gang, 10)
 	s.eventually(60*second, "half of it runs", func() bool { return h.Running() == 5 })
-	s.eventually(120*second, "it is done", func() bool { return h.Told == wire.JobDone })
+	s.eventually(120*second, "it is done", func() bool { return h.Told == protocol.JobDone })
 	if g.Refused != 422 {
 		t.Fatalf("the gang is answered %d", g.Refused)
 	}
@@ -1050,9 +1050,9 @@
 	s.After(6*second+40*time.Millisecond, func() { s.State.Refuses[n.Label] = true })
 	s.After(8*second, func() { delete(s.State.Refuses, n.Label) })
 	s.eventually(20*second, "it is ready", func() bool { return n.Ready })
-	for i, want := range map[int]string{0: wire.JobCancelled, 51: wire.JobDone, 4499: wire.JobDone} {
+	for i, want := range map[int]string{0: protocol.JobCancelled, 51: protocol.JobDone, 4499: protocol.JobDone} {
 		n.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(r core.Reply) {
-			if a := r.Body.(wire.JobAnswer); r.Status != 200 || a.State != want || a.Done == 0 && want == wire.JobDone {
+			if a := r.Body.(protocol.JobAnswer); r.Status != 200 || a.State != want || a.Done == 0 && want == protocol.JobDone {
 				t.Errorf("%d: %+v", i, r)
 			}
 		})
@@ -1072,11 +1072,11 @@
 	l := s.Users.Submit(long, 300)
 	s.eventually(30*second, "it leaves one CPU free", func() bool { return l.Running() == 3 })
 	big, small := simulation.Array(1), simulation.Array(1)
-	big.CPUs, big.Urgency = 4, wire.UrgencyHigh
+	big.CPUs, big.Urgency = 4, protocol.UrgencyHigh
 	small.CheckpointS, small.SaveS = 4, 1
 	h := s.Users.Submit(big, 5)
 	s.Users.Submit(small, 300)
-	s.eventually(20*second, "the urgent job is done", func() bool { return h.Told == wire.JobDone })
+	s.eventually(20*second, "the urgent job is done", func() bool { return h.Told == protocol.JobDone })
 }
 
 // A guest's urgent tasks that save, and another team's urgent ones within its guarantee,
@@ -1086,12 +1086,12 @@
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("barn", "a", true)
 	guest, own := simulation.Array(40), simulation.Array(2)
-	guest.Team, guest.Urgency, guest.CheckpointS, guest.SaveS = "guest", wire.UrgencyProduction, 4, 1
-	own.Urgency, own.CPUs = wire.UrgencyHigh, 4
+	guest.Team, guest.Urgency, guest.CheckpointS, guest.SaveS = "guest", protocol.UrgencyProduction, 4, 1
+	own.Urgency, own.CPUs = protocol.UrgencyHigh, 4
 	s.Users.Submit(guest, 20)
 	s.Run(s.Now + 8*second)
 	j := s.Users.Submit(own, 10)
-	s.eventually(25*second, "the guaranteed job is done", func() bool { return j.Told == wire.JobDone })
+	s.eventually(25*second, "the guaranteed job is done", func() bool { return j.Told == protocol.JobDone })
 	s.eventually(200*second, "the guest's too", s.Users.AllTold)
 }
 
@@ -1119,7 +1119,7 @@
 		long, gone := s.Users.Submit(simulation.Array(12), 150), s.Users.Submit(simulation.Array(6), 300)
 		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
 		s.Users.Abort(gone)
-		s.eventually(second, "its user is told", func() bool { return gone.Told == wire.JobCancelled })
+		s.eventually(second, "its user is told", func() bool { return gone.Told == protocol.JobCancelled })
 		s.State.Outage(70 * second) // the others have not seen it
 		s.Run(s.Now + 12*second)
 		if n := gone.Running(); n > 0 {
@@ -1134,7 +1134,7 @@
 			t.Fatalf("%d of 12 tasks were left", least)
 		}
 		s.requireInvariants()
-		s.eventually(120*second, "the job is done", func() bool { return long.Told == wire.JobDone })
+		s.eventually(120*second, "the job is done", func() bool { return long.Told == protocol.JobDone })
 	}
 }
 
@@ -1270,7 +1270,7 @@
 	s.Users.Submit(simulation.Array(2), 5)
 	s.eventually(40*second, "the others' work is done", s.Users.AllTold)
 	gang := simulation.Array(8)
-	gang.Team, gang.Kind = "guest", wire.KindGang
+	gang.Team, gang.Kind = "guest", protocol.KindGang
 	s.Users.Submit(gang, 10)
 	s.eventually(600*second, "the gang is done", s.Users.AllTold)
 }
@@ -1284,7 +1284,7 @@
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("box", "a", true)
 	idle, late := simulation.Array(8), simulation.Array(40)
-	idle.Urgency = wire.UrgencyLow
+	idle.Urgency = protocol.UrgencyLow
 	late.Team, late.Class, late.DeadlineS = "red", "alerts", 5
 	s.Users.Submit(idle, 9)
 	s.Run(s.Now + 12*second)
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -7,7 +7,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"github.com/chalkhub/chalkhub/internal/fairshare"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // queuedJob is a job in the leader's queue.
@@ -27,7 +28,7 @@
 	saveDueAt          time.Duration
 	savingProgress     bool
 	reason             string
-	publishedView      wire.JobView
+	publishedView      peerproto.JobView
 	predictedSeconds   float64
 	durations          runningMean     // of its own completed tasks that this leader has seen
 	rankBand           int             // its place in the order: first the band,
@@ -59,7 +60,7 @@
 
 // complete reports whether every task has completed, durably or not.
 func (q *queuedJob) complete() bool {
-	return q.entry.record.Spec.Kind != wire.KindService && q.entry.doneCount+len(q.unsavedTasks) >= q.entry.record.Spec.Tasks
+	return q.entry.record.Spec.Kind != protocol.KindService && q.entry.doneCount+len(q.unsavedTasks) >= q.entry.record.Spec.Tasks
 }
 
 // nextWaiting is the first task from i on that is neither over nor dispatched.
@@ -224,7 +225,7 @@
 	for _, p := range o.shards {
 		// A part may have entered this epoch, and told all, before we did.
 		p.syncedEpoch, p.snapshotTasks = 0, nil
-		p.outbox, p.outboxDue = wire.PeerMessage{Resync: true}, true
+		p.outbox, p.outboxDue = peerproto.PeerMessage{Resync: true}, true
 	}
 	if first {
 		o.core.logDebug("taking over", "machines", o.machines.len(), "jobs", o.queue.len())
@@ -264,7 +265,7 @@
 			m := p.outbox
 			p.messagesSent++
 			m.Epoch, m.Seq = o.epoch, p.messagesSent
-			p.outbox, p.outboxDue = wire.PeerMessage{}, false
+			p.outbox, p.outboxDue = peerproto.PeerMessage{}, false
 			if p.session == loopbackLink {
 				o.core.loopback = append(o.core.loopback, func() { o.core.shard.handleLeaderMessage(&m) })
 				continue
@@ -288,7 +289,7 @@
 		}
 	}
 	for _, q := range waiting {
-		if q.entry.record.Spec.Kind == wire.KindGang {
+		if q.entry.record.Spec.Kind == protocol.KindGang {
 			o.dispatchGang(q, p)
 		} else {
 			o.dispatch(q, p)
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -4,7 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // Bits of a token and of an attempt below the epoch.
@@ -29,7 +30,7 @@
 	nextPlacementAt        time.Duration
 	unplaced               []*taskAttempt                   // dispatched, no room found yet
 	machinesByJob          map[string]*orderedMap[*machine] // by job: machines that have or had its tasks
-	returned               []wire.TaskTry
+	returned               []peerproto.TaskTry
 	confirmedCancellations []string // jobs of which this node has told a user that they are cancelled, to be passed on
 	leaderLink             uint64   // to the leader, 0: none
 	linkName               string
@@ -154,7 +155,7 @@
 
 // returnTask returns a task to the shared queue.
 func (p *shard) returnTask(t *taskAttempt) {
-	p.returned = append(p.returned, wire.TaskTry{Task: t.task, Attempt: t.number})
+	p.returned = append(p.returned, peerproto.TaskTry{Task: t.task, Attempt: t.number})
 }
 
 // releaseMachine drops a machine.
@@ -210,7 +211,7 @@
 }
 
 // adoptRegistered takes a machine of the register.
-func (p *shard) adoptRegistered(name string, rec *wire.MachineRecord) {
+func (p *shard) adoptRegistered(name string, rec *records.MachineRecord) {
 	if r := p.machines.get(name); r != nil {
 		r.registered = true
 		p.markCapacityChanged(r)
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -4,7 +4,8 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/degraded"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // What the parts tell the leader of their machines, and what it lets them know.
@@ -20,14 +21,14 @@
 	snapshotReadSeq uint64          // the last of our messages that it takes account of
 	unreachable     bool
 	messagesSent    uint64 // messages sent over the session
-	outbox          wire.PeerMessage
+	outbox          peerproto.PeerMessage
 	outboxDue       bool
 }
 
 func (o *scheduler) memberLinkUp(session uint64) {
 	o.shardLabels[session] = ""
 	if session == loopbackLink {
-		o.handleHello(session, &wire.Hello{Label: o.core.settings.Label, Boot: o.core.bootID})
+		o.handleHello(session, &peerproto.Hello{Label: o.core.settings.Label, Boot: o.core.bootID})
 	}
 }
 
@@ -43,7 +44,7 @@
 	}
 }
 
-func (o *scheduler) handleHello(session uint64, h *wire.Hello) {
+func (o *scheduler) handleHello(session uint64, h *peerproto.Hello) {
 	o.shardLabels[session] = h.Label
 	p := o.shards[h.Label]
 	if p == nil {
@@ -55,12 +56,12 @@
 		delete(o.shardLabels, p.session)
 	}
 	p.boot, p.session, p.lastHeardAt, p.syncedEpoch, p.messagesSent, p.snapshotTasks = h.Boot, session, o.core.now.Monotonic, 0, 0, nil
-	p.outbox, p.outboxDue = wire.PeerMessage{}, false
+	p.outbox, p.outboxDue = peerproto.PeerMessage{}, false
 	for _, v := range o.machines.all() {
 		v.cordoned = v.cordoned && v.shard != p.label
 	}
 	for _, q := range o.queue.all() {
-		q.publishedView = wire.JobView{} // a new listener knows nothing yet
+		q.publishedView = peerproto.JobView{} // a new listener knows nothing yet
 	}
 }
 
@@ -91,7 +92,7 @@
 	o.core.degraded.handleVote(label, *w)
 }
 
-func (o *scheduler) handleShardMessage(session uint64, m *wire.PeerMessage) {
+func (o *scheduler) handleShardMessage(session uint64, m *peerproto.PeerMessage) {
 	label, ok := o.shardLabels[session]
 	if !ok {
 		return
@@ -159,7 +160,7 @@
 //
 // Guards against taking a dispatch for lost that is still on its way: a picture
 // made before the part had read it once had hundreds of tasks started twice.
-func (o *scheduler) applySnapshot(p *shardView, m *wire.PeerMessage) {
+func (o *scheduler) applySnapshot(p *shardView, m *peerproto.PeerMessage) {
 	p.snapshotChunk = m.Piece
 	if m.Piece == 0 {
 		p.snapshotTasks, p.snapshotReadSeq = map[string]bool{}, m.Read
@@ -192,7 +193,7 @@
 }
 
 // applyMachineState takes a part's picture of one machine.
-func (o *scheduler) applyMachineState(p *shardView, s *wire.MachineState) {
+func (o *scheduler) applyMachineState(p *shardView, s *peerproto.MachineState) {
 	if o.core.fleet.wasDeleted(s.Name) {
 		return // the part has yet to hear of it
 	}
@@ -244,7 +245,7 @@
 	default:
 		listed := map[string]bool{}
 		for i := range tasks {
-			if tasks[i].State != wire.TaskExited {
+			if tasks[i].State != protocol.TaskExited {
 				listed[tasks[i].Task] = true
 			}
 		}
@@ -259,8 +260,8 @@
 	}
 }
 
-func (o *scheduler) applyTaskState(p *shardView, v *machineView, s *wire.MachineState, t *wire.TaskState) {
-	ref, index, err := wire.ParseTask(t.Task)
+func (o *scheduler) applyTaskState(p *shardView, v *machineView, s *peerproto.MachineState, t *peerproto.TaskState) {
+	ref, index, err := protocol.ParseTask(t.Task)
 	if err != nil {
 		return
 	}
@@ -272,7 +273,7 @@
 		return
 	}
 	f := o.attempts[t.Task]
-	if t.State == wire.TaskExited {
+	if t.State == protocol.TaskExited {
 		if f != nil && f.number != t.Attempt && f.machine != "" {
 			f = nil // the remains of an earlier attempt
 		}
@@ -305,7 +306,7 @@
 		}
 	}
 	f.machine, f.shard, f.unlocated, f.awaitingPlacement, f.number, f.taskState = s.Name, p.label, false, false, t.Attempt, t.State
-	if t.State == wire.TaskRunning && f.runningSince == 0 {
+	if t.State == protocol.TaskRunning && f.runningSince == 0 {
 		f.runningSince = o.core.now.Monotonic
 		wait := (o.core.now.Wall - j.waitingSince()) * 1000
 		_ = o.startLatencies[urgencyLevel(j.record.Spec.Urgency)].RecordValue(min(max(int64(wait), 1), maxStartLatencyMillis)) // within bounds
@@ -313,14 +314,14 @@
 }
 
 // taskExited takes a task that has ended on its machine.
-func (o *scheduler) taskExited(v *machineView, j *jobEntry, index int, t *wire.TaskState, f *inflightAttempt) {
+func (o *scheduler) taskExited(v *machineView, j *jobEntry, index int, t *peerproto.TaskState, f *inflightAttempt) {
 	q := o.queue.get(j.record.Spec.ID)
 	if q == nil || j.isFinal() {
 		return
 	}
 	switch t.Why {
-	case wire.WhyDone:
-		if j.record.Spec.Kind == wire.KindService || q.taskDone(index) {
+	case protocol.WhyDone:
+		if j.record.Spec.Kind == protocol.KindService || q.taskDone(index) {
 			return
 		}
 		q.unsavedTasks[index] = true
@@ -333,9 +334,9 @@
 			o.core.estimator.taskCompleted(q, t.RanS)
 		}
 		v.failedJobs = map[string]bool{}
-	case wire.WhyStopped:
+	case protocol.WhyStopped:
 		q.stoppedTasks[index] = true
-	case wire.WhyError:
+	case protocol.WhyError:
 		if f != nil && f.number == t.Attempt {
 			o.taskFailed(v, q, index)
 		}
@@ -347,15 +348,15 @@
 
 // publishJobViews lets every node know what to say about the jobs.
 func (o *scheduler) publishJobViews() {
-	var views []wire.JobView
+	var views []peerproto.JobView
 	for id, q := range o.queue.all() {
-		v := wire.JobView{Job: id, Reason: q.reason}
+		v := peerproto.JobView{Job: id, Reason: q.reason}
 		q.longestRunning = 0
 		for _, f := range q.inflight {
 			if f.runningSince > 0 {
 				q.longestRunning = max(q.longestRunning, o.core.now.Monotonic-f.runningSince)
 			}
-			if f.taskState == wire.TaskRunning || f.taskState == wire.TaskSaving {
+			if f.taskState == protocol.TaskRunning || f.taskState == protocol.TaskSaving {
 				v.Running++
 			}
 		}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"github.com/chalkhub/chalkhub/internal/fairshare"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Status is the operators' picture of a node.
@@ -97,9 +97,9 @@
 	}
 	for _, e := range c.mirror.archive.jobs {
 		if e.done {
-			s.Jobs[wire.JobDone]++
+			s.Jobs[protocol.JobDone]++
 		} else {
-			s.Jobs[wire.JobCancelled]++
+			s.Jobs[protocol.JobCancelled]++
 		}
 	}
 	for name, r := range c.shard.machines.all() {
@@ -113,7 +113,7 @@
 		s.DesiredCPUs = c.fleet.desiredCPUs
 		s.Estimates = map[string]float64{}
 		s.StartLatencies = map[string]LatencySummary{}
-		for u, name := range []string{wire.UrgencyProduction, wire.UrgencyHigh, wire.UrgencyNormal, wire.UrgencyLow} {
+		for u, name := range []string{protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow} {
 			if h := c.scheduler.startLatencies[u]; h.TotalCount() > 0 {
 				s.StartLatencies[name] = Summarize(h)
 			}
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -5,7 +5,8 @@
 	"sort"
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // chooseZones writes down where the tasks of a job tied to a zone may run,
@@ -47,14 +48,14 @@
 	rec := q.entry.record
 	rec.Zones = zones
 	q.choosingZones = true
-	guards := []wire.Guard{o.core.membership.leaderGuard(), q.entry.recordGuard()}
-	op := wire.Op{Put: q.entry.recordKey(), Value: rec}
-	if wire.TextSize(rec) > o.core.maxValueBytes() {
+	guards := []protocol.Guard{o.core.membership.leaderGuard(), q.entry.recordGuard()}
+	op := protocol.Op{Put: q.entry.recordKey(), Value: rec}
+	if protocol.TextSize(rec) > o.core.maxValueBytes() {
 		// It was written when values could be larger, or in pieces.
-		op = wire.Op{Put: keyJobZones + q.id, Value: wire.JobRecord{Zones: rec.Zones}}
+		op = protocol.Op{Put: keyJobZones + q.id, Value: records.JobRecord{Zones: rec.Zones}}
 		guards = append(guards, o.core.mirror.guard(op.Put))
 	}
-	o.core.mirror.commit(guards, []wire.Op{op}, func(CommitResult) {
+	o.core.mirror.commit(guards, []protocol.Op{op}, func(CommitResult) {
 		o.core.mirror.barrier(func(bool) { q.choosingZones = false })
 	})
 }
@@ -124,7 +125,7 @@
 	if !dry || c.now.Monotonic-since < c.intervals.workerLease {
 		return
 	}
-	if c.mirror.olderController() != "" || wire.TextSize(q.entry.record) > c.maxValueBytes()-batchOverhead {
+	if c.mirror.olderController() != "" || protocol.TextSize(q.entry.record) > c.maxValueBytes()-batchOverhead {
 		return
 	}
 	for _, z := range o.candidateZones(q, n) {
@@ -157,7 +158,7 @@
 		}
 	}
 	zones := slices.DeleteFunc(sortedKeys(free), func(z string) bool {
-		return s.Kind == wire.KindGang && fits[z] < float64(q.waitingTasks())
+		return s.Kind == protocol.KindGang && fits[z] < float64(q.waitingTasks())
 	})
 	sort.SliceStable(zones, func(a, b int) bool { return free[zones[a]] > free[zones[b]] })
 	rents := map[string]bool{}
--- a/internal/httpserver/serve.go
+++ b/internal/httpserver/serve.go
@@ -7,7 +7,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Until answers on a listener until ctx ends, and then returns ctx's error.
@@ -24,6 +24,6 @@
 func Reply(ctx *fasthttp.RequestCtx, status int, body any) {
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(status)
-	ctx.SetContentType(wire.ContentType)
-	ctx.Response.SetBodyRaw(wire.Encode(body))
+	ctx.SetContentType(protocol.ContentType)
+	ctx.Response.SetBodyRaw(protocol.Encode(body))
 }
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -10,8 +10,8 @@
 
 	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/engine"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/rpc"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // page is how many keys are read at once: the most that the service gives.
@@ -34,7 +34,7 @@
 func (c *Client) Commit(e core.Commit) core.CommitResult {
 	d := core.CommitResult{ID: e.ID}
 	if e.Txn.If == nil {
-		e.Txn.If = []wire.Guard{}
+		e.Txn.If = []protocol.Guard{}
 	}
 	d.Outcome = engine.CommitOutcome(c.rpc.Call("POST", c.addr, "/commit", e.Txn, &d.Answer, c.timeout, fasthttp.StatusOK, fasthttp.StatusConflict))
 	return d
@@ -47,7 +47,7 @@
 	if e.After != "" {
 		q += "&Since=" + url.QueryEscape(e.After)
 	}
-	var items wire.Items
+	var items protocol.Items
 	if c.rpc.Call("GET", c.addr, q, nil, &items, c.timeout, fasthttp.StatusOK) == fasthttp.StatusOK {
 		d.OK, d.Items, d.More, d.Revision = true, items.Items, items.More, items.Revision
 	}
@@ -70,8 +70,8 @@
 		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds/"+strconv.FormatUint(e.LeaseID, 10)+"/extend", nil, nil, c.timeout))
 		return d
 	}
-	var a wire.LeaseAnswer
-	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds", wire.LeaseRequest{TTLms: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
+	var a protocol.LeaseAnswer
+	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds", protocol.LeaseRequest{TTLms: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
 	d.LeaseID = a.Lease
 	return d
 }
--- a/internal/kvfile/bench_test.go
+++ b/internal/kvfile/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // BenchmarkRecovery opens files of so many keys of about 400 bytes:
@@ -21,7 +21,7 @@
 				b.Fatal(err)
 			}
 			v.db.NoSync = true // the making is not measured
-			value := wire.Encode(string(make([]byte, 400)))
+			value := protocol.Encode(string(make([]byte, 400)))
 			for i := 0; i < n; {
 				batch := s.Begin()
 				for range min(5000, n-i) {
--- a/internal/kvfile/golden_test.go
+++ b/internal/kvfile/golden_test.go
@@ -12,7 +12,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // goldenFolder holds a state file that commit 587869a made by the changes of goldenChanges,
@@ -37,7 +37,7 @@
 		}
 	}
 	put := func(key, value string, lease uint64) *kvstore.Txn {
-		return &kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: wire.Encode(value), Lease: lease}}}
+		return &kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: protocol.Encode(value), Lease: lease}}}
 	}
 	write(func(b *kvstore.Batch) {
 		b.Commit(put("c/plain", "first", 0))
--- a/internal/kvfile/vault.go
+++ b/internal/kvfile/vault.go
@@ -21,7 +21,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 var (
@@ -200,14 +200,14 @@
 }
 
 func (v *Vault) putMeta(tx *bolt.Tx, m meta) error {
-	record, _ := seal(metaBucket, metaKey, wire.Encode(m))
+	record, _ := seal(metaBucket, metaKey, protocol.Encode(m))
 	return tx.Bucket(metaBucket).Put(metaKey, record)
 }
 
 // load reads everything and holds it against the sums.
 func (v *Vault) load() (*kvstore.State, error) {
 	keys, leases := map[string]kvstore.Entry{}, map[uint64]int64{}
-	var events []wire.Event
+	var events []protocol.Event
 	var sum uint64
 	records := 0
 	err := v.db.View(func(tx *bolt.Tx) error {
@@ -263,7 +263,7 @@
 			return err
 		}
 		return each(logBucket, func(_, value []byte) error {
-			var e wire.Event
+			var e protocol.Event
 			err := msgpack.Unmarshal(value, &e)
 			events = append(events, e)
 			return err
@@ -338,7 +338,7 @@
 			}
 		}
 		for _, e := range b.Events() {
-			if err := put(logBucket, num(m.LogTo), wire.Encode(e)); err != nil {
+			if err := put(logBucket, num(m.LogTo), protocol.Encode(e)); err != nil {
 				return err
 			}
 			m.LogTo++
--- a/internal/kvfile/vault_test.go
+++ b/internal/kvfile/vault_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // dump is everything a state holds, as text.
@@ -19,7 +19,7 @@
 	fmt.Fprintln(&b, s.Revision, s.NextID, s.First(), s.Leases())
 	s.Each(func(k string, e kvstore.Entry) bool { b.WriteString(k); b.Write(kvstore.EncodeEntry(e)); return true })
 	for _, e := range s.Log() {
-		b.Write(wire.Encode(e))
+		b.Write(protocol.Encode(e))
 	}
 	return b.String()
 }
@@ -38,7 +38,7 @@
 		id := b.Grant(5000)
 		for range 20 {
 			key := fmt.Sprintf("c/%03d", r.IntN(300))
-			b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: wire.Encode(strings.Repeat("x", r.IntN(300))), Lease: id}}})
+			b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: protocol.Encode(strings.Repeat("x", r.IntN(300))), Lease: id}}})
 		}
 		if i%3 == 0 {
 			b.End(id)
@@ -143,7 +143,7 @@
 			}
 			b := s.Begin()
 			// Both keys always have the same value.
-			val := wire.Encode(i)
+			val := protocol.Encode(i)
 			b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: "a", Value: val}, {Put: "b", Value: val}}})
 			s = b.Next()
 			if err := v.Write(b, s); err != nil {
