--- a/internal/kvserver/keeper.go
+++ b/internal/kvserver/keeper.go
@@ -8,7 +8,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/kvfile"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Disk makes batches durable, as vault.Vault does.
@@ -28,7 +28,7 @@
 // whether the change is durable.
 type Answer struct {
 	Status int
-	Txn    wire.TxnAnswer
+	Txn    protocol.TxnAnswer
 	Lease  uint64
 	Why    string // of a 400 or 503
 }
--- a/internal/kvserver/keeper_test.go
+++ b/internal/kvserver/keeper_test.go
@@ -11,14 +11,14 @@
 
 	"github.com/chalkhub/chalkhub/internal/kvfile"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // memory is a disk that keeps what was synced and loses the rest when it crashes.
 type memory struct {
 	keys    map[string]kvstore.Entry
 	leases  map[uint64]int64
-	log     []wire.Event
+	log     []protocol.Event
 	rev, id uint64
 	first   uint64
 	fail    error
@@ -53,11 +53,11 @@
 }
 
 func (m *memory) read() (*kvstore.State, error) {
-	return kvstore.Restore(m.rev, m.id, m.first, maps.Clone(m.keys), maps.Clone(m.leases), append([]wire.Event(nil), m.log...))
+	return kvstore.Restore(m.rev, m.id, m.first, maps.Clone(m.keys), maps.Clone(m.leases), append([]protocol.Event(nil), m.log...))
 }
 
 func set(key string, v int, lease uint64) kvstore.Op {
-	return kvstore.Op{Put: key, Value: wire.Encode(v), Lease: lease}
+	return kvstore.Op{Put: key, Value: protocol.Encode(v), Lease: lease}
 }
 
 // Whatever the disk does, an answered change is there after the next start, a change
@@ -107,7 +107,7 @@
 				}
 				if rapid.Bool().Draw(t, "guarded") {
 					e, _ := k.State().Get("a")
-					txn.If = []wire.Guard{{Key: "a", Version: e.Version}}
+					txn.If = []protocol.Guard{{Key: "a", Version: e.Version}}
 				}
 				cmds = append(cmds, Command{Commit: txn})
 			}
@@ -257,7 +257,7 @@
 	k := NewKeeper(kvstore.Empty(), newMemory(), 0, time.Hour)
 	big := make([]byte, 20<<10)
 	for i := range 60 {
-		one(t, k, time.Duration(i), Command{Commit: &kvstore.Txn{Then: []kvstore.Op{{Put: fmt.Sprintf("c/%02d", i), Value: wire.Encode(string(big))}, set(fmt.Sprintf("d/%02d", i), i, 0)}}})
+		one(t, k, time.Duration(i), Command{Commit: &kvstore.Txn{Then: []kvstore.Op{{Put: fmt.Sprintf("c/%02d", i), Value: protocol.Encode(string(big))}, set(fmt.Sprintf("d/%02d", i), i, 0)}}})
 	}
 	seen, since := 0, ""
 	for {
--- a/internal/kvserver/server.go
+++ b/internal/kvserver/server.go
@@ -18,7 +18,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/httpserver"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Settings of a service.
@@ -87,9 +87,9 @@
 	v.http = &fasthttp.Server{
 		Handler: v.handle,
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			httpserver.Reply(ctx, 400, wire.ErrorAnswer{Error: "malformed request"})
+			httpserver.Reply(ctx, 400, protocol.ErrorAnswer{Error: "malformed request"})
 		},
-		Name: "chalk-state", MaxRequestBodySize: wire.MaxBody, IdleTimeout: 2 * time.Minute, ReadTimeout: 2 * time.Minute,
+		Name: "chalk-state", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: 2 * time.Minute, ReadTimeout: 2 * time.Minute,
 		// A follower that does not read its answer holds a connection, not the store.
 		WriteTimeout: 10 * time.Second, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true,
 	}
@@ -158,7 +158,7 @@
 }
 
 func refuse(ctx *fasthttp.RequestCtx, status int, why string) {
-	httpserver.Reply(ctx, status, wire.ErrorAnswer{Error: why})
+	httpserver.Reply(ctx, status, protocol.ErrorAnswer{Error: why})
 }
 
 // limited answers 429 if a request with so many writes is above the limits. Counted is
@@ -238,17 +238,17 @@
 		s := v.State()
 		if e, ok := s.Get(key); ok {
 			httpserver.Reply(ctx, 200, struct {
-				Key     string   `msgpack:"Key"`
-				Value   wire.Raw `msgpack:"Data"`
-				Version uint64   `msgpack:"Stamp"`
-				Lease   uint64   `msgpack:"Permit,omitempty"`
+				Key     string       `msgpack:"Key"`
+				Value   protocol.Raw `msgpack:"Data"`
+				Version uint64       `msgpack:"Stamp"`
+				Lease   uint64       `msgpack:"Permit,omitempty"`
 			}{key, e.Value, e.Version, e.Lease})
 			return
 		}
-		httpserver.Reply(ctx, 404, wire.TxnAnswer{Revision: s.Revision})
+		httpserver.Reply(ctx, 404, protocol.TxnAnswer{Revision: s.Revision})
 	case path == "/holds" && ctx.IsPost():
-		var q wire.LeaseRequest
-		if err := wire.Decode(ctx.PostBody(), &q); err != nil || q.TTLms == 0 {
+		var q protocol.LeaseRequest
+		if err := protocol.Decode(ctx.PostBody(), &q); err != nil || q.TTLms == 0 {
 			refuse(ctx, 400, "malformed lease")
 			return
 		}
@@ -256,7 +256,7 @@
 			return
 		}
 		if a, ok := v.ask(ctx, Command{Grant: q.TTLms}); ok {
-			httpserver.Reply(ctx, 200, wire.LeaseAnswer{Lease: a.Lease})
+			httpserver.Reply(ctx, 200, protocol.LeaseAnswer{Lease: a.Lease})
 		}
 	case strings.HasPrefix(path, "/holds/"):
 		rest, extend := strings.CutSuffix(strings.TrimPrefix(path, "/holds/"), "/extend")
@@ -284,7 +284,7 @@
 
 func (v *Server) commit(ctx *fasthttp.RequestCtx) {
 	var t kvstore.Txn
-	if err := wire.Decode(ctx.PostBody(), &t); err != nil {
+	if err := protocol.Decode(ctx.PostBody(), &t); err != nil {
 		refuse(ctx, 400, err.Error())
 		return
 	}
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -16,7 +16,7 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Kept is how many changes a follower may be behind (PROTOCOL, GET /follow).
@@ -39,9 +39,9 @@
 
 // Entry is what is stored under a key.
 type Entry struct {
-	Value   wire.Raw `msgpack:"v"`
-	Version uint64   `msgpack:"r"`           // the revision of its last change
-	Lease   uint64   `msgpack:"l,omitempty"` // 0: none
+	Value   protocol.Raw `msgpack:"v"`
+	Version uint64       `msgpack:"r"`           // the revision of its last change
+	Lease   uint64       `msgpack:"l,omitempty"` // 0: none
 }
 
 // State is the store at one revision. Everything in it may be read by any number of
@@ -52,7 +52,7 @@
 	keys     *iradix.Tree[Entry]
 	leases   *iradix.Tree[int64]    // life in ms, by the lease's number
 	held     *iradix.Tree[struct{}] // lease's number + key
-	log      []wire.Event           // the last changes, oldest first
+	log      []protocol.Event       // the last changes, oldest first
 	first    uint64                 // follows from before this revision are too old
 }
 
@@ -63,7 +63,7 @@
 
 // Restore builds a State from what was saved. Events are sorted by revision; first is
 // the oldest revision that can still be followed from.
-func Restore(revision, nextID, first uint64, keys map[string]Entry, leases map[uint64]int64, events []wire.Event) (*State, error) {
+func Restore(revision, nextID, first uint64, keys map[string]Entry, leases map[uint64]int64, events []protocol.Event) (*State, error) {
 	k, l, h := iradix.New[Entry]().Txn(), iradix.New[int64]().Txn(), iradix.New[struct{}]().Txn()
 	for id, life := range leases {
 		if id == 0 || id > nextID {
@@ -103,7 +103,7 @@
 func (s *State) First() uint64 { return s.first }
 
 // Log is the last changes, oldest first.
-func (s *State) Log() []wire.Event { return s.log }
+func (s *State) Log() []protocol.Event { return s.log }
 
 // Get is the entry of a key.
 func (s *State) Get(key string) (Entry, bool) { return s.keys.Get([]byte(key)) }
@@ -124,11 +124,11 @@
 }
 
 // Range is a page of the keys with a prefix, beginning after since.
-func (s *State) Range(prefix, since string, page int) wire.Items {
+func (s *State) Range(prefix, since string, page int) protocol.Items {
 	if page <= 0 || page > maxItems {
 		page = maxItems
 	}
-	out := wire.Items{Items: []wire.Item{}, Revision: s.Revision}
+	out := protocol.Items{Items: []protocol.Item{}, Revision: s.Revision}
 	from := prefix
 	if since != "" && since+"\x00" > from {
 		from = since + "\x00" // the first key that can follow
@@ -148,17 +148,17 @@
 			out.More = true
 			return out
 		}
-		out.Items = append(out.Items, wire.Item{Key: string(k), Value: e.Value, Version: e.Version})
+		out.Items = append(out.Items, protocol.Item{Key: string(k), Value: e.Value, Version: e.Version})
 	}
 }
 
 // Since is all changes with a prefix after a revision; ok is false if that is too old
 // for the changes that are kept.
-func (s *State) Since(prefix string, rev uint64) (wire.Events, bool) {
+func (s *State) Since(prefix string, rev uint64) (protocol.Events, bool) {
 	if rev < s.first {
-		return wire.Events{}, false
+		return protocol.Events{}, false
 	}
-	out := wire.Events{Revision: s.Revision, Events: []wire.Event{}}
+	out := protocol.Events{Revision: s.Revision, Events: []protocol.Event{}}
 	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > rev })
 	for _, e := range s.log[i:] {
 		if strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "" {
@@ -170,16 +170,16 @@
 
 // Op is one change of a transaction, its value still as it came.
 type Op struct {
-	Put    string   `msgpack:"Set"`
-	Value  wire.Raw `msgpack:"Data"`
-	Lease  uint64   `msgpack:"Permit"`
-	Delete string   `msgpack:"Delete"`
+	Put    string       `msgpack:"Set"`
+	Value  protocol.Raw `msgpack:"Data"`
+	Lease  uint64       `msgpack:"Permit"`
+	Delete string       `msgpack:"Delete"`
 }
 
 // Txn is a transaction as it came.
 type Txn struct {
-	If   []wire.Guard `msgpack:"Guards"`
-	Then []Op         `msgpack:"Then"`
+	If   []protocol.Guard `msgpack:"Guards"`
+	Then []Op             `msgpack:"Then"`
 }
 
 // Check says what makes a transaction malformed, "" if nothing does.
@@ -249,7 +249,7 @@
 	held   *iradix.Txn[struct{}]
 	rev    uint64
 	nextID uint64
-	events []wire.Event
+	events []protocol.Event
 
 	Writes []Write
 	Leases []LeaseWrite
@@ -266,15 +266,15 @@
 }
 
 // Events are the changes of the batch.
-func (b *Batch) Events() []wire.Event { return b.events }
+func (b *Batch) Events() []protocol.Event { return b.events }
 
 // Commit applies a transaction that Check has found well formed: 200, 409 with the
 // conditions that failed, or 400 for a lease that is not there.
-func (b *Batch) Commit(t *Txn) (int, wire.TxnAnswer, string) {
+func (b *Batch) Commit(t *Txn) (int, protocol.TxnAnswer, string) {
 	for _, o := range t.Then {
 		if o.Put != "" && o.Lease != 0 {
 			if _, ok := b.leases.Get(number(o.Lease)); !ok {
-				return 400, wire.TxnAnswer{}, "no such lease"
+				return 400, protocol.TxnAnswer{}, "no such lease"
 			}
 		}
 	}
@@ -285,7 +285,7 @@
 		}
 	}
 	if failed != nil {
-		return 409, wire.TxnAnswer{Failed: failed, Revision: b.rev}, ""
+		return 409, protocol.TxnAnswer{Failed: failed, Revision: b.rev}, ""
 	}
 	if len(t.Then) > 0 {
 		b.rev++
@@ -295,9 +295,9 @@
 			b.remove(o.Delete)
 			continue
 		}
-		b.put(o.Put, Entry{Value: append(wire.Raw(nil), o.Value...), Version: b.rev, Lease: o.Lease})
+		b.put(o.Put, Entry{Value: append(protocol.Raw(nil), o.Value...), Version: b.rev, Lease: o.Lease})
 	}
-	return 200, wire.TxnAnswer{Revision: b.rev}, ""
+	return 200, protocol.TxnAnswer{Revision: b.rev}, ""
 }
 
 func (b *Batch) put(key string, e Entry) {
@@ -309,7 +309,7 @@
 		b.held.Insert(held(e.Lease, key), struct{}{})
 	}
 	b.Writes = append(b.Writes, Write{Key: key, Entry: e})
-	b.events = append(b.events, wire.Event{Put: key, Value: e.Value, Version: e.Version})
+	b.events = append(b.events, protocol.Event{Put: key, Value: e.Value, Version: e.Version})
 }
 
 func (b *Batch) remove(key string) {
@@ -321,7 +321,7 @@
 		b.held.Delete(held(old.Lease, key))
 	}
 	b.Writes = append(b.Writes, Write{Key: key, Delete: true})
-	b.events = append(b.events, wire.Event{Delete: key, Version: b.rev})
+	b.events = append(b.events, protocol.Event{Delete: key, Version: b.rev})
 }
 
 // Grant begins a lease; 0 means that its life is outside what the PROTOCOL allows.
@@ -377,7 +377,7 @@
 }
 
 // EncodeEntry and DecodeEntry are how an entry is saved.
-func EncodeEntry(e Entry) []byte { return wire.Encode(e) }
+func EncodeEntry(e Entry) []byte { return protocol.Encode(e) }
 
 // DecodeEntry reads what EncodeEntry wrote.
 func DecodeEntry(b []byte) (e Entry, err error) {
--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/chalkhub/chalkhub/client"
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/rpc"
-	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
 // BenchmarkSubmissions hands jobs to a cluster from 32 users for ten seconds:
@@ -48,7 +48,7 @@
 						}
 						job := map[string]any{"Ref": id, "Lotclass": "c", "Desk": "main", "Genre": "array", "Urgency": "idle", "Lots": 1, "Cpus": 1.0, "MemoryGb": 1.0,
 							"Kit": "none", "ImageGb": 0.0, "GuessS": 1.0}
-						for k, v := range wire.JobDefaults() {
+						for k, v := range protocol.JobDefaults() {
 							if _, ok := job[k]; !ok {
 								job[k] = v
 							}
--- a/internal/localcloud/rent.go
+++ b/internal/localcloud/rent.go
@@ -29,7 +29,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/httpserver"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Type is a machine type with how many there are.
@@ -60,7 +60,7 @@
 // Start starts the agent of a machine. Its standard input stays open for as long as the
 // cloud lives and takes Lines; extra files are its listener and the end of a pipe that
 // it and all its tasks hold open.
-type Start func(m wire.Machine, t Type, listener, alive *os.File) (*exec.Cmd, error)
+type Start func(m protocol.Machine, t Type, listener, alive *os.File) (*exec.Cmd, error)
 
 // Line is what the cloud tells an agent, as a JSON line.
 type Line struct {
@@ -84,7 +84,7 @@
 }
 
 type machine struct {
-	wire.Machine
+	protocol.Machine
 	hired time.Time
 	gone  time.Time // zero: there
 	stop  context.CancelFunc
@@ -126,7 +126,7 @@
 				c.answers[r.Request] = r.Names
 			}
 			for _, n := range r.Names {
-				c.machines[n] = &machine{Machine: wire.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: "127.0.0.1:1", State: wire.MachineFailed}, over: make(chan struct{}), stop: func() {}}
+				c.machines[n] = &machine{Machine: protocol.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: "127.0.0.1:1", State: protocol.MachineFailed}, over: make(chan struct{}), stop: func() {}}
 			}
 			for _, n := range r.Gone {
 				delete(c.machines, n)
@@ -194,26 +194,26 @@
 }
 
 // hire rents up to the number of machines that are left.
-func (c *Cloud) hire(h wire.Hire) (int, any) {
+func (c *Cloud) hire(h protocol.Hire) (int, any) {
 	t := c.typ(h.Type)
-	if t == nil || !slices.Contains(t.Zones, h.Zone) || h.Count < 1 || h.Count > wire.MaxHire || h.Request == "" {
-		return 400, wire.ErrorAnswer{Error: "no such type or zone, or a wrong number"}
+	if t == nil || !slices.Contains(t.Zones, h.Zone) || h.Count < 1 || h.Count > protocol.MaxHire || h.Request == "" {
+		return 400, protocol.ErrorAnswer{Error: "no such type or zone, or a wrong number"}
 	}
 	if names, ok := c.answers[h.Request]; ok {
-		return 200, wire.Names{Machines: names}
+		return 200, protocol.Names{Machines: names}
 	}
 	n := h.Count
 	if t.Most > 0 {
 		have := 0
 		for _, m := range c.machines {
-			if m.gone.IsZero() && m.Type == h.Type && m.Zone == h.Zone && m.State != wire.MachineFailed {
+			if m.gone.IsZero() && m.Type == h.Type && m.Zone == h.Zone && m.State != protocol.MachineFailed {
 				have++
 			}
 		}
 		n = min(n, t.Most-have)
 	}
 	if n <= 0 {
-		return 503, wire.ErrorAnswer{Error: "no capacity"}
+		return 503, protocol.ErrorAnswer{Error: "no capacity"}
 	}
 	var names []string
 	for range n {
@@ -221,16 +221,16 @@
 		names = append(names, fmt.Sprintf("n-%06d", c.next))
 	}
 	if err := c.write(record{Request: h.Request, Names: names, Type: h.Type, Zone: h.Zone, Spot: h.Spot}); err != nil {
-		return 503, wire.ErrorAnswer{Error: err.Error()}
+		return 503, protocol.ErrorAnswer{Error: err.Error()}
 	}
 	c.answers[h.Request] = names
 	for _, name := range names {
-		m := &machine{Machine: wire.Machine{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: wire.MachineBooting}, hired: time.Now(), over: make(chan struct{})}
+		m := &machine{Machine: protocol.Machine{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}, hired: time.Now(), over: make(chan struct{})}
 		ctx, stop := context.WithCancel(context.Background())
 		m.stop = stop
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
-			m.State = wire.MachineFailed
+			m.State = protocol.MachineFailed
 			close(m.over)
 		} else {
 			m.Addr = l.Addr().String()
@@ -238,7 +238,7 @@
 		}
 		c.machines[name] = m
 	}
-	return 200, wire.Names{Machines: names}
+	return 200, protocol.Names{Machines: names}
 }
 
 // live is a machine's whole life.
@@ -248,7 +248,7 @@
 	fail := func(err error) {
 		c.log.Error("machine failed", "machine", m.Name, "error", err)
 		c.mu.Lock()
-		m.State = wire.MachineFailed
+		m.State = protocol.MachineFailed
 		c.mu.Unlock()
 	}
 	select {
@@ -284,7 +284,7 @@
 		return
 	}
 	c.mu.Lock()
-	m.State, m.pid = wire.MachineRunning, cmd.Process.Pid
+	m.State, m.pid = protocol.MachineRunning, cmd.Process.Pid
 	err = c.write(record{Names: []string{m.Name}, Pid: m.pid})
 	c.mu.Unlock()
 	if err != nil {
@@ -356,10 +356,10 @@
 }
 
 // list shows a page of the machines as they were a while ago.
-func (c *Cloud) list(since string, page int) wire.MachineList {
+func (c *Cloud) list(since string, page int) protocol.MachineList {
 	lag := config.Seconds(c.set.ListLagS)
 	then := time.Now().Add(-lag)
-	out := wire.MachineList{Machines: []wire.Machine{}}
+	out := protocol.MachineList{Machines: []protocol.Machine{}}
 	for n, m := range c.machines {
 		if n <= since || m.hired.After(then) || !m.gone.IsZero() && m.gone.Before(then) {
 			continue
@@ -373,7 +373,7 @@
 			delete(c.machines, n)
 		}
 	}
-	slices.SortFunc(out.Machines, func(a, b wire.Machine) int {
+	slices.SortFunc(out.Machines, func(a, b protocol.Machine) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -386,12 +386,12 @@
 }
 
 // price moves by up to a third in half an hour, each type by its own wave.
-func (c *Cloud) types() wire.MachineTypes {
-	var out wire.MachineTypes
+func (c *Cloud) types() protocol.MachineTypes {
+	var out protocol.MachineTypes
 	for i, t := range c.set.Types {
 		phase := time.Since(c.began).Seconds()/1800 + float64(i)/7
 		wave := 2*(phase-float64(int(phase))) - 1 // from -1 to 1
-		out.Types = append(out.Types, wire.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+		out.Types = append(out.Types, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
 			FetchGBps: t.FetchGBps, Price: t.Price, SpotPrice: t.SpotPrice * (1 + wave/3), BootS: t.BootS, Zones: t.Zones})
 	}
 	return out
@@ -399,7 +399,7 @@
 
 // Serve answers until ctx ends; then all machines are ended.
 func (c *Cloud) Serve(ctx context.Context, l net.Listener) error {
-	srv := &fasthttp.Server{Handler: c.handle, Name: "chalk-cloud", MaxRequestBodySize: wire.MaxBody, IdleTimeout: time.Minute,
+	srv := &fasthttp.Server{Handler: c.handle, Name: "chalk-cloud", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: time.Minute,
 		NoDefaultServerHeader: true, NoDefaultDate: true}
 	err := httpserver.Until(ctx, srv, l)
 	c.mu.Lock()
@@ -419,7 +419,7 @@
 	c.at = now
 	if c.used+1 > 2*c.set.RPS {
 		c.mu.Unlock()
-		reply(429, wire.ErrorAnswer{Error: "above the limit of requests a second"})
+		reply(429, protocol.ErrorAnswer{Error: "above the limit of requests a second"})
 		return
 	}
 	c.used++
@@ -435,9 +435,9 @@
 	case path == "/machine_types" && ctx.IsGet():
 		reply(200, c.types())
 	case path == "/machines" && ctx.IsPost():
-		var h wire.Hire
-		if err := wire.Decode(ctx.PostBody(), &h); err != nil {
-			reply(400, wire.ErrorAnswer{Error: err.Error()})
+		var h protocol.Hire
+		if err := protocol.Decode(ctx.PostBody(), &h); err != nil {
+			reply(400, protocol.ErrorAnswer{Error: err.Error()})
 			return
 		}
 		reply(c.hire(h))
@@ -449,13 +449,13 @@
 		reply(200, c.list(string(args.Peek("Since")), page))
 	case path == "/machines/delete" && ctx.IsPost():
 		unlock()
-		var n wire.Names
-		if err := wire.Decode(ctx.PostBody(), &n); err != nil || len(n.Machines) > wire.MaxDelete {
-			reply(400, wire.ErrorAnswer{Error: "malformed list of machines"})
+		var n protocol.Names
+		if err := protocol.Decode(ctx.PostBody(), &n); err != nil || len(n.Machines) > protocol.MaxDelete {
+			reply(400, protocol.ErrorAnswer{Error: "malformed list of machines"})
 			return
 		}
 		if err := c.remove(n.Machines); err != nil {
-			reply(503, wire.ErrorAnswer{Error: err.Error()})
+			reply(503, protocol.ErrorAnswer{Error: err.Error()})
 			return
 		}
 		reply(200, struct{}{})
@@ -463,12 +463,12 @@
 		// For `chalk local` and its tests: which process is which machine's agent.
 		pids := map[string]int{}
 		for n, m := range c.machines {
-			if m.State == wire.MachineRunning && m.gone.IsZero() {
+			if m.State == protocol.MachineRunning && m.gone.IsZero() {
 				pids[n] = m.pid
 			}
 		}
 		reply(200, pids)
 	default:
-		reply(404, wire.ErrorAnswer{Error: "no such page"})
+		reply(404, protocol.ErrorAnswer{Error: "no such page"})
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,7 +14,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
 // Limits of a link.
@@ -42,7 +42,7 @@
 type session struct {
 	id   uint64
 	conn net.Conn
-	out  chan wire.PeerMessage
+	out  chan peerproto.PeerMessage
 	once sync.Once
 }
 
@@ -143,7 +143,7 @@
 func (l *Link) run(conn net.Conn, r *bufio.Reader, label string) {
 	l.mu.Lock()
 	l.next++
-	s := &session{id: l.next, conn: conn, out: make(chan wire.PeerMessage, maxQueue)}
+	s := &session{id: l.next, conn: conn, out: make(chan peerproto.PeerMessage, maxQueue)}
 	l.links[s.id] = s
 	l.mu.Unlock()
 	l.post(core.PeerConnected{Session: s.id, Label: label})
@@ -154,7 +154,7 @@
 		if err != nil {
 			break
 		}
-		var m wire.PeerMessage
+		var m peerproto.PeerMessage
 		if err := json.Unmarshal(line, &m); err != nil {
 			break
 		}
--- a/internal/wire/peer.go
+++ b/internal/peerproto/peer.go
@@ -1,4 +1,7 @@
-package wire
+// Package peerproto holds the messages of the links between controllers, one line of JSON
+// each. Controllers of older versions read and write them too: fields are only added, and
+// the absence of one means that the sender does not know it.
+package peerproto
 
 import "github.com/chalkhub/chalkhub/internal/degraded"
 
--- a/internal/wire/peer_test.go
+++ b/internal/peerproto/peer_test.go
@@ -1,4 +1,4 @@
-package wire
+package peerproto
 
 import (
 	"fmt"
@@ -8,6 +8,8 @@
 	"testing"
 
 	"github.com/goccy/go-json"
+
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // The pieces of a member's message tell the same as the message, each in bounds.
@@ -53,9 +55,9 @@
 		for _, full := range []bool{false, true} {
 			m := PeerMessage{Epoch: 7, Full: full}
 			for i := range machines * 64 {
-				m.Returned = append(m.Returned, TaskTry{Task: TaskName("job-100000001", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
+				m.Returned = append(m.Returned, TaskTry{Task: protocol.TaskName("job-100000001", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
 				if full {
-					m.Assigned = append(m.Assigned, TaskTry{Task: TaskName("job-100000002", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
+					m.Assigned = append(m.Assigned, TaskTry{Task: protocol.TaskName("job-100000002", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
 				}
 			}
 			var assigned, returned []TaskTry
@@ -126,7 +128,7 @@
 		m.Cancelled = append(m.Cancelled, fmt.Sprint("job-", i))
 		m.Close, m.Reopen, m.Drain = append(m.Close, name), append(m.Reopen, name), append(m.Drain, name)
 		for k := range 64 {
-			try := TaskTry{Task: TaskName("job-100000001", 64*i+k), Attempt: 7<<attemptBitsOfTests | uint64(k), Machine: name}
+			try := TaskTry{Task: protocol.TaskName("job-100000001", 64*i+k), Attempt: 7<<attemptBitsOfTests | uint64(k), Machine: name}
 			m.Dispatch, m.Release, m.Drop = append(m.Dispatch, try), append(m.Release, try), append(m.Drop, try)
 			m.Stop = append(m.Stop, TaskStop{Task: try.Task, Machine: name, Why: text})
 		}
--- a/internal/wire/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,4 +1,4 @@
-package wire
+package protocol
 
 // States of a machine in the cloud's list.
 const (
--- a/internal/wire/codec.go
+++ b/internal/protocol/codec.go
@@ -1,6 +1,8 @@
-// Package wire holds the messages of every interface. The protocol's own field
-// names appear here and nowhere else.
-package wire
+// Package protocol holds the messages that users, workers, the cloud and the state service
+// exchange with controllers, and their MessagePack codec. It maps the protocol's own field
+// names to standard ones in struct tags: they appear here and nowhere else. It decides
+// nothing and does no input or output.
+package protocol
 
 import (
 	"bytes"
--- a/internal/wire/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package protocol_test
 
 import (
 	"bytes"
@@ -11,7 +11,9 @@
 	"github.com/goccy/go-json"
 
 	"github.com/chalkhub/chalkhub/internal/degraded"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // decoder reads the bytes of a message and returns a pointer to its value.
@@ -20,7 +22,7 @@
 // msgpackOf decodes what goes over HTTP or into the state service.
 func msgpackOf[T any](b []byte) (any, error) {
 	v := new(T)
-	return v, wire.Decode(b, v)
+	return v, protocol.Decode(b, v)
 }
 
 // jsonOf decodes a line of the peer link, with the library that the link uses.
@@ -31,7 +33,7 @@
 
 // submissionOf decodes a submission as the API does.
 func submissionOf(b []byte) (any, error) {
-	j, err := wire.DecodeJob(b)
+	j, err := protocol.DecodeJob(b)
 	return &j, err
 }
 
@@ -39,62 +41,62 @@
 // is renamed or moved is changed here; the names on the left are those of the files.
 var goldenTypes = map[string]decoder{
 	"user-submission":   submissionOf,
-	"user-job":          msgpackOf[wire.Job],
-	"user-job-answer":   msgpackOf[wire.JobAnswer],
-	"user-error-answer": msgpackOf[wire.ErrorAnswer],
-
-	"depot-description": msgpackOf[wire.Description],
-	"depot-kept-result": msgpackOf[wire.KeptResult],
-	"depot-jobs":        msgpackOf[wire.Jobs],
-	"depot-job":         msgpackOf[wire.DepotJob],
-	"depot-outputs":     msgpackOf[wire.Outputs],
-	"depot-output":      msgpackOf[wire.Output],
-
-	"worker-report":         msgpackOf[wire.Report],
-	"worker-task-report":    msgpackOf[wire.TaskReport],
-	"worker-report-answer":  msgpackOf[wire.ReportAnswer],
-	"worker-redirect":       msgpackOf[wire.Redirect],
-	"worker-report-outcome": msgpackOf[wire.ReportOutcome],
-	"worker-command":        msgpackOf[wire.Command],
-	"worker-do":             msgpackOf[wire.Do],
-
-	"cloud-machine-type":  msgpackOf[wire.MachineType],
-	"cloud-machine-types": msgpackOf[wire.MachineTypes],
-	"cloud-hire":          msgpackOf[wire.Hire],
-	"cloud-names":         msgpackOf[wire.Names],
-	"cloud-machine":       msgpackOf[wire.Machine],
-	"cloud-machine-list":  msgpackOf[wire.MachineList],
-
-	"state-item":               msgpackOf[wire.Item],
-	"state-items":              msgpackOf[wire.Items],
-	"state-guard":              msgpackOf[wire.Guard],
-	"state-op":                 msgpackOf[wire.Op],
-	"state-transaction":        msgpackOf[wire.Txn],
-	"state-transaction-answer": msgpackOf[wire.TxnAnswer],
-	"state-lease-request":      msgpackOf[wire.LeaseRequest],
-	"state-lease-answer":       msgpackOf[wire.LeaseAnswer],
-	"state-event":              msgpackOf[wire.Event],
-	"state-events":             msgpackOf[wire.Events],
-
-	"record-job":      msgpackOf[wire.JobRecord],
-	"record-piece":    msgpackOf[wire.PieceRecord],
-	"record-lot":      msgpackOf[wire.LotRecord],
-	"record-progress": msgpackOf[wire.ProgressRecord],
-	"record-node":     msgpackOf[wire.NodeRecord],
-	"record-leader":   msgpackOf[wire.LeaderRecord],
-	"record-map":      msgpackOf[wire.MapRecord],
-	"record-machines": msgpackOf[wire.MachinesRecord],
-	"record-machine":  msgpackOf[wire.MachineRecord],
-	"record-estimate": msgpackOf[wire.EstimateRecord],
-	"record-mean":     msgpackOf[wire.MeanRecord],
-
-	"peer-message":       jsonOf[wire.PeerMessage],
-	"peer-hello":         jsonOf[wire.Hello],
-	"peer-task-try":      jsonOf[wire.TaskTry],
-	"peer-task-stop":     jsonOf[wire.TaskStop],
-	"peer-machine-state": jsonOf[wire.MachineState],
-	"peer-task-state":    jsonOf[wire.TaskState],
-	"peer-job-view":      jsonOf[wire.JobView],
+	"user-job":          msgpackOf[protocol.Job],
+	"user-job-answer":   msgpackOf[protocol.JobAnswer],
+	"user-error-answer": msgpackOf[protocol.ErrorAnswer],
+
+	"depot-description": msgpackOf[protocol.Description],
+	"depot-kept-result": msgpackOf[protocol.KeptResult],
+	"depot-jobs":        msgpackOf[protocol.Jobs],
+	"depot-job":         msgpackOf[protocol.DepotJob],
+	"depot-outputs":     msgpackOf[protocol.Outputs],
+	"depot-output":      msgpackOf[protocol.Output],
+
+	"worker-report":         msgpackOf[protocol.Report],
+	"worker-task-report":    msgpackOf[protocol.TaskReport],
+	"worker-report-answer":  msgpackOf[protocol.ReportAnswer],
+	"worker-redirect":       msgpackOf[protocol.Redirect],
+	"worker-report-outcome": msgpackOf[protocol.ReportOutcome],
+	"worker-command":        msgpackOf[protocol.Command],
+	"worker-do":             msgpackOf[protocol.Do],
+
+	"cloud-machine-type":  msgpackOf[protocol.MachineType],
+	"cloud-machine-types": msgpackOf[protocol.MachineTypes],
+	"cloud-hire":          msgpackOf[protocol.Hire],
+	"cloud-names":         msgpackOf[protocol.Names],
+	"cloud-machine":       msgpackOf[protocol.Machine],
+	"cloud-machine-list":  msgpackOf[protocol.MachineList],
+
+	"state-item":               msgpackOf[protocol.Item],
+	"state-items":              msgpackOf[protocol.Items],
+	"state-guard":              msgpackOf[protocol.Guard],
+	"state-op":                 msgpackOf[protocol.Op],
+	"state-transaction":        msgpackOf[protocol.Txn],
+	"state-transaction-answer": msgpackOf[protocol.TxnAnswer],
+	"state-lease-request":      msgpackOf[protocol.LeaseRequest],
+	"state-lease-answer":       msgpackOf[protocol.LeaseAnswer],
+	"state-event":              msgpackOf[protocol.Event],
+	"state-events":             msgpackOf[protocol.Events],
+
+	"record-job":      msgpackOf[records.JobRecord],
+	"record-piece":    msgpackOf[records.PieceRecord],
+	"record-lot":      msgpackOf[records.LotRecord],
+	"record-progress": msgpackOf[records.ProgressRecord],
+	"record-node":     msgpackOf[records.NodeRecord],
+	"record-leader":   msgpackOf[records.LeaderRecord],
+	"record-map":      msgpackOf[records.MapRecord],
+	"record-machines": msgpackOf[records.MachinesRecord],
+	"record-machine":  msgpackOf[records.MachineRecord],
+	"record-estimate": msgpackOf[records.EstimateRecord],
+	"record-mean":     msgpackOf[records.MeanRecord],
+
+	"peer-message":       jsonOf[peerproto.PeerMessage],
+	"peer-hello":         jsonOf[peerproto.Hello],
+	"peer-task-try":      jsonOf[peerproto.TaskTry],
+	"peer-task-stop":     jsonOf[peerproto.TaskStop],
+	"peer-machine-state": jsonOf[peerproto.MachineState],
+	"peer-task-state":    jsonOf[peerproto.TaskState],
+	"peer-job-view":      jsonOf[peerproto.JobView],
 	"peer-word":          jsonOf[degraded.Vote],
 	"peer-ask":           jsonOf[degraded.Round],
 }
@@ -172,7 +174,7 @@
 	t.Helper()
 	switch filepath.Ext(file) {
 	case ".msgpack":
-		return wire.Encode(value)
+		return protocol.Encode(value)
 	case ".json":
 		b, err := json.Marshal(value)
 		if err != nil {
@@ -215,18 +217,18 @@
 // TestProtocolWords pins the words that stand in messages and stored records.
 func TestProtocolWords(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
-		{"kinds of job", words(wire.KindArray, wire.KindGang, wire.KindService), "array ensemble daemon"},
-		{"urgencies", words(wire.UrgencyProduction, wire.UrgencyHigh, wire.UrgencyNormal, wire.UrgencyLow), "prod high standard idle"},
-		{"states of a job", words(wire.JobQueued, wire.JobRunning, wire.JobDone, wire.JobCancelled), "queued running done aborted"},
-		{"states of a task", words(wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskSaving, wire.TaskExited, wire.StateHeld),
+		{"kinds of job", words(protocol.KindArray, protocol.KindGang, protocol.KindService), "array ensemble daemon"},
+		{"urgencies", words(protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow), "prod high standard idle"},
+		{"states of a job", words(protocol.JobQueued, protocol.JobRunning, protocol.JobDone, protocol.JobCancelled), "queued running done aborted"},
+		{"states of a task", words(protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited, peerproto.StateHeld),
 			"fetching waiting running saving ended held"},
-		{"causes", words(wire.WhyDone, wire.WhyStopped, wire.WhyError, wire.WhyNoRoom, wire.WhyBusy, wire.WhyUnknown, wire.WhyPeers, wire.WhyAlone),
+		{"causes", words(protocol.WhyDone, protocol.WhyStopped, protocol.WhyError, protocol.WhyNoRoom, protocol.WhyBusy, protocol.WhyUnknown, protocol.WhyPeers, protocol.WhyAlone),
 			"done halted error no_room busy no_such peers incomplete"},
-		{"commands", words(wire.OpStart, wire.OpStop, wire.OpForget), "start kill clear"},
-		{"states of a machine", words(wire.MachineBooting, wire.MachineRunning, wire.MachineFailed), "booting running failed"},
-		{"content type", wire.ContentType, "application/msgpack"},
-		{"name of a task", wire.TaskName("job-7", 31), "job-7/31"},
-		{"set of tasks", wire.TaskSet{3, 1}.Text(), "AwE"},
+		{"commands", words(protocol.OpStart, protocol.OpStop, protocol.OpForget), "start kill clear"},
+		{"states of a machine", words(protocol.MachineBooting, protocol.MachineRunning, protocol.MachineFailed), "booting running failed"},
+		{"content type", protocol.ContentType, "application/msgpack"},
+		{"name of a task", protocol.TaskName("job-7", 31), "job-7/31"},
+		{"set of tasks", records.TaskSet{3, 1}.Text(), "AwE"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %q, and was %q", c.name, c.got, c.want)
--- a/internal/wire/report.go
+++ b/internal/protocol/report.go
@@ -1,4 +1,4 @@
-package wire
+package protocol
 
 import (
 	"fmt"
--- a/internal/wire/state.go
+++ b/internal/protocol/state.go
@@ -1,4 +1,4 @@
-package wire
+package protocol
 
 // Item is a key with its value in the state service.
 type Item struct {
--- a/internal/wire/records.go
+++ b/internal/records/records.go
@@ -1,8 +1,13 @@
-package wire
+// Package records holds what controllers keep in the state service: the values below the
+// keys that package core names. Values that any version has written stay readable, so a
+// field is added with omitempty and its absence means that the writer did not know it.
+package records
 
 import (
 	"encoding/base64"
 	"math/bits"
+
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // What chalkhub itself keeps in the state service. These values are ours, so
@@ -10,14 +15,14 @@
 
 // JobRecord is a job's durable state. State is JobQueued until the job is over.
 type JobRecord struct {
-	Spec   Job      `msgpack:"spec"`
-	State  string   `msgpack:"state"`
-	At     float64  `msgpack:"at"`               // time of day of the submission, in seconds
-	Zones  []string `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
-	Bad    string   `msgpack:"why,omitempty"`    // why the job was stopped
-	Pieces int      `msgpack:"pieces,omitempty"` // the whole record is in so many keys,
-	Nonce  string   `msgpack:"nonce,omitempty"`  // all of this name; here are only its id and state
-	Over   float64  `msgpack:"over,omitempty"`   // time of day when it was done, in seconds; 0: an older version wrote it
+	Spec   protocol.Job `msgpack:"spec"`
+	State  string       `msgpack:"state"`
+	At     float64      `msgpack:"at"`               // time of day of the submission, in seconds
+	Zones  []string     `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
+	Bad    string       `msgpack:"why,omitempty"`    // why the job was stopped
+	Pieces int          `msgpack:"pieces,omitempty"` // the whole record is in so many keys,
+	Nonce  string       `msgpack:"nonce,omitempty"`  // all of this name; here are only its id and state
+	Over   float64      `msgpack:"over,omitempty"`   // time of day when it was done, in seconds; 0: an older version wrote it
 }
 
 // PieceRecord is a piece of a record that is larger than a value: of its MessagePack,
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Client calls any number of hosts.
@@ -83,8 +83,8 @@
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + host + path)
 	if body != nil {
-		req.Header.SetContentType(wire.ContentType)
-		req.SetBodyRaw(wire.Encode(body))
+		req.Header.SetContentType(protocol.ContentType)
+		req.SetBodyRaw(protocol.Encode(body))
 	}
 	if err := c.http.DoTimeout(req, resp, timeout); err != nil {
 		return 0
@@ -92,7 +92,7 @@
 	status := resp.StatusCode()
 	for _, s := range ok {
 		if s == status && out != nil {
-			if err := wire.Decode(resp.Body(), out); err != nil {
+			if err := protocol.Decode(resp.Body(), out); err != nil {
 				return 0
 			}
 		}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -7,13 +7,13 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Cloud rents machines.
 type Cloud struct {
 	w        *World
-	types    []wire.MachineType
+	types    []protocol.MachineType
 	machines map[string]*machine
 	answers  map[string][]string
 	next     int
@@ -32,17 +32,17 @@
 }
 
 type machine struct {
-	wire.Machine
+	protocol.Machine
 	since time.Duration
 	gone  time.Duration // 0: there
 }
 
-func newCloud(w *World, types []wire.MachineType) *Cloud {
+func newCloud(w *World, types []protocol.MachineType) *Cloud {
 	return &Cloud{w: w, types: types, machines: map[string]*machine{}, answers: map[string][]string{}, Capacity: map[string]int{}}
 }
 
 // Type is one of the types.
-func (c *Cloud) Type(name string) *wire.MachineType {
+func (c *Cloud) Type(name string) *protocol.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
 			return &c.types[i]
@@ -61,8 +61,8 @@
 func (c *Cloud) add(typ, zone string, spot bool) string {
 	c.next++
 	name := fmt.Sprintf("n-%06d", c.next)
-	c.machines[name] = &machine{since: c.w.Now, Machine: wire.Machine{
-		Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: wire.MachineBooting}}
+	c.machines[name] = &machine{since: c.w.Now, Machine: protocol.Machine{
+		Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: protocol.MachineBooting}}
 	return name
 }
 
@@ -71,11 +71,11 @@
 	if m == nil || m.gone > 0 {
 		return
 	}
-	m.State = wire.MachineRunning
+	m.State = protocol.MachineRunning
 	c.w.Workers[name] = newWorker(c.w, m.Machine)
 }
 
-func (c *Cloud) hire(h wire.Hire) ([]string, core.CloudOutcome) {
+func (c *Cloud) hire(h protocol.Hire) ([]string, core.CloudOutcome) {
 	if names := c.answers[h.Request]; names != nil {
 		return names, core.CloudDone
 	}
@@ -154,7 +154,7 @@
 		return core.ListInstancesResult{Outcome: outcome}
 	}
 	lag := config.Seconds(c.w.Set.Site.Cloud.ListLagS)
-	var out []wire.Machine
+	var out []protocol.Machine
 	for _, m := range c.machines {
 		if m.Name <= since || m.since+lag > c.w.Now || m.gone > 0 && m.gone+lag <= c.w.Now {
 			continue
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -8,7 +8,7 @@
 	"github.com/goccy/go-json"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
 // Link is what the network does to packets from one end to another, in that direction
@@ -249,7 +249,7 @@
 	}
 }
 
-func (l *peerLink) send(from *Node, m wire.PeerMessage) {
+func (l *peerLink) send(from *Node, m peerproto.PeerMessage) {
 	w, to, side := l.w, l.a, 1
 	if from == l.a {
 		to, side = l.b, 0
@@ -280,7 +280,7 @@
 }
 
 // size is what a message between controllers takes, in bytes.
-func size(m wire.PeerMessage) int {
+func size(m peerproto.PeerMessage) int {
 	line, err := json.Marshal(m)
 	if err != nil {
 		panic("fake: a message between controllers is no JSON: " + err.Error())
--- a/internal/simulation/old.go
+++ b/internal/simulation/old.go
@@ -4,7 +4,9 @@
 	"strings"
 
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // The version before level 1, as far as it differs in what it stores and understands: it
@@ -30,7 +32,7 @@
 		c.Spec.Needs = nil
 		return c
 	case core.LoadResult:
-		var items []wire.Item
+		var items []protocol.Item
 		for _, it := range c.Items {
 			if knownToOld(it.Key) {
 				items = append(items, it)
@@ -42,7 +44,7 @@
 		c.Items = items
 		return c
 	case core.WatchResult:
-		var events []wire.Event
+		var events []protocol.Event
 		for _, e := range c.Answer.Events {
 			if knownToOld(e.Put + e.Delete) {
 				events = append(events, e)
@@ -55,14 +57,14 @@
 }
 
 // oldWrites is what an old controller writes of a transaction.
-func oldWrites(t wire.Txn) wire.Txn {
-	then := make([]wire.Op, len(t.Then))
+func oldWrites(t protocol.Txn) protocol.Txn {
+	then := make([]protocol.Op, len(t.Then))
 	for i, op := range t.Then {
 		switch v := op.Value.(type) {
-		case wire.JobRecord:
+		case records.JobRecord:
 			v.Over = 0
 			op.Value = v
-		case wire.NodeRecord:
+		case records.NodeRecord:
 			v.Level = 0
 			op.Value = v
 		}
@@ -73,7 +75,7 @@
 }
 
 // oldSays is what an old controller says to another of a message.
-func oldSays(m wire.PeerMessage) wire.PeerMessage {
+func oldSays(m peerproto.PeerMessage) peerproto.PeerMessage {
 	if m.Word != nil {
 		w := *m.Word
 		w.IncludesMirror = false
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -11,7 +11,8 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/engine"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
 )
 
 // State is the state service.
@@ -75,7 +76,7 @@
 type watch struct {
 	node  string
 	since uint64
-	done  func(core.WatchOutcome, wire.Events)
+	done  func(core.WatchOutcome, protocol.Events)
 	over  bool
 }
 
@@ -144,44 +145,44 @@
 
 // Commit runs a transaction of a node, an old one perhaps. CommitUnknown stands for an
 // answer that never comes.
-func (s *State) Commit(node string, old bool, t wire.Txn) (core.CommitOutcome, wire.TxnAnswer) {
+func (s *State) Commit(node string, old bool, t protocol.Txn) (core.CommitOutcome, protocol.TxnAnswer) {
 	if s.refuses(node) {
-		return core.CommitUnavailable, wire.TxnAnswer{}
+		return core.CommitUnavailable, protocol.TxnAnswer{}
 	}
 	if s.limited(len(t.Then)) {
-		return core.CommitThrottled, wire.TxnAnswer{}
+		return core.CommitThrottled, protocol.TxnAnswer{}
 	}
 	if why := s.malformed(t); why != "" {
 		if !old { // that one does not know the limits to come
 			s.w.broke("malformed", "%s sends the state service %s", node, why)
 		}
-		return core.CommitRejected, wire.TxnAnswer{}
+		return core.CommitRejected, protocol.TxnAnswer{}
 	}
-	if s.LateShare > 0 && slices.ContainsFunc(t.Then, func(op wire.Op) bool { return strings.HasPrefix(op.Put+op.Delete, s.LateOnly) }) &&
+	if s.LateShare > 0 && slices.ContainsFunc(t.Then, func(op protocol.Op) bool { return strings.HasPrefix(op.Put+op.Delete, s.LateOnly) }) &&
 		s.w.Rand.Float64() < s.LateShare {
 		s.Late++
 		if s.LateBy == 0 { // carried out at once: only the answer is lost
 			s.apply(t)
-			return core.CommitUnknown, wire.TxnAnswer{}
+			return core.CommitUnknown, protocol.TxnAnswer{}
 		}
 		s.w.After(s.LateFrom+time.Duration(s.w.Rand.Int64N(int64(s.LateBy-s.LateFrom)+1)), func() { s.apply(t) })
-		return core.CommitUnknown, wire.TxnAnswer{}
+		return core.CommitUnknown, protocol.TxnAnswer{}
 	}
 	return s.apply(t)
 }
 
-func (s *State) apply(t wire.Txn) (core.CommitOutcome, wire.TxnAnswer) {
+func (s *State) apply(t protocol.Txn) (core.CommitOutcome, protocol.TxnAnswer) {
 	s.Writes += len(t.Then)
 	txn := kvstore.Txn{If: t.If}
 	for _, op := range t.Then {
 		o := kvstore.Op{Put: op.Put, Lease: op.Lease, Delete: op.Delete}
 		if op.Put != "" {
-			o.Value = wire.Encode(op.Value)
+			o.Value = protocol.Encode(op.Value)
 		}
 		txn.Then = append(txn.Then, o)
 	}
 	var status int
-	var answer wire.TxnAnswer
+	var answer protocol.TxnAnswer
 	s.change(func(b *kvstore.Batch) { status, answer, _ = b.Commit(&txn) })
 	return engine.CommitOutcome(status), answer
 }
@@ -198,7 +199,7 @@
 }
 
 // since answers a watch.
-func (s *State) since(rev uint64, done func(core.WatchOutcome, wire.Events)) {
+func (s *State) since(rev uint64, done func(core.WatchOutcome, protocol.Events)) {
 	e, ok := s.now.Since(core.KeyPrefix, rev)
 	if !ok {
 		done(core.WatchCompacted, e)
@@ -207,20 +208,20 @@
 	done(core.WatchServed, e)
 }
 
-func (s *State) follow(node string, e core.Watch, done func(core.WatchOutcome, wire.Events)) {
+func (s *State) follow(node string, e core.Watch, done func(core.WatchOutcome, protocol.Events)) {
 	if s.refuses(node) {
 		if e.Hold == 0 {
-			done(core.WatchUnavailable, wire.Events{})
+			done(core.WatchUnavailable, protocol.Events{})
 		}
 		return // open watches stay open
 	}
 	if s.limited(0) {
-		done(core.WatchThrottled, wire.Events{})
+		done(core.WatchThrottled, protocol.Events{})
 		return
 	}
 	if s.Forgot[node] {
 		delete(s.Forgot, node)
-		done(core.WatchCompacted, wire.Events{})
+		done(core.WatchCompacted, protocol.Events{})
 		return
 	}
 	if e.Hold == 0 || s.now.Revision > e.Since {
@@ -259,20 +260,20 @@
 		id := fmt.Sprintf("job-9%08d", i)
 		spec := Array(1 + i%40)
 		spec.ID = id
-		rec := wire.JobRecord{Spec: spec, State: wire.JobDone, At: 9e8 + float64(i)}
+		rec := records.JobRecord{Spec: spec, State: protocol.JobDone, At: 9e8 + float64(i)}
 		if i%50 == 0 {
-			rec.State, rec.Bad = wire.JobCancelled, "cancelled by its user"
+			rec.State, rec.Bad = protocol.JobCancelled, "cancelled by its user"
 		}
-		txn.Then = append(txn.Then, kvstore.Op{Put: "c/job/" + id, Value: wire.Encode(rec)})
+		txn.Then = append(txn.Then, kvstore.Op{Put: "c/job/" + id, Value: protocol.Encode(rec)})
 	}
 	s.change(func(b *kvstore.Batch) { b.Commit(&txn) })
 }
 
 // Behind puts a job into the store and n jobs that wait for it: half of them for it alone,
 // half in chains of a hundred.
-func (s *State) Behind(first wire.Job, n int) {
+func (s *State) Behind(first protocol.Job, n int) {
 	first.EstimateS = 100_000
-	txn := kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + first.ID, Value: wire.Encode(wire.JobRecord{Spec: first, State: wire.JobQueued, At: 1e9})}}}
+	txn := kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + first.ID, Value: protocol.Encode(records.JobRecord{Spec: first, State: protocol.JobQueued, At: 1e9})}}}
 	before := ""
 	for i := range n {
 		spec := Array(1 + i%40)
@@ -281,14 +282,14 @@
 			spec.Needs = []string{before}
 		}
 		before = spec.ID
-		txn.Then = append(txn.Then, kvstore.Op{Put: "c/run/" + spec.ID, Value: wire.Encode(wire.JobRecord{Spec: spec, State: wire.JobQueued, At: 1e9})})
+		txn.Then = append(txn.Then, kvstore.Op{Put: "c/run/" + spec.ID, Value: protocol.Encode(records.JobRecord{Spec: spec, State: protocol.JobQueued, At: 1e9})})
 	}
 	s.change(func(b *kvstore.Batch) { b.Commit(&txn) })
 }
 
 // malformed says what is wrong with a transaction: it is over a limit of the
 // settings. A service that sends one would send it for ever.
-func (s *State) malformed(t wire.Txn) string {
+func (s *State) malformed(t protocol.Txn) string {
 	set := s.limits()
 	if n := len(t.Then); n > set.TxnOps {
 		return fmt.Sprintf("%d changes in one transaction", n)
@@ -298,7 +299,7 @@
 	}
 	total := 0
 	for _, op := range t.Then {
-		size := wire.TextSize(op.Value)
+		size := protocol.TextSize(op.Value)
 		if total += size; float64(size) > set.ValueKB*1024 {
 			return fmt.Sprintf("a value of %d bytes for %s", size, op.Put)
 		}
@@ -315,10 +316,10 @@
 }
 
 // Reopen puts a job back to where it was when it was accepted, behind everybody's back.
-func (s *State) Reopen(spec wire.Job) {
-	rec := wire.JobRecord{Spec: spec, State: wire.JobQueued, At: 1e9}
+func (s *State) Reopen(spec protocol.Job) {
+	rec := records.JobRecord{Spec: spec, State: protocol.JobQueued, At: 1e9}
 	s.change(func(b *kvstore.Batch) {
-		b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + spec.ID, Value: wire.Encode(rec)}}})
+		b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + spec.ID, Value: protocol.Encode(rec)}}})
 	})
 }
 
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -6,7 +6,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Users submit, poll and cancel, and keep the rules' checker: whatever happens
@@ -38,7 +38,7 @@
 
 // Job is a job as its user sees it.
 type Job struct {
-	Spec      wire.Job
+	Spec      protocol.Job
 	RunS      float64
 	RunsS     []float64 // by task, if they differ
 	Mistaken  bool      // fails wherever it runs
@@ -51,7 +51,7 @@
 	waits     map[string]time.Duration // machines that could take it while it waits, and since when
 	startedAt time.Duration            // when a machine took one of its tasks last
 	sentAt    time.Duration            // when it was handed in
-	Answer    wire.JobAnswer
+	Answer    protocol.JobAnswer
 	aborting  bool
 	Cancelled time.Duration // when its user was told
 	done      map[int]bool
@@ -64,14 +64,14 @@
 }
 
 // Array describes an array job of n tasks with one CPU each, for team blue.
-func Array(n int) wire.Job {
-	return wire.Job{Class: "photos", Team: "blue", Kind: wire.KindArray, Urgency: wire.UrgencyNormal, Tasks: n,
+func Array(n int) protocol.Job {
+	return protocol.Job{Class: "photos", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyNormal, Tasks: n,
 		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.5, Spot: true, EstimateS: 10}
 }
 
 // Submit hands in a job whose tasks run for runS, again and again until it is
 // answered; change may alter it first.
-func (u *Users) Submit(spec wire.Job, runS float64) *Job {
+func (u *Users) Submit(spec protocol.Job, runS float64) *Job {
 	u.next++
 	if spec.ID == "" {
 		spec.ID = fmt.Sprintf("job-%06d", u.next)
@@ -118,7 +118,7 @@
 			}
 			first := !j.Accepted
 			j.Accepted = true
-			u.hear(j, r.Body.(wire.JobAnswer), sent)
+			u.hear(j, r.Body.(protocol.JobAnswer), sent)
 			if first {
 				u.w.After(time.Second, func() { u.poll(j) })
 				u.look(j)
@@ -154,7 +154,7 @@
 			switch {
 			case r.Status == 200 || r.Status == 201:
 				u.Looks++
-				u.hear(j, r.Body.(wire.JobAnswer), sent)
+				u.hear(j, r.Body.(protocol.JobAnswer), sent)
 			case known && (r.Status == 404 || r.Status == 400 || r.Status == 422):
 				w.broke("forgotten", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
 			}
@@ -194,7 +194,7 @@
 	u.ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
 		switch r.Status {
 		case 200:
-			u.hear(j, r.Body.(wire.JobAnswer), sent)
+			u.hear(j, r.Body.(protocol.JobAnswer), sent)
 		case 404:
 			u.w.broke("forgotten", "%s is answered 404", j.Spec.ID)
 		}
@@ -213,7 +213,7 @@
 		case r.Status == 200 && j == nil:
 			u.w.broke("invented", "%s is answered 200", id)
 		case r.Status == 200 && known:
-			u.hear(j, r.Body.(wire.JobAnswer), sent)
+			u.hear(j, r.Body.(protocol.JobAnswer), sent)
 		case r.Status == 404 && known:
 			u.w.broke("forgotten", "%s is answered 404", id)
 		}
@@ -222,7 +222,7 @@
 
 // Never hands in, at all nodes, a job that can't run: each refuses it for good, or has its
 // user come again, however little it knows yet.
-func (u *Users) Never(spec wire.Job) *Job {
+func (u *Users) Never(spec protocol.Job) *Job {
 	j := u.Submit(spec, 1)
 	j.Never = true
 	for _, n := range u.w.Nodes {
@@ -246,7 +246,7 @@
 			u.w.After(time.Second, func() { u.Abort(j) })
 			return
 		}
-		u.hear(j, r.Body.(wire.JobAnswer), sent)
+		u.hear(j, r.Body.(protocol.JobAnswer), sent)
 	})
 }
 
@@ -256,9 +256,9 @@
 // hear takes what a node says of a job in answer to a question that left at that time. It is
 // older than it may be if the question left after a newer word had come, whichever node said
 // that; done and cancelled exclude one another whenever they were asked for.
-func (u *Users) hear(j *Job, a wire.JobAnswer, sent time.Duration) {
+func (u *Users) hear(j *Job, a protocol.JobAnswer, sent time.Duration) {
 	j.knownAt = u.w.Now
-	final := func(s string) bool { return s == wire.JobDone || s == wire.JobCancelled }
+	final := func(s string) bool { return s == protocol.JobDone || s == protocol.JobCancelled }
 	if final(j.Told) && a.State != j.Told && (final(a.State) || sent > j.overAt) {
 		u.w.broke("went_back", "%s was %s at %.3f and is called %s, asked at %.3f", j.Spec.ID, j.Told, j.overAt.Seconds(), a.State, sent.Seconds())
 	}
@@ -266,10 +266,10 @@
 	if over := config.Seconds(u.w.Set.Site.Workers.CancelS); before != nil && before.Cancelled > 0 && sent > before.Cancelled+over && !final(a.State) {
 		u.w.broke("orphaned", "%s is called %s long after %s was cancelled", j.Spec.ID, a.State, before.Spec.ID)
 	}
-	if a.State == wire.JobCancelled && !j.aborting && before == nil {
+	if a.State == protocol.JobCancelled && !j.aborting && before == nil {
 		u.w.broke("went_back", "%s is called cancelled, nobody cancelled it or one that it needs", j.Spec.ID)
 	}
-	if a.State == wire.JobDone && len(j.done) < j.Spec.Tasks {
+	if a.State == protocol.JobDone && len(j.done) < j.Spec.Tasks {
 		u.w.broke("not_done", "%s is called done with %d of %d tasks", j.Spec.ID, len(j.done), j.Spec.Tasks)
 	}
 	if final(j.Told) {
@@ -278,7 +278,7 @@
 		}
 		return // the first such word is the one that counts
 	}
-	if a.State == wire.JobCancelled {
+	if a.State == protocol.JobCancelled {
 		j.Cancelled = u.w.Now
 		u.w.After(config.Seconds(u.w.Set.Site.Workers.CancelS), func() {
 			for task, m := range j.on { // hung machines too: they may resume
@@ -302,7 +302,7 @@
 		id := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		x := u.jobs[id]
-		if seen[id] || x == nil || x.Told == wire.JobDone {
+		if seen[id] || x == nil || x.Told == protocol.JobDone {
 			continue
 		}
 		seen[id] = true
@@ -411,22 +411,22 @@
 			return
 		}
 		switch {
-		case t.State == wire.TaskWaiting && all():
-			t.State, started = wire.TaskRunning, w.Now
+		case t.State == protocol.TaskWaiting && all():
+			t.State, started = protocol.TaskRunning, w.Now
 			k.changed()
-		case t.State == wire.TaskWaiting && w.Now > wait:
-			k.exit(t, wire.WhyAlone)
+		case t.State == protocol.TaskWaiting && w.Now > wait:
+			k.exit(t, protocol.WhyAlone)
 			return
-		case t.State == wire.TaskRunning && !all():
+		case t.State == protocol.TaskRunning && !all():
 			if missing == 0 {
 				missing = w.Now
 			}
 			if w.Now-missing > config.Seconds(w.Set.Site.Workers.GangPeerS) {
-				k.exit(t, wire.WhyPeers)
+				k.exit(t, protocol.WhyPeers)
 				return
 			}
-		case t.State == wire.TaskRunning && w.Now-started >= config.Seconds(j.RunS):
-			k.exit(t, wire.WhyDone)
+		case t.State == protocol.TaskRunning && w.Now-started >= config.Seconds(j.RunS):
+			k.exit(t, protocol.WhyDone)
 			return
 		default:
 			missing = 0
@@ -439,7 +439,7 @@
 // AllTold reports whether every accepted job's user knows that it is over.
 func (u *Users) AllTold() bool {
 	for _, j := range u.jobs {
-		if j.Refused == 0 && j.Told != wire.JobDone && j.Told != wire.JobCancelled {
+		if j.Refused == 0 && j.Told != protocol.JobDone && j.Told != protocol.JobCancelled {
 			return false
 		}
 	}
@@ -447,7 +447,7 @@
 }
 
 // On is the machine that a task is on, or empty.
-func (j *Job) On(i int) string { return j.on[wire.TaskName(j.Spec.ID, i)] }
+func (j *Job) On(i int) string { return j.on[protocol.TaskName(j.Spec.ID, i)] }
 
 // Done is how many tasks of jobs have completed.
 func (u *Users) Done(jobs ...*Job) (n int) {
--- a/internal/simulation/waiting.go
+++ b/internal/simulation/waiting.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // leftAfter is how long a job may wait, once all troubles are over, while one and the same
@@ -40,7 +40,7 @@
 			since[name] = u.w.Now
 		}
 	}
-	if j.Spec.Kind == wire.KindGang && !holdsAll(&j.Spec, room) {
+	if j.Spec.Kind == protocol.KindGang && !holdsAll(&j.Spec, room) {
 		since = nil
 	}
 	j.waits = since
@@ -56,7 +56,7 @@
 }
 
 // holdsAll reports whether all tasks of a gang find room at once, so many in each zone.
-func holdsAll(s *wire.Job, room map[string]int) bool {
+func holdsAll(s *protocol.Job, room map[string]int) bool {
 	most, all := 0, 0
 	for _, n := range room {
 		if s.Spread {
@@ -71,7 +71,7 @@
 // jobs that it needs go.
 func (u *Users) couldStart(j *Job) bool {
 	s := &j.Spec
-	if !j.Accepted || j.Mistaken || j.aborting || u.cancelledBefore(j) != nil || j.Told == wire.JobDone || j.Told == wire.JobCancelled {
+	if !j.Accepted || j.Mistaken || j.aborting || u.cancelledBefore(j) != nil || j.Told == protocol.JobDone || j.Told == protocol.JobCancelled {
 		return false
 	}
 	for _, id := range s.Needs {
@@ -91,7 +91,7 @@
 		return false
 	}
 	n := 1.0
-	if s.Kind == wire.KindGang {
+	if s.Kind == protocol.KindGang {
 		n = float64(s.Tasks)
 	}
 	for _, t := range u.w.Set.Site.Teams {
@@ -121,7 +121,7 @@
 }
 
 // takes is how many tasks of a job the machine could take now, by its type, kind and room.
-func (k *Worker) takes(s *wire.Job) int {
+func (k *Worker) takes(s *protocol.Job) int {
 	ok := len(s.Types) == 0
 	for _, t := range s.Types {
 		ok = ok || t == k.Info.Type
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -5,13 +5,13 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Worker is the agent on a machine.
 type Worker struct {
 	w       *World
-	Info    wire.Machine
+	Info    protocol.Machine
 	Faulty  bool    // every task it starts fails
 	Hung    bool    // does nothing until it resumes; its lease ends all the same
 	Mute    bool    // opens no connection to a controller
@@ -48,12 +48,12 @@
 
 // on reports whether the task counts as being on its machine.
 func (t *Task) on() bool {
-	return t.State == wire.TaskRunning || t.State == wire.TaskSaving || t.State == wire.TaskWaiting
+	return t.State == protocol.TaskRunning || t.State == protocol.TaskSaving || t.State == protocol.TaskWaiting
 }
 
-func (t *Task) takesRoom() bool { return t.State != wire.TaskExited }
+func (t *Task) takesRoom() bool { return t.State != protocol.TaskExited }
 
-func newWorker(w *World, m wire.Machine) *Worker {
+func newWorker(w *World, m protocol.Machine) *Worker {
 	k := &Worker{w: w, Info: m, session: 1, images: map[string]bool{}, lastOK: w.Now, lastRep: -time.Hour,
 		rate: 1 + (w.Rand.Float64()*2-1)*0.00025, node: w.Rand.IntN(len(w.Nodes))}
 	k.report()
@@ -92,14 +92,14 @@
 }
 
 // message is the worker's report, as of now.
-func (k *Worker) message() wire.Report {
+func (k *Worker) message() protocol.Report {
 	k.seq++
-	r := wire.Report{
+	r := protocol.Report{
 		Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot,
-		Session: k.session, Seq: k.seq, Token: k.token, NoticeS: k.NoticeS, Tasks: []wire.TaskReport{},
+		Session: k.session, Seq: k.seq, Token: k.token, NoticeS: k.NoticeS, Tasks: []protocol.TaskReport{},
 	}
 	for _, t := range k.Tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.Name, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
+		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.Name, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
 	}
 	return r
 }
@@ -165,7 +165,7 @@
 			return
 		}
 		switch body := r.Body.(type) {
-		case wire.ReportAnswer:
+		case protocol.ReportAnswer:
 			if session == k.session && body.Token >= k.token && k.w.Now-sent < 4*time.Second {
 				raised := body.Token > k.token
 				k.token = body.Token
@@ -177,7 +177,7 @@
 			report := config.Seconds(k.w.Set.Site.Workers.ReportS)
 			next(k.span(time.Duration(float64(report) * (0.75 + k.w.Rand.Float64()/2))))
 			return
-		case wire.Redirect:
+		case protocol.Redirect:
 			for i, n := range k.w.Nodes {
 				if n.Label == body.ReportTo && i != k.node {
 					k.node = i
@@ -193,7 +193,7 @@
 	}, got, elsewhere)
 }
 
-func (k *Worker) do(d wire.Do, answer func(core.DirectOutcome, wire.Report)) {
+func (k *Worker) do(d protocol.Do, answer func(core.DirectOutcome, protocol.Report)) {
 	if k.dead {
 		return
 	}
@@ -216,23 +216,23 @@
 }
 
 // execute carries out commands in order and reports whether anything changed.
-func (k *Worker) execute(cmds []wire.Command) bool {
+func (k *Worker) execute(cmds []protocol.Command) bool {
 	some := false
 	for _, c := range cmds {
 		switch c.Op {
-		case wire.OpStart:
+		case protocol.OpStart:
 			some = k.start(c) || some
-		case wire.OpStop:
+		case protocol.OpStop:
 			for _, t := range k.Tasks {
-				if t.Name == c.Task && t.Attempt == c.Attempt && t.State != wire.TaskExited {
+				if t.Name == c.Task && t.Attempt == c.Attempt && t.State != protocol.TaskExited {
 					k.stop(t, c.GraceS)
 					some = true
 				}
 			}
-		case wire.OpForget:
+		case protocol.OpForget:
 			kept := k.Tasks[:0]
 			for _, t := range k.Tasks {
-				if t.Name == c.Task && t.Attempt == c.Attempt && t.State == wire.TaskExited {
+				if t.Name == c.Task && t.Attempt == c.Attempt && t.State == protocol.TaskExited {
 					some = true
 					continue
 				}
@@ -244,29 +244,29 @@
 	return some
 }
 
-func (k *Worker) start(c wire.Command) bool {
+func (k *Worker) start(c protocol.Command) bool {
 	u := k.w.Users
-	t := &Task{Name: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}
+	t := &Task{Name: c.Task, Attempt: c.Attempt, State: protocol.TaskFetching}
 	for _, x := range k.Tasks {
 		if x.Name == c.Task {
 			if x.Attempt == c.Attempt {
 				return false
 			}
 			if x.takesRoom() {
-				t.State, t.Why = wire.TaskExited, wire.WhyBusy
+				t.State, t.Why = protocol.TaskExited, protocol.WhyBusy
 			}
 		}
 	}
-	ref, i, err := wire.ParseTask(c.Task)
+	ref, i, err := protocol.ParseTask(c.Task)
 	t.job, t.index = u.jobs[ref], i
 	if err != nil || t.job == nil || i >= t.job.Spec.Tasks {
-		t.State, t.Why = wire.TaskExited, wire.WhyUnknown
+		t.State, t.Why = protocol.TaskExited, protocol.WhyUnknown
 	}
-	if t.State == wire.TaskFetching && !k.room(&t.job.Spec) {
-		t.State, t.Why = wire.TaskExited, wire.WhyNoRoom
+	if t.State == protocol.TaskFetching && !k.room(&t.job.Spec) {
+		t.State, t.Why = protocol.TaskExited, protocol.WhyNoRoom
 	}
 	k.Tasks = append(k.Tasks, t)
-	if t.State != wire.TaskFetching {
+	if t.State != protocol.TaskFetching {
 		return true
 	}
 	t.job.startedAt, k.tookAt = k.w.Now, k.w.Now
@@ -278,18 +278,18 @@
 		fetch = config.Seconds(s.ImageGB / k.w.Cloud.Type(k.Info.Type).FetchGBps)
 	}
 	k.later(t, fetch, func() {
-		if t.State != wire.TaskFetching {
+		if t.State != protocol.TaskFetching {
 			return
 		}
 		k.images[t.job.Spec.Image] = true
-		if t.job.Spec.Kind == wire.KindGang {
-			t.State = wire.TaskWaiting
+		if t.job.Spec.Kind == protocol.KindGang {
+			t.State = protocol.TaskWaiting
 			u.arrived(k, t)
 			k.changed()
 			u.gang(k, t)
 			return
 		}
-		t.State = wire.TaskRunning
+		t.State = protocol.TaskRunning
 		u.arrived(k, t)
 		k.changed()
 		t.began = k.w.Now
@@ -303,9 +303,9 @@
 		}
 		switch {
 		case k.Faulty || t.job.Mistaken:
-			k.later(t, 500*time.Millisecond, func() { k.exit(t, wire.WhyError) })
-		case t.job.Spec.Kind != wire.KindService:
-			k.later(t, run, func() { k.exit(t, wire.WhyDone) })
+			k.later(t, 500*time.Millisecond, func() { k.exit(t, protocol.WhyError) })
+		case t.job.Spec.Kind != protocol.KindService:
+			k.later(t, run, func() { k.exit(t, protocol.WhyDone) })
 		}
 	})
 	return true
@@ -338,11 +338,11 @@
 }
 
 func (k *Worker) exit(t *Task, why string) {
-	if t.State == wire.TaskExited {
+	if t.State == protocol.TaskExited {
 		return
 	}
 	k.w.Users.left(k, t)
-	if t.job != nil && t.began > 0 && why == wire.WhyStopped {
+	if t.job != nil && t.began > 0 && why == protocol.WhyStopped {
 		ran := k.w.Now - t.began
 		if step := config.Seconds(t.job.Spec.CheckpointS); step <= 0 {
 			ran = 0
@@ -351,9 +351,9 @@
 		}
 		t.job.saved[t.index] += ran
 	}
-	t.State, t.Why = wire.TaskExited, why
-	k.failed = k.failed || why == wire.WhyError && !t.job.Mistaken
-	if why == wire.WhyDone && t.job != nil && !t.job.done[t.index] {
+	t.State, t.Why = protocol.TaskExited, why
+	k.failed = k.failed || why == protocol.WhyError && !t.job.Mistaken
+	if why == protocol.WhyDone && t.job != nil && !t.job.done[t.index] {
 		t.job.done[t.index] = true
 		if len(t.job.done) == t.job.Spec.Tasks {
 			k.w.Users.ended(t.job)
@@ -364,12 +364,12 @@
 
 func (k *Worker) stop(t *Task, grace float64) {
 	s := t.job
-	if t.State == wire.TaskRunning && s != nil && s.Spec.CheckpointS > 0 && grace >= s.Spec.SaveS {
-		t.State = wire.TaskSaving
-		k.later(t, config.Seconds(s.Spec.SaveS), func() { t.Saved = true; k.exit(t, wire.WhyStopped) })
+	if t.State == protocol.TaskRunning && s != nil && s.Spec.CheckpointS > 0 && grace >= s.Spec.SaveS {
+		t.State = protocol.TaskSaving
+		k.later(t, config.Seconds(s.Spec.SaveS), func() { t.Saved = true; k.exit(t, protocol.WhyStopped) })
 		return
 	}
-	k.exit(t, wire.WhyStopped)
+	k.exit(t, protocol.WhyStopped)
 }
 
 // amounts are what a machine has left.
@@ -388,7 +388,7 @@
 	return left
 }
 
-func (k *Worker) room(s *wire.Job) bool {
+func (k *Worker) room(s *protocol.Job) bool {
 	left := k.free()
 	return left.cpus >= s.CPUs-1e-9 && left.gpus >= s.GPUs-1e-9 && left.mem >= s.MemoryGB-1e-9
 }
@@ -396,7 +396,7 @@
 // Force makes the worker start a task that nobody commanded, for the story that
 // checks the checker.
 func (k *Worker) Force(task string, attempt uint64) {
-	k.execute([]wire.Command{{Op: wire.OpStart, Task: task, Attempt: attempt}})
+	k.execute([]protocol.Command{{Op: protocol.OpStart, Task: task, Attempt: attempt}})
 }
 
 // ReportsTo is the controller that it sends its reports to.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -14,7 +14,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/wire"
+	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
 // Debug has the nodes of all worlds log at that level.
@@ -53,7 +53,7 @@
 	// KeepReports has a copy kept of a report of each machine, the first from then on, for
 	// the moment at which somebody else begins to lead: all controllers get it then.
 	KeepReports bool
-	kept        map[string]wire.Report
+	kept        map[string]protocol.Report
 	leader      string // the process that led when that was looked at last
 
 	links  map[ends]*Link
@@ -84,8 +84,8 @@
 func label(i int) string { return fmt.Sprintf("node-%d", i) }
 
 // Types is what the fake cloud rents.
-func Types() []wire.MachineType {
-	return []wire.MachineType{
+func Types() []protocol.MachineType {
+	return []protocol.MachineType{
 		{Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: []string{"a", "b"}},
 		{Name: "barn", CPUs: 16, GPUs: 2, MemoryGB: 64, CacheGB: 40, FetchGBps: 1, Price: 0.7, SpotPrice: 0.2, BootS: 10, Zones: []string{"a"}},
 	}
@@ -96,11 +96,11 @@
 
 // Build makes a world of the given settings, with a controller for each sibling that
 // they name, and starts them.
-func Build(seed uint64, set config.Settings, types []wire.MachineType) *World {
+func Build(seed uint64, set config.Settings, types []protocol.MachineType) *World {
 	w := &World{
 		Rand: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), Set: set, Policy: config.DefaultPolicy(),
 		Workers: map[string]*Worker{}, Latency: 2 * time.Millisecond,
-		kept: map[string]wire.Report{}, links: map[ends]*Link{}, peers: map[uint64]*peerLink{},
+		kept: map[string]protocol.Report{}, links: map[ends]*Link{}, peers: map[uint64]*peerLink{},
 	}
 	w.State = newState(w)
 	w.Cloud = newCloud(w, types)
@@ -391,7 +391,7 @@
 		}, func(d core.LoadResult) { mine(func() { post(d) })() }, mine(func() { post(core.LoadResult{}) }))
 	case core.Watch:
 		call(w, n.Label, "state", timeout+e.Hold, func(reply func(core.WatchResult)) {
-			w.State.follow(n.Label, e, func(outcome core.WatchOutcome, ev wire.Events) {
+			w.State.follow(n.Label, e, func(outcome core.WatchOutcome, ev protocol.Events) {
 				reply(core.WatchResult{Barrier: e.Barrier, SentAt: sent, Outcome: outcome, Answer: ev})
 			})
 		}, func(d core.WatchResult) { mine(func() { post(d) })() }, mine(func() { post(core.WatchResult{Barrier: e.Barrier, SentAt: sent}) }))
@@ -407,7 +407,7 @@
 		}
 		call(w, n.Label, e.Machine, patience, func(reply func(core.CallWorkerResult)) {
 			if k := w.Workers[e.Machine]; k != nil {
-				k.do(e.Body, func(outcome core.DirectOutcome, r wire.Report) {
+				k.do(e.Body, func(outcome core.DirectOutcome, r protocol.Report) {
 					reply(core.CallWorkerResult{Machine: e.Machine, CallID: e.CallID, Outcome: outcome, Report: r})
 				})
 			}
@@ -424,7 +424,7 @@
 				reply(core.MachineTypesResult{Outcome: outcome})
 				return
 			}
-			reply(core.MachineTypesResult{Outcome: core.CloudDone, Answer: wire.MachineTypes{Types: w.Cloud.types}})
+			reply(core.MachineTypesResult{Outcome: core.CloudDone, Answer: protocol.MachineTypes{Types: w.Cloud.types}})
 		}, func(d core.MachineTypesResult) { mine(func() { post(d) })() }, mine(func() { post(core.MachineTypesResult{}) }))
 	case core.ListInstances:
 		call(w, n.Label, "cloud", timeout, func(reply func(core.ListInstancesResult)) {
@@ -469,7 +469,7 @@
 }
 
 // keep takes a copy of a report for the next leader.
-func (w *World) keep(r wire.Report) {
+func (w *World) keep(r protocol.Report) {
 	if _, ok := w.kept[r.Machine]; !ok && w.KeepReports {
 		if len(w.kept) == 0 {
 			w.leader = w.leads()
@@ -498,7 +498,7 @@
 		return
 	}
 	kept := w.kept
-	w.kept = map[string]wire.Report{}
+	w.kept = map[string]protocol.Report{}
 	for _, name := range slices.Sorted(maps.Keys(kept)) {
 		for _, n := range w.Nodes {
 			for _, after := range []time.Duration{0, 60, 130, 250, 500, 1000, 2000} {
