--- a/client/client.go
+++ b/client/client.go
@@ -119,9 +119,9 @@
 
 func (j *Job) wire() protocol.Job {
 	w := protocol.Job{ID: j.ID, Class: j.Class, Team: j.Team, Kind: string(j.Kind), Urgency: string(j.Urgency), Tasks: j.Tasks,
-		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Image: j.Image, ImageGB: j.ImageGB, Types: j.Types, Zone: j.Zone,
-		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, EstimateS: j.Estimate.Seconds(), CheckpointS: j.Checkpoint.Seconds(),
-		SaveS: j.Save.Seconds(), DeadlineS: j.Deadline.Seconds(), Needs: j.After}
+		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Image: j.Image, ImageGB: j.ImageGB, MachineTypes: j.Types, Zone: j.Zone,
+		OneZone: j.OneZone, Spread: j.Spread, AllowSpot: j.Spot, EstimateS: j.Estimate.Seconds(), CheckpointS: j.Checkpoint.Seconds(),
+		SaveS: j.Save.Seconds(), DeadlineS: j.Deadline.Seconds(), Dependencies: j.After}
 	or := func(s *string, other string) {
 		if *s == "" {
 			*s = other
@@ -220,7 +220,7 @@
 }
 
 func text(b []byte) string {
-	var e protocol.ErrorAnswer
+	var e protocol.ErrorResponse
 	if protocol.Decode(b, &e) != nil {
 		return ""
 	}
@@ -276,8 +276,8 @@
 	}
 	w := j.wire()
 	if c.depot != "" {
-		d := protocol.Description{Job: w, Command: j.Command, Env: j.Env, Folder: j.Folder, RunS: j.Simulate.Seconds()}
-		if err := d.Check(); err != nil {
+		d := protocol.JobDescription{Job: w, Command: j.Command, Env: j.Env, Folder: j.Folder, SimulatedS: j.Simulate.Seconds()}
+		if err := d.Validate(); err != nil {
 			return nil, &Error{Kind: ErrMalformed, Text: err.Error()}
 		}
 		if err := c.upload(ctx, &d); err != nil {
@@ -309,7 +309,7 @@
 	return m
 }
 
-func (c *Client) upload(ctx context.Context, d *protocol.Description) error {
+func (c *Client) upload(ctx context.Context, d *protocol.JobDescription) error {
 	end := time.Now().Add(c.give)
 	for {
 		s, b, _ := c.call(ctx, "PUT", c.depot, "/jobs/"+d.Job.ID, d, tryWait)
@@ -331,7 +331,7 @@
 }
 
 func status(b []byte) (*Status, error) {
-	var a protocol.JobAnswer
+	var a protocol.JobResponse
 	if err := protocol.Decode(b, &a); err != nil {
 		return nil, &Error{Kind: ErrNotNow, Status: 200, Text: err.Error()}
 	}
@@ -400,12 +400,12 @@
 // there are others beyond skip.
 func (c *Client) Jobs(ctx context.Context, skip int) (jobs []Listed, more bool, err error) {
 	s, b, _ := c.call(ctx, "GET", c.depot, fmt.Sprintf("/jobs?Skip=%d", skip), nil, tryWait)
-	var l protocol.Jobs
+	var l protocol.UploadedJobs
 	if s != 200 || protocol.Decode(b, &l) != nil {
 		return nil, false, &Error{Kind: ErrNotNow, Status: s, Text: "the depot does not answer"}
 	}
 	for _, j := range l.Jobs {
-		jobs = append(jobs, Listed{ID: j.ID, Team: j.Team, Tasks: j.Tasks, At: time.UnixMilli(int64(j.At * 1000))})
+		jobs = append(jobs, Listed{ID: j.ID, Team: j.Team, Tasks: j.Tasks, At: time.UnixMilli(int64(j.UploadedAt * 1000))})
 	}
 	return jobs, l.More, nil
 }
@@ -420,7 +420,7 @@
 // Outputs lists a job's attempts that have output.
 func (c *Client) Outputs(ctx context.Context, id string) ([]Output, error) {
 	s, b, _ := c.call(ctx, "GET", c.depot, "/jobs/"+id+"/output", nil, tryWait)
-	var l protocol.Outputs
+	var l protocol.OutputList
 	if s != 200 || protocol.Decode(b, &l) != nil {
 		return nil, &Error{Kind: ErrNotNow, Status: s, Text: "the depot does not answer"}
 	}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -47,9 +47,9 @@
 			ctx.Response.Header.Set("Retry-After", s.retry)
 		}
 		if status < 300 {
-			ctx.Response.SetBodyRaw(protocol.Encode(protocol.JobAnswer{ID: "job-1", State: protocol.JobQueued, Reason: "waits"}))
+			ctx.Response.SetBodyRaw(protocol.Encode(protocol.JobResponse{ID: "job-1", State: protocol.JobQueued, Reason: "waits"}))
 		} else {
-			ctx.Response.SetBodyRaw(protocol.Encode(protocol.ErrorAnswer{Error: "because"}))
+			ctx.Response.SetBodyRaw(protocol.Encode(protocol.ErrorResponse{Error: "because"}))
 		}
 	}}
 	go srv.Serve(l)
--- a/cmd/chalk/serve.go
+++ b/cmd/chalk/serve.go
@@ -303,7 +303,7 @@
 	if err != nil {
 		return err
 	}
-	start := func(m protocol.Machine, t localcloud.Type, listener, alive *os.File) (*exec.Cmd, error) {
+	start := func(m protocol.Instance, t localcloud.Type, listener, alive *os.File) (*exec.Cmd, error) {
 		dir := filepath.Join(f.Folder, "machines", m.Name)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -39,14 +39,14 @@
 	// Asked is a direct command.
 	Asked struct {
 		ID int
-		Do protocol.Do
+		Do protocol.DirectCommands
 	}
 	// Inspected asks for the report.
 	Inspected struct{ ID int }
 	// Answered is how a report ended; status 0: no answer came.
 	Answered struct {
 		Status   int
-		Answer   protocol.ReportAnswer
+		Answer   protocol.HeartbeatResponse
 		Redirect protocol.Redirect
 	}
 	// Described is a job's description. Nobody uploaded it: Found is false. A depot
@@ -54,7 +54,7 @@
 	Described struct {
 		Key
 		Found bool
-		What  protocol.Description
+		What  protocol.JobDescription
 		Done  bool // the task's result is kept already
 	}
 	// Fetched says that an attempt's image is there.
@@ -76,12 +76,12 @@
 	Reply struct {
 		ID     int
 		Status int
-		Report protocol.Report
+		Report protocol.Heartbeat
 	}
 	// Send sends a report to a controller, by its number in the settings.
 	Send struct {
 		Controller int
-		Report     protocol.Report
+		Report     protocol.Heartbeat
 	}
 	// Describe asks the depot for a job and the task's result.
 	Describe struct{ Key }
@@ -94,7 +94,7 @@
 	// Launch starts an attempt's command.
 	Launch struct {
 		Key
-		What protocol.Description
+		What protocol.JobDescription
 	}
 	// Term asks an attempt to save and end.
 	Term struct{ Key }
@@ -109,11 +109,11 @@
 	state    string
 	why      string
 	saved    bool
-	what     *protocol.Description // nil: not described yet
-	launched bool                  // a process may exist
-	killAt   time.Duration         // when saving has had its time, 0: never
-	told     bool                  // it was told to stop
-	ending   bool                  // Kill was sent
+	what     *protocol.JobDescription // nil: not described yet
+	launched bool                     // a process may exist
+	killAt   time.Duration            // when saving has had its time, 0: never
+	told     bool                     // it was told to stop
+	ending   bool                     // Kill was sent
 }
 
 // Agent is one machine's agent. Handle and Tick are called by one goroutine.
@@ -245,21 +245,21 @@
 		a.emit(Kill{t.Key})
 		return
 	}
-	t.state, t.why = protocol.TaskExited, protocol.WhyStopped
+	t.state, t.why = protocol.TaskExited, protocol.ExitStopped
 }
 
-func (a *Agent) message(now time.Duration) protocol.Report {
+func (a *Agent) message(now time.Duration) protocol.Heartbeat {
 	a.seq++
-	r := protocol.Report{
+	r := protocol.Heartbeat{
 		Machine: a.set.Machine, Addr: a.set.Addr, Type: a.set.Type, Zone: a.set.Zone, Spot: a.set.Spot,
-		Session: a.session, Seq: a.seq, Token: a.token, Tasks: []protocol.TaskReport{},
+		Session: a.session, Seq: a.seq, Token: a.token, Tasks: []protocol.TaskStatus{},
 	}
 	if a.noticed {
 		left := max(a.notice-now, 0).Seconds()
 		r.NoticeS = &left
 	}
 	for _, t := range a.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.Task, Attempt: t.Attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t.Task, Attempt: t.Attempt, State: t.state, ExitReason: t.why, Saved: t.saved})
 	}
 	return r
 }
@@ -371,15 +371,15 @@
 
 func (a *Agent) execute(now time.Duration, cmds []protocol.Command) {
 	for _, c := range cmds {
-		switch c.Op {
-		case protocol.OpStart:
+		switch c.Kind {
+		case protocol.CommandStart:
 			a.start(now, c)
-		case protocol.OpStop:
+		case protocol.CommandStop:
 			if t := a.find(Key{c.Task, c.Attempt}); t != nil && t.state != protocol.TaskExited {
 				a.stop(now, t, c.GraceS)
 				a.changed(now)
 			}
-		case protocol.OpForget:
+		case protocol.CommandForget:
 			for i, t := range a.tasks {
 				if t.Task == c.Task && t.Attempt == c.Attempt && t.state == protocol.TaskExited {
 					a.tasks = append(a.tasks[:i], a.tasks[i+1:]...)
@@ -407,12 +407,12 @@
 	}
 	t := &task{Key: k, state: protocol.TaskFetching}
 	refuse := func(why string) { t.state, t.why = protocol.TaskExited, why }
-	if _, _, err := protocol.ParseTask(c.Task); err != nil || c.Attempt == 0 {
-		refuse(protocol.WhyUnknown)
+	if _, _, err := protocol.ParseTaskName(c.Task); err != nil || c.Attempt == 0 {
+		refuse(protocol.ExitUnknownTask)
 	}
 	for _, x := range a.tasks {
 		if x.Task == c.Task && x.state != protocol.TaskExited {
-			refuse(protocol.WhyBusy)
+			refuse(protocol.ExitDuplicate)
 		}
 	}
 	a.tasks = append(a.tasks, t)
@@ -445,19 +445,19 @@
 		return
 	}
 	a.changed(now)
-	_, i, _ := protocol.ParseTask(t.Task) // parsed at its start
+	_, i, _ := protocol.ParseTaskName(t.Task) // parsed at its start
 	j := &e.What.Job
 	if !e.Found || i >= j.Tasks || j.Kind == protocol.KindGang {
-		t.state, t.why = protocol.TaskExited, protocol.WhyUnknown
+		t.state, t.why = protocol.TaskExited, protocol.ExitUnknownTask
 		return
 	}
 	if !a.fits(j) {
-		t.state, t.why = protocol.TaskExited, protocol.WhyNoRoom
+		t.state, t.why = protocol.TaskExited, protocol.ExitNoCapacity
 		return
 	}
 	t.what = &e.What
 	if e.Done {
-		t.what.Command, t.what.RunS = nil, 0 // its result is kept: it exits as soon as it has its image
+		t.what.Command, t.what.SimulatedS = nil, 0 // its result is kept: it exits as soon as it has its image
 	}
 	span := time.Duration(0)
 	if !a.cached(j.Image) && a.set.FetchGBps > 0 {
@@ -508,8 +508,8 @@
 		}
 	}
 	a.changed(now)
-	if len(t.what.Command) == 0 && t.what.RunS == 0 {
-		t.state, t.why = protocol.TaskExited, protocol.WhyDone
+	if len(t.what.Command) == 0 && t.what.SimulatedS == 0 {
+		t.state, t.why = protocol.TaskExited, protocol.ExitDone
 		return
 	}
 	t.state, t.launched = protocol.TaskRunning, true
@@ -527,11 +527,11 @@
 	t.killAt = 0
 	switch {
 	case t.told || t.ending:
-		t.why = protocol.WhyStopped
+		t.why = protocol.ExitStopped
 	case e.Code == 0 && e.Error == "":
-		t.why = protocol.WhyDone
+		t.why = protocol.ExitDone
 	default:
-		t.why = protocol.WhyError
+		t.why = protocol.ExitFailed
 	}
 	t.state = protocol.TaskExited
 	a.changed(now)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -46,7 +46,7 @@
 // run notes effects and holds them against what must always be so.
 func (b *bench) run(effects []any) {
 	b.t.Helper()
-	heard := func(r *protocol.Report) {
+	heard := func(r *protocol.Heartbeat) {
 		if r.Session < b.session || r.Seq <= b.seq {
 			b.t.Fatalf("report %d.%d after %d.%d", r.Session, r.Seq, b.session, b.seq)
 		}
@@ -118,7 +118,7 @@
 }
 
 // report waits for the next report.
-func (b *bench) report() *protocol.Report {
+func (b *bench) report() *protocol.Heartbeat {
 	b.t.Helper()
 	for end := b.now + 10*time.Second; b.sent == nil; {
 		if b.now >= end {
@@ -134,11 +134,11 @@
 	b.t.Helper()
 	b.report()
 	b.sent = nil
-	b.tell(Answered{Status: 200, Answer: protocol.ReportAnswer{Token: token, Commands: cmds}})
+	b.tell(Answered{Status: 200, Answer: protocol.HeartbeatResponse{Token: token, Commands: cmds}})
 }
 
 func start(task string, try uint64) protocol.Command {
-	return protocol.Command{Op: protocol.OpStart, Task: task, Attempt: try}
+	return protocol.Command{Kind: protocol.CommandStart, Task: task, Attempt: try}
 }
 
 func (b *bench) describe(k Key, change func(*Described)) {
@@ -158,7 +158,7 @@
 	b.tell(Inspected{})
 	for _, t := range b.replies[len(b.replies)-1].Report.Tasks {
 		if t.Task == k.Task && t.Attempt == k.Attempt {
-			return fmt.Sprintf("%s %s %v", t.State, t.Why, t.Saved)
+			return fmt.Sprintf("%s %s %v", t.State, t.ExitReason, t.Saved)
 		}
 	}
 	return "none"
@@ -183,7 +183,7 @@
 	b.want(k, "ended done false")
 	b.answer(5, start(k.Task, 7)) // exited included
 	b.want(k, "ended done false")
-	b.answer(5, protocol.Command{Op: protocol.OpForget, Task: k.Task, Attempt: 7})
+	b.answer(5, protocol.Command{Kind: protocol.CommandForget, Task: k.Task, Attempt: 7})
 	b.want(k, "none")
 	b.answer(5, start(k.Task, 7)) // after clear it starts once more
 	b.describe(k, func(d *Described) { d.Done = true })
@@ -208,7 +208,7 @@
 	b := newBench(t)
 	saves := func(d *Described) { d.What.Job.CheckpointS, d.What.Job.SaveS = 10, 2 }
 	kill := func(k Key, grace float64) protocol.Command {
-		return protocol.Command{Op: protocol.OpStop, Task: k.Task, Attempt: k.Attempt, GraceS: grace}
+		return protocol.Command{Kind: protocol.CommandStop, Task: k.Task, Attempt: k.Attempt, GraceS: grace}
 	}
 	ks := []Key{{"job-1/0", 1}, {"job-1/1", 1}, {"job-1/2", 1}, {"job-1/3", 1}}
 	for _, k := range ks {
@@ -254,8 +254,8 @@
 	if b.lease != lease {
 		t.Fatal("the lease was renewed by what does not count")
 	}
-	b.tell(Asked{ID: 1, Do: protocol.Do{Token: 8, Session: 1, Commands: []protocol.Command{start("job-1/0", 1)}}})
-	b.tell(Asked{ID: 2, Do: protocol.Do{Token: 11, Session: 2, Commands: []protocol.Command{start("job-1/0", 1)}}})
+	b.tell(Asked{ID: 1, Do: protocol.DirectCommands{Token: 8, Session: 1, Commands: []protocol.Command{start("job-1/0", 1)}}})
+	b.tell(Asked{ID: 2, Do: protocol.DirectCommands{Token: 11, Session: 2, Commands: []protocol.Command{start("job-1/0", 1)}}})
 	if n := len(b.replies); b.replies[n-1].Status != 409 || b.replies[n-2].Status != 409 || b.replies[n-1].Report.Token != 11 {
 		t.Fatalf("%+v", b.replies[n-2:])
 	}
@@ -284,7 +284,7 @@
 	}
 	n := len(b.sentAt)
 	b.pass(3 * time.Second)
-	b.tell(Asked{ID: 9, Do: protocol.Do{Token: 5, Session: 1, Commands: []protocol.Command{start("job-1/9", 1)}}})
+	b.tell(Asked{ID: 9, Do: protocol.DirectCommands{Token: 5, Session: 1, Commands: []protocol.Command{start("job-1/9", 1)}}})
 	if len(b.sentAt) > n || b.replies[len(b.replies)-1].Status != 409 {
 		t.Fatal("it goes on although its last session is not over")
 	}
@@ -325,7 +325,7 @@
 			b.pass(time.Duration(rapid.SampledFrom([]int{1, 30, 400, 2500, 9000}).Draw(t, "ms")) * time.Millisecond)
 			var cmds []protocol.Command
 			for range rapid.IntRange(0, 3).Draw(t, "commands") {
-				cmds = append(cmds, protocol.Command{Op: rapid.SampledFrom([]string{protocol.OpStart, protocol.OpStart, protocol.OpStop, protocol.OpForget}).Draw(t, "op"),
+				cmds = append(cmds, protocol.Command{Kind: rapid.SampledFrom([]string{protocol.CommandStart, protocol.CommandStart, protocol.CommandStop, protocol.CommandForget}).Draw(t, "op"),
 					Task: rapid.SampledFrom(tasks).Draw(t, "task"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt"), GraceS: rapid.Float64Range(0, 5).Draw(t, "grace")})
 			}
 			token := rapid.Uint64Range(1, 4).Draw(t, "token")
@@ -334,10 +334,10 @@
 				if b.sent != nil {
 					b.sent = nil
 					status := rapid.SampledFrom([]int{200, 200, 200, 421, 503, 0}).Draw(t, "status")
-					b.tell(Answered{Status: status, Answer: protocol.ReportAnswer{Token: token, Commands: cmds}})
+					b.tell(Answered{Status: status, Answer: protocol.HeartbeatResponse{Token: token, Commands: cmds}})
 				}
 			case 2:
-				b.tell(Asked{ID: 1, Do: protocol.Do{Token: token, Session: rapid.Uint64Range(1, 3).Draw(t, "session"), Commands: cmds}})
+				b.tell(Asked{ID: 1, Do: protocol.DirectCommands{Token: token, Session: rapid.Uint64Range(1, 3).Draw(t, "session"), Commands: cmds}})
 			case 3:
 				if len(b.asked) > 0 {
 					k := b.asked[0]
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -277,15 +277,15 @@
 }
 
 func (d *Daemon) report(e agent.Send) {
-	var out protocol.ReportOutcome
+	var out protocol.HeartbeatReply
 	status := d.rpc.Call("POST", d.set.Addrs[e.Controller], "/v1/report", e.Report, &out, 4*time.Second, 200, 421)
-	d.post(agent.Answered{Status: status, Answer: out.ReportAnswer, Redirect: out.Redirect})
+	d.post(agent.Answered{Status: status, Answer: out.HeartbeatResponse, Redirect: out.Redirect})
 }
 
 // describe asks the depot until it answers or the attempt is of no interest any more,
 // which the agent finds out by itself when the answer comes.
 func (d *Daemon) describe(k agent.Key) {
-	job, i, err := protocol.ParseTask(k.Task)
+	job, i, err := protocol.ParseTaskName(k.Task)
 	if err != nil {
 		return
 	}
@@ -305,7 +305,7 @@
 
 // launch starts an attempt's shim, or a timer for a simulated task.
 func (d *Daemon) launch(e agent.Launch) {
-	job, i, _ := protocol.ParseTask(e.Task) // parsed at its start
+	job, i, _ := protocol.ParseTaskName(e.Task) // parsed at its start
 	ctx, quit := context.WithCancel(d.ctx)
 	r := &run{key: e.Key, job: job, index: i, orders: make(chan shim.Order, 16), gone: make(chan struct{}), quit: quit}
 	d.runs[e.Key] = r
@@ -314,7 +314,7 @@
 		defer quit()
 		x := agent.Exited{Key: e.Key, Code: -1}
 		if len(e.What.Command) == 0 {
-			x.Code = d.simulate(ctx, r, e.What.RunS)
+			x.Code = d.simulate(ctx, r, e.What.SimulatedS)
 		} else if err := d.command(ctx, r, &e.What, until, &x); err != nil {
 			x.Error = err.Error()
 		}
@@ -362,7 +362,7 @@
 }
 
 // command runs an attempt's command in a shim until nothing of it is left.
-func (d *Daemon) command(ctx context.Context, r *run, what *protocol.Description, until time.Duration, x *agent.Exited) error {
+func (d *Daemon) command(ctx context.Context, r *run, what *protocol.JobDescription, until time.Duration, x *agent.Exited) error {
 	name := fmt.Sprintf("%s.%d.%d", r.job, r.index, r.key.Attempt)
 	folder := what.Folder
 	if folder == "" {
@@ -491,16 +491,16 @@
 	var event func(id int) any
 	switch path := string(ctx.Path()); {
 	case path == "/do" && ctx.IsPost():
-		var do protocol.Do
+		var do protocol.DirectCommands
 		if err := protocol.Decode(ctx.PostBody(), &do); err != nil || do.Token == 0 || do.Session == 0 {
-			reply(400, protocol.ErrorAnswer{Error: "Baton or Shift is missing"})
+			reply(400, protocol.ErrorResponse{Error: "Baton or Shift is missing"})
 			return
 		}
 		event = func(id int) any { return agent.Asked{ID: id, Do: do} }
 	case path == "/inspect" && ctx.IsGet():
 		event = func(id int) any { return agent.Inspected{ID: id} }
 	default:
-		reply(404, protocol.ErrorAnswer{Error: "no such page"})
+		reply(404, protocol.ErrorResponse{Error: "no such page"})
 		return
 	}
 	ch := make(chan agent.Reply, 1)
@@ -514,6 +514,6 @@
 	case r := <-ch:
 		reply(r.Status, r.Report)
 	case <-d.ctx.Done():
-		reply(503, protocol.ErrorAnswer{Error: "the machine is going"})
+		reply(503, protocol.ErrorResponse{Error: "the machine is going"})
 	}
 }
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -83,7 +83,7 @@
 			ctx.SetStatusCode(503)
 			return
 		}
-		ctx.SetBody(protocol.Encode(protocol.ReportAnswer{Token: 5}))
+		ctx.SetBody(protocol.Encode(protocol.HeartbeatResponse{Token: 5}))
 	})
 	dctx, dstop := context.WithCancel(context.Background())
 	over := make(chan error, 1)
@@ -118,7 +118,7 @@
 
 func (m *machine) describe(checkpoint float64, command ...string) {
 	m.t.Helper()
-	d := &protocol.Description{Job: protocol.Job{ID: "job-1", Tasks: 9, CPUs: 1, Team: "a", CheckpointS: checkpoint, SaveS: checkpoint}, Command: command}
+	d := &protocol.JobDescription{Job: protocol.Job{ID: "job-1", Tasks: 9, CPUs: 1, Team: "a", CheckpointS: checkpoint, SaveS: checkpoint}, Command: command}
 	if err := m.folder.PutJob(d); err != nil {
 		m.t.Fatal(err)
 	}
@@ -126,10 +126,10 @@
 
 func (m *machine) do(session uint64, cmds ...protocol.Command) int {
 	m.t.Helper()
-	return m.call.Call("POST", m.addr, "/do", protocol.Do{Token: 5, Session: session, Commands: cmds}, nil, time.Second)
+	return m.call.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 5, Session: session, Commands: cmds}, nil, time.Second)
 }
 
-func (m *machine) report() (r protocol.Report) {
+func (m *machine) report() (r protocol.Heartbeat) {
 	m.t.Helper()
 	if m.call.Call("GET", m.addr, "/inspect", nil, &r, 10*time.Second, 200) != 200 {
 		m.t.Fatal("no report")
@@ -137,7 +137,7 @@
 	return r
 }
 
-func (m *machine) until(what string, f func(protocol.Report) bool) {
+func (m *machine) until(what string, f func(protocol.Heartbeat) bool) {
 	m.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f(m.report()) {
@@ -147,9 +147,9 @@
 	m.t.Fatalf("not in time: %s; %+v", what, m.report())
 }
 
-func is(state, why string, saved bool) func(protocol.Report) bool {
-	return func(r protocol.Report) bool {
-		return len(r.Tasks) == 1 && r.Tasks[0].State == state && r.Tasks[0].Why == why && r.Tasks[0].Saved == saved
+func is(state, why string, saved bool) func(protocol.Heartbeat) bool {
+	return func(r protocol.Heartbeat) bool {
+		return len(r.Tasks) == 1 && r.Tasks[0].State == state && r.Tasks[0].ExitReason == why && r.Tasks[0].Saved == saved
 	}
 }
 
@@ -160,15 +160,17 @@
 	m.describe(1, "sh", "-c", `trap 'echo half > "$CHALK_SAVES/progress"; exit 75' TERM
 if [ -f "$CHALK_SAVES/progress" ]; then echo went on; exit 0; fi
 echo began; while :; do sleep 0.02; done`)
-	start := func(try uint64) { m.do(1, protocol.Command{Op: protocol.OpStart, Task: "job-1/0", Attempt: try}) }
+	start := func(try uint64) {
+		m.do(1, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: try})
+	}
 	start(1)
-	m.until("it has written", func(protocol.Report) bool { b, _ := m.folder.Output("job-1", 0, 1); return string(b) == "began\n" })
-	m.do(1, protocol.Command{Op: protocol.OpStop, Task: "job-1/0", Attempt: 1, GraceS: 10})
-	m.until("it has saved", is(protocol.TaskExited, protocol.WhyStopped, true))
+	m.until("it has written", func(protocol.Heartbeat) bool { b, _ := m.folder.Output("job-1", 0, 1); return string(b) == "began\n" })
+	m.do(1, protocol.Command{Kind: protocol.CommandStop, Task: "job-1/0", Attempt: 1, GraceS: 10})
+	m.until("it has saved", is(protocol.TaskExited, protocol.ExitStopped, true))
 	for try := uint64(2); try < 4; try++ {
-		m.do(1, protocol.Command{Op: protocol.OpForget, Task: "job-1/0", Attempt: try - 1})
+		m.do(1, protocol.Command{Kind: protocol.CommandForget, Task: "job-1/0", Attempt: try - 1})
 		start(try)
-		m.until("it is done", is(protocol.TaskExited, protocol.WhyDone, false))
+		m.until("it is done", is(protocol.TaskExited, protocol.ExitDone, false))
 	}
 	if b, _ := m.folder.Output("job-1", 0, 2); string(b) != "went on\n" {
 		t.Errorf("the second attempt wrote %q", b)
@@ -184,14 +186,14 @@
 	m := boot(t, 30)
 	m.describe(0, "true")
 	m.noDisk.Store(true)
-	m.do(1, protocol.Command{Op: protocol.OpStart, Task: "job-1/0", Attempt: 1})
+	m.do(1, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1})
 	m.until("it runs", is(protocol.TaskRunning, "", false))
 	time.Sleep(500 * time.Millisecond)
 	if r := m.report(); !is(protocol.TaskRunning, "", false)(r) || m.folder.Done("job-1", 0) {
 		t.Fatalf("%+v", r)
 	}
 	m.noDisk.Store(false)
-	m.until("it is done", is(protocol.TaskExited, protocol.WhyDone, false))
+	m.until("it is done", is(protocol.TaskExited, protocol.ExitDone, false))
 	if !m.folder.Done("job-1", 0) {
 		t.Fatal("done was told before it was kept")
 	}
@@ -202,8 +204,8 @@
 func TestLeaseEndsEverything(t *testing.T) {
 	m := boot(t, 5)
 	m.describe(0, "sh", "-c", "setsid sleep 300 & echo $!; wait")
-	m.do(1, protocol.Command{Op: protocol.OpStart, Task: "job-1/0", Attempt: 1}, protocol.Command{Op: protocol.OpStart, Task: "job-1/1", Attempt: 1})
-	m.until("both run", func(r protocol.Report) bool {
+	m.do(1, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1}, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/1", Attempt: 1})
+	m.until("both run", func(r protocol.Heartbeat) bool {
 		return len(r.Tasks) == 2 && r.Tasks[0].State == protocol.TaskRunning && r.Tasks[1].State == protocol.TaskRunning
 	})
 	time.Sleep(6 * time.Second)
@@ -211,8 +213,8 @@
 		t.Fatalf("the lease is not renewed: %+v", r)
 	}
 	m.away.Store(true)
-	m.until("the next session", func(r protocol.Report) bool { return r.Session > 1 && len(r.Tasks) == 0 })
-	if s := m.do(1, protocol.Command{Op: protocol.OpStart, Task: "job-1/0", Attempt: 2}); s != 409 {
+	m.until("the next session", func(r protocol.Heartbeat) bool { return r.Session > 1 && len(r.Tasks) == 0 })
+	if s := m.do(1, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 2}); s != 409 {
 		t.Fatalf("an order for the last session is answered %d", s)
 	}
 }
@@ -222,7 +224,7 @@
 // gone, be that as dead as it may.
 func TestStartedAgain(t *testing.T) {
 	m := boot(t, 30)
-	m.until("a token is seen", func(r protocol.Report) bool { return r.Token == 5 && r.Session == 1 })
+	m.until("a token is seen", func(r protocol.Heartbeat) bool { return r.Token == 5 && r.Session == 1 })
 	m.stop()
 	// A shim of the earlier agent that takes its time.
 	held, err := os.Open(m.set.Folder + "/lock")
@@ -239,8 +241,8 @@
 		t.Fatalf("it answers %d while something of the last agent is left", s)
 	}
 	held.Close()
-	m.until("the next session", func(r protocol.Report) bool { return r.Session == 2 && r.Token == 5 && len(r.Tasks) == 0 })
-	if s := m.call.Call("POST", m.addr, "/do", protocol.Do{Token: 4, Session: 2}, nil, time.Second); s != 409 {
+	m.until("the next session", func(r protocol.Heartbeat) bool { return r.Session == 2 && r.Token == 5 && len(r.Tasks) == 0 })
+	if s := m.call.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 4, Session: 2}, nil, time.Second); s != 409 {
 		t.Fatalf("a token from before is answered %d", s)
 	}
 }
--- a/internal/agentd/depot.go
+++ b/internal/agentd/depot.go
@@ -27,12 +27,12 @@
 
 // Describe reads a task's job and whether its result is kept; ok is false if the depot
 // gave no answer.
-func (d *Depot) Describe(job string, task int) (what protocol.Description, found, done, ok bool) {
+func (d *Depot) Describe(job string, task int) (what protocol.JobDescription, found, done, ok bool) {
 	switch d.rpc.Call("GET", d.addr, "/jobs/"+job, nil, &what, wait, 200) {
 	case 404:
 		return what, false, false, true
 	case 200:
-		var r protocol.KeptResult
+		var r protocol.ResultStatus
 		s := d.rpc.Call("GET", d.addr, "/jobs/"+job+"/results/"+strconv.Itoa(task), nil, &r, wait, 200)
 		return what, true, r.Done, s == 200
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -116,7 +116,7 @@
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		why = "the body is over 64 KiB"
 	}
-	write(ctx, 400, protocol.ErrorAnswer{Error: why}, 0)
+	write(ctx, 400, protocol.ErrorResponse{Error: why}, 0)
 }
 
 func write(ctx *fasthttp.RequestCtx, status int, body any, retry time.Duration) {
@@ -139,7 +139,7 @@
 	case path == runsPath && ctx.IsPost():
 		job, err := protocol.DecodeJob(ctx.PostBody())
 		if err != nil {
-			write(ctx, 400, protocol.ErrorAnswer{Error: err.Error()}, 0)
+			write(ctx, 400, protocol.ErrorResponse{Error: err.Error()}, 0)
 			return
 		}
 		s.ask(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
@@ -147,7 +147,7 @@
 		if s.engine.Ready() {
 			ctx.SetStatusCode(200)
 		} else {
-			write(ctx, 503, protocol.ErrorAnswer{Error: "not ready"}, time.Second)
+			write(ctx, 503, protocol.ErrorResponse{Error: "not ready"}, time.Second)
 		}
 	case strings.HasPrefix(path, runsPath+"/"):
 		ref, verb, _ := strings.Cut(path[len(runsPath)+1:], "/")
@@ -157,17 +157,17 @@
 		case verb == "abort" && ctx.IsPost():
 			s.ask(ctx, kindAbort, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: ref} })
 		default:
-			write(ctx, 404, protocol.ErrorAnswer{Error: "no such page"}, 0)
+			write(ctx, 404, protocol.ErrorResponse{Error: "no such page"}, 0)
 		}
 	default:
-		write(ctx, 404, protocol.ErrorAnswer{Error: "no such page"}, 0)
+		write(ctx, 404, protocol.ErrorResponse{Error: "no such page"}, 0)
 	}
 }
 
 func (s *Server) report(ctx *fasthttp.RequestCtx) {
-	var rep protocol.Report
+	var rep protocol.Heartbeat
 	if err := protocol.Decode(ctx.PostBody(), &rep); err != nil || rep.Machine == "" {
-		write(ctx, 400, protocol.ErrorAnswer{Error: "malformed report"}, 0)
+		write(ctx, 400, protocol.ErrorResponse{Error: "malformed report"}, 0)
 		return
 	}
 	s.ask(ctx, kindReport, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} })
@@ -179,14 +179,14 @@
 func (s *Server) ask(ctx *fasthttp.RequestCtx, kind string, build func(core.RequestID) core.Command) {
 	g := s.gates[kind]
 	if !g.enter() {
-		write(ctx, 503, protocol.ErrorAnswer{Error: "too many requests of this kind"}, time.Second)
+		write(ctx, 503, protocol.ErrorResponse{Error: "too many requests of this kind"}, time.Second)
 		return
 	}
 	defer g.leave()
 	r, ok := s.engine.Ask(build, s.timeout)
 	if !ok {
 		g.refused.Add(1)
-		write(ctx, 503, protocol.ErrorAnswer{Error: "busy"}, time.Second)
+		write(ctx, 503, protocol.ErrorResponse{Error: "busy"}, time.Second)
 		return
 	}
 	write(ctx, int(r.Status), r.Body, r.RetryAfter)
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -52,9 +52,9 @@
 		switch c := c.(type) {
 		case core.QueryJob:
 			if c.JobID == "job-1" {
-				return core.Reply{Status: 200, Body: protocol.JobAnswer{ID: "job-1", State: protocol.JobDone}}, true
+				return core.Reply{Status: 200, Body: protocol.JobResponse{ID: "job-1", State: protocol.JobDone}}, true
 			}
-			return core.Reply{Status: 503, Body: protocol.ErrorAnswer{}, RetryAfter: time.Second}, true
+			return core.Reply{Status: 503, Body: protocol.ErrorResponse{}, RetryAfter: time.Second}, true
 		case core.Heartbeat:
 			return core.Reply{Status: 421, Body: protocol.Redirect{ReportTo: "b"}}, true
 		}
@@ -73,7 +73,7 @@
 		{"POST", "/v2/runs/job-1/abort", nil, 503, "1"}, // the engine is busy
 		{"POST", "/v2/runs", []byte("{}"), 400, ""},
 		{"POST", "/v1/report", []byte{0xc1}, 400, ""},
-		{"POST", "/v1/report", protocol.Encode(protocol.Report{Machine: "n-1"}), 421, ""},
+		{"POST", "/v1/report", protocol.Encode(protocol.Heartbeat{Machine: "n-1"}), 421, ""},
 		{"GET", "/elsewhere", nil, 404, ""},
 	} {
 		if status, retry := do(t, c, x.method, x.path, x.body); status != x.status || retry != x.retry {
@@ -107,7 +107,7 @@
 			started <- struct{}{}
 			<-held
 		}
-		return core.Reply{Status: 200, Body: protocol.ReportAnswer{}}, true
+		return core.Reply{Status: 200, Body: protocol.HeartbeatResponse{}}, true
 	}}
 	c := serve(t, e)
 	for range 25 { // a quarter of the connections that serve allows
@@ -124,7 +124,7 @@
 	if status, retry := do(t, c, "GET", "/v2/runs/job-2", nil); status != 503 || retry != "1" {
 		t.Errorf("a poll too many: %d, Retry-After %q", status, retry)
 	}
-	if status, _ := do(t, c, "POST", "/v1/report", protocol.Encode(protocol.Report{Machine: "n-1"})); status != 200 {
+	if status, _ := do(t, c, "POST", "/v1/report", protocol.Encode(protocol.Heartbeat{Machine: "n-1"})); status != 200 {
 		t.Errorf("a report: %d", status)
 	}
 	close(held)
--- a/internal/artifacts/depot.go
+++ b/internal/artifacts/depot.go
@@ -35,7 +35,7 @@
 	root string
 
 	mu   sync.Mutex
-	jobs []protocol.DepotJob // in the order of their uploads
+	jobs []protocol.UploadedJob // in the order of their uploads
 }
 
 // Open opens a depot's folder, or makes it.
@@ -54,7 +54,7 @@
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // its upload was never answered
 		}
-		var d protocol.Description
+		var d protocol.JobDescription
 		if err == nil {
 			err = protocol.Decode(b, &d)
 		}
@@ -67,11 +67,11 @@
 		}
 		f.jobs = append(f.jobs, listed(&d, st.ModTime()))
 	}
-	slices.SortStableFunc(f.jobs, func(a, b protocol.DepotJob) int {
+	slices.SortStableFunc(f.jobs, func(a, b protocol.UploadedJob) int {
 		switch {
-		case a.At < b.At:
+		case a.UploadedAt < b.UploadedAt:
 			return -1
-		case a.At > b.At:
+		case a.UploadedAt > b.UploadedAt:
 			return 1
 		}
 		return strings.Compare(a.ID, b.ID)
@@ -79,8 +79,8 @@
 	return f, nil
 }
 
-func listed(d *protocol.Description, at time.Time) protocol.DepotJob {
-	return protocol.DepotJob{ID: d.Job.ID, Team: d.Job.Team, Tasks: d.Job.Tasks, At: float64(at.UnixMilli()) / 1000}
+func listed(d *protocol.JobDescription, at time.Time) protocol.UploadedJob {
+	return protocol.UploadedJob{ID: d.Job.ID, Team: d.Job.Team, Tasks: d.Job.Tasks, UploadedAt: float64(at.UnixMilli()) / 1000}
 }
 
 func (f *Folder) job(id string, more ...string) string {
@@ -127,13 +127,13 @@
 var ErrOther = errors.New("this job id belongs to another description")
 
 // PutJob keeps a description. The same one may be put again.
-func (f *Folder) PutJob(d *protocol.Description) error {
+func (f *Folder) PutJob(d *protocol.JobDescription) error {
 	b := protocol.Encode(d)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	path := f.job(d.Job.ID, "job")
 	if old, err := os.ReadFile(path); err == nil {
-		var o protocol.Description
+		var o protocol.JobDescription
 		if err := protocol.Decode(old, &o); err != nil {
 			return err
 		}
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func same(a, b *protocol.Description) bool {
+func same(a, b *protocol.JobDescription) bool {
 	if len(a.Env) != len(b.Env) {
 		return false
 	}
@@ -165,20 +165,20 @@
 }
 
 // Job is a description; fs.ErrNotExist if nobody uploaded it.
-func (f *Folder) Job(id string) (*protocol.Description, error) {
+func (f *Folder) Job(id string) (*protocol.JobDescription, error) {
 	b, err := os.ReadFile(f.job(id, "job"))
 	if err != nil {
 		return nil, err
 	}
-	var d protocol.Description
+	var d protocol.JobDescription
 	return &d, protocol.Decode(b, &d)
 }
 
 // Jobs is a page of the newest jobs, after those that were uploaded since.
-func (f *Folder) Jobs(skip int) protocol.Jobs {
+func (f *Folder) Jobs(skip int) protocol.UploadedJobs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := protocol.Jobs{Jobs: []protocol.DepotJob{}}
+	out := protocol.UploadedJobs{Jobs: []protocol.UploadedJob{}}
 	for i := len(f.jobs) - 1 - skip; i >= 0; i-- {
 		if len(out.Jobs) == pageJobs {
 			out.More = true
@@ -215,11 +215,11 @@
 }
 
 // Outputs lists a job's attempts that have output, by task and attempt.
-func (f *Folder) Outputs(job string) protocol.Outputs {
-	out := protocol.Outputs{Attempts: []protocol.Output{}}
+func (f *Folder) Outputs(job string) protocol.OutputList {
+	out := protocol.OutputList{Attempts: []protocol.OutputFile{}}
 	entries, _ := os.ReadDir(f.job(job, "output")) // no folder: no output yet
 	for _, e := range entries {
-		var o protocol.Output
+		var o protocol.OutputFile
 		if n, err := fmt.Sscanf(e.Name(), "%d.%d", &o.Task, &o.Attempt); n != 2 || err != nil {
 			continue
 		}
@@ -228,7 +228,7 @@
 		}
 		out.Attempts = append(out.Attempts, o)
 	}
-	slices.SortFunc(out.Attempts, func(a, b protocol.Output) int {
+	slices.SortFunc(out.Attempts, func(a, b protocol.OutputFile) int {
 		if a.Task != b.Task {
 			return a.Task - b.Task
 		}
@@ -252,11 +252,11 @@
 	fail := func(err error) {
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
-			reply(404, protocol.ErrorAnswer{Error: "not there"})
+			reply(404, protocol.ErrorResponse{Error: "not there"})
 		case errors.Is(err, ErrOther):
-			reply(409, protocol.ErrorAnswer{Error: err.Error()})
+			reply(409, protocol.ErrorResponse{Error: err.Error()})
 		default:
-			reply(503, protocol.ErrorAnswer{Error: err.Error()})
+			reply(503, protocol.ErrorResponse{Error: err.Error()})
 		}
 	}
 	finish := func(body any, err error) {
@@ -269,14 +269,14 @@
 	parts := strings.Split(strings.Trim(string(ctx.Path()), "/"), "/")
 	// Names become paths, so nothing but a job's id and numbers may pass.
 	if parts[0] != "jobs" || len(parts) > 1 && !protocol.ValidJobID(parts[1]) {
-		reply(404, protocol.ErrorAnswer{Error: "no such page"})
+		reply(404, protocol.ErrorResponse{Error: "no such page"})
 		return
 	}
 	nums := make([]uint64, 0, 2)
 	for _, p := range parts[min(3, len(parts)):] {
 		n, err := strconv.ParseUint(p, 10, 63)
 		if err != nil || len(nums) == 2 {
-			reply(404, protocol.ErrorAnswer{Error: "no such page"})
+			reply(404, protocol.ErrorResponse{Error: "no such page"})
 			return
 		}
 		nums = append(nums, n)
@@ -290,16 +290,16 @@
 		skip, _ := strconv.Atoi(string(ctx.QueryArgs().Peek("Skip"))) // none: from the newest on
 		reply(200, f.Jobs(max(skip, 0)))
 	case "PUT 2":
-		var d protocol.Description
+		var d protocol.JobDescription
 		err := protocol.Decode(ctx.PostBody(), &d)
 		if err == nil {
-			err = d.Check()
+			err = d.Validate()
 		}
 		if err == nil && d.Job.ID != parts[1] {
 			err = errors.New("the description is of another job")
 		}
 		if err != nil {
-			reply(400, protocol.ErrorAnswer{Error: err.Error()})
+			reply(400, protocol.ErrorResponse{Error: err.Error()})
 			return
 		}
 		finish(struct{}{}, f.PutJob(&d))
@@ -309,7 +309,7 @@
 	case "PUT results 4":
 		finish(struct{}{}, f.PutResult(parts[1], int(nums[0])))
 	case "GET results 4":
-		reply(200, protocol.KeptResult{Done: f.Done(parts[1], int(nums[0]))})
+		reply(200, protocol.ResultStatus{Done: f.Done(parts[1], int(nums[0]))})
 	case "GET output 3":
 		reply(200, f.Outputs(parts[1]))
 	case "PUT output 5":
@@ -323,6 +323,6 @@
 		ctx.SetContentType("text/plain; charset=utf-8")
 		ctx.Response.SetBodyRaw(b)
 	default:
-		reply(404, protocol.ErrorAnswer{Error: "no such page"})
+		reply(404, protocol.ErrorResponse{Error: "no such page"})
 	}
 }
--- a/internal/artifacts/depot_test.go
+++ b/internal/artifacts/depot_test.go
@@ -14,8 +14,8 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-func described(id string, command ...string) *protocol.Description {
-	return &protocol.Description{Job: protocol.Job{ID: id, Tasks: 3, Team: "main"}, Command: command, Env: map[string]string{"A": "1", "B": "2"}}
+func described(id string, command ...string) *protocol.JobDescription {
+	return &protocol.JobDescription{Job: protocol.Job{ID: id, Tasks: 3, Team: "main"}, Command: command, Env: map[string]string{"A": "1", "B": "2"}}
 }
 
 // What was put is there after a start, an id belongs to one description for good, and an
@@ -47,7 +47,7 @@
 	if l := f.Jobs(0); len(l.Jobs) != 2 || l.Jobs[0].ID != "job-1" || l.More {
 		t.Fatalf("%+v", l)
 	}
-	if o := f.Outputs("job-1"); len(o.Attempts) != 1 || o.Attempts[0] != (protocol.Output{Task: 2, Attempt: 9, Bytes: 2}) {
+	if o := f.Outputs("job-1"); len(o.Attempts) != 1 || o.Attempts[0] != (protocol.OutputFile{Task: 2, Attempt: 9, Bytes: 2}) {
 		t.Fatalf("%+v", o)
 	}
 	if !f.Done("job-1", 2) || f.Done("job-1", 1) || f.Done("job-2", 2) {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -38,20 +38,20 @@
 	if e.After != "" {
 		q += "&Since=" + url.QueryEscape(e.After)
 	}
-	var l protocol.MachineList
+	var l protocol.InstanceList
 	status := c.rpc.Call("GET", c.addr, q, nil, &l, timeout, fasthttp.StatusOK)
 	return core.ListInstancesResult{Outcome: engine.CloudOutcome(status), Machines: l.Machines, More: l.More}
 }
 
 // Hire rents machines.
 func (c *Client) Hire(e core.CreateInstances) core.CreateInstancesResult {
-	var n protocol.Names
+	var n protocol.MachineNames
 	status := c.rpc.Call("POST", c.addr, "/machines", e.Request, &n, timeout, fasthttp.StatusOK)
 	return core.CreateInstancesResult{Request: e.Request.Request, Outcome: engine.CloudOutcome(status), Names: n.Machines}
 }
 
 // Delete returns machines.
 func (c *Client) Delete(e core.DeleteInstances) core.DeleteInstancesResult {
-	status := c.rpc.Call("POST", c.addr, "/machines/delete", protocol.Names{Machines: e.Names}, nil, timeout)
+	status := c.rpc.Call("POST", c.addr, "/machines/delete", protocol.MachineNames{Machines: e.Names}, nil, timeout)
 	return core.DeleteInstancesResult{Names: e.Names, Outcome: engine.CloudOutcome(status)}
 }
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -35,7 +35,7 @@
 // submission is a job that waits to be accepted with others.
 type submission struct {
 	requestID         RequestID
-	record            records.JobRecord
+	record            records.Job
 	namesDependencies bool // its user named jobs that it needs
 	size              int  // of the record, as text
 }
@@ -107,7 +107,7 @@
 
 // batchPrefix is where a submission's lot goes.
 func (s *submission) batchPrefix() string {
-	if len(s.record.Spec.Needs) > 0 {
+	if len(s.record.Spec.Dependencies) > 0 {
 		return keyDependentBatch
 	}
 	return keyBatch
@@ -125,7 +125,7 @@
 	x.writeCount++
 	key := fmt.Sprintf("%s%s-%d", batch[0].batchPrefix(), x.core.bootID, x.writeCount)
 	guards := []protocol.Guard{{Key: key}}
-	var rec records.LotRecord
+	var rec records.AdmissionBatch
 	for i := range batch {
 		own := notAcceptedGuards(batch[i].record.Spec.ID, batch[i].namesDependencies)
 		if slices.Contains(guards, own[0]) {
@@ -134,7 +134,7 @@
 		guards = append(guards, own...)
 		rec.Jobs = append(rec.Jobs, batch[i].record)
 	}
-	l.commit(guards, []protocol.Op{{Put: key, Value: rec}}, func(d CommitResult) {
+	l.commit(guards, []protocol.Operation{{Put: key, Value: rec}}, func(d CommitResult) {
 		switch d.Outcome {
 		case Committed:
 			for i := range batch {
@@ -166,7 +166,7 @@
 
 // applyBatch takes a lot into the mirror.
 func (x *admissionBatches) applyBatch(key string, value protocol.Raw, version uint64) error {
-	var rec records.LotRecord
+	var rec records.AdmissionBatch
 	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 		c.scheduler.progressWriteTokens--
 		x.deleting = true
 		guards := []protocol.Guard{c.membership.leaderGuard(), {Key: key, Version: in.version}}
-		c.mirror.commit(guards, []protocol.Op{{Delete: key}}, func(d CommitResult) {
+		c.mirror.commit(guards, []protocol.Operation{{Delete: key}}, func(d CommitResult) {
 			c.mirror.awaitOutcome(d.Outcome.Decided(), c.intervals.maintenance, func() { x.deleting = false })
 		})
 		return
--- a/internal/core/archive.go
+++ b/internal/core/archive.go
@@ -43,7 +43,7 @@
 }
 
 // add takes the record of a job that is over.
-func (a *jobArchive) add(rec *records.JobRecord, version uint64) {
+func (a *jobArchive) add(rec *records.Job, version uint64) {
 	s := &rec.Spec
 	k := jobShape{s.Class, s.Team, s.Kind, s.Urgency, s.CPUs, s.GPUs, s.MemoryGB}
 	n, ok := a.shapeIndex[k]
@@ -53,16 +53,16 @@
 		a.shapes = append(a.shapes, protocol.Job{Class: s.Class, Team: s.Team, Kind: s.Kind, Urgency: s.Urgency,
 			CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB})
 	}
-	w, ok := a.reasonIndex[rec.Bad]
+	w, ok := a.reasonIndex[rec.StopReason]
 	if !ok {
 		w = uint32(len(a.reasons))
-		a.reasonIndex[rec.Bad] = w
-		a.reasons = append(a.reasons, rec.Bad)
+		a.reasonIndex[rec.StopReason] = w
+		a.reasons = append(a.reasons, rec.StopReason)
 	}
 	if was, known := a.jobs[s.ID]; rec.State == protocol.JobDone && !(known && was.done) {
-		a.served.RecordCompleted(fairshare.Account{Team: s.Team, Class: s.Class}, rec.At, &a.rules)
+		a.served.RecordCompleted(fairshare.Account{Team: s.Team, Class: s.Class}, rec.SubmittedAt, &a.rules)
 	}
-	a.jobs[s.ID] = archivedJob{version: version, submittedAt: seconds32(rec.At), doneAt: seconds32(rec.Over), tasks: uint32(s.Tasks),
+	a.jobs[s.ID] = archivedJob{version: version, submittedAt: seconds32(rec.SubmittedAt), doneAt: seconds32(rec.DoneAt), tasks: uint32(s.Tasks),
 		shape: n, reason: w, done: rec.State == protocol.JobDone}
 }
 
@@ -76,7 +76,7 @@
 		return nil
 	}
 	j := &jobEntry{version: e.version, recordVersion: e.version}
-	j.record = records.JobRecord{Spec: a.shapes[e.shape], State: protocol.JobCancelled, At: float64(e.submittedAt), Bad: a.reasons[e.reason]}
+	j.record = records.Job{Spec: a.shapes[e.shape], State: protocol.JobCancelled, SubmittedAt: float64(e.submittedAt), StopReason: a.reasons[e.reason]}
 	j.record.Spec.ID, j.record.Spec.Tasks = id, int(e.tasks)
 	if e.done {
 		j.record.State, j.doneCount = protocol.JobDone, int(e.tasks)
--- a/internal/core/capacity.go
+++ b/internal/core/capacity.go
@@ -72,10 +72,10 @@
 
 // allowsType reports whether a job may run on a machine type at all.
 func allowsType(j *protocol.Job, typ string) bool {
-	if len(j.Types) == 0 {
+	if len(j.MachineTypes) == 0 {
 		return true
 	}
-	for _, t := range j.Types {
+	for _, t := range j.MachineTypes {
 		if t == typ {
 			return true
 		}
@@ -90,13 +90,13 @@
 
 // allowsMachine reports whether a job allows a type, zone and kind of machine.
 func allowsMachine(j *protocol.Job, typ, zone string, spot bool) bool {
-	return allowsType(j, typ) && (j.Zone == "" || j.Zone == zone) && (!spot || j.Spot)
+	return allowsType(j, typ) && (j.Zone == "" || j.Zone == zone) && (!spot || j.AllowSpot)
 }
 
 // taskMayRunOn reports whether task i of a job may be on such a machine. Guards
 // against wrong_place: type, zone and kind, and for a job tied to one zone or
 // spread over two, the zones written into its record before its first start.
-func taskMayRunOn(rec *records.JobRecord, i int, typ, zone string, spot bool) bool {
+func taskMayRunOn(rec *records.Job, i int, typ, zone string, spot bool) bool {
 	j := &rec.Spec
 	if !allowsMachine(j, typ, zone, spot) {
 		return false
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -31,7 +31,7 @@
 
 // chunkedWrite is a record on its way into the state service.
 type chunkedWrite struct {
-	record        records.JobRecord // the whole
+	record        records.Job // the whole
 	nonce         string
 	chunks        []string
 	sentChunks    int
@@ -47,7 +47,7 @@
 }
 
 // admit begins an attempt, one at a time, and has the user come again.
-func (x *chunkedRecords) admit(id RequestID, rec records.JobRecord) {
+func (x *chunkedRecords) admit(id RequestID, rec records.Job) {
 	l := x.core.mirror
 	if l.replyIfUpgrading(id, "descriptions of this size") {
 		return
@@ -84,7 +84,7 @@
 		return
 	}
 	guards := []protocol.Guard{}
-	var ops []protocol.Op
+	var ops []protocol.Operation
 	last := a.sentChunks == len(a.chunks)
 	for ; a.sentChunks < len(a.chunks) && len(ops) < x.core.maxTxnOps(); a.sentChunks++ {
 		if len(ops) > 0 && l.batches.takeToken() > 0 {
@@ -92,13 +92,13 @@
 		}
 		key := chunkKey(spec.ID, a.nonce, a.sentChunks)
 		guards = append(guards, protocol.Guard{Key: key})
-		ops = append(ops, protocol.Op{Put: key, Value: records.PieceRecord{Text: a.chunks[a.sentChunks]}})
+		ops = append(ops, protocol.Operation{Put: key, Value: records.Chunk{Text: a.chunks[a.sentChunks]}})
 	}
 	if last {
 		// As long as the first piece is there none has been swept: it goes first.
 		guards = append(notAcceptedGuards(spec.ID, true), protocol.Guard{Key: chunkKey(spec.ID, a.nonce, 0), Version: a.firstRevision})
-		short := records.JobRecord{Spec: protocol.Job{ID: spec.ID}, State: a.record.State, At: a.record.At, Pieces: len(a.chunks), Nonce: a.nonce}
-		ops = []protocol.Op{{Put: keyDependentJob + spec.ID, Value: short}}
+		short := records.Job{Spec: protocol.Job{ID: spec.ID}, State: a.record.State, SubmittedAt: a.record.SubmittedAt, Chunks: len(a.chunks), ChunkNonce: a.nonce}
+		ops = []protocol.Operation{{Put: keyDependentJob + spec.ID, Value: short}}
 	}
 	l.commit(guards, ops, func(d CommitResult) {
 		switch {
@@ -130,7 +130,7 @@
 
 // applyChunk and dropPiece follow the pieces in the mirror.
 func (l *storeMirror) applyChunk(key string, value protocol.Raw) error {
-	var rec records.PieceRecord
+	var rec records.Chunk
 	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
@@ -151,14 +151,14 @@
 
 // assembleRecord makes a job's record whole. Its pieces are read before its own key, since they were
 // written before it and their keys come first.
-func (l *storeMirror) assembleRecord(rec *records.JobRecord) error {
+func (l *storeMirror) assembleRecord(rec *records.Job) error {
 	id := rec.Spec.ID
 	var text strings.Builder
-	for n := range rec.Pieces {
-		key := chunkKey(id, rec.Nonce, n)
+	for n := range rec.Chunks {
+		key := chunkKey(id, rec.ChunkNonce, n)
 		piece, ok := l.chunks[id][key]
 		if !ok {
-			return fmt.Errorf("piece %d of %d of its record is missing", n+1, rec.Pieces)
+			return fmt.Errorf("piece %d of %d of its record is missing", n+1, rec.Chunks)
 		}
 		text.WriteString(piece)
 		l.ownKey(id, key)
@@ -172,18 +172,18 @@
 	if err != nil {
 		return err
 	}
-	var whole records.JobRecord
+	var whole records.Job
 	if err := protocol.Decode(b, &whole); err != nil {
 		return err
 	}
-	whole.State, whole.At, whole.Zones = rec.State, rec.At, rec.Zones
+	whole.State, whole.SubmittedAt, whole.Zones = rec.State, rec.SubmittedAt, rec.Zones
 	*rec = whole
 	return nil
 }
 
 // applyZones takes the zones of a job whose record could not be written again.
 func (l *storeMirror) applyZones(key string, value protocol.Raw) error {
-	var rec records.JobRecord
+	var rec records.Job
 	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
@@ -224,7 +224,7 @@
 			x.deleting = true
 			delete(x.orphanedSince, key)
 			guards := append(notAcceptedGuards(id, true), c.membership.leaderGuard(), l.guard(key))
-			l.commit(guards, []protocol.Op{{Delete: key}}, func(d CommitResult) {
+			l.commit(guards, []protocol.Operation{{Delete: key}}, func(d CommitResult) {
 				l.awaitOutcome(d.Outcome.Decided(), c.intervals.maintenance, func() { x.deleting = false })
 			})
 			return
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -34,7 +34,7 @@
 	// Heartbeat is a worker's report.
 	Heartbeat struct {
 		ID     RequestID
-		Report protocol.Report
+		Report protocol.Heartbeat
 	}
 	// GetStatus asks for the operators' picture.
 	GetStatus struct {
@@ -50,13 +50,13 @@
 	CommitResult struct {
 		ID      uint64
 		Outcome CommitOutcome
-		Answer  protocol.TxnAnswer
+		Answer  protocol.TransactionResult
 	}
 	// LoadResult answers Load.
 	LoadResult struct {
 		OK       bool
 		SentAt   time.Duration
-		Items    []protocol.Item
+		Items    []protocol.KeyValue
 		More     bool
 		Revision uint64
 	}
@@ -65,7 +65,7 @@
 		Barrier bool
 		SentAt  time.Duration
 		Outcome WatchOutcome
-		Answer  protocol.Events
+		Answer  protocol.WatchResponse
 	}
 	// LeaseResult answers Lease.
 	LeaseResult struct {
@@ -78,7 +78,7 @@
 		Machine string
 		CallID  uint64
 		Outcome DirectOutcome
-		Report  protocol.Report
+		Report  protocol.Heartbeat
 	}
 	// ProbeResult answers Inspect.
 	ProbeResult struct {
@@ -93,7 +93,7 @@
 	// ListInstancesResult answers List with a page.
 	ListInstancesResult struct {
 		Outcome  CloudOutcome
-		Machines []protocol.Machine
+		Machines []protocol.Instance
 		More     bool
 	}
 	// CreateInstancesResult answers Hire.
@@ -121,7 +121,7 @@
 	// PeerReceived is a message that came over a link.
 	PeerReceived struct {
 		Session uint64
-		Message peerproto.PeerMessage
+		Message peerproto.Message
 	}
 )
 
--- a/internal/core/compound_faults_test.go
+++ b/internal/core/compound_faults_test.go
@@ -81,13 +81,13 @@
 		s.addMachines(8)
 		s.Users.CloseLooks, s.Users.AtEnd = true, 0.3
 		kinds := []protocol.Job{simulation.Array(1), simulation.Array(3), simulation.Array(40), simulation.Array(2), simulation.Array(1)}
-		kinds[3].Types = []string{"box", "barn"}
+		kinds[3].MachineTypes = []string{"box", "barn"}
 		kinds[4] = withManyTypes(kinds[4]) // its description goes into pieces
 		var last *simulation.Job
 		for k := range 24 {
 			spec := kinds[k%len(kinds)]
 			if k%6 == 5 && last != nil && last.Accepted {
-				spec.Needs = []string{last.Spec.ID}
+				spec.Dependencies = []string{last.Spec.ID}
 			}
 			j := s.Users.Submit(spec, float64(1+k%4))
 			for range 6 * (k % 3 / 2) { // some come many at a time, into lots
@@ -160,7 +160,7 @@
 		spec := simulation.Array(1 + k%3*12)
 		spec.Team = []string{"blue", "red"}[k%2]
 		if k%5 == 4 && head.Accepted {
-			spec.Needs = []string{head.Spec.ID}
+			spec.Dependencies = []string{head.Spec.ID}
 		}
 		if k%7 == 0 { // its description goes into pieces
 			spec = withManyTypes(spec)
@@ -171,7 +171,7 @@
 			for n := range 48 {
 				one := simulation.Array(1)
 				if n%2 == 0 && head.Accepted {
-					one.Needs = []string{head.Spec.ID}
+					one.Dependencies = []string{head.Spec.ID}
 				}
 				s.Users.Submit(one, 2)
 			}
@@ -195,9 +195,9 @@
 // withManyTypes makes a job's description larger than a value.
 func withManyTypes(spec protocol.Job) protocol.Job {
 	for n := range 2500 {
-		spec.Types = append(spec.Types, fmt.Sprintf("type-%06d", n))
+		spec.MachineTypes = append(spec.MachineTypes, fmt.Sprintf("type-%06d", n))
 	}
-	spec.Types = append(spec.Types, "box")
+	spec.MachineTypes = append(spec.MachineTypes, "box")
 	return spec
 }
 
@@ -794,7 +794,7 @@
 		"spread service":    func(x *protocol.Job) { x.Spread, x.Kind, x.EstimateS = true, protocol.KindService, 0 },
 		"one zone":          func(x *protocol.Job) { x.OneZone = true },
 		"gang of one zone":  func(x *protocol.Job) { x.OneZone, x.Kind = true, protocol.KindGang },
-		"spread, two zones": func(x *protocol.Job) { x.Spread, x.Types = true, []string{"cask"} },
+		"spread, two zones": func(x *protocol.Job) { x.Spread, x.MachineTypes = true, []string{"cask"} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			acrossSeeds(t, 4500, 6, func(t *testing.T, k, controllers int, seed uint64) {
--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -24,9 +24,9 @@
 		v.cordoned, p.outboxDue = is, true
 		if is {
 			v.cordonedAt = c.now.Monotonic
-			p.outbox.Close = append(p.outbox.Close, name)
+			p.outbox.Cordon = append(p.outbox.Cordon, name)
 		} else {
-			p.outbox.Reopen = append(p.outbox.Reopen, name)
+			p.outbox.Uncordon = append(p.outbox.Uncordon, name)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 	c := f.core
 	room := 0.0
 	for _, h := range up {
-		if v := c.scheduler.machines.get(h.name); !v.cordoned && !v.unschedulable && h.returnReason == "" && !v.state.Notice && !v.unhealthy {
+		if v := c.scheduler.machines.get(h.name); !v.cordoned && !v.unschedulable && h.returnReason == "" && !v.state.InterruptionNotice && !v.unhealthy {
 			room += c.machineTypes()[h.typeName].CPUs - v.used.cpus
 		}
 	}
@@ -53,7 +53,7 @@
 		room -= v.used.cpus
 		for _, name := range sortedKeys(v.attempts) {
 			if t := v.attempts[name]; !t.stopRequested {
-				c.scheduler.requestStop(p, t, peerproto.TaskStop{Task: name, Machine: h.name, Why: "tasks moved off a machine that is no longer needed"}, lowestUrgency)
+				c.scheduler.requestStop(p, t, peerproto.StopTask{Task: name, Machine: h.name, Reason: "tasks moved off a machine that is no longer needed"}, lowestUrgency)
 			}
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -229,13 +229,13 @@
 func (c *Core) peerReceived(p PeerReceived) {
 	m := &p.Message
 	switch {
-	case p.Session == c.shard.leaderLink && m.Ask != nil:
+	case p.Session == c.shard.leaderLink && m.Round != nil:
 		c.shard.leaderHeardAt = c.now.Monotonic
-		c.degraded.handleRound(m.Epoch, m.Ask)
+		c.degraded.handleRound(m.Epoch, m.Round)
 	case p.Session == c.shard.leaderLink:
 		c.shard.handleLeaderMessage(m)
-	case m.Word != nil:
-		c.scheduler.handleVote(p.Session, m.Word)
+	case m.Vote != nil:
+		c.scheduler.handleVote(p.Session, m.Vote)
 	default:
 		c.scheduler.handleShardMessage(p.Session, m)
 	}
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -85,7 +85,7 @@
 		return
 	}
 	for _, label := range others {
-		c.emit(SendToPeer{Session: c.scheduler.shards[label].session, Message: peerproto.PeerMessage{Epoch: u.epoch, Ask: &ask}})
+		c.emit(SendToPeer{Session: c.scheduler.shards[label].session, Message: peerproto.Message{Epoch: u.epoch, Round: &ask}})
 	}
 	u.handleVote(c.settings.Label, u.vote(&ask))
 }
@@ -99,7 +99,7 @@
 	w := u.vote(a)
 	u.member.HandleRound(c.now.Monotonic, c.intervals.maxStaleness, *a)
 	u.cancelJobs(a.Cancelled)
-	c.emit(SendToPeer{Session: c.shard.leaderLink, Message: peerproto.PeerMessage{Epoch: epoch, Word: &w}})
+	c.emit(SendToPeer{Session: c.shard.leaderLink, Message: peerproto.Message{Epoch: epoch, Vote: &w}})
 }
 
 // vote is what this node says in a round.
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -49,18 +49,18 @@
 			soon[s.Team] += cpus
 		}
 		d.total += cpus
-		if !s.Spot {
+		if !s.AllowSpot {
 			d.totalOnDemand += cpus
 		}
 		if s.Kind != protocol.KindArray {
 			d.onTime += cpus // replicas run for ever: their room is never free
-			if !s.Spot {
+			if !s.AllowSpot {
 				firm += cpus
 			}
 			continue
 		}
 		ahead += work
-		if !s.Spot {
+		if !s.AllowSpot {
 			firm += min(cpus, work/f.completionHorizon(q, pred))
 		}
 		// What no aim is set for is worth cheap machines only.
@@ -196,7 +196,7 @@
 			left = a.WithinS - age
 		case "deadline":
 			if s.DeadlineS > 0 {
-				left = s.DeadlineS*max(a.Times, 1) - (f.core.now.Wall - q.entry.record.At)
+				left = s.DeadlineS*max(a.Times, 1) - (f.core.now.Wall - q.entry.record.SubmittedAt)
 			}
 		case "wait":
 			left = pred
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -16,13 +16,13 @@
 
 // submitDependent accepts a job that names others. looked: the mirror holds all that was
 // accepted before the request came.
-func (l *storeMirror) submitDependent(id RequestID, rec records.JobRecord, looked bool) {
+func (l *storeMirror) submitDependent(id RequestID, rec records.Job, looked bool) {
 	if l.replyIfUpgrading(id, "jobs that need others") {
 		return
 	}
 	var open []string
 	cancelled := ""
-	for _, name := range rec.Spec.Needs {
+	for _, name := range rec.Spec.Dependencies {
 		j := l.acceptedJob(name)
 		switch {
 		case j == nil && !looked:
@@ -38,10 +38,10 @@
 			})
 			return
 		case j == nil:
-			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorAnswer{Error: "it needs " + name + ", which was never accepted: submit that one first"}})
+			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorResponse{Error: "it needs " + name + ", which was never accepted: submit that one first"}})
 			return
 		case j.record.Spec.Kind == protocol.KindService:
-			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorAnswer{Error: "it needs " + name + ", which is a service and is never done"}})
+			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorResponse{Error: "it needs " + name + ", which is a service and is never done"}})
 			return
 		case j.record.State == protocol.JobCancelled:
 			cancelled = name
@@ -49,7 +49,7 @@
 			open = append(open, name)
 		}
 	}
-	rec.Spec.Needs = open // what is done stays done
+	rec.Spec.Dependencies = open // what is done stays done
 	if cancelled != "" {
 		rec = finalRecord(&jobEntry{record: rec}, protocol.JobCancelled, dependencyCancelled(cancelled))
 	}
@@ -72,7 +72,7 @@
 // olderController is a live controller that says that its version is older, empty: there is none.
 func (l *storeMirror) olderController() string {
 	for _, label := range sortedKeys(l.nodes) {
-		if l.nodes[label].Level < records.Level {
+		if l.nodes[label].Level < records.FormatLevel {
 			return label
 		}
 	}
@@ -97,8 +97,8 @@
 // jobUpdated tells the graph and the leader of a record of a job.
 func (l *storeMirror) jobUpdated(j *jobEntry) {
 	if !j.isFinal() {
-		if s := &j.record.Spec; len(s.Needs) > 0 {
-			l.dependencies.AddJob(s.ID, s.Needs, l.dependencyState)
+		if s := &j.record.Spec; len(s.Dependencies) > 0 {
+			l.dependencies.AddJob(s.ID, s.Dependencies, l.dependencyState)
 		} else {
 			l.dependencies.MarkOpen(s.ID)
 		}
@@ -131,7 +131,7 @@
 		if !v.Aborted {
 			j.readyAt, j.readyThisTerm = v.ReadyAt, l.core.membership.leading
 			if l.core.membership.leading {
-				l.core.logDebug("ready", "job", v.Job, "class", j.record.Spec.Class, "needed", j.record.Spec.Needs)
+				l.core.logDebug("ready", "job", v.Job, "class", j.record.Spec.Class, "needed", j.record.Spec.Dependencies)
 			}
 			l.core.scheduler.jobChanged(j)
 			l.core.scheduler.lastScheduling = 0 // its first tasks start at once
@@ -162,7 +162,7 @@
 		s := &j.record.Spec
 		w.Urgency = urgencyLevel(s.Urgency)
 		if s.DeadlineS > 0 {
-			w.LatestFinish = j.record.At + s.DeadlineS
+			w.LatestFinish = j.record.SubmittedAt + s.DeadlineS
 		}
 		w.Duration = c.estimator.predict(s) + c.fleet.imagePullSeconds(s)
 		if q := o.queue.get(id); q != nil && q.waitingTasks() == 0 {
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -16,7 +16,7 @@
 func dependentArray(n int, needs ...*simulation.Job) protocol.Job {
 	spec := simulation.Array(n)
 	for _, j := range needs {
-		spec.Needs = append(spec.Needs, j.Spec.ID)
+		spec.Dependencies = append(spec.Dependencies, j.Spec.ID)
 	}
 	return spec
 }
@@ -143,14 +143,14 @@
 	service.Kind, service.EstimateS = protocol.KindService, 0
 	up := s.submitAccepted(service, 1)
 	self := simulation.Array(1)
-	self.ID, self.Needs = "job-777777", []string{"job-777777"}
+	self.ID, self.Dependencies = "job-777777", []string{"job-777777"}
 	stranger := simulation.Array(1)
-	stranger.Needs = []string{"job-888888"}
+	stranger.Dependencies = []string{"job-888888"}
 	s.requireRejected(self, stranger, dependentArray(1, up))
 	// A repeat is answered by what was accepted, whatever it names.
 	a := s.submitAccepted(simulation.Array(1), 3)
 	b := s.submitAccepted(dependentArray(1, a), 3)
-	b.Spec.Needs = []string{"job-888888"}
+	b.Spec.Dependencies = []string{"job-888888"}
 	s.Users.Resubmit(b)
 	s.Run(s.Now + 5*second)
 	s.requireInvariants()
@@ -335,9 +335,9 @@
 	s := &scenario{World: simulation.Build(310, set, simulation.Types()), t: t}
 	s.Run(s.Now + 5*second)
 	wide := simulation.Array(6)
-	wide.OneZone, wide.Types = true, []string{"box"}
+	wide.OneZone, wide.MachineTypes = true, []string{"box"}
 	for k := range 200 {
-		wide.Types = append(wide.Types, fmt.Sprintf("a-type-of-another-cloud-%d", k))
+		wide.MachineTypes = append(wide.MachineTypes, fmt.Sprintf("a-type-of-another-cloud-%d", k))
 	}
 	s.startOldVersion()
 	s.Run(s.Now + 5*second)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -219,7 +219,7 @@
 // turn on the only machine that an urgent one could use, once a round for half an hour.
 func (o *scheduler) feasibleMachines(q *queuedJob, p *schedulingRound) []*candidateMachine {
 	s := &q.entry.record.Spec
-	like := taskShape{s.CPUs, s.GPUs, s.MemoryGB, s.Zone, s.Spot, o.core.bestEffortTeams[s.Team], strings.Join(s.Types, " "), q.effectiveUrgency}
+	like := taskShape{s.CPUs, s.GPUs, s.MemoryGB, s.Zone, s.AllowSpot, o.core.bestEffortTeams[s.Team], strings.Join(s.MachineTypes, " "), q.effectiveUrgency}
 	if p.infeasible[like] {
 		return nil // within a round room only shrinks
 	}
@@ -319,7 +319,7 @@
 	o.trackAttempt(name, f)
 	o.unplacedAttempts[name] = f
 	delete(q.retryAt, i)
-	try := peerproto.TaskTry{Task: name, Attempt: f.number}
+	try := peerproto.TaskAttempt{Task: name, Attempt: f.number}
 	if s.OneZone || s.Spread {
 		try.Version, f.recordVersion = q.entry.recordVersion, q.entry.recordVersion
 		delete(q.zoneFullSince, zoneIndex(q, i))
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -27,7 +27,7 @@
 	// Commit runs a transaction.
 	Commit struct {
 		ID  uint64
-		Txn protocol.Txn
+		Txn protocol.Transaction
 	}
 	// LoadPage reads a page of all keys, those after Since.
 	LoadPage struct{ After string }
@@ -51,7 +51,7 @@
 		Machine string
 		CallID  uint64
 		Addr    string
-		Body    protocol.Do
+		Body    protocol.DirectCommands
 	}
 	// ProbeWorker asks a worker for its report, only to know that it can be reached.
 	ProbeWorker struct {
@@ -67,7 +67,9 @@
 	// ListInstances asks the cloud for a page of its machines, those after Since.
 	ListInstances struct{ After string }
 	// CreateInstances rents machines.
-	CreateInstances struct{ Request protocol.Hire }
+	CreateInstances struct {
+		Request protocol.CreateMachinesRequest
+	}
 	// DeleteInstances returns machines.
 	DeleteInstances struct{ Names []string }
 )
@@ -79,7 +81,7 @@
 	// SendToPeer sends a message over a link.
 	SendToPeer struct {
 		Session uint64
-		Message peerproto.PeerMessage
+		Message peerproto.Message
 	}
 	// ClosePeer ends a link.
 	ClosePeer struct{ Session uint64 }
--- a/internal/core/estimator.go
+++ b/internal/core/estimator.go
@@ -66,7 +66,7 @@
 		return
 	}
 	for _, r := range e.core.mirror.estimates.Means {
-		e.history[historyKey{r.Team, r.Class, r.CPUs, r.GPUs}] = &runningMean{mean: r.Mean, count: r.N, lastAt: r.Last}
+		e.history[historyKey{r.Team, r.Class, r.CPUs, r.GPUs}] = &runningMean{mean: r.Mean, count: r.Count, lastAt: r.LastAt}
 	}
 }
 
@@ -190,14 +190,14 @@
 		return
 	}
 	e.unsaved, e.saving, e.savedAt = false, true, c.now.Monotonic
-	var rec records.EstimateRecord
+	var rec records.Estimates
 	for _, k := range e.sortedKeys() {
 		m := e.history[k]
 		// Rounded, so that more of them fit: a prediction is not that good.
-		rec.Means = append(rec.Means, records.MeanRecord{Team: k.team, Class: k.class, CPUs: k.cpus, GPUs: k.gpus,
-			Mean: math.Round(m.mean*100) / 100, N: m.count, Last: math.Floor(m.lastAt)})
+		rec.Means = append(rec.Means, records.Mean{Team: k.team, Class: k.class, CPUs: k.cpus, GPUs: k.gpus,
+			Mean: math.Round(m.mean*100) / 100, Count: m.count, LastAt: math.Floor(m.lastAt)})
 	}
-	slices.SortStableFunc(rec.Means, func(a, b records.MeanRecord) int { return cmp.Compare(b.Last, a.Last) })
+	slices.SortStableFunc(rec.Means, func(a, b records.Mean) int { return cmp.Compare(b.LastAt, a.LastAt) })
 	// Names that never come back would pile up here too.
 	for len(rec.Means) > maxHistoryKeys {
 		r := rec.Means[len(rec.Means)-1]
@@ -207,13 +207,13 @@
 	// What does not fit is known to this leader only.
 	size, fit := 16, 0
 	for ; fit < len(rec.Means); fit++ {
-		if size += protocol.TextSize(rec.Means[fit]) + 2; size > c.maxValueBytes() {
+		if size += protocol.JSONSize(rec.Means[fit]) + 2; size > c.maxValueBytes() {
 			break
 		}
 	}
 	rec.Means = rec.Means[:fit]
 	// Late, an older value must not take a newer one's place.
-	c.mirror.commit([]protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyEstimate)}, []protocol.Op{{Put: keyEstimate, Value: rec}}, func(d CommitResult) {
+	c.mirror.commit([]protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyEstimate)}, []protocol.Operation{{Put: keyEstimate, Value: rec}}, func(d CommitResult) {
 		e.saving = false
 		if d.Outcome != Committed {
 			e.unsaved = true
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -11,8 +11,8 @@
 }
 
 // FullSnapshot is what this member would tell a leader over a new link.
-func (c *Core) FullSnapshot() peerproto.PeerMessage {
-	m := peerproto.PeerMessage{Epoch: c.shard.epoch, Full: true}
+func (c *Core) FullSnapshot() peerproto.Message {
+	m := peerproto.Message{Epoch: c.shard.epoch, Snapshot: true}
 	for _, r := range c.shard.machines.all() {
 		whole, left := r.fullStateDue, r.droppedTasks
 		r.fullStateDue = true
@@ -23,7 +23,7 @@
 }
 
 // ApplySnapshot has the leader take a member's whole picture.
-func (c *Core) ApplySnapshot(label string, m peerproto.PeerMessage) {
+func (c *Core) ApplySnapshot(label string, m peerproto.Message) {
 	if p := c.scheduler.shards[label]; p != nil {
 		c.scheduler.handleShardMessage(p.session, &m)
 	}
@@ -31,7 +31,7 @@
 
 // AskOf has the leader dispatch tasks to a member, and ask it to stop some, with its next
 // batch of commands.
-func (c *Core) AskOf(label string, dispatch []peerproto.TaskTry, stop []peerproto.TaskStop) {
+func (c *Core) AskOf(label string, dispatch []peerproto.TaskAttempt, stop []peerproto.StopTask) {
 	p := c.scheduler.shards[label]
 	p.outbox.Dispatch, p.outbox.Stop, p.outboxDue = append(p.outbox.Dispatch, dispatch...), append(p.outbox.Stop, stop...), true
 }
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -236,7 +236,7 @@
 			s.Cloud.Capacity["barn"] = 0
 			for at := 5 * second; at < day; at += 30 * second {
 				s.At(at, func() {
-					s.submitFrom(jobStream{"red", "large", protocol.UrgencyLow, 0, 4, 4, 12, func(j *protocol.Job) { j.Types = []string{"barn"} }})
+					s.submitFrom(jobStream{"red", "large", protocol.UrgencyLow, 0, 4, 4, 12, func(j *protocol.Job) { j.MachineTypes = []string{"barn"} }})
 				})
 			}
 		},
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -107,7 +107,7 @@
 	if len(cmds) == 0 {
 		p.fencingCalls[r.callInFlight] = true
 	}
-	p.core.emit(CallWorker{Machine: r.name, CallID: p.lastCallID, Addr: r.addr, Body: protocol.Do{Token: r.token, Session: max(r.session, 1), Commands: cmds}})
+	p.core.emit(CallWorker{Machine: r.name, CallID: p.lastCallID, Addr: r.addr, Body: protocol.DirectCommands{Token: r.token, Session: max(r.session, 1), Commands: cmds}})
 }
 
 func (p *shard) handleCallResult(d *CallWorkerResult) {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -142,10 +142,10 @@
 		return
 	}
 	guards := []protocol.Guard{c.membership.leaderGuard()}
-	var ops []protocol.Op
+	var ops []protocol.Operation
 	for key, rec := range paginateTypes(f.cloudTypes.Types, c.maxValueBytes()/2) {
 		if _, there := c.mirror.versions[key]; !there && len(ops) < c.registry.maxPagesPerWrite() {
-			ops = append(ops, protocol.Op{Put: key, Value: rec})
+			ops = append(ops, protocol.Operation{Put: key, Value: rec})
 		}
 	}
 	if len(ops) == 0 {
@@ -269,7 +269,7 @@
 		if f.isLost(v) && !f.isZonePartitioned(h.zone) {
 			return false
 		}
-		return !v.state.Notice && !v.unhealthy
+		return !v.state.InterruptionNotice && !v.unhealthy
 	}
 	return true
 }
@@ -280,7 +280,7 @@
 func (f *fleet) autoscale(ranked, waiting []*queuedJob) {
 	c := f.core
 	for name, v := range c.scheduler.machines.all() {
-		if f.instances.get(name) == nil && !f.deletedNames[name] && (v.state.Up || c.mirror.machineRecords.get(name) != nil) {
+		if f.instances.get(name) == nil && !f.deletedNames[name] && (v.state.AcceptsTasks || c.mirror.machineRecords.get(name) != nil) {
 			h := f.adopt(name, v.state.Type, v.state.Zone, v.state.Spot)
 			h.cloudState = protocol.MachineRunning
 		}
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -115,11 +115,11 @@
 			if p == nil || f.taskState != peerproto.StateHeld {
 				continue
 			}
-			try := peerproto.TaskTry{Task: protocol.TaskName(id, i), Attempt: f.number, Machine: f.machine}
+			try := peerproto.TaskAttempt{Task: protocol.TaskName(id, i), Attempt: f.number, Machine: f.machine}
 			if all {
-				p.outbox.Release = append(p.outbox.Release, try)
+				p.outbox.StartHeld = append(p.outbox.StartHeld, try)
 			} else {
-				p.outbox.Drop = append(p.outbox.Drop, try)
+				p.outbox.ReleaseHeld = append(p.outbox.ReleaseHeld, try)
 			}
 			p.outboxDue = true
 		}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -5,7 +5,7 @@
 )
 
 // handleHeartbeat takes a worker's report and answers it.
-func (p *shard) handleHeartbeat(id RequestID, rep *protocol.Report) {
+func (p *shard) handleHeartbeat(id RequestID, rep *protocol.Heartbeat) {
 	c := p.core
 	r := p.machines.get(rep.Machine)
 	// A worker sends its next report only when nobody waits for the answer to this one any
@@ -25,7 +25,7 @@
 	}
 	entitled := c.membership.mayServe()
 	if !entitled && !c.degraded.isActive() || c.mirror.shardMap == nil {
-		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorAnswer{Error: "not entitled"}})
+		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorResponse{Error: "not entitled"}})
 		return
 	}
 	if owner := c.membership.ownerOf(rep.Machine); owner != c.settings.Label || !p.isMember {
@@ -40,7 +40,7 @@
 	}
 	if rep.Token > r.token {
 		// Somebody has a newer map than we do.
-		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorAnswer{Error: "not entitled"}})
+		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorResponse{Error: "not entitled"}})
 		return
 	}
 	newest := rep.Newer(r.session, r.seq)
@@ -61,7 +61,7 @@
 	if fresh {
 		r.lastAnsweredAt = max(r.lastAnsweredAt, c.now.Monotonic)
 	}
-	var ans protocol.ReportAnswer
+	var ans protocol.HeartbeatResponse
 	if newest && r.trusted {
 		if entitled {
 			p.placeAssigned()
@@ -77,7 +77,7 @@
 // applyReport takes what a machine says of itself. Only a message with our own current
 // token is believed: one with an older token may miss a start that a former
 // owner's command has yet to cause.
-func (p *shard) applyReport(r *machine, rep *protocol.Report, doID uint64, viaReport bool) {
+func (p *shard) applyReport(r *machine, rep *protocol.Heartbeat, doID uint64, viaReport bool) {
 	c := p.core
 	if !rep.Newer(r.session, r.seq) {
 		return
@@ -136,7 +136,7 @@
 // applyTaskReport takes one line of a trusted list. The search begins at a place, and the
 // place after the one found is returned: lists keep their order, so that a
 // machine of many tasks is not searched from the start for each.
-func (p *shard) applyTaskReport(r *machine, tr *protocol.TaskReport, at int) int {
+func (p *shard) applyTaskReport(r *machine, tr *protocol.TaskStatus, at int) int {
 	var t *taskAttempt
 	for n := range r.attempts {
 		i := (at + n) % len(r.attempts)
@@ -146,7 +146,7 @@
 		}
 	}
 	if t == nil {
-		ref, index, err := protocol.ParseTask(tr.Task)
+		ref, index, err := protocol.ParseTaskName(tr.Task)
 		if err != nil {
 			p.core.emit(Log{Level: LevelError, Text: "worker lists a task with a strange name", Args: []any{"machine", r.name, "task", tr.Task}})
 			return at
@@ -158,11 +158,11 @@
 		p.addAttempt(r, t)
 	}
 	t.phase, t.lastListed = phaseListed, r.listsRead
-	if t.state == tr.State && t.exitReason == tr.Why {
+	if t.state == tr.State && t.exitReason == tr.ExitReason {
 		return at
 	}
 	p.markChanged(r)
-	p.core.logDebug("task", "task", t.task, "machine", r.name, "state", tr.State, "why", tr.Why)
+	p.core.logDebug("task", "task", t.task, "machine", r.name, "state", tr.State, "why", tr.ExitReason)
 	if tr.State == protocol.TaskRunning && t.runningSince == 0 {
 		t.runningSince = p.core.now.Monotonic
 		if t.spec != nil {
@@ -176,12 +176,12 @@
 		if t.runningSince > 0 && !t.foundRunning {
 			t.ranSeconds = (p.core.now.Monotonic - t.runningSince).Seconds()
 		}
-		if causesBackoff(tr.Why) {
+		if causesBackoff(tr.ExitReason) {
 			r.backoffUntil[t.jobID] = p.core.now.Monotonic + p.core.intervals.machineBackoff
-			p.core.logInfo("task failed", "task", t.task, "machine", r.name, "why", tr.Why)
+			p.core.logInfo("task failed", "task", t.task, "machine", r.name, "why", tr.ExitReason)
 		}
 	}
-	t.state, t.exitReason, t.published = tr.State, tr.Why, false
+	t.state, t.exitReason, t.published = tr.State, tr.ExitReason, false
 	return at
 }
 
@@ -191,7 +191,7 @@
 // Guards against a leader that does: it dispatched the same tasks to the same room every round,
 // got them back, and nobody else had that room for four leases.
 func causesBackoff(why string) bool {
-	return why == protocol.WhyError || why == protocol.WhyNoRoom || why == protocol.WhyUnknown
+	return why == protocol.ExitFailed || why == protocol.ExitNoCapacity || why == protocol.ExitUnknownTask
 }
 
 // recordImage notes that a machine has, or is about to fetch, a task's image.
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -58,12 +58,12 @@
 }
 
 // listComplete reports whether no task but those that it lists can be on a machine.
-func (v *machineView) listComplete() bool { return v.state.Sure || v.state.Kept }
+func (v *machineView) listComplete() bool { return v.state.TasksComplete || v.state.TasksBounded }
 
 // acceptsTasks reports whether a machine may be given tasks, parked or not.
 func (v *machineView) acceptsTasks() bool {
 	s := &v.state
-	return s.Up && s.Sure && !s.Notice && !s.Draining && !v.unhealthy && v.machineType != nil && v.registered && !v.leaving
+	return s.AcceptsTasks && s.TasksComplete && !s.InterruptionNotice && !s.Draining && !v.unhealthy && v.machineType != nil && v.registered && !v.leaving
 }
 
 // free is what its tasks leave of a machine.
@@ -162,8 +162,8 @@
 }
 
 // unseenMachines walks over the machines that may hold tasks this leader does not know.
-func (o *scheduler) unseenMachines() iter.Seq2[string, *records.MachineRecord] {
-	return func(yield func(string, *records.MachineRecord) bool) {
+func (o *scheduler) unseenMachines() iter.Seq2[string, *records.Machine] {
+	return func(yield func(string, *records.Machine) bool) {
 		for name, rec := range o.core.mirror.machineRecords.all() {
 			if o.isUnseen(name) && !yield(name, rec) {
 				return
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -457,18 +457,18 @@
 	k := s.Workers[gone.On(0)]
 	s.Users.Abort(gone)
 	s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, gone))
-	old := protocol.Report{Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot, Session: 1,
-		Tasks: []protocol.TaskReport{
+	old := protocol.Heartbeat{Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot, Session: 1,
+		Tasks: []protocol.TaskStatus{
 			{Task: protocol.TaskName(gone.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
-			{Task: protocol.TaskName(gone.Spec.ID, 1), Attempt: 1, State: protocol.TaskExited, Why: protocol.WhyDone},
+			{Task: protocol.TaskName(gone.Spec.ID, 1), Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone},
 			{Task: protocol.TaskName(stays.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
 		}}
-	var answer protocol.ReportAnswer
+	var answer protocol.HeartbeatResponse
 	k.ReportsTo().Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: old} }, func(r core.Reply) {
-		answer, _ = r.Body.(protocol.ReportAnswer)
+		answer, _ = r.Body.(protocol.HeartbeatResponse)
 	})
 	s.Run(s.Now + second)
-	stop := protocol.Command{Op: protocol.OpStop, Task: old.Tasks[0].Task, Attempt: 1}
+	stop := protocol.Command{Kind: protocol.CommandStop, Task: old.Tasks[0].Task, Attempt: 1}
 	if len(answer.Commands) != 1 || answer.Commands[0] != stop {
 		t.Fatalf("the answer has %+v", answer.Commands)
 	}
@@ -616,8 +616,8 @@
 					if task.State == protocol.TaskExited {
 						ended++
 					}
-					if task.RanS > 0 && task.RanS < 39 {
-						t.Fatalf("%s is said to have run for %.1f s", task.Task, task.RanS)
+					if task.RanSeconds > 0 && task.RanSeconds < 39 {
+						t.Fatalf("%s is said to have run for %.1f s", task.Task, task.RanSeconds)
 					}
 				}
 			}
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -23,7 +23,7 @@
 		}
 	}
 	p.leaderHeardAt = p.core.now.Monotonic
-	p.core.emit(SendToPeer{Session: session, Message: peerproto.PeerMessage{Hello: &peerproto.Hello{Label: p.core.settings.Label, Boot: p.core.bootID}, Unfit: p.reachability.unreachable}})
+	p.core.emit(SendToPeer{Session: session, Message: peerproto.Message{Hello: &peerproto.Hello{Label: p.core.settings.Label, BootID: p.core.bootID}, Unreachable: p.reachability.unreachable}})
 }
 
 func (p *shard) leaderLinkDown(session uint64) {
@@ -33,7 +33,7 @@
 }
 
 // handleLeaderMessage takes the leader's orders; those of another epoch are void.
-func (p *shard) handleLeaderMessage(m *peerproto.PeerMessage) {
+func (p *shard) handleLeaderMessage(m *peerproto.Message) {
 	c := p.core
 	p.leaderHeardAt, p.lastLeaderSeq = c.now.Monotonic, m.Seq
 	for _, v := range m.Views {
@@ -47,10 +47,10 @@
 	}
 	p.fullSnapshotDue = p.fullSnapshotDue || m.Resync
 	for _, d := range m.Dispatch {
-		ref, index, err := protocol.ParseTask(d.Task)
+		ref, index, err := protocol.ParseTaskName(d.Task)
 		j := c.mirror.acceptedJob(ref)
 		if err != nil || p.mustNotRun(ref, j) || j.isTaskDone(index) {
-			p.returned = append(p.returned, peerproto.TaskTry{Task: d.Task, Attempt: d.Attempt})
+			p.returned = append(p.returned, peerproto.TaskAttempt{Task: d.Task, Attempt: d.Attempt})
 			continue
 		}
 		t := &taskAttempt{task: d.Task, jobID: ref, taskIndex: index, number: d.Attempt, recordVersion: d.Version, spec: &j.record.Spec}
@@ -62,12 +62,12 @@
 			p.returnTask(t)
 		}
 	}
-	p.resolveHeld(m.Release, func(r *machine, t *taskAttempt) bool {
+	p.resolveHeld(m.StartHeld, func(r *machine, t *taskAttempt) bool {
 		t.phase, t.state, t.published = phaseQueued, "", false
 		p.expedite(r)
 		return true
 	})
-	p.resolveHeld(m.Drop, func(r *machine, t *taskAttempt) bool { return false })
+	p.resolveHeld(m.ReleaseHeld, func(r *machine, t *taskAttempt) bool { return false })
 	for _, s := range m.Stop {
 		r := p.machines.get(s.Machine)
 		if r == nil {
@@ -75,14 +75,14 @@
 		}
 		for _, t := range r.attempts {
 			if t.task == s.Task && t.live() {
-				t.stopRequested, t.stopNow = true, s.Now
+				t.stopRequested, t.stopNow = true, s.Immediately
 				p.expedite(r)
-				c.logDebug("stopping", "task", t.task, "machine", r.name, "why", s.Why)
+				c.logDebug("stopping", "task", t.task, "machine", r.name, "why", s.Reason)
 			}
 		}
 	}
-	p.setCordoned(m.Close, true)
-	p.setCordoned(m.Reopen, false)
+	p.setCordoned(m.Cordon, true)
+	p.setCordoned(m.Uncordon, false)
 	for _, name := range m.Drain {
 		if r := p.machines.get(name); r != nil && !r.draining {
 			r.draining = true
@@ -114,13 +114,13 @@
 		p.leaderLink = 0
 		return
 	}
-	m := peerproto.PeerMessage{Epoch: p.epoch, Unfit: p.reachability.unreachable}
+	m := peerproto.Message{Epoch: p.epoch, Unreachable: p.reachability.unreachable}
 	// An older leader takes any whole picture of this label for the member's.
 	full := p.fullSnapshotDue && !c.membership.labelHeldByOther(c.settings.Label, c.bootID)
 	if full {
-		m.Full, m.Read = true, p.lastLeaderSeq
+		m.Snapshot, m.ReadSeq = true, p.lastLeaderSeq
 		for _, t := range p.unplaced {
-			m.Assigned = append(m.Assigned, peerproto.TaskTry{Task: t.task, Attempt: t.number})
+			m.Assigned = append(m.Assigned, peerproto.TaskAttempt{Task: t.task, Attempt: t.number})
 		}
 	}
 	told := p.unpublished
@@ -130,7 +130,7 @@
 			told = append(told, r)
 		}
 	} else {
-		m.Dropped = p.releasedMachines
+		m.Released = p.releasedMachines
 		slices.SortFunc(told, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
 	}
 	m.Machines = make([]peerproto.MachineState, 0, len(told))
@@ -143,7 +143,7 @@
 	}
 	p.unpublished, p.releasedMachines = p.unpublished[:0], nil
 	m.Returned, m.Cancelled = p.returned, p.confirmedCancellations
-	idle := !full && len(m.Cancelled) == 0 && len(m.Machines) == 0 && len(m.Returned) == 0 && len(m.Dropped) == 0
+	idle := !full && len(m.Cancelled) == 0 && len(m.Machines) == 0 && len(m.Returned) == 0 && len(m.Released) == 0
 	if idle && c.now.Monotonic-p.lastPublishedAt < c.intervals.maintenance {
 		return
 	}
@@ -153,7 +153,7 @@
 		c.loopback = append(c.loopback, func() { c.scheduler.handleShardMessage(loopbackLink, &m) })
 		return
 	}
-	for _, piece := range m.Pieces() {
+	for _, piece := range m.MemberChunks() {
 		c.emit(SendToPeer{Session: p.leaderLink, Message: piece})
 	}
 }
@@ -161,8 +161,8 @@
 // machineState is what the leader is told of a machine: all of it, or what has changed.
 func (p *shard) machineState(r *machine) peerproto.MachineState {
 	s := peerproto.MachineState{
-		Name: r.name, Sure: r.trusted || r.leaseExpired, Kept: r.keptFromLastEpoch, Up: r.trusted && !r.leaseExpired && r.machineType != nil,
-		Notice: r.interruptionNotice, Draining: r.draining, Silent: r.silent, Partial: !r.fullStateDue,
+		Name: r.name, TasksComplete: r.trusted || r.leaseExpired, TasksBounded: r.keptFromLastEpoch, AcceptsTasks: r.trusted && !r.leaseExpired && r.machineType != nil,
+		InterruptionNotice: r.interruptionNotice, Draining: r.draining, Silent: r.silent, Partial: !r.fullStateDue,
 	}
 	if r.fullStateDue {
 		s.Addr, s.Type, s.Zone, s.Spot = r.addr, r.typeName, r.zone, r.spot
@@ -173,7 +173,7 @@
 	for _, t := range r.attempts {
 		if r.fullStateDue || !t.published {
 			t.published = true
-			s.Tasks = append(s.Tasks, peerproto.TaskState{Task: t.task, Attempt: t.number, State: t.state, Why: t.exitReason, RanS: t.ranSeconds})
+			s.Tasks = append(s.Tasks, peerproto.TaskState{Task: t.task, Attempt: t.number, State: t.state, ExitReason: t.exitReason, RanSeconds: t.ranSeconds})
 			if !t.live() {
 				r.droppedTasks = append(r.droppedTasks, t.task)
 			}
@@ -182,7 +182,7 @@
 	if !r.fullStateDue {
 		for _, task := range r.droppedTasks {
 			if !slices.ContainsFunc(r.attempts, func(t *taskAttempt) bool { return t.task == task && t.live() }) {
-				s.Left = append(s.Left, task)
+				s.RemovedTasks = append(s.RemovedTasks, task)
 			}
 		}
 	}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -21,16 +21,16 @@
 			s := newScenario(t, 95)
 			s.Run(s.Now + 10*second)
 			leader, member := s.leader(), s.follower()
-			s.Between(leader.Label, member.Label, simulation.Link{Largest: peerproto.MaxPeerLine})
-			var asked []peerproto.TaskTry // of a job that is unknown there: all of them come back
-			var stops []peerproto.TaskStop
+			s.Between(leader.Label, member.Label, simulation.Link{Largest: peerproto.MaxLineBytes})
+			var asked []peerproto.TaskAttempt // of a job that is unknown there: all of them come back
+			var stops []peerproto.StopTask
 			for i := range machines * tasks {
-				try := peerproto.TaskTry{Task: protocol.TaskName("job-900000001", i), Attempt: 1<<40 + uint64(i), Machine: fmt.Sprintf("n-%07d", i/tasks)}
+				try := peerproto.TaskAttempt{Task: protocol.TaskName("job-900000001", i), Attempt: 1<<40 + uint64(i), Machine: fmt.Sprintf("n-%07d", i/tasks)}
 				asked = append(asked, try)
-				stops = append(stops, peerproto.TaskStop{Task: try.Task, Machine: try.Machine, Why: "room for a more urgent job"})
+				stops = append(stops, peerproto.StopTask{Task: try.Task, Machine: try.Machine, Reason: "room for a more urgent job"})
 			}
-			var got, returned []peerproto.TaskTry
-			var stopped []peerproto.TaskStop
+			var got, returned []peerproto.TaskAttempt
+			var stopped []peerproto.StopTask
 			s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 				for _, c := range cmds {
 					line, ok := c.(core.PeerReceived)
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -33,7 +33,7 @@
 	leaderSince    time.Duration // since when the leader key is ours
 	leading        bool
 	absentSince    map[string]time.Duration // controllers outside the map, since when
-	observedMap    *records.MapRecord       // the map that this was read from
+	observedMap    *records.ShardMap        // the map that this was read from
 	desiredMembers map[string]string        // members, as they should be
 }
 
@@ -123,7 +123,7 @@
 		return
 	}
 	target := ""
-	if l := c.mirror.leader; l != nil && l.Boot != c.bootID {
+	if l := c.mirror.leader; l != nil && l.BootID != c.bootID {
 		target = l.Label
 	}
 	if target != m.peerTarget {
@@ -131,7 +131,7 @@
 		c.emit(ConnectPeer{Label: target})
 	}
 	was := m.leading
-	m.leading = c.mirror.leader != nil && c.mirror.leader.Boot == c.bootID
+	m.leading = c.mirror.leader != nil && c.mirror.leader.BootID == c.bootID
 	if m.leading != was {
 		if m.leading {
 			m.leaderSince = c.now.Monotonic
@@ -146,11 +146,11 @@
 	if m.leaseID == 0 || m.keyWriteInFlight || !c.mirror.isFresh() {
 		return
 	}
-	if c.mirror.nodes[c.settings.Label].Boot != c.bootID {
+	if c.mirror.nodes[c.settings.Label].BootID != c.bootID {
 		// Guarded against a write of this label's former process that is carried out late: it
 		// took the place of the new one, whose machines were others' until it wrote again.
 		key := keyNode + c.settings.Label
-		m.writeKey([]protocol.Guard{c.mirror.guard(key)}, protocol.Op{Put: key, Value: records.NodeRecord{Boot: c.bootID, Level: records.Level}, Lease: m.leaseID})
+		m.writeKey([]protocol.Guard{c.mirror.guard(key)}, protocol.Operation{Put: key, Value: records.Node{BootID: c.bootID, Level: records.FormatLevel}, Lease: m.leaseID})
 		return
 	}
 	// A leader that was restarted takes its own key over at once: its former
@@ -164,8 +164,8 @@
 	if l == nil && (m.stepdown.ShouldAbstain(c.now.Monotonic, others, empty, c.intervals.memberLease) || c.shard.reachability.unreachable && others && empty < c.intervals.maintenance) {
 		return // one who reaches machines should lead
 	}
-	if l == nil || l.Label == c.settings.Label && l.Boot != c.bootID {
-		op := protocol.Op{Put: keyLeader, Value: records.LeaderRecord{Label: c.settings.Label, Boot: c.bootID}, Lease: m.leaseID}
+	if l == nil || l.Label == c.settings.Label && l.BootID != c.bootID {
+		op := protocol.Operation{Put: keyLeader, Value: records.Leader{Label: c.settings.Label, BootID: c.bootID}, Lease: m.leaseID}
 		m.writeKey([]protocol.Guard{c.mirror.guard(keyLeader)}, op)
 		return
 	}
@@ -196,9 +196,9 @@
 	}
 }
 
-func (m *membership) writeKey(guards []protocol.Guard, op protocol.Op) {
+func (m *membership) writeKey(guards []protocol.Guard, op protocol.Operation) {
 	m.keyWriteInFlight = true
-	m.core.mirror.commit(guards, []protocol.Op{op}, func(d CommitResult) {
+	m.core.mirror.commit(guards, []protocol.Operation{op}, func(d CommitResult) {
 		if d.Outcome == CommitRejected {
 			m.leaseID, m.keyWriteInFlight = 0, false // the lease has ended
 			return
@@ -230,20 +230,20 @@
 		switch {
 		case label == c.settings.Label:
 			if !c.shard.reachability.unreachable || len(c.mirror.nodes) == 1 {
-				want[label] = n.Boot
+				want[label] = n.BootID
 			}
-		case c.scheduler.hearsMember(label, n.Boot):
-			want[label] = n.Boot
+		case c.scheduler.hearsMember(label, n.BootID):
+			want[label] = n.BootID
 		default:
 			missing = true
-			unheard = unheard || !c.scheduler.reportsUnreachable(label, n.Boot)
+			unheard = unheard || !c.scheduler.reportsUnreachable(label, n.BootID)
 		}
 	}
 	idle := len(want) == 0 && unheard
 	if m.stepdown.ShouldStepDown(c.now.Monotonic, idle, c.intervals.maintenance) && !m.keyWriteInFlight {
 		c.logInfo("no machine can be heard here or by any member, another that is not heard may lead")
 		m.stepdown.SteppedDown(c.now.Monotonic)
-		m.writeKey([]protocol.Guard{m.leaderGuard()}, protocol.Op{Delete: keyLeader})
+		m.writeKey([]protocol.Guard{m.leaderGuard()}, protocol.Operation{Delete: keyLeader})
 		return
 	}
 	// A map of this node alone would take the machines from those who may well serve them,
@@ -262,13 +262,13 @@
 	if m.epoch() > c.scheduler.epochAtElection && maps.Equal(rec.Members, want) {
 		return
 	}
-	next := records.MapRecord{Epoch: 1, Leader: c.settings.Label, Members: maps.Clone(want)}
+	next := records.ShardMap{Epoch: 1, Leader: c.settings.Label, Members: maps.Clone(want)}
 	if rec != nil {
 		next.Epoch = rec.Epoch + 1
 	}
 	m.mapWriteInFlight = true
 	guards := []protocol.Guard{m.leaderGuard(), c.mirror.guard(keyShardMap)}
-	c.mirror.commit(guards, []protocol.Op{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
+	c.mirror.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
 		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/16, func() { m.mapWriteInFlight = false })
 	})
 }
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -49,7 +49,7 @@
 
 // jobEntry is a job in the mirror.
 type jobEntry struct {
-	record        records.JobRecord
+	record        records.Job
 	version       uint64            // of what the mirror holds of it, 0: it is not accepted
 	recordVersion uint64            // of its own key, 0: there is none yet
 	doneBlocks    []records.TaskSet // by block
@@ -76,7 +76,7 @@
 
 // waitingSince is the time of day, in seconds, from which a job's waiting counts: its submission,
 // or when the last job that it needs was done.
-func (j *jobEntry) waitingSince() float64 { return max(j.record.At, j.readyAt) }
+func (j *jobEntry) waitingSince() float64 { return max(j.record.SubmittedAt, j.readyAt) }
 
 func (j *jobEntry) isFinal() bool { return j.record.State != protocol.JobQueued }
 
@@ -112,14 +112,14 @@
 	garbage        map[string]bool              // keys of jobs that are over, to be deleted
 	chunks         map[string]map[string]string // of long records, by job and key
 	chunkedRecords *chunkedRecords
-	nodes          map[string]records.NodeRecord
-	leader         *records.LeaderRecord
-	shardMap       *records.MapRecord
-	machineRecords *orderedMap[*records.MachineRecord]
+	nodes          map[string]records.Node
+	leader         *records.Leader
+	shardMap       *records.ShardMap
+	machineRecords *orderedMap[*records.Machine]
 	registryPages  *orderedMap[[]string]            // the register's keys, and the machines that each holds
 	machineTypes   map[string]*protocol.MachineType // empty until all are known
 	partialTypes   map[string]*protocol.MachineType // those that have been read so far
-	estimates      *records.EstimateRecord
+	estimates      *records.Estimates
 
 	nextWatchAt    time.Duration // when the next watch may be opened
 	nextBarrierAt  time.Duration // when the next barrier may leave
@@ -142,9 +142,9 @@
 	l.dependencies, l.derivedAborts = dag.New(), map[string]bool{}
 	l.garbage, l.chunks = map[string]bool{}, map[string]map[string]string{}
 	clear(l.batches.stored)
-	l.nodes = map[string]records.NodeRecord{}
+	l.nodes = map[string]records.Node{}
 	l.leader, l.shardMap, l.estimates = nil, nil, nil
-	l.machineRecords, l.registryPages = newOrderedMap[*records.MachineRecord](), newOrderedMap[[]string]()
+	l.machineRecords, l.registryPages = newOrderedMap[*records.Machine](), newOrderedMap[[]string]()
 	l.machineTypes, l.partialTypes = map[string]*protocol.MachineType{}, map[string]*protocol.MachineType{}
 }
 
@@ -302,10 +302,10 @@
 }
 
 // commit runs a transaction; f gets the outcome.
-func (l *storeMirror) commit(guards []protocol.Guard, ops []protocol.Op, f func(CommitResult)) {
+func (l *storeMirror) commit(guards []protocol.Guard, ops []protocol.Operation, f func(CommitResult)) {
 	l.lastCommitID++
 	l.pendingCommits[l.lastCommitID] = f
-	l.core.emit(Commit{ID: l.lastCommitID, Txn: protocol.Txn{If: guards, Then: ops}})
+	l.core.emit(Commit{ID: l.lastCommitID, Txn: protocol.Transaction{If: guards, Then: ops}})
 }
 
 // awaitOutcome calls f once the mirror holds what became of a write: at once if the
@@ -358,22 +358,22 @@
 	case strings.HasPrefix(key, keyJobZones):
 		err = l.applyZones(key, value)
 	case strings.HasPrefix(key, keyNode):
-		var rec records.NodeRecord
+		var rec records.Node
 		if err = protocol.Decode(value, &rec); err == nil {
 			l.nodes[key[len(keyNode):]] = rec
 		}
 	case strings.HasPrefix(key, keyRegistryPage):
-		rec := &records.MachinesRecord{}
+		rec := &records.RegistryPage{}
 		if err = protocol.Decode(value, rec); err == nil {
 			l.putRegistryPage(key[len(keyRegistryPage):], rec)
 		}
 	case key == keyLeader:
-		rec := &records.LeaderRecord{}
+		rec := &records.Leader{}
 		if err = protocol.Decode(value, rec); err == nil {
 			l.leader = rec
 		}
 	case key == keyShardMap:
-		rec := &records.MapRecord{}
+		rec := &records.ShardMap{}
 		if err = protocol.Decode(value, rec); err == nil {
 			l.shardMap = rec
 		}
@@ -383,7 +383,7 @@
 			l.applyMachineTypes(&rec)
 		}
 	case key == keyEstimate:
-		rec := &records.EstimateRecord{}
+		rec := &records.Estimates{}
 		if err = protocol.Decode(value, rec); err == nil {
 			l.estimates = rec
 		}
@@ -394,7 +394,7 @@
 
 // applyJob takes a job's own record into the mirror.
 func (l *storeMirror) applyJob(id string, run bool, value protocol.Raw, version uint64) error {
-	var rec records.JobRecord
+	var rec records.Job
 	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
@@ -412,7 +412,7 @@
 	if j.version > version || j.recordVersion == version {
 		return nil // nothing new: the pieces of a long record are read once
 	}
-	if rec.Pieces > 0 {
+	if rec.Chunks > 0 {
 		if err := l.assembleRecord(&rec); err != nil {
 			return err
 		}
@@ -442,12 +442,12 @@
 		l.garbage[key] = true
 	}
 	if l.core.membership.leading {
-		l.core.logDebug("over", "job", id, "state", j.record.State, "why", j.record.Bad)
+		l.core.logDebug("over", "job", id, "state", j.record.State, "why", j.record.StopReason)
 	}
 	l.core.shard.stopJob(j)
 	l.archive.add(&j.record, j.version)
 	delete(l.jobs, id)
-	l.dependencies.MarkFinished(id, j.record.State == protocol.JobDone, j.record.Over)
+	l.dependencies.MarkFinished(id, j.record.State == protocol.JobDone, j.record.DoneAt)
 }
 
 func (l *storeMirror) logUnreadable(key string, err error) {
@@ -463,7 +463,7 @@
 	if err != nil || n < 0 || n > protocol.MaxTasks/tasks {
 		return fmt.Errorf("progress key %q", name)
 	}
-	var rec records.ProgressRecord
+	var rec records.Progress
 	if err := protocol.Decode(value, &rec); err != nil {
 		return err
 	}
@@ -480,7 +480,7 @@
 		j.doneBlocks = append(j.doneBlocks, nil)
 	}
 	// A task that was done stays so, whichever key says it.
-	j.doneCount += j.doneBlocks[block].Join(set, first/8)
+	j.doneCount += j.doneBlocks[block].Merge(set, first/8)
 	l.core.scheduler.progressSaved(id)
 	return nil
 }
@@ -543,15 +543,15 @@
 
 // replyRetry answers that the request must be repeated, at once and with a time.
 func (l *storeMirror) replyRetry(id RequestID, why string) {
-	l.core.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorAnswer{Error: why}, RetryAfter: time.Second})
+	l.core.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorResponse{Error: why}, RetryAfter: time.Second})
 }
 
 func (l *storeMirror) replyUnknownJob(id RequestID) {
-	l.core.emit(Reply{ID: id, Status: ReplyNotFound, Body: protocol.ErrorAnswer{Error: "no such job"}})
+	l.core.emit(Reply{ID: id, Status: ReplyNotFound, Body: protocol.ErrorResponse{Error: "no such job"}})
 }
 
 func (l *storeMirror) replyJob(id RequestID, status ReplyStatus, j *jobEntry) {
-	a := protocol.JobAnswer{ID: j.record.Spec.ID, State: j.record.State, Done: j.doneCount, Reason: j.record.Bad}
+	a := protocol.JobResponse{ID: j.record.Spec.ID, State: j.record.State, Done: j.doneCount, Reason: j.record.StopReason}
 	if !j.isFinal() {
 		a.Running = j.leaderView.Running
 		a.Reason = j.leaderView.Reason
@@ -608,8 +608,8 @@
 		l.reject(id, spec.ID, why)
 		return
 	}
-	rec := records.JobRecord{Spec: spec, State: protocol.JobQueued, At: l.core.now.Wall}
-	if len(spec.Needs) > 0 {
+	rec := records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: l.core.now.Wall}
+	if len(spec.Dependencies) > 0 {
 		l.submitDependent(id, rec, false)
 		return
 	}
@@ -627,7 +627,7 @@
 		case l.acceptedJob(ref) != nil:
 			l.replyJob(id, ReplyOK, l.acceptedJob(ref))
 		default:
-			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorAnswer{Error: why}})
+			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorResponse{Error: why}})
 		}
 	})
 }
@@ -643,9 +643,9 @@
 }
 
 // admit writes a submission; needy: its user named jobs that it needs.
-func (l *storeMirror) admit(id RequestID, rec records.JobRecord, needy bool) {
+func (l *storeMirror) admit(id RequestID, rec records.Job, needy bool) {
 	spec := rec.Spec
-	size := protocol.TextSize(rec)
+	size := protocol.JSONSize(rec)
 	if size > l.core.maxValueBytes()-batchOverhead {
 		l.chunkedRecords.admit(id, rec)
 		return
@@ -654,8 +654,8 @@
 		l.batches.enqueue(submission{id, rec, needy, size})
 		return
 	}
-	key := (&jobEntry{record: rec, dependent: len(spec.Needs) > 0}).recordKey()
-	l.commit(notAcceptedGuards(spec.ID, needy), []protocol.Op{{Put: key, Value: rec}}, func(d CommitResult) {
+	key := (&jobEntry{record: rec, dependent: len(spec.Dependencies) > 0}).recordKey()
+	l.commit(notAcceptedGuards(spec.ID, needy), []protocol.Operation{{Put: key, Value: rec}}, func(d CommitResult) {
 		switch d.Outcome {
 		case Committed:
 			l.replyAccepted(id, &rec)
@@ -675,11 +675,11 @@
 }
 
 // replyAccepted tells a user that a job is accepted.
-func (l *storeMirror) replyAccepted(id RequestID, rec *records.JobRecord) {
+func (l *storeMirror) replyAccepted(id RequestID, rec *records.Job) {
 	s := &rec.Spec
 	l.core.logDebug("accepted", "job", s.ID, "class", s.Class, "team", s.Team, "urgency", s.Urgency,
 		"tasks", s.Tasks, "cpus", s.CPUs, "estimate", s.EstimateS, "checkpoint", s.CheckpointS)
-	l.core.emit(Reply{ID: id, Status: ReplyAccepted, Body: protocol.JobAnswer{ID: s.ID, State: rec.State, Reason: rec.Bad}})
+	l.core.emit(Reply{ID: id, Status: ReplyAccepted, Body: protocol.JobResponse{ID: s.ID, State: rec.State, Reason: rec.StopReason}})
 }
 
 // replyUncertain answers a submission whose write had no answer, once the mirror has been read.
@@ -750,7 +750,7 @@
 			case d.Outcome == Committed:
 				l.cancellations.Record(ref, d.Answer.Revision)
 				l.core.degraded.cancellationConfirmed(ref)
-				l.core.emit(Reply{ID: id, Status: ReplyOK, Body: protocol.JobAnswer{ID: ref, State: protocol.JobCancelled, Done: j.doneCount}})
+				l.core.emit(Reply{ID: id, Status: ReplyOK, Body: protocol.JobResponse{ID: ref, State: protocol.JobCancelled, Done: j.doneCount}})
 			case (d.Outcome == CommitConflict || d.Outcome == CommitUnknown) && tries < 3:
 				l.cancel(id, ref, tries+1) // done came first, or the outcome is open: look again
 			default:
@@ -761,21 +761,21 @@
 }
 
 // finalRecord is what is kept of a job that is over.
-func finalRecord(j *jobEntry, state, why string) records.JobRecord {
+func finalRecord(j *jobEntry, state, why string) records.Job {
 	s := j.record.Spec
-	return records.JobRecord{
+	return records.Job{
 		Spec: protocol.Job{ID: s.ID, Class: s.Class, Team: s.Team, Kind: s.Kind, Urgency: s.Urgency, Tasks: s.Tasks,
 			CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB},
-		State: state, At: j.record.At, Bad: why,
+		State: state, SubmittedAt: j.record.SubmittedAt, StopReason: why,
 	}
 }
 
 // finalOps writes a job's final state and drops what else is kept of it, as far as one
 // transaction goes.
-func (l *storeMirror) finalOps(j *jobEntry, rec records.JobRecord) []protocol.Op {
-	ops := []protocol.Op{{Put: j.recordKey(), Value: rec}}
+func (l *storeMirror) finalOps(j *jobEntry, rec records.Job) []protocol.Operation {
+	ops := []protocol.Operation{{Put: j.recordKey(), Value: rec}}
 	for _, key := range j.ownedKeys[:min(len(j.ownedKeys), l.core.maxTxnOps()-1)] {
-		ops = append(ops, protocol.Op{Delete: key})
+		ops = append(ops, protocol.Operation{Delete: key})
 	}
 	return ops
 }
@@ -787,7 +787,7 @@
 		return
 	}
 	guards := []protocol.Guard{c.membership.leaderGuard()}
-	var ops []protocol.Op
+	var ops []protocol.Operation
 	for _, key := range sortedKeys(l.garbage) {
 		if l.versions[key] == 0 {
 			delete(l.garbage, key)
@@ -798,7 +798,7 @@
 		}
 		c.scheduler.progressWriteTokens--
 		guards = append(guards, l.guard(key))
-		ops = append(ops, protocol.Op{Delete: key})
+		ops = append(ops, protocol.Operation{Delete: key})
 	}
 	if len(ops) == 0 {
 		return
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -22,15 +22,15 @@
 		case t.state == protocol.TaskExited:
 			// A completed task is cleared only once that is durable, or a crash
 			// of every controller would lose the only trace of it.
-			if t.exitReason != protocol.WhyDone || over || j.isTaskDone(t.taskIndex) || j.record.Spec.Kind == protocol.KindService {
-				clears = append(clears, protocol.Command{Op: protocol.OpForget, Task: t.task, Attempt: t.number})
+			if t.exitReason != protocol.ExitDone || over || j.isTaskDone(t.taskIndex) || j.record.Spec.Kind == protocol.KindService {
+				clears = append(clears, protocol.Command{Kind: protocol.CommandForget, Task: t.task, Attempt: t.number})
 				direct = direct || t.callID != 0 && t.startToken == r.token
-				clearNow = clearNow || t.exitReason != protocol.WhyDone || p.core.now.Monotonic-t.endedAt > p.core.intervals.workerLease/2
+				clearNow = clearNow || t.exitReason != protocol.ExitDone || p.core.now.Monotonic-t.endedAt > p.core.intervals.workerLease/2
 			}
 		case over || j.isTaskDone(t.taskIndex):
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: t.task, Attempt: t.number})
+			cmds = append(cmds, protocol.Command{Kind: protocol.CommandStop, Task: t.task, Attempt: t.number})
 		case t.stopRequested && (t.stopNow || t.state != protocol.TaskSaving):
-			stop := protocol.Command{Op: protocol.OpStop, Task: t.task, Attempt: t.number}
+			stop := protocol.Command{Kind: protocol.CommandStop, Task: t.task, Attempt: t.number}
 			if !t.stopNow {
 				stop.GraceS = j.record.Spec.SaveS
 			}
@@ -59,7 +59,7 @@
 		} else {
 			t.phase = phaseSentInReply
 		}
-		cmds = append(cmds, protocol.Command{Op: protocol.OpStart, Task: t.task, Attempt: t.number})
+		cmds = append(cmds, protocol.Command{Kind: protocol.CommandStart, Task: t.task, Attempt: t.number})
 	}
 	return cmds
 }
@@ -73,13 +73,13 @@
 // is not to be trusted for more.
 //
 // Guards against renewing a machine's lease with an answer that leaves a cancelled task on it.
-func (p *shard) stopCommands(rep *protocol.Report) []protocol.Command {
+func (p *shard) stopCommands(rep *protocol.Heartbeat) []protocol.Command {
 	var cmds []protocol.Command
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
-		ref, _, err := protocol.ParseTask(t.Task)
+		ref, _, err := protocol.ParseTaskName(t.Task)
 		if err == nil && t.State != protocol.TaskExited && p.mustNotRun(ref, p.core.mirror.acceptedJob(ref)) {
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt})
+			cmds = append(cmds, protocol.Command{Kind: protocol.CommandStop, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	return cmds
@@ -179,7 +179,7 @@
 }
 
 // resolveHeld lets f decide which of the held tasks stay.
-func (p *shard) resolveHeld(list []peerproto.TaskTry, f func(*machine, *taskAttempt) bool) {
+func (p *shard) resolveHeld(list []peerproto.TaskAttempt, f func(*machine, *taskAttempt) bool) {
 	for _, x := range list {
 		r := p.machines.get(x.Machine)
 		if r == nil {
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -127,21 +127,21 @@
 	if v.attempt.job.effectiveUrgency <= q.effectiveUrgency {
 		why = "tasks stopped to give another team its guarantee"
 	}
-	o.requestStop(v.machine.shard, v.attempt, peerproto.TaskStop{Task: v.task, Machine: v.machine.name, Why: why, Now: o.isUrgent(q)}, q.effectiveUrgency)
+	o.requestStop(v.machine.shard, v.attempt, peerproto.StopTask{Task: v.task, Machine: v.machine.name, Reason: why, Immediately: o.isUrgent(q)}, q.effectiveUrgency)
 	v.machine.preempting, v.machine.preemptorUrgency = true, min(v.attempt.stopUrgency, v.machine.preemptorUrgency)
 }
 
 // requestStop has a part stop a task. Until it has, work that is less urgent than due does not
 // take its room.
-func (o *scheduler) requestStop(p *shardView, f *inflightAttempt, stop peerproto.TaskStop, due int) {
+func (o *scheduler) requestStop(p *shardView, f *inflightAttempt, stop peerproto.StopTask, due int) {
 	f.stopRequested, f.stopUrgency = true, due
 	o.stopRequests[stop.Task] = f
 	f.job.stopCount++
-	f.job.stopReason = stop.Why
+	f.job.stopReason = stop.Reason
 	p.outbox.Stop = append(p.outbox.Stop, stop)
 	p.outboxDue = true
 	if f.job.stopCount == 1 {
-		o.core.logInfo("stopping tasks", "job", f.job.id, "why", stop.Why)
+		o.core.logInfo("stopping tasks", "job", f.job.id, "why", stop.Reason)
 	}
 }
 
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -47,7 +47,7 @@
 	q.finalizing = true
 	j := q.entry
 	rec := finalRecord(j, protocol.JobDone, "")
-	rec.Over = math.Floor(o.core.now.Wall) // as the archive keeps it, so that it is the same for every leader
+	rec.DoneAt = math.Floor(o.core.now.Wall) // as the archive keeps it, so that it is the same for every leader
 	guards := []protocol.Guard{o.core.membership.leaderGuard(), j.recordGuard()}
 	o.core.mirror.commit(guards, o.core.mirror.finalOps(j, rec), func(d CommitResult) {
 		o.core.mirror.awaitOutcome(d.Outcome.Decided(), o.core.intervals.maintenance/4, func() { q.finalizing = false })
@@ -89,12 +89,12 @@
 	// the blocks keep a write that is applied late from taking back what a later
 	// one has added: a task was once missing from both and never started again.
 	guards := []protocol.Guard{o.core.membership.leaderGuard(), q.entry.recordGuard()}
-	var ops []protocol.Op
+	var ops []protocol.Operation
 	for _, b := range sortedKeys(sets) {
 		if len(ops) < o.core.maxTxnOps() {
 			key := prefix + q.id + "/" + strconv.Itoa(b)
 			guards = append(guards, o.core.mirror.guard(key))
-			ops = append(ops, protocol.Op{Put: key, Value: records.ProgressRecord{Bits: sets[b].Text()}})
+			ops = append(ops, protocol.Operation{Put: key, Value: records.Progress{Bits: sets[b].Text()}})
 		}
 	}
 	o.progressWriteTokens -= float64(len(ops))
--- a/internal/core/randomized_test.go
+++ b/internal/core/randomized_test.go
@@ -272,7 +272,7 @@
 		spec.Urgency = rapid.SampledFrom([]string{protocol.UrgencyNormal, protocol.UrgencyLow, protocol.UrgencyHigh, protocol.UrgencyProduction}).Draw(rt, "urgency")
 		spec.CPUs = rapid.SampledFrom([]float64{1, 0.5, 2, 4}).Draw(rt, "cpus")
 		spec.Image = fmt.Sprintf("img-%d", rapid.IntRange(0, 3).Draw(rt, "image"))
-		spec.Spot = rapid.Bool().Draw(rt, "spot")
+		spec.AllowSpot = rapid.Bool().Draw(rt, "spot")
 		if rapid.Bool().Draw(rt, "saves") {
 			spec.CheckpointS, spec.SaveS = 4, 1
 		}
@@ -296,14 +296,14 @@
 		case 3:
 			spec.Zone = rapid.SampledFrom(mt.Zones).Draw(rt, "zone")
 		case 4:
-			spec.Types = []string{mt.Name}
+			spec.MachineTypes = []string{mt.Name}
 		}
 		behind := rapid.IntRange(0, 5).Draw(rt, "needs")
 		mistaken := rapid.IntRange(0, 11).Draw(rt, "mistaken") == 1
 		cancelled := rapid.IntRange(0, 7).Draw(rt, "cancelled") == 1
 		after := drawSpan(rt, "cancelled after", 1, 50)
 		s.At(max(drawSpan(rt, "submitted", 0, 60), d.upgradedAt*time.Duration(min(behind/3, 1))), func() {
-			spec.Needs = d.newestAccepted(behind)
+			spec.Dependencies = d.newestAccepted(behind)
 			j := s.Users.Submit(spec, run)
 			j.Mistaken = mistaken
 			d.jobs = append(d.jobs, j)
@@ -612,7 +612,7 @@
 				if teams := d.settings.Site.Teams; len(teams) > 0 {
 					spec.Team = teams[k%len(teams)].Name
 				}
-				spec.Spot = k%2 == 0
+				spec.AllowSpot = k%2 == 0
 				d.cpuSeconds += 5
 				d.jobs = append(d.jobs, s.Users.Submit(spec, 4))
 			}
@@ -632,7 +632,7 @@
 	case 0:
 		spec.CPUs = 4096
 	case 1:
-		spec.Types = []string{"no such type"}
+		spec.MachineTypes = []string{"no such type"}
 	}
 	s.Users.Never(spec)
 	for _, j := range d.jobs {
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -30,7 +30,7 @@
 
 // recordSize is how many bytes a machine takes on its shelf, in the form in which limits
 // are counted, or a few more.
-func recordSize(name string, m *records.MachineRecord) int {
+func recordSize(name string, m *records.Machine) int {
 	return 64 + len(name) + len(m.Addr) + len(m.Type) + len(m.Zone)
 }
 
@@ -51,7 +51,7 @@
 
 // pageUpdate is a shelf as it is to be written.
 type pageUpdate struct {
-	machines map[string]records.MachineRecord
+	machines map[string]records.Machine
 	bytes    int
 }
 
@@ -66,7 +66,7 @@
 	}
 	var come []string
 	for name, v := range c.scheduler.machines.all() {
-		if v.state.Up && !v.registered && !v.leaving {
+		if v.state.AcceptsTasks && !v.registered && !v.leaving {
 			come = append(come, name)
 		}
 	}
@@ -75,12 +75,12 @@
 		return
 	}
 	g.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
-	record := func(name string) records.MachineRecord {
+	record := func(name string) records.Machine {
 		if m := c.mirror.machineRecords.get(name); m != nil {
 			return *m
 		}
 		s := c.scheduler.machines.get(name).state
-		return records.MachineRecord{Addr: s.Addr, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
+		return records.Machine{Addr: s.Addr, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
 	}
 	goes := func(name string) bool { return c.fleet.wasDeleted(name) || c.fleet.mayDeregister(name) }
 	filled, large := map[string]int{}, map[string]bool{}
@@ -91,7 +91,7 @@
 	changed := map[string]*pageUpdate{}
 	edit := func(shelf string) *pageUpdate {
 		if changed[shelf] == nil {
-			changed[shelf] = &pageUpdate{machines: map[string]records.MachineRecord{}, bytes: filled[shelf]}
+			changed[shelf] = &pageUpdate{machines: map[string]records.Machine{}, bytes: filled[shelf]}
 			for _, name := range c.mirror.registryPages.get(shelf) {
 				changed[shelf].machines[name] = record(name)
 			}
@@ -173,12 +173,12 @@
 	// The map's version too: its part keeps a machine that is withdrawn empty in this
 	// epoch, and whoever owns it in a later one has seen that it is out.
 	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyShardMap)}
-	var ops []protocol.Op
+	var ops []protocol.Operation
 	for _, shelf := range sortedKeys(changed) {
 		guards = append(guards, c.mirror.guard(keyRegistryPage+shelf))
-		op := protocol.Op{Put: keyRegistryPage + shelf, Value: records.MachinesRecord{Machines: changed[shelf].machines}}
+		op := protocol.Operation{Put: keyRegistryPage + shelf, Value: records.RegistryPage{Machines: changed[shelf].machines}}
 		if len(changed[shelf].machines) == 0 {
-			op = protocol.Op{Delete: keyRegistryPage + shelf}
+			op = protocol.Operation{Delete: keyRegistryPage + shelf}
 		}
 		ops = append(ops, op)
 	}
@@ -191,7 +191,7 @@
 func pageKey(n int) string { return fmt.Sprintf("%04d", n) }
 
 // putRegistryPage takes a key of the register into the mirror.
-func (l *storeMirror) putRegistryPage(shelf string, rec *records.MachinesRecord) {
+func (l *storeMirror) putRegistryPage(shelf string, rec *records.RegistryPage) {
 	was := l.registryPages.get(shelf)
 	names := sortedKeys(rec.Machines)
 	l.registryPages.set(shelf, names)
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -103,7 +103,7 @@
 		s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 			for _, c := range cmds {
 				line, ok := c.(core.PeerReceived)
-				if ok && ended && n != member && line.Message.Full && line.Message.Epoch == epoch {
+				if ok && ended && n != member && line.Message.Snapshot && line.Message.Epoch == epoch {
 					t.Error("the new process tells of the former one's machines")
 				}
 				if !ok || n != member {
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -26,7 +26,7 @@
 	var have, spot float64
 	for name, h := range f.instances.all() {
 		v := c.scheduler.machines.get(name)
-		if h.returnReason == "" && v != nil && v.state.Up && v.upSince >= 0 && c.machineTypes()[h.typeName] != nil {
+		if h.returnReason == "" && v != nil && v.state.AcceptsTasks && v.upSince >= 0 && c.machineTypes()[h.typeName] != nil {
 			up = append(up, h)
 			if f.isUsable(h) {
 				have += c.machineTypes()[h.typeName].CPUs
@@ -82,7 +82,7 @@
 // and returned for a new one, for ever, where nothing is rented cheap.
 func (f *fleet) isConstrained(q *queuedJob) bool {
 	s := &q.entry.record.Spec
-	return len(s.Types) > 0 || s.Zone != "" || s.OneZone || s.Spread || !s.Spot || s.Kind == protocol.KindGang || !f.hasSpotType(s)
+	return len(s.MachineTypes) > 0 || s.Zone != "" || s.OneZone || s.Spread || !s.AllowSpot || s.Kind == protocol.KindGang || !f.hasSpotType(s)
 }
 
 // hasSpotType reports whether a machine type that holds a task is rented cheap.
@@ -105,7 +105,7 @@
 		if len(q.entry.record.Zones) > 0 {
 			zone = slices.Contains(q.entry.record.Zones, h.zone)
 		}
-		if mt := f.core.machineTypes()[h.typeName]; zone && mt != nil && fitsEmptyMachine(mt, s) && allowsType(s, h.typeName) && (!h.spot || s.Spot) {
+		if mt := f.core.machineTypes()[h.typeName]; zone && mt != nil && fitsEmptyMachine(mt, s) && allowsType(s, h.typeName) && (!h.spot || s.AllowSpot) {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 	for name, h := range f.instances.all() {
 		v := c.scheduler.machines.get(name)
 		mt := c.machineTypes()[h.typeName]
-		up := v != nil && v.state.Up
+		up := v != nil && v.state.AcceptsTasks
 		age := c.now.Monotonic - h.createdAt
 		switch {
 		case h.returnReason != "":
@@ -146,14 +146,14 @@
 		case mt != nil && v == nil && age > f.bootTimeout(mt) && age > time.Minute:
 			f.failedBoots[h.typeName]++
 			f.beginReturn(h, "did not come up")
-		case v != nil && !up && v.state.Sure && c.now.Monotonic-v.emptySince > f.silenceBeforeReturn(h.zone):
+		case v != nil && !up && v.state.TasksComplete && c.now.Monotonic-v.emptySince > f.silenceBeforeReturn(h.zone):
 			f.beginReturn(h, "silent")
 		case v != nil && v.state.Silent && v.upSince >= 0 && f.isZoneReachable(v):
 			// Waiting for its lease to end would hold its tasks up for as long
 			// again; once the cloud has deleted it they are surely gone.
 			f.beginReturn(h, "dead")
 			h.forced = true
-		case v != nil && !v.state.Sure && v.state.Silent && c.now.Monotonic-v.unsureSince > max(c.intervals.heartbeat, c.intervals.workerLease/5) && f.isZoneReachable(v):
+		case v != nil && !v.state.TasksComplete && v.state.Silent && c.now.Monotonic-v.unsureSince > max(c.intervals.heartbeat, c.intervals.workerLease/5) && f.isZoneReachable(v):
 			// After a change of the map, the last machines that do not answer
 			// hold up everything that may be running on them. Each has its own
 			// time to answer: counted from the change of the map alone, a quarter
@@ -211,7 +211,7 @@
 func (f *fleet) mayDeregister(name string) bool {
 	h, v := f.instances.get(name), f.core.scheduler.machines.get(name)
 	return h != nil && h.returnReason != "" && !h.forced && v != nil && v.listedEpoch == f.core.scheduler.epoch &&
-		v.state.Sure && v.state.Up && v.state.Draining && len(v.attempts) == 0
+		v.state.TasksComplete && v.state.AcceptsTasks && v.state.Draining && len(v.attempts) == 0
 }
 
 func (f *fleet) handleDelete(d DeleteInstancesResult) {
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -11,7 +11,7 @@
 
 // createRequest is a rental request under way.
 type createRequest struct {
-	request  protocol.Hire
+	request  protocol.CreateMachinesRequest
 	attempts int
 }
 
@@ -119,12 +119,12 @@
 			if strandedIn == "" {
 				n = (n + len(o.machineType.Zones) - 1) / len(o.machineType.Zones)
 			}
-			n = min(n, protocol.MaxHire)
+			n = min(n, protocol.MaxCreate)
 			if f.requestPending(o.pool) || !f.takeScalingCall() {
 				continue
 			}
 			f.requestCounter++
-			req := protocol.Hire{
+			req := protocol.CreateMachinesRequest{
 				Request: fmt.Sprintf("h-%s-%d-%d", c.bootID, c.scheduler.epoch, f.requestCounter),
 				Type:    o.typeName, Zone: o.zone, Spot: o.spot, Count: n,
 			}
@@ -153,7 +153,7 @@
 	tasks := math.Ceil(float64(q.waitingTasks()+len(q.inflight)) / float64(len(zones)))
 	if s.Kind == protocol.KindArray {
 		few := math.Ceil(tasks * q.predictedSeconds / max(f.minUsefulSeconds(s), q.predictedSeconds, 1))
-		if len(s.Types) == 0 && zones[0] == "" && s.Spot {
+		if len(s.MachineTypes) == 0 && zones[0] == "" && s.AllowSpot {
 			few = 1 // any machine will do: it takes part in the common demand
 		}
 		tasks = min(tasks, few)
@@ -162,7 +162,7 @@
 		have := 0.0
 		slots := func(typ, zone string, spot bool) float64 {
 			mt := f.core.machineTypes()[typ]
-			if mt == nil || !fitsEmptyMachine(mt, s) || !allowsType(s, typ) || z != "" && z != zone || spot && !s.Spot {
+			if mt == nil || !fitsEmptyMachine(mt, s) || !allowsType(s, typ) || z != "" && z != zone || spot && !s.AllowSpot {
 				return 0
 			}
 			return tasksPerMachine(mt, s)
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -358,8 +358,8 @@
 	s := newScenario(t, 53)
 	together, apart, pinned := simulation.Array(9), simulation.Array(9), simulation.Array(5)
 	together.OneZone, apart.Spread, pinned.Zone = true, true, "b"
-	pinned.Spot = false
-	pinned.Types = []string{"box"}
+	pinned.AllowSpot = false
+	pinned.MachineTypes = []string{"box"}
 	s.Users.Submit(together, 15)
 	s.Users.Submit(apart, 15)
 	s.Users.Submit(pinned, 15)
@@ -493,7 +493,7 @@
 	team, size, zone, limit := simulation.Array(1), simulation.Array(1), simulation.Array(1), simulation.Array(1)
 	team.Team = "green"
 	size.CPUs = 17
-	zone.Zone, zone.Types = "b", []string{"barn"}
+	zone.Zone, zone.MachineTypes = "b", []string{"barn"}
 	limit.Team, limit.Kind, limit.Tasks = "red", protocol.KindService, 25
 	s.requireRejected(team, size, zone, limit)
 }
@@ -1031,7 +1031,7 @@
 	}
 	s := &scenario{World: simulation.Build(46, set, types), t: t}
 	last := simulation.Array(6)
-	last.Types = []string{"box-59"}
+	last.MachineTypes = []string{"box-59"}
 	s.Users.Submit(last, 10)
 	s.eventually(90*second, "the job is done", s.Users.AllTold)
 }
@@ -1052,7 +1052,7 @@
 	s.eventually(20*second, "it is ready", func() bool { return n.Ready })
 	for i, want := range map[int]string{0: protocol.JobCancelled, 51: protocol.JobDone, 4499: protocol.JobDone} {
 		n.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(r core.Reply) {
-			if a := r.Body.(protocol.JobAnswer); r.Status != 200 || a.State != want || a.Done == 0 && want == protocol.JobDone {
+			if a := r.Body.(protocol.JobResponse); r.Status != 200 || a.State != want || a.Done == 0 && want == protocol.JobDone {
 				t.Errorf("%d: %+v", i, r)
 			}
 		})
@@ -1103,7 +1103,7 @@
 		s.Cloud.Add("box", "b", true)
 	}
 	solid := simulation.Array(40)
-	solid.Spot = false
+	solid.AllowSpot = false
 	s.Users.Submit(solid, 10)
 	s.eventually(200*second, "they are returned", func() bool { return s.Cloud.Deleted == 4 })
 	s.Cloud.Capacity["box"] = 4
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -174,7 +174,7 @@
 		o.queue.set(id, q)
 		o.core.estimator.jobArrived(&j.record.Spec)
 		if s := &j.record.Spec; o.core.debug {
-			o.core.logDebug("queued", "job", id, "at", j.record.At, "team", s.Team, "class", s.Class, "tasks", s.Tasks, "cpus", s.CPUs, "guess_s", s.EstimateS)
+			o.core.logDebug("queued", "job", id, "at", j.record.SubmittedAt, "team", s.Team, "class", s.Class, "tasks", s.Tasks, "cpus", s.CPUs, "guess_s", s.EstimateS)
 		}
 		if !q.unlocated {
 			o.core.fleet.jobArrived(q)
@@ -208,7 +208,7 @@
 	o.epoch, o.epochEnteredAt = rec.Epoch, o.core.now.Monotonic
 	o.attemptCounter = 0
 	for _, v := range o.machines.all() {
-		v.state.Sure, v.state.Kept, v.state.Up, v.unsureSince = false, false, false, o.core.now.Monotonic
+		v.state.TasksComplete, v.state.TasksBounded, v.state.AcceptsTasks, v.unsureSince = false, false, false, o.core.now.Monotonic
 		v.cordoned = false
 	}
 	for name := range o.core.mirror.machineRecords.all() {
@@ -225,7 +225,7 @@
 	for _, p := range o.shards {
 		// A part may have entered this epoch, and told all, before we did.
 		p.syncedEpoch, p.snapshotTasks = 0, nil
-		p.outbox, p.outboxDue = peerproto.PeerMessage{Resync: true}, true
+		p.outbox, p.outboxDue = peerproto.Message{Resync: true}, true
 	}
 	if first {
 		o.core.logDebug("taking over", "machines", o.machines.len(), "jobs", o.queue.len())
@@ -265,12 +265,12 @@
 			m := p.outbox
 			p.messagesSent++
 			m.Epoch, m.Seq = o.epoch, p.messagesSent
-			p.outbox, p.outboxDue = peerproto.PeerMessage{}, false
+			p.outbox, p.outboxDue = peerproto.Message{}, false
 			if p.session == loopbackLink {
 				o.core.loopback = append(o.core.loopback, func() { o.core.shard.handleLeaderMessage(&m) })
 				continue
 			}
-			for _, piece := range m.LeaderPieces() {
+			for _, piece := range m.LeaderChunks() {
 				o.core.emit(SendToPeer{Session: p.session, Message: piece})
 			}
 		}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -30,7 +30,7 @@
 	nextPlacementAt        time.Duration
 	unplaced               []*taskAttempt                   // dispatched, no room found yet
 	machinesByJob          map[string]*orderedMap[*machine] // by job: machines that have or had its tasks
-	returned               []peerproto.TaskTry
+	returned               []peerproto.TaskAttempt
 	confirmedCancellations []string // jobs of which this node has told a user that they are cancelled, to be passed on
 	leaderLink             uint64   // to the leader, 0: none
 	linkName               string
@@ -155,7 +155,7 @@
 
 // returnTask returns a task to the shared queue.
 func (p *shard) returnTask(t *taskAttempt) {
-	p.returned = append(p.returned, peerproto.TaskTry{Task: t.task, Attempt: t.number})
+	p.returned = append(p.returned, peerproto.TaskAttempt{Task: t.task, Attempt: t.number})
 }
 
 // releaseMachine drops a machine.
@@ -211,7 +211,7 @@
 }
 
 // adoptRegistered takes a machine of the register.
-func (p *shard) adoptRegistered(name string, rec *records.MachineRecord) {
+func (p *shard) adoptRegistered(name string, rec *records.Machine) {
 	if r := p.machines.get(name); r != nil {
 		r.registered = true
 		p.markCapacityChanged(r)
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -21,14 +21,14 @@
 	snapshotReadSeq uint64          // the last of our messages that it takes account of
 	unreachable     bool
 	messagesSent    uint64 // messages sent over the session
-	outbox          peerproto.PeerMessage
+	outbox          peerproto.Message
 	outboxDue       bool
 }
 
 func (o *scheduler) memberLinkUp(session uint64) {
 	o.shardLabels[session] = ""
 	if session == loopbackLink {
-		o.handleHello(session, &peerproto.Hello{Label: o.core.settings.Label, Boot: o.core.bootID})
+		o.handleHello(session, &peerproto.Hello{Label: o.core.settings.Label, BootID: o.core.bootID})
 	}
 }
 
@@ -55,8 +55,8 @@
 		o.core.emit(ClosePeer{Session: p.session})
 		delete(o.shardLabels, p.session)
 	}
-	p.boot, p.session, p.lastHeardAt, p.syncedEpoch, p.messagesSent, p.snapshotTasks = h.Boot, session, o.core.now.Monotonic, 0, 0, nil
-	p.outbox, p.outboxDue = peerproto.PeerMessage{}, false
+	p.boot, p.session, p.lastHeardAt, p.syncedEpoch, p.messagesSent, p.snapshotTasks = h.BootID, session, o.core.now.Monotonic, 0, 0, nil
+	p.outbox, p.outboxDue = peerproto.Message{}, false
 	for _, v := range o.machines.all() {
 		v.cordoned = v.cordoned && v.shard != p.label
 	}
@@ -92,14 +92,14 @@
 	o.core.degraded.handleVote(label, *w)
 }
 
-func (o *scheduler) handleShardMessage(session uint64, m *peerproto.PeerMessage) {
+func (o *scheduler) handleShardMessage(session uint64, m *peerproto.Message) {
 	label, ok := o.shardLabels[session]
 	if !ok {
 		return
 	}
 	if m.Hello != nil {
 		o.handleHello(session, m.Hello)
-		o.shards[m.Hello.Label].unreachable = m.Unfit
+		o.shards[m.Hello.Label].unreachable = m.Unreachable
 		return
 	}
 	p := o.shards[label]
@@ -107,7 +107,7 @@
 		return
 	}
 	p.lastHeardAt = o.core.now.Monotonic
-	p.unreachable = m.Unfit
+	p.unreachable = m.Unreachable
 	if !o.leading {
 		return
 	}
@@ -120,15 +120,15 @@
 		return
 	}
 	switch {
-	case m.Full:
-		if m.Piece > 0 && (p.snapshotTasks == nil || m.Piece != p.snapshotChunk+1) {
+	case m.Snapshot:
+		if m.Chunk > 0 && (p.snapshotTasks == nil || m.Chunk != p.snapshotChunk+1) {
 			return // its first pieces came before we were in this epoch: it is asked again
 		}
 		o.applySnapshot(p, m)
 	case p.syncedEpoch != o.epoch:
 		return // its whole picture is still to come
 	}
-	for _, name := range m.Dropped {
+	for _, name := range m.Released {
 		if v := o.machines.get(name); v != nil && v.shard == p.label {
 			v.listedEpoch = 0
 		}
@@ -160,10 +160,10 @@
 //
 // Guards against taking a dispatch for lost that is still on its way: a picture
 // made before the part had read it once had hundreds of tasks started twice.
-func (o *scheduler) applySnapshot(p *shardView, m *peerproto.PeerMessage) {
-	p.snapshotChunk = m.Piece
-	if m.Piece == 0 {
-		p.snapshotTasks, p.snapshotReadSeq = map[string]bool{}, m.Read
+func (o *scheduler) applySnapshot(p *shardView, m *peerproto.Message) {
+	p.snapshotChunk = m.Chunk
+	if m.Chunk == 0 {
+		p.snapshotTasks, p.snapshotReadSeq = map[string]bool{}, m.ReadSeq
 		for _, v := range o.machines.all() {
 			if v.shard == p.label {
 				v.listedEpoch = 0
@@ -199,7 +199,7 @@
 	}
 	v := o.ensureMachine(s.Name)
 	v.listedEpoch = o.epoch
-	wasUp := v.state.Up
+	wasUp := v.state.AcceptsTasks
 	if s.Partial {
 		old := &v.state
 		s.Addr, s.Type, s.Zone, s.Spot = old.Addr, old.Type, old.Zone, old.Spot
@@ -220,13 +220,13 @@
 			v.images[image] = true
 		}
 	}
-	if v.state.Sure && !s.Sure {
+	if v.state.TasksComplete && !s.TasksComplete {
 		v.unsureSince = o.core.now.Monotonic
 	}
 	tasks := s.Tasks
 	v.state, v.shard = *s, p.label
-	v.state.Tasks, v.state.Left, v.state.Images = nil, nil, nil
-	if s.Up && !wasUp && v.upSince < 0 {
+	v.state.Tasks, v.state.RemovedTasks, v.state.Images = nil, nil, nil
+	if s.AcceptsTasks && !wasUp && v.upSince < 0 {
 		v.upSince = o.core.now.Monotonic
 		delete(o.core.fleet.failedBoots, s.Type)
 		v.emptySince = o.core.now.Monotonic
@@ -237,7 +237,7 @@
 	switch {
 	case !v.listComplete():
 	case s.Partial:
-		for _, name := range s.Left {
+		for _, name := range s.RemovedTasks {
 			if f := v.attempts[name]; f != nil {
 				o.releaseClaim(name, f, v)
 			}
@@ -261,7 +261,7 @@
 }
 
 func (o *scheduler) applyTaskState(p *shardView, v *machineView, s *peerproto.MachineState, t *peerproto.TaskState) {
-	ref, index, err := protocol.ParseTask(t.Task)
+	ref, index, err := protocol.ParseTaskName(t.Task)
 	if err != nil {
 		return
 	}
@@ -301,7 +301,7 @@
 	f.claimants[s.Name] = true
 	v.claim(t.Task, f, o.core.now.Monotonic)
 	if f.number != t.Attempt {
-		if other := o.machines.get(f.machine); f.awaitingPlacement || !s.Sure || other != nil && other.state.Sure && f.machine != s.Name {
+		if other := o.machines.get(f.machine); f.awaitingPlacement || !s.TasksComplete || other != nil && other.state.TasksComplete && f.machine != s.Name {
 			return
 		}
 	}
@@ -319,8 +319,8 @@
 	if q == nil || j.isFinal() {
 		return
 	}
-	switch t.Why {
-	case protocol.WhyDone:
+	switch t.ExitReason {
+	case protocol.ExitDone:
 		if j.record.Spec.Kind == protocol.KindService || q.taskDone(index) {
 			return
 		}
@@ -330,18 +330,18 @@
 		if q.saveDueAt == 0 {
 			q.saveDueAt = o.core.now.Monotonic + o.core.intervals.workerLease/4
 		}
-		if t.RanS > 0 && !q.stoppedTasks[index] {
-			o.core.estimator.taskCompleted(q, t.RanS)
+		if t.RanSeconds > 0 && !q.stoppedTasks[index] {
+			o.core.estimator.taskCompleted(q, t.RanSeconds)
 		}
 		v.failedJobs = map[string]bool{}
-	case protocol.WhyStopped:
+	case protocol.ExitStopped:
 		q.stoppedTasks[index] = true
-	case protocol.WhyError:
+	case protocol.ExitFailed:
 		if f != nil && f.number == t.Attempt {
 			o.taskFailed(v, q, index)
 		}
 	}
-	if causesBackoff(t.Why) {
+	if causesBackoff(t.ExitReason) {
 		v.backoffUntil[q.id] = o.core.now.Monotonic + o.core.intervals.machineBackoff
 	}
 }
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -49,13 +49,13 @@
 	rec.Zones = zones
 	q.choosingZones = true
 	guards := []protocol.Guard{o.core.membership.leaderGuard(), q.entry.recordGuard()}
-	op := protocol.Op{Put: q.entry.recordKey(), Value: rec}
-	if protocol.TextSize(rec) > o.core.maxValueBytes() {
+	op := protocol.Operation{Put: q.entry.recordKey(), Value: rec}
+	if protocol.JSONSize(rec) > o.core.maxValueBytes() {
 		// It was written when values could be larger, or in pieces.
-		op = protocol.Op{Put: keyJobZones + q.id, Value: records.JobRecord{Zones: rec.Zones}}
+		op = protocol.Operation{Put: keyJobZones + q.id, Value: records.Job{Zones: rec.Zones}}
 		guards = append(guards, o.core.mirror.guard(op.Put))
 	}
-	o.core.mirror.commit(guards, []protocol.Op{op}, func(CommitResult) {
+	o.core.mirror.commit(guards, []protocol.Operation{op}, func(CommitResult) {
 		o.core.mirror.barrier(func(bool) { q.choosingZones = false })
 	})
 }
@@ -125,7 +125,7 @@
 	if !dry || c.now.Monotonic-since < c.intervals.workerLease {
 		return
 	}
-	if c.mirror.olderController() != "" || protocol.TextSize(q.entry.record) > c.maxValueBytes()-batchOverhead {
+	if c.mirror.olderController() != "" || protocol.JSONSize(q.entry.record) > c.maxValueBytes()-batchOverhead {
 		return
 	}
 	for _, z := range o.candidateZones(q, n) {
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -3,7 +3,9 @@
 import "time"
 
 // isLost reports whether a machine is neither heard nor able to do work.
-func (f *fleet) isLost(v *machineView) bool { return v.state.Silent || v.state.Sure && !v.state.Up }
+func (f *fleet) isLost(v *machineView) bool {
+	return v.state.Silent || v.state.TasksComplete && !v.state.AcceptsTasks
+}
 
 // isZonePartitioned reports whether most of a zone went silent a short while ago: then it is
 // the network that fails, and machines hired instead would boot for longer than
@@ -19,7 +21,7 @@
 	f.reachableByZone, f.machinesByZone = map[string]int{}, map[string]int{}
 	for _, v := range f.core.scheduler.machines.all() {
 		f.machinesByZone[v.state.Zone]++
-		if v.state.Sure && v.state.Up && !v.state.Silent {
+		if v.state.TasksComplete && v.state.AcceptsTasks && !v.state.Silent {
 			f.reachableByZone[v.state.Zone]++
 		}
 		// Machines in the register have been up, whoever led then. Guards against a leader
@@ -76,7 +78,7 @@
 		return false
 	}
 	seen, all := f.reachableByZone[v.state.Zone], f.machinesByZone[v.state.Zone]-1
-	if v.state.Sure && v.state.Up && !v.state.Silent {
+	if v.state.TasksComplete && v.state.AcceptsTasks && !v.state.Silent {
 		seen--
 	}
 	return seen > 0 && seen*2 >= all
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -47,7 +47,7 @@
 	if e.After != "" {
 		q += "&Since=" + url.QueryEscape(e.After)
 	}
-	var items protocol.Items
+	var items protocol.KeyPage
 	if c.rpc.Call("GET", c.addr, q, nil, &items, c.timeout, fasthttp.StatusOK) == fasthttp.StatusOK {
 		d.OK, d.Items, d.More, d.Revision = true, items.Items, items.More, items.Revision
 	}
@@ -70,8 +70,8 @@
 		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds/"+strconv.FormatUint(e.LeaseID, 10)+"/extend", nil, nil, c.timeout))
 		return d
 	}
-	var a protocol.LeaseAnswer
-	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds", protocol.LeaseRequest{TTLms: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
+	var a protocol.LeaseResponse
+	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds", protocol.LeaseRequest{TTLMillis: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
 	d.LeaseID = a.Lease
 	return d
 }
--- a/internal/kvfile/vault.go
+++ b/internal/kvfile/vault.go
@@ -207,7 +207,7 @@
 // load reads everything and holds it against the sums.
 func (v *Vault) load() (*kvstore.State, error) {
 	keys, leases := map[string]kvstore.Entry{}, map[uint64]int64{}
-	var events []protocol.Event
+	var events []protocol.WatchEvent
 	var sum uint64
 	records := 0
 	err := v.db.View(func(tx *bolt.Tx) error {
@@ -263,7 +263,7 @@
 			return err
 		}
 		return each(logBucket, func(_, value []byte) error {
-			var e protocol.Event
+			var e protocol.WatchEvent
 			err := msgpack.Unmarshal(value, &e)
 			events = append(events, e)
 			return err
--- a/internal/kvserver/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -89,7 +89,7 @@
 				defer wg.Done()
 				call := rpc.New(1, 20*time.Second)
 				for n := answered[c] + 1; ; n++ {
-					txn := protocol.Txn{If: []protocol.Guard{}, Then: []protocol.Op{
+					txn := protocol.Transaction{If: []protocol.Guard{}, Then: []protocol.Operation{
 						{Put: fmt.Sprintf("c/%d/a", c), Value: n}, {Put: fmt.Sprintf("c/%d/b", c), Value: n}}}
 					if call.Call("POST", addr, "/commit", txn, nil, 20*time.Second) != 200 {
 						return
@@ -136,7 +136,7 @@
 	cmd, addr := process(t, path, "CHALK_TEST_FSIZE=2097152")
 	call := rpc.New(2, time.Second)
 	write := func(n int) int {
-		txn := protocol.Txn{If: []protocol.Guard{}, Then: []protocol.Op{{Put: fmt.Sprintf("c/%05d", n), Value: strings.Repeat("y", 12<<10)}}}
+		txn := protocol.Transaction{If: []protocol.Guard{}, Then: []protocol.Operation{{Put: fmt.Sprintf("c/%05d", n), Value: strings.Repeat("y", 12<<10)}}}
 		return call.Call("POST", addr, "/commit", txn, nil, 2*time.Second)
 	}
 	n, status := 0, 200
@@ -147,7 +147,7 @@
 	if status != 503 || n < 20 {
 		t.Fatalf("write %d was answered %d", n, status)
 	}
-	var items protocol.Items
+	var items protocol.KeyPage
 	if s := call.Call("GET", addr, "/store?Starts=c/&Page=1000", nil, &items, time.Second, 200); s != 200 || len(items.Items) == 0 {
 		t.Fatalf("a read is answered %d with %d items", s, len(items.Items))
 	}
@@ -203,13 +203,13 @@
 	call := rpc.New(8, time.Second)
 	status := func(method, path string, body any) int { return call.Call(method, addr, path, body, nil, time.Second) }
 	type m map[string]any
-	var lease protocol.LeaseAnswer
-	if call.Call("POST", addr, "/holds", protocol.LeaseRequest{TTLms: 3000}, &lease, time.Second, 200) != 200 || lease.Lease == 0 {
+	var lease protocol.LeaseResponse
+	if call.Call("POST", addr, "/holds", protocol.LeaseRequest{TTLMillis: 3000}, &lease, time.Second, 200) != 200 || lease.Lease == 0 {
 		t.Fatal("no lease")
 	}
-	followed := make(chan protocol.Events, 1)
+	followed := make(chan protocol.WatchResponse, 1)
 	go func() {
-		var e protocol.Events
+		var e protocol.WatchResponse
 		call.Call("GET", addr, "/follow?Starts=c/&Since=0&HoldMs=5000", nil, &e, 8*time.Second, 200)
 		followed <- e
 	}()
@@ -230,7 +230,7 @@
 		{"GET", "/store/c/m", nil, 404},
 		{"POST", fmt.Sprintf("/holds/%d/extend", lease.Lease), nil, 200},
 		{"POST", "/holds/99/extend", nil, 404},
-		{"POST", "/holds", protocol.LeaseRequest{TTLms: 99}, 400},
+		{"POST", "/holds", protocol.LeaseRequest{TTLMillis: 99}, 400},
 		{"GET", "/follow?HoldMs=60001", nil, 400},
 		{"DELETE", "/holds/99", nil, 404},
 		{"PUT", "/store/x", nil, 404},
@@ -243,7 +243,7 @@
 		t.Errorf("the follower heard %+v", e)
 	}
 	// The lease ends by itself and is followed as a deletion.
-	var e protocol.Events
+	var e protocol.WatchResponse
 	call.Call("GET", addr, fmt.Sprintf("/follow?Starts=c/&Since=%d&HoldMs=5000", srv.State().Revision), nil, &e, 8*time.Second, 200)
 	if len(e.Events) != 1 || e.Events[0].Delete != "c/n" {
 		t.Errorf("the end of the lease is told as %+v", e)
--- a/internal/kvserver/keeper.go
+++ b/internal/kvserver/keeper.go
@@ -28,7 +28,7 @@
 // whether the change is durable.
 type Answer struct {
 	Status int
-	Txn    protocol.TxnAnswer
+	Txn    protocol.TransactionResult
 	Lease  uint64
 	Why    string // of a 400 or 503
 }
--- a/internal/kvserver/keeper_test.go
+++ b/internal/kvserver/keeper_test.go
@@ -18,7 +18,7 @@
 type memory struct {
 	keys    map[string]kvstore.Entry
 	leases  map[uint64]int64
-	log     []protocol.Event
+	log     []protocol.WatchEvent
 	rev, id uint64
 	first   uint64
 	fail    error
@@ -53,7 +53,7 @@
 }
 
 func (m *memory) read() (*kvstore.State, error) {
-	return kvstore.Restore(m.rev, m.id, m.first, maps.Clone(m.keys), maps.Clone(m.leases), append([]protocol.Event(nil), m.log...))
+	return kvstore.Restore(m.rev, m.id, m.first, maps.Clone(m.keys), maps.Clone(m.leases), append([]protocol.WatchEvent(nil), m.log...))
 }
 
 func set(key string, v int, lease uint64) kvstore.Op {
--- a/internal/kvserver/server.go
+++ b/internal/kvserver/server.go
@@ -87,7 +87,7 @@
 	v.http = &fasthttp.Server{
 		Handler: v.handle,
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			httpserver.Reply(ctx, 400, protocol.ErrorAnswer{Error: "malformed request"})
+			httpserver.Reply(ctx, 400, protocol.ErrorResponse{Error: "malformed request"})
 		},
 		Name: "chalk-state", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: 2 * time.Minute, ReadTimeout: 2 * time.Minute,
 		// A follower that does not read its answer holds a connection, not the store.
@@ -158,7 +158,7 @@
 }
 
 func refuse(ctx *fasthttp.RequestCtx, status int, why string) {
-	httpserver.Reply(ctx, status, protocol.ErrorAnswer{Error: why})
+	httpserver.Reply(ctx, status, protocol.ErrorResponse{Error: why})
 }
 
 // limited answers 429 if a request with so many writes is above the limits. Counted is
@@ -245,18 +245,18 @@
 			}{key, e.Value, e.Version, e.Lease})
 			return
 		}
-		httpserver.Reply(ctx, 404, protocol.TxnAnswer{Revision: s.Revision})
+		httpserver.Reply(ctx, 404, protocol.TransactionResult{Revision: s.Revision})
 	case path == "/holds" && ctx.IsPost():
 		var q protocol.LeaseRequest
-		if err := protocol.Decode(ctx.PostBody(), &q); err != nil || q.TTLms == 0 {
+		if err := protocol.Decode(ctx.PostBody(), &q); err != nil || q.TTLMillis == 0 {
 			refuse(ctx, 400, "malformed lease")
 			return
 		}
 		if v.limited(ctx, 0) {
 			return
 		}
-		if a, ok := v.ask(ctx, Command{Grant: q.TTLms}); ok {
-			httpserver.Reply(ctx, 200, protocol.LeaseAnswer{Lease: a.Lease})
+		if a, ok := v.ask(ctx, Command{Grant: q.TTLMillis}); ok {
+			httpserver.Reply(ctx, 200, protocol.LeaseResponse{Lease: a.Lease})
 		}
 	case strings.HasPrefix(path, "/holds/"):
 		rest, extend := strings.CutSuffix(strings.TrimPrefix(path, "/holds/"), "/extend")
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -52,7 +52,7 @@
 	keys     *iradix.Tree[Entry]
 	leases   *iradix.Tree[int64]    // life in ms, by the lease's number
 	held     *iradix.Tree[struct{}] // lease's number + key
-	log      []protocol.Event       // the last changes, oldest first
+	log      []protocol.WatchEvent  // the last changes, oldest first
 	first    uint64                 // follows from before this revision are too old
 }
 
@@ -63,7 +63,7 @@
 
 // Restore builds a State from what was saved. Events are sorted by revision; first is
 // the oldest revision that can still be followed from.
-func Restore(revision, nextID, first uint64, keys map[string]Entry, leases map[uint64]int64, events []protocol.Event) (*State, error) {
+func Restore(revision, nextID, first uint64, keys map[string]Entry, leases map[uint64]int64, events []protocol.WatchEvent) (*State, error) {
 	k, l, h := iradix.New[Entry]().Txn(), iradix.New[int64]().Txn(), iradix.New[struct{}]().Txn()
 	for id, life := range leases {
 		if id == 0 || id > nextID {
@@ -103,7 +103,7 @@
 func (s *State) First() uint64 { return s.first }
 
 // Log is the last changes, oldest first.
-func (s *State) Log() []protocol.Event { return s.log }
+func (s *State) Log() []protocol.WatchEvent { return s.log }
 
 // Get is the entry of a key.
 func (s *State) Get(key string) (Entry, bool) { return s.keys.Get([]byte(key)) }
@@ -124,11 +124,11 @@
 }
 
 // Range is a page of the keys with a prefix, beginning after since.
-func (s *State) Range(prefix, since string, page int) protocol.Items {
+func (s *State) Range(prefix, since string, page int) protocol.KeyPage {
 	if page <= 0 || page > maxItems {
 		page = maxItems
 	}
-	out := protocol.Items{Items: []protocol.Item{}, Revision: s.Revision}
+	out := protocol.KeyPage{Items: []protocol.KeyValue{}, Revision: s.Revision}
 	from := prefix
 	if since != "" && since+"\x00" > from {
 		from = since + "\x00" // the first key that can follow
@@ -148,17 +148,17 @@
 			out.More = true
 			return out
 		}
-		out.Items = append(out.Items, protocol.Item{Key: string(k), Value: e.Value, Version: e.Version})
+		out.Items = append(out.Items, protocol.KeyValue{Key: string(k), Value: e.Value, Version: e.Version})
 	}
 }
 
 // Since is all changes with a prefix after a revision; ok is false if that is too old
 // for the changes that are kept.
-func (s *State) Since(prefix string, rev uint64) (protocol.Events, bool) {
+func (s *State) Since(prefix string, rev uint64) (protocol.WatchResponse, bool) {
 	if rev < s.first {
-		return protocol.Events{}, false
+		return protocol.WatchResponse{}, false
 	}
-	out := protocol.Events{Revision: s.Revision, Events: []protocol.Event{}}
+	out := protocol.WatchResponse{Revision: s.Revision, Events: []protocol.WatchEvent{}}
 	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > rev })
 	for _, e := range s.log[i:] {
 		if strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "" {
@@ -249,7 +249,7 @@
 	held   *iradix.Txn[struct{}]
 	rev    uint64
 	nextID uint64
-	events []protocol.Event
+	events []protocol.WatchEvent
 
 	Writes []Write
 	Leases []LeaseWrite
@@ -266,15 +266,15 @@
 }
 
 // Events are the changes of the batch.
-func (b *Batch) Events() []protocol.Event { return b.events }
+func (b *Batch) Events() []protocol.WatchEvent { return b.events }
 
 // Commit applies a transaction that Check has found well formed: 200, 409 with the
 // conditions that failed, or 400 for a lease that is not there.
-func (b *Batch) Commit(t *Txn) (int, protocol.TxnAnswer, string) {
+func (b *Batch) Commit(t *Txn) (int, protocol.TransactionResult, string) {
 	for _, o := range t.Then {
 		if o.Put != "" && o.Lease != 0 {
 			if _, ok := b.leases.Get(number(o.Lease)); !ok {
-				return 400, protocol.TxnAnswer{}, "no such lease"
+				return 400, protocol.TransactionResult{}, "no such lease"
 			}
 		}
 	}
@@ -285,7 +285,7 @@
 		}
 	}
 	if failed != nil {
-		return 409, protocol.TxnAnswer{Failed: failed, Revision: b.rev}, ""
+		return 409, protocol.TransactionResult{Failed: failed, Revision: b.rev}, ""
 	}
 	if len(t.Then) > 0 {
 		b.rev++
@@ -297,7 +297,7 @@
 		}
 		b.put(o.Put, Entry{Value: append(protocol.Raw(nil), o.Value...), Version: b.rev, Lease: o.Lease})
 	}
-	return 200, protocol.TxnAnswer{Revision: b.rev}, ""
+	return 200, protocol.TransactionResult{Revision: b.rev}, ""
 }
 
 func (b *Batch) put(key string, e Entry) {
@@ -309,7 +309,7 @@
 		b.held.Insert(held(e.Lease, key), struct{}{})
 	}
 	b.Writes = append(b.Writes, Write{Key: key, Entry: e})
-	b.events = append(b.events, protocol.Event{Put: key, Value: e.Value, Version: e.Version})
+	b.events = append(b.events, protocol.WatchEvent{Put: key, Value: e.Value, Version: e.Version})
 }
 
 func (b *Batch) remove(key string) {
@@ -321,7 +321,7 @@
 		b.held.Delete(held(old.Lease, key))
 	}
 	b.Writes = append(b.Writes, Write{Key: key, Delete: true})
-	b.events = append(b.events, protocol.Event{Delete: key, Version: b.rev})
+	b.events = append(b.events, protocol.WatchEvent{Delete: key, Version: b.rev})
 }
 
 // Grant begins a lease; 0 means that its life is outside what the PROTOCOL allows.
--- a/internal/localcloud/rent.go
+++ b/internal/localcloud/rent.go
@@ -60,7 +60,7 @@
 // Start starts the agent of a machine. Its standard input stays open for as long as the
 // cloud lives and takes Lines; extra files are its listener and the end of a pipe that
 // it and all its tasks hold open.
-type Start func(m protocol.Machine, t Type, listener, alive *os.File) (*exec.Cmd, error)
+type Start func(m protocol.Instance, t Type, listener, alive *os.File) (*exec.Cmd, error)
 
 // Line is what the cloud tells an agent, as a JSON line.
 type Line struct {
@@ -84,7 +84,7 @@
 }
 
 type machine struct {
-	protocol.Machine
+	protocol.Instance
 	hired time.Time
 	gone  time.Time // zero: there
 	stop  context.CancelFunc
@@ -126,7 +126,7 @@
 				c.answers[r.Request] = r.Names
 			}
 			for _, n := range r.Names {
-				c.machines[n] = &machine{Machine: protocol.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: "127.0.0.1:1", State: protocol.MachineFailed}, over: make(chan struct{}), stop: func() {}}
+				c.machines[n] = &machine{Instance: protocol.Instance{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: "127.0.0.1:1", State: protocol.MachineFailed}, over: make(chan struct{}), stop: func() {}}
 			}
 			for _, n := range r.Gone {
 				delete(c.machines, n)
@@ -194,13 +194,13 @@
 }
 
 // hire rents up to the number of machines that are left.
-func (c *Cloud) hire(h protocol.Hire) (int, any) {
+func (c *Cloud) hire(h protocol.CreateMachinesRequest) (int, any) {
 	t := c.typ(h.Type)
-	if t == nil || !slices.Contains(t.Zones, h.Zone) || h.Count < 1 || h.Count > protocol.MaxHire || h.Request == "" {
-		return 400, protocol.ErrorAnswer{Error: "no such type or zone, or a wrong number"}
+	if t == nil || !slices.Contains(t.Zones, h.Zone) || h.Count < 1 || h.Count > protocol.MaxCreate || h.Request == "" {
+		return 400, protocol.ErrorResponse{Error: "no such type or zone, or a wrong number"}
 	}
 	if names, ok := c.answers[h.Request]; ok {
-		return 200, protocol.Names{Machines: names}
+		return 200, protocol.MachineNames{Machines: names}
 	}
 	n := h.Count
 	if t.Most > 0 {
@@ -213,7 +213,7 @@
 		n = min(n, t.Most-have)
 	}
 	if n <= 0 {
-		return 503, protocol.ErrorAnswer{Error: "no capacity"}
+		return 503, protocol.ErrorResponse{Error: "no capacity"}
 	}
 	var names []string
 	for range n {
@@ -221,11 +221,11 @@
 		names = append(names, fmt.Sprintf("n-%06d", c.next))
 	}
 	if err := c.write(record{Request: h.Request, Names: names, Type: h.Type, Zone: h.Zone, Spot: h.Spot}); err != nil {
-		return 503, protocol.ErrorAnswer{Error: err.Error()}
+		return 503, protocol.ErrorResponse{Error: err.Error()}
 	}
 	c.answers[h.Request] = names
 	for _, name := range names {
-		m := &machine{Machine: protocol.Machine{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}, hired: time.Now(), over: make(chan struct{})}
+		m := &machine{Instance: protocol.Instance{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}, hired: time.Now(), over: make(chan struct{})}
 		ctx, stop := context.WithCancel(context.Background())
 		m.stop = stop
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -238,7 +238,7 @@
 		}
 		c.machines[name] = m
 	}
-	return 200, protocol.Names{Machines: names}
+	return 200, protocol.MachineNames{Machines: names}
 }
 
 // live is a machine's whole life.
@@ -268,7 +268,7 @@
 		return
 	}
 	defer read.Close()
-	cmd, err := c.start(m.Machine, t, file, write)
+	cmd, err := c.start(m.Instance, t, file, write)
 	if err == nil {
 		m.in, err = cmd.StdinPipe()
 	}
@@ -356,15 +356,15 @@
 }
 
 // list shows a page of the machines as they were a while ago.
-func (c *Cloud) list(since string, page int) protocol.MachineList {
+func (c *Cloud) list(since string, page int) protocol.InstanceList {
 	lag := config.Seconds(c.set.ListLagS)
 	then := time.Now().Add(-lag)
-	out := protocol.MachineList{Machines: []protocol.Machine{}}
+	out := protocol.InstanceList{Machines: []protocol.Instance{}}
 	for n, m := range c.machines {
 		if n <= since || m.hired.After(then) || !m.gone.IsZero() && m.gone.Before(then) {
 			continue
 		}
-		x := m.Machine
+		x := m.Instance
 		x.AgeS = max(then.Sub(m.hired).Seconds(), 0)
 		out.Machines = append(out.Machines, x)
 	}
@@ -373,7 +373,7 @@
 			delete(c.machines, n)
 		}
 	}
-	slices.SortFunc(out.Machines, func(a, b protocol.Machine) int {
+	slices.SortFunc(out.Machines, func(a, b protocol.Instance) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -419,7 +419,7 @@
 	c.at = now
 	if c.used+1 > 2*c.set.RPS {
 		c.mu.Unlock()
-		reply(429, protocol.ErrorAnswer{Error: "above the limit of requests a second"})
+		reply(429, protocol.ErrorResponse{Error: "above the limit of requests a second"})
 		return
 	}
 	c.used++
@@ -435,9 +435,9 @@
 	case path == "/machine_types" && ctx.IsGet():
 		reply(200, c.types())
 	case path == "/machines" && ctx.IsPost():
-		var h protocol.Hire
+		var h protocol.CreateMachinesRequest
 		if err := protocol.Decode(ctx.PostBody(), &h); err != nil {
-			reply(400, protocol.ErrorAnswer{Error: err.Error()})
+			reply(400, protocol.ErrorResponse{Error: err.Error()})
 			return
 		}
 		reply(c.hire(h))
@@ -449,13 +449,13 @@
 		reply(200, c.list(string(args.Peek("Since")), page))
 	case path == "/machines/delete" && ctx.IsPost():
 		unlock()
-		var n protocol.Names
+		var n protocol.MachineNames
 		if err := protocol.Decode(ctx.PostBody(), &n); err != nil || len(n.Machines) > protocol.MaxDelete {
-			reply(400, protocol.ErrorAnswer{Error: "malformed list of machines"})
+			reply(400, protocol.ErrorResponse{Error: "malformed list of machines"})
 			return
 		}
 		if err := c.remove(n.Machines); err != nil {
-			reply(503, protocol.ErrorAnswer{Error: err.Error()})
+			reply(503, protocol.ErrorResponse{Error: err.Error()})
 			return
 		}
 		reply(200, struct{}{})
@@ -469,6 +469,6 @@
 		}
 		reply(200, pids)
 	default:
-		reply(404, protocol.ErrorAnswer{Error: "no such page"})
+		reply(404, protocol.ErrorResponse{Error: "no such page"})
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -42,7 +42,7 @@
 type session struct {
 	id   uint64
 	conn net.Conn
-	out  chan peerproto.PeerMessage
+	out  chan peerproto.Message
 	once sync.Once
 }
 
@@ -143,7 +143,7 @@
 func (l *Link) run(conn net.Conn, r *bufio.Reader, label string) {
 	l.mu.Lock()
 	l.next++
-	s := &session{id: l.next, conn: conn, out: make(chan peerproto.PeerMessage, maxQueue)}
+	s := &session{id: l.next, conn: conn, out: make(chan peerproto.Message, maxQueue)}
 	l.links[s.id] = s
 	l.mu.Unlock()
 	l.post(core.PeerConnected{Session: s.id, Label: label})
@@ -154,7 +154,7 @@
 		if err != nil {
 			break
 		}
-		var m peerproto.PeerMessage
+		var m peerproto.Message
 		if err := json.Unmarshal(line, &m); err != nil {
 			break
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -30,7 +30,7 @@
 	a := New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, time.Second, func(c core.Command) { sent <- c }, page)
 	a.Target("b")
 	up := next[core.PeerConnected](t, sent)
-	a.Send(core.SendToPeer{Session: up.Session, Message: peerproto.PeerMessage{Hello: &peerproto.Hello{Label: "a", Boot: "1"}}})
+	a.Send(core.SendToPeer{Session: up.Session, Message: peerproto.Message{Hello: &peerproto.Hello{Label: "a", BootID: "1"}}})
 	there := next[core.PeerConnected](t, got)
 	line := next[core.PeerReceived](t, got)
 	if line.Session != there.Session || line.Message.Hello.Label != "a" {
--- a/internal/peerproto/peer_test.go
+++ b/internal/peerproto/message_test.go
@@ -13,9 +13,9 @@
 )
 
 // The pieces of a member's message tell the same as the message, each in bounds.
-func TestPiecesTellTheSame(t *testing.T) {
+func TestMemberChunksTellTheSame(t *testing.T) {
 	for _, full := range []bool{false, true} {
-		m := PeerMessage{Epoch: 7, Full: full, Read: 3, Assigned: []TaskTry{{Task: "job-1/0"}}, Dropped: []string{"n-9"}}
+		m := Message{Epoch: 7, Snapshot: full, ReadSeq: 3, Assigned: []TaskAttempt{{Task: "job-1/0"}}, Released: []string{"n-9"}}
 		for i := range 900 {
 			s := MachineState{Name: fmt.Sprint("n-", i)}
 			for k := range i % 5 * 100 {
@@ -23,7 +23,7 @@
 			}
 			m.Machines = append(m.Machines, s)
 		}
-		pieces := m.Pieces()
+		pieces := m.MemberChunks()
 		got := pieces[0]
 		got.Machines, got.More = nil, false
 		for i, p := range pieces {
@@ -31,10 +31,10 @@
 			for _, s := range p.Machines {
 				size += 1 + len(s.Tasks)
 			}
-			if size > pieceSize && len(p.Machines) > 1 {
+			if size > maxChunkEntries && len(p.Machines) > 1 {
 				t.Fatalf("piece %d tells of %d", i, size)
 			}
-			if p.Epoch != 7 || p.Full != full || full && (p.Piece != i || p.More != (i+1 < len(pieces))) {
+			if p.Epoch != 7 || p.Snapshot != full || full && (p.Chunk != i || p.More != (i+1 < len(pieces))) {
 				t.Fatalf("piece %d of %d: %+v", i, len(pieces), p)
 			}
 			got.Machines = append(got.Machines, p.Machines...)
@@ -43,29 +43,29 @@
 			t.Fatalf("%d pieces do not add up", len(pieces))
 		}
 	}
-	if empty := (&PeerMessage{Epoch: 1}).Pieces(); len(empty) != 1 {
+	if empty := (&Message{Epoch: 1}).MemberChunks(); len(empty) != 1 {
 		t.Fatalf("an empty message becomes %d", len(empty))
 	}
 }
 
 // A member that has work of a whole fleet assigned, and gives as much back, tells so in lines
 // that a link takes, and the last piece alone says that it was the last.
-func TestPiecesOfManyAssignedAndReturned(t *testing.T) {
+func TestMemberChunksOfManyAssignedAndReturned(t *testing.T) {
 	for _, machines := range []int{4000, 8000} {
 		for _, full := range []bool{false, true} {
-			m := PeerMessage{Epoch: 7, Full: full}
+			m := Message{Epoch: 7, Snapshot: full}
 			for i := range machines * 64 {
-				m.Returned = append(m.Returned, TaskTry{Task: protocol.TaskName("job-100000001", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
+				m.Returned = append(m.Returned, TaskAttempt{Task: protocol.TaskName("job-100000001", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
 				if full {
-					m.Assigned = append(m.Assigned, TaskTry{Task: protocol.TaskName("job-100000002", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
+					m.Assigned = append(m.Assigned, TaskAttempt{Task: protocol.TaskName("job-100000002", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
 				}
 			}
-			var assigned, returned []TaskTry
-			pieces := m.Pieces()
+			var assigned, returned []TaskAttempt
+			pieces := m.MemberChunks()
 			for i, p := range pieces {
 				lineFits(t, p)
-				if p.More != (full && i+1 < len(pieces)) || full && p.Piece != i {
-					t.Fatalf("piece %d of %d: piece %d, more %v", i, len(pieces), p.Piece, p.More)
+				if p.More != (full && i+1 < len(pieces)) || full && p.Chunk != i {
+					t.Fatalf("piece %d of %d: piece %d, more %v", i, len(pieces), p.Chunk, p.More)
 				}
 				assigned, returned = append(assigned, p.Assigned...), append(returned, p.Returned...)
 			}
@@ -78,13 +78,13 @@
 
 // The pieces of a leader's message ask for the same in the same order, each in bounds, and
 // none but the last counts as a message that was read.
-func TestLeaderPiecesAskForTheSame(t *testing.T) {
+func TestLeaderChunksAskForTheSame(t *testing.T) {
 	for _, of := range []struct {
 		machines int
 		text     string
 	}{{0, ""}, {1, "for somebody else"}, {4000, strings.Repeat("<", 20)}, {8000, ""}} {
 		m := leaderMessage(of.machines, of.text)
-		pieces := m.LeaderPieces()
+		pieces := m.LeaderChunks()
 		var got []order
 		for i, p := range pieces {
 			lineFits(t, p)
@@ -104,10 +104,10 @@
 }
 
 // An entry that is larger than a piece goes alone.
-func TestLeaderPiecesOfOneLargeEntry(t *testing.T) {
+func TestLeaderChunksOfOneLargeEntry(t *testing.T) {
 	m := leaderMessage(1, strings.Repeat("x", maxListBytes))
 	var got []order
-	for _, p := range m.LeaderPieces() {
+	for _, p := range m.LeaderChunks() {
 		lineFits(t, p)
 		got = append(got, orders(p)...)
 	}
@@ -120,17 +120,17 @@
 const attemptBitsOfTests = 32
 
 // leaderMessage asks for all that a leader can, of machines with 64 tasks each.
-func leaderMessage(machines int, text string) PeerMessage {
-	m := PeerMessage{Epoch: 7, Seq: 12, Resync: true}
+func leaderMessage(machines int, text string) Message {
+	m := Message{Epoch: 7, Seq: 12, Resync: true}
 	for i := range machines {
 		name := fmt.Sprintf("n-%07d", i)
 		m.Views = append(m.Views, JobView{Job: fmt.Sprint("job-", i), Running: i, Reason: text})
 		m.Cancelled = append(m.Cancelled, fmt.Sprint("job-", i))
-		m.Close, m.Reopen, m.Drain = append(m.Close, name), append(m.Reopen, name), append(m.Drain, name)
+		m.Cordon, m.Uncordon, m.Drain = append(m.Cordon, name), append(m.Uncordon, name), append(m.Drain, name)
 		for k := range 64 {
-			try := TaskTry{Task: protocol.TaskName("job-100000001", 64*i+k), Attempt: 7<<attemptBitsOfTests | uint64(k), Machine: name}
-			m.Dispatch, m.Release, m.Drop = append(m.Dispatch, try), append(m.Release, try), append(m.Drop, try)
-			m.Stop = append(m.Stop, TaskStop{Task: try.Task, Machine: name, Why: text})
+			try := TaskAttempt{Task: protocol.TaskName("job-100000001", 64*i+k), Attempt: 7<<attemptBitsOfTests | uint64(k), Machine: name}
+			m.Dispatch, m.StartHeld, m.ReleaseHeld = append(m.Dispatch, try), append(m.StartHeld, try), append(m.ReleaseHeld, try)
+			m.Stop = append(m.Stop, StopTask{Task: try.Task, Machine: name, Reason: text})
 		}
 	}
 	return m
@@ -143,7 +143,7 @@
 }
 
 // orders lists what a member does for a message of its leader, in that order.
-func orders(m PeerMessage) (out []order) {
+func orders(m Message) (out []order) {
 	add := func(what string, n int, entry func(int) any) {
 		for i := range n {
 			out = append(out, order{what, entry(i)})
@@ -152,23 +152,23 @@
 	add("view", len(m.Views), func(i int) any { return m.Views[i] })
 	add("cancelled", len(m.Cancelled), func(i int) any { return m.Cancelled[i] })
 	add("dispatch", len(m.Dispatch), func(i int) any { return m.Dispatch[i] })
-	add("release", len(m.Release), func(i int) any { return m.Release[i] })
-	add("drop", len(m.Drop), func(i int) any { return m.Drop[i] })
+	add("release", len(m.StartHeld), func(i int) any { return m.StartHeld[i] })
+	add("drop", len(m.ReleaseHeld), func(i int) any { return m.ReleaseHeld[i] })
 	add("stop", len(m.Stop), func(i int) any { return m.Stop[i] })
-	add("close", len(m.Close), func(i int) any { return m.Close[i] })
-	add("reopen", len(m.Reopen), func(i int) any { return m.Reopen[i] })
+	add("close", len(m.Cordon), func(i int) any { return m.Cordon[i] })
+	add("reopen", len(m.Uncordon), func(i int) any { return m.Uncordon[i] })
 	add("drain", len(m.Drain), func(i int) any { return m.Drain[i] })
 	return out
 }
 
 // lineFits fails the test if a message is longer than a line of a link may be.
-func lineFits(t *testing.T, m PeerMessage) {
+func lineFits(t *testing.T, m Message) {
 	t.Helper()
 	line, err := json.Marshal(&m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(line) >= MaxPeerLine {
+	if len(line) >= MaxLineBytes {
 		t.Fatalf("a line of %d bytes", len(line))
 	}
 }
--- /dev/null
+++ b/internal/protocol/artifacts.go
@@ -0,0 +1,74 @@
+package protocol
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// JobDescription tells agents what a job's tasks do. Users upload it to the depot before
+// they submit the job (PROTOCOL, POST /v1/report, "start").
+type JobDescription struct {
+	Job        Job               `msgpack:"Job"`
+	Command    []string          `msgpack:"Command,omitempty"` // program and arguments; none: a simulated task
+	Env        map[string]string `msgpack:"Env,omitempty"`
+	Folder     string            `msgpack:"Folder,omitempty"`    // working folder; none: a new one for each attempt
+	SimulatedS float64           `msgpack:"SimulateS,omitempty"` // run time of a simulated task, in seconds
+}
+
+// Validate says what is wrong with a description.
+func (d *JobDescription) Validate() error {
+	if !ValidJobID(d.Job.ID) {
+		return errors.New("the job has no valid id")
+	}
+	if d.Job.Tasks < 1 || d.Job.Tasks > MaxTasks {
+		return fmt.Errorf("a job has 1 to %d tasks", MaxTasks)
+	}
+	if len(d.Command) > 0 && d.Command[0] == "" {
+		return errors.New("the command has no program")
+	}
+	if len(d.Command) == 0 && !(d.SimulatedS > 0) {
+		return errors.New("there is neither a command nor a time to simulate")
+	}
+	for k, v := range d.Env {
+		if k == "" || strings.ContainsAny(k, "=\x00") || strings.Contains(v, "\x00") {
+			return fmt.Errorf("%q cannot be an environment variable", k)
+		}
+	}
+	if slices.ContainsFunc(d.Command, func(s string) bool { return strings.Contains(s, "\x00") }) {
+		return errors.New("an argument holds a zero byte")
+	}
+	return nil
+}
+
+// ResultStatus is what the depot tells of a task: whether its result is kept.
+type ResultStatus struct {
+	Done bool `msgpack:"Done"`
+}
+
+// UploadedJobs is a page of the depot's jobs, newest uploads first.
+type UploadedJobs struct {
+	Jobs []UploadedJob `msgpack:"Jobs"`
+	More bool          `msgpack:"More"`
+}
+
+// UploadedJob is a job in the depot's list.
+type UploadedJob struct {
+	ID         string  `msgpack:"Ref"`
+	Team       string  `msgpack:"Desk"`
+	Tasks      int     `msgpack:"Lots"`
+	UploadedAt float64 `msgpack:"At"` // upload, Unix time in seconds
+}
+
+// OutputList are a job's attempts that have output.
+type OutputList struct {
+	Attempts []OutputFile `msgpack:"Attempts"`
+}
+
+// OutputFile is an attempt's output file.
+type OutputFile struct {
+	Task    int    `msgpack:"Task"`
+	Attempt uint64 `msgpack:"Try"`
+	Bytes   int64  `msgpack:"Bytes"`
+}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -7,8 +7,8 @@
 	MachineFailed  = "failed"
 )
 
-// MaxHire is the most machines one request may rent.
-const MaxHire = 50
+// MaxCreate is the most machines one request may rent.
+const MaxCreate = 50
 
 // MaxDelete is the most machines one request may delete.
 const MaxDelete = 100
@@ -35,8 +35,8 @@
 	Total int `msgpack:"total,omitempty"`
 }
 
-// Hire asks for machines.
-type Hire struct {
+// CreateMachinesRequest asks for machines.
+type CreateMachinesRequest struct {
 	Request string `msgpack:"Hire"`
 	Type    string `msgpack:"Rigtype"`
 	Zone    string `msgpack:"Yard"`
@@ -44,13 +44,13 @@
 	Count   int    `msgpack:"Number"`
 }
 
-// Names is a list of machine names.
-type Names struct {
+// MachineNames is a list of machine names.
+type MachineNames struct {
 	Machines []string `msgpack:"Rigs"`
 }
 
-// Machine is one entry of the cloud's list.
-type Machine struct {
+// Instance is one entry of the cloud's list.
+type Instance struct {
 	Name  string  `msgpack:"Ref"`
 	Addr  string  `msgpack:"Addr"`
 	Type  string  `msgpack:"Rigtype"`
@@ -60,8 +60,8 @@
 	AgeS  float64 `msgpack:"HeldS"`
 }
 
-// MachineList is a page of the cloud's list.
-type MachineList struct {
-	Machines []Machine `msgpack:"Rigs"`
-	More     bool      `msgpack:"More"`
+// InstanceList is a page of the cloud's list.
+type InstanceList struct {
+	Machines []Instance `msgpack:"Rigs"`
+	More     bool       `msgpack:"More"`
 }
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -41,11 +41,11 @@
 
 // Decode reads one value and refuses trailing bytes.
 func Decode(b []byte, v any) error {
-	if err := whole(b); err != nil {
+	if err := validate(b); err != nil {
 		return err
 	}
-	if r, ok := v.(*Report); ok {
-		return r.decode(b)
+	if r, ok := v.(*Heartbeat); ok {
+		return r.decodeFields(b)
 	}
 	dec := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(dec)
--- a/internal/protocol/report.go
+++ b/internal/protocol/heartbeat_decoder.go
@@ -6,12 +6,12 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// decode reads a report field by field, after Decode has seen that it is one whole
+// decodeFields reads a report field by field, after Decode has seen that it is one whole
 // value. Reports are nearly all that a controller
 // hears, hundreds a second with dozens of tasks each, and reading them by
 // reflection took an eighth of its processor time.
-func (r *Report) decode(b []byte) error {
-	*r = Report{}
+func (r *Heartbeat) decodeFields(b []byte) error {
+	*r = Heartbeat{}
 	_, err := eachField(b, func(name string, b []byte) (_ []byte, err error) {
 		switch name {
 		case "Rig":
@@ -39,9 +39,9 @@
 			if n, b, err = msgp.ReadArrayHeaderBytes(b); err != nil {
 				return b, err
 			}
-			r.Tasks = make([]TaskReport, n)
+			r.Tasks = make([]TaskStatus, n)
 			for i := range r.Tasks {
-				if b, err = r.Tasks[i].read(b); err != nil {
+				if b, err = r.Tasks[i].decodeFields(b); err != nil {
 					return b, err
 				}
 			}
@@ -53,7 +53,7 @@
 	return err
 }
 
-func (t *TaskReport) read(b []byte) ([]byte, error) {
+func (t *TaskStatus) decodeFields(b []byte) ([]byte, error) {
 	return eachField(b, func(name string, b []byte) (_ []byte, err error) {
 		var word []byte
 		switch name {
@@ -63,10 +63,10 @@
 			t.Attempt, b, err = msgp.ReadUint64Bytes(b)
 		case "Status":
 			word, b, err = msgp.ReadStringZC(b)
-			t.State = known(word)
+			t.State = intern(word)
 		case "Cause":
 			word, b, err = msgp.ReadStringZC(b)
-			t.Why = known(word)
+			t.ExitReason = intern(word)
 		case "Stored":
 			t.Saved, b, err = msgp.ReadBoolBytes(b)
 		default:
@@ -76,18 +76,18 @@
 	})
 }
 
-// words are the states and causes that a report repeats over and over.
-var words = func() map[string]string {
+// internedWords are the states and causes that a report repeats over and over.
+var internedWords = func() map[string]string {
 	m := map[string]string{}
 	for _, w := range []string{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited,
-		WhyDone, WhyStopped, WhyError, WhyNoRoom, WhyBusy, WhyUnknown, WhyPeers, WhyAlone} {
+		ExitDone, ExitStopped, ExitFailed, ExitNoCapacity, ExitDuplicate, ExitUnknownTask, ExitGangPeerLost, ExitGangIncomplete} {
 		m[w] = w
 	}
 	return m
 }()
 
-func known(word []byte) string {
-	if w, ok := words[string(word)]; ok {
+func intern(word []byte) string {
+	if w, ok := internedWords[string(word)]; ok {
 		return w
 	}
 	return string(word)
--- a/internal/protocol/size.go
+++ b/internal/protocol/jsonsize.go
@@ -6,15 +6,15 @@
 	"strconv"
 )
 
-// TextSize is how many bytes a value takes in the form in which the state service counts
+// JSONSize is how many bytes a value takes in the form in which the state service counts
 // its limits, JSON, or a few more: text is taken as it is, with room for what must be
 // escaped.
-func TextSize(v any) int {
-	n, _ := textSize(Encode(v))
+func JSONSize(v any) int {
+	n, _ := jsonSize(Encode(v))
 	return n
 }
 
-func textSize(b []byte) (n int, rest []byte) {
+func jsonSize(b []byte) (n int, rest []byte) {
 	c := b[0]
 	b = b[1:]
 	length := func(width int) int {
@@ -42,7 +42,7 @@
 	items := func(k int) (int, []byte) { // with brackets, and a comma or colon behind each
 		total := 2
 		for range k {
-			n, b = textSize(b)
+			n, b = jsonSize(b)
 			total += n + 2
 		}
 		return total, b
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/protocol_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.ID != "job-000412" || j.Tasks != 16 || j.CPUs != 8 || j.Types[0] != "g8" || !j.OneZone || j.Zone != "" || j.DeadlineS != 900 {
+	if j.ID != "job-000412" || j.Tasks != 16 || j.CPUs != 8 || j.MachineTypes[0] != "g8" || !j.OneZone || j.Zone != "" || j.DeadlineS != 900 {
 		t.Fatalf("%+v", j)
 	}
 	m := submission()
@@ -79,12 +79,12 @@
 	}
 }
 
-func TestTaskNames(t *testing.T) {
-	if ref, i, err := protocol.ParseTask(protocol.TaskName("job-7", 31)); ref != "job-7" || i != 31 || err != nil {
+func TestParseTaskName(t *testing.T) {
+	if ref, i, err := protocol.ParseTaskName(protocol.TaskName("job-7", 31)); ref != "job-7" || i != 31 || err != nil {
 		t.Fatal(ref, i, err)
 	}
 	for _, bad := range []string{"", "job-7", "job-7/", "job-7/x", "job-7/-1", "job-7/01", "job-7/100000", "x/1"} {
-		if _, _, err := protocol.ParseTask(bad); err == nil {
+		if _, _, err := protocol.ParseTaskName(bad); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
@@ -107,23 +107,23 @@
 // Decoders of anything from outside must refuse, not crash.
 func FuzzDecode(f *testing.F) {
 	f.Add(protocol.Encode(submission()))
-	f.Add(protocol.Encode(protocol.Report{Machine: "n-1", Session: 1, Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 2, State: "running"}}}))
-	f.Add(protocol.Encode(protocol.Events{Revision: 3, Events: []protocol.Event{{Put: "c/x", Value: protocol.Encode(records.NodeRecord{Boot: "b"}), Version: 3}}}))
+	f.Add(protocol.Encode(protocol.Heartbeat{Machine: "n-1", Session: 1, Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 2, State: "running"}}}))
+	f.Add(protocol.Encode(protocol.WatchResponse{Revision: 3, Events: []protocol.WatchEvent{{Put: "c/x", Value: protocol.Encode(records.Node{BootID: "b"}), Version: 3}}}))
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if j, err := protocol.DecodeJob(b); err == nil && (!protocol.ValidJobID(j.ID) || j.Tasks < 1 || j.CPUs < 0 || math.IsNaN(j.CPUs)) {
 			t.Fatalf("taken: %+v", j)
 		}
-		var r protocol.Report
+		var r protocol.Heartbeat
 		if protocol.Decode(b, &r) == nil {
 			for _, x := range r.Tasks {
-				protocol.ParseTask(x.Task)
+				protocol.ParseTaskName(x.Task)
 			}
 		}
-		var e protocol.Events
+		var e protocol.WatchResponse
 		if protocol.Decode(b, &e) == nil {
 			for _, x := range e.Events {
-				var rec records.JobRecord
+				var rec records.Job
 				_ = protocol.Decode(x.Value, &rec)
 			}
 		}
@@ -132,7 +132,7 @@
 
 // A report is read field by field: it must take what the protocol allows and
 // refuse the rest.
-func TestDecodeReport(t *testing.T) {
+func TestDecodeHeartbeat(t *testing.T) {
 	m := map[string]any{
 		"Rig": "n-000231", "Addr": "10.1.0.232:9000", "Rigtype": "g8", "Yard": "a", "Loaner": true,
 		"Shift": 1, "Tally": 88, "Baton": uint64(3) << 40, "RecallS": 13, "Unheard": []any{1, "x"},
@@ -141,12 +141,12 @@
 			{"Lot": "job-000398/0", "Try": 1, "Status": "ended", "Cause": "halted", "Stored": true, "Later": 1.5},
 		},
 	}
-	var r protocol.Report
+	var r protocol.Heartbeat
 	if err := protocol.Decode(protocol.Encode(m), &r); err != nil {
 		t.Fatal(err)
 	}
 	if r.Machine != "n-000231" || !r.Spot || r.Seq != 88 || r.Token != 3<<40 || r.NoticeS == nil || *r.NoticeS != 13 ||
-		len(r.Tasks) != 2 || r.Tasks[0].State != protocol.TaskRunning || r.Tasks[1].Why != protocol.WhyStopped || !r.Tasks[1].Saved {
+		len(r.Tasks) != 2 || r.Tasks[0].State != protocol.TaskRunning || r.Tasks[1].ExitReason != protocol.ExitStopped || !r.Tasks[1].Saved {
 		t.Fatalf("%+v", r)
 	}
 	delete(m, "Lots")
@@ -166,15 +166,15 @@
 }
 
 // Null, missing and empty are alike, and doubles count once.
-func TestNeeds(t *testing.T) {
+func TestDependenciesField(t *testing.T) {
 	for _, c := range []struct {
 		value any
 		want  int
 	}{{nil, 0}, {[]any{}, 0}, {[]any{"job-1", "job-2", "job-1"}, 2}} {
 		m := submission()
 		m["Awaits"] = c.value
-		if j, err := protocol.DecodeJob(protocol.Encode(m)); err != nil || len(j.Needs) != c.want {
-			t.Errorf("%v: %v, %v", c.value, j.Needs, err)
+		if j, err := protocol.DecodeJob(protocol.Encode(m)); err != nil || len(j.Dependencies) != c.want {
+			t.Errorf("%v: %v, %v", c.value, j.Dependencies, err)
 		}
 	}
 }
@@ -187,26 +187,26 @@
 		"85a473706563de0011a3526566a56a6f622d31a84c6f74636c617373a163a44465736ba174a547656e7265a56172726179a7557267656e6379a469646c65a44c6f7473" +
 			"02a443707573cb3ff8000000000000a84d656d6f72794762cb3ff199999999999aa34b6974a16ba7496d6167654762cb3fe0000000000000a8526967747970657391a1" +
 			"62a459617264a17aa8546f676574686572c3a6477565737353cb4022000000000000a9426f6f6b6d61726b53cb4008000000000000a6537461736853cb3ff000000000" +
-			"0000a6476176656c53cb404e000000000000a57374617465a6717565756564a26174cb3ff8000000000000a57a6f6e657391a17aa3776879a177": again(records.JobRecord{
+			"0000a6476176656c53cb404e000000000000a57374617465a6717565756564a26174cb3ff8000000000000a57a6f6e657391a17aa3776879a177": roundTrips(records.Job{
 			Spec: protocol.Job{ID: "job-1", Class: "c", Team: "t", Kind: "array", Urgency: "idle", Tasks: 2, CPUs: 1.5, MemoryGB: 1.1, Image: "k", ImageGB: 0.5,
-				Types: []string{"b"}, Zone: "z", OneZone: true, EstimateS: 9, CheckpointS: 3, SaveS: 1, DeadlineS: 60},
-			State: "queued", At: 1.5, Zones: []string{"z"}, Bad: "w"}),
+				MachineTypes: []string{"b"}, Zone: "z", OneZone: true, EstimateS: 9, CheckpointS: 3, SaveS: 1, DeadlineS: 60},
+			State: "queued", SubmittedAt: 1.5, Zones: []string{"z"}, StopReason: "w"}),
 		"81a46a6f62739183a4737065638ba3526566a56a6f622d31a84c6f74636c617373a0a44465736ba0a547656e7265a0a7557267656e6379a0a44c6f747300a443707573" +
 			"cb0000000000000000a84d656d6f72794762cb0000000000000000a34b6974a0a7496d6167654762cb0000000000000000a6477565737353cb0000000000000000a573" +
-			"74617465a6717565756564a26174cb0000000000000000": again(records.LotRecord{Jobs: []records.JobRecord{{Spec: protocol.Job{ID: "job-1"}, State: "queued"}}}),
-		"81a462697473a3417745": again(records.ProgressRecord{Bits: records.TaskSet{3, 1}.Text()}),
+			"74617465a6717565756564a26174cb0000000000000000": roundTrips(records.AdmissionBatch{Jobs: []records.Job{{Spec: protocol.Job{ID: "job-1"}, State: "queued"}}}),
+		"81a462697473a3417745": roundTrips(records.Progress{Bits: records.TaskSet{3, 1}.Text()}),
 		// who is there
-		"81a4626f6f74a26131":                                                 again(records.NodeRecord{Boot: "a1"}),
-		"82a56c6162656ca27231a4626f6f74a26231":                               again(records.LeaderRecord{Label: "r1", Boot: "b1"}),
-		"83a565706f636807a66c6561646572a27231a76d656d6265727381a27231a26231": again(records.MapRecord{Epoch: 7, Leader: "r1", Members: map[string]string{"r1": "b1"}}),
+		"81a4626f6f74a26131":                                                 roundTrips(records.Node{BootID: "a1"}),
+		"82a56c6162656ca27231a4626f6f74a26231":                               roundTrips(records.Leader{Label: "r1", BootID: "b1"}),
+		"83a565706f636807a66c6561646572a27231a76d656d6265727381a27231a26231": roundTrips(records.ShardMap{Epoch: 7, Leader: "r1", Members: map[string]string{"r1": "b1"}}),
 		// machines, estimates, types
-		"81a86d616368696e657381a36e2d3184a461646472a3613a31a474797065a162a47a6f6e65a17aa473706f74c3": again(records.MachinesRecord{
-			Machines: map[string]records.MachineRecord{"n-1": {Addr: "a:1", Type: "b", Zone: "z", Spot: true}}}),
+		"81a86d616368696e657381a36e2d3184a461646472a3613a31a474797065a162a47a6f6e65a17aa473706f74c3": roundTrips(records.RegistryPage{
+			Machines: map[string]records.Machine{"n-1": {Addr: "a:1", Type: "b", Zone: "z", Spot: true}}}),
 		"81a56d65616e739187a47465616da174a5636c617373a163a463707573cb3ff8000000000000a467707573cb0000000000000000a46d65616ecb4041900000000000a1" +
-			"6ecb4069000000000000a46c617374cb3ff8000000000000": again(records.EstimateRecord{Means: []records.MeanRecord{{Team: "t", Class: "c", CPUs: 1.5, Mean: 35.125, N: 200, Last: 1.5}}}),
+			"6ecb4069000000000000a46c617374cb3ff8000000000000": roundTrips(records.Estimates{Means: []records.Mean{{Team: "t", Class: "c", CPUs: 1.5, Mean: 35.125, Count: 200, LastAt: 1.5}}}),
 		"82a85269677479706573918aa54c6162656ca162a443707573cb4010000000000000a447707573cb0000000000000000a84d656d6f72794762cb0000000000000000a7" +
 			"43616368654762cb0000000000000000ab4665746368476250657253cb0000000000000000a6486f75726c79cb0000000000000000a84c6f775072696365cb00000000" +
-			"00000000a85374617274757053cb0000000000000000a5596172647391a17aa5746f74616c01": again(protocol.MachineTypes{Types: []protocol.MachineType{{Name: "b", CPUs: 4, Zones: []string{"z"}}}, Total: 1}),
+			"00000000a85374617274757053cb0000000000000000a5596172647391a17aa5746f74616c01": roundTrips(protocol.MachineTypes{Types: []protocol.MachineType{{Name: "b", CPUs: 4, Zones: []string{"z"}}}, Total: 1}),
 	} {
 		b, err := hex.DecodeString(text)
 		if err != nil || !same(b) {
@@ -215,8 +215,8 @@
 	}
 }
 
-// again reports whether bytes are read as a value, and written as the same bytes.
-func again[T any](want T) func(b []byte) bool {
+// roundTrips reports whether bytes are read as a value, and written as the same bytes.
+func roundTrips[T any](want T) func(b []byte) bool {
 	return func(b []byte) bool {
 		var v T
 		return protocol.Decode(b, &v) == nil && reflect.DeepEqual(v, want) && bytes.Equal(protocol.Encode(v), b)
@@ -224,16 +224,16 @@
 }
 
 // The size of a value as text is never below that of its JSON, and not far above.
-func TestTextSize(t *testing.T) {
-	for _, v := range []any{submission(), records.JobRecord{Spec: protocol.Job{ID: "job-1", CPUs: 0.1, Needs: []string{"job-2", "job-3"}}, At: 1.7e9 + 0.123},
-		records.MachinesRecord{Machines: map[string]records.MachineRecord{"n-1": {Addr: "10.0.0.1:9000", Type: "a \"b\" <c>", Zone: "ü"}}},
-		records.EstimateRecord{Means: []records.MeanRecord{{Team: "t", Class: "c", Mean: 35.12, N: 200, Last: 1764632452}}}} {
+func TestJSONSize(t *testing.T) {
+	for _, v := range []any{submission(), records.Job{Spec: protocol.Job{ID: "job-1", CPUs: 0.1, Dependencies: []string{"job-2", "job-3"}}, SubmittedAt: 1.7e9 + 0.123},
+		records.RegistryPage{Machines: map[string]records.Machine{"n-1": {Addr: "10.0.0.1:9000", Type: "a \"b\" <c>", Zone: "ü"}}},
+		records.Estimates{Means: []records.Mean{{Team: "t", Class: "c", Mean: 35.12, Count: 200, LastAt: 1764632452}}}} {
 		var plain any
 		if err := protocol.Decode(protocol.Encode(v), &plain); err != nil {
 			t.Fatal(err)
 		}
 		b, err := json.Marshal(plain)
-		if n := protocol.TextSize(v); err != nil || n < len(b) || n > len(b)*5/4+16 {
+		if n := protocol.JSONSize(v); err != nil || n < len(b) || n > len(b)*5/4+16 {
 			t.Errorf("%d for the %d bytes of %s, %v", n, len(b), b, err)
 		}
 	}
--- a/internal/protocol/state.go
+++ b/internal/protocol/store.go
@@ -1,17 +1,17 @@
 package protocol
 
-// Item is a key with its value in the state service.
-type Item struct {
+// KeyValue is a key with its value in the state service.
+type KeyValue struct {
 	Key     string `msgpack:"Key"`
 	Value   Raw    `msgpack:"Data"`
 	Version uint64 `msgpack:"Stamp"`
 }
 
-// Items is a page of keys.
-type Items struct {
-	Items    []Item `msgpack:"Items"`
-	More     bool   `msgpack:"More"`
-	Revision uint64 `msgpack:"Ledger"`
+// KeyPage is a page of keys.
+type KeyPage struct {
+	Items    []KeyValue `msgpack:"Items"`
+	More     bool       `msgpack:"More"`
+	Revision uint64     `msgpack:"Ledger"`
 }
 
 // Guard is a condition of a transaction: the key has this version, 0 meaning
@@ -21,46 +21,46 @@
 	Version uint64 `msgpack:"Stamp"`
 }
 
-// Op is a put or a delete.
-type Op struct {
+// Operation is a put or a delete.
+type Operation struct {
 	Put    string `msgpack:"Set,omitempty"`
 	Value  any    `msgpack:"Data,omitempty"`
 	Lease  uint64 `msgpack:"Permit,omitempty"`
 	Delete string `msgpack:"Delete,omitempty"`
 }
 
-// Txn is a transaction.
-type Txn struct {
-	If   []Guard `msgpack:"Guards"`
-	Then []Op    `msgpack:"Then"`
+// Transaction is a transaction.
+type Transaction struct {
+	If   []Guard     `msgpack:"Guards"`
+	Then []Operation `msgpack:"Then"`
 }
 
-// TxnAnswer answers a transaction with 200 or 409.
-type TxnAnswer struct {
+// TransactionResult answers a transaction with 200 or 409.
+type TransactionResult struct {
 	Failed   []string `msgpack:"failed,omitempty"`
 	Revision uint64   `msgpack:"Ledger"`
 }
 
 // LeaseRequest asks for a lease.
 type LeaseRequest struct {
-	TTLms int64 `msgpack:"LifeMs"`
+	TTLMillis int64 `msgpack:"LifeMs"`
 }
 
-// LeaseAnswer names the lease.
-type LeaseAnswer struct {
+// LeaseResponse names the lease.
+type LeaseResponse struct {
 	Lease uint64 `msgpack:"Permit"`
 }
 
-// Event is one change.
-type Event struct {
+// WatchEvent is one change.
+type WatchEvent struct {
 	Put     string `msgpack:"Set,omitempty"`
 	Value   Raw    `msgpack:"Data,omitempty"`
 	Delete  string `msgpack:"Delete,omitempty"`
 	Version uint64 `msgpack:"Stamp"`
 }
 
-// Events answers a watch.
-type Events struct {
-	Revision uint64  `msgpack:"Ledger"`
-	Events   []Event `msgpack:"Events"`
+// WatchResponse answers a watch.
+type WatchResponse struct {
+	Revision uint64       `msgpack:"Ledger"`
+	Events   []WatchEvent `msgpack:"Events"`
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -35,31 +35,31 @@
 
 // Job is a job as its user describes it.
 type Job struct {
-	ID          string   `msgpack:"Ref"`
-	Class       string   `msgpack:"Lotclass"`
-	Team        string   `msgpack:"Desk"`
-	Kind        string   `msgpack:"Genre"`
-	Urgency     string   `msgpack:"Urgency"`
-	Tasks       int      `msgpack:"Lots"`
-	CPUs        float64  `msgpack:"Cpus"`
-	GPUs        float64  `msgpack:"Gpus,omitempty"`
-	MemoryGB    float64  `msgpack:"MemoryGb"`
-	Image       string   `msgpack:"Kit"`
-	ImageGB     float64  `msgpack:"ImageGb"`
-	Types       []string `msgpack:"Rigtypes,omitempty"`
-	Zone        string   `msgpack:"Yard,omitempty"`
-	OneZone     bool     `msgpack:"Together,omitempty"`
-	Spread      bool     `msgpack:"Apart,omitempty"`
-	Spot        bool     `msgpack:"Loaner,omitempty"`
-	EstimateS   float64  `msgpack:"GuessS"`
-	CheckpointS float64  `msgpack:"BookmarkS,omitempty"`
-	SaveS       float64  `msgpack:"StashS,omitempty"`
-	DeadlineS   float64  `msgpack:"GavelS,omitempty"` // 0: none
-	Needs       []string `msgpack:"Awaits,omitempty"` // jobs that must be done before any task of this one starts
+	ID           string   `msgpack:"Ref"`
+	Class        string   `msgpack:"Lotclass"`
+	Team         string   `msgpack:"Desk"`
+	Kind         string   `msgpack:"Genre"`
+	Urgency      string   `msgpack:"Urgency"`
+	Tasks        int      `msgpack:"Lots"`
+	CPUs         float64  `msgpack:"Cpus"`
+	GPUs         float64  `msgpack:"Gpus,omitempty"`
+	MemoryGB     float64  `msgpack:"MemoryGb"`
+	Image        string   `msgpack:"Kit"`
+	ImageGB      float64  `msgpack:"ImageGb"`
+	MachineTypes []string `msgpack:"Rigtypes,omitempty"`
+	Zone         string   `msgpack:"Yard,omitempty"`
+	OneZone      bool     `msgpack:"Together,omitempty"`
+	Spread       bool     `msgpack:"Apart,omitempty"`
+	AllowSpot    bool     `msgpack:"Loaner,omitempty"`
+	EstimateS    float64  `msgpack:"GuessS"`
+	CheckpointS  float64  `msgpack:"BookmarkS,omitempty"`
+	SaveS        float64  `msgpack:"StashS,omitempty"`
+	DeadlineS    float64  `msgpack:"GavelS,omitempty"` // 0: none
+	Dependencies []string `msgpack:"Awaits,omitempty"` // jobs that must be done before any task of this one starts
 }
 
-// JobAnswer is what a user is told about a job.
-type JobAnswer struct {
+// JobResponse is what a user is told about a job.
+type JobResponse struct {
 	ID      string `msgpack:"Ref"`
 	State   string `msgpack:"Status"`
 	Done    int    `msgpack:"done"`
@@ -67,8 +67,8 @@
 	Reason  string `msgpack:"Reason,omitempty"`
 }
 
-// ErrorAnswer is the body of a refusal.
-type ErrorAnswer struct {
+// ErrorResponse is the body of a refusal.
+type ErrorResponse struct {
 	Error string `msgpack:"error"`
 }
 
@@ -96,29 +96,29 @@
 	if m == nil {
 		return Job{}, errors.New("body: not a map")
 	}
-	f := fields{m: m}
+	f := submissionFields{values: m}
 	j := Job{
-		ID:          f.text("Ref"),
-		Class:       f.text("Lotclass"),
-		Team:        f.text("Desk"),
-		Kind:        f.oneOf("Genre", KindArray, KindGang, KindService),
-		Urgency:     f.oneOf("Urgency", UrgencyProduction, UrgencyHigh, UrgencyNormal, UrgencyLow),
-		Tasks:       f.count("Lots"),
-		CPUs:        f.amount("Cpus"),
-		GPUs:        f.amount("Gpus"),
-		MemoryGB:    f.amount("MemoryGb"),
-		Image:       f.text("Kit"),
-		ImageGB:     f.amount("ImageGb"),
-		Types:       f.texts("Rigtypes"),
-		Zone:        f.optionalText("Yard"),
-		OneZone:     f.flag("Together"),
-		Spread:      f.flag("Apart"),
-		Spot:        f.flag("Loaner"),
-		EstimateS:   f.amount("GuessS"),
-		CheckpointS: f.amount("BookmarkS"),
-		SaveS:       f.amount("StashS"),
-		DeadlineS:   f.optionalAmount("GavelS"),
-		Needs:       f.jobIDs("Awaits"),
+		ID:           f.text("Ref"),
+		Class:        f.text("Lotclass"),
+		Team:         f.text("Desk"),
+		Kind:         f.oneOf("Genre", KindArray, KindGang, KindService),
+		Urgency:      f.oneOf("Urgency", UrgencyProduction, UrgencyHigh, UrgencyNormal, UrgencyLow),
+		Tasks:        f.count("Lots"),
+		CPUs:         f.amount("Cpus"),
+		GPUs:         f.amount("Gpus"),
+		MemoryGB:     f.amount("MemoryGb"),
+		Image:        f.text("Kit"),
+		ImageGB:      f.amount("ImageGb"),
+		MachineTypes: f.texts("Rigtypes"),
+		Zone:         f.optionalText("Yard"),
+		OneZone:      f.flag("Together"),
+		Spread:       f.flag("Apart"),
+		AllowSpot:    f.flag("Loaner"),
+		EstimateS:    f.amount("GuessS"),
+		CheckpointS:  f.amount("BookmarkS"),
+		SaveS:        f.amount("StashS"),
+		DeadlineS:    f.optionalAmount("GavelS"),
+		Dependencies: f.jobIDs("Awaits"),
 	}
 	if f.err == nil && !ValidJobID(j.ID) {
 		f.fail("Ref", "is not a job id")
@@ -129,27 +129,27 @@
 	return j, f.err
 }
 
-// fields takes typed values out of a decoded map and keeps the first error.
-type fields struct {
-	m   map[string]any
-	err error
+// submissionFields takes typed values out of a decoded map and keeps the first error.
+type submissionFields struct {
+	values map[string]any
+	err    error
 }
 
-func (f *fields) fail(name, what string) {
+func (f *submissionFields) fail(name, what string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s %s", name, what)
 	}
 }
 
-func (f *fields) get(name string) any {
-	v, ok := f.m[name]
+func (f *submissionFields) get(name string) any {
+	v, ok := f.values[name]
 	if !ok || v == nil {
 		f.fail(name, "is missing")
 	}
 	return v
 }
 
-func (f *fields) text(name string) string {
+func (f *submissionFields) text(name string) string {
 	s, ok := f.get(name).(string)
 	if !ok || s == "" || len(s) > 200 {
 		f.fail(name, "must be a text of 1 to 200 bytes")
@@ -157,14 +157,14 @@
 	return s
 }
 
-func (f *fields) optionalText(name string) string {
-	if f.m[name] == nil {
+func (f *submissionFields) optionalText(name string) string {
+	if f.values[name] == nil {
 		return ""
 	}
 	return f.text(name)
 }
 
-func (f *fields) oneOf(name string, allowed ...string) string {
+func (f *submissionFields) oneOf(name string, allowed ...string) string {
 	s := f.text(name)
 	for _, a := range allowed {
 		if s == a {
@@ -175,7 +175,7 @@
 	return s
 }
 
-func (f *fields) flag(name string) bool {
+func (f *submissionFields) flag(name string) bool {
 	b, ok := f.get(name).(bool)
 	if !ok {
 		f.fail(name, "must be true or false")
@@ -183,8 +183,8 @@
 	return b
 }
 
-func (f *fields) amount(name string) float64 {
-	x, ok := number(f.get(name))
+func (f *submissionFields) amount(name string) float64 {
+	x, ok := toNumber(f.get(name))
 	if !ok || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 		f.fail(name, "must be a finite number, not negative")
 		return 0
@@ -192,16 +192,16 @@
 	return x
 }
 
-func (f *fields) optionalAmount(name string) float64 {
-	if f.m[name] == nil {
+func (f *submissionFields) optionalAmount(name string) float64 {
+	if f.values[name] == nil {
 		return 0
 	}
 	return f.amount(name)
 }
 
-func (f *fields) count(name string) int {
+func (f *submissionFields) count(name string) int {
 	v := f.get(name)
-	x, ok := number(v)
+	x, ok := toNumber(v)
 	switch v.(type) {
 	case float32, float64:
 		ok = false
@@ -213,8 +213,8 @@
 	return int(x)
 }
 
-func (f *fields) texts(name string) []string {
-	v := f.m[name]
+func (f *submissionFields) texts(name string) []string {
+	v := f.values[name]
 	if v == nil {
 		return nil
 	}
@@ -236,8 +236,8 @@
 }
 
 // jobIDs reads a list of job ids that may be missing or empty; doubles count once.
-func (f *fields) jobIDs(name string) []string {
-	v := f.m[name]
+func (f *submissionFields) jobIDs(name string) []string {
+	v := f.values[name]
 	if v == nil {
 		return nil
 	}
@@ -262,7 +262,7 @@
 	return out
 }
 
-func number(v any) (float64, bool) {
+func toNumber(v any) (float64, bool) {
 	switch x := v.(type) {
 	case float64:
 		return x, true
--- a/internal/protocol/check.go
+++ b/internal/protocol/validate.go
@@ -9,21 +9,21 @@
 const maxDepth = 32
 
 var (
-	errShort  = errors.New("the value is cut short")
-	errDeep   = errors.New("the value nests too deep")
-	errFormat = errors.New("not MessagePack")
+	errShort   = errors.New("the value is cut short")
+	errTooDeep = errors.New("the value nests too deep")
+	errFormat  = errors.New("not MessagePack")
 )
 
-// check walks over one value and returns what follows it. The library reserves
+// skipValue walks over one value and returns what follows it. The library reserves
 // memory by the lengths a message claims, so a few bytes from outside could
 // take more than the process may have; here every claim is held against the
 // bytes that are there.
-func check(b []byte, depth int) ([]byte, error) {
+func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 {
 		return nil, errShort
 	}
 	if depth > maxDepth {
-		return nil, errDeep
+		return nil, errTooDeep
 	}
 	c := b[0]
 	b = b[1:]
@@ -60,7 +60,7 @@
 			err = errShort
 		}
 		for i := 0; i < n && err == nil; i++ {
-			b, err = check(b, depth+1)
+			b, err = skipValue(b, depth+1)
 		}
 		return b, err
 	}
@@ -102,9 +102,9 @@
 	return nil, errFormat // extensions are no part of the protocol
 }
 
-// whole checks that b is exactly one value.
-func whole(b []byte) error {
-	rest, err := check(b, 0)
+// validate checks that b is exactly one value.
+func validate(b []byte) error {
+	rest, err := skipValue(b, 0)
 	if err == nil && len(rest) > 0 {
 		err = ErrTrailing
 	}
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -17,34 +17,34 @@
 
 // Why a task exited.
 const (
-	WhyDone    = "done"
-	WhyStopped = "halted"
-	WhyError   = "error"
-	WhyNoRoom  = "no_room"
-	WhyBusy    = "busy"
-	WhyUnknown = "no_such"
-	WhyPeers   = "peers"
-	WhyAlone   = "incomplete"
+	ExitDone           = "done"
+	ExitStopped        = "halted"
+	ExitFailed         = "error"
+	ExitNoCapacity     = "no_room"
+	ExitDuplicate      = "busy"
+	ExitUnknownTask    = "no_such"
+	ExitGangPeerLost   = "peers"
+	ExitGangIncomplete = "incomplete"
 )
 
 // Commands to a worker.
 const (
-	OpStart  = "start"
-	OpStop   = "kill"
-	OpForget = "clear"
+	CommandStart  = "start"
+	CommandStop   = "kill"
+	CommandForget = "clear"
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    string `msgpack:"Lot"`
-	Attempt uint64 `msgpack:"Try"`
-	State   string `msgpack:"Status"`
-	Why     string `msgpack:"Cause,omitempty"`
-	Saved   bool   `msgpack:"Stored,omitempty"`
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Task       string `msgpack:"Lot"`
+	Attempt    uint64 `msgpack:"Try"`
+	State      string `msgpack:"Status"`
+	ExitReason string `msgpack:"Cause,omitempty"`
+	Saved      bool   `msgpack:"Stored,omitempty"`
 }
 
-// Report is what a worker says about itself.
-type Report struct {
+// Heartbeat is what a worker says about itself.
+type Heartbeat struct {
 	Machine string       `msgpack:"Rig"`
 	Addr    string       `msgpack:"Addr"`
 	Type    string       `msgpack:"Rigtype"`
@@ -54,25 +54,25 @@
 	Seq     uint64       `msgpack:"Tally"`
 	Token   uint64       `msgpack:"Baton"`
 	NoticeS *float64     `msgpack:"RecallS"`
-	Tasks   []TaskReport `msgpack:"Lots"`
+	Tasks   []TaskStatus `msgpack:"Lots"`
 }
 
 // Newer reports whether r was made after a report with the given session and
 // sequence number.
-func (r *Report) Newer(session, seq uint64) bool {
+func (r *Heartbeat) Newer(session, seq uint64) bool {
 	return r.Session > session || r.Session == session && r.Seq > seq
 }
 
 // Command is one order to a worker.
 type Command struct {
-	Op      string  `msgpack:"Verb"`
+	Kind    string  `msgpack:"Verb"`
 	Task    string  `msgpack:"Lot"`
 	Attempt uint64  `msgpack:"Try"`
 	GraceS  float64 `msgpack:"MercyS"`
 }
 
-// ReportAnswer answers a report with 200.
-type ReportAnswer struct {
+// HeartbeatResponse answers a report with 200.
+type HeartbeatResponse struct {
 	Token    uint64    `msgpack:"Baton"`
 	Commands []Command `msgpack:"Orders"`
 }
@@ -82,14 +82,14 @@
 	ReportTo string `msgpack:"Auctioneer,omitempty"`
 }
 
-// ReportOutcome is either answer to a report, as the worker reads it.
-type ReportOutcome struct {
-	ReportAnswer
+// HeartbeatReply is either answer to a report, as the worker reads it.
+type HeartbeatReply struct {
+	HeartbeatResponse
 	Redirect
 }
 
-// Do is a direct command to a worker.
-type Do struct {
+// DirectCommands is a direct command to a worker.
+type DirectCommands struct {
 	Token    uint64    `msgpack:"Baton"`
 	Session  uint64    `msgpack:"Shift"`
 	Commands []Command `msgpack:"Orders"`
@@ -98,8 +98,8 @@
 // TaskName is the name of task i of a job.
 func TaskName(job string, i int) string { return job + "/" + strconv.Itoa(i) }
 
-// ParseTask splits a task's name into its job and number.
-func ParseTask(name string) (string, int, error) {
+// ParseTaskName splits a task's name into its job and number.
+func ParseTaskName(name string) (string, int, error) {
 	job, num, ok := strings.Cut(name, "/")
 	if !ok || !ValidJobID(job) {
 		return "", 0, fmt.Errorf("task name %q", name)
