--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -13,83 +13,83 @@
 // What chalkhub itself keeps in the state service. These values are ours, so
 // their names are plain.
 
-// JobRecord is a job's durable state. State is JobQueued until the job is over.
-type JobRecord struct {
-	Spec   protocol.Job `msgpack:"spec"`
-	State  string       `msgpack:"state"`
-	At     float64      `msgpack:"at"`               // time of day of the submission, in seconds
-	Zones  []string     `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
-	Bad    string       `msgpack:"why,omitempty"`    // why the job was stopped
-	Pieces int          `msgpack:"pieces,omitempty"` // the whole record is in so many keys,
-	Nonce  string       `msgpack:"nonce,omitempty"`  // all of this name; here are only its id and state
-	Over   float64      `msgpack:"over,omitempty"`   // time of day when it was done, in seconds; 0: an older version wrote it
+// Job is a job's durable state. State is JobQueued until the job is over.
+type Job struct {
+	Spec        protocol.Job `msgpack:"spec"`
+	State       string       `msgpack:"state"`
+	SubmittedAt float64      `msgpack:"at"`               // time of day of the submission, in seconds
+	Zones       []string     `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
+	StopReason  string       `msgpack:"why,omitempty"`    // why the job was stopped
+	Chunks      int          `msgpack:"pieces,omitempty"` // the whole record is in so many keys,
+	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // all of this name; here are only its id and state
+	DoneAt      float64      `msgpack:"over,omitempty"`   // time of day when it was done, in seconds; 0: an older version wrote it
 }
 
-// PieceRecord is a piece of a record that is larger than a value: of its MessagePack,
+// Chunk is a piece of a record that is larger than a value: of its MessagePack,
 // deflated, as base64.
-type PieceRecord struct {
+type Chunk struct {
 	Text string `msgpack:"text"`
 }
 
-// LotRecord holds jobs that were accepted together.
-type LotRecord struct {
-	Jobs []JobRecord `msgpack:"jobs"`
+// AdmissionBatch holds jobs that were accepted together.
+type AdmissionBatch struct {
+	Jobs []Job `msgpack:"jobs"`
 }
 
-// ProgressRecord holds the completed tasks of one block of a job.
-type ProgressRecord struct {
+// Progress holds the completed tasks of one block of a job.
+type Progress struct {
 	Bits string `msgpack:"bits"`
 }
 
-// NodeRecord says that a controller is alive.
-type NodeRecord struct {
-	Boot  string `msgpack:"boot"`
-	Level int    `msgpack:"level,omitempty"` // what it understands: Level of its version
+// Node says that a controller is alive.
+type Node struct {
+	BootID string `msgpack:"boot"`
+	Level  int    `msgpack:"level,omitempty"` // what it understands: Level of its version
 }
 
-// Level is what this version understands of what is stored. Older ones say nothing, 0.
-const Level = 1 // jobs that need others
+// FormatLevel is what this version understands of what is stored. Older ones say nothing, 0.
+const FormatLevel = 1 // jobs that need others
 
-// LeaderRecord says who leads.
-type LeaderRecord struct {
-	Label string `msgpack:"label"`
-	Boot  string `msgpack:"boot"`
+// Leader says who leads.
+type Leader struct {
+	Label  string `msgpack:"label"`
+	BootID string `msgpack:"boot"`
 }
 
-// MapRecord says who divides the machines.
-type MapRecord struct {
+// ShardMap says who divides the machines.
+type ShardMap struct {
 	Epoch   uint64            `msgpack:"epoch"`
 	Leader  string            `msgpack:"leader"`
 	Members map[string]string `msgpack:"members"` // label -> boot
 }
 
-// MachinesRecord is one key of the register of machines.
-type MachinesRecord struct {
-	Machines map[string]MachineRecord `msgpack:"machines"`
+// RegistryPage is one key of the register of machines.
+type RegistryPage struct {
+	Machines map[string]Machine `msgpack:"machines"`
 }
 
-// MachineRecord says that a machine may have been given tasks.
-type MachineRecord struct {
+// Machine says that a machine may have been given tasks.
+type Machine struct {
 	Addr string `msgpack:"addr"`
 	Type string `msgpack:"type"`
 	Zone string `msgpack:"zone"`
 	Spot bool   `msgpack:"spot"`
 }
 
-// EstimateRecord is the estimator's history.
-type EstimateRecord struct {
-	Means []MeanRecord `msgpack:"means"`
+// Estimates is the estimator's history.
+type Estimates struct {
+	Means []Mean `msgpack:"means"`
 }
 
-// MeanRecord is one running mean.
-type MeanRecord struct {
-	Team  string  `msgpack:"team"`
-	Class string  `msgpack:"class"`
-	CPUs  float64 `msgpack:"cpus"`
-	GPUs  float64 `msgpack:"gpus"`
-	Mean  float64 `msgpack:"mean"`
-	N     float64 `msgpack:"n"`
-	Last  float64 `msgpack:"last"` // time of day of the newest duration
+// Mean is one running mean.
+type Mean struct {
+	Team   string  `msgpack:"team"`
+	Class  string  `msgpack:"class"`
+	CPUs   float64 `msgpack:"cpus"`
+	GPUs   float64 `msgpack:"gpus"`
+	Mean   float64 `msgpack:"mean"`
+	Count  float64 `msgpack:"n"`
+	LastAt float64 `msgpack:"last"` // time of day of the newest duration
 }
 
 // TaskSet is a set of task numbers.
@@ -110,9 +110,9 @@
 	return true
 }
 
-// Join adds another set, whose first byte is so many behind the first of this one, and
+// Merge adds another set, whose first byte is so many behind the first of this one, and
 // returns how many were new.
-func (s *TaskSet) Join(o TaskSet, at int) (added int) {
+func (s *TaskSet) Merge(o TaskSet, at int) (added int) {
 	for at+len(o) > len(*s) {
 		*s = append(*s, 0)
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -32,7 +32,7 @@
 }
 
 type machine struct {
-	protocol.Machine
+	protocol.Instance
 	since time.Duration
 	gone  time.Duration // 0: there
 }
@@ -61,7 +61,7 @@
 func (c *Cloud) add(typ, zone string, spot bool) string {
 	c.next++
 	name := fmt.Sprintf("n-%06d", c.next)
-	c.machines[name] = &machine{since: c.w.Now, Machine: protocol.Machine{
+	c.machines[name] = &machine{since: c.w.Now, Instance: protocol.Instance{
 		Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: protocol.MachineBooting}}
 	return name
 }
@@ -72,10 +72,10 @@
 		return
 	}
 	m.State = protocol.MachineRunning
-	c.w.Workers[name] = newWorker(c.w, m.Machine)
+	c.w.Workers[name] = newWorker(c.w, m.Instance)
 }
 
-func (c *Cloud) hire(h protocol.Hire) ([]string, core.CloudOutcome) {
+func (c *Cloud) hire(h protocol.CreateMachinesRequest) ([]string, core.CloudOutcome) {
 	if names := c.answers[h.Request]; names != nil {
 		return names, core.CloudDone
 	}
@@ -154,12 +154,12 @@
 		return core.ListInstancesResult{Outcome: outcome}
 	}
 	lag := config.Seconds(c.w.Set.Site.Cloud.ListLagS)
-	var out []protocol.Machine
+	var out []protocol.Instance
 	for _, m := range c.machines {
 		if m.Name <= since || m.since+lag > c.w.Now || m.gone > 0 && m.gone+lag <= c.w.Now {
 			continue
 		}
-		x := m.Machine
+		x := m.Instance
 		x.AgeS = (c.w.Now - lag - m.since).Seconds()
 		out = append(out, x)
 	}
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -249,7 +249,7 @@
 	}
 }
 
-func (l *peerLink) send(from *Node, m peerproto.PeerMessage) {
+func (l *peerLink) send(from *Node, m peerproto.Message) {
 	w, to, side := l.w, l.a, 1
 	if from == l.a {
 		to, side = l.b, 0
@@ -280,7 +280,7 @@
 }
 
 // size is what a message between controllers takes, in bytes.
-func size(m peerproto.PeerMessage) int {
+func size(m peerproto.Message) int {
 	line, err := json.Marshal(m)
 	if err != nil {
 		panic("fake: a message between controllers is no JSON: " + err.Error())
--- a/internal/simulation/old.go
+++ b/internal/simulation/old.go
@@ -29,10 +29,10 @@
 func oldTakes(c core.Command) core.Command {
 	switch c := c.(type) {
 	case core.SubmitJob:
-		c.Spec.Needs = nil
+		c.Spec.Dependencies = nil
 		return c
 	case core.LoadResult:
-		var items []protocol.Item
+		var items []protocol.KeyValue
 		for _, it := range c.Items {
 			if knownToOld(it.Key) {
 				items = append(items, it)
@@ -44,7 +44,7 @@
 		c.Items = items
 		return c
 	case core.WatchResult:
-		var events []protocol.Event
+		var events []protocol.WatchEvent
 		for _, e := range c.Answer.Events {
 			if knownToOld(e.Put + e.Delete) {
 				events = append(events, e)
@@ -57,14 +57,14 @@
 }
 
 // oldWrites is what an old controller writes of a transaction.
-func oldWrites(t protocol.Txn) protocol.Txn {
-	then := make([]protocol.Op, len(t.Then))
+func oldWrites(t protocol.Transaction) protocol.Transaction {
+	then := make([]protocol.Operation, len(t.Then))
 	for i, op := range t.Then {
 		switch v := op.Value.(type) {
-		case records.JobRecord:
-			v.Over = 0
+		case records.Job:
+			v.DoneAt = 0
 			op.Value = v
-		case records.NodeRecord:
+		case records.Node:
 			v.Level = 0
 			op.Value = v
 		}
@@ -75,16 +75,16 @@
 }
 
 // oldSays is what an old controller says to another of a message.
-func oldSays(m peerproto.PeerMessage) peerproto.PeerMessage {
-	if m.Word != nil {
-		w := *m.Word
+func oldSays(m peerproto.Message) peerproto.Message {
+	if m.Vote != nil {
+		w := *m.Vote
 		w.IncludesMirror = false
-		m.Word = &w
+		m.Vote = &w
 	}
-	if m.Ask != nil {
-		a := *m.Ask
+	if m.Round != nil {
+		a := *m.Round
 		a.VotesIncludeMirror = false
-		m.Ask = &a
+		m.Round = &a
 	}
 	return m
 }
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -76,7 +76,7 @@
 type watch struct {
 	node  string
 	since uint64
-	done  func(core.WatchOutcome, protocol.Events)
+	done  func(core.WatchOutcome, protocol.WatchResponse)
 	over  bool
 }
 
@@ -145,33 +145,33 @@
 
 // Commit runs a transaction of a node, an old one perhaps. CommitUnknown stands for an
 // answer that never comes.
-func (s *State) Commit(node string, old bool, t protocol.Txn) (core.CommitOutcome, protocol.TxnAnswer) {
+func (s *State) Commit(node string, old bool, t protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
 	if s.refuses(node) {
-		return core.CommitUnavailable, protocol.TxnAnswer{}
+		return core.CommitUnavailable, protocol.TransactionResult{}
 	}
 	if s.limited(len(t.Then)) {
-		return core.CommitThrottled, protocol.TxnAnswer{}
+		return core.CommitThrottled, protocol.TransactionResult{}
 	}
 	if why := s.malformed(t); why != "" {
 		if !old { // that one does not know the limits to come
 			s.w.broke("malformed", "%s sends the state service %s", node, why)
 		}
-		return core.CommitRejected, protocol.TxnAnswer{}
+		return core.CommitRejected, protocol.TransactionResult{}
 	}
-	if s.LateShare > 0 && slices.ContainsFunc(t.Then, func(op protocol.Op) bool { return strings.HasPrefix(op.Put+op.Delete, s.LateOnly) }) &&
+	if s.LateShare > 0 && slices.ContainsFunc(t.Then, func(op protocol.Operation) bool { return strings.HasPrefix(op.Put+op.Delete, s.LateOnly) }) &&
 		s.w.Rand.Float64() < s.LateShare {
 		s.Late++
 		if s.LateBy == 0 { // carried out at once: only the answer is lost
 			s.apply(t)
-			return core.CommitUnknown, protocol.TxnAnswer{}
+			return core.CommitUnknown, protocol.TransactionResult{}
 		}
 		s.w.After(s.LateFrom+time.Duration(s.w.Rand.Int64N(int64(s.LateBy-s.LateFrom)+1)), func() { s.apply(t) })
-		return core.CommitUnknown, protocol.TxnAnswer{}
+		return core.CommitUnknown, protocol.TransactionResult{}
 	}
 	return s.apply(t)
 }
 
-func (s *State) apply(t protocol.Txn) (core.CommitOutcome, protocol.TxnAnswer) {
+func (s *State) apply(t protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
 	s.Writes += len(t.Then)
 	txn := kvstore.Txn{If: t.If}
 	for _, op := range t.Then {
@@ -182,7 +182,7 @@
 		txn.Then = append(txn.Then, o)
 	}
 	var status int
-	var answer protocol.TxnAnswer
+	var answer protocol.TransactionResult
 	s.change(func(b *kvstore.Batch) { status, answer, _ = b.Commit(&txn) })
 	return engine.CommitOutcome(status), answer
 }
@@ -199,7 +199,7 @@
 }
 
 // since answers a watch.
-func (s *State) since(rev uint64, done func(core.WatchOutcome, protocol.Events)) {
+func (s *State) since(rev uint64, done func(core.WatchOutcome, protocol.WatchResponse)) {
 	e, ok := s.now.Since(core.KeyPrefix, rev)
 	if !ok {
 		done(core.WatchCompacted, e)
@@ -208,20 +208,20 @@
 	done(core.WatchServed, e)
 }
 
-func (s *State) follow(node string, e core.Watch, done func(core.WatchOutcome, protocol.Events)) {
+func (s *State) follow(node string, e core.Watch, done func(core.WatchOutcome, protocol.WatchResponse)) {
 	if s.refuses(node) {
 		if e.Hold == 0 {
-			done(core.WatchUnavailable, protocol.Events{})
+			done(core.WatchUnavailable, protocol.WatchResponse{})
 		}
 		return // open watches stay open
 	}
 	if s.limited(0) {
-		done(core.WatchThrottled, protocol.Events{})
+		done(core.WatchThrottled, protocol.WatchResponse{})
 		return
 	}
 	if s.Forgot[node] {
 		delete(s.Forgot, node)
-		done(core.WatchCompacted, protocol.Events{})
+		done(core.WatchCompacted, protocol.WatchResponse{})
 		return
 	}
 	if e.Hold == 0 || s.now.Revision > e.Since {
@@ -260,9 +260,9 @@
 		id := fmt.Sprintf("job-9%08d", i)
 		spec := Array(1 + i%40)
 		spec.ID = id
-		rec := records.JobRecord{Spec: spec, State: protocol.JobDone, At: 9e8 + float64(i)}
+		rec := records.Job{Spec: spec, State: protocol.JobDone, SubmittedAt: 9e8 + float64(i)}
 		if i%50 == 0 {
-			rec.State, rec.Bad = protocol.JobCancelled, "cancelled by its user"
+			rec.State, rec.StopReason = protocol.JobCancelled, "cancelled by its user"
 		}
 		txn.Then = append(txn.Then, kvstore.Op{Put: "c/job/" + id, Value: protocol.Encode(rec)})
 	}
@@ -273,23 +273,23 @@
 // half in chains of a hundred.
 func (s *State) Behind(first protocol.Job, n int) {
 	first.EstimateS = 100_000
-	txn := kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + first.ID, Value: protocol.Encode(records.JobRecord{Spec: first, State: protocol.JobQueued, At: 1e9})}}}
+	txn := kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + first.ID, Value: protocol.Encode(records.Job{Spec: first, State: protocol.JobQueued, SubmittedAt: 1e9})}}}
 	before := ""
 	for i := range n {
 		spec := Array(1 + i%40)
 		spec.ID = fmt.Sprintf("job-8%08d", i)
-		if spec.Needs = []string{first.ID}; i%200 > 100 {
-			spec.Needs = []string{before}
+		if spec.Dependencies = []string{first.ID}; i%200 > 100 {
+			spec.Dependencies = []string{before}
 		}
 		before = spec.ID
-		txn.Then = append(txn.Then, kvstore.Op{Put: "c/run/" + spec.ID, Value: protocol.Encode(records.JobRecord{Spec: spec, State: protocol.JobQueued, At: 1e9})})
+		txn.Then = append(txn.Then, kvstore.Op{Put: "c/run/" + spec.ID, Value: protocol.Encode(records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: 1e9})})
 	}
 	s.change(func(b *kvstore.Batch) { b.Commit(&txn) })
 }
 
 // malformed says what is wrong with a transaction: it is over a limit of the
 // settings. A service that sends one would send it for ever.
-func (s *State) malformed(t protocol.Txn) string {
+func (s *State) malformed(t protocol.Transaction) string {
 	set := s.limits()
 	if n := len(t.Then); n > set.TxnOps {
 		return fmt.Sprintf("%d changes in one transaction", n)
@@ -299,7 +299,7 @@
 	}
 	total := 0
 	for _, op := range t.Then {
-		size := protocol.TextSize(op.Value)
+		size := protocol.JSONSize(op.Value)
 		if total += size; float64(size) > set.ValueKB*1024 {
 			return fmt.Sprintf("a value of %d bytes for %s", size, op.Put)
 		}
@@ -317,7 +317,7 @@
 
 // Reopen puts a job back to where it was when it was accepted, behind everybody's back.
 func (s *State) Reopen(spec protocol.Job) {
-	rec := records.JobRecord{Spec: spec, State: protocol.JobQueued, At: 1e9}
+	rec := records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: 1e9}
 	s.change(func(b *kvstore.Batch) {
 		b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + spec.ID, Value: protocol.Encode(rec)}}})
 	})
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -51,7 +51,7 @@
 	waits     map[string]time.Duration // machines that could take it while it waits, and since when
 	startedAt time.Duration            // when a machine took one of its tasks last
 	sentAt    time.Duration            // when it was handed in
-	Answer    protocol.JobAnswer
+	Answer    protocol.JobResponse
 	aborting  bool
 	Cancelled time.Duration // when its user was told
 	done      map[int]bool
@@ -66,7 +66,7 @@
 // Array describes an array job of n tasks with one CPU each, for team blue.
 func Array(n int) protocol.Job {
 	return protocol.Job{Class: "photos", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyNormal, Tasks: n,
-		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.5, Spot: true, EstimateS: 10}
+		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.5, AllowSpot: true, EstimateS: 10}
 }
 
 // Submit hands in a job whose tasks run for runS, again and again until it is
@@ -118,7 +118,7 @@
 			}
 			first := !j.Accepted
 			j.Accepted = true
-			u.hear(j, r.Body.(protocol.JobAnswer), sent)
+			u.hear(j, r.Body.(protocol.JobResponse), sent)
 			if first {
 				u.w.After(time.Second, func() { u.poll(j) })
 				u.look(j)
@@ -154,7 +154,7 @@
 			switch {
 			case r.Status == 200 || r.Status == 201:
 				u.Looks++
-				u.hear(j, r.Body.(protocol.JobAnswer), sent)
+				u.hear(j, r.Body.(protocol.JobResponse), sent)
 			case known && (r.Status == 404 || r.Status == 400 || r.Status == 422):
 				w.broke("forgotten", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
 			}
@@ -194,7 +194,7 @@
 	u.ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
 		switch r.Status {
 		case 200:
-			u.hear(j, r.Body.(protocol.JobAnswer), sent)
+			u.hear(j, r.Body.(protocol.JobResponse), sent)
 		case 404:
 			u.w.broke("forgotten", "%s is answered 404", j.Spec.ID)
 		}
@@ -213,7 +213,7 @@
 		case r.Status == 200 && j == nil:
 			u.w.broke("invented", "%s is answered 200", id)
 		case r.Status == 200 && known:
-			u.hear(j, r.Body.(protocol.JobAnswer), sent)
+			u.hear(j, r.Body.(protocol.JobResponse), sent)
 		case r.Status == 404 && known:
 			u.w.broke("forgotten", "%s is answered 404", id)
 		}
@@ -246,7 +246,7 @@
 			u.w.After(time.Second, func() { u.Abort(j) })
 			return
 		}
-		u.hear(j, r.Body.(protocol.JobAnswer), sent)
+		u.hear(j, r.Body.(protocol.JobResponse), sent)
 	})
 }
 
@@ -256,7 +256,7 @@
 // hear takes what a node says of a job in answer to a question that left at that time. It is
 // older than it may be if the question left after a newer word had come, whichever node said
 // that; done and cancelled exclude one another whenever they were asked for.
-func (u *Users) hear(j *Job, a protocol.JobAnswer, sent time.Duration) {
+func (u *Users) hear(j *Job, a protocol.JobResponse, sent time.Duration) {
 	j.knownAt = u.w.Now
 	final := func(s string) bool { return s == protocol.JobDone || s == protocol.JobCancelled }
 	if final(j.Told) && a.State != j.Told && (final(a.State) || sent > j.overAt) {
@@ -298,7 +298,7 @@
 // all the same does not count.
 func (u *Users) cancelledBefore(j *Job) (found *Job) {
 	seen := map[string]bool{}
-	for todo := append([]string(nil), j.Spec.Needs...); len(todo) > 0; {
+	for todo := append([]string(nil), j.Spec.Dependencies...); len(todo) > 0; {
 		id := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		x := u.jobs[id]
@@ -306,7 +306,7 @@
 			continue
 		}
 		seen[id] = true
-		todo = append(todo, x.Spec.Needs...)
+		todo = append(todo, x.Spec.Dependencies...)
 		if x.aborting && (found == nil || found.Cancelled == 0) {
 			found = x
 		}
@@ -323,7 +323,7 @@
 	if j.Cancelled > 0 && u.w.Now > j.Cancelled+config.Seconds(u.w.Set.Site.Workers.CancelS) {
 		u.w.broke("ran_cancelled", "%s starts", t.Name)
 	}
-	for _, id := range j.Spec.Needs {
+	for _, id := range j.Spec.Dependencies {
 		if x := u.jobs[id]; x != nil && len(x.done) < x.Spec.Tasks {
 			u.w.broke("too_early", "%s starts while %s has %d of %d tasks done", t.Name, id, len(x.done), x.Spec.Tasks)
 		}
@@ -355,10 +355,10 @@
 
 func (u *Users) checkPlace(k *Worker, t *Task) {
 	s := &t.job.Spec
-	bad := s.Zone != "" && s.Zone != k.Info.Zone || k.Info.Spot && !s.Spot
-	if len(s.Types) > 0 {
+	bad := s.Zone != "" && s.Zone != k.Info.Zone || k.Info.Spot && !s.AllowSpot
+	if len(s.MachineTypes) > 0 {
 		ok := false
-		for _, x := range s.Types {
+		for _, x := range s.MachineTypes {
 			ok = ok || x == k.Info.Type
 		}
 		bad = bad || !ok
@@ -415,18 +415,18 @@
 			t.State, started = protocol.TaskRunning, w.Now
 			k.changed()
 		case t.State == protocol.TaskWaiting && w.Now > wait:
-			k.exit(t, protocol.WhyAlone)
+			k.exit(t, protocol.ExitGangIncomplete)
 			return
 		case t.State == protocol.TaskRunning && !all():
 			if missing == 0 {
 				missing = w.Now
 			}
 			if w.Now-missing > config.Seconds(w.Set.Site.Workers.GangPeerS) {
-				k.exit(t, protocol.WhyPeers)
+				k.exit(t, protocol.ExitGangPeerLost)
 				return
 			}
 		case t.State == protocol.TaskRunning && w.Now-started >= config.Seconds(j.RunS):
-			k.exit(t, protocol.WhyDone)
+			k.exit(t, protocol.ExitDone)
 			return
 		default:
 			missing = 0
--- a/internal/simulation/waiting.go
+++ b/internal/simulation/waiting.go
@@ -48,7 +48,7 @@
 		if u.w.Now-max(at, j.startedAt) > leftAfter {
 			s, m := &j.Spec, u.w.Workers[name].Info
 			u.w.broke("left_waiting", "%s (%s, %d tasks of %g CPUs, zone %q, one zone %v, spread %v, spot %v) is %s (%s); %s (%s in %s, spot %v) has had room for it since %.3f",
-				s.ID, s.Kind, s.Tasks, s.CPUs, s.Zone, s.OneZone, s.Spread, s.Spot, j.Told, j.Answer.Reason, name, m.Type, m.Zone, m.Spot, at.Seconds())
+				s.ID, s.Kind, s.Tasks, s.CPUs, s.Zone, s.OneZone, s.Spread, s.AllowSpot, j.Told, j.Answer.Reason, name, m.Type, m.Zone, m.Spot, at.Seconds())
 			j.startedAt = u.w.Now // said once
 			return
 		}
@@ -74,7 +74,7 @@
 	if !j.Accepted || j.Mistaken || j.aborting || u.cancelledBefore(j) != nil || j.Told == protocol.JobDone || j.Told == protocol.JobCancelled {
 		return false
 	}
-	for _, id := range s.Needs {
+	for _, id := range s.Dependencies {
 		if x := u.jobs[id]; x != nil && len(x.done) < x.Spec.Tasks {
 			return false
 		}
@@ -122,11 +122,11 @@
 
 // takes is how many tasks of a job the machine could take now, by its type, kind and room.
 func (k *Worker) takes(s *protocol.Job) int {
-	ok := len(s.Types) == 0
-	for _, t := range s.Types {
+	ok := len(s.MachineTypes) == 0
+	for _, t := range s.MachineTypes {
 		ok = ok || t == k.Info.Type
 	}
-	if !ok || k.Info.Spot && !s.Spot || k.Hung || k.Faulty || k.failed || k.Mute || k.NoticeS != nil {
+	if !ok || k.Info.Spot && !s.AllowSpot || k.Hung || k.Faulty || k.failed || k.Mute || k.NoticeS != nil {
 		return 0
 	}
 	free := k.free()
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -11,7 +11,7 @@
 // Worker is the agent on a machine.
 type Worker struct {
 	w       *World
-	Info    protocol.Machine
+	Info    protocol.Instance
 	Faulty  bool    // every task it starts fails
 	Hung    bool    // does nothing until it resumes; its lease ends all the same
 	Mute    bool    // opens no connection to a controller
@@ -53,7 +53,7 @@
 
 func (t *Task) takesRoom() bool { return t.State != protocol.TaskExited }
 
-func newWorker(w *World, m protocol.Machine) *Worker {
+func newWorker(w *World, m protocol.Instance) *Worker {
 	k := &Worker{w: w, Info: m, session: 1, images: map[string]bool{}, lastOK: w.Now, lastRep: -time.Hour,
 		rate: 1 + (w.Rand.Float64()*2-1)*0.00025, node: w.Rand.IntN(len(w.Nodes))}
 	k.report()
@@ -92,14 +92,14 @@
 }
 
 // message is the worker's report, as of now.
-func (k *Worker) message() protocol.Report {
+func (k *Worker) message() protocol.Heartbeat {
 	k.seq++
-	r := protocol.Report{
+	r := protocol.Heartbeat{
 		Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot,
-		Session: k.session, Seq: k.seq, Token: k.token, NoticeS: k.NoticeS, Tasks: []protocol.TaskReport{},
+		Session: k.session, Seq: k.seq, Token: k.token, NoticeS: k.NoticeS, Tasks: []protocol.TaskStatus{},
 	}
 	for _, t := range k.Tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.Name, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.Why, Saved: t.Saved})
 	}
 	return r
 }
@@ -165,7 +165,7 @@
 			return
 		}
 		switch body := r.Body.(type) {
-		case protocol.ReportAnswer:
+		case protocol.HeartbeatResponse:
 			if session == k.session && body.Token >= k.token && k.w.Now-sent < 4*time.Second {
 				raised := body.Token > k.token
 				k.token = body.Token
@@ -193,7 +193,7 @@
 	}, got, elsewhere)
 }
 
-func (k *Worker) do(d protocol.Do, answer func(core.DirectOutcome, protocol.Report)) {
+func (k *Worker) do(d protocol.DirectCommands, answer func(core.DirectOutcome, protocol.Heartbeat)) {
 	if k.dead {
 		return
 	}
@@ -219,17 +219,17 @@
 func (k *Worker) execute(cmds []protocol.Command) bool {
 	some := false
 	for _, c := range cmds {
-		switch c.Op {
-		case protocol.OpStart:
+		switch c.Kind {
+		case protocol.CommandStart:
 			some = k.start(c) || some
-		case protocol.OpStop:
+		case protocol.CommandStop:
 			for _, t := range k.Tasks {
 				if t.Name == c.Task && t.Attempt == c.Attempt && t.State != protocol.TaskExited {
 					k.stop(t, c.GraceS)
 					some = true
 				}
 			}
-		case protocol.OpForget:
+		case protocol.CommandForget:
 			kept := k.Tasks[:0]
 			for _, t := range k.Tasks {
 				if t.Name == c.Task && t.Attempt == c.Attempt && t.State == protocol.TaskExited {
@@ -253,17 +253,17 @@
 				return false
 			}
 			if x.takesRoom() {
-				t.State, t.Why = protocol.TaskExited, protocol.WhyBusy
+				t.State, t.Why = protocol.TaskExited, protocol.ExitDuplicate
 			}
 		}
 	}
-	ref, i, err := protocol.ParseTask(c.Task)
+	ref, i, err := protocol.ParseTaskName(c.Task)
 	t.job, t.index = u.jobs[ref], i
 	if err != nil || t.job == nil || i >= t.job.Spec.Tasks {
-		t.State, t.Why = protocol.TaskExited, protocol.WhyUnknown
+		t.State, t.Why = protocol.TaskExited, protocol.ExitUnknownTask
 	}
 	if t.State == protocol.TaskFetching && !k.room(&t.job.Spec) {
-		t.State, t.Why = protocol.TaskExited, protocol.WhyNoRoom
+		t.State, t.Why = protocol.TaskExited, protocol.ExitNoCapacity
 	}
 	k.Tasks = append(k.Tasks, t)
 	if t.State != protocol.TaskFetching {
@@ -303,9 +303,9 @@
 		}
 		switch {
 		case k.Faulty || t.job.Mistaken:
-			k.later(t, 500*time.Millisecond, func() { k.exit(t, protocol.WhyError) })
+			k.later(t, 500*time.Millisecond, func() { k.exit(t, protocol.ExitFailed) })
 		case t.job.Spec.Kind != protocol.KindService:
-			k.later(t, run, func() { k.exit(t, protocol.WhyDone) })
+			k.later(t, run, func() { k.exit(t, protocol.ExitDone) })
 		}
 	})
 	return true
@@ -342,7 +342,7 @@
 		return
 	}
 	k.w.Users.left(k, t)
-	if t.job != nil && t.began > 0 && why == protocol.WhyStopped {
+	if t.job != nil && t.began > 0 && why == protocol.ExitStopped {
 		ran := k.w.Now - t.began
 		if step := config.Seconds(t.job.Spec.CheckpointS); step <= 0 {
 			ran = 0
@@ -352,8 +352,8 @@
 		t.job.saved[t.index] += ran
 	}
 	t.State, t.Why = protocol.TaskExited, why
-	k.failed = k.failed || why == protocol.WhyError && !t.job.Mistaken
-	if why == protocol.WhyDone && t.job != nil && !t.job.done[t.index] {
+	k.failed = k.failed || why == protocol.ExitFailed && !t.job.Mistaken
+	if why == protocol.ExitDone && t.job != nil && !t.job.done[t.index] {
 		t.job.done[t.index] = true
 		if len(t.job.done) == t.job.Spec.Tasks {
 			k.w.Users.ended(t.job)
@@ -366,10 +366,10 @@
 	s := t.job
 	if t.State == protocol.TaskRunning && s != nil && s.Spec.CheckpointS > 0 && grace >= s.Spec.SaveS {
 		t.State = protocol.TaskSaving
-		k.later(t, config.Seconds(s.Spec.SaveS), func() { t.Saved = true; k.exit(t, protocol.WhyStopped) })
+		k.later(t, config.Seconds(s.Spec.SaveS), func() { t.Saved = true; k.exit(t, protocol.ExitStopped) })
 		return
 	}
-	k.exit(t, protocol.WhyStopped)
+	k.exit(t, protocol.ExitStopped)
 }
 
 // amounts are what a machine has left.
@@ -396,7 +396,7 @@
 // Force makes the worker start a task that nobody commanded, for the story that
 // checks the checker.
 func (k *Worker) Force(task string, attempt uint64) {
-	k.execute([]protocol.Command{{Op: protocol.OpStart, Task: task, Attempt: attempt}})
+	k.execute([]protocol.Command{{Kind: protocol.CommandStart, Task: task, Attempt: attempt}})
 }
 
 // ReportsTo is the controller that it sends its reports to.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -53,7 +53,7 @@
 	// KeepReports has a copy kept of a report of each machine, the first from then on, for
 	// the moment at which somebody else begins to lead: all controllers get it then.
 	KeepReports bool
-	kept        map[string]protocol.Report
+	kept        map[string]protocol.Heartbeat
 	leader      string // the process that led when that was looked at last
 
 	links  map[ends]*Link
@@ -100,7 +100,7 @@
 	w := &World{
 		Rand: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), Set: set, Policy: config.DefaultPolicy(),
 		Workers: map[string]*Worker{}, Latency: 2 * time.Millisecond,
-		kept: map[string]protocol.Report{}, links: map[ends]*Link{}, peers: map[uint64]*peerLink{},
+		kept: map[string]protocol.Heartbeat{}, links: map[ends]*Link{}, peers: map[uint64]*peerLink{},
 	}
 	w.State = newState(w)
 	w.Cloud = newCloud(w, types)
@@ -391,7 +391,7 @@
 		}, func(d core.LoadResult) { mine(func() { post(d) })() }, mine(func() { post(core.LoadResult{}) }))
 	case core.Watch:
 		call(w, n.Label, "state", timeout+e.Hold, func(reply func(core.WatchResult)) {
-			w.State.follow(n.Label, e, func(outcome core.WatchOutcome, ev protocol.Events) {
+			w.State.follow(n.Label, e, func(outcome core.WatchOutcome, ev protocol.WatchResponse) {
 				reply(core.WatchResult{Barrier: e.Barrier, SentAt: sent, Outcome: outcome, Answer: ev})
 			})
 		}, func(d core.WatchResult) { mine(func() { post(d) })() }, mine(func() { post(core.WatchResult{Barrier: e.Barrier, SentAt: sent}) }))
@@ -407,7 +407,7 @@
 		}
 		call(w, n.Label, e.Machine, patience, func(reply func(core.CallWorkerResult)) {
 			if k := w.Workers[e.Machine]; k != nil {
-				k.do(e.Body, func(outcome core.DirectOutcome, r protocol.Report) {
+				k.do(e.Body, func(outcome core.DirectOutcome, r protocol.Heartbeat) {
 					reply(core.CallWorkerResult{Machine: e.Machine, CallID: e.CallID, Outcome: outcome, Report: r})
 				})
 			}
@@ -469,7 +469,7 @@
 }
 
 // keep takes a copy of a report for the next leader.
-func (w *World) keep(r protocol.Report) {
+func (w *World) keep(r protocol.Heartbeat) {
 	if _, ok := w.kept[r.Machine]; !ok && w.KeepReports {
 		if len(w.kept) == 0 {
 			w.leader = w.leads()
@@ -498,7 +498,7 @@
 		return
 	}
 	kept := w.kept
-	w.kept = map[string]protocol.Report{}
+	w.kept = map[string]protocol.Heartbeat{}
 	for _, name := range slices.Sorted(maps.Keys(kept)) {
 		for _, n := range w.Nodes {
 			for _, after := range []time.Duration{0, 60, 130, 250, 500, 1000, 2000} {
