--- a/cmd/chalk/jobs.go
+++ b/cmd/chalkhubctl/jobs.go
@@ -105,7 +105,7 @@
 	Env        map[string]string `help:"Environment of the command."`
 	Folder     string            `help:"Working folder; a new one for each attempt if empty."`
 	Simulate   time.Duration     `help:"Run nothing for so long, in place of a command."`
-	Wait       bool              `short:"w" help:"Wait until the job is over, with the exit code of chalk wait."`
+	Wait       bool              `short:"w" help:"Wait until the job is over, with the exit code of chalkhubctl wait."`
 	Command    []string          `arg:"" optional:"" passthrough:"" help:"Program and arguments."`
 }
 
@@ -122,7 +122,7 @@
 		command = command[1:]
 	}
 	if len(command) == 0 && c.Simulate == 0 {
-		return nil, exit{exitMalformed, errors.New("name a command to run, for example: chalk submit -- echo hello")}
+		return nil, exit{exitMalformed, errors.New("name a command to run, for example: chalkhubctl submit -- echo hello")}
 	}
 	kind := client.Array
 	if c.Service {
--- a/cmd/chalk/local.go
+++ b/cmd/chalkhubctl/local.go
@@ -90,7 +90,7 @@
 	if c.Demo {
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	cluster, err := local.Start(ctx, local.Options{Folder: c.Folder, Settings: set, Chalk: []string{self}, Chalkhub: hub, Policy: c.Policy, Log: log})
+	cluster, err := local.Start(ctx, local.Options{Folder: c.Folder, Settings: set, Chalkhubctl: []string{self}, Chalkhub: hub, Policy: c.Policy, Log: log})
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 		return demo(ctx, cluster, began)
 	}
 	fmt.Printf("%d controllers are ready, in %s\n", len(cluster.Controllers), c.Folder)
-	fmt.Printf("  chalk --cluster %s submit -- echo hello\n  chalk --cluster %s top\nInterrupt to end it.\n", c.Folder, c.Folder)
+	fmt.Printf("  chalkhubctl --cluster %s submit -- echo hello\n  chalkhubctl --cluster %s top\nInterrupt to end it.\n", c.Folder, c.Folder)
 	cluster.Wait()
 	return nil
 }
--- a/cmd/chalk/main.go
+++ b/cmd/chalkhubctl/main.go
@@ -1,4 +1,4 @@
-// Command chalk is for the users and operators of chalkhub: it hands in jobs and shows
+// Command chalkhubctl is for the users and operators of chalkhub: it hands in jobs and shows
 // them, and it runs what a cluster needs beside its controllers.
 package main
 
@@ -112,7 +112,7 @@
 
 func main() {
 	var c cli
-	parser := kong.Must(&c, kong.Name("chalk"), kong.Description("Jobs and clusters of chalkhub."), kong.Vars{"version": version},
+	parser := kong.Must(&c, kong.Name("chalkhubctl"), kong.Description("Jobs and clusters of chalkhub."), kong.Vars{"version": version},
 		kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true, Summary: true}))
 	kongplete.Complete(parser) // ends here when a shell asks for completions
 	k, err := parser.Parse(os.Args[1:])
@@ -125,7 +125,7 @@
 		return
 	}
 	if text := err.Error(); text != "" {
-		fmt.Fprintln(os.Stderr, "chalk: "+text)
+		fmt.Fprintln(os.Stderr, "chalkhubctl: "+text)
 	}
 	os.Exit(code(err))
 }
--- a/cmd/chalk/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -87,7 +87,7 @@
 	if errors.Is(err, kvfile.ErrDamaged) {
 		hint := "there is no snapshot that can be read"
 		if last, state := kvfile.LastGood(f.Snapshots); last != "" {
-			hint = fmt.Sprintf("the last good snapshot is %s (revision %d): see `chalk state restore`, docs/state.md", last, state.Revision)
+			hint = fmt.Sprintf("the last good snapshot is %s (revision %d): see `chalkhubctl state restore`, docs/state.md", last, state.Revision)
 		}
 		return fmt.Errorf("%w; %s", err, hint)
 	}
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return "", err
 	}
-	for name, flags := range map[string][]string{"chalk": nil, "chalkhub": {"-ldflags=-linkmode=external"}} {
+	for name, flags := range map[string][]string{"chalkhubctl": nil, "chalkhub": {"-ldflags=-linkmode=external"}} {
 		args := append(append([]string{"build"}, flags...), "-o", filepath.Join(dir, name), "../../cmd/"+name)
 		if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 			return "", fmt.Errorf("%s does not build: %s", name, out)
@@ -79,7 +79,7 @@
 	if err := opt.Settings.check(""); err != nil {
 		t.Fatal(err)
 	}
-	opt.Chalk, opt.Chalkhub = []string{filepath.Join(dir, "chalk")}, filepath.Join(dir, "chalkhub")
+	opt.Chalkhubctl, opt.Chalkhub = []string{filepath.Join(dir, "chalkhubctl")}, filepath.Join(dir, "chalkhub")
 	opt.Log, opt.StartWait = slog.New(slog.NewTextHandler(io.Discard, nil)), 60*time.Second
 	c, err := Start(context.Background(), opt)
 	if err != nil {
@@ -326,8 +326,8 @@
 	if err := os.WriteFile(filepath.Join(sources, "cmd", "chalkhub", "main.go"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	alone := filepath.Join(sources, "chalk")
-	if err := os.Link(filepath.Join(dir, "chalk"), alone); err != nil {
+	alone := filepath.Join(sources, "chalkhubctl")
+	if err := os.Link(filepath.Join(dir, "chalkhubctl"), alone); err != nil {
 		t.Fatal(err)
 	}
 	taken := filepath.Join(t.TempDir(), "state.json")
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -68,7 +68,7 @@
 	}
 	b, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("no cluster runs in %s: start one with `chalk local --folder %s`, or name another folder with --cluster", filepath.Dir(path), filepath.Dir(path))
+		return nil, fmt.Errorf("no cluster runs in %s: start one with `chalkhubctl local --folder %s`, or name another folder with --cluster", filepath.Dir(path), filepath.Dir(path))
 	}
 	if err != nil {
 		return nil, err
@@ -82,14 +82,14 @@
 
 // Options of a cluster.
 type Options struct {
-	Folder    string
-	Settings  Settings
-	Chalk     []string // program and arguments before the subcommand
-	Chalkhub  string   // the controller's program
-	Policy    string   // the operators' script for the controllers, empty: none
-	Log       *slog.Logger
-	StartWait time.Duration // 0: 30 s
-	Batch     int           // most commands that share a write of the state file, 0: 256
+	Folder      string
+	Settings    Settings
+	Chalkhubctl []string // program and arguments before the subcommand
+	Chalkhub    string   // the controller's program
+	Policy      string   // the operators' script for the controllers, empty: none
+	Log         *slog.Logger
+	StartWait   time.Duration // 0: 30 s
+	Batch       int           // most commands that share a write of the state file, 0: 256
 }
 
 // Cluster is a cluster that runs.
@@ -142,8 +142,8 @@
 		c.group.Go(func() error { return c.keep(ch) })
 	}
 	c.mu.Lock()
-	begin("state", append(append([]string{}, opt.Chalk...), "state", "run", "--config", c.path("settings", "state.json"))...)
-	begin("cloud", append(append([]string{}, opt.Chalk...), "cloud", "--config", c.path("settings", "cloud.json"))...)
+	begin("state", append(append([]string{}, opt.Chalkhubctl...), "state", "run", "--config", c.path("settings", "state.json"))...)
+	begin("cloud", append(append([]string{}, opt.Chalkhubctl...), "cloud", "--config", c.path("settings", "cloud.json"))...)
 	for _, x := range c.Controllers {
 		args := []string{opt.Chalkhub, "--config", c.path("settings", x.Label+".json")}
 		if opt.Policy != "" {
@@ -192,7 +192,7 @@
 	return out, nil
 }
 
-// StateFile is the settings of `chalk state run`.
+// StateFile is the settings of `chalkhubctl state run`.
 type StateFile struct {
 	Listen    string       `json:"listen"`
 	Depot     string       `json:"depot_listen"` // empty: no depot
@@ -205,7 +205,7 @@
 	Batch     int          `json:"batch"`
 }
 
-// CloudFile is the settings of `chalk cloud`.
+// CloudFile is the settings of `chalkhubctl cloud`.
 type CloudFile struct {
 	Listen  string              `json:"listen"`
 	Folder  string              `json:"folder"`
@@ -214,7 +214,7 @@
 	Workers config.Workers      `json:"workers"`
 }
 
-// AgentFile is the settings of `chalk agent`.
+// AgentFile is the settings of `chalkhubctl agent`.
 type AgentFile struct {
 	Machine     string         `json:"machine"`
 	Listen      string         `json:"listen"`
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -66,7 +66,7 @@
 	Most      int      `yaml:"most"`
 }
 
-// Defaults are the settings of `chalk local` without a file: three controllers, two
+// Defaults are the settings of `chalkhubctl local` without a file: three controllers, two
 // zones, small machines that boot in half a second.
 func Defaults() Settings {
 	var s Settings
--- a/internal/localcloud/rent.go
+++ b/internal/localcloud/rent.go
@@ -460,7 +460,7 @@
 		}
 		reply(200, struct{}{})
 	case path == "/processes" && ctx.IsGet():
-		// For `chalk local` and its tests: which process is which machine's agent.
+		// For `chalkhubctl local` and its tests: which process is which machine's agent.
 		pids := map[string]int{}
 		for n, m := range c.machines {
 			if m.State == protocol.MachineRunning && m.gone.IsZero() {
