--- /dev/null
+++ b/internal/simulation/gang.go
@@ -0,0 +1,55 @@
+package simulation
+
+import (
+	"time"
+
+	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+)
+
+// gang lets a gang run once all of its tasks are on machines, and ends the task
+// if that takes too long or a peer is lost.
+func (u *Users) gang(k *Worker, t *Task) {
+	j := t.job
+	w := u.w
+	all := func() bool { // of this very start
+		n := len(j.done)
+		for name, m := range j.on {
+			if other := w.Workers[m]; other != nil && other.attempt(name) == t.Attempt {
+				n++
+			}
+		}
+		return n >= j.Spec.Tasks
+	}
+	wait := w.Now + config.Seconds(w.Set.Site.Workers.GangWaitS)
+	var watch func()
+	started, missing := time.Duration(0), time.Duration(0)
+	watch = func() {
+		if !t.on() || j.on[t.Name] != k.Info.Name {
+			return
+		}
+		switch {
+		case t.State == protocol.TaskWaiting && all():
+			t.State, started = protocol.TaskRunning, w.Now
+			k.changed()
+		case t.State == protocol.TaskWaiting && w.Now > wait:
+			k.exit(t, protocol.ExitGangIncomplete)
+			return
+		case t.State == protocol.TaskRunning && !all():
+			if missing == 0 {
+				missing = w.Now
+			}
+			if w.Now-missing > config.Seconds(w.Set.Site.Workers.GangPeerS) {
+				k.exit(t, protocol.ExitGangPeerLost)
+				return
+			}
+		case t.State == protocol.TaskRunning && w.Now-started >= config.Seconds(j.RunS):
+			k.exit(t, protocol.ExitDone)
+			return
+		default:
+			missing = 0
+		}
+		w.After(200*time.Millisecond, watch)
+	}
+	watch()
+}
--- a/internal/simulation/links.go
+++ b/internal/simulation/network.go
@@ -1,14 +1,8 @@
 package simulation
 
 import (
-	"slices"
 	"strings"
 	"time"
-
-	"github.com/goccy/go-json"
-
-	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
 // Link is what the network does to packets from one end to another, in that direction
@@ -76,19 +70,6 @@
 	w.Link(b, a, l)
 }
 
-// Cut silences the path between two ends. With keep, packets are held and delivered when
-// the cut is mended.
-func (w *World) Cut(a, b string, keep bool) {
-	if keep {
-		w.Between(a, b, Held)
-	} else {
-		w.Between(a, b, Dropped)
-	}
-}
-
-// Mend ends a cut and lets held packets go, in order.
-func (w *World) Mend(a, b string) { w.Between(a, b, Link{}) }
-
 // release sends again what a path held, and breaks the links between controllers that have
 // lost something and could now be made anew.
 func (w *World) release(path ends) {
@@ -108,16 +89,6 @@
 	}
 }
 
-// siblings are the links between controllers, in the order in which they were made.
-func (w *World) siblings() []*peerLink {
-	var out []*peerLink
-	for _, l := range w.peers {
-		out = append(out, l)
-	}
-	slices.SortFunc(out, func(a, b *peerLink) int { return int(a.id) - int(b.id) })
-	return out
-}
-
 // barred reports whether no connection is made between two ends.
 func (w *World) barred(a, b string) bool {
 	to, _ := w.way(a, b)
@@ -125,13 +96,6 @@
 	return to.bars() || back.bars()
 }
 
-// CutZone silences all paths between a zone and the rest, or, if other names a zone,
-// those between the two. The regional services are in no zone.
-func (w *World) CutZone(zone, other string, keep bool) { w.Cut("zone "+zone, "zone "+other, keep) }
-
-// MendZone ends such a cut.
-func (w *World) MendZone(zone, other string) { w.Mend("zone "+zone, "zone "+other) }
-
 // names are those that an end answers to, its zone's not among them.
 func (w *World) names(end string) []string {
 	if !strings.HasPrefix(end, "n-") {
@@ -217,86 +181,36 @@
 	}
 }
 
-// peerLink is a link from a, who dialled, to b.
-type peerLink struct {
-	w    *World
-	id   uint64
-	a, b *Node
-	last [2]time.Duration // when the newest packet arrives, from a and from b: order is kept
-	gap  [2]bool          // something that was sent is lost: what follows is never read
-}
-
-func (n *Node) dial() {
-	w := n.w
-	again := n.inLife(n.dial)
-	for _, l := range w.peers {
-		if l.a == n && l.b.Label == n.target {
-			return
-		}
-	}
-	for _, b := range w.Nodes {
-		if b.Label == n.target && n.target != "" {
-			if !b.Alive() || w.barred(n.Label, b.Label) || w.PeersRefuse {
-				w.After(200*time.Millisecond, again)
-				return
-			}
-			w.linkID++
-			l := &peerLink{w: w, id: w.linkID, a: n, b: b}
-			w.peers[l.id] = l
-			n.Post(core.PeerConnected{Session: l.id, Label: b.Label})
-			b.Post(core.PeerConnected{Session: l.id})
-		}
-	}
+func (w *World) delay() time.Duration {
+	return w.Latency/2 + time.Duration(w.Rand.Int64N(int64(w.Latency)+1))
 }
 
-func (l *peerLink) send(from *Node, m peerproto.Message) {
-	w, to, side := l.w, l.a, 1
-	if from == l.a {
-		to, side = l.b, 0
-	}
-	if w.peers[l.id] != l || l.gap[side] {
-		return
-	}
-	way, path := w.way(from.Label, to.Label)
-	switch {
-	case way.Refuse || way.Reset:
-		l.close()
-		return
-	case way.Drop || way.Largest > 0 && size(m) > way.Largest:
-		l.gap[side] = true
-		return
-	case way.Hold:
-		w.held = append(w.held, packet{path, func() { l.send(from, m) }})
-		return
-	case way.Loss > 0 && w.Rand.Float64() < way.Loss:
-		way.Delay += 200 * time.Millisecond // it is sent again
-	}
-	l.last[side] = max(l.last[side], w.Now+w.delay()+way.Delay+w.PeerLatency)
-	w.At(l.last[side], to.inLife(func() {
-		if w.peers[l.id] == l {
-			to.Post(core.PeerReceived{Session: l.id, Message: m})
+// call carries a request from one end to the other and its answer back. serve
+// runs at the far end and gets a function to answer with; fail runs if no
+// answer came in time.
+func call[T any](w *World, from, to string, timeout time.Duration, serve func(reply func(T)), got func(T), fail func()) {
+	over := false
+	torn := func() {
+		if !over {
+			over = true
+			fail()
 		}
-	}))
-}
-
-// size is what a message between controllers takes, in bytes.
-func size(m peerproto.Message) int {
-	line, err := json.Marshal(m)
-	if err != nil {
-		panic("fake: a message between controllers is no JSON: " + err.Error())
-	}
-	return len(line)
-}
-
-func (l *peerLink) close() {
-	w := l.w
-	if w.peers[l.id] != l {
-		return
-	}
-	delete(w.peers, l.id)
-	l.a.Post(core.PeerDisconnected{Session: l.id})
-	l.b.Post(core.PeerDisconnected{Session: l.id})
-	if l.a.Alive() {
-		w.After(200*time.Millisecond, l.a.inLife(l.a.dial))
 	}
+	w.After(timeout, torn)
+	if plain := serve; to == "state" && w.State.Slow > 0 {
+		serve = func(reply func(T)) { w.After(w.State.Slow, func() { plain(reply) }) }
+	}
+	if w.Copies > 0 && w.Rand.Float64() < w.Copies {
+		w.After(w.Latency*2+time.Duration(w.Rand.Int64N(int64(w.CopyBy)+1)), func() { serve(func(T) {}) })
+	}
+	w.carry(from, to, func() {
+		serve(func(t T) {
+			w.carry(to, from, func() {
+				if !over {
+					over = true
+					got(t)
+				}
+			}, torn)
+		})
+	}, torn)
 }
--- a/internal/simulation/state.go
+++ b/internal/simulation/store.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -84,19 +83,6 @@
 	return &State{w: w, now: kvstore.Empty(), ends: map[uint64]time.Duration{}, Refuses: map[string]bool{}, Forgot: map[string]bool{}}
 }
 
-// Outage makes the service refuse everybody for a while; leases are frozen and
-// have their full time afterwards.
-func (s *State) Outage(d time.Duration) {
-	s.Out = true
-	s.w.After(d, func() {
-		s.Out = false
-		for _, id := range slices.Sorted(maps.Keys(s.now.Leases())) {
-			s.arm(id)
-		}
-		s.wake()
-	})
-}
-
 func (s *State) refuses(node string) bool { return s.Out || s.Refuses[node] }
 
 func (s *State) arm(id uint64) {
@@ -310,19 +296,6 @@
 	return ""
 }
 
-// Forget removes a key behind everybody's back.
-func (s *State) Forget(key string) {
-	s.change(func(b *kvstore.Batch) { b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}}) })
-}
-
-// Reopen puts a job back to where it was when it was accepted, behind everybody's back.
-func (s *State) Reopen(spec protocol.Job) {
-	rec := records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: 1e9}
-	s.change(func(b *kvstore.Batch) {
-		b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + spec.ID, Value: protocol.Encode(rec)}}})
-	})
-}
-
 // Count counts the keys with a prefix.
 func (s *State) Count(prefix string) (n int) {
 	s.now.Each(func(k string, _ kvstore.Entry) bool {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -393,21 +393,5 @@
 	return left.cpus >= s.CPUs-1e-9 && left.gpus >= s.GPUs-1e-9 && left.mem >= s.MemoryGB-1e-9
 }
 
-// Force makes the worker start a task that nobody commanded, for the story that
-// checks the checker.
-func (k *Worker) Force(task string, attempt uint64) {
-	k.execute([]protocol.Command{{Kind: protocol.CommandStart, Task: task, Attempt: attempt}})
-}
-
 // ReportsTo is the controller that it sends its reports to.
 func (k *Worker) ReportsTo() *Node { return k.w.Nodes[k.node] }
-
-// Recall has the cloud take the machine back after a notice, or with none.
-func (k *Worker) Recall(notice time.Duration) {
-	if notice > 0 {
-		s := notice.Seconds()
-		k.NoticeS = &s
-		k.changed()
-	}
-	k.w.After(notice, func() { k.w.Cloud.Remove(k.Info.Name) })
-}
