--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -34,6 +34,11 @@
 // version is set by the linker in releases.
 var version = "devel"
 
+// peerQueueShare is the share of the process's memory that may wait to be sent to other
+// controllers. A task takes about 90 bytes in a whole picture that waits and over 200 in the core
+// of the machine's owner, so a fleet that fits into the memory is told of before this binds.
+const peerQueueShare = 0.25
+
 type cli struct {
 	Run     runCmd           `cmd:"" default:"withargs" help:"Run a controller (the default)."`
 	Check   checkCmd         `cmd:"" help:"Check a settings file and a policy script, and say what is wrong."`
@@ -124,7 +129,8 @@
 		b, err := json.Marshal(s)
 		return b, err == nil
 	}
-	links := peer.New(siblings, report/10, report, e.Post, status)
+	maxQueued := int(set.Site.Resources.RAMMB * peerQueueShare * (1 << 20))
+	links := peer.New(siblings, report/10, report, maxQueued, e.Post, status)
 	out := engine.Outside{
 		State:  state.New(set.External.State, time.Second, e.Clock),
 		Cloud:  cloud.New(set.External.Cloud),
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -17,12 +17,6 @@
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
-// Limits of a link.
-const (
-	maxLine  = 16 << 20
-	maxQueue = 1024
-)
-
 // Link keeps the links of a node.
 type Link struct {
 	siblings map[string]string // label -> address
@@ -30,29 +24,38 @@
 	status   func() ([]byte, bool)
 	retry    time.Duration
 	timeout  time.Duration
+	// maxQueued is how many bytes of memory may wait to be written, on all links together.
+	maxQueued int
 
 	mu      sync.Mutex
 	ctx     context.Context
 	next    uint64
 	links   map[uint64]*session
+	queued  int // bytes that wait on all links
 	target  string
 	stopOut context.CancelFunc
 }
 
+// session is one connection. What it queues is guarded by the lock of its Link.
 type session struct {
-	id   uint64
-	conn net.Conn
-	out  chan wire.PeerMessage
-	once sync.Once
+	id     uint64
+	conn   net.Conn
+	queue  []queuedMessage
+	queued int        // bytes of the queue
+	more   *sync.Cond // the queue has grown, or the session is closed
+	closed bool
 }
 
-func (s *session) close() {
-	s.once.Do(func() { s.conn.Close(); close(s.out) })
+// queuedMessage waits to be written.
+type queuedMessage struct {
+	message wire.PeerMessage
+	bytes   int
 }
 
-// New makes the links of a node. status renders the status page.
-func New(siblings map[string]string, retry, timeout time.Duration, post func(core.Command), status func() ([]byte, bool)) *Link {
-	return &Link{siblings: siblings, retry: retry, timeout: timeout, post: post, status: status,
+// New makes the links of a node. status renders the status page. What waits to be written
+// takes at most maxQueued bytes of memory.
+func New(siblings map[string]string, retry, timeout time.Duration, maxQueued int, post func(core.Command), status func() ([]byte, bool)) *Link {
+	return &Link{siblings: siblings, retry: retry, timeout: timeout, maxQueued: maxQueued, post: post, status: status,
 		links: map[uint64]*session{}, ctx: context.Background()}
 }
 
@@ -143,7 +146,7 @@
 func (l *Link) run(conn net.Conn, r *bufio.Reader, label string) {
 	l.mu.Lock()
 	l.next++
-	s := &session{id: l.next, conn: conn, out: make(chan wire.PeerMessage, maxQueue)}
+	s := &session{id: l.next, conn: conn, more: sync.NewCond(&l.mu)}
 	l.links[s.id] = s
 	l.mu.Unlock()
 	l.post(core.PeerUp{Session: s.id, Label: label})
@@ -172,7 +175,7 @@
 		if err == nil {
 			return line, nil
 		}
-		if err != bufio.ErrBufferFull || len(line) > maxLine {
+		if err != bufio.ErrBufferFull || len(line) > wire.MaxPeerLine {
 			return nil, err
 		}
 	}
@@ -180,13 +183,28 @@
 
 func (l *Link) drop(s *session) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	delete(l.links, s.id)
-	s.close()
-	l.mu.Unlock()
+	l.end(s)
 }
 
+// end closes a session and lets go what it has queued; its reader drops it. The lock is held.
+func (l *Link) end(s *session) {
+	s.conn.Close()
+	s.closed = true
+	l.queued -= s.queued
+	s.queue, s.queued = nil, 0
+	s.more.Signal()
+}
+
+// write sends what a session has queued until it is closed. A peer that does not read for
+// the timeout of a link gets it closed.
 func (l *Link) write(s *session) {
-	for m := range s.out {
+	for {
+		m, ok := l.first(s)
+		if !ok {
+			return
+		}
 		b, err := json.Marshal(&m)
 		if err != nil {
 			panic(fmt.Sprintf("peer: encode: %v", err))
@@ -196,23 +214,70 @@
 			s.conn.Close()
 			return
 		}
+		l.sent(s)
 	}
 }
 
-// Send puts a message on its way. A link that can't keep up is closed: the next
-// one starts with the whole picture.
+// first waits for the message that a session is to write next; it stays queued until it is
+// written. ok is false once the session is closed.
+func (l *Link) first(s *session) (m wire.PeerMessage, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for len(s.queue) == 0 && !s.closed {
+		s.more.Wait()
+	}
+	if s.closed {
+		return m, false
+	}
+	return s.queue[0].message, true
+}
+
+// sent takes the first message of a session out of its queue.
+func (l *Link) sent(s *session) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s.closed {
+		return
+	}
+	l.queued -= s.queue[0].bytes
+	s.queued -= s.queue[0].bytes
+	s.queue[0] = queuedMessage{} // its memory goes now, the list's when that grows
+	if s.queue = s.queue[1:]; len(s.queue) == 0 {
+		s.queue = nil
+	}
+}
+
+// Send puts a message on its way. It does not wait: each link is written at its own pace.
+// While more waits on all of them than may, the one with the most is closed: the next one
+// starts with the whole picture.
+//
+// Guards against a bound by count: a whole picture of 3,200 machines with 64 tasks each is
+// more than the 1,024 messages that a link once queued, and closed it at every try.
 func (l *Link) Send(e core.PeerSend) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.links[e.Session]
-	if s == nil {
+	if s == nil || s.closed {
 		return
 	}
-	select {
-	case s.out <- e.Message:
-	default:
-		s.conn.Close()
+	bytes := memoryBytes(&e.Message)
+	s.queue = append(s.queue, queuedMessage{e.Message, bytes})
+	s.queued += bytes
+	l.queued += bytes
+	s.more.Signal()
+	for l.queued > l.maxQueued {
+		l.end(l.longest())
+	}
+}
+
+// longest is the session with the longest queue, by bytes. The lock is held.
+func (l *Link) longest() (longest *session) {
+	for _, s := range l.links {
+		if longest == nil || s.queued > longest.queued || s.queued == longest.queued && s.id < longest.id {
+			longest = s
+		}
 	}
+	return longest
 }
 
 // Close ends a link.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -12,6 +12,9 @@
 	"github.com/chalkhub/chalkhub/internal/wire"
 )
 
+// roomForAll is a bound on what waits that no test reaches.
+const roomForAll = 1 << 30
+
 // Two nodes on loopback: lines arrive, a broken link comes back as a new one,
 // and a browser gets the status page from the same port.
 func TestLinkAndStatusPage(t *testing.T) {
@@ -23,11 +26,11 @@
 	}
 	got := make(chan core.Command, 16)
 	page := func() ([]byte, bool) { return []byte(`{"label":"b"}`), true }
-	b := New(nil, 10*time.Millisecond, time.Second, func(c core.Command) { got <- c }, page)
+	b := New(nil, 10*time.Millisecond, time.Second, roomForAll, func(c core.Command) { got <- c }, page)
 	go b.Serve(ctx, ln)
 
 	sent := make(chan core.Command, 16)
-	a := New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, time.Second, func(c core.Command) { sent <- c }, page)
+	a := New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, time.Second, roomForAll, func(c core.Command) { sent <- c }, page)
 	a.Target("b")
 	up := next[core.PeerUp](t, sent)
 	a.Send(core.PeerSend{Session: up.Session, Message: wire.PeerMessage{Hello: &wire.Hello{Label: "a", Boot: "1"}}})
--- /dev/null
+++ b/internal/peer/queue_test.go
@@ -0,0 +1,204 @@
+package peer
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/wire"
+)
+
+// picture is a member's whole picture of machines with 64 tasks each.
+func picture(machines int) wire.PeerMessage {
+	m := wire.PeerMessage{Epoch: 7, Full: true, Read: 12}
+	for i := range machines {
+		s := wire.MachineState{Name: fmt.Sprintf("n-%07d", i), Addr: "10.0.0.1:8000", Type: "barn", Zone: "a", Sure: true, Up: true}
+		for k := range 64 {
+			s.Tasks = append(s.Tasks, wire.TaskState{Task: wire.TaskName("job-100000001", 64*i+k), Attempt: 7 << 28, State: wire.TaskRunning})
+		}
+		m.Machines = append(m.Machines, s)
+	}
+	return m
+}
+
+// pair is two nodes on loopback: what a sends, b gets.
+func pair(t *testing.T, maxQueued int) (a *Link, session uint64, sent, got chan core.Command) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	sent, got = make(chan core.Command, 64), make(chan core.Command, 64)
+	b := New(nil, 10*time.Millisecond, 5*time.Second, roomForAll, func(c core.Command) { got <- c }, nil)
+	go b.Serve(ctx, ln)
+	a = New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, 5*time.Second, maxQueued, func(c core.Command) { sent <- c }, nil)
+	a.Target("b")
+	t.Cleanup(func() { a.Target("") })
+	return a, next[core.PeerUp](t, sent).Session, sent, got
+}
+
+// A whole picture goes into a link at once, and a second one that was asked for meanwhile.
+// Both arrive over that same link, in order: a count of messages once closed it at every try
+// from 3,200 machines on, mostly before the first line.
+func TestWholePictureArrives(t *testing.T) {
+	for _, of := range []struct{ machines, pictures int }{{4000, 1}, {4000, 2}, {8000, 1}} {
+		machines, pictures := of.machines, of.pictures
+		t.Run(fmt.Sprintf("%d machines, %d pictures", machines, pictures), func(t *testing.T) {
+			a, session, sent, got := pair(t, roomForAll)
+			m := picture(machines)
+			pieces := m.Pieces()
+			for range pictures {
+				for _, p := range pieces {
+					a.Send(core.PeerSend{Session: session, Message: p})
+				}
+			}
+			next[core.PeerUp](t, got)
+			for n := range pictures * len(pieces) {
+				select {
+				case c := <-got:
+					line, ok := c.(core.PeerLine)
+					want := &pieces[n%len(pieces)]
+					if !ok {
+						t.Fatalf("%T after %d of %d messages", c, n, len(pieces))
+					}
+					if line.Message.Piece != want.Piece || line.Message.More != want.More || len(line.Message.Machines) != len(want.Machines) ||
+						line.Message.Machines[0].Name != want.Machines[0].Name || len(line.Message.Machines[0].Tasks) != 64 {
+						t.Fatalf("message %d of %d is another: piece %d", n, len(pieces), line.Message.Piece)
+					}
+				case c := <-sent:
+					t.Fatalf("%T at the sender after %d messages", c, n)
+				case <-time.After(10 * time.Second):
+					t.Fatalf("%d of %d messages came", n, len(pieces))
+				}
+			}
+		})
+	}
+}
+
+// deaf accepts connections and never reads.
+func deaf(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { conn.Close() })
+		}
+	}()
+	return ln
+}
+
+// A peer that reads nothing for the timeout of a link gets it closed, however little waits.
+func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
+	sent := make(chan core.Command, 64)
+	a := New(map[string]string{"b": deaf(t).Addr().String()}, time.Hour, 300*time.Millisecond, roomForAll, func(c core.Command) { sent <- c }, nil)
+	a.Target("b")
+	defer a.Target("")
+	session := next[core.PeerUp](t, sent).Session
+	begin := time.Now()
+	m := picture(4000)
+	for _, p := range m.Pieces() {
+		a.Send(core.PeerSend{Session: session, Message: p})
+	}
+	next[core.PeerDown](t, sent)
+	if took := time.Since(begin); took > 4*time.Second {
+		t.Fatalf("closed after %v", took)
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.queued != 0 || len(a.links) != 0 {
+		t.Fatalf("%d bytes wait for a closed link, of %d", a.queued, len(a.links))
+	}
+}
+
+// Where more waits than may, the link with the longest queue is closed, the others go on, and
+// what waits never passes the bound.
+func TestQueuedMemoryIsBounded(t *testing.T) {
+	const bound = 8 << 20
+	a, _, sent, _ := pair(t, bound)
+	a.Target("") // as a leader, it is only dialled
+	next[core.PeerDown](t, sent)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go a.Serve(ctx, ln)
+	dial := func(read bool) uint64 {
+		conn, err := net.Dial("tcp4", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { conn.Close() })
+		fmt.Fprintln(conn, `{"epoch":7}`)
+		if read {
+			go func() {
+				buf := make([]byte, 64<<10)
+				for {
+					if _, err := conn.Read(buf); err != nil {
+						return
+					}
+				}
+			}()
+		}
+		return next[core.PeerUp](t, sent).Session
+	}
+	unread, reads := dial(false), dial(true)
+	m := picture(4000)
+	pieces := m.Pieces()
+	closed := false
+	for i := 0; i < 3*len(pieces) && !closed; i++ {
+		a.Send(core.PeerSend{Session: unread, Message: pieces[i%len(pieces)]})
+		a.Send(core.PeerSend{Session: reads, Message: wire.PeerMessage{Epoch: 7}})
+		a.mu.Lock()
+		sum := 0
+		for _, s := range a.links {
+			sum += s.queued
+		}
+		if a.queued > bound || sum != a.queued {
+			t.Fatalf("%d bytes wait, %d on the links", a.queued, sum)
+		}
+		closed = a.links[unread] == nil || a.links[unread].closed
+		if s := a.links[reads]; s == nil || s.closed {
+			t.Fatal("the link that is read is closed")
+		}
+		a.mu.Unlock()
+	}
+	if !closed {
+		t.Fatal("the link that is not read stays open")
+	}
+	if down := next[core.PeerDown](t, sent); down.Session != unread {
+		t.Fatalf("session %d is down, not %d", down.Session, unread)
+	}
+}
+
+// No list of a message is left out when what waits is counted.
+func TestMemoryOfEveryListCounts(t *testing.T) {
+	var m wire.PeerMessage
+	v := reflect.ValueOf(&m).Elem()
+	for i := range v.NumField() {
+		f := v.Field(i)
+		if f.Kind() != reflect.Slice {
+			continue
+		}
+		before := memoryBytes(&m)
+		f.Set(reflect.MakeSlice(f.Type(), 100, 100))
+		if got, least := memoryBytes(&m)-before, 100*int(f.Type().Elem().Size()); got < least {
+			t.Errorf("%s: %d bytes, at least %d", v.Type().Field(i).Name, got, least)
+		}
+	}
+}
