--- a/internal/core/ledger.go
+++ b/internal/core/ledger.go
@@ -127,7 +127,7 @@
 }
 
 func newLedger(c *Core) *ledger {
-	l := &ledger{c: c, commits: map[uint64]func(CommitDone){}, lots: newLots(c), long: &longs{c: c}}
+	l := &ledger{c: c, commits: map[uint64]func(CommitDone){}, lots: newLots(c), long: &longs{c: c}, cancelled: vigil.NewLog(c.cancelsPerLease())}
 	l.reset() // a worker's report may come before the first page
 	return l
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -54,3 +54,61 @@
 		})
 	}
 }
+
+// Jobs are cancelled as fast as the state service of a fleet takes changes while one
+// controller hears nothing of it; then nobody is served. All of these cancellations are
+// listed, so that workers are kept alive and no task is lost. Where a mirror may lag 9 s, 1,024
+// of them were too few from some 1,650 machines on, at the rates of a site of 1,454 machines
+// with 100 changes a second.
+func TestCancellationsOfWholeFleetAreListed(t *testing.T) {
+	for _, machines := range []int{4000, 8000} {
+		t.Run(fmt.Sprint(machines), func(t *testing.T) {
+			set := fake.Settings(3)
+			set.Site.State.RPS, set.Site.State.WriteRPS = 250*float64(machines)/1454, 100*float64(machines)/1454
+			set.Site.Workers.LeaseS, set.Site.Workers.CancelS = 26.5, 51.5
+			s := &story{World: fake.Build(96, set, fake.Types()), t: t}
+			s.Run(s.Now + 10*second)
+			long := s.Users.Submit(fake.Array(12), 150)
+			s.within(60*second, "all tasks run", func() bool { return long.Running() == 12 })
+			s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // the others wait
+			perTick := int(set.Site.State.WriteRPS * 0.9 / 10)
+			var gone []*fake.Job
+			for range 80 * perTick {
+				gone = append(gone, s.Users.Submit(fake.Array(1), 300))
+			}
+			s.within(60*second, "all jobs are accepted", func() bool {
+				return !slices.ContainsFunc(gone, func(j *fake.Job) bool { return !j.Accepted })
+			})
+			s.Users.Only = s.leader()
+			behind := s.follower()
+			s.Cut(behind.Label, "state", true)
+			for i := range 80 { // 8 s: a mirror is too old to act on after 9
+				for _, j := range gone[i*perTick : (i+1)*perTick] {
+					s.Users.Abort(j)
+				}
+				s.Run(s.Now + second/10)
+			}
+			told := 0
+			for _, j := range gone {
+				if j.Told == wire.JobCancelled {
+					told++
+				}
+			}
+			if told < 1500 {
+				t.Fatalf("only %d users were told", told)
+			}
+			s.State.Outage(40 * second)
+			s.Mend(behind.Label, "state")
+			s.Logs = nil
+			least := 12
+			for range 38 {
+				s.Run(s.Now + second)
+				least = min(least, long.Running())
+			}
+			s.rules()
+			if least < 12 || !s.said("workers are kept alive") {
+				t.Fatalf("%d of 12 tasks were left after %d cancellations\n%s", least, told, s.lastLogs(*logLines))
+			}
+		})
+	}
+}
--- a/internal/core/outage.go
+++ b/internal/core/outage.go
@@ -26,6 +26,13 @@
 
 func newOutage(c *Core) *outage { return &outage{c: c, learnt: map[string]time.Duration{}} }
 
+// cancelsPerLease is how many jobs can be cancelled, a change each, while a mirror falls behind
+// by a worker's lease: longer than any that a vigil takes account of. The limit in force is
+// the larger one.
+func (c *Core) cancelsPerLease() int {
+	return int(c.set.Site.State.WriteRPS * c.times.lease.Seconds())
+}
+
 // out reports whether the state service does not serve this node.
 func (u *outage) out() bool { return u.refused || u.c.ledger.lost }
 
--- a/internal/vigil/log.go
+++ b/internal/vigil/log.go
@@ -1,17 +1,19 @@
 package vigil
 
-// logMost is how many cancellations a Log holds; a round needs those of the last moments.
-const logMost = 1024
+// leastMost is how many cancellations a Log holds at the least.
+const leastMost = 1024
 
 // Log remembers the cancellations that a controller may have told of since it was started:
 // those that its mirror has brought, and those of its own that the mirror has yet to bring.
-// The zero value is ready.
+// The zero value is ready, and holds the least.
 //
 // Guards against a memory of answers alone: a user was told by a controller that had not
 // written the cancellation, or had got no answer to its write, and nobody listed it.
 type Log struct {
+	most    int
 	from    uint64 // all that are newer are there
 	entries []entry
+	jobs    map[string]bool // of the entries
 }
 
 type entry struct {
@@ -19,19 +21,27 @@
 	revision uint64
 }
 
+// NewLog makes a log that holds at least so many cancellations. A round needs those that
+// the mirror of any controller has yet to bring.
+func NewLog(most int) Log { return Log{most: most} }
+
 // Note adds a cancellation and the revision of its write. The same one may come twice, in
 // any order with others.
 func (l *Log) Note(job string, revision uint64) {
-	for i := len(l.entries) - 1; i >= 0; i-- {
-		if l.entries[i].job == job {
-			return
-		}
+	if l.jobs[job] {
+		return
+	}
+	if l.jobs == nil {
+		l.jobs = map[string]bool{}
 	}
-	if len(l.entries) >= logMost {
-		l.from = max(l.from, l.entries[0].revision)
-		l.entries = append(l.entries[:0], l.entries[1:]...)
+	if len(l.entries) >= max(l.most, leastMost) {
+		oldest := l.entries[0]
+		l.from = max(l.from, oldest.revision)
+		delete(l.jobs, oldest.job)
+		l.entries = l.entries[1:] // append moves the rest once the list is at its end
 	}
 	l.entries = append(l.entries, entry{job, revision})
+	l.jobs[job] = true
 }
 
 // Since lists the cancellations that are newer than a revision; all of them, if the one
--- a/internal/vigil/vigil_test.go
+++ b/internal/vigil/vigil_test.go
@@ -88,14 +88,53 @@
 	if since, jobs := l.Since(5); since != 5 || !slices.Equal(jobs, []string{"job-7", "job-6"}) {
 		t.Fatal(since, jobs)
 	}
-	for r := range uint64(logMost - 1) {
+	for r := range uint64(leastMost - 1) {
 		l.Note(fmt.Sprint("job-", 100+r), 100+r)
 	}
-	if since, jobs := l.Since(0); since != 7 || len(jobs) != logMost-1 {
+	if since, jobs := l.Since(0); since != 7 || len(jobs) != leastMost-1 {
 		t.Fatal(since, len(jobs))
 	}
 }
 
+// A log that is made for more holds them, and still takes the same one once.
+func TestLogHoldsWhatItIsMadeFor(t *testing.T) {
+	for _, most := range []uint64{10, 8000, 16000} {
+		l := NewLog(int(most))
+		holds := max(most, leastMost)
+		for range 2 {
+			for r := range holds {
+				l.Note(fmt.Sprint("job-", r), 100+r)
+			}
+		}
+		if since, jobs := l.Since(0); since != 0 || uint64(len(jobs)) != holds {
+			t.Fatalf("%d of %d since %d", len(jobs), holds, since)
+		}
+		l.Note("job-one-more", 100+holds)
+		l.Note("job-0", 100) // forgotten by now: it counts anew
+		if since, jobs := l.Since(0); since != 101 || uint64(len(jobs)) != holds-1 {
+			t.Fatalf("%d of %d since %d", len(jobs), holds, since)
+		}
+	}
+}
+
+// BenchmarkNote is a cancellation that a full log takes, and one that it has.
+func BenchmarkNote(b *testing.B) {
+	for _, most := range []int{1024, 16384} {
+		b.Run(fmt.Sprint(most), func(b *testing.B) {
+			l := NewLog(most)
+			names := make([]string, 4*most)
+			for i := range names {
+				names[i] = fmt.Sprint("job-", i)
+			}
+			b.ReportAllocs()
+			for i := 0; b.Loop(); i++ {
+				l.Note(names[i%len(names)], uint64(i))
+				l.Note(names[i%len(names)], uint64(i))
+			}
+		})
+	}
+}
+
 func TestCancellationsAreHandedOn(t *testing.T) {
 	l, _ := rounds(3, func(r uint64) Word {
 		w := word(r, 50)
