--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -132,7 +132,7 @@
 	maxQueued := int(set.Site.Resources.RAMMB * peerQueueShare * (1 << 20))
 	links := peer.New(siblings, report/10, report, maxQueued, e.Post, status)
 	out := engine.Outside{
-		State:  state.New(set.External.State, time.Second, e.Clock),
+		State:  state.New(set.External.State, time.Second, set.Site.Resources.MaxSockets, e.Clock),
 		Cloud:  cloud.New(set.External.Cloud),
 		Worker: worker.New(set.Site.Resources.MaxSockets/4, report),
 		Peer:   links,
