--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -28,6 +28,13 @@
 	return &degradedMode{core: c, cancelledJobs: map[string]time.Duration{}}
 }
 
+// cancelsPerLease is how many jobs can be cancelled, a change each, while a mirror falls behind
+// by a worker's lease: longer than any that degraded mode takes account of. The limit in force
+// is the larger one.
+func (c *Core) cancelsPerLease() int {
+	return int(c.settings.Site.State.WriteRPS * c.intervals.workerLease.Seconds())
+}
+
 // isStoreUnavailable reports whether the state service does not serve this node.
 func (u *degradedMode) isStoreUnavailable() bool {
 	return u.renewalRefused || u.core.mirror.unavailable
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -131,7 +131,7 @@
 }
 
 func newStoreMirror(c *Core) *storeMirror {
-	l := &storeMirror{core: c, pendingCommits: map[uint64]func(CommitResult){}, batches: newAdmissionBatches(c), chunkedRecords: &chunkedRecords{core: c}}
+	l := &storeMirror{core: c, pendingCommits: map[uint64]func(CommitResult){}, batches: newAdmissionBatches(c), chunkedRecords: &chunkedRecords{core: c}, cancellations: degraded.NewCancellationLog(c.cancelsPerLease())}
 	l.reset() // a worker's report may come before the first page
 	return l
 }
