--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -125,7 +125,7 @@
 		if !ok {
 			return nil, false
 		}
-		s.RejectedRequests = server.Refused()
+		s.RejectedRequests = server.Rejected()
 		b, err := json.Marshal(s)
 		return b, err == nil
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,4 +1,6 @@
-// Package api serves users, workers and health checks.
+// Package api is the HTTP server of a controller for users, workers and the load balancer's
+// health checks. It decodes requests, bounds how many of a kind are in flight, and passes
+// them to the engine; it holds no other state and decides nothing about jobs.
 package api
 
 import (
@@ -17,74 +19,78 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Asker is the engine as the server sees it.
-type Asker interface {
+// Engine is the engine as the server sees it.
+type Engine interface {
 	Ask(func(core.RequestID) core.Command, time.Duration) (core.Reply, bool)
 	Ready() bool
 }
 
 // Server answers HTTP requests.
 type Server struct {
-	engine  Asker
+	engine  Engine
 	http    *fasthttp.Server
 	timeout time.Duration
-	gates   map[string]*gate // by kind of request
+	limits  map[string]*concurrencyLimit // by kind of request
 }
 
-// gate bounds how many requests of one kind are under way at once.
+// concurrencyLimit bounds how many requests of one kind are under way at once.
 //
-// Guards against users who ask many times as often as usual: their polls must not
-// keep workers' reports, submissions and cancellations out.
-type gate struct {
-	limit   int64
-	inside  atomic.Int64
-	refused atomic.Int64
+// Guards against users who poll many times as often as usual: their queries must not
+// keep heartbeats, submissions and cancellations out.
+type concurrencyLimit struct {
+	maxInFlight int64
+	inFlight    atomic.Int64
+	rejected    atomic.Int64
 }
 
-// enter reports whether one more request may come in; leave must follow if so.
-func (g *gate) enter() bool {
-	if g.inside.Add(1) > g.limit {
-		g.inside.Add(-1)
-		g.refused.Add(1)
+// acquire reports whether one more request may be served; release must follow if so.
+func (l *concurrencyLimit) acquire() bool {
+	if l.inFlight.Add(1) > l.maxInFlight {
+		l.inFlight.Add(-1)
+		l.rejected.Add(1)
 		return false
 	}
 	return true
 }
 
-func (g *gate) leave() { g.inside.Add(-1) }
+func (l *concurrencyLimit) release() { l.inFlight.Add(-1) }
 
 // Kinds of request that a server takes.
 const (
-	kindReport = "report"
-	kindSubmit = "submit"
-	kindQuery  = "query"
-	kindAbort  = "abort"
+	kindHeartbeat = "report"
+	kindSubmit    = "submit"
+	kindQuery     = "query"
+	kindCancel    = "abort"
 )
 
-// Refused tells how many requests of each kind found too many of it under way, or
-// the queue full.
-func (s *Server) Refused() map[string]int64 {
+// Rejected counts the requests of each kind that found too many of it in flight, or the
+// engine's queue full.
+func (s *Server) Rejected() map[string]int64 {
 	out := map[string]int64{}
-	for kind, g := range s.gates {
-		out[kind] = g.refused.Load()
+	for kind, limit := range s.limits {
+		out[kind] = limit.rejected.Load()
 	}
 	return out
 }
 
-// patience is how long a user's request may take: below the 2 s that a poll
+// userShare is the part of the connections, one in so many, that each kind of user request
+// may take.
+const userShare = 4
+
+// replyTimeout is how long a user's request may take: below the 2 s that a poll
 // waits, so that the answer to repeat it still arrives.
-const patience = 1800 * time.Millisecond
+const replyTimeout = 1800 * time.Millisecond
 
 // New makes a server that holds at most conns connections.
-func New(engine Asker, conns int) *Server {
-	s := &Server{engine: engine, timeout: patience, gates: map[string]*gate{}}
-	// A quarter for each kind of user's request; reports may fill the rest.
-	for kind, limit := range map[string]int{kindReport: conns, kindSubmit: conns / 4, kindQuery: conns / 4, kindAbort: conns / 4} {
-		s.gates[kind] = &gate{limit: int64(max(limit, 1))}
+func New(engine Engine, conns int) *Server {
+	s := &Server{engine: engine, timeout: replyTimeout, limits: map[string]*concurrencyLimit{}}
+	// Each kind of user request may take a quarter of the connections, heartbeats all of them.
+	for kind, limit := range map[string]int{kindHeartbeat: conns, kindSubmit: conns / userShare, kindQuery: conns / userShare, kindCancel: conns / userShare} {
+		s.limits[kind] = &concurrencyLimit{maxInFlight: int64(max(limit, 1))}
 	}
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
-		ErrorHandler:          broken,
+		ErrorHandler:          replyMalformed,
 		Name:                  "chalkhub",
 		Concurrency:           conns,
 		MaxRequestBodySize:    protocol.MaxBody,
@@ -111,15 +117,15 @@
 	return err
 }
 
-func broken(ctx *fasthttp.RequestCtx, err error) {
+func replyMalformed(ctx *fasthttp.RequestCtx, err error) {
 	why := "malformed request"
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		why = "the body is over 64 KiB"
 	}
-	write(ctx, 400, protocol.ErrorResponse{Error: why}, 0)
+	writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: why}, 0)
 }
 
-func write(ctx *fasthttp.RequestCtx, status int, body any, retry time.Duration) {
+func writeReply(ctx *fasthttp.RequestCtx, status int, body any, retry time.Duration) {
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(status)
 	ctx.SetContentType(protocol.ContentType)
@@ -135,59 +141,59 @@
 	path := string(ctx.Path())
 	switch {
 	case path == "/v1/report" && ctx.IsPost():
-		s.report(ctx)
+		s.handleHeartbeat(ctx)
 	case path == runsPath && ctx.IsPost():
 		job, err := protocol.DecodeJob(ctx.PostBody())
 		if err != nil {
-			write(ctx, 400, protocol.ErrorResponse{Error: err.Error()}, 0)
+			writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}, 0)
 			return
 		}
-		s.ask(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
+		s.request(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
 	case path == "/ready" && ctx.IsGet():
 		if s.engine.Ready() {
-			ctx.SetStatusCode(200)
+			ctx.SetStatusCode(fasthttp.StatusOK)
 		} else {
-			write(ctx, 503, protocol.ErrorResponse{Error: "not ready"}, time.Second)
+			writeReply(ctx, fasthttp.StatusServiceUnavailable, protocol.ErrorResponse{Error: "not ready"}, time.Second)
 		}
 	case strings.HasPrefix(path, runsPath+"/"):
 		ref, verb, _ := strings.Cut(path[len(runsPath)+1:], "/")
 		switch {
 		case verb == "" && ctx.IsGet():
-			s.ask(ctx, kindQuery, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: ref} })
+			s.request(ctx, kindQuery, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: ref} })
 		case verb == "abort" && ctx.IsPost():
-			s.ask(ctx, kindAbort, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: ref} })
+			s.request(ctx, kindCancel, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: ref} })
 		default:
-			write(ctx, 404, protocol.ErrorResponse{Error: "no such page"}, 0)
+			writeReply(ctx, fasthttp.StatusNotFound, protocol.ErrorResponse{Error: "no such page"}, 0)
 		}
 	default:
-		write(ctx, 404, protocol.ErrorResponse{Error: "no such page"}, 0)
+		writeReply(ctx, fasthttp.StatusNotFound, protocol.ErrorResponse{Error: "no such page"}, 0)
 	}
 }
 
-func (s *Server) report(ctx *fasthttp.RequestCtx) {
+func (s *Server) handleHeartbeat(ctx *fasthttp.RequestCtx) {
 	var rep protocol.Heartbeat
 	if err := protocol.Decode(ctx.PostBody(), &rep); err != nil || rep.Machine == "" {
-		write(ctx, 400, protocol.ErrorResponse{Error: "malformed report"}, 0)
+		writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: "malformed report"}, 0)
 		return
 	}
-	s.ask(ctx, kindReport, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} })
-	if ctx.Response.StatusCode() == 421 {
+	s.request(ctx, kindHeartbeat, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} })
+	if ctx.Response.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		ctx.SetConnectionClose()
 	}
 }
 
-func (s *Server) ask(ctx *fasthttp.RequestCtx, kind string, build func(core.RequestID) core.Command) {
-	g := s.gates[kind]
-	if !g.enter() {
-		write(ctx, 503, protocol.ErrorResponse{Error: "too many requests of this kind"}, time.Second)
+func (s *Server) request(ctx *fasthttp.RequestCtx, kind string, build func(core.RequestID) core.Command) {
+	limit := s.limits[kind]
+	if !limit.acquire() {
+		writeReply(ctx, fasthttp.StatusServiceUnavailable, protocol.ErrorResponse{Error: "too many requests of this kind"}, time.Second)
 		return
 	}
-	defer g.leave()
+	defer limit.release()
 	r, ok := s.engine.Ask(build, s.timeout)
 	if !ok {
-		g.refused.Add(1)
-		write(ctx, 503, protocol.ErrorResponse{Error: "busy"}, time.Second)
+		limit.rejected.Add(1)
+		writeReply(ctx, fasthttp.StatusServiceUnavailable, protocol.ErrorResponse{Error: "busy"}, time.Second)
 		return
 	}
-	write(ctx, int(r.Status), r.Body, r.RetryAfter)
+	writeReply(ctx, int(r.Status), r.Body, r.RetryAfter)
 }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -26,7 +26,7 @@
 }
 func (s *scripted) Ready() bool { return s.ready }
 
-func serve(t *testing.T, e Asker) *fasthttp.Client {
+func serve(t *testing.T, e Engine) *fasthttp.Client {
 	ln := fasthttputil.NewInmemoryListener()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
