--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -3,15 +3,18 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"os"
+	"slices"
 	"time"
 
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 )
 
-// Policy holds the operators' own choices, beyond the platform's file.
+// Policy holds the operators' own choices, beyond the platform's file. What each is for is in
+// docs/operations.md.
 type Policy struct {
 	AgingLeases         float64 // waiting this many worker leases halves a task's rank
 	HistoryTasks        float64 // how many durations a running mean remembers
@@ -66,91 +69,122 @@
 	return ParsePolicy(path, src)
 }
 
+// ScriptError says what is wrong with a policy script, and where.
+type ScriptError struct {
+	Position string // file, file:line or file:line:column
+	Problem  string
+}
+
+func (e *ScriptError) Error() string { return e.Position + ": " + e.Problem }
+
 // ParsePolicy runs the script src; name stands in its errors.
 func ParsePolicy(name string, src []byte) (Policy, error) {
-	p := DefaultPolicy()
-	thread := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(policySteps)
-	stop := time.AfterFunc(policyTime, func() { thread.Cancel("took longer than " + policyTime.String()) })
-	defer stop.Stop()
-	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}
-	globals, err := starlark.ExecFileOptions(opts, thread, name, src, nil)
+	policy := DefaultPolicy()
+	globals, err := runScript(name, src)
 	if err != nil {
-		var e *starlark.EvalError
-		if errors.As(err, &e) {
-			at := syntax.MakePosition(&name, 0, 0)
-			for _, f := range e.CallStack {
-				if f.Pos.Filename() == name {
-					at = f.Pos
-				}
-			}
-			return p, fmt.Errorf("%s: %s", at, e.Msg)
-		}
-		return p, err
+		return policy, err
 	}
+	// Whole numbers and flags are read as numbers, like the rest.
+	quarantineJobs, preemptForGuarantee := float64(policy.QuarantineJobs), 1.0
+	variables := policy.variables()
+	variables["quarantine_jobs"] = variable{&quarantineJobs, 1, 1000}
+	variables["preempt_for_guarantee"] = variable{&preemptForGuarantee, 0, 1}
 	var errs []error
-	number := func(key string, into *float64, lo, hi float64) {
-		v, ok := globals[key]
-		if !ok {
-			return
+	for _, key := range slices.Sorted(maps.Keys(variables)) {
+		if value, ok := globals[key]; ok {
+			if problem := variables[key].set(value); problem != "" {
+				errs = append(errs, &ScriptError{lineOf(name, src, key), fmt.Sprintf("%s = %s: %s", key, value, problem)})
+			}
 		}
-		x, ok := starlark.AsFloat(v)
-		if !ok || math.IsNaN(x) || x < lo || x > hi {
-			errs = append(errs, fmt.Errorf("%s: %s = %s: must be a number from %g to %g", lineOf(name, src, key), key, v, lo, hi))
-			return
+	}
+	policy.QuarantineJobs = int(quarantineJobs)
+	policy.PreemptForGuarantee = preemptForGuarantee > 0
+	for _, key := range globals.Keys() {
+		_, known := variables[key]
+		if _, isFunction := globals[key].(starlark.Callable); !known && !isFunction && key[0] != '_' {
+			errs = append(errs, &ScriptError{lineOf(name, src, key), key + " is no setting (helpers begin with _)"})
 		}
-		*into = x
 	}
-	quarantine, guarantee := float64(p.QuarantineJobs), 1.0
-	known := map[string]bool{}
-	for _, f := range []struct {
-		key    string
-		into   *float64
-		lo, hi float64
-	}{
-		{"aging_leases", &p.AgingLeases, 0.1, 1e6},
-		{"history_tasks", &p.HistoryTasks, 1, 1e6},
-		{"quarantine_jobs", &quarantine, 1, 1000},
-		{"progress_share", &p.ProgressShare, 0.05, 0.9},
-		{"spot_share", &p.SpotShare, 0, 1},
-		{"idle_boots", &p.IdleBoots, 0, 1000},
-		{"horizon_share", &p.HorizonShare, 0.05, 1},
-		{"soon_boots", &p.SoonBoots, 0.1, 1000},
-		{"rush_boots", &p.RushBoots, 0, 1000},
-		{"preempt_reports", &p.PreemptReports, 0, 1e6},
-		{"preempt_for_guarantee", &guarantee, 0, 1},
-		{"boot_patience", &p.BootPatience, 1.5, 100},
-		{"floor_share", &p.FloorShare, 0, 0.95},
-		{"floor_leases", &p.FloorLeases, 1, 1e6},
-		{"begin_s", &p.BeginS, 0, 1e9},
-	} {
-		known[f.key] = true
-		number(f.key, f.into, f.lo, f.hi)
+	return policy, errors.Join(errs...)
+}
+
+// variable is a global of the script that sets a field of the policy, and its bounds.
+type variable struct {
+	field     *float64
+	low, high float64
+}
+
+// set takes the script's value and says what is wrong with it, if anything.
+func (v variable) set(value starlark.Value) (problem string) {
+	x, ok := starlark.AsFloat(value)
+	if !ok || math.IsNaN(x) || x < v.low || x > v.high {
+		return fmt.Sprintf("must be a number from %g to %g", v.low, v.high)
 	}
-	p.QuarantineJobs = int(quarantine)
-	p.PreemptForGuarantee = guarantee > 0
-	for _, key := range globals.Keys() {
-		if _, fn := globals[key].(starlark.Callable); !known[key] && !fn && key[0] != '_' {
-			errs = append(errs, fmt.Errorf("%s: %s is no setting (helpers begin with _)", lineOf(name, src, key), key))
+	*v.field = x
+	return ""
+}
+
+// variables are the globals that set a number of the policy.
+func (p *Policy) variables() map[string]variable {
+	return map[string]variable{
+		"aging_leases":    {&p.AgingLeases, 0.1, 1e6},
+		"history_tasks":   {&p.HistoryTasks, 1, 1e6},
+		"progress_share":  {&p.ProgressShare, 0.05, 0.9},
+		"spot_share":      {&p.SpotShare, 0, 1},
+		"idle_boots":      {&p.IdleBoots, 0, 1000},
+		"horizon_share":   {&p.HorizonShare, 0.05, 1},
+		"soon_boots":      {&p.SoonBoots, 0.1, 1000},
+		"rush_boots":      {&p.RushBoots, 0, 1000},
+		"preempt_reports": {&p.PreemptReports, 0, 1e6},
+		"boot_patience":   {&p.BootPatience, 1.5, 100},
+		"floor_share":     {&p.FloorShare, 0, 0.95},
+		"floor_leases":    {&p.FloorLeases, 1, 1e6},
+		"begin_s":         {&p.BeginS, 0, 1e9},
+	}
+}
+
+// dialect is what a policy script may use beside the standard language.
+var dialect = &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}
+
+// runScript runs a script within its bounds and returns its globals.
+func runScript(name string, src []byte) (starlark.StringDict, error) {
+	thread := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
+	thread.SetMaxExecutionSteps(policySteps)
+	stop := time.AfterFunc(policyTime, func() { thread.Cancel("took longer than " + policyTime.String()) })
+	defer stop.Stop()
+	globals, err := starlark.ExecFileOptions(dialect, thread, name, src, nil)
+	var failure *starlark.EvalError
+	if errors.As(err, &failure) {
+		return nil, &ScriptError{innermost(failure, name).String(), failure.Msg}
+	}
+	return globals, err
+}
+
+// innermost is where in the script itself an error arose.
+func innermost(failure *starlark.EvalError, name string) syntax.Position {
+	position := syntax.MakePosition(&name, 0, 0)
+	for _, frame := range failure.CallStack {
+		if frame.Pos.Filename() == name {
+			position = frame.Pos
 		}
 	}
-	return p, errors.Join(errs...)
+	return position
 }
 
 // lineOf finds where a global is last set.
 func lineOf(name string, src []byte, key string) string {
-	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}
-	f, err := opts.Parse(name, src, 0)
-	at := name
-	if err == nil {
-		syntax.Walk(f, func(n syntax.Node) bool {
-			if a, ok := n.(*syntax.AssignStmt); ok {
-				if id, ok := a.LHS.(*syntax.Ident); ok && id.Name == key {
-					at = fmt.Sprintf("%s:%d", name, id.NamePos.Line)
-				}
-			}
-			return true
-		})
+	file, err := dialect.Parse(name, src, 0)
+	if err != nil {
+		return name
 	}
-	return at
+	position := name
+	syntax.Walk(file, func(node syntax.Node) bool {
+		if assignment, ok := node.(*syntax.AssignStmt); ok {
+			if target, ok := assignment.LHS.(*syntax.Ident); ok && target.Name == key {
+				position = fmt.Sprintf("%s:%d", name, target.NamePos.Line)
+			}
+		}
+		return true
+	})
+	return position
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,4 +1,7 @@
-// Package config reads the platform's settings file and the operators' policy.
+// Package config reads and checks what is configured: the settings file that the platform
+// hands over (JSON) and the operators' policy script (Starlark). Both are read once, at
+// start. A value that it returns has been checked; what it refuses it names by field, or by
+// file and line, all mistakes at once.
 package config
 
 import (
@@ -22,14 +25,14 @@
 	Site       Site      `json:"settings"`
 }
 
-// Sibling is another controller.
+// Sibling is another controller of the site.
 type Sibling struct {
 	Label   string `json:"label"`
 	Zone    string `json:"area"`
 	Address string `json:"address"`
 }
 
-// External names the outside systems.
+// External holds the addresses of the outside systems, host:port.
 type External struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
@@ -57,7 +60,8 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is one aim of the users.
+// Objective is one service-level objective of the users: the Share of the jobs of Class that
+// is to be done WithinS seconds, or in Times the deadline, by Kind.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -66,7 +70,7 @@
 	Times   float64 `json:"times"`
 }
 
-// Workers holds the workers' periods, in seconds.
+// Workers holds the intervals that workers keep to, in seconds.
 type Workers struct {
 	ReportS   float64 `json:"report_s"`
 	LeaseS    float64 `json:"lease_s"`
@@ -75,8 +79,8 @@
 	CancelS   float64 `json:"cancel_s"`
 }
 
-// State holds the state service's limits, and those that it will have from some moment
-// on that nobody tells. A limit that Next leaves out stays.
+// State holds the limits of the key-value store, and those that it will have from some
+// unannounced moment on. A limit that Next leaves out stays.
 type State struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -92,19 +96,23 @@
 func (s *State) Least() State {
 	out := *s
 	out.Next = nil
-	if n := s.Next; n != nil {
-		least := func(now, then float64) float64 {
-			if then > 0 {
-				return min(now, then)
-			}
-			return now
-		}
-		out.RPS, out.WriteRPS, out.ValueKB = least(s.RPS, n.RPS), least(s.WriteRPS, n.WriteRPS), least(s.ValueKB, n.ValueKB)
-		out.TxnOps = int(least(float64(s.TxnOps), float64(n.TxnOps)))
+	if s.Next != nil {
+		out.RPS = lowest(s.RPS, s.Next.RPS)
+		out.WriteRPS = lowest(s.WriteRPS, s.Next.WriteRPS)
+		out.ValueKB = lowest(s.ValueKB, s.Next.ValueKB)
+		out.TxnOps = int(lowest(float64(s.TxnOps), float64(s.Next.TxnOps)))
 	}
 	return out
 }
 
+// lowest is the smaller limit; a next one of 0 is not set.
+func lowest(now, next float64) float64 {
+	if next > 0 {
+		return min(now, next)
+	}
+	return now
+}
+
 // Cloud holds the cloud's limits.
 type Cloud struct {
 	RPS      float64 `json:"rps"`
@@ -137,79 +145,122 @@
 	if err := json.Unmarshal(b, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
 
-func (s *Settings) check() error {
-	var errs []error
-	bad := func(field, what string) { errs = append(errs, fmt.Errorf("%s: %s", field, what)) }
-	address := func(field, v string) {
-		if _, _, err := net.SplitHostPort(v); err != nil {
-			bad(field, "must be host:port")
-		}
+// FieldError says what is wrong with one field of a settings file.
+type FieldError struct {
+	Field   string // its path, for example settings.teams[0]
+	Problem string
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// validation collects what is wrong with a settings file.
+type validation struct{ errs []error }
+
+func (v *validation) reject(field, problem string) {
+	v.errs = append(v.errs, &FieldError{Field: field, Problem: problem})
+}
+
+func (v *validation) requireAddress(field, value string) {
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		v.reject(field, "must be host:port")
 	}
-	positive := func(field string, v float64) {
-		if !(v > 0) {
-			bad(field, "must be above 0")
-		}
+}
+
+func (v *validation) requirePositive(field string, value float64) {
+	if !(value > 0) {
+		v.reject(field, "must be above 0")
 	}
-	if s.Label == "" {
-		bad("label", "is missing")
-	}
-	address("serve_on", s.Listen)
-	address("peer_listen", s.PeerListen)
-	address("external.cloud", s.External.Cloud)
-	address("external.state", s.External.State)
-	seen := map[string]bool{s.Label: true}
-	for i, p := range s.Siblings {
-		f := fmt.Sprintf("siblings[%d]", i)
-		if p.Label == "" || seen[p.Label] {
-			bad(f+".label", "is missing or used twice")
-		}
-		seen[p.Label] = true
-		address(f+".address", p.Address)
+}
+
+// requireUnique rejects a name that is empty or already among seen, and adds it to them.
+func (v *validation) requireUnique(field, name string, seen map[string]bool) {
+	if name == "" || seen[name] {
+		v.reject(field, "is missing or used twice")
 	}
+	seen[name] = true
+}
+
+// validate fills in what has a default and returns one FieldError for each mistake, joined.
+func (s *Settings) validate() error {
+	v := &validation{}
+	s.validateController(v)
 	site := &s.Site
 	if site.InitialSize == 0 {
 		site.InitialSize = len(s.Siblings) + 1
 	}
-	teams := map[string]bool{}
-	for i, t := range site.Teams {
-		f := fmt.Sprintf("settings.teams[%d]", i)
-		if t.Name == "" || teams[t.Name] {
-			bad(f+".name", "is missing or used twice")
-		}
-		teams[t.Name] = true
-		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			bad(f, "has a negative amount")
+	validateTeams(v, site.Teams)
+	validateWorkers(v, &site.Workers)
+	validateStore(v, &site.State)
+	v.requirePositive("settings.cloud.rps", site.Cloud.RPS)
+	v.requirePositive("settings.resources.ram_mb", site.Resources.RAMMB)
+	v.requirePositive("settings.resources.max_sockets", float64(site.Resources.MaxSockets))
+	return errors.Join(v.errs...)
+}
+
+// validateController checks what is this controller's own, and its siblings.
+func (s *Settings) validateController(v *validation) {
+	if s.Label == "" {
+		v.reject("label", "is missing")
+	}
+	v.requireAddress("serve_on", s.Listen)
+	v.requireAddress("peer_listen", s.PeerListen)
+	v.requireAddress("external.cloud", s.External.Cloud)
+	v.requireAddress("external.state", s.External.State)
+	labels := map[string]bool{s.Label: true}
+	for i, sibling := range s.Siblings {
+		field := fmt.Sprintf("siblings[%d]", i)
+		v.requireUnique(field+".label", sibling.Label, labels)
+		v.requireAddress(field+".address", sibling.Address)
+	}
+}
+
+func validateTeams(v *validation, teams []Team) {
+	names := map[string]bool{}
+	for i, team := range teams {
+		field := fmt.Sprintf("settings.teams[%d]", i)
+		v.requireUnique(field+".name", team.Name, names)
+		if team.CPUs < 0 || team.CPUsMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
+			v.reject(field, "has a negative amount")
 		}
-		if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-			bad(f, "guarantees more than its limit")
+		if team.CPUsMax > 0 && team.CPUs > team.CPUsMax || team.GPUsMax > 0 && team.GPUs > team.GPUsMax {
+			v.reject(field, "guarantees more than its limit")
 		}
 	}
-	positive("settings.workers.report_s", site.Workers.ReportS)
-	positive("settings.workers.lease_s", site.Workers.LeaseS)
-	positive("settings.workers.cancel_s", site.Workers.CancelS)
-	if site.Workers.LeaseS < 2*site.Workers.ReportS {
-		bad("settings.workers.lease_s", "must be at least twice report_s")
-	}
-	if site.Workers.CancelS < 1.2*site.Workers.LeaseS {
-		bad("settings.workers.cancel_s", "must be at least 1.2 times lease_s: a worker that is cut off goes on for lease_s")
-	}
-	positive("settings.state.rps", site.State.RPS)
-	positive("settings.state.write_rps", site.State.WriteRPS)
-	positive("settings.state.value_kb", site.State.ValueKB)
-	positive("settings.state.txn_ops", float64(site.State.TxnOps))
-	if n := site.State.Next; n != nil && !(n.RPS >= 0 && n.WriteRPS >= 0 && n.ValueKB >= 0 && n.TxnOps >= 0) {
-		bad("settings.state.next", "has a negative limit")
-	}
-	positive("settings.cloud.rps", site.Cloud.RPS)
-	positive("settings.resources.ram_mb", site.Resources.RAMMB)
-	positive("settings.resources.max_sockets", float64(site.Resources.MaxSockets))
-	return errors.Join(errs...)
+}
+
+// The least that a worker's lease must be, in heartbeat intervals, and a cancellation's
+// time, in leases: a worker that is cut off keeps its tasks for a lease.
+const (
+	minLeaseHeartbeats = 2
+	minCancelLeases    = 1.2
+)
+
+func validateWorkers(v *validation, workers *Workers) {
+	v.requirePositive("settings.workers.report_s", workers.ReportS)
+	v.requirePositive("settings.workers.lease_s", workers.LeaseS)
+	v.requirePositive("settings.workers.cancel_s", workers.CancelS)
+	if workers.LeaseS < minLeaseHeartbeats*workers.ReportS {
+		v.reject("settings.workers.lease_s", "must be at least twice report_s")
+	}
+	if workers.CancelS < minCancelLeases*workers.LeaseS {
+		v.reject("settings.workers.cancel_s", "must be at least 1.2 times lease_s: a worker that is cut off goes on for lease_s")
+	}
+}
+
+func validateStore(v *validation, store *State) {
+	v.requirePositive("settings.state.rps", store.RPS)
+	v.requirePositive("settings.state.write_rps", store.WriteRPS)
+	v.requirePositive("settings.state.value_kb", store.ValueKB)
+	v.requirePositive("settings.state.txn_ops", float64(store.TxnOps))
+	if next := store.Next; next != nil && !(next.RPS >= 0 && next.WriteRPS >= 0 && next.ValueKB >= 0 && next.TxnOps >= 0) {
+		v.reject("settings.state.next", "has a negative limit")
+	}
 }
 
 // Seconds turns a number of seconds into a duration.
