--- a/internal/core/archive.go
+++ b/internal/core/archive.go
@@ -13,9 +13,9 @@
 // thousand of them on every controller.
 type jobArchive struct {
 	jobs        map[string]archivedJob
-	shapes      []protocol.Job // what jobs of one kind share, without id and tasks
+	shapes      []protocol.Job // what jobs of one shape share, without id and tasks
 	shapeIndex  map[jobShape]uint32
-	reasons     []string
+	reasons     []string // why jobs were cancelled, empty for those that are done
 	reasonIndex map[string]uint32
 	rules       fairshare.Rules
 	served      fairshare.Accounting // what was served, of each class of each team
@@ -24,12 +24,12 @@
 // archivedJob is a job that is over.
 type archivedJob struct {
 	version     uint64
-	submittedAt uint32 // time of day of the submission, in seconds
-	doneAt      uint32 // and when it was done, 0: an older version wrote it
+	submittedAt uint32 // time of day, in seconds
+	doneAt      uint32 // the same, 0: it was cancelled, or an older version wrote it
 	tasks       uint32
-	shape       uint32
-	reason      uint32
-	done        bool // if not, it was cancelled
+	shape       uint32 // index into shapes
+	reason      uint32 // index into reasons
+	done        bool   // if not, it was cancelled
 }
 
 // jobShape is what of a job's description is kept when it is over.
@@ -42,44 +42,57 @@
 	return &jobArchive{rules: rules, jobs: map[string]archivedJob{}, shapeIndex: map[jobShape]uint32{}, reasonIndex: map[string]uint32{}}
 }
 
-// add takes the record of a job that is over.
-func (a *jobArchive) add(rec *records.Job, version uint64) {
-	s := &rec.Spec
-	k := jobShape{s.Class, s.Team, s.Kind, s.Urgency, s.CPUs, s.GPUs, s.MemoryGB}
-	n, ok := a.shapeIndex[k]
-	if !ok {
-		n = uint32(len(a.shapes))
-		a.shapeIndex[k] = n
-		a.shapes = append(a.shapes, protocol.Job{Class: s.Class, Team: s.Team, Kind: s.Kind, Urgency: s.Urgency,
-			CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB})
+// add takes the record of a job that is over. It may come again, in a newer version.
+func (a *jobArchive) add(record *records.Job, version uint64) {
+	spec, done := &record.Spec, record.State == protocol.JobDone
+	if former, known := a.jobs[spec.ID]; done && !(known && former.done) {
+		a.served.RecordCompleted(fairshare.Account{Team: spec.Team, Class: spec.Class}, record.SubmittedAt, &a.rules)
+	}
+	a.jobs[spec.ID] = archivedJob{
+		version: version, submittedAt: seconds32(record.SubmittedAt), doneAt: seconds32(record.DoneAt),
+		tasks: uint32(spec.Tasks), shape: a.internShape(spec), reason: a.internReason(record.StopReason), done: done,
 	}
-	w, ok := a.reasonIndex[rec.StopReason]
+}
+
+// internShape returns the index of a job's shape.
+func (a *jobArchive) internShape(spec *protocol.Job) uint32 {
+	shape := jobShape{spec.Class, spec.Team, spec.Kind, spec.Urgency, spec.CPUs, spec.GPUs, spec.MemoryGB}
+	index, ok := a.shapeIndex[shape]
 	if !ok {
-		w = uint32(len(a.reasons))
-		a.reasonIndex[rec.StopReason] = w
-		a.reasons = append(a.reasons, rec.StopReason)
+		index = uint32(len(a.shapes))
+		a.shapeIndex[shape] = index
+		a.shapes = append(a.shapes, protocol.Job{Class: spec.Class, Team: spec.Team, Kind: spec.Kind, Urgency: spec.Urgency,
+			CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB})
 	}
-	if was, known := a.jobs[s.ID]; rec.State == protocol.JobDone && !(known && was.done) {
-		a.served.RecordCompleted(fairshare.Account{Team: s.Team, Class: s.Class}, rec.SubmittedAt, &a.rules)
+	return index
+}
+
+// internReason returns the index of a reason.
+func (a *jobArchive) internReason(reason string) uint32 {
+	index, ok := a.reasonIndex[reason]
+	if !ok {
+		index = uint32(len(a.reasons))
+		a.reasonIndex[reason] = index
+		a.reasons = append(a.reasons, reason)
 	}
-	a.jobs[s.ID] = archivedJob{version: version, submittedAt: seconds32(rec.SubmittedAt), doneAt: seconds32(rec.DoneAt), tasks: uint32(s.Tasks),
-		shape: n, reason: w, done: rec.State == protocol.JobDone}
+	return index
 }
 
-func seconds32(x float64) uint32 { return uint32(min(max(x, 0), math.MaxUint32)) }
+// seconds32 rounds a time of day down to whole seconds.
+func seconds32(seconds float64) uint32 { return uint32(min(max(seconds, 0), math.MaxUint32)) }
 
 // get returns a job that is over as the mirror would hold it, nil if it has none of
 // that name. Each call makes a new one: a job that is over no longer changes.
 func (a *jobArchive) get(id string) *jobEntry {
-	e, ok := a.jobs[id]
+	archived, ok := a.jobs[id]
 	if !ok {
 		return nil
 	}
-	j := &jobEntry{version: e.version, recordVersion: e.version}
-	j.record = records.Job{Spec: a.shapes[e.shape], State: protocol.JobCancelled, SubmittedAt: float64(e.submittedAt), StopReason: a.reasons[e.reason]}
-	j.record.Spec.ID, j.record.Spec.Tasks = id, int(e.tasks)
-	if e.done {
-		j.record.State, j.doneCount = protocol.JobDone, int(e.tasks)
+	j := &jobEntry{version: archived.version, recordVersion: archived.version}
+	j.record = records.Job{Spec: a.shapes[archived.shape], State: protocol.JobCancelled, SubmittedAt: float64(archived.submittedAt), StopReason: a.reasons[archived.reason]}
+	j.record.Spec.ID, j.record.Spec.Tasks = id, int(archived.tasks)
+	if archived.done {
+		j.record.State, j.doneCount = protocol.JobDone, int(archived.tasks)
 	}
 	return j
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,6 +13,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
+	"github.com/chalkhub/chalkhub/internal/mirror"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
@@ -44,14 +45,20 @@
 	lastTimerID uint64
 	loopback    []func() // messages to this node's own other half
 
-	mirror     *storeMirror
-	membership *membership
-	shard      *shard
-	scheduler  *scheduler
-	estimator  *estimator
-	fleet      *fleet
-	registry   *machineRegistry
-	degraded   *degradedMode
+	mirror       *mirror.Mirror
+	records      *storedRecords
+	transactions transactions
+	admission    *admission
+	cancellation *cancellation
+	queries      *jobQueries
+	garbage      *garbageCollector
+	membership   *membership
+	shard        *shard
+	scheduler    *scheduler
+	estimator    *estimator
+	fleet        *fleet
+	registry     *machineRegistry
+	degraded     *degradedMode
 }
 
 // intervals are the spans the rules rest on, as ratios to the settings.
@@ -119,7 +126,13 @@
 		c.controllerLabels = append(c.controllerLabels, s.Label)
 	}
 	c.fairShareRules = c.newFairShareRules()
-	c.mirror = newStoreMirror(c)
+	c.garbage = newGarbageCollector(c)
+	c.records = newStoredRecords(c)
+	c.mirror = newMirror(c)
+	c.transactions.pending = map[uint64]func(CommitResult){}
+	c.admission = newAdmission(c)
+	c.cancellation = newCancellation(c)
+	c.queries = &jobQueries{c}
 	c.membership = newMembership(c)
 	c.shard = newShard(c)
 	c.estimator = newEstimator(c)
@@ -159,21 +172,21 @@
 	switch cmd := cmd.(type) {
 	case Tick:
 	case SubmitJob:
-		c.mirror.submit(cmd.ID, cmd.Spec)
+		c.admission.submit(cmd.ID, cmd.Spec)
 	case QueryJob:
-		c.mirror.query(cmd.ID, cmd.JobID)
+		c.queries.query(cmd.ID, cmd.JobID)
 	case CancelJob:
-		c.mirror.cancel(cmd.ID, cmd.JobID, 0)
+		c.cancellation.cancel(cmd.ID, cmd.JobID)
 	case Heartbeat:
 		c.shard.handleHeartbeat(cmd.ID, &cmd.Report)
 	case GetStatus:
 		c.emit(Reply{ID: cmd.ID, Status: ReplyOK, Body: c.status()})
 	case CommitResult:
-		c.mirror.handleCommit(cmd)
+		c.handleCommit(cmd)
 	case LoadResult:
-		c.mirror.handleLoad(cmd)
+		c.handlePage(cmd)
 	case WatchResult:
-		c.mirror.handleWatch(cmd)
+		c.handleChanges(cmd)
 	case LeaseResult:
 		c.membership.handleLeaseResult(cmd)
 	case CallWorkerResult:
@@ -296,4 +309,4 @@
 	return nil
 }
 
-func (c *Core) machineTypes() map[string]*protocol.MachineType { return c.mirror.machineTypes }
+func (c *Core) machineTypes() map[string]*protocol.MachineType { return c.records.machineTypes }
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -19,25 +19,18 @@
 	renewalRefused bool // the lease was not renewed last time
 	leader         degraded.Coordinator
 	member         degraded.Voter
-	epoch          uint64                   // that these speak of
+	epoch          uint64                   // that leader and member speak of
 	cancelledJobs  map[string]time.Duration // jobs that somebody was told are cancelled, and when we last learnt of it
-	loggedActive   bool                     // as was last said
+	loggedActive   bool                     // what was last logged
 }
 
 func newDegradedMode(c *Core) *degradedMode {
 	return &degradedMode{core: c, cancelledJobs: map[string]time.Duration{}}
 }
 
-// cancelsPerLease is how many jobs can be cancelled, a change each, while a mirror falls behind
-// by a worker's lease: longer than any that degraded mode takes account of. The limit in force
-// is the larger one.
-func (c *Core) cancelsPerLease() int {
-	return int(c.settings.Site.State.WriteRPS * c.intervals.workerLease.Seconds())
-}
-
 // isStoreUnavailable reports whether the state service does not serve this node.
-func (u *degradedMode) isStoreUnavailable() bool {
-	return u.renewalRefused || u.core.mirror.unavailable
+func (d *degradedMode) isStoreUnavailable() bool {
+	return d.renewalRefused || d.core.mirror.IsUnavailable()
 }
 
 // isIsolated reports whether neither renewals nor watches are served here. Nothing that users ask
@@ -45,95 +38,118 @@
 //
 // Guards against users being sent here for as long as this node is still entitled to answer
 // workers: each of their requests waited, and was refused in the end.
-func (u *degradedMode) isIsolated() bool { return u.renewalRefused && u.core.mirror.unavailable }
+func (d *degradedMode) isIsolated() bool {
+	return d.renewalRefused && d.core.mirror.IsUnavailable()
+}
 
 // isActive reports whether workers may be answered although this node is not entitled.
-func (u *degradedMode) isActive() bool {
-	return u.core.mirror.ready && u.epoch > 0 && u.epoch == u.core.membership.epoch() && u.core.now.Monotonic < u.activeUntil()
+func (d *degradedMode) isActive() bool {
+	return d.core.mirror.IsReady() && d.epoch > 0 && d.epoch == d.core.membership.epoch() && d.core.now.Monotonic < d.activeUntil()
 }
 
-func (u *degradedMode) activeUntil() time.Duration {
-	if u.core.membership.leading {
-		return u.leader.MayServeUntil()
+func (d *degradedMode) activeUntil() time.Duration {
+	if d.core.membership.leading {
+		return d.leader.MayServeUntil()
 	}
-	return u.member.MayServeUntil()
+	return d.member.MayServeUntil()
 }
 
 // react asks the next round, on the leader, and notes when an outage is over.
-func (u *degradedMode) react() {
-	c := u.core
-	if !c.mirror.ready {
+func (d *degradedMode) react() {
+	c := d.core
+	if !c.mirror.IsReady() {
 		return
 	}
-	if e := c.membership.epoch(); e != u.epoch {
-		u.epoch, u.leader, u.member = e, degraded.Coordinator{}, degraded.Voter{}
-	}
+	d.followEpoch()
 	// Guards against forgetting them while this node is entitled by a mirror from before.
-	maps.DeleteFunc(u.cancelledJobs, func(_ string, learnt time.Duration) bool { return learnt < c.mirror.freshAt })
-	if now := u.isActive() && !c.membership.mayServe(); now != u.loggedActive {
-		u.loggedActive = now
-		if now {
-			c.logInfo("the state service serves no controller, workers are kept alive", "epoch", u.epoch)
-		} else {
-			c.logInfo("workers are no longer kept alive without the state service", "entitled", c.membership.mayServe())
-		}
+	maps.DeleteFunc(d.cancelledJobs, func(_ string, learntAt time.Duration) bool { return learntAt < c.mirror.FreshAt() })
+	d.logTransition()
+	if c.membership.leading && d.isStoreUnavailable() && d.epoch != 0 && d.epoch == c.scheduler.epoch {
+		d.askRound()
+	}
+}
+
+// followEpoch begins anew in each epoch: votes of another one say nothing.
+func (d *degradedMode) followEpoch() {
+	if epoch := d.core.membership.epoch(); epoch != d.epoch {
+		d.epoch, d.leader, d.member = epoch, degraded.Coordinator{}, degraded.Voter{}
 	}
-	if !c.membership.leading || !u.isStoreUnavailable() || u.epoch == 0 || u.epoch != c.scheduler.epoch {
+}
+
+func (d *degradedMode) logTransition() {
+	c := d.core
+	active := d.isActive() && !c.membership.mayServe()
+	if active == d.loggedActive {
 		return
 	}
+	d.loggedActive = active
+	if active {
+		c.logInfo("the state service serves no controller, workers are kept alive", "epoch", d.epoch)
+	} else {
+		c.logInfo("workers are no longer kept alive without the state service", "entitled", c.membership.mayServe())
+	}
+}
+
+// askRound asks all controllers for their votes, if the next round is due. It takes all of them:
+// one that can't be asked may be served by the state service.
+func (d *degradedMode) askRound() {
+	c := d.core
 	others := c.controllerLabels[1:]
 	for _, label := range others {
 		if p := c.scheduler.shards[label]; p == nil || p.session == 0 {
-			return // without all of them there is no vigil
+			return
 		}
 	}
-	ask, due := u.leader.NextRound(c.now.Monotonic, c.intervals.maxStaleness/8, c.intervals.maxStaleness)
+	round, due := d.leader.NextRound(c.now.Monotonic, c.intervals.maxStaleness/8, c.intervals.maxStaleness)
 	if !due {
 		return
 	}
 	for _, label := range others {
-		c.emit(SendToPeer{Session: c.scheduler.shards[label].session, Message: peerproto.Message{Epoch: u.epoch, Round: &ask}})
+		c.emit(SendToPeer{Session: c.scheduler.shards[label].session, Message: peerproto.Message{Epoch: d.epoch, Round: &round}})
 	}
-	u.handleVote(c.settings.Label, u.vote(&ask))
+	d.handleVote(c.settings.Label, d.vote(&round))
 }
 
 // handleRound answers the leader's question.
-func (u *degradedMode) handleRound(epoch uint64, a *degraded.Round) {
-	c := u.core
-	if !c.mirror.ready || epoch != u.epoch || epoch != c.membership.epoch() {
+func (d *degradedMode) handleRound(epoch uint64, round *degraded.Round) {
+	c := d.core
+	if !c.mirror.IsReady() || epoch != d.epoch || epoch != c.membership.epoch() {
 		return
 	}
-	w := u.vote(a)
-	u.member.HandleRound(c.now.Monotonic, c.intervals.maxStaleness, *a)
-	u.cancelJobs(a.Cancelled)
-	c.emit(SendToPeer{Session: c.shard.leaderLink, Message: peerproto.Message{Epoch: epoch, Vote: &w}})
+	vote := d.vote(round)
+	d.member.HandleRound(c.now.Monotonic, c.intervals.maxStaleness, *round)
+	d.cancelJobs(round.Cancelled)
+	c.emit(SendToPeer{Session: c.shard.leaderLink, Message: peerproto.Message{Epoch: epoch, Vote: &vote}})
 }
 
 // vote is what this node says in a round.
-func (u *degradedMode) vote(a *degraded.Round) degraded.Vote {
-	l := u.core.mirror
-	w := degraded.Vote{Round: a.Number, Epoch: u.epoch, StoreDown: u.isStoreUnavailable(), MirrorRevision: l.revision, LoadedRevision: l.loadRevision, IncludesMirror: true}
-	w.CancelledSince, w.Cancelled = l.cancellations.Since(a.CancelledSince)
-	return w
+func (d *degradedMode) vote(round *degraded.Round) degraded.Vote {
+	m := d.core.mirror
+	vote := degraded.Vote{Round: round.Number, Epoch: d.epoch, StoreDown: d.isStoreUnavailable(), MirrorRevision: m.Revision(), LoadedRevision: m.LoadRevision(), IncludesMirror: true}
+	vote.CancelledSince, vote.Cancelled = d.core.cancellation.log.Since(round.CancelledSince)
+	return vote
 }
 
-// handleVote takes a controller's word.
-func (u *degradedMode) handleVote(label string, w degraded.Vote) {
-	u.leader.ReceiveVote(label, w, u.epoch, u.core.intervals.maxStaleness, u.core.controllerLabels)
-	u.cancelJobs(u.leader.CancelledJobs())
+// handleVote takes a controller's vote.
+func (d *degradedMode) handleVote(label string, vote degraded.Vote) {
+	d.leader.ReceiveVote(label, vote, d.epoch, d.core.intervals.maxStaleness, d.core.controllerLabels)
+	d.cancelJobs(d.leader.CancelledJobs())
 }
 
 // isCancelled reports whether a job is cancelled by another controller's word.
-func (u *degradedMode) isCancelled(ref string) bool { _, ok := u.cancelledJobs[ref]; return ok }
+func (d *degradedMode) isCancelled(jobID string) bool {
+	_, ok := d.cancelledJobs[jobID]
+	return ok
+}
 
 // cancelJobs has the tasks of jobs stopped that are cancelled for sure.
-func (u *degradedMode) cancelJobs(jobs []string) {
-	for _, ref := range jobs {
-		if _, known := u.cancelledJobs[ref]; !known {
-			u.core.logDebug("cancelled, as was told", "job", ref)
-			u.core.shard.expediteJob(ref)
+func (d *degradedMode) cancelJobs(jobIDs []string) {
+	for _, jobID := range jobIDs {
+		if !d.isCancelled(jobID) {
+			d.core.logDebug("cancelled, as was told", "job", jobID)
+			d.core.shard.expediteJob(jobID)
 		}
-		u.cancelledJobs[ref] = u.core.now.Monotonic
+		d.cancelledJobs[jobID] = d.core.now.Monotonic
 	}
 }
 
@@ -141,12 +157,12 @@
 // the leader to all members.
 //
 // Guards against starts that a machine takes after its user was told, for as long as another
-// controller's watch takes to bring the word. The rules rest on the mirrors.
-func (u *degradedMode) cancellationConfirmed(ref string) {
-	u.cancelJobs([]string{ref})
-	if u.core.membership.leading {
-		u.core.scheduler.relayCancellations([]string{ref}, "")
+// controller's watch takes to bring the cancellation. The rules of degraded mode rest on the mirrors.
+func (d *degradedMode) cancellationConfirmed(jobID string) {
+	d.cancelJobs([]string{jobID})
+	if d.core.membership.leading {
+		d.core.scheduler.relayCancellations([]string{jobID}, "")
 	} else {
-		u.core.shard.confirmedCancellations = append(u.core.shard.confirmedCancellations, ref)
+		d.core.shard.confirmedCancellations = append(d.core.shard.confirmedCancellations, jobID)
 	}
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -123,7 +123,7 @@
 			f.guaranteedInflow += float64(s.Tasks) * s.CPUs * f.core.estimator.predict(s) / span * math.Exp(-max(f.core.now.Wall-at, 0)/span)
 		}
 	}
-	l := f.core.mirror
+	l := f.core.records
 	for _, id := range sortedKeys(l.jobs) {
 		if j := l.jobs[id]; j.version > 0 && !l.dependencies.IsWaiting(id) {
 			count(&j.record.Spec, j.waitingSince())
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -12,36 +12,27 @@
 )
 
 // Jobs that need others: how they are accepted, and what the graph of package pipeline
-// says of them to the mirror and the leader.
+// says of them to the stored records and the leader.
 
-// submitDependent accepts a job that names others. looked: the mirror holds all that was
+// submitDependent accepts a job that names others. afterBarrier: the mirror holds all that was
 // accepted before the request came.
-func (l *storeMirror) submitDependent(id RequestID, rec records.Job, looked bool) {
-	if l.replyIfUpgrading(id, "jobs that need others") {
+func (a *admission) submitDependent(id RequestID, record records.Job, afterBarrier bool) {
+	if a.replyIfUpgrading(id, "jobs that need others") {
 		return
 	}
 	var open []string
 	cancelled := ""
-	for _, name := range rec.Spec.Dependencies {
-		j := l.acceptedJob(name)
+	for _, name := range record.Spec.Dependencies {
+		j := a.core.records.acceptedJob(name)
 		switch {
-		case j == nil && !looked:
-			l.barrier(func(ok bool) {
-				switch {
-				case !ok:
-					l.replyRetry(id, "the state service does not answer")
-				case l.acceptedJob(rec.Spec.ID) != nil:
-					l.replyCurrent(id, rec.Spec.ID)
-				default:
-					l.submitDependent(id, rec, true)
-				}
-			})
+		case j == nil && !afterBarrier:
+			a.submitAfterBarrier(id, record)
 			return
 		case j == nil:
-			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorResponse{Error: "it needs " + name + ", which was never accepted: submit that one first"}})
+			a.core.queries.replyError(id, ReplyInvalid, "it needs "+name+", which was never accepted: submit that one first")
 			return
 		case j.record.Spec.Kind == protocol.KindService:
-			l.core.emit(Reply{ID: id, Status: ReplyInvalid, Body: protocol.ErrorResponse{Error: "it needs " + name + ", which is a service and is never done"}})
+			a.core.queries.replyError(id, ReplyInvalid, "it needs "+name+", which is a service and is never done")
 			return
 		case j.record.State == protocol.JobCancelled:
 			cancelled = name
@@ -49,72 +40,81 @@
 			open = append(open, name)
 		}
 	}
-	rec.Spec.Dependencies = open // what is done stays done
+	record.Spec.Dependencies = open // what is done stays done
 	if cancelled != "" {
-		rec = finalRecord(&jobEntry{record: rec}, protocol.JobCancelled, dependencyCancelled(cancelled))
+		record = finalRecord(&jobEntry{record: record}, protocol.JobCancelled, dependencyCancelled(cancelled))
 	}
-	l.admit(id, rec, true)
+	a.admit(submission{requestID: id, record: record, namesDependencies: true})
+}
+
+// submitAfterBarrier looks again for the jobs that one needs once the mirror holds all that was
+// accepted before the request came.
+func (a *admission) submitAfterBarrier(id RequestID, record records.Job) {
+	c := a.core
+	c.mirror.Barrier(func(ok bool) {
+		switch {
+		case !ok:
+			c.queries.replyRetry(id, reasonStoreDown)
+		case c.records.acceptedJob(record.Spec.ID) != nil:
+			c.queries.replyCurrent(id, record.Spec.ID)
+		default:
+			a.submitDependent(id, record, true)
+		}
+	})
 }
 
 // replyIfUpgrading has a user come again with what only this version knows, if a controller lives
-// that says that it is older.
+// that says that it is older. It reports whether it did.
 //
 // Guards against a job in the hands of a version that would not even find it, since it
 // passes its key over, and call it unknown.
-func (l *storeMirror) replyIfUpgrading(id RequestID, what string) bool {
-	label := l.olderController()
+func (a *admission) replyIfUpgrading(id RequestID, what string) bool {
+	label := a.core.records.olderController()
 	if label != "" {
-		l.replyRetry(id, "controller "+label+" still runs a version that does not know "+what+": repeat this when all are upgraded")
+		a.core.queries.replyRetry(id, "controller "+label+" still runs a version that does not know "+what+": repeat this when all are upgraded")
 	}
 	return label != ""
 }
 
-// olderController is a live controller that says that its version is older, empty: there is none.
-func (l *storeMirror) olderController() string {
-	for _, label := range sortedKeys(l.nodes) {
-		if l.nodes[label].Level < records.FormatLevel {
-			return label
-		}
-	}
-	return ""
+func dependencyCancelled(dependency string) string {
+	return "it needs " + dependency + ", which was cancelled"
 }
 
-func dependencyCancelled(cause string) string { return "it needs " + cause + ", which was cancelled" }
-
 // maxNamedDependencies is how many of the jobs that one waits for are named to its user.
 const maxNamedDependencies = 5
 
-func (l *storeMirror) dependencyReason(id string) string {
-	names, more := l.dependencies.UnmetDependencies(id, maxNamedDependencies)
+// dependencyReason says for its user what a job waits for.
+func (r *storedRecords) dependencyReason(id string) string {
+	names, more := r.dependencies.UnmetDependencies(id, maxNamedDependencies)
 	slices.Sort(names)
-	why := "waits for " + strings.Join(names, ", ")
+	reason := "waits for " + strings.Join(names, ", ")
 	if more > 0 {
-		why += fmt.Sprintf(" and %d more", more)
+		reason += fmt.Sprintf(" and %d more", more)
 	}
-	return why
+	return reason
 }
 
-// jobUpdated tells the graph and the leader of a record of a job.
-func (l *storeMirror) jobUpdated(j *jobEntry) {
+// jobUpdated passes a job's new record on to the graph and the leader.
+func (r *storedRecords) jobUpdated(j *jobEntry) {
 	if !j.isFinal() {
-		if s := &j.record.Spec; len(s.Dependencies) > 0 {
-			l.dependencies.AddJob(s.ID, s.Dependencies, l.dependencyState)
+		if spec := &j.record.Spec; len(spec.Dependencies) > 0 {
+			r.dependencies.AddJob(spec.ID, spec.Dependencies, r.dependencyState)
 		} else {
-			l.dependencies.MarkOpen(s.ID)
+			r.dependencies.MarkOpen(spec.ID)
 		}
 	}
-	l.core.scheduler.jobChanged(j)
+	r.core.scheduler.jobChanged(j)
 }
 
-// dependencyState says how a job stands, for the graph.
-func (l *storeMirror) dependencyState(id string) (dag.State, float64) {
-	if e, ok := l.archive.jobs[id]; ok {
-		if e.done {
-			return dag.Done, float64(e.doneAt)
+// dependencyState says how a job stands, for the graph, and if it is done since when.
+func (r *storedRecords) dependencyState(id string) (dag.State, float64) {
+	if archived, ok := r.archive.jobs[id]; ok {
+		if archived.done {
+			return dag.Done, float64(archived.doneAt)
 		}
 		return dag.Aborted, 0
 	}
-	if j := l.jobs[id]; j != nil && j.version > 0 {
+	if j := r.jobs[id]; j != nil && j.version > 0 {
 		return dag.Open, 0
 	}
 	return dag.Unknown, 0
@@ -122,70 +122,84 @@
 
 // applyDependencyChanges takes what the graph has found out since: jobs that are ready, and those that
 // are aborted because of another one.
-func (l *storeMirror) applyDependencyChanges() {
-	for _, v := range l.dependencies.TakeEvents() {
-		j := l.jobs[v.Job]
-		if j == nil {
-			continue
-		}
-		if !v.Aborted {
-			j.readyAt, j.readyThisTerm = v.ReadyAt, l.core.membership.leading
-			if l.core.membership.leading {
-				l.core.logDebug("ready", "job", v.Job, "class", j.record.Spec.Class, "needed", j.record.Spec.Dependencies)
-			}
-			l.core.scheduler.jobChanged(j)
-			l.core.scheduler.lastScheduling = 0 // its first tasks start at once
-			continue
+func (r *storedRecords) applyDependencyChanges() {
+	for _, news := range r.dependencies.TakeEvents() {
+		j := r.jobs[news.Job]
+		switch {
+		case j == nil:
+		case news.Aborted:
+			r.abortDependent(j, news.Cause)
+		default:
+			r.dependentReady(j, news.ReadyAt)
 		}
-		// It never had a task, so there is nothing to stop, and its own record need not
-		// say so: whoever reads that of the cause comes to this again.
-		j.record = finalRecord(j, protocol.JobCancelled, dependencyCancelled(v.Cause))
-		l.core.scheduler.jobChanged(j)
-		l.derivedAborts[v.Job] = j.recordVersion == 0
-		l.archiveJob(j)
 	}
 }
 
-// updateDependencyWeights has the graph work out anew how urgent jobs are for the sake of those behind them.
+// dependentReady has a job scheduled whose dependencies are done since a time of day.
+func (r *storedRecords) dependentReady(j *jobEntry, since float64) {
+	c := r.core
+	j.readyAt, j.readyThisTerm = since, c.membership.leading
+	if c.membership.leading {
+		c.logDebug("ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "needed", j.record.Spec.Dependencies)
+	}
+	c.scheduler.jobChanged(j)
+	c.scheduler.lastScheduling = 0 // its first tasks start at once
+}
+
+// abortDependent ends a job that needs one that was cancelled. It never had a task, so there is
+// nothing to stop, and its own record need not say so: whoever reads that of the cause comes to
+// this again.
+func (r *storedRecords) abortDependent(j *jobEntry, cause string) {
+	j.record = finalRecord(j, protocol.JobCancelled, dependencyCancelled(cause))
+	r.core.scheduler.jobChanged(j)
+	r.derivedAborts[j.record.Spec.ID] = j.recordVersion == 0
+	r.archiveJob(j)
+}
+
+// updateDependencyWeights has the graph work out anew how urgent jobs are for the sake of those
+// that need them.
 func (o *scheduler) updateDependencyWeights() {
 	c := o.core
 	if o.dependencyWeightsAt > 0 && c.now.Monotonic-o.dependencyWeightsAt < c.intervals.maintenance {
 		return
 	}
 	o.dependencyWeightsAt = c.now.Monotonic
-	c.mirror.dependencies.UpdatePriorities(func(id string) dag.Priority {
-		w := dag.Priority{Urgency: lowestUrgency, LatestFinish: math.Inf(1)}
-		j := c.mirror.jobs[id]
-		if j == nil || j.version == 0 {
-			return w
-		}
-		s := &j.record.Spec
-		w.Urgency = urgencyLevel(s.Urgency)
-		if s.DeadlineS > 0 {
-			w.LatestFinish = j.record.SubmittedAt + s.DeadlineS
-		}
-		w.Duration = c.estimator.predict(s) + c.fleet.imagePullSeconds(s)
-		if q := o.queue.get(id); q != nil && q.waitingTasks() == 0 {
-			w.Duration /= 2 // all that is left of it is under way
-		}
-		return w
-	})
+	c.records.dependencies.UpdatePriorities(o.dependencyWeight)
+}
+
+// dependencyWeight is a job's own part in the urgency of those that it needs.
+func (o *scheduler) dependencyWeight(id string) dag.Priority {
+	weight := dag.Priority{Urgency: lowestUrgency, LatestFinish: math.Inf(1)}
+	j := o.core.records.jobs[id]
+	if j == nil || j.version == 0 {
+		return weight
+	}
+	spec := &j.record.Spec
+	weight.Urgency = urgencyLevel(spec.Urgency)
+	if spec.DeadlineS > 0 {
+		weight.LatestFinish = j.record.SubmittedAt + spec.DeadlineS
+	}
+	weight.Duration = o.core.estimator.predict(spec) + o.core.fleet.imagePullSeconds(spec)
+	if q := o.queue.get(id); q != nil && q.waitingTasks() == 0 {
+		weight.Duration /= 2 // all that is left of it is under way
+	}
+	return weight
 }
 
-// hasDeadline reports whether a job of a pipeline has a deadline, or one that needs it has.
+// hasDeadline reports whether a job of a dependency graph has a deadline, or one that needs it has.
 func (q *queuedJob) hasDeadline() bool { return !math.IsInf(q.dependentsDeadline, 1) }
 
 // imagePullSeconds is how many seconds a job's image takes on the machine type that is the fastest
 // at that.
-func (f *fleet) imagePullSeconds(s *protocol.Job) float64 {
+func (f *fleet) imagePullSeconds(spec *protocol.Job) float64 {
 	rate := 0.0
-	for _, t := range f.core.machineTypes() {
-		if allowsType(s, t.Name) && fitsEmptyMachine(t, s) {
-			rate = max(rate, t.FetchGBps)
+	for _, machineType := range f.core.machineTypes() {
+		if allowsType(spec, machineType.Name) && fitsEmptyMachine(machineType, spec) {
+			rate = max(rate, machineType.FetchGBps)
 		}
 	}
 	if rate == 0 {
 		return 0
 	}
-	return s.ImageGB / rate
+	return spec.ImageGB / rate
 }
--- a/internal/core/estimator.go
+++ b/internal/core/estimator.go
@@ -62,10 +62,10 @@
 	clear(e.predictions)
 	clear(e.calibrations)
 	e.savedAt = e.core.now.Monotonic
-	if e.core.mirror.estimates == nil {
+	if e.core.records.estimates == nil {
 		return
 	}
-	for _, r := range e.core.mirror.estimates.Means {
+	for _, r := range e.core.records.estimates.Means {
 		e.history[historyKey{r.Team, r.Class, r.CPUs, r.GPUs}] = &runningMean{mean: r.Mean, count: r.Count, lastAt: r.LastAt}
 	}
 }
@@ -213,7 +213,7 @@
 	}
 	rec.Means = rec.Means[:fit]
 	// Late, an older value must not take a newer one's place.
-	c.mirror.commit([]protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyEstimate)}, []protocol.Operation{{Put: keyEstimate, Value: rec}}, func(d CommitResult) {
+	c.commit([]protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyEstimate)}, []protocol.Operation{{Put: keyEstimate, Value: rec}}, func(d CommitResult) {
 		e.saving = false
 		if d.Outcome != Committed {
 			e.unsaved = true
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -46,7 +46,7 @@
 			Ineligible:    o.isCrashLooping(q) || service,
 		})
 	}
-	o.fairShareStates = o.core.mirror.archive.served.Evaluate(o.core.now.Wall, jobs, &o.core.fairShareRules)
+	o.fairShareStates = o.core.records.archive.served.Evaluate(o.core.now.Wall, jobs, &o.core.fairShareRules)
 	if o.core.debug {
 		for i := range o.fairShareStates {
 			if x := &o.fairShareStates[i]; x.Boost != fairshare.NoBoost {
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -7,7 +7,7 @@
 // checkMachine looks after a machine's clock: fencing, silence, machines that are gone.
 func (p *shard) checkMachine(r *machine) {
 	c := p.core
-	if r.registered && c.mirror.machineRecords.get(r.name) == nil {
+	if r.registered && c.records.machineRecords.get(r.name) == nil {
 		// Deleted: it and its tasks are gone. What the leader has not been told of
 		// yet it would wait for for ever: seed 51759.
 		for _, t := range r.attempts {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -117,7 +117,7 @@
 		return
 	}
 	f.storeMachineTypes()
-	if len(c.mirror.machineTypes) == 0 || c.scheduler.epoch == 0 {
+	if len(c.records.machineTypes) == 0 || c.scheduler.epoch == 0 {
 		return
 	}
 	if !f.listInFlight && c.now.Monotonic >= f.nextListAt && (!f.callDeferred || f.callsSinceList >= 2) && f.takeCallToken() {
@@ -131,7 +131,7 @@
 // sites with more of them than one value holds.
 func (f *fleet) storeMachineTypes() {
 	c := f.core
-	if len(c.mirror.machineTypes) > 0 || f.typesWriteInFlight {
+	if len(c.records.machineTypes) > 0 || f.typesWriteInFlight {
 		return
 	}
 	if f.cloudTypes == nil {
@@ -144,7 +144,7 @@
 	guards := []protocol.Guard{c.membership.leaderGuard()}
 	var ops []protocol.Operation
 	for key, rec := range paginateTypes(f.cloudTypes.Types, c.maxValueBytes()/2) {
-		if _, there := c.mirror.versions[key]; !there && len(ops) < c.registry.maxPagesPerWrite() {
+		if c.mirror.Version(key) == 0 && len(ops) < c.registry.maxPagesPerWrite() {
 			ops = append(ops, protocol.Operation{Put: key, Value: rec})
 		}
 	}
@@ -152,8 +152,8 @@
 		return
 	}
 	f.typesWriteInFlight = true
-	c.mirror.commit(guards, ops, func(d CommitResult) {
-		c.mirror.awaitOutcome(d.Outcome.Decided(), c.intervals.maintenance/4, func() { f.typesWriteInFlight = false })
+	c.commit(guards, ops, func(d CommitResult) {
+		c.mirror.AwaitOutcome(d.Outcome.Decided(), c.intervals.maintenance/4, func() { f.typesWriteInFlight = false })
 	})
 }
 
@@ -187,7 +187,7 @@
 
 // applyMachineTypes takes one key of the machine types into the mirror. They are of use once
 // all are there: a job was else refused for a type that was still to be read.
-func (l *storeMirror) applyMachineTypes(rec *protocol.MachineTypes) {
+func (l *storedRecords) applyMachineTypes(rec *protocol.MachineTypes) {
 	for i := range rec.Types {
 		l.partialTypes[rec.Types[i].Name] = &rec.Types[i]
 	}
@@ -280,7 +280,7 @@
 func (f *fleet) autoscale(ranked, waiting []*queuedJob) {
 	c := f.core
 	for name, v := range c.scheduler.machines.all() {
-		if f.instances.get(name) == nil && !f.deletedNames[name] && (v.state.AcceptsTasks || c.mirror.machineRecords.get(name) != nil) {
+		if f.instances.get(name) == nil && !f.deletedNames[name] && (v.state.AcceptsTasks || c.records.machineRecords.get(name) != nil) {
 			h := f.adopt(name, v.state.Type, v.state.Zone, v.state.Spot)
 			h.cloudState = protocol.MachineRunning
 		}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -18,13 +18,13 @@
 	if fresh {
 		p.reachability.lastContactAt = c.now.Monotonic
 	}
-	if c.mirror.ready {
+	if c.mirror.IsReady() {
 		if e := c.membership.epoch(); e != p.epoch {
 			p.enterEpoch(e)
 		}
 	}
 	entitled := c.membership.mayServe()
-	if !entitled && !c.degraded.isActive() || c.mirror.shardMap == nil {
+	if !entitled && !c.degraded.isActive() || c.records.shardMap == nil {
 		c.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorResponse{Error: "not entitled"}})
 		return
 	}
@@ -36,7 +36,7 @@
 		r = p.addMachine(rep.Machine)
 		r.addr, r.typeName, r.zone, r.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
 		r.machineType = c.machineTypes()[r.typeName]
-		r.registered = c.mirror.machineRecords.get(r.name) != nil
+		r.registered = c.records.machineRecords.get(r.name) != nil
 	}
 	if rep.Token > r.token {
 		// Somebody has a newer map than we do.
@@ -152,7 +152,7 @@
 			return at
 		}
 		t = &taskAttempt{task: tr.Task, jobID: ref, taskIndex: index, number: tr.Attempt, foundRunning: tr.State == protocol.TaskRunning}
-		if j := p.core.mirror.acceptedJob(ref); j != nil {
+		if j := p.core.records.acceptedJob(ref); j != nil {
 			t.spec = &j.record.Spec
 		}
 		p.addAttempt(r, t)
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -96,7 +96,7 @@
 	if v == nil {
 		v = &machineView{attempts: map[string]*inflightAttempt{}, failedJobs: map[string]bool{}, backoffUntil: map[string]time.Duration{}, emptySince: o.core.now.Monotonic, lastClaimedAt: o.core.now.Monotonic, upSince: -1, unsureSince: o.core.now.Monotonic}
 		v.leaving = o.core.fleet.isReturning(name)
-		if rec := o.core.mirror.machineRecords.get(name); rec != nil {
+		if rec := o.core.records.machineRecords.get(name); rec != nil {
 			v.registered = true
 			v.state = peerproto.MachineState{Name: name, Addr: rec.Addr, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
 			v.machineType = o.core.machineTypes()[rec.Type]
@@ -164,7 +164,7 @@
 // unseenMachines walks over the machines that may hold tasks this leader does not know.
 func (o *scheduler) unseenMachines() iter.Seq2[string, *records.Machine] {
 	return func(yield func(string, *records.Machine) bool) {
-		for name, rec := range o.core.mirror.machineRecords.all() {
+		for name, rec := range o.core.records.machineRecords.all() {
 			if o.isUnseen(name) && !yield(name, rec) {
 				return
 			}
@@ -181,7 +181,7 @@
 // found last: looking at all of them for each word of a part took most of a
 // take-over's processor time, and grew with the square of the fleet.
 func (o *scheduler) anyUnseen() bool {
-	names := o.core.mirror.machineRecords.sortedNames()
+	names := o.core.records.machineRecords.sortedNames()
 	at, _ := slices.BinarySearch(names, o.lastUnseen)
 	for n := range names {
 		if name := names[(at+n)%len(names)]; o.isUnseen(name) {
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -37,7 +37,7 @@
 	c := p.core
 	p.leaderHeardAt, p.lastLeaderSeq = c.now.Monotonic, m.Seq
 	for _, v := range m.Views {
-		if j := c.mirror.acceptedJob(v.Job); j != nil {
+		if j := c.records.acceptedJob(v.Job); j != nil {
 			j.leaderView = v
 		}
 	}
@@ -48,7 +48,7 @@
 	p.fullSnapshotDue = p.fullSnapshotDue || m.Resync
 	for _, d := range m.Dispatch {
 		ref, index, err := protocol.ParseTaskName(d.Task)
-		j := c.mirror.acceptedJob(ref)
+		j := c.records.acceptedJob(ref)
 		if err != nil || p.mustNotRun(ref, j) || j.isTaskDone(index) {
 			p.returned = append(p.returned, peerproto.TaskAttempt{Task: d.Task, Attempt: d.Attempt})
 			continue
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -47,12 +47,12 @@
 // Guards against two owners of a machine: a node that is cut off must fall
 // silent before the others count its lease as over.
 func (m *membership) mayServe() bool {
-	return m.leaseID != 0 && m.core.now.Monotonic-m.renewedAt < m.core.intervals.maxStaleness && m.core.mirror.isFresh()
+	return m.leaseID != 0 && m.core.now.Monotonic-m.renewedAt < m.core.intervals.maxStaleness && m.core.mirror.IsFresh()
 }
 
 // isMember reports whether the map in force names this very process.
 func (m *membership) isMember() bool {
-	rec := m.core.mirror.shardMap
+	rec := m.core.records.shardMap
 	return rec != nil && rec.Members[m.core.settings.Label] == m.core.bootID
 }
 
@@ -63,12 +63,12 @@
 // before the map changed told that it has no machines, and all that had just been given to
 // the former one was started a second time.
 func (m *membership) labelHeldByOther(label, boot string) bool {
-	rec := m.core.mirror.shardMap
+	rec := m.core.records.shardMap
 	return rec != nil && rec.Members[label] != "" && rec.Members[label] != boot
 }
 
 func (m *membership) epoch() uint64 {
-	if rec := m.core.mirror.shardMap; rec != nil {
+	if rec := m.core.records.shardMap; rec != nil {
 		return rec.Epoch
 	}
 	return 0
@@ -76,7 +76,7 @@
 
 // ownerOf is the member that rendezvous hashing gives a machine to.
 func (m *membership) ownerOf(machine string) string {
-	rec := m.core.mirror.shardMap
+	rec := m.core.records.shardMap
 	if rec == nil {
 		return ""
 	}
@@ -91,7 +91,7 @@
 }
 
 // leaderGuard ties a write to our leadership.
-func (m *membership) leaderGuard() protocol.Guard { return m.core.mirror.guard(keyLeader) }
+func (m *membership) leaderGuard() protocol.Guard { return m.core.mirror.Guard(keyLeader) }
 
 // letsLeaseExpire reports whether the lease is better left to end: nothing has come back from the state
 // service for so long that this node may do nothing, and its renewals may arrive all the same.
@@ -101,13 +101,13 @@
 // its keys alive, so that nobody led and its machines stood still for as long as that lasted.
 func (m *membership) letsLeaseExpire() bool {
 	t := &m.core.intervals
-	return m.leaseID != 0 && m.renewalUnanswered && !m.core.mirror.isFresh() && m.core.now.Monotonic-m.renewedAt >= t.maxStaleness &&
+	return m.leaseID != 0 && m.renewalUnanswered && !m.core.mirror.IsFresh() && m.core.now.Monotonic-m.renewedAt >= t.maxStaleness &&
 		m.core.now.Monotonic-m.renewalSentAt < t.memberLease*5/4
 }
 
 func (m *membership) reconcile() {
 	c := m.core
-	c.mirror.maintain()
+	c.mirror.Maintain()
 	if !m.renewing && (m.leaseID == 0 || c.now.Monotonic-m.renewedAt >= c.intervals.memberLease/6) && !m.letsLeaseExpire() {
 		m.renewing, m.renewalSentAt = true, c.now.Monotonic
 		c.emit(RenewLease{LeaseID: m.leaseID, TTL: c.intervals.memberLease})
@@ -119,11 +119,11 @@
 		m.ready, m.readinessPublished = ready, true
 		c.emit(SetReady{Ready: ready})
 	}
-	if !c.mirror.ready {
+	if !c.mirror.IsReady() {
 		return
 	}
 	target := ""
-	if l := c.mirror.leader; l != nil && l.BootID != c.bootID {
+	if l := c.records.leader; l != nil && l.BootID != c.bootID {
 		target = l.Label
 	}
 	if target != m.peerTarget {
@@ -131,42 +131,42 @@
 		c.emit(ConnectPeer{Label: target})
 	}
 	was := m.leading
-	m.leading = c.mirror.leader != nil && c.mirror.leader.BootID == c.bootID
+	m.leading = c.records.leader != nil && c.records.leader.BootID == c.bootID
 	if m.leading != was {
 		if m.leading {
 			m.leaderSince = c.now.Monotonic
 			clear(m.absentSince)
 			m.observedMap = nil
-			c.logInfo("this node leads", "revision", c.mirror.versions[keyLeader])
+			c.logInfo("this node leads", "revision", c.mirror.Version(keyLeader))
 		} else {
 			c.logInfo("this node no longer leads")
 		}
 		c.scheduler.leadershipChanged(m.leading)
 	}
-	if m.leaseID == 0 || m.keyWriteInFlight || !c.mirror.isFresh() {
+	if m.leaseID == 0 || m.keyWriteInFlight || !c.mirror.IsFresh() {
 		return
 	}
-	if c.mirror.nodes[c.settings.Label].BootID != c.bootID {
+	if c.records.nodes[c.settings.Label].BootID != c.bootID {
 		// Guarded against a write of this label's former process that is carried out late: it
 		// took the place of the new one, whose machines were others' until it wrote again.
 		key := keyNode + c.settings.Label
-		m.writeKey([]protocol.Guard{c.mirror.guard(key)}, protocol.Operation{Put: key, Value: records.Node{BootID: c.bootID, Level: records.FormatLevel}, Lease: m.leaseID})
+		m.writeKey([]protocol.Guard{c.mirror.Guard(key)}, protocol.Operation{Put: key, Value: records.Node{BootID: c.bootID, Level: records.FormatLevel}, Lease: m.leaseID})
 		return
 	}
 	// A leader that was restarted takes its own key over at once: its former
 	// process is surely dead, and whatever that one still has in flight is
 	// guarded by the version this write ends.
-	l := c.mirror.leader
+	l := c.records.leader
 	if l != nil {
 		m.leaderSeenAt = c.now.Monotonic
 	}
-	others, empty := len(c.mirror.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
+	others, empty := len(c.records.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
 	if l == nil && (m.stepdown.ShouldAbstain(c.now.Monotonic, others, empty, c.intervals.memberLease) || c.shard.reachability.unreachable && others && empty < c.intervals.maintenance) {
 		return // one who reaches machines should lead
 	}
 	if l == nil || l.Label == c.settings.Label && l.BootID != c.bootID {
 		op := protocol.Operation{Put: keyLeader, Value: records.Leader{Label: c.settings.Label, BootID: c.bootID}, Lease: m.leaseID}
-		m.writeKey([]protocol.Guard{c.mirror.guard(keyLeader)}, op)
+		m.writeKey([]protocol.Guard{c.mirror.Guard(keyLeader)}, op)
 		return
 	}
 	if m.leading {
@@ -177,7 +177,7 @@
 
 // logAbsentMembers notes which controllers are outside the map, for those on call.
 func (m *membership) logAbsentMembers() {
-	rec := m.core.mirror.shardMap
+	rec := m.core.records.shardMap
 	if rec == nil || rec == m.observedMap {
 		return
 	}
@@ -198,12 +198,12 @@
 
 func (m *membership) writeKey(guards []protocol.Guard, op protocol.Operation) {
 	m.keyWriteInFlight = true
-	m.core.mirror.commit(guards, []protocol.Operation{op}, func(d CommitResult) {
+	m.core.commit(guards, []protocol.Operation{op}, func(d CommitResult) {
 		if d.Outcome == CommitRejected {
 			m.leaseID, m.keyWriteInFlight = 0, false // the lease has ended
 			return
 		}
-		m.core.mirror.awaitOutcome(d.Outcome.Decided(), m.core.intervals.maxStaleness/16, func() { m.keyWriteInFlight = false })
+		m.core.mirror.AwaitOutcome(d.Outcome.Decided(), m.core.intervals.maxStaleness/16, func() { m.keyWriteInFlight = false })
 	})
 }
 
@@ -218,7 +218,7 @@
 	if m.mapWriteInFlight {
 		return
 	}
-	rec := c.mirror.shardMap
+	rec := c.records.shardMap
 	if m.desiredMembers == nil {
 		m.desiredMembers = map[string]string{}
 	}
@@ -226,10 +226,10 @@
 	want := m.desiredMembers
 	settled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
 	missing, unheard := false, false
-	for label, n := range c.mirror.nodes {
+	for label, n := range c.records.nodes {
 		switch {
 		case label == c.settings.Label:
-			if !c.shard.reachability.unreachable || len(c.mirror.nodes) == 1 {
+			if !c.shard.reachability.unreachable || len(c.records.nodes) == 1 {
 				want[label] = n.BootID
 			}
 		case c.scheduler.hearsMember(label, n.BootID):
@@ -267,9 +267,9 @@
 		next.Epoch = rec.Epoch + 1
 	}
 	m.mapWriteInFlight = true
-	guards := []protocol.Guard{m.leaderGuard(), c.mirror.guard(keyShardMap)}
-	c.mirror.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
-		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/16, func() { m.mapWriteInFlight = false })
+	guards := []protocol.Guard{m.leaderGuard(), c.mirror.Guard(keyShardMap)}
+	c.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
+		c.mirror.AwaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/16, func() { m.mapWriteInFlight = false })
 	})
 }
 
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -16,7 +16,7 @@
 		if t.phase != phaseListed {
 			continue
 		}
-		j := p.core.mirror.acceptedJob(t.jobID)
+		j := p.core.records.acceptedJob(t.jobID)
 		over := p.mustNotRun(t.jobID, j)
 		switch {
 		case t.state == protocol.TaskExited:
@@ -78,7 +78,7 @@
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
 		ref, _, err := protocol.ParseTaskName(t.Task)
-		if err == nil && t.State != protocol.TaskExited && p.mustNotRun(ref, p.core.mirror.acceptedJob(ref)) {
+		if err == nil && t.State != protocol.TaskExited && p.mustNotRun(ref, p.core.records.acceptedJob(ref)) {
 			cmds = append(cmds, protocol.Command{Kind: protocol.CommandStop, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
@@ -119,7 +119,7 @@
 	full := map[string]bool{} // jobs that found no room: their other tasks won't either
 	waiting := p.unplaced[:0]
 	for _, t := range p.unplaced {
-		j := c.mirror.acceptedJob(t.jobID)
+		j := c.records.acceptedJob(t.jobID)
 		if p.mustNotRun(t.jobID, j) {
 			p.returnTask(t)
 			continue
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"sort"
 	"strconv"
 
@@ -13,11 +12,28 @@
 // saveProgress makes completed tasks durable: jobs that are complete first, then
 // progress, as far as the write budget goes.
 func (o *scheduler) saveProgress() {
-	c := o.core
-	rate := c.writeRate() * c.policy.ProgressShare
-	o.progressWriteTokens = min(o.progressWriteTokens+(c.now.Monotonic-o.progressTokensAt).Seconds()*rate, rate)
-	o.progressTokensAt = c.now.Monotonic
-	var partly []*queuedJob
+	o.refillWrites()
+	due := o.saveCompleted()
+	// Those that have waited longest first, or the first names would take all.
+	sort.SliceStable(due, func(a, b int) bool { return due[a].saveDueAt < due[b].saveDueAt })
+	for _, q := range due {
+		if o.progressWriteTokens < 1 {
+			break
+		}
+		o.writeProgress(q)
+	}
+}
+
+// refillWrites adds the writes that progress may take since the last call, a second's at the most.
+func (o *scheduler) refillWrites() {
+	rate := o.core.writeRate() * o.core.policy.ProgressShare
+	o.progressWriteTokens = min(o.progressWriteTokens+(o.core.now.Monotonic-o.progressTokensAt).Seconds()*rate, rate)
+	o.progressTokensAt = o.core.now.Monotonic
+}
+
+// saveCompleted writes the completion of jobs all of whose tasks are done, and returns those whose
+// progress is due.
+func (o *scheduler) saveCompleted() (due []*queuedJob) {
 	for _, id := range sortedKeys(o.unsavedJobs) {
 		q := o.unsavedJobs[id]
 		switch {
@@ -26,81 +42,68 @@
 		case q.finalizing || q.savingProgress || q.choosingZones:
 		case q.complete():
 			o.writeCompletion(q)
-		case q.saveDueAt > 0 && c.now.Monotonic >= q.saveDueAt:
-			partly = append(partly, q)
-		}
-	}
-	// Those that have waited longest first, or the first names would take all.
-	sort.SliceStable(partly, func(a, b int) bool { return partly[a].saveDueAt < partly[b].saveDueAt })
-	for _, q := range partly {
-		if o.progressWriteTokens < 1 {
-			break
+		case q.saveDueAt > 0 && o.core.now.Monotonic >= q.saveDueAt:
+			due = append(due, q)
 		}
-		o.writeProgress(q)
 	}
+	return due
 }
 
 // writeCompletion writes that a job is done. The answer "done" is given only from the
 // mirror, so it is durable before it is said; the guard on the job's key settles
 // a race with a cancellation the same way everywhere.
 func (o *scheduler) writeCompletion(q *queuedJob) {
+	c, j := o.core, q.entry
 	q.finalizing = true
-	j := q.entry
-	rec := finalRecord(j, protocol.JobDone, "")
-	rec.DoneAt = math.Floor(o.core.now.Wall) // as the archive keeps it, so that it is the same for every leader
-	guards := []protocol.Guard{o.core.membership.leaderGuard(), j.recordGuard()}
-	o.core.mirror.commit(guards, o.core.mirror.finalOps(j, rec), func(d CommitResult) {
-		o.core.mirror.awaitOutcome(d.Outcome.Decided(), o.core.intervals.maintenance/4, func() { q.finalizing = false })
+	final := finalRecord(j, protocol.JobDone, "")
+	final.DoneAt = math.Floor(c.now.Wall) // as the archive keeps it, so that it is the same for every leader
+	guards := []protocol.Guard{c.membership.leaderGuard(), j.recordGuard()}
+	c.commit(guards, finalOps(j, final, c.maxTxnOps()), func(result CommitResult) {
+		c.mirror.AwaitOutcome(result.Outcome.Decided(), c.intervals.maintenance/4, func() { q.finalizing = false })
 	})
 }
 
-// fullBlockBytes is how many bytes a whole block of progress takes, in the form in which limits
-// are counted.
-const fullBlockBytes = progressBlockTasks/8*4/3 + 64
-
-// doneRange is which of a job's tasks are durably done, of size from a first one on: both
-// whole bytes of the sets.
-func (j *jobEntry) doneRange(first, size int) records.TaskSet {
-	b, at := first/progressBlockTasks, first%progressBlockTasks/8
-	if b >= len(j.doneBlocks) || at >= len(j.doneBlocks[b]) {
-		return nil
-	}
-	s := j.doneBlocks[b][at:]
-	return slices.Clone(s[:min(len(s), size/8)])
-}
-
+// writeProgress writes the completed tasks of a job that are not durable yet.
 func (o *scheduler) writeProgress(q *queuedJob) {
-	size, prefix := progressBlockTasks, keyProgress
-	if o.core.maxValueBytes() < fullBlockBytes && q.entry.record.Spec.Tasks > fineBlockTasks {
-		size, prefix = fineBlockTasks, keyFineProgress
-	}
-	sets := map[int]records.TaskSet{}
-	for i := range q.unsavedTasks {
-		b := i / size
-		if sets[b] == nil {
-			sets[b] = q.entry.doneRange(b*size, size)
-		}
-		s := sets[b]
-		s.Add(i % size)
-		sets[b] = s
+	c := o.core
+	blockTasks, prefix := progressBlockTasks, keyProgress
+	if c.maxValueBytes() < fullBlockBytes && q.entry.record.Spec.Tasks > fineBlockTasks {
+		blockTasks, prefix = fineBlockTasks, keyFineProgress
 	}
+	blocks := unsavedBlocks(q, blockTasks)
 	q.saveDueAt = 0
 	// The guard on the job's key keeps progress from outliving the job, those on
 	// the blocks keep a write that is applied late from taking back what a later
 	// one has added: a task was once missing from both and never started again.
-	guards := []protocol.Guard{o.core.membership.leaderGuard(), q.entry.recordGuard()}
+	guards := []protocol.Guard{c.membership.leaderGuard(), q.entry.recordGuard()}
 	var ops []protocol.Operation
-	for _, b := range sortedKeys(sets) {
-		if len(ops) < o.core.maxTxnOps() {
-			key := prefix + q.id + "/" + strconv.Itoa(b)
-			guards = append(guards, o.core.mirror.guard(key))
-			ops = append(ops, protocol.Operation{Put: key, Value: records.Progress{Bits: sets[b].Text()}})
+	for _, block := range sortedKeys(blocks) {
+		if len(ops) < c.maxTxnOps() {
+			key := prefix + q.id + "/" + strconv.Itoa(block)
+			guards = append(guards, c.mirror.Guard(key))
+			ops = append(ops, protocol.Operation{Put: key, Value: records.Progress{Bits: blocks[block].Text()}})
 		}
 	}
 	o.progressWriteTokens -= float64(len(ops))
 	q.savingProgress = true
-	o.core.mirror.commit(guards, ops, func(d CommitResult) {
-		q.saveDueAt = o.core.now.Monotonic + o.core.intervals.workerLease/4
-		o.core.mirror.awaitOutcome(d.Outcome.Decided(), o.core.intervals.maintenance/2, func() { q.savingProgress = false })
+	c.commit(guards, ops, func(result CommitResult) {
+		q.saveDueAt = c.now.Monotonic + c.intervals.workerLease/4
+		c.mirror.AwaitOutcome(result.Outcome.Decided(), c.intervals.maintenance/2, func() { q.savingProgress = false })
 	})
 }
+
+// unsavedBlocks are the blocks of a job's tasks, by number, that have completed tasks which are not
+// durable yet, each together with those that are.
+func unsavedBlocks(q *queuedJob, blockTasks int) map[int]records.TaskSet {
+	blocks := map[int]records.TaskSet{}
+	for index := range q.unsavedTasks {
+		block := index / blockTasks
+		if blocks[block] == nil {
+			blocks[block] = q.entry.doneRange(block*blockTasks, blockTasks)
+		}
+		set := blocks[block]
+		set.Add(index % blockTasks)
+		blocks[block] = set
+	}
+	return blocks
+}
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -32,7 +32,7 @@
 			q.predictedSeconds = ran
 		}
 		q.effectiveUrgency, q.dependentsDeadline = urgencyLevel(q.entry.record.Spec.Urgency), math.Inf(1)
-		if w, ok := o.core.mirror.dependencies.Priority(q.id); ok {
+		if w, ok := o.core.records.dependencies.Priority(q.id); ok {
 			q.effectiveUrgency, q.dependentsDeadline = min(q.effectiveUrgency, w.Urgency), w.LatestFinish
 		}
 		q.rankBand, q.rankInBand = o.rankOf(q)
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -29,7 +29,7 @@
 		p.probeMachines()
 		// Joining blindly after a while cost the machines a change of owner and
 		// back while the cut lasted, and a longer absence after it was over.
-		reached := c.mirror.machineRecords.len() == 0 || f.probeAnsweredAt > 0 && c.now.Monotonic-f.probeAnsweredAt < 4*c.intervals.heartbeat
+		reached := c.records.machineRecords.len() == 0 || f.probeAnsweredAt > 0 && c.now.Monotonic-f.probeAnsweredAt < 4*c.intervals.heartbeat
 		if c.now.Monotonic >= f.rejoinNotBefore && reached {
 			f.unreachable = false
 			c.logInfo("machines can be reached, joining again")
@@ -40,7 +40,7 @@
 	// asks first: controllers that came back from a cut took a third of the machines each
 	// time, for the four seconds in which they found that they reach none.
 	if !p.isMember {
-		if c.mirror.machineRecords.len() > 0 && c.now.Monotonic-f.lastContactAt >= c.intervals.workerLease/3 {
+		if c.records.machineRecords.len() > 0 && c.now.Monotonic-f.lastContactAt >= c.intervals.workerLease/3 {
 			f.unreachable, f.probeAnsweredAt, f.rejoinNotBefore = true, 0, c.now.Monotonic
 			p.probeMachines()
 		}
@@ -131,7 +131,7 @@
 // probeMachines asks a few machines, others each time, whether they can be reached.
 func (p *shard) probeMachines() {
 	c, f := p.core, &p.reachability
-	names := c.mirror.machineRecords.sortedNames()
+	names := c.records.machineRecords.sortedNames()
 	if c.now.Monotonic < f.nextProbeAt || len(names) == 0 {
 		return
 	}
@@ -139,7 +139,7 @@
 	for range min(probesAtOnce, len(names)) {
 		name := names[f.machinesProbed%len(names)]
 		f.machinesProbed += len(names)/probesAtOnce + 1
-		c.emit(ProbeWorker{Machine: name, Addr: c.mirror.machineRecords.get(name).Addr})
+		c.emit(ProbeWorker{Machine: name, Addr: c.records.machineRecords.get(name).Addr})
 	}
 }
 
--- /dev/null
+++ b/internal/core/records.go
@@ -0,0 +1,319 @@
+package core
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/chalkhub/chalkhub/internal/dag"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
+)
+
+// storedRecords are the decoded records of the state service, as the mirror feeds them: the
+// jobs, the leader and the shard map, the machines' registry and what goes with them. It tells
+// the scheduler and the shard what changes. Nothing else changes it.
+//
+// Invariant: a job is either in jobs or in the archive, never in both.
+type storedRecords struct {
+	core *Core
+
+	jobs          map[string]*jobEntry // that are not over
+	archive       *jobArchive          // of those that are
+	batches       map[string]*admissionBatch
+	chunks        map[string]map[string]string // of chunked records, by job and key
+	dependencies  *dag.Graph
+	derivedAborts map[string]bool // jobs that are over because of another one; true: only a batch holds them
+
+	nodes          map[string]records.Node // controllers, by label
+	leader         *records.Leader
+	shardMap       *records.ShardMap
+	machineRecords *orderedMap[*records.Machine]
+	registryPages  *orderedMap[[]string]            // the registry's keys, and the machines that each holds
+	machineTypes   map[string]*protocol.MachineType // empty until all are known
+	partialTypes   map[string]*protocol.MachineType // those that have been read so far
+	estimates      *records.Estimates
+}
+
+// newStoredRecords makes empty records; a worker's heartbeat may come before the first load.
+func newStoredRecords(c *Core) *storedRecords {
+	r := &storedRecords{core: c}
+	r.Reset()
+	return r
+}
+
+// Reset implements mirror.Replica.
+func (r *storedRecords) Reset() {
+	r.jobs, r.archive = map[string]*jobEntry{}, newJobArchive(r.core.fairShareRules)
+	r.batches, r.chunks = map[string]*admissionBatch{}, map[string]map[string]string{}
+	r.dependencies, r.derivedAborts = dag.New(), map[string]bool{}
+	r.core.garbage.reset()
+	r.nodes = map[string]records.Node{}
+	r.leader, r.shardMap, r.estimates = nil, nil, nil
+	r.machineRecords, r.registryPages = newOrderedMap[*records.Machine](), newOrderedMap[[]string]()
+	r.machineTypes, r.partialTypes = map[string]*protocol.MachineType{}, map[string]*protocol.MachineType{}
+}
+
+// Loaded implements mirror.Replica. The leader's state rests on the job records of the mirror
+// that is gone: it begins anew, in an epoch of its own.
+func (r *storedRecords) Loaded() {
+	c := r.core
+	if c.membership.leading {
+		c.membership.leading = false
+		c.scheduler.reloadRevision = c.mirror.LoadRevision()
+		c.scheduler.leadershipChanged(false)
+	}
+	ended := len(r.archive.jobs)
+	c.logInfo("state loaded", "keys", c.mirror.VersionCount()+len(r.jobs)+ended, "ended jobs", ended, "revision", c.mirror.Revision())
+}
+
+// Settle implements mirror.Replica.
+func (r *storedRecords) Settle() { r.applyDependencyChanges() }
+
+// Put implements mirror.Replica. A value that can't be decoded is logged and left out.
+func (r *storedRecords) Put(key string, value protocol.Raw, version uint64) (rememberVersion bool) {
+	if id, dependent, ok := jobOfKey(key); ok {
+		r.logUnreadable(key, r.applyJob(id, dependent, value, version))
+		return false // entries and the archive hold the versions of jobs
+	}
+	r.logUnreadable(key, r.apply(key, value, version))
+	return true
+}
+
+// jobOfKey is the job whose own record a key holds, if it is such a key.
+func jobOfKey(key string) (id string, dependent, ok bool) {
+	if id, ok = strings.CutPrefix(key, keyJob); ok {
+		return id, false, true
+	}
+	id, ok = strings.CutPrefix(key, keyDependentJob)
+	return id, true, ok
+}
+
+// apply takes a key that is not a job's own.
+func (r *storedRecords) apply(key string, value protocol.Raw, version uint64) error {
+	switch {
+	case isBatchKey(key):
+		return r.applyBatch(key, value, version)
+	case strings.HasPrefix(key, keyProgress):
+		return r.applyProgress(key, key[len(keyProgress):], progressBlockTasks, value)
+	case strings.HasPrefix(key, keyFineProgress):
+		return r.applyProgress(key, key[len(keyFineProgress):], fineBlockTasks, value)
+	case strings.HasPrefix(key, keyChunk):
+		return r.applyChunk(key, value)
+	case strings.HasPrefix(key, keyJobZones):
+		return r.applyZones(key, value)
+	case strings.HasPrefix(key, keyNode):
+		return decodeAnd(value, func(node *records.Node) { r.nodes[key[len(keyNode):]] = *node })
+	case strings.HasPrefix(key, keyRegistryPage):
+		return decodeAnd(value, func(page *records.RegistryPage) { r.putRegistryPage(key[len(keyRegistryPage):], page) })
+	case strings.HasPrefix(key, keyMachineTypes):
+		return decodeAnd(value, r.applyMachineTypes)
+	case key == keyLeader:
+		return decodeAnd(value, func(leader *records.Leader) { r.leader = leader })
+	case key == keyShardMap:
+		return decodeAnd(value, func(shardMap *records.ShardMap) { r.shardMap = shardMap })
+	case key == keyEstimate:
+		return decodeAnd(value, func(estimates *records.Estimates) { r.estimates = estimates })
+	}
+	return nil // of a newer version
+}
+
+// decodeAnd passes a decoded value on.
+func decodeAnd[Record any](value protocol.Raw, apply func(*Record)) error {
+	decoded := new(Record)
+	if err := protocol.Decode(value, decoded); err != nil {
+		return err
+	}
+	apply(decoded)
+	return nil
+}
+
+// Delete implements mirror.Replica.
+func (r *storedRecords) Delete(key string) {
+	switch {
+	case strings.HasPrefix(key, keyNode):
+		delete(r.nodes, key[len(keyNode):])
+	case isBatchKey(key):
+		delete(r.batches, key)
+	case strings.HasPrefix(key, keyRegistryPage):
+		r.removeRegistryPage(key[len(keyRegistryPage):])
+	case strings.HasPrefix(key, keyProgress), strings.HasPrefix(key, keyFineProgress), strings.HasPrefix(key, keyJobZones):
+		r.core.garbage.remove(key)
+	case strings.HasPrefix(key, keyChunk):
+		r.core.garbage.remove(key)
+		r.removeChunk(key)
+	case key == keyLeader:
+		r.leader = nil
+	}
+}
+
+func (r *storedRecords) logUnreadable(key string, err error) {
+	if err != nil {
+		r.core.emit(Log{Level: LevelError, Text: "cannot read a key of the state service", Args: []any{"key", key, "error", err}})
+	}
+}
+
+// entry returns a job that is not over, a new entry if there is none: keys that belong to a job
+// may be read before its own.
+func (r *storedRecords) entry(id string) *jobEntry {
+	j := r.jobs[id]
+	if j == nil {
+		j = &jobEntry{}
+		j.record.State = protocol.JobQueued
+		r.jobs[id] = j
+	}
+	return j
+}
+
+// acceptedJob returns the job if the state service holds it.
+func (r *storedRecords) acceptedJob(id string) *jobEntry {
+	if j := r.jobs[id]; j != nil {
+		if j.version == 0 {
+			return nil
+		}
+		return j
+	}
+	return r.archive.get(id)
+}
+
+// olderController is a live controller that says that its version is older, empty: there is none.
+func (r *storedRecords) olderController() string {
+	for _, label := range sortedKeys(r.nodes) {
+		if r.nodes[label].Level < records.FormatLevel {
+			return label
+		}
+	}
+	return ""
+}
+
+// applyJob takes a job's own record.
+func (r *storedRecords) applyJob(id string, dependent bool, value protocol.Raw, version uint64) error {
+	var record records.Job
+	if err := protocol.Decode(value, &record); err != nil {
+		return err
+	}
+	if record.State == protocol.JobCancelled {
+		r.core.cancellation.observed(id, version)
+	}
+	if archived, ok := r.archive.jobs[id]; ok {
+		if version > archived.version && record.State != protocol.JobQueued {
+			r.archive.add(&record, version)
+			delete(r.derivedAborts, id)
+		}
+		return nil
+	}
+	j := r.entry(id)
+	if j.version > version || j.recordVersion == version {
+		return nil // nothing new: the chunks of a long record are read once
+	}
+	if record.Chunks > 0 {
+		if err := r.assembleRecord(&record); err != nil {
+			return err
+		}
+	}
+	r.updateJob(j, record, dependent, version)
+	return nil
+}
+
+// updateJob takes a newer version of a job's own record, and archives the job if that is final.
+func (r *storedRecords) updateJob(j *jobEntry, record records.Job, dependent bool, version uint64) {
+	if len(record.Zones) == 0 {
+		record.Zones = j.record.Zones // they may have a key of their own
+	}
+	ends := !j.isFinal() && record.State != protocol.JobQueued
+	j.record, j.version, j.recordVersion, j.dependent = record, version, version, dependent
+	if j.isFinal() {
+		if record.State == protocol.JobDone {
+			j.doneCount = record.Spec.Tasks
+		}
+		j.doneBlocks = nil
+	}
+	r.jobUpdated(j)
+	if ends {
+		r.archiveJob(j)
+	}
+}
+
+// archiveJob moves a job that has ended to the archive.
+func (r *storedRecords) archiveJob(j *jobEntry) {
+	c, id := r.core, j.record.Spec.ID
+	for _, key := range j.ownedKeys {
+		c.garbage.add(key)
+	}
+	if c.membership.leading {
+		c.logDebug("over", "job", id, "state", j.record.State, "why", j.record.StopReason)
+	}
+	c.shard.stopJob(j)
+	r.archive.add(&j.record, j.version)
+	delete(r.jobs, id)
+	r.dependencies.MarkFinished(id, j.record.State == protocol.JobDone, j.record.DoneAt)
+}
+
+// ownKey notes a key that is to be deleted when a job is over. It returns nil, and leaves the key
+// to the garbage collector, if the job is over already.
+func (r *storedRecords) ownKey(id, key string) *jobEntry {
+	if _, over := r.archive.jobs[id]; over {
+		r.core.garbage.add(key)
+		return nil
+	}
+	j := r.entry(id)
+	j.own(key)
+	return j
+}
+
+// applyBatch takes a key that holds several jobs.
+func (r *storedRecords) applyBatch(key string, value protocol.Raw, version uint64) error {
+	var record records.AdmissionBatch
+	if err := protocol.Decode(value, &record); err != nil {
+		return err
+	}
+	batch := &admissionBatch{version: version}
+	for i := range record.Jobs {
+		id := record.Jobs[i].Spec.ID
+		batch.jobs = append(batch.jobs, id)
+		if _, over := r.archive.jobs[id]; over {
+			continue
+		}
+		if j := r.entry(id); j.version == 0 {
+			j.record, j.version, j.dependent = record.Jobs[i], version, strings.HasPrefix(key, keyDependentBatch)
+			r.jobUpdated(j)
+		}
+	}
+	r.batches[key] = batch
+	return nil
+}
+
+// applyProgress takes a block of a job's completed tasks, so many to a block. name is the job and
+// the number of the block.
+func (r *storedRecords) applyProgress(key, name string, blockTasks int, value protocol.Raw) error {
+	id, number, _ := strings.Cut(name, "/")
+	block, err := strconv.Atoi(number)
+	if err != nil || block < 0 || block > protocol.MaxTasks/blockTasks {
+		return fmt.Errorf("progress key %q", name)
+	}
+	var record records.Progress
+	if err := protocol.Decode(value, &record); err != nil {
+		return err
+	}
+	set, err := records.ParseTaskSet(record.Bits)
+	if err != nil {
+		return err
+	}
+	if j := r.ownKey(id, key); j != nil {
+		j.mergeDone(block*blockTasks, set)
+		r.core.scheduler.progressSaved(id)
+	}
+	return nil
+}
+
+// applyZones takes the zones of a job whose record could not be written again.
+func (r *storedRecords) applyZones(key string, value protocol.Raw) error {
+	var record records.Job
+	if err := protocol.Decode(value, &record); err != nil {
+		return err
+	}
+	if j := r.ownKey(key[len(keyJobZones):], key); j != nil {
+		j.record.Zones = record.Zones
+	}
+	return nil
+}
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -36,7 +36,7 @@
 
 // pageBytes is how many bytes a shelf of the mirror takes.
 func (g *machineRegistry) pageBytes(shelf string) (n int) {
-	l := g.core.mirror
+	l := g.core.records
 	for _, name := range l.registryPages.get(shelf) {
 		n += recordSize(name, l.machineRecords.get(name))
 	}
@@ -76,7 +76,7 @@
 	}
 	g.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
 	record := func(name string) records.Machine {
-		if m := c.mirror.machineRecords.get(name); m != nil {
+		if m := c.records.machineRecords.get(name); m != nil {
 			return *m
 		}
 		s := c.scheduler.machines.get(name).state
@@ -84,7 +84,7 @@
 	}
 	goes := func(name string) bool { return c.fleet.wasDeleted(name) || c.fleet.mayDeregister(name) }
 	filled, large := map[string]int{}, map[string]bool{}
-	for shelf := range c.mirror.registryPages.all() {
+	for shelf := range c.records.registryPages.all() {
 		filled[shelf] = g.pageBytes(shelf)
 		large[shelf] = filled[shelf] > c.maxValueBytes()
 	}
@@ -92,14 +92,14 @@
 	edit := func(shelf string) *pageUpdate {
 		if changed[shelf] == nil {
 			changed[shelf] = &pageUpdate{machines: map[string]records.Machine{}, bytes: filled[shelf]}
-			for _, name := range c.mirror.registryPages.get(shelf) {
+			for _, name := range c.records.registryPages.get(shelf) {
 				changed[shelf].machines[name] = record(name)
 			}
 		}
 		return changed[shelf]
 	}
 	elsewhere := g.onOtherPages(large)
-	for shelf, names := range c.mirror.registryPages.all() {
+	for shelf, names := range c.records.registryPages.all() {
 		left := 0
 		for _, name := range names {
 			switch {
@@ -121,7 +121,7 @@
 		shelf, next := pageKey(n), record(come[0])
 		full := filled[shelf] > 0 && filled[shelf]+recordSize(come[0], &next) > g.pageLimit()
 		if changed[shelf] == nil && (len(changed) >= g.maxPagesPerWrite() || full) {
-			if len(changed) >= g.maxPagesPerWrite() && n > c.mirror.registryPages.len()+len(changed) {
+			if len(changed) >= g.maxPagesPerWrite() && n > c.records.registryPages.len()+len(changed) {
 				break // the rest goes with the next transaction
 			}
 			continue
@@ -147,7 +147,7 @@
 // onOtherPages names the machines of large shelves that stand on another one as well.
 func (g *machineRegistry) onOtherPages(large map[string]bool) map[string]bool {
 	out := map[string]bool{}
-	for shelf, names := range g.core.mirror.registryPages.all() {
+	for shelf, names := range g.core.records.registryPages.all() {
 		if large[shelf] {
 			for _, name := range names {
 				out[name] = false
@@ -155,7 +155,7 @@
 		}
 	}
 	if len(out) > 0 {
-		for shelf, names := range g.core.mirror.registryPages.all() {
+		for shelf, names := range g.core.records.registryPages.all() {
 			for _, name := range names {
 				if _, on := out[name]; on && !large[shelf] {
 					out[name] = true
@@ -172,10 +172,10 @@
 	c := g.core
 	// The map's version too: its part keeps a machine that is withdrawn empty in this
 	// epoch, and whoever owns it in a later one has seen that it is out.
-	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyShardMap)}
+	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyShardMap)}
 	var ops []protocol.Operation
 	for _, shelf := range sortedKeys(changed) {
-		guards = append(guards, c.mirror.guard(keyRegistryPage+shelf))
+		guards = append(guards, c.mirror.Guard(keyRegistryPage+shelf))
 		op := protocol.Operation{Put: keyRegistryPage + shelf, Value: records.RegistryPage{Machines: changed[shelf].machines}}
 		if len(changed[shelf].machines) == 0 {
 			op = protocol.Operation{Delete: keyRegistryPage + shelf}
@@ -183,15 +183,15 @@
 		ops = append(ops, op)
 	}
 	g.writeInFlight = true
-	c.mirror.commit(guards, ops, func(d CommitResult) {
-		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maintenance/4, func() { g.writeInFlight = false })
+	c.commit(guards, ops, func(d CommitResult) {
+		c.mirror.AwaitOutcome(d.Outcome == Committed, c.intervals.maintenance/4, func() { g.writeInFlight = false })
 	})
 }
 
 func pageKey(n int) string { return fmt.Sprintf("%04d", n) }
 
 // putRegistryPage takes a key of the register into the mirror.
-func (l *storeMirror) putRegistryPage(shelf string, rec *records.RegistryPage) {
+func (l *storedRecords) putRegistryPage(shelf string, rec *records.RegistryPage) {
 	was := l.registryPages.get(shelf)
 	names := sortedKeys(rec.Machines)
 	l.registryPages.set(shelf, names)
@@ -208,14 +208,14 @@
 	}))
 }
 
-func (l *storeMirror) removeRegistryPage(shelf string) {
+func (l *storedRecords) removeRegistryPage(shelf string) {
 	was := l.registryPages.get(shelf)
 	l.registryPages.delete(shelf)
 	l.removeUnlisted(was)
 }
 
 // removeUnlisted drops those machines that no key of the register holds any more.
-func (l *storeMirror) removeUnlisted(names []string) {
+func (l *storedRecords) removeUnlisted(names []string) {
 	for _, name := range names {
 		held := false
 		for _, list := range l.registryPages.all() {
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -167,7 +167,7 @@
 		if h.returnReason == "" || h.deleteInFlight {
 			continue
 		}
-		if up && !v.state.Draining && c.mirror.machineRecords.get(name) != nil {
+		if up && !v.state.Draining && c.records.machineRecords.get(name) != nil {
 			if p := c.scheduler.shards[v.shard]; p != nil {
 				p.outbox.Drain = append(p.outbox.Drain, name)
 				p.outboxDue = true
@@ -179,7 +179,7 @@
 		if v != nil && len(v.attempts) > 0 && !h.forced && h.returnReason != "faulty" && h.cloudState != protocol.MachineFailed {
 			continue
 		}
-		if f.mayDeregister(name) && c.mirror.machineRecords.get(name) != nil {
+		if f.mayDeregister(name) && c.records.machineRecords.get(name) != nil {
 			continue // out of the register first
 		}
 		if len(names) < protocol.MaxDelete {
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -124,7 +124,7 @@
 	o.epochAtElection = o.core.membership.epoch()
 	// Guards against a leader that had to read everything anew: what came after its own
 	// key was written it may have dispatched itself, before its books were gone.
-	o.electionRevision = max(o.core.mirror.versions[keyLeader], o.reloadRevision)
+	o.electionRevision = max(o.core.mirror.Version(keyLeader), o.reloadRevision)
 	o.dependencyWeightsAt = 0
 	o.reset()
 	o.lastMaintenance = 0
@@ -132,8 +132,8 @@
 	o.progressWriteTokens = o.core.writeRate() / 4
 	if on {
 		o.core.estimator.load()
-		for _, id := range sortedKeys(o.core.mirror.jobs) {
-			j := o.core.mirror.jobs[id]
+		for _, id := range sortedKeys(o.core.records.jobs) {
+			j := o.core.records.jobs[id]
 			j.readyThisTerm = false // so it was to a leader before us, ourselves perhaps
 			o.jobChanged(j)
 		}
@@ -155,7 +155,7 @@
 		return
 	}
 	id := j.record.Spec.ID
-	if o.core.mirror.dependencies.IsWaiting(id) {
+	if o.core.records.dependencies.IsWaiting(id) {
 		return // it holds nothing, and comes again once it is ready
 	}
 	q := o.queue.get(id)
@@ -200,7 +200,7 @@
 
 // enterEpoch enters the epoch of the map in force if it is ours.
 func (o *scheduler) enterEpoch() {
-	rec := o.core.mirror.shardMap
+	rec := o.core.records.shardMap
 	if rec == nil || rec.Leader != o.core.settings.Label || rec.Epoch <= o.epochAtElection || rec.Epoch == o.epoch {
 		return
 	}
@@ -211,7 +211,7 @@
 		v.state.TasksComplete, v.state.TasksBounded, v.state.AcceptsTasks, v.unsureSince = false, false, false, o.core.now.Monotonic
 		v.cordoned = false
 	}
-	for name := range o.core.mirror.machineRecords.all() {
+	for name := range o.core.records.machineRecords.all() {
 		o.ensureMachine(name)
 	}
 	// What was dispatched but not yet seen on a machine may be on any machine
@@ -254,9 +254,7 @@
 			o.lastMaintenance = o.core.now.Monotonic
 			o.core.fleet.autoscale(ranked, waiting)
 			o.core.estimator.save()
-			o.core.mirror.batches.collectGarbage()
-			o.core.mirror.chunkedRecords.collectGarbage()
-			o.core.mirror.collectGarbage()
+			o.core.garbage.collect()
 			o.publishJobViews()
 		}
 	}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -52,7 +52,7 @@
 // reconcile follows the map, drops what can't be there any more, places and sends.
 func (p *shard) reconcile() {
 	c := p.core
-	if !c.mirror.ready {
+	if !c.mirror.IsReady() {
 		return
 	}
 	if e := c.membership.epoch(); e != p.epoch {
@@ -177,7 +177,7 @@
 	p.unplaced, p.returned, p.fullSnapshotDue = nil, nil, true
 	p.reachability.callsLost, p.reachability.doubtfulSince = 0, 0 // what was lost under an earlier map says nothing of this one
 	p.epochSince, p.nextCheckAt = c.now.Monotonic, 0
-	for name, rec := range c.mirror.machineRecords.all() {
+	for name, rec := range c.records.machineRecords.all() {
 		p.adoptRegistered(name, rec)
 	}
 	for name, r := range p.machines.all() {
@@ -205,8 +205,8 @@
 		r.fullStateDue = true
 		p.markChanged(r)
 	}
-	if c.mirror.shardMap != nil {
-		c.logInfo("new map", "epoch", e, "leader", c.mirror.shardMap.Leader, "members", sortedKeys(c.mirror.shardMap.Members), "machines", p.machines.len())
+	if c.records.shardMap != nil {
+		c.logInfo("new map", "epoch", e, "leader", c.records.shardMap.Leader, "members", sortedKeys(c.records.shardMap.Members), "machines", p.machines.len())
 	}
 }
 
@@ -241,7 +241,7 @@
 func (p *shard) addAttempt(r *machine, t *taskAttempt) {
 	r.attempts = append(r.attempts, t)
 	p.markChanged(r)
-	if j := p.core.mirror.acceptedJob(t.jobID); j != nil && j.isFinal() {
+	if j := p.core.records.acceptedJob(t.jobID); j != nil && j.isFinal() {
 		return // it is over already
 	}
 	if p.machinesByJob[t.jobID] == nil {
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -265,7 +265,7 @@
 	if err != nil {
 		return
 	}
-	j := o.core.mirror.acceptedJob(ref)
+	j := o.core.records.acceptedJob(ref)
 	if j == nil {
 		// The part's mirror is ahead of ours. It tells a task once, so it must
 		// be asked again.
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -83,19 +83,19 @@
 func (c *Core) status() *Status {
 	s := &Status{
 		Label: c.settings.Label, Epoch: c.membership.epoch(), Entitled: c.membership.mayServe(),
-		Revision: c.mirror.revision, Jobs: map[string]int{}, Machines: map[string]MachineStatus{},
+		Revision: c.mirror.Revision(), Jobs: map[string]int{}, Machines: map[string]MachineStatus{},
 	}
-	if c.mirror.leader != nil {
-		s.Leader = c.mirror.leader.Label
+	if c.records.leader != nil {
+		s.Leader = c.records.leader.Label
 	}
-	if c.mirror.shardMap != nil {
-		s.Members = sortedKeys(c.mirror.shardMap.Members)
+	if c.records.shardMap != nil {
+		s.Members = sortedKeys(c.records.shardMap.Members)
 	}
-	s.DependentJobs = c.mirror.dependencies.WaitingCount()
-	for _, j := range c.mirror.jobs {
+	s.DependentJobs = c.records.dependencies.WaitingCount()
+	for _, j := range c.records.jobs {
 		s.Jobs[j.record.State]++
 	}
-	for _, e := range c.mirror.archive.jobs {
+	for _, e := range c.records.archive.jobs {
 		if e.done {
 			s.Jobs[protocol.JobDone]++
 		} else {
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -2,6 +2,18 @@
 
 import "time"
 
+// Zones whose machines fall silent together: then the network between them and the controllers has
+// failed, not the machines.
+
+// A zone counts as partitioned while more than half of its machines are lost, and no longer once less
+// than a quarter is: it does not go back and forth as machines come back one after another.
+const (
+	partitionDivisor = 2
+	recoveryDivisor  = 4
+	// minPartitionMachines keeps one silent machine from passing for a silent zone.
+	minPartitionMachines = 2
+)
+
 // isLost reports whether a machine is neither heard nor able to do work.
 func (f *fleet) isLost(v *machineView) bool {
 	return v.state.Silent || v.state.TasksComplete && !v.state.AcceptsTasks
@@ -9,23 +21,41 @@
 
 // isZonePartitioned reports whether most of a zone went silent a short while ago: then it is
 // the network that fails, and machines hired instead would boot for longer than
-// most cuts last.
+// most partitions last.
 func (f *fleet) isZonePartitioned(zone string) bool {
 	since, ok := f.silentZones[zone]
 	return ok && f.core.now.Monotonic-since < 4*f.core.intervals.workerLease
 }
 
-// trackZones follows which zones are cut off.
+// trackZones follows which zones are partitioned.
 func (f *fleet) trackZones() {
-	lost, all := map[string]int{}, map[string]int{}
+	lost, all := f.countByZone()
+	for zone, machines := range all {
+		_, partitioned := f.silentZones[zone]
+		mostLost := machines >= minPartitionMachines && lost[zone]*partitionDivisor > machines
+		switch {
+		case mostLost && !partitioned:
+			f.silentZones[zone] = f.core.now.Monotonic
+			f.core.logInfo("most of a zone is silent", "zone", zone, "silent", lost[zone], "machines", machines)
+		case partitioned && lost[zone]*recoveryDivisor < machines:
+			delete(f.silentZones, zone)
+			f.recoveredZones[zone] = f.core.now.Monotonic
+		}
+	}
+}
+
+// countByZone counts the machines of each zone: those that were ever up, how many of them are lost,
+// and for isZoneReachable those that are known and heard.
+func (f *fleet) countByZone() (lost, all map[string]int) {
+	lost, all = map[string]int{}, map[string]int{}
 	f.reachableByZone, f.machinesByZone = map[string]int{}, map[string]int{}
 	for _, v := range f.core.scheduler.machines.all() {
 		f.machinesByZone[v.state.Zone]++
-		if v.state.TasksComplete && v.state.AcceptsTasks && !v.state.Silent {
+		if isHeardAndUp(v) {
 			f.reachableByZone[v.state.Zone]++
 		}
-		// Machines in the register have been up, whoever led then. Guards against a leader
-		// that has never seen a zone's machines: it took the cut for 382 dead machines.
+		// Machines in the registry have been up, whoever led then. Guards against a leader
+		// that has never seen a zone's machines: it took the partition for 382 dead machines.
 		if v.state.Type == "" || v.upSince < 0 && !v.registered {
 			continue
 		}
@@ -34,36 +64,31 @@
 			lost[v.state.Zone]++
 		}
 	}
-	for zone, n := range all {
-		_, was := f.silentZones[zone]
-		switch is := n >= 2 && lost[zone]*2 > n; {
-		case is && !was:
-			f.silentZones[zone] = f.core.now.Monotonic
-			f.core.logInfo("most of a zone is silent", "zone", zone, "silent", lost[zone], "machines", n)
-		case was && lost[zone]*4 < n:
-			delete(f.silentZones, zone)
-			f.recoveredZones[zone] = f.core.now.Monotonic
-		}
-	}
+	return lost, all
+}
+
+// isHeardAndUp reports whether a machine is known for sure to be up.
+func isHeardAndUp(v *machineView) bool {
+	return v.state.TasksComplete && v.state.AcceptsTasks && !v.state.Silent
 }
 
-// isZoneRecovering reports whether a zone is cut off, or was until its machines can only just
+// isZoneRecovering reports whether a zone is partitioned, or was until its machines can only just
 // have come back one after another.
 //
-// Guards against giving up machines that are about to be heard again: when a cut of 95 s
+// Guards against giving up machines that are about to be heard again: when a partition of 95 s
 // ended, 266 of a zone's 387 machines were returned within five seconds, some for having
 // been silent so long, the others because half of their zone was heard before them, and
 // were rented and booted anew.
 func (f *fleet) isZoneRecovering(zone string) bool {
-	if _, cut := f.silentZones[zone]; cut {
+	if _, partitioned := f.silentZones[zone]; partitioned {
 		return true
 	}
-	at, ok := f.recoveredZones[zone]
-	return ok && f.core.now.Monotonic-at < f.core.intervals.machineLeaseExpiry
+	recoveredAt, ok := f.recoveredZones[zone]
+	return ok && f.core.now.Monotonic-recoveredAt < f.core.intervals.machineLeaseExpiry
 }
 
 // silenceBeforeReturn is how long a machine of a zone may be silent after it has dropped its tasks
-// before it is returned. In a zone that is cut off another one would be as silent.
+// before it is returned. In a zone that is partitioned another one would be as silent.
 func (f *fleet) silenceBeforeReturn(zone string) time.Duration {
 	if f.isZoneRecovering(zone) {
 		return 10 * f.core.intervals.machineLeaseExpiry
@@ -77,9 +102,9 @@
 	if f.isZoneRecovering(v.state.Zone) {
 		return false
 	}
-	seen, all := f.reachableByZone[v.state.Zone], f.machinesByZone[v.state.Zone]-1
-	if v.state.TasksComplete && v.state.AcceptsTasks && !v.state.Silent {
-		seen--
+	heard, others := f.reachableByZone[v.state.Zone], f.machinesByZone[v.state.Zone]-1
+	if isHeardAndUp(v) {
+		heard--
 	}
-	return seen > 0 && seen*2 >= all
+	return heard > 0 && heard*2 >= others
 }
