--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -9,28 +9,28 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Processes that end and are back within a fraction of a second, at the moments that matter.
-// In all of these copies of what was sent arrive later, work goes on, and one job is
+// Controllers that crash and restart within a fraction of a second, at critical moments.
+// In all of these, duplicates of messages arrive later, work goes on, and one job is
 // cancelled in the middle.
 func TestFastRestarts(t *testing.T) {
 	const soon = second / 20
 	for name, ends := range map[string]func(s *scenario){
-		"the leader is back before its keys have ended": func(s *scenario) { s.leader().Crash(soon) },
-		"it ends again as soon as it has the leader key": func(s *scenario) {
+		"the leader restarts before its keys have expired": func(s *scenario) { s.leader().Crash(soon) },
+		"it crashes again as soon as it has the leader key": func(s *scenario) {
 			n := s.leader()
 			for range 4 {
 				n.Crash(soon)
 				s.eventually(30*second, "it leads again", func() bool { return s.currentLeader() == n })
 			}
 		},
-		"it ends between the map and the first dispatch": func(s *scenario) {
+		"it crashes between the shard map and the first dispatch": func(s *scenario) {
 			n := s.leader()
 			n.Crash(soon)
 			s.Logs = nil
-			s.eventually(30*second, "there is a new map", func() bool { return s.logged(n.Label + " new map") })
+			s.eventually(30*second, "there is a new shard map", func() bool { return s.logged(n.Label + " new map") })
 			n.Crash(soon)
 		},
-		"a member is back while its former life's words are held": func(s *scenario) {
+		"a member restarts while messages of its former process are delayed": func(s *scenario) {
 			n := s.follower()
 			s.Cut(n.Label, "state", true)
 			s.Cut(n.Label, "workers", true)
@@ -40,18 +40,18 @@
 			n.Crash(soon) // none of the three can be heard
 			s.After(20*second, func() { s.Mend(n.Label, "state"); s.Mend(n.Label, "workers") })
 		},
-		"all end and return in another order": func(s *scenario) {
+		"all crash and restart in another order": func(s *scenario) {
 			for i, n := range s.Nodes {
 				n.Crash(soon * time.Duration(1+(i+2)%3))
 			}
 		},
-		"ten ends in ten seconds": func(s *scenario) {
+		"ten crashes in ten seconds": func(s *scenario) {
 			for i := range 10 {
 				s.Nodes[i%3].Crash(soon)
 				s.Run(s.Now + second)
 			}
 		},
-		"whoever takes the lead ends": func(s *scenario) {
+		"every new leader crashes": func(s *scenario) {
 			for range 3 {
 				s.leader().Crash(8 * second)
 				s.eventually(30*second, "another one leads", func() bool { return s.currentLeader() != nil })
@@ -64,27 +64,27 @@
 				s.Copies, s.CopyBy = 0.3, 100*second
 				long := s.submitAccepted(simulation.Array(12), 30)
 				next := s.submitAccepted(dependentArray(6, long), 5)
-				cut := s.submitAccepted(simulation.Array(10), 200)
+				cancelled := s.submitAccepted(simulation.Array(10), 200)
 				for range 3 {
 					s.Users.Submit(simulation.Array(8), 6)
 				}
 				s.Run(s.Now + 20*second)
 				ends(s)
-				s.Users.Abort(cut)
+				s.Users.Abort(cancelled)
 				s.Users.Submit(simulation.Array(5), 4)
 				s.eventually(300*second, "all come to their end", s.Users.AllTold)
 				s.Run(s.Now + 100*second) // the last copies arrive
 				s.requireInvariants()
-				if !toldState(protocol.JobDone, long, next)() || cut.Told != protocol.JobCancelled {
-					t.Fatal(long.Told, next.Told, cut.Told)
+				if !toldState(protocol.JobDone, long, next)() || cancelled.Told != protocol.JobCancelled {
+					t.Fatal(long.Told, next.Told, cancelled.Told)
 				}
 			}
 		})
 	}
 }
 
-// A member that is back at once, while the map still names its former process, has no
-// machines to tell of. That is no word about what its former process was given: its starts
+// A member that has restarted while the shard map still names its former process has no
+// machines to report. That says nothing of what its former process was given: its starts
 // may still be on their way, and the leader once took them for lost and had them run twice.
 func TestNewProcessUnderStaleMapReportsNothing(t *testing.T) {
 	for _, old := range []bool{false, true} { // the leader, as it is in production
@@ -104,7 +104,7 @@
 			for _, c := range cmds {
 				line, ok := c.(core.PeerReceived)
 				if ok && ended && n != member && line.Message.Snapshot && line.Message.Epoch == epoch {
-					t.Error("the new process tells of the former one's machines")
+					t.Error("the new process reports the former one's machines")
 				}
 				if !ok || n != member {
 					continue
@@ -128,7 +128,7 @@
 		for range 8 {
 			s.Users.Submit(simulation.Array(4), 10)
 		}
-		s.eventually(30*second, "the member ends", func() bool { return ended })
+		s.eventually(30*second, "the member crashes", func() bool { return ended })
 		s.Run(s.Now + 5*second)
 		s.Link(member.Label, "workers", simulation.Link{})
 		s.eventually(200*second, "the work ends", s.Users.AllTold)
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -16,23 +16,23 @@
 
 const second = time.Second
 
-// seeds is raised by hand to look for rarer interleavings:
+// seeds is raised by hand to search for rarer interleavings:
 // go test ./internal/core -run FaultsOverlap -seeds 1000
 var (
-	seeds     = flag.Uint64("seeds", 80, "how many overlapping days are drawn")
+	seeds     = flag.Uint64("seeds", 80, "how many runs of overlapping faults are drawn")
 	firstSeed = flag.Uint64("seed", 0, "the first of them")
-	logLines  = flag.Int("loglines", 40, "how many log lines a story that fails shows")
+	logLines  = flag.Int("loglines", 40, "how many log lines a scenario that fails shows")
 )
 
-func init() { flag.BoolVar(&simulation.Debug, "debuglogs", false, "stories log at level debug") }
+func init() { flag.BoolVar(&simulation.Debug, "debuglogs", false, "scenarios log at level debug") }
 
-// scenario runs a world and fails on any broken rule.
+// scenario runs a simulated cluster and fails on any violated invariant.
 type scenario struct {
 	*simulation.World
 	t testReporter
 }
 
-// testReporter is what a story needs of a test, a benchmark or a property.
+// testReporter is what a scenario needs of a test, a benchmark or a property.
 type testReporter interface {
 	Helper()
 	Logf(format string, args ...any)
@@ -40,93 +40,98 @@
 	Fatalf(format string, args ...any)
 }
 
+// newScenario begins a scenario with three controllers that are ready.
 func newScenario(t testing.TB, seed uint64) *scenario {
 	t.Helper()
 	s := &scenario{World: simulation.New(seed, 3), t: t}
 	if !s.Until(20*second, func() bool {
-		for _, n := range s.Nodes {
-			if !n.Ready {
+		for _, node := range s.Nodes {
+			if !node.Ready {
 				return false
 			}
 		}
 		return true
 	}) {
-		t.Fatal("the nodes do not become ready")
+		t.Fatal("the controllers do not become ready")
 	}
 	return s
 }
 
-// newBusyScenario begins a story in which three jobs have been under way for a while.
-func newBusyScenario(t *testing.T, seed uint64, d time.Duration) *scenario {
+// newBusyScenario begins a scenario in which three jobs have been under way for a while.
+func newBusyScenario(t *testing.T, seed uint64, span time.Duration) *scenario {
 	t.Helper()
 	s := newScenario(t, seed)
 	for range 3 {
 		s.Users.Submit(simulation.Array(12), 15)
 	}
-	s.Run(s.Now + d)
+	s.Run(s.Now + span)
 	return s
 }
 
+// requireInvariants fails if an invariant was violated so far.
 func (s *scenario) requireInvariants() {
 	s.t.Helper()
 	if len(s.Broken) > 0 {
-		s.t.Fatalf("%d broken rules:\n%s\n%s", len(s.Broken), strings.Join(s.Broken[:min(len(s.Broken), 12)], "\n"), s.lastLogs(5**logLines))
+		s.t.Fatalf("%d violated invariants:\n%s\n%s", len(s.Broken), strings.Join(s.Broken[:min(len(s.Broken), 12)], "\n"), s.lastLogs(5**logLines))
 	}
 }
 
-// eventually lets time pass until cond holds and fails if it does not in time.
-func (s *scenario) eventually(d time.Duration, what string, cond func() bool) {
+// eventually lets time pass until a condition holds, and fails if it does not within a span.
+func (s *scenario) eventually(span time.Duration, what string, holds func() bool) {
 	s.t.Helper()
-	if !s.Until(s.Now+d, cond) {
+	if !s.Until(s.Now+span, holds) {
 		s.requireInvariants()
-		s.t.Fatalf("not within %v: %s\n%s", d, what, s.lastLogs(*logLines))
+		s.t.Fatalf("not within %v: %s\n%s", span, what, s.lastLogs(*logLines))
 	}
 	s.requireInvariants()
 }
 
-func (s *scenario) lastLogs(n int) string {
-	return strings.Join(s.Logs[max(0, len(s.Logs)-n):], "\n")
+// lastLogs are the last lines that the controllers have logged.
+func (s *scenario) lastLogs(count int) string {
+	return strings.Join(s.Logs[max(0, len(s.Logs)-count):], "\n")
 }
 
-// partition cuts one end from others for a while; packets are kept.
-func (s *scenario) partition(d time.Duration, end string, others ...string) {
-	for _, o := range others {
-		s.Cut(end, o, true)
+// partition cuts one end off from others for a while; packets are kept and delivered late.
+func (s *scenario) partition(span time.Duration, end string, others ...string) {
+	for _, other := range others {
+		s.Cut(end, other, true)
 	}
-	s.After(d, func() {
-		for _, o := range others {
-			s.Mend(end, o)
+	s.After(span, func() {
+		for _, other := range others {
+			s.Mend(end, other)
 		}
 	})
 }
 
-// logged reports whether a node has logged a line that holds this.
-func (s *scenario) logged(what string) bool {
-	return slices.ContainsFunc(s.Logs, func(l string) bool { return strings.Contains(l, what) })
+// logged reports whether a controller has logged a line that contains a text.
+func (s *scenario) logged(text string) bool {
+	return slices.ContainsFunc(s.Logs, func(line string) bool { return strings.Contains(line, text) })
 }
 
-// currentLeader is the node that leads, nil if none does.
+// currentLeader is the controller that leads, nil if none does.
 func (s *scenario) currentLeader() *simulation.Node {
-	for _, n := range s.Nodes {
-		if n.Alive() && n.Core.IsLeader() {
-			return n
+	for _, node := range s.Nodes {
+		if node.Alive() && node.Core.IsLeader() {
+			return node
 		}
 	}
 	return nil
 }
 
+// leader is the controller that leads; there must be one.
 func (s *scenario) leader() *simulation.Node {
-	n := s.currentLeader()
-	if n == nil {
+	node := s.currentLeader()
+	if node == nil {
 		s.t.Fatal("no leader")
 	}
-	return n
+	return node
 }
 
+// follower is a controller that does not lead; there must be one.
 func (s *scenario) follower() *simulation.Node {
-	for _, n := range s.Nodes {
-		if n.Alive() && !n.Core.IsLeader() {
-			return n
+	for _, node := range s.Nodes {
+		if node.Alive() && !node.Core.IsLeader() {
+			return node
 		}
 	}
 	s.t.Fatal("no follower")
@@ -139,12 +144,11 @@
 		s.Users.Submit(simulation.Array(10), 8)
 	}
 	s.eventually(120*second, "every job is done and its user knows", s.Users.AllTold)
-	// Idle machines go back in the end.
 	s.eventually(600*second, "idle machines are returned", func() bool { return s.Cloud.Deleted == s.Cloud.Hired })
 }
 
-// The checker itself: a story in which a rule is broken must be caught, or every
-// other story asserts nothing.
+// The invariant checker itself: a scenario that violates an invariant must be caught, or every
+// other scenario asserts nothing.
 func TestInvariantCheckerCatchesDoubleRun(t *testing.T) {
 	s := newScenario(t, 2)
 	j := s.Users.Submit(simulation.Array(1), 60)
@@ -188,7 +192,7 @@
 	s.eventually(200*second, "the work goes on", s.Users.AllTold)
 }
 
-// An outage longer than the workers' lease: nodes must fall silent, workers drop
+// An outage longer than the workers' lease: controllers must stop answering, workers drop
 // their tasks, and none of them may run twice afterwards.
 func TestStoreOutageBeyondWorkerLease(t *testing.T) {
 	s := newScenario(t, 6)
@@ -200,8 +204,8 @@
 	s.eventually(180*second, "the work is done again", s.Users.AllTold)
 }
 
-// A node refused by the state service alone keeps hearing its workers; it must
-// stop answering them before the others give their tasks away.
+// A controller that is refused by the state service alone still receives its workers' heartbeats; it
+// must stop answering them before the others start their tasks elsewhere.
 func TestControllerRefusedByStore(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 10+seed, 20*second)
@@ -212,7 +216,7 @@
 	}
 }
 
-// A cut that keeps packets delivers old commands and reports when it ends.
+// A partition that keeps packets delivers old commands and heartbeats when it heals.
 func TestPartitionDeliversStalePackets(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 20+seed, 18*second)
@@ -221,7 +225,7 @@
 	}
 }
 
-// A machine behind a cut keeps running its tasks until its lease ends; they are
+// A partitioned machine keeps running its tasks until its lease expires; they are
 // started elsewhere only afterwards.
 func TestPartitionedMachineKeepsTasksUntilLeaseExpiry(t *testing.T) {
 	s := newScenario(t, 30)
@@ -243,8 +247,8 @@
 	s.eventually(200*second, "the job is done", s.Users.AllTold)
 }
 
-// A node that stands still and wakes has full queues, old timers and an old answer
-// on its tongue; nothing of it may be acted on by anybody.
+// A controller process that is paused and resumes has full queues, old timers and an answer that
+// it was about to send; nobody may act on any of it.
 func TestPausedControllerResumes(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 80+seed, 15*second)
@@ -260,7 +264,7 @@
 }
 
 // Users who ask many times as often, and a wave of small jobs, must not use up the
-// state service's requests: renewals and submissions need them.
+// state service's rate limit: lease renewals and submissions need it.
 func TestPollsDoNotExhaustStoreRateLimit(t *testing.T) {
 	s := newScenario(t, 90)
 	j := s.Users.Submit(simulation.Array(4), 60)
@@ -330,7 +334,7 @@
 	}
 }
 
-// Quota holds across a take-over: machines that have not been seen count as
+// Quota holds across a failover: machines that have not been seen count as
 // full of the team's tasks.
 func TestQuotaHoldsAcrossFailover(t *testing.T) {
 	s := newScenario(t, 51)
@@ -395,8 +399,8 @@
 	s.eventually(60*second, "the machine is gone", func() bool { return s.Workers[bad] == nil })
 }
 
-// Jobs submitted with a mistake fail everywhere: they say so and when they are tried
-// next, one task at a time; no machine is blamed, and other work goes on.
+// Jobs submitted with a mistake fail everywhere: users are told so, and when one task is tried
+// next; no machine is quarantined, and other work goes on.
 func TestCrashLoopingJobsAreBackedOff(t *testing.T) {
 	s := newScenario(t, 61)
 	var bad []*simulation.Job
@@ -412,7 +416,7 @@
 	failed := 0
 	for _, l := range s.Logs {
 		if strings.Contains(l, "quarantined") {
-			t.Fatalf("a machine is blamed: %s", l)
+			t.Fatalf("a machine is quarantined: %s", l)
 		}
 		if strings.Contains(l, "task failed") {
 			failed++
@@ -422,13 +426,13 @@
 		t.Fatalf("%d failed starts of 72 tasks", failed)
 	}
 	bad[1].Mistaken = false // it was the machines after all
-	s.eventually(200*second, "a job that has been mended is done", func() bool { return bad[1].Told == protocol.JobDone })
+	s.eventually(200*second, "a job that has been repaired is done", func() bool { return bad[1].Told == protocol.JobDone })
 	s.Users.Abort(bad[0])
 	s.Users.Abort(bad[2])
 	s.eventually(60*second, "all are over", s.Users.AllTold)
 }
 
-// Three mistaken jobs at once blame no machine, whichever they fail on first.
+// Three crash-looping jobs at once quarantine no machine, whichever they fail on first.
 func TestCrashLoopingJobsQuarantineNoMachine(t *testing.T) {
 	for seed := range uint64(12) {
 		s := newScenario(t, 300+seed)
@@ -438,12 +442,12 @@
 		s.Users.Submit(simulation.Array(12), 25)
 		s.Run(s.Now + 100*second)
 		if s.logged("quarantined") {
-			t.Fatalf("a machine is blamed\n%s", s.lastLogs(*logLines))
+			t.Fatalf("a machine is quarantined\n%s", s.lastLogs(*logLines))
 		}
 	}
 }
 
-// Several machines that fail everything at once are told from faulty jobs: the jobs
+// Several machines that fail everything at once are distinguished from faulty jobs: the jobs
 // work elsewhere.
 func TestSeveralFaultyMachinesAreQuarantined(t *testing.T) {
 	s := newScenario(t, 68)
@@ -518,7 +522,7 @@
 	l, h := s.Users.Submit(low, 10), s.Users.Submit(high, 10)
 	s.eventually(200*second, "the urgent job is done", func() bool { return h.Told == protocol.JobDone })
 	if l.Answer.Done > 10 {
-		t.Fatalf("%d tasks of the report are done before the urgent job", l.Answer.Done)
+		t.Fatalf("%d tasks of the low-urgency job are done before the urgent job", l.Answer.Done)
 	}
 }
 
@@ -527,15 +531,15 @@
 	s := newScenario(t, 66)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
 	j := s.Users.Submit(simulation.Array(protocol.MaxTasks), 1)
-	s.eventually(120*second, "progress is told", func() bool { return j.Answer.Done > 100 })
+	s.eventually(120*second, "progress is published", func() bool { return j.Answer.Done > 100 })
 }
 
-// Whatever overlaps: crashes, cuts, lost machines, lost answers, outages. Seed 72 is
-// the day on which the old list of a dead machine hid where a task really ran, and
-// 2267 the one on which a machine deleted by an earlier leader held two back. On
-// 354 progress that was applied late took back a completed task; on 1280 a machine
-// that was heard by /do alone was taken for empty. On 51759 a machine was deleted
-// between a dispatch and the word of where it went, and the leader waited for ever.
+// Crashes, partitions, lost machines, lost responses and outages that overlap. With seed 72 the
+// stale task list of a dead machine hid where a task really ran, and with 2267 a machine that an
+// earlier leader had deleted held two tasks back. With 354 progress that was applied late took back
+// a completed task; with 1280 a machine that answered /do alone was taken for empty. With 51759 a
+// machine was deleted between a dispatch and the report of where it was placed, and the leader
+// waited for ever.
 func TestFaultsOverlap(t *testing.T) {
 	days := []uint64{2267, 354, 1280, 51759}
 	for seed := range *seeds {
@@ -610,20 +614,20 @@
 	}
 }
 
-// Urgent work does not wait behind a low report run: reports that save are
-// stopped, and say why.
+// Urgent work does not wait behind a job of low urgency: tasks with checkpoints are
+// preempted, and their user is told why.
 func TestUrgentJobPreemptsCheckpointedWork(t *testing.T) {
 	s := newScenario(t, 67)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
 	low := simulation.Array(16)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	l := s.Users.Submit(low, 300)
-	s.eventually(60*second, "the report fills the machine", func() bool { return l.Running() == 16 })
+	s.eventually(60*second, "the low-urgency job fills the machine", func() bool { return l.Running() == 16 })
 	high := simulation.Array(8)
 	high.Urgency = protocol.UrgencyHigh
 	h := s.Users.Submit(high, 20)
 	s.eventually(10*second, "the urgent tasks run", func() bool { return h.Running() == 8 })
-	s.eventually(10*second, "the report says why", func() bool { return strings.Contains(l.Answer.Reason, "more urgent work") })
+	s.eventually(10*second, "the low-urgency job's user is told why", func() bool { return strings.Contains(l.Answer.Reason, "more urgent work") })
 }
 
 // A gang starts only once room for all of its tasks is held; when one is lost,
@@ -651,11 +655,11 @@
 	}
 }
 
-// A node that hears its leader but none of its machines leaves the map, so that
+// A controller that reaches its leader but none of its machines leaves the shard map, so that
 // the work goes on through the others, and joins again once they answer: joining
-// after a while, whether they do or not, took the map along each time.
+// after a while, whether they do or not, changed the map each time.
 func TestControllerThatReachesNoWorkerLeavesShardMap(t *testing.T) {
-	for seed, leads := range []bool{false, true} {
+	for seed, cutLeader := range []bool{false, true} {
 		s := newScenario(t, 75+uint64(seed))
 		for range 12 {
 			s.Cloud.Add("box", "b", true)
@@ -664,28 +668,28 @@
 			s.Users.Submit(simulation.Array(40), 20)
 		}
 		s.eventually(60*second, "tasks run", func() bool { return s.Users.Running() > 40 })
-		n := s.follower()
-		if leads {
-			n = s.leader()
+		node := s.follower()
+		if cutLeader {
+			node = s.leader()
 		}
-		said := func(what string) func() bool {
+		hasLogged := func(what string) func() bool {
 			return func() bool { return s.logged(what) }
 		}
-		s.Cut(n.Label, "workers", false)
-		s.eventually(15*second, "it leaves the map", said("leaving the map"))
+		s.Cut(node.Label, "workers", false)
+		s.eventually(15*second, "it leaves the map", hasLogged("leaving the map"))
 		s.Logs = nil
 		s.Run(s.Now + 40*second)
-		if said("joining again")() {
+		if hasLogged("joining again")() {
 			t.Fatal("it joins again while it reaches no machine")
 		}
 		s.Users.Submit(simulation.Array(100), 30)
-		s.Mend(n.Label, "workers")
-		s.eventually(12*second, "it joins again", said("joining again"))
+		s.Mend(node.Label, "workers")
+		s.eventually(12*second, "it joins again", hasLogged("joining again"))
 		s.eventually(200*second, "every job is done", s.Users.AllTold)
 	}
 }
 
-// A dead machine must not hold up a take-over for a whole lease: the cloud is
+// A dead machine must not delay a failover for a whole lease: the cloud is
 // asked to delete it, and then its tasks are surely gone.
 func TestDeadMachineDoesNotDelayFailover(t *testing.T) {
 	s := newScenario(t, 76)
@@ -707,7 +711,7 @@
 }
 
 // What may be on a machine whose owner has not changed is known, whether it answers
-// or not: a dead one must not hold up the queue after a change of leader.
+// or not: a dead one must not block the queue after a change of leader.
 func TestFailoverDoesNotWaitForRetainedMachines(t *testing.T) {
 	s := newScenario(t, 78)
 	for range 6 {
@@ -736,21 +740,21 @@
 	s.eventually(300*second, "every job is done", s.Users.AllTold)
 }
 
-// A node is ready as soon as it is entitled. It once waited for the machine types
-// as well, and the load balancer, which looks once a second, had no node for the
-// first users of the day.
+// A controller is ready as soon as it is entitled. It once waited for the machine types
+// as well, and the load balancer, which probes once a second, had no controller for the
+// first users.
 func TestReadyBeforeTheCloudAnswers(t *testing.T) {
 	s := &scenario{World: simulation.New(77, 3), t: t}
 	for _, n := range s.Nodes {
 		s.Cut(n.Label, "cloud", false)
 	}
-	s.eventually(second, "every node is ready", func() bool {
+	s.eventually(second, "every controller is ready", func() bool {
 		return s.Nodes[0].Ready && s.Nodes[1].Ready && s.Nodes[2].Ready
 	})
 	j := s.Users.Submit(simulation.Array(2), 5)
 	s.Run(s.Now + 3*second)
 	if j.Accepted || j.Refused != 0 {
-		t.Fatalf("a node decided without knowing the machine types: %+v", j)
+		t.Fatalf("a controller decided without knowing the machine types: %+v", j)
 	}
 	for _, n := range s.Nodes {
 		s.Mend(n.Label, "cloud")
@@ -758,7 +762,7 @@
 	s.eventually(60*second, "the job is done", s.Users.AllTold)
 }
 
-// A whole picture that a part made before it had read a dispatch must not pass
+// A full snapshot that a shard made before it had read a dispatch must not pass
 // for the loss of that dispatch.
 func TestSnapshotCrossesDispatch(t *testing.T) {
 	s := newScenario(t, 31)
@@ -782,7 +786,7 @@
 }
 
 // A machine that has just come up has not shown its token yet. That is no reason
-// to give it back.
+// to return it to the cloud.
 func TestNewMachinesAreKept(t *testing.T) {
 	s := newScenario(t, 32)
 	for range 10 {
@@ -799,8 +803,8 @@
 	}
 }
 
-// After a burst, long tasks that save must not hold a machine each: they are moved
-// together and the rest of the machines go back.
+// After a burst, long tasks with checkpoints must not hold a machine each: they are moved
+// together and the rest of the machines are returned.
 func TestLongTasksAreConsolidated(t *testing.T) {
 	s := newScenario(t, 35)
 	for range 12 {
@@ -817,8 +821,8 @@
 	s.eventually(20*second, "the long tasks go on", func() bool { return j.Running() == 12 })
 }
 
-// A team without a guarantee uses what is idle, but its long tasks are stopped, if
-// they save, to give another team its guarantee.
+// A best-effort team, one without a guarantee, uses what is idle, but its long tasks are preempted,
+// if they have checkpoints, to give another team its guarantee.
 func TestBestEffortTeamYieldsToGuarantee(t *testing.T) {
 	s := newScenario(t, 37)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -826,17 +830,17 @@
 	long := simulation.Array(40)
 	long.Team, long.CheckpointS, long.SaveS, long.Urgency = "guest", 4, 1, protocol.UrgencyLow
 	g := s.Users.Submit(long, 300)
-	s.eventually(30*second, "the guest fills the machine", func() bool { return g.Running() == 16 })
+	s.eventually(30*second, "the best-effort team fills the machine", func() bool { return g.Running() == 16 })
 	own := simulation.Array(8)
 	own.Urgency = protocol.UrgencyLow
 	j := s.Users.Submit(own, 10)
 	s.eventually(15*second, "the other team has its guarantee", func() bool { return j.Running() == 8 })
-	s.eventually(10*second, "the guest is told why", func() bool { return strings.Contains(g.Answer.Reason, "its guarantee") })
-	s.eventually(40*second, "the guest goes on", func() bool { return g.Running() >= 14 })
+	s.eventually(10*second, "the best-effort user is told why", func() bool { return strings.Contains(g.Answer.Reason, "its guarantee") })
+	s.eventually(40*second, "the best-effort job goes on", func() bool { return g.Running() >= 14 })
 }
 
-// Room is made machine by machine: as many small tasks are stopped as a large one
-// needs on its machine, and the guest does not take the room while it is being made.
+// Preemption makes room machine by machine: as many small tasks are stopped as a large one
+// needs on its machine, and the best-effort team does not take the room meanwhile.
 func TestPreemptionMakesRoomForLargeTasks(t *testing.T) {
 	s := newScenario(t, 39)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -847,7 +851,7 @@
 	one.Team, one.CheckpointS, one.SaveS, one.CPUs, one.MemoryGB = "guest", 4, 3, 2, 12
 	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
 	a, b := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
-	s.eventually(30*second, "the guest fills the machines", func() bool { return a.Running()+b.Running() >= 14 })
+	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return a.Running()+b.Running() >= 14 })
 	own := simulation.Array(2)
 	own.CPUs = 4
 	j := s.Users.Submit(own, 30)
@@ -868,17 +872,17 @@
 	low := simulation.Array(16)
 	low.Urgency, low.CPUs, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 4, 2
 	l := s.Users.Submit(low, 300)
-	s.eventually(60*second, "the reports fill the machines", func() bool { return l.Running() == 16 })
+	s.eventually(60*second, "the low-urgency job fills the machines", func() bool { return l.Running() == 16 })
 	high := simulation.Array(16)
 	high.Urgency = protocol.UrgencyHigh
 	h := s.Users.Submit(high, 20)
 	s.eventually(10*second, "the urgent tasks run", func() bool { return h.Running() == 16 })
 	if n := l.Running(); n < 11 {
-		t.Fatalf("%d of 16 reports are left, four had to go", n)
+		t.Fatalf("%d of 16 low-urgency tasks are left, four had to go", n)
 	}
 }
 
-// An urgent job that fails everywhere stops others' tasks for one task of its own, not
+// An urgent job that fails everywhere preempts others' tasks for one task of its own, not
 // for all of them.
 func TestCrashLoopingJobPreemptsLittle(t *testing.T) {
 	s := newScenario(t, 41)
@@ -894,19 +898,19 @@
 	low := simulation.Array(80)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	l := s.Users.Submit(low, 600)
-	s.eventually(30*second, "the reports fill the machines", func() bool { return l.Running() >= 62 })
+	s.eventually(30*second, "the low-urgency job fills the machines", func() bool { return l.Running() >= 62 })
 	least := 64
 	for range 100 {
 		s.Run(s.Now + second)
 		least = min(least, l.Running())
 	}
 	if least < 58 {
-		t.Fatalf("%d of 64 reports were left", least)
+		t.Fatalf("%d of 64 low-urgency tasks were left", least)
 	}
 }
 
-// Long tasks of a guest must not take, in a quiet moment, all that the others' work
-// needs as it comes in; nor does the guest starve.
+// Long tasks of a best-effort team must not take, in a quiet moment, all that the others' work
+// needs as it comes in; nor does the best-effort team starve.
 func TestBestEffortTeamLeavesHeadroom(t *testing.T) {
 	s := newScenario(t, 38)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 4
@@ -923,14 +927,14 @@
 		most = max(most, g.Running())
 	}
 	if most < 8 || most > 56 {
-		t.Fatalf("the guest took %d of 64 CPUs", most)
+		t.Fatalf("the best-effort team took %d of 64 CPUs", most)
 	}
 	s.Users.Submit(simulation.Array(16), 18)
 	s.eventually(600*second, "every job is done", s.Users.AllTold)
 }
 
-// What the others have left idle for two leases a guest may have, however much of their work
-// came in before.
+// What the others have left idle for two leases a best-effort team may use, however much of their
+// work came in before.
 func TestBestEffortTeamUsesIdleCapacity(t *testing.T) {
 	s := newScenario(t, 39)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
@@ -941,11 +945,11 @@
 	spec := simulation.Array(3)
 	spec.Team, spec.CPUs = "guest", 4 // more than an eighth of the only machine
 	g := s.Users.Submit(spec, 10)
-	s.eventually(45*second, "the guest starts", func() bool { return g.Running() > 0 })
+	s.eventually(45*second, "the best-effort job starts", func() bool { return g.Running() > 0 })
 	s.eventually(60*second, "it is done", s.Users.AllTold)
 }
 
-// Of two jobs of one name, the one with less left comes first.
+// Of two jobs of one team and class, the one with less left comes first.
 func TestSmallerJobOfSameClassRunsFirst(t *testing.T) {
 	s := newScenario(t, 36)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -959,8 +963,8 @@
 	}
 }
 
-// Machines that are heard of before the cloud has named its types get work once it has:
-// the leader once looked their type up in a picture that did not name it.
+// Machines that are known before the cloud has listed its types get work once it has:
+// the leader once looked their type up in a snapshot that did not name it.
 func TestMachinesKnownBeforeTheirTypes(t *testing.T) {
 	s := newScenario(t, 42)
 	s.Cloud.Out = true
@@ -976,7 +980,7 @@
 	s.eventually(30*second, "the job is done", s.Users.AllTold)
 }
 
-// A cloud that takes one call a second is still called, and one list of many pages does
+// A cloud that allows one call a second is still called, and one list of many pages does
 // not use up its calls.
 func TestRateLimitedCloud(t *testing.T) {
 	set := simulation.Settings(3)
@@ -1061,8 +1065,8 @@
 	s.requireInvariants()
 }
 
-// Room made for an urgent task of four CPUs is not taken bit by bit by small tasks that
-// are less urgent: those were stopped in turn, once a round, and neither ever ended.
+// Room that preemption made for an urgent task of four CPUs is not taken bit by bit by small tasks
+// that are less urgent: those were preempted in turn, once a round, and neither ever ended.
 func TestPreemptedCapacityIsKeptForUrgentJob(t *testing.T) {
 	s := newScenario(t, 48)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -1079,23 +1083,23 @@
 	s.eventually(20*second, "the urgent job is done", func() bool { return h.Told == protocol.JobDone })
 }
 
-// A guest's urgent tasks that save, and another team's urgent ones within its guarantee,
-// do not stop one another in turn.
+// A best-effort team's urgent tasks with checkpoints, and another team's urgent ones within its
+// guarantee, do not preempt one another in turn.
 func TestBestEffortAndGuaranteedTeamsDoNotPreemptInTurn(t *testing.T) {
 	s := newScenario(t, 49)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.Add("barn", "a", true)
-	guest, own := simulation.Array(40), simulation.Array(2)
-	guest.Team, guest.Urgency, guest.CheckpointS, guest.SaveS = "guest", protocol.UrgencyProduction, 4, 1
+	bestEffort, own := simulation.Array(40), simulation.Array(2)
+	bestEffort.Team, bestEffort.Urgency, bestEffort.CheckpointS, bestEffort.SaveS = "guest", protocol.UrgencyProduction, 4, 1
 	own.Urgency, own.CPUs = protocol.UrgencyHigh, 4
-	s.Users.Submit(guest, 20)
+	s.Users.Submit(bestEffort, 20)
 	s.Run(s.Now + 8*second)
 	j := s.Users.Submit(own, 10)
 	s.eventually(25*second, "the guaranteed job is done", func() bool { return j.Told == protocol.JobDone })
-	s.eventually(200*second, "the guest's too", s.Users.AllTold)
+	s.eventually(200*second, "the best-effort one too", s.Users.AllTold)
 }
 
-// Cheap machines that idle are returned, however much work waits that may not use them.
+// Idle spot instances are returned, however much work waits that may not use them.
 func TestIdleSpotMachinesAreNotKeptForIneligibleWork(t *testing.T) {
 	s := newScenario(t, 50)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -1139,7 +1143,7 @@
 }
 
 // Where one controller is away, or is served while the others are not, or is of a version that
-// does not list all that it may have told of, the vigil is none: nobody may go on.
+// does not list all cancellations that it may have confirmed, nobody enters degraded mode.
 func TestDegradedModeRequiresEveryController(t *testing.T) {
 	for away := range 3 {
 		s := newScenario(t, 530+uint64(away))
@@ -1163,7 +1167,7 @@
 		s.Logs = nil
 		s.Run(s.Now + 30*second)
 		if s.logged("workers are kept alive") {
-			t.Fatal("a vigil was kept")
+			t.Fatal("degraded mode was entered")
 		}
 		s.State.Refuses = map[string]bool{}
 		s.eventually(500*second, "the job is done", s.Users.AllTold)
@@ -1171,8 +1175,8 @@
 }
 
 // Many who submit at once share writes: all are accepted within a second or two at a
-// state service of ten changes a second, whatever node they ask and however often, and
-// what they share is gone when their jobs are over.
+// state service of ten changes a second, whatever controller they ask and however often, and
+// the batches are deleted when their jobs are over.
 func TestSubmissionBurstSharesWrites(t *testing.T) {
 	set := simulation.Settings(3)
 	set.Site.State.WriteRPS = 10
@@ -1188,7 +1192,7 @@
 		spec.OneZone = i%9 == 0
 		jobs = append(jobs, s.Users.Submit(spec, 5))
 		if i%3 == 0 {
-			s.Users.Resubmit(jobs[i]) // at another node, at the same time
+			s.Users.Resubmit(jobs[i]) // at another controller, at the same time
 		}
 	}
 	all := func() bool { return !slices.ContainsFunc(jobs, func(j *simulation.Job) bool { return !j.Accepted }) }
@@ -1203,7 +1207,7 @@
 		s.Users.Resubmit(j)
 	}
 	s.eventually(200*second, "every job is over", s.Users.AllTold)
-	s.eventually(60*second, "the shared keys are gone", func() bool { return s.State.Count("c/accepted/") == 0 })
+	s.eventually(60*second, "the batches are deleted", func() bool { return s.State.Count("c/accepted/") == 0 })
 	for _, j := range jobs {
 		s.Users.Resubmit(j) // the answer is its state, however late
 	}
@@ -1211,8 +1215,8 @@
 	s.requireInvariants()
 }
 
-// What shares a write fits into a value, however large that may be: a lot was filled by a byte
-// too many for each job, and refused as malformed.
+// An admission batch fits into a value, however large that may be: a batch was once filled by a
+// byte too many for each job, and refused as malformed.
 func TestAdmissionBatchesFitValueLimit(t *testing.T) {
 	for i := range 24 {
 		set := simulation.Settings(3)
@@ -1229,8 +1233,8 @@
 	}
 }
 
-// Where nothing is rented cheap, work without an aim keeps the ordinary machine that was
-// hired for it: it was parked after its first task, and returned for a new one.
+// Where there are no spot instances, work without an objective keeps the on-demand machine that was
+// created for it: it was made unschedulable after its first task, and replaced by a new one.
 func TestWorkWithoutObjectiveKeepsOnDemandMachine(t *testing.T) {
 	types := simulation.Types()[:1]
 	types[0].SpotPrice = 0
@@ -1260,7 +1264,7 @@
 	s.eventually(60*second, "the other zone goes on", func() bool { return j.Answer.Done >= before+12 })
 }
 
-// Long after the others' work has ended, a guest's gang may take every machine.
+// Long after the others' work has ended, a best-effort team's gang may use every machine.
 func TestBestEffortGangUsesAllIdleCapacity(t *testing.T) {
 	s := newScenario(t, 57)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -1275,8 +1279,8 @@
 	s.eventually(600*second, "the gang is done", s.Users.AllTold)
 }
 
-// Idle work within its team's guarantee ranks before another team's promised work, so it
-// is not stopped for that: it would take the room again itself, once a round for ever.
+// Low-urgency work within its team's guarantee ranks before another team's work with an objective, so
+// it is not preempted for that: it would take the room again itself, once a round for ever.
 func TestLowerRankedWorkDoesNotPreempt(t *testing.T) {
 	set := simulation.Settings(3)
 	set.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "alerts", Share: 0.9, Times: 1}}
@@ -1292,12 +1296,12 @@
 	s.eventually(400*second, "both are done", s.Users.AllTold)
 }
 
-// Machines of a zone that is cut off for longer than a silent machine is usually kept are
-// there when it comes back, one after another, also if the leader changed meanwhile: none
+// Machines of a zone that is partitioned for longer than a silent machine is usually kept are
+// used again when it heals, one after another, also if the leader changed meanwhile: none
 // is returned and booted anew, but for one that fell silent before the others and was
 // taken for dead.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
-	for _, change := range []bool{false, true} {
+	for _, changeLeader := range []bool{false, true} {
 		s := newScenario(t, 59)
 		s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 		for i := range 12 {
@@ -1305,33 +1309,33 @@
 		}
 		long := simulation.Array(48)
 		long.CheckpointS, long.SaveS = 4, 1
-		l := s.Users.Submit(long, 400)
-		s.eventually(60*second, "all of it runs", func() bool { return l.Running() == 48 })
+		job := s.Users.Submit(long, 400)
+		s.eventually(60*second, "all of it runs", func() bool { return job.Running() == 48 })
 		var nodes []string
 		for _, n := range s.Nodes {
 			nodes = append(nodes, n.Label)
 		}
-		cut := 0
-		for _, k := range s.Workers {
-			if k.Info.Zone == "b" {
-				s.partition(100*second+time.Duration(cut)*2*second, k.Info.Name, nodes...)
-				cut++
+		partitioned := 0
+		for _, worker := range s.Workers {
+			if worker.Info.Zone == "b" {
+				s.partition(100*second+time.Duration(partitioned)*2*second, worker.Info.Name, nodes...)
+				partitioned++
 			}
 		}
-		if change {
+		if changeLeader {
 			s.Run(s.Now + 3*second)
 			s.leader().Crash(20 * second)
 		}
 		s.Run(s.Now + 150*second)
 		if s.Cloud.Deleted > 1 || s.Cloud.Hired > 0 {
-			t.Errorf("leader changed %v: %d machines were returned and %d hired", change, s.Cloud.Deleted, s.Cloud.Hired)
+			t.Errorf("leader changed %v: %d machines were returned and %d created", changeLeader, s.Cloud.Deleted, s.Cloud.Hired)
 		}
-		s.eventually(60*second, "all of it runs again", func() bool { return l.Running() >= 44 })
+		s.eventually(60*second, "all of it runs again", func() bool { return job.Running() >= 44 })
 	}
 }
 
-// Whatever was sent arrives once more, up to two minutes late: what a /do started, was
-// stopped and cleared is not started again by its copy.
+// Every message is delivered once more, up to two minutes late: a task that a /do started and that
+// was stopped and cleared is not started again by the duplicate.
 func TestDuplicatedCommandsAreNotRepeated(t *testing.T) {
 	s := newScenario(t, 900)
 	s.Copies, s.CopyBy = 1, 120*second
@@ -1350,7 +1354,7 @@
 	s.requireInvariants()
 }
 
-// A leader that has to read everything anew does not know what it dispatched before: what
+// A leader that has to reload the state does not know what it dispatched before: what
 // may be on a machine that it can't reach does not start elsewhere.
 func TestLeaderReloadsState(t *testing.T) {
 	for seed := range uint64(4) {
@@ -1367,7 +1371,7 @@
 				x.Crash(second / 5)
 			}
 		}
-		s.eventually(20*second, "it reads anew", func() bool { return !s.State.Forgot[n.Label] })
+		s.eventually(20*second, "it reloads the state", func() bool { return !s.State.Forgot[n.Label] })
 		s.Run(s.Now + 10*second)
 		for _, x := range s.Nodes {
 			s.Mend(x.Label, machine)
