--- /dev/null
+++ b/internal/core/autoscaling_test.go
@@ -0,0 +1,213 @@
+package core_test
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/chalkhub/chalkhub/internal/simulation"
+)
+
+func TestJobsCompleteAndIdleMachinesAreReturned(t *testing.T) {
+	s := newScenario(t, 1)
+	for range 4 {
+		s.Users.Submit(simulation.Array(10), 8)
+	}
+	s.eventually(120*second, "every job is done and its user knows", s.Users.AllTold)
+	s.eventually(600*second, "idle machines are returned", func() bool { return s.Cloud.Deleted == s.Cloud.Hired })
+}
+
+// A machine that fails every task is drained, returned and replaced, and the
+// jobs it failed are done elsewhere.
+func TestFaultyMachineIsReplaced(t *testing.T) {
+	s := newScenario(t, 60)
+	a := s.Users.Submit(simulation.Array(8), 10)
+	s.eventually(60*second, "tasks run", func() bool { return a.Running() > 0 })
+	bad := a.On(0)
+	s.Workers[bad].Faulty = true
+	for range 5 {
+		s.Users.Submit(simulation.Array(8), 10)
+	}
+	s.eventually(200*second, "every job is done", s.Users.AllTold)
+	s.eventually(60*second, "the machine is gone", func() bool { return s.Workers[bad] == nil })
+}
+
+// Three crash-looping jobs at once quarantine no machine, whichever they fail on first.
+func TestCrashLoopingJobsQuarantineNoMachine(t *testing.T) {
+	for seed := range uint64(12) {
+		s := newScenario(t, 300+seed)
+		for range 3 {
+			s.Users.Submit(simulation.Array(24), 10).Mistaken = true
+		}
+		s.Users.Submit(simulation.Array(12), 25)
+		s.Run(s.Now + 100*second)
+		if s.logged("quarantined") {
+			t.Fatalf("a machine is quarantined\n%s", s.lastLogs(*logLines))
+		}
+	}
+}
+
+// Several machines that fail everything at once are distinguished from faulty jobs: the jobs
+// work elsewhere.
+func TestSeveralFaultyMachinesAreQuarantined(t *testing.T) {
+	s := newScenario(t, 68)
+	for range 9 {
+		s.Cloud.Add("box", "b", true)
+	}
+	a := s.Users.Submit(simulation.Array(36), 10)
+	s.eventually(60*second, "tasks run", func() bool { return a.Running() > 20 })
+	var sick []*simulation.Worker
+	for i := 0; i < 36 && len(sick) < 4; i += 4 {
+		if k := s.Workers[a.On(i)]; k != nil && !k.Faulty {
+			k.Faulty = true
+			sick = append(sick, k)
+		}
+	}
+	for i := range 10 {
+		s.After(time.Duration(5*i)*second, func() { s.Users.Submit(simulation.Array(60), 10) })
+	}
+	mistaken := s.Users.Submit(simulation.Array(10), 10)
+	mistaken.Mistaken = true
+	s.eventually(60*second, "every faulty machine is quarantined", func() bool {
+		return strings.Count(strings.Join(s.Logs, "\n"), "quarantined") == len(sick)
+	})
+	s.Users.Abort(mistaken)
+	s.eventually(100*second, "every job is over", s.Users.AllTold)
+}
+
+func TestMachinesThatNeverBootAreGivenUp(t *testing.T) {
+	s := newScenario(t, 62)
+	s.Cloud.NeverUp = 2
+	s.Users.Submit(simulation.Array(8), 10)
+	s.eventually(240*second, "the job is done", s.Users.AllTold)
+	s.eventually(300*second, "nothing is left", func() bool { return s.Cloud.Deleted == s.Cloud.Hired })
+}
+
+func TestUnmanagedMachinesAreUsed(t *testing.T) {
+	s := newScenario(t, 63)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	j := s.Users.Submit(simulation.Array(4), 5)
+	s.eventually(60*second, "the reason names the cloud", func() bool { return strings.Contains(j.Answer.Reason, "cloud") })
+	s.Cloud.Add("box", "a", true)
+	s.eventually(60*second, "the job is done", s.Users.AllTold)
+}
+
+// A controller is ready as soon as it is entitled. It once waited for the machine types
+// as well, and the load balancer, which probes once a second, had no controller for the
+// first users.
+func TestReadyBeforeTheCloudAnswers(t *testing.T) {
+	s := &scenario{World: simulation.New(77, 3), t: t}
+	for _, n := range s.Nodes {
+		s.Cut(n.Label, "cloud", false)
+	}
+	s.eventually(second, "every controller is ready", func() bool {
+		return s.Nodes[0].Ready && s.Nodes[1].Ready && s.Nodes[2].Ready
+	})
+	j := s.Users.Submit(simulation.Array(2), 5)
+	s.Run(s.Now + 3*second)
+	if j.Accepted || j.Refused != 0 {
+		t.Fatalf("a controller decided without knowing the machine types: %+v", j)
+	}
+	for _, n := range s.Nodes {
+		s.Mend(n.Label, "cloud")
+	}
+	s.eventually(60*second, "the job is done", s.Users.AllTold)
+}
+
+// A machine that has just come up has not shown its token yet. That is no reason
+// to return it to the cloud.
+func TestNewMachinesAreKept(t *testing.T) {
+	s := newScenario(t, 32)
+	for range 10 {
+		s.Cloud.Add("barn", "a", true)
+	}
+	s.Users.Submit(simulation.Array(900), 40)
+	for i := range 40 {
+		s.At(s.Now+20*second+time.Duration(i)*second/7, func() { s.Cloud.Add("barn", "a", true) })
+	}
+	s.Run(s.Now + 30*second)
+	s.requireInvariants()
+	if s.Cloud.Deleted > 0 {
+		t.Fatalf("%d machines were deleted while work waits", s.Cloud.Deleted)
+	}
+}
+
+// After a burst, long tasks with checkpoints must not hold a machine each: they are moved
+// together and the rest of the machines are returned.
+func TestLongTasksAreConsolidated(t *testing.T) {
+	s := newScenario(t, 35)
+	for range 12 {
+		s.Cloud.Add("barn", "a", true)
+	}
+	big := simulation.Array(12)
+	big.CPUs = 15
+	s.Users.Submit(big, 20)
+	long := simulation.Array(12)
+	long.CheckpointS, long.SaveS = 5, 1
+	j := s.Users.Submit(long, 400)
+	s.eventually(60*second, "each machine has one of both", func() bool { return s.Users.Running() == 24 })
+	s.eventually(150*second, "most machines are returned", func() bool { return len(s.Workers) <= 4 })
+	s.eventually(20*second, "the long tasks go on", func() bool { return j.Running() == 12 })
+}
+
+// Machines that are known before the cloud has listed its types get work once it has:
+// the leader once looked their type up in a snapshot that did not name it.
+func TestMachinesKnownBeforeTheirTypes(t *testing.T) {
+	s := newScenario(t, 42)
+	s.Cloud.Out = true
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	for _, n := range s.Nodes {
+		n.Crash(second)
+	}
+	s.State.Forget("c/types")
+	s.Cloud.Add("barn", "a", false)
+	s.Run(s.Now + 10*second)
+	s.Cloud.Out = false
+	s.Users.Submit(simulation.Array(4), 5)
+	s.eventually(30*second, "the job is done", s.Users.AllTold)
+}
+
+// A cloud that allows one call a second is still called, and one list of many pages does
+// not use up its calls.
+func TestRateLimitedCloud(t *testing.T) {
+	set := simulation.Settings(3)
+	set.Site.Cloud.RPS = 1
+	s := &scenario{World: simulation.Build(43, set, simulation.Types()), t: t}
+	s.Users.Submit(simulation.Array(8), 10)
+	s.eventually(90*second, "the job is done", s.Users.AllTold)
+	for range 1200 {
+		s.Cloud.Add("box", "a", false)
+	}
+	s.Users.Submit(simulation.Array(2000), 20)
+	s.eventually(200*second, "the job is done", s.Users.AllTold)
+	if s.Cloud.Refused > 0 {
+		t.Fatalf("%d calls of the cloud were refused", s.Cloud.Refused)
+	}
+}
+
+// Idle spot instances are returned, however much work waits that may not use them.
+func TestIdleSpotMachinesAreNotKeptForIneligibleWork(t *testing.T) {
+	s := newScenario(t, 50)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	for range 4 {
+		s.Cloud.Add("box", "b", true)
+	}
+	solid := simulation.Array(40)
+	solid.AllowSpot = false
+	s.Users.Submit(solid, 10)
+	s.eventually(200*second, "they are returned", func() bool { return s.Cloud.Deleted == 4 })
+	s.Cloud.Capacity["box"] = 4
+	s.eventually(300*second, "the job is done", s.Users.AllTold)
+}
+
+// Where there are no spot instances, work without an objective keeps the on-demand machine that was
+// created for it: it was made unschedulable after its first task, and replaced by a new one.
+func TestWorkWithoutObjectiveKeepsOnDemandMachine(t *testing.T) {
+	types := simulation.Types()[:1]
+	types[0].SpotPrice = 0
+	s := &scenario{World: simulation.Build(55, simulation.Settings(3), types), t: t}
+	spec := simulation.Array(20)
+	spec.CPUs = 4
+	s.Users.Submit(spec, 5)
+	s.eventually(250*second, "the job is done", s.Users.AllTold)
+}
--- /dev/null
+++ b/internal/core/preemption_test.go
@@ -0,0 +1,177 @@
+package core_test
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/simulation"
+)
+
+func TestUrgentJobsStartFirst(t *testing.T) {
+	s := newScenario(t, 65)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
+	low, high := simulation.Array(30), simulation.Array(10)
+	low.Urgency, high.Urgency = protocol.UrgencyLow, protocol.UrgencyHigh
+	l, h := s.Users.Submit(low, 10), s.Users.Submit(high, 10)
+	s.eventually(200*second, "the urgent job is done", func() bool { return h.Told == protocol.JobDone })
+	if l.Answer.Done > 10 {
+		t.Fatalf("%d tasks of the low-urgency job are done before the urgent job", l.Answer.Done)
+	}
+}
+
+// Urgent work does not wait behind a job of low urgency: tasks with checkpoints are
+// preempted, and their user is told why.
+func TestUrgentJobPreemptsCheckpointedWork(t *testing.T) {
+	s := newScenario(t, 67)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
+	low := simulation.Array(16)
+	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
+	l := s.Users.Submit(low, 300)
+	s.eventually(60*second, "the low-urgency job fills the machine", func() bool { return l.Running() == 16 })
+	high := simulation.Array(8)
+	high.Urgency = protocol.UrgencyHigh
+	h := s.Users.Submit(high, 20)
+	s.eventually(10*second, "the urgent tasks run", func() bool { return h.Running() == 8 })
+	s.eventually(10*second, "the low-urgency job's user is told why", func() bool { return strings.Contains(l.Answer.Reason, "more urgent work") })
+}
+
+// A best-effort team, one without a guarantee, uses what is idle, but its long tasks are preempted,
+// if they have checkpoints, to give another team its guarantee.
+func TestBestEffortTeamYieldsToGuarantee(t *testing.T) {
+	s := newScenario(t, 37)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	s.Cloud.Add("barn", "a", true)
+	long := simulation.Array(40)
+	long.Team, long.CheckpointS, long.SaveS, long.Urgency = "guest", 4, 1, protocol.UrgencyLow
+	g := s.Users.Submit(long, 300)
+	s.eventually(30*second, "the best-effort team fills the machine", func() bool { return g.Running() == 16 })
+	own := simulation.Array(8)
+	own.Urgency = protocol.UrgencyLow
+	j := s.Users.Submit(own, 10)
+	s.eventually(15*second, "the other team has its guarantee", func() bool { return j.Running() == 8 })
+	s.eventually(10*second, "the best-effort user is told why", func() bool { return strings.Contains(g.Answer.Reason, "its guarantee") })
+	s.eventually(40*second, "the best-effort job goes on", func() bool { return g.Running() >= 14 })
+}
+
+// Preemption makes room machine by machine: as many small tasks are stopped as a large one
+// needs on its machine, and the best-effort team does not take the room meanwhile.
+func TestPreemptionMakesRoomForLargeTasks(t *testing.T) {
+	s := newScenario(t, 39)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	for range 8 {
+		s.Cloud.Add("box", "a", true)
+	}
+	one, other := simulation.Array(8), simulation.Array(8) // a task of each on every machine
+	one.Team, one.CheckpointS, one.SaveS, one.CPUs, one.MemoryGB = "guest", 4, 3, 2, 12
+	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
+	a, b := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
+	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return a.Running()+b.Running() >= 14 })
+	own := simulation.Array(2)
+	own.CPUs = 4
+	j := s.Users.Submit(own, 30)
+	s.eventually(6*second, "the large tasks run", func() bool { return j.Running() == 2 })
+	if n := a.Running() + b.Running(); n < 10 {
+		t.Fatalf("only %d of 16 small tasks are left", n)
+	}
+}
+
+// Stopping one large task makes room for several small ones: no more are stopped than
+// that.
+func TestPreemptingOneLargeTaskServesSeveral(t *testing.T) {
+	s := newScenario(t, 40)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	for range 4 {
+		s.Cloud.Add("barn", "a", true)
+	}
+	low := simulation.Array(16)
+	low.Urgency, low.CPUs, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 4, 2
+	l := s.Users.Submit(low, 300)
+	s.eventually(60*second, "the low-urgency job fills the machines", func() bool { return l.Running() == 16 })
+	high := simulation.Array(16)
+	high.Urgency = protocol.UrgencyHigh
+	h := s.Users.Submit(high, 20)
+	s.eventually(10*second, "the urgent tasks run", func() bool { return h.Running() == 16 })
+	if n := l.Running(); n < 11 {
+		t.Fatalf("%d of 16 low-urgency tasks are left, four had to go", n)
+	}
+}
+
+// An urgent job that fails everywhere preempts others' tasks for one task of its own, not
+// for all of them.
+func TestCrashLoopingJobPreemptsLittle(t *testing.T) {
+	s := newScenario(t, 41)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	for range 4 {
+		s.Cloud.Add("barn", "a", true)
+	}
+	bad := simulation.Array(60)
+	bad.Urgency = protocol.UrgencyHigh
+	h := s.Users.Submit(bad, 10)
+	h.Mistaken = true
+	s.eventually(60*second, "it is known to fail", func() bool { return strings.Contains(h.Answer.Reason, "one is tried again at") })
+	low := simulation.Array(80)
+	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
+	l := s.Users.Submit(low, 600)
+	s.eventually(30*second, "the low-urgency job fills the machines", func() bool { return l.Running() >= 62 })
+	least := 64
+	for range 100 {
+		s.Run(s.Now + second)
+		least = min(least, l.Running())
+	}
+	if least < 58 {
+		t.Fatalf("%d of 64 low-urgency tasks were left", least)
+	}
+}
+
+// Room that preemption made for an urgent task of four CPUs is not taken bit by bit by small tasks
+// that are less urgent: those were preempted in turn, once a round, and neither ever ended.
+func TestPreemptedCapacityIsKeptForUrgentJob(t *testing.T) {
+	s := newScenario(t, 48)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	s.Cloud.Add("box", "a", false)
+	long := simulation.Array(3)
+	long.CheckpointS, long.SaveS = 4, 1
+	l := s.Users.Submit(long, 300)
+	s.eventually(30*second, "it leaves one CPU free", func() bool { return l.Running() == 3 })
+	big, small := simulation.Array(1), simulation.Array(1)
+	big.CPUs, big.Urgency = 4, protocol.UrgencyHigh
+	small.CheckpointS, small.SaveS = 4, 1
+	h := s.Users.Submit(big, 5)
+	s.Users.Submit(small, 300)
+	s.eventually(20*second, "the urgent job is done", func() bool { return h.Told == protocol.JobDone })
+}
+
+// A best-effort team's urgent tasks with checkpoints, and another team's urgent ones within its
+// guarantee, do not preempt one another in turn.
+func TestBestEffortAndGuaranteedTeamsDoNotPreemptInTurn(t *testing.T) {
+	s := newScenario(t, 49)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	s.Cloud.Add("barn", "a", true)
+	bestEffort, own := simulation.Array(40), simulation.Array(2)
+	bestEffort.Team, bestEffort.Urgency, bestEffort.CheckpointS, bestEffort.SaveS = "guest", protocol.UrgencyProduction, 4, 1
+	own.Urgency, own.CPUs = protocol.UrgencyHigh, 4
+	s.Users.Submit(bestEffort, 20)
+	s.Run(s.Now + 8*second)
+	j := s.Users.Submit(own, 10)
+	s.eventually(25*second, "the guaranteed job is done", func() bool { return j.Told == protocol.JobDone })
+	s.eventually(200*second, "the best-effort one too", s.Users.AllTold)
+}
+
+// Low-urgency work within its team's guarantee ranks before another team's work with an objective, so
+// it is not preempted for that: it would take the room again itself, once a round for ever.
+func TestLowerRankedWorkDoesNotPreempt(t *testing.T) {
+	set := simulation.Settings(3)
+	set.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "alerts", Share: 0.9, Times: 1}}
+	s := &scenario{World: simulation.Build(58, set, simulation.Types()), t: t}
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
+	s.Cloud.Add("box", "a", true)
+	idle, late := simulation.Array(8), simulation.Array(40)
+	idle.Urgency = protocol.UrgencyLow
+	late.Team, late.Class, late.DeadlineS = "red", "alerts", 5
+	s.Users.Submit(idle, 9)
+	s.Run(s.Now + 12*second)
+	s.Users.Submit(late, 9)
+	s.eventually(400*second, "both are done", s.Users.AllTold)
+}
--- /dev/null
+++ b/internal/core/store_faults_test.go
@@ -0,0 +1,175 @@
+package core_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/simulation"
+)
+
+// An outage longer than the workers' lease: controllers must stop answering, workers drop
+// their tasks, and none of them may run twice afterwards.
+func TestStoreOutageBeyondWorkerLease(t *testing.T) {
+	s := newScenario(t, 6)
+	j := s.Users.Submit(simulation.Array(16), 40)
+	s.eventually(60*second, "tasks run", func() bool { return j.Running() > 8 })
+	s.State.Outage(40 * second)
+	s.Run(s.Now + 39*second)
+	s.requireInvariants()
+	s.eventually(180*second, "the work is done again", s.Users.AllTold)
+}
+
+// A controller that is refused by the state service alone still receives its workers' heartbeats; it
+// must stop answering them before the others start their tasks elsewhere.
+func TestControllerRefusedByStore(t *testing.T) {
+	for seed := range uint64(4) {
+		s := newBusyScenario(t, 10+seed, 20*second)
+		n := s.Nodes[seed%3]
+		s.State.Refuses[n.Label] = true
+		s.After(40*second, func() { delete(s.State.Refuses, n.Label) })
+		s.eventually(240*second, "the work goes on", s.Users.AllTold)
+	}
+}
+
+// Users who ask many times as often, and a wave of small jobs, must not use up the
+// state service's rate limit: lease renewals and submissions need it.
+func TestPollsDoNotExhaustStoreRateLimit(t *testing.T) {
+	s := newScenario(t, 90)
+	j := s.Users.Submit(simulation.Array(4), 60)
+	s.eventually(30*second, "the job is accepted", func() bool { return j.Accepted })
+	s.Run(s.Now + 5*second)
+	s.State.Refused = 0
+	asked, answered := 0, 0
+	for i := range 3000 {
+		s.At(s.Now+time.Duration(i)*5*time.Millisecond, func() {
+			n := s.Nodes[i%3]
+			asked++
+			n.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
+				if r.Status == 200 {
+					answered++
+				}
+			})
+		})
+	}
+	for i := range 300 {
+		s.At(s.Now+time.Duration(i)*50*time.Millisecond, func() {
+			small := simulation.Array(1)
+			small.CPUs = 0.25
+			s.Users.Submit(small, 8)
+		})
+	}
+	s.Run(s.Now + 16*second)
+	if s.State.Refused > 0 || answered < asked {
+		t.Fatalf("%d requests were refused, %d of %d polls answered", s.State.Refused, answered, asked)
+	}
+	s.eventually(200*second, "every job is done", s.Users.AllTold)
+}
+
+// Transactions without an answer that are applied late must not accept a job
+// twice, lose one or undo a cancellation.
+func TestLateTransactionsAndLostResponses(t *testing.T) {
+	for seed := range uint64(4) {
+		s := newScenario(t, 40+seed)
+		s.State.LateShare, s.State.LateBy = 0.15, 6*second
+		s.Loss = 0.03
+		jobs := []*simulation.Job{}
+		for range 6 {
+			jobs = append(jobs, s.Users.Submit(simulation.Array(6), 8))
+		}
+		s.After(12*second, func() { s.Users.Abort(jobs[0]); s.Users.Abort(jobs[1]) })
+		s.eventually(400*second, "every job is over", s.Users.AllTold)
+		for _, j := range jobs {
+			s.Users.Resubmit(j) // however late, the answer is its state
+		}
+		s.Run(s.Now + 20*second)
+		s.requireInvariants()
+	}
+}
+
+// A controller that was away for more changes than the state service keeps reads all
+// keys anew, by pages some of which are refused, and knows every job.
+func TestPagedLoadAfterCompaction(t *testing.T) {
+	s := newScenario(t, 47)
+	s.State.Ended(4500)
+	open := s.Users.Submit(simulation.Array(4), 200)
+	s.eventually(60*second, "it runs", func() bool { return open.Running() == 4 })
+	n := s.leader()
+	s.State.Refuses[n.Label] = true
+	s.After(6*second, func() { delete(s.State.Refuses, n.Label) })
+	n.Crash(second)
+	s.After(6*second+40*time.Millisecond, func() { s.State.Refuses[n.Label] = true })
+	s.After(8*second, func() { delete(s.State.Refuses, n.Label) })
+	s.eventually(20*second, "it is ready", func() bool { return n.Ready })
+	for i, want := range map[int]string{0: protocol.JobCancelled, 51: protocol.JobDone, 4499: protocol.JobDone} {
+		n.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(r core.Reply) {
+			if a := r.Body.(protocol.JobResponse); r.Status != 200 || a.State != want || a.Done == 0 && want == protocol.JobDone {
+				t.Errorf("%d: %+v", i, r)
+			}
+		})
+	}
+	s.Run(s.Now + second)
+	s.requireInvariants()
+}
+
+// An outage of the state service that all controllers see ends no task, however long it
+// is; a job whose user was told just before it that it is cancelled is stopped all the
+// same, and when it is over the work goes on at once.
+func TestStoreOutageSeenByAllEndsNoTask(t *testing.T) {
+	for seed := range uint64(6) {
+		s := newScenario(t, 520+seed)
+		long, gone := s.Users.Submit(simulation.Array(12), 150), s.Users.Submit(simulation.Array(6), 300)
+		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
+		s.Users.Abort(gone)
+		s.eventually(second, "its user is told", func() bool { return gone.Told == protocol.JobCancelled })
+		s.State.Outage(70 * second) // the others have not seen it
+		s.Run(s.Now + 12*second)
+		if n := gone.Running(); n > 0 {
+			t.Fatalf("%d tasks of the cancelled job run", n)
+		}
+		least := 12
+		for range 56 {
+			s.Run(s.Now + second)
+			least = min(least, long.Running())
+		}
+		if least < 12 {
+			t.Fatalf("%d of 12 tasks were left", least)
+		}
+		s.requireInvariants()
+		s.eventually(120*second, "the job is done", func() bool { return long.Told == protocol.JobDone })
+	}
+}
+
+// Where one controller is away, or is served while the others are not, or is of a version that
+// does not list all cancellations that it may have confirmed, nobody enters degraded mode.
+func TestDegradedModeRequiresEveryController(t *testing.T) {
+	for away := range 3 {
+		s := newScenario(t, 530+uint64(away))
+		j := s.Users.Submit(simulation.Array(12), 150)
+		s.eventually(60*second, "all tasks run", func() bool { return j.Running() == 12 })
+		one := s.follower()
+		switch away {
+		case 0:
+			for _, n := range s.Nodes {
+				s.State.Refuses[n.Label] = n != one
+			}
+		case 1:
+			one.Crash(0)
+			s.State.Outage(60 * second)
+		case 2:
+			one.Old = true
+			one.Crash(second / 5)
+			s.Run(s.Now + 15*second)
+			s.State.Outage(60 * second)
+		}
+		s.Logs = nil
+		s.Run(s.Now + 30*second)
+		if s.logged("workers are kept alive") {
+			t.Fatal("degraded mode was entered")
+		}
+		s.State.Refuses = map[string]bool{}
+		s.eventually(500*second, "the job is done", s.Users.AllTold)
+	}
+}
