--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -26,8 +26,8 @@
 	return int(c.settings.Site.State.WriteRPS * c.intervals.workerLease.Seconds())
 }
 
-// maxCancelAttempts is how often a cancellation is tried that lost a race, or whose outcome is open,
-// before its user is asked to repeat it.
+// maxCancelAttempts is how often a cancellation is tried that lost a race, or whose outcome is
+// open, before its user is asked to repeat it.
 const maxCancelAttempts = 4
 
 // cancel cancels a job for its user.
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// assembleRecord makes a job's record whole. Its chunks are read before its own key, since they were
-// written before it and their keys come first.
+// assembleRecord makes a job's record whole. Its chunks are read before its own key, since they
+// were written before it and their keys come first.
 func (r *storedRecords) assembleRecord(record *records.Job) error {
 	id := record.Spec.ID
 	var text strings.Builder
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -153,11 +153,12 @@
 	}
 }
 
-// cancellationConfirmed passes on that a user is told now that a job is cancelled: a member to its leader,
-// the leader to all members.
+// cancellationConfirmed passes on that a user is told now that a job is cancelled: a member to its
+// leader, the leader to all members.
 //
 // Guards against starts that a machine takes after its user was told, for as long as another
-// controller's watch takes to bring the cancellation. The rules of degraded mode rest on the mirrors.
+// controller's watch takes to bring the cancellation. The rules of degraded mode rest on the
+// mirrors.
 func (d *degradedMode) cancellationConfirmed(jobID string) {
 	d.cancelJobs([]string{jobID})
 	if d.core.membership.leading {
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -120,8 +120,8 @@
 	return dag.Unknown, 0
 }
 
-// applyDependencyChanges takes what the graph has found out since: jobs that are ready, and those that
-// are aborted because of another one.
+// applyDependencyChanges takes what the graph has found out since: jobs that are ready, and those
+// that are aborted because of another one.
 func (r *storedRecords) applyDependencyChanges() {
 	for _, news := range r.dependencies.TakeEvents() {
 		j := r.jobs[news.Job]
@@ -158,19 +158,19 @@
 
 // updateDependencyWeights has the graph work out anew how urgent jobs are for the sake of those
 // that need them.
-func (o *scheduler) updateDependencyWeights() {
-	c := o.core
-	if o.dependencyWeightsAt > 0 && c.now.Monotonic-o.dependencyWeightsAt < c.intervals.maintenance {
+func (s *scheduler) updateDependencyWeights() {
+	c := s.core
+	if s.dependencyWeightsAt > 0 && c.now.Monotonic-s.dependencyWeightsAt < c.intervals.maintenance {
 		return
 	}
-	o.dependencyWeightsAt = c.now.Monotonic
-	c.records.dependencies.UpdatePriorities(o.dependencyWeight)
+	s.dependencyWeightsAt = c.now.Monotonic
+	c.records.dependencies.UpdatePriorities(s.dependencyWeight)
 }
 
 // dependencyWeight is a job's own part in the urgency of those that it needs.
-func (o *scheduler) dependencyWeight(id string) dag.Priority {
+func (s *scheduler) dependencyWeight(id string) dag.Priority {
 	weight := dag.Priority{Urgency: lowestUrgency, LatestFinish: math.Inf(1)}
-	j := o.core.records.jobs[id]
+	j := s.core.records.jobs[id]
 	if j == nil || j.version == 0 {
 		return weight
 	}
@@ -179,8 +179,8 @@
 	if spec.DeadlineS > 0 {
 		weight.LatestFinish = j.record.SubmittedAt + spec.DeadlineS
 	}
-	weight.Duration = o.core.estimator.predict(spec) + o.core.fleet.imagePullSeconds(spec)
-	if q := o.queue.get(id); q != nil && q.waitingTasks() == 0 {
+	weight.Duration = s.core.estimator.predict(spec) + s.core.fleet.imagePullSeconds(spec)
+	if q := s.queue.get(id); q != nil && q.waitingTasks() == 0 {
 		weight.Duration /= 2 // all that is left of it is under way
 	}
 	return weight
--- a/internal/core/garbage.go
+++ b/internal/core/garbage.go
@@ -49,7 +49,8 @@
 
 func (g *garbageCollector) takeWriteToken() { g.core.scheduler.progressWriteTokens-- }
 
-// deleteKeys deletes keys in one transaction and calls done once the mirror shows what became of it.
+// deleteKeys deletes keys in one transaction and calls done once the mirror shows what became of
+// it.
 func (g *garbageCollector) deleteKeys(guards []protocol.Guard, keys []string, done func()) {
 	ops := make([]protocol.Operation, 0, len(keys))
 	for _, key := range keys {
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -159,8 +159,8 @@
 	s.eventually(200*second, "the best-effort one too", s.Users.AllTold)
 }
 
-// Low-urgency work within its team's guarantee ranks before another team's work with an objective, so
-// it is not preempted for that: it would take the room again itself, once a round for ever.
+// Low-urgency work within its team's guarantee ranks before another team's work with an objective,
+// so it is not preempted for that: it would take the room again itself, once a round for ever.
 func TestLowerRankedWorkDoesNotPreempt(t *testing.T) {
 	set := simulation.Settings(3)
 	set.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "alerts", Share: 0.9, Times: 1}}
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -11,38 +11,38 @@
 
 // saveProgress makes completed tasks durable: jobs that are complete first, then
 // progress, as far as the write budget goes.
-func (o *scheduler) saveProgress() {
-	o.refillWrites()
-	due := o.saveCompleted()
+func (s *scheduler) saveProgress() {
+	s.refillWrites()
+	due := s.saveCompleted()
 	// Those that have waited longest first, or the first names would take all.
 	sort.SliceStable(due, func(a, b int) bool { return due[a].saveDueAt < due[b].saveDueAt })
 	for _, q := range due {
-		if o.progressWriteTokens < 1 {
+		if s.progressWriteTokens < 1 {
 			break
 		}
-		o.writeProgress(q)
+		s.writeProgress(q)
 	}
 }
 
 // refillWrites adds the writes that progress may take since the last call, a second's at the most.
-func (o *scheduler) refillWrites() {
-	rate := o.core.writeRate() * o.core.policy.ProgressShare
-	o.progressWriteTokens = min(o.progressWriteTokens+(o.core.now.Monotonic-o.progressTokensAt).Seconds()*rate, rate)
-	o.progressTokensAt = o.core.now.Monotonic
+func (s *scheduler) refillWrites() {
+	rate := s.core.writeRate() * s.core.policy.ProgressShare
+	s.progressWriteTokens = min(s.progressWriteTokens+(s.core.now.Monotonic-s.progressTokensAt).Seconds()*rate, rate)
+	s.progressTokensAt = s.core.now.Monotonic
 }
 
 // saveCompleted writes the completion of jobs all of whose tasks are done, and returns those whose
 // progress is due.
-func (o *scheduler) saveCompleted() (due []*queuedJob) {
-	for _, id := range sortedKeys(o.unsavedJobs) {
-		q := o.unsavedJobs[id]
+func (s *scheduler) saveCompleted() (due []*queuedJob) {
+	for _, id := range sortedKeys(s.unsavedJobs) {
+		q := s.unsavedJobs[id]
 		switch {
-		case q.entry.isFinal() || o.queue.get(id) != q || len(q.unsavedTasks) == 0 && !q.complete():
-			delete(o.unsavedJobs, id)
+		case q.entry.isFinal() || s.queue.get(id) != q || len(q.unsavedTasks) == 0 && !q.complete():
+			delete(s.unsavedJobs, id)
 		case q.finalizing || q.savingProgress || q.choosingZones:
 		case q.complete():
-			o.writeCompletion(q)
-		case q.saveDueAt > 0 && o.core.now.Monotonic >= q.saveDueAt:
+			s.writeCompletion(q)
+		case q.saveDueAt > 0 && s.core.now.Monotonic >= q.saveDueAt:
 			due = append(due, q)
 		}
 	}
@@ -52,8 +52,8 @@
 // writeCompletion writes that a job is done. The answer "done" is given only from the
 // mirror, so it is durable before it is said; the guard on the job's key settles
 // a race with a cancellation the same way everywhere.
-func (o *scheduler) writeCompletion(q *queuedJob) {
-	c, j := o.core, q.entry
+func (s *scheduler) writeCompletion(q *queuedJob) {
+	c, j := s.core, q.entry
 	q.finalizing = true
 	final := finalRecord(j, protocol.JobDone, "")
 	final.DoneAt = math.Floor(c.now.Wall) // as the archive keeps it, so that it is the same for every leader
@@ -64,8 +64,8 @@
 }
 
 // writeProgress writes the completed tasks of a job that are not durable yet.
-func (o *scheduler) writeProgress(q *queuedJob) {
-	c := o.core
+func (s *scheduler) writeProgress(q *queuedJob) {
+	c := s.core
 	blockTasks, prefix := progressBlockTasks, keyProgress
 	if c.maxValueBytes() < fullBlockBytes && q.entry.record.Spec.Tasks > fineBlockTasks {
 		blockTasks, prefix = fineBlockTasks, keyFineProgress
@@ -84,7 +84,7 @@
 			ops = append(ops, protocol.Operation{Put: key, Value: records.Progress{Bits: blocks[block].Text()}})
 		}
 	}
-	o.progressWriteTokens -= float64(len(ops))
+	s.progressWriteTokens -= float64(len(ops))
 	q.savingProgress = true
 	c.commit(guards, ops, func(result CommitResult) {
 		q.saveDueAt = c.now.Monotonic + c.intervals.workerLease/4
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -22,8 +22,8 @@
 	s.eventually(180*second, "the work is done again", s.Users.AllTold)
 }
 
-// A controller that is refused by the state service alone still receives its workers' heartbeats; it
-// must stop answering them before the others start their tasks elsewhere.
+// A controller that is refused by the state service alone still receives its workers' heartbeats;
+// it must stop answering them before the others start their tasks elsewhere.
 func TestControllerRefusedByStore(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 10+seed, 20*second)
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -18,12 +18,12 @@
 // chooseZones writes down where the tasks of a job tied to a zone may run,
 // before the first of them starts, so that every later leader keeps to it: the zones with the most
 // free CPUs that the job may use.
-func (o *scheduler) chooseZones(q *queuedJob, machines []*candidateMachine) {
+func (s *scheduler) chooseZones(q *queuedJob, machines []*candidateMachine) {
 	if q.choosingZones || q.finalizing || q.savingProgress {
 		return
 	}
 	spec := &q.entry.record.Spec
-	freeCPUs := o.possibleZones(spec)
+	freeCPUs := s.possibleZones(spec)
 	for _, m := range machines {
 		if _, ok := freeCPUs[m.zone]; ok && allowsType(spec, m.typeName) && m.fits(spec) {
 			freeCPUs[m.zone] += m.cpus
@@ -37,13 +37,14 @@
 	if spec.Spread && spec.Tasks > 1 {
 		count = min(spreadZones, len(zones)) // with one zone it runs by halves
 	}
-	o.writeZones(q, zones[:count])
+	s.writeZones(q, zones[:count])
 }
 
-// possibleZones has a zero for each zone in which a machine could be hired that a task of a job fits on.
-func (o *scheduler) possibleZones(spec *protocol.Job) map[string]float64 {
+// possibleZones has a zero for each zone in which a machine could be hired that a task of a job
+// fits on.
+func (s *scheduler) possibleZones(spec *protocol.Job) map[string]float64 {
 	zones := map[string]float64{}
-	for _, machineType := range o.core.machineTypes() {
+	for _, machineType := range s.core.machineTypes() {
 		if !allowsType(spec, machineType.Name) || !fitsEmptyMachine(machineType, spec) {
 			continue
 		}
@@ -56,7 +57,8 @@
 	return zones
 }
 
-// zonesByFreeCPUs lists zones, those with the most free CPUs first, by name where they have as many.
+// zonesByFreeCPUs lists zones, those with the most free CPUs first, by name where they have as
+// many.
 func zonesByFreeCPUs(freeCPUs map[string]float64) []string {
 	zones := sortedKeys(freeCPUs)
 	sort.SliceStable(zones, func(a, b int) bool { return freeCPUs[zones[a]] > freeCPUs[zones[b]] })
@@ -64,8 +66,8 @@
 }
 
 // writeZones writes a job's zones; the mirror says when they hold.
-func (o *scheduler) writeZones(q *queuedJob, zones []string) {
-	c, record := o.core, q.entry.record
+func (s *scheduler) writeZones(q *queuedJob, zones []string) {
+	c, record := s.core, q.entry.record
 	record.Zones = zones
 	q.choosingZones = true
 	guards := []protocol.Guard{c.membership.leaderGuard(), q.entry.recordGuard()}
@@ -102,20 +104,21 @@
 	}
 }
 
-// isWithinItsZone reports whether no task of a job of one zone can be in another than its record names.
+// isWithinItsZone reports whether no task of a job of one zone can be in another than its record
+// names.
 //
-// Guards against a reassignment that is carried out late: the job's tasks ran in the former zone again,
-// and the next ones were started in the new one.
-func (o *scheduler) isWithinItsZone(q *queuedJob) bool {
+// Guards against a reassignment that is carried out late: the job's tasks ran in the former zone
+// again, and the next ones were started in the new one.
+func (s *scheduler) isWithinItsZone(q *queuedJob) bool {
 	if !q.entry.record.Spec.OneZone || len(q.entry.record.Zones) != 1 {
 		return true
 	}
-	for _, f := range q.inflight {
-		if f.awaitingPlacement && f.recordVersion != q.entry.recordVersion {
+	for _, attempt := range q.inflight {
+		if attempt.awaitingPlacement && attempt.recordVersion != q.entry.recordVersion {
 			return false
 		}
-		for machine := range f.claimants {
-			if v := o.machines.get(machine); v == nil || v.state.Zone != q.entry.record.Zones[0] {
+		for machine := range attempt.claimants {
+			if v := s.machines.get(machine); v == nil || v.state.Zone != q.entry.record.Zones[0] {
 				return false
 			}
 		}
@@ -123,64 +126,64 @@
 	return true
 }
 
-// reassignZone ties the tasks that share a zone with a given one to another zone, once they have found no
-// room for a lease and another has some, or could get machines while theirs can't. It waits
-// until none of them can break the job's rule there: for a job of one zone until no task of it
-// can be anywhere, for a spread one until none of the other half can be in the new zone.
+// reassignZone ties the tasks that share a zone with a given one to another zone, once they have
+// found no room for a lease and another has some, or could get machines while theirs can't. It
+// waits until none of them can break the job's rule there: for a job of one zone until no task of
+// it can be anywhere, for a spread one until none of the other half can be in the new zone.
 //
 // Guards against waiting for ever for a zone without machines, beside machines that stand idle.
 // What is dispatched names the version of the record that it rests on, and shards place nothing by
 // another one; a version before Level 1 does not look at that, and nothing moves beside it. The
 // write may be carried out late, when tasks run in the former zone again: see isWithinItsZone.
-func (o *scheduler) reassignZone(q *queuedJob, task int) {
-	c, index := o.core, zoneIndex(q, task)
-	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.choosingZones || q.finalizing || q.savingProgress || o.hasUnlocated {
+func (s *scheduler) reassignZone(q *queuedJob, task int) {
+	c, index := s.core, zoneIndex(q, task)
+	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.choosingZones || q.finalizing || q.savingProgress || s.hasUnlocated {
 		return
 	}
-	if !o.isZoneFullForLong(q, index) {
+	if !s.isZoneFullForLong(q, index) {
 		return
 	}
 	if c.records.olderController() != "" || protocol.JSONSize(q.entry.record) > c.maxValueBytes()-batchOverhead {
 		return
 	}
 	former := q.entry.record.Zones[index]
-	for _, zone := range o.candidateZones(q, former) {
-		if zone != former && o.mayReassignZone(q, index, zone) {
+	for _, zone := range s.candidateZones(q, former) {
+		if zone != former && s.mayReassignZone(q, index, zone) {
 			zones := slices.Clone(q.entry.record.Zones)
 			zones[index] = zone
 			c.logInfo("a job's tasks move to another zone, theirs has no room", "job", q.id, "from", former, "to", zone)
 			delete(q.zoneFullSince, index)
-			o.writeZones(q, zones)
+			s.writeZones(q, zones)
 			return
 		}
 	}
 }
 
-// isZoneFullForLong reports whether the tasks of one of a job's zones have found no room for a lease,
-// and notes when they first found none.
-func (o *scheduler) isZoneFullForLong(q *queuedJob, index int) bool {
+// isZoneFullForLong reports whether the tasks of one of a job's zones have found no room for a
+// lease, and notes when they first found none.
+func (s *scheduler) isZoneFullForLong(q *queuedJob, index int) bool {
 	if q.zoneFullSince == nil {
 		q.zoneFullSince = map[int]time.Duration{}
 	}
 	since, known := q.zoneFullSince[index]
 	if !known {
-		q.zoneFullSince[index] = o.core.now.Monotonic
+		q.zoneFullSince[index] = s.core.now.Monotonic
 		return false
 	}
-	return o.core.now.Monotonic-since >= o.core.intervals.workerLease
+	return s.core.now.Monotonic-since >= s.core.intervals.workerLease
 }
 
-// candidateZones lists where a job's tasks might go: the zones whose machines have room for the next
-// of them, or for all of a gang, the roomiest first; then, if the former zone can get no
+// candidateZones lists where a job's tasks might go: the zones whose machines have room for the
+// next of them, or for all of a gang, the roomiest first; then, if the former zone can get no
 // machines, those that can.
-func (o *scheduler) candidateZones(q *queuedJob, former string) []string {
+func (s *scheduler) candidateZones(q *queuedJob, former string) []string {
 	spec := &q.entry.record.Spec
-	freeCPUs, freeSlots := o.freeByZone(spec)
+	freeCPUs, freeSlots := s.freeByZone(spec)
 	zones := slices.DeleteFunc(zonesByFreeCPUs(freeCPUs), func(zone string) bool {
 		return spec.Kind == protocol.KindGang && freeSlots[zone] < float64(q.waitingTasks())
 	})
 	hirable := map[string]bool{}
-	for pool := range o.core.fleet.eligiblePools(spec) {
+	for pool := range s.core.fleet.eligiblePools(spec) {
 		hirable[pool.zone] = true
 	}
 	if !hirable[former] {
@@ -189,11 +192,12 @@
 	return zones
 }
 
-// freeByZone sums up, by zone, what is free on machines that a task of a job fits on now: CPUs, and
-// for how many tasks there is room. Unschedulable machines count too: nobody could use them as it was.
-func (o *scheduler) freeByZone(spec *protocol.Job) (freeCPUs, freeSlots map[string]float64) {
+// freeByZone sums up, by zone, what is free on machines that a task of a job fits on now: CPUs,
+// and for how many tasks there is room. Unschedulable machines count too: nobody could use them as
+// it was.
+func (s *scheduler) freeByZone(spec *protocol.Job) (freeCPUs, freeSlots map[string]float64) {
 	freeCPUs, freeSlots = map[string]float64{}, map[string]float64{}
-	for _, v := range o.machines.all() {
+	for _, v := range s.machines.all() {
 		state := &v.state
 		if !v.acceptsTasks() || !allowsMachine(spec, state.Type, state.Zone, state.Spot) {
 			continue
@@ -207,23 +211,24 @@
 	return freeCPUs, freeSlots
 }
 
-// mayReassignZone reports whether one of a job's zones, by its index, may be another one from now on.
-func (o *scheduler) mayReassignZone(q *queuedJob, index int, zone string) bool {
+// mayReassignZone reports whether one of a job's zones, by its index, may be another one from now
+// on.
+func (s *scheduler) mayReassignZone(q *queuedJob, index int, zone string) bool {
 	if len(q.entry.record.Zones) == 1 {
 		return len(q.inflight) == 0
 	}
 	if slices.Contains(q.entry.record.Zones, zone) && hasOpenTaskElsewhere(q, index) {
 		return false
 	}
-	for task, f := range q.inflight {
+	for task, attempt := range q.inflight {
 		if zoneIndex(q, task) == index {
 			continue
 		}
-		if f.awaitingPlacement || f.unlocated {
+		if attempt.awaitingPlacement || attempt.unlocated {
 			return false
 		}
-		for machine := range f.claimants {
-			if v := o.machines.get(machine); v == nil || v.state.Zone == zone || v.state.Zone == "" {
+		for machine := range attempt.claimants {
+			if v := s.machines.get(machine); v == nil || v.state.Zone == zone || v.state.Zone == "" {
 				return false
 			}
 		}
@@ -231,8 +236,8 @@
 	return true
 }
 
-// hasOpenTaskElsewhere reports whether a task that is tied to another of its job's zones is not done
-// durably: if it is done only for this leader, a crash may start it again.
+// hasOpenTaskElsewhere reports whether a task that is tied to another of its job's zones is not
+// done durably: if it is done only for this leader, a crash may start it again.
 func hasOpenTaskElsewhere(q *queuedJob, index int) bool {
 	for task := range q.entry.record.Spec.Tasks {
 		if zoneIndex(q, task) != index && !q.entry.isTaskDone(task) {
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -5,8 +5,8 @@
 // Zones whose machines fall silent together: then the network between them and the controllers has
 // failed, not the machines.
 
-// A zone counts as partitioned while more than half of its machines are lost, and no longer once less
-// than a quarter is: it does not go back and forth as machines come back one after another.
+// A zone counts as partitioned while more than half of its machines are lost, and no longer once
+// less than a quarter is: it does not go back and forth as machines come back one after another.
 const (
 	partitionDivisor = 2
 	recoveryDivisor  = 4
