--- /dev/null
+++ b/internal/degraded/cancellation_test.go
@@ -0,0 +1,207 @@
+package degraded
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const (
+	// outageBegins is when the store stops serving all controllers.
+	outageBegins = 800 * time.Millisecond
+	outageEnds   = 4 * time.Second
+)
+
+// simulatedController is one controller of cancelling. The leader is labelled "a".
+type simulatedController struct {
+	log            CancellationLog
+	mirrorRevision uint64                   // its mirror holds all up to here
+	learned        map[string]bool          // cancelled jobs that a round told it of
+	acknowledgedAt map[string]time.Duration // when it first told a user that the job is cancelled
+}
+
+func (c *simulatedController) acknowledge(job string, now time.Duration) {
+	if _, before := c.acknowledgedAt[job]; !before {
+		c.acknowledgedAt[job] = now
+	}
+}
+
+func (c *simulatedController) learn(jobs []string) {
+	for _, job := range jobs {
+		c.learned[job] = true
+	}
+}
+
+// cancelling plays the argument "why no task of a cancelled job is kept running" of the
+// package comment. Users cancel jobs at any controller before an outage; some writes get no
+// answer, answers and watches from before the outage still arrive in it, and controllers
+// acknowledge a cancellation by whatever they know.
+type cancelling struct {
+	t             *rapid.T
+	labels        []string
+	controllers   map[string]*simulatedController
+	voters        map[string]*Voter
+	coordinator   Coordinator
+	now           time.Duration
+	events        []event
+	jobs          []string      // cancelled; that of revision r is jobs[r-1]
+	leaderRefused time.Duration // when the store stops serving the leader
+}
+
+type event struct {
+	at  time.Duration
+	run func()
+}
+
+func newCancelling(t *rapid.T) *cancelling {
+	s := &cancelling{t: t, labels: drawLabels(t), controllers: map[string]*simulatedController{}, voters: map[string]*Voter{}}
+	for _, label := range s.labels {
+		s.controllers[label] = &simulatedController{learned: map[string]bool{}, acknowledgedAt: map[string]time.Duration{}}
+		s.voters[label] = &Voter{}
+	}
+	s.leaderRefused = time.Duration(rapid.IntRange(0, 800).Draw(t, "the leader is refused at")) * time.Millisecond
+	return s
+}
+
+// oneIn draws true once in n times.
+func (s *cancelling) oneIn(n int, what string) bool {
+	return rapid.IntRange(0, n-1).Draw(s.t, what) == 0
+}
+
+// schedule runs something after a delay of up to so many milliseconds.
+func (s *cancelling) schedule(mostMillis int, run func()) {
+	delay := time.Duration(rapid.IntRange(1, mostMillis).Draw(s.t, "ms")) * time.Millisecond
+	s.events = append(s.events, event{s.now + delay, run})
+}
+
+// served reports whether the store serves a controller.
+func (s *cancelling) served(label string) bool {
+	return s.now < outageBegins && (label != "a" || s.now < s.leaderRefused)
+}
+
+func (s *cancelling) mayServe(label string) bool {
+	if label == "a" {
+		return s.now < s.coordinator.MayServeUntil()
+	}
+	return s.now < s.voters[label].MayServeUntil()
+}
+
+func (s *cancelling) step() {
+	s.runDueEvents()
+	for _, label := range s.labels {
+		s.actBeforeOutage(label)
+	}
+	if round, due := s.coordinator.NextRound(s.now, interval, window); due {
+		s.openRound(round)
+	}
+	s.controllers["a"].learn(s.coordinator.CancelledJobs())
+}
+
+func (s *cancelling) runDueEvents() {
+	for n := 0; n < len(s.events); n++ {
+		if due := s.events[n]; due.at <= s.now {
+			s.events = slices.Delete(s.events, n, n+1)
+			n--
+			due.run()
+		}
+	}
+}
+
+// actBeforeOutage lets a controller write cancellations, read its watch, and acknowledge what
+// its mirror holds, the last in the outage, too.
+func (s *cancelling) actBeforeOutage(label string) {
+	controller := s.controllers[label]
+	if s.served(label) && s.oneIn(12, "cancels") {
+		s.writeCancellation(controller)
+	}
+	if s.served(label) && s.oneIn(4, "reads") {
+		revision := uint64(len(s.jobs))
+		s.schedule(300, func() { s.readWatch(controller, revision) })
+	}
+	if controller.mirrorRevision > 0 && s.oneIn(4, "asked") {
+		about := rapid.IntRange(0, int(controller.mirrorRevision)-1).Draw(s.t, "about")
+		controller.acknowledge(s.jobs[about], s.now)
+	}
+}
+
+func (s *cancelling) writeCancellation(controller *simulatedController) {
+	job, revision := fmt.Sprint("job-", len(s.jobs)), uint64(len(s.jobs)+1)
+	s.jobs = append(s.jobs, job)
+	if s.oneIn(3, "no answer") {
+		return
+	}
+	s.schedule(300, func() {
+		controller.log.Record(job, revision)
+		controller.acknowledge(job, s.now)
+	})
+}
+
+func (s *cancelling) readWatch(controller *simulatedController, revision uint64) {
+	for ; controller.mirrorRevision < revision; controller.mirrorRevision++ {
+		controller.log.Record(s.jobs[controller.mirrorRevision], controller.mirrorRevision+1)
+	}
+}
+
+func (s *cancelling) openRound(round Round) {
+	s.coordinator.ReceiveVote("a", s.voteOf("a", round), leaderEpoch, window, s.labels)
+	for _, label := range s.labels[1:] {
+		s.schedule(60, func() {
+			vote := s.voteOf(label, round)
+			s.voters[label].HandleRound(s.now, window, round)
+			s.controllers[label].learn(round.Cancelled)
+			s.schedule(60, func() { s.coordinator.ReceiveVote(label, vote, leaderEpoch, window, s.labels) })
+		})
+	}
+}
+
+// voteOf is a controller's vote. Revisions in votes are one more than here, since an empty
+// mirror votes with revision 1.
+func (s *cancelling) voteOf(label string, round Round) Vote {
+	controller := s.controllers[label]
+	vote := permittingVote(round.Number, controller.mirrorRevision+1)
+	vote.StoreDown = !s.served(label)
+	vote.CancelledSince, vote.Cancelled = controller.log.Since(max(round.CancelledSince, 1) - 1)
+	vote.CancelledSince++
+	return vote
+}
+
+// checkServing fails if a controller serves and does not know of a cancellation that a user
+// was told of more than a window ago. It returns how many controllers serve.
+func (s *cancelling) checkServing() (serving int) {
+	for _, label := range s.labels {
+		if !s.mayServe(label) {
+			continue
+		}
+		serving++
+		for _, other := range s.controllers {
+			for job, at := range other.acknowledgedAt {
+				if s.now-at > window && !s.knows(label, job) {
+					s.t.Fatalf("%s serves at %v and does not know of %s, acknowledged at %v", label, s.now, job, at)
+				}
+			}
+		}
+	}
+	return serving
+}
+
+func (s *cancelling) knows(label, job string) bool {
+	controller := s.controllers[label]
+	return controller.learned[job] || slices.Contains(s.jobs[:controller.mirrorRevision], job)
+}
+
+func TestAcknowledgedCancellationIsKnownToWhoeverServes(t *testing.T) {
+	servingSteps := 0
+	rapid.Check(t, func(t *rapid.T) {
+		s := newCancelling(t)
+		for ; s.now < outageEnds; s.now += 20 * time.Millisecond {
+			s.step()
+			servingSteps += s.checkServing()
+		}
+	})
+	if servingSteps == 0 {
+		t.Fatal("no controller ever served in an outage: nothing was shown")
+	}
+}
--- a/internal/degraded/degraded.go
+++ b/internal/degraded/degraded.go
@@ -1,145 +1,87 @@
-// Package degraded decides when controllers may go on answering their workers although the
-// state service serves none of them. It is pure: times and words go in, verdicts come
-// out.
+// Package degraded decides when controllers may go on serving their agents although the
+// key-value store serves no controller at all.
 //
-// A controller whose lease or mirror is too old must fall silent, since the others may
-// have given its machines away. In an outage that all of them see nobody can have done
-// that, and every task would be lost for nothing once the workers' leases end. So the
-// leader asks all controllers in rounds whether they are still in the same epoch, are
-// not served either, and which cancellations they may have told of that the others do not
-// know.
+// A controller whose lease or mirror of the store is too old must stop serving, because the
+// others may have given its machines away. In an outage that every controller sees, nobody
+// can have done that, and all tasks would be lost for nothing once the agents' leases
+// expire. So the leader, as Coordinator, asks every controller, as Voter, in numbered rounds:
+// are you still in the same epoch, does the store not serve you either, and which
+// cancellations may you have acknowledged that others do not know of?
 //
-// Why that is safe. A controller that takes a machine over in a later epoch waits until
-// the former owner can have answered no more: span after it entered that epoch. Whoever
-// enters it has said in some round k, before, that it had not. A member's own word of
-// round k-1 was sent before the leader asked round k, so before anybody's word of round
-// k: counted from there, span ends before the new owner's wait does. It takes the word of
-// every controller of the site, in the map or not, so no quorum is counted: where one is
-// missing, all fall silent as they always did.
+// # What it owns
 //
-// Why no task of a cancelled job is kept by it. A controller tells of a cancellation that
-// its mirror holds, whoever wrote it, or of one that it wrote itself: its Log lists both. What
-// was told before a controller's word is in that word, or in the mirror of whoever answers,
-// and is stopped with each answer; what is told after it finds all answers over within span,
-// since span counts from before the word, unless a later round lists it.
+// The rounds, the votes, and the time until which the caller may serve. The package is
+// pure: it has no clock, input or output. Times, rounds and votes go in; the next round and
+// deadlines come out. It must not know how messages travel, what a machine or a task is, or
+// how a lease is renewed while the store answers.
+//
+// All times are of one controller's monotonic clock; they are never compared between
+// controllers. The window is how long a controller may serve on what it was last told: the
+// same span after which a new owner of a machine may rely on the former owner's silence.
+//
+// # Why no machine is served by two owners
+//
+// A controller that takes a machine over in a later epoch first waits until its former owner
+// can serve no more: for one window after it entered that epoch. Whoever enters the later
+// epoch had voted before, in some round k, that it had not. A voter sends its own vote of
+// round k-1 before the leader opens round k, so before any vote of round k is cast: counted
+// from that moment, its window ends before the new owner's wait does. The leader counts from
+// the moment it opened round k, which precedes every vote of that round too.
+//
+// The vote of every controller of the site is needed, whether the shard map names it or not,
+// so no quorum is counted. Where one vote is missing, all controllers stop serving as they
+// would without this package.
+//
+// # Why no task of a cancelled job is kept running
+//
+// A controller acknowledges a cancellation to a user if its mirror holds it, whoever wrote
+// it, or if it wrote it itself: its CancellationLog lists both kinds. What was acknowledged
+// before a controller's vote is in that vote, or in the mirror of whoever serves, and is
+// stopped when the outcome of the round arrives. What is acknowledged after the vote is safe
+// because all permissions that rest on it end within one window, which is counted from before
+// the vote, unless a later round lists the cancellation.
 package degraded
 
-import (
-	"slices"
-	"time"
-)
-
-// Vote is what one controller says in a round.
+// Vote is what one controller answers in a round.
 type Vote struct {
-	Round          uint64   `json:"round"`
-	Epoch          uint64   `json:"epoch"`               // that it acts in
-	StoreDown      bool     `json:"out"`                 // the state service does not serve it
-	MirrorRevision uint64   `json:"revision"`            // its mirror holds all up to here, 0: it has none
-	LoadedRevision uint64   `json:"loaded"`              // what it told before it was restarted is no newer
-	CancelledSince uint64   `json:"since"`               // Cancelled lists all it may have told of since this revision
-	Cancelled      []string `json:"cancelled,omitempty"` // jobs
-	// IncludesMirror says that Cancelled holds what the mirror brought too. An older version lists
-	// only what it wrote itself and was answered: its word is not enough.
-	IncludesMirror bool `json:"mirrored,omitempty"`
-}
+	Round     uint64 `json:"round"` // number of the round that it answers
+	Epoch     uint64 `json:"epoch"` // epoch in which the controller acts
+	StoreDown bool   `json:"out"`   // the store does not serve the controller
 
-// Round is the leader's question of a round, with the outcome of the earlier ones.
-type Round struct {
-	Number         uint64   `json:"round"`
-	CancelledSince uint64   `json:"since"`            // list the cancellations told since this revision
-	AgreedRound    uint64   `json:"agreed,omitempty"` // the last round in which all agreed, 0: none
-	Cancelled      []string `json:"void,omitempty"`   // jobs of which somebody was told that they are
-	// VotesIncludeMirror says that Agreed rests on words that were.
-	VotesIncludeMirror bool `json:"mirrored,omitempty"`
-}
+	// MirrorRevision is the revision up to which the controller's mirror holds everything;
+	// 0 if it has loaded nothing yet.
+	MirrorRevision uint64 `json:"revision"`
 
-// Coordinator asks the rounds. The zero value is ready.
-type Coordinator struct {
-	round          uint64
-	startedAt      time.Duration
-	votes          map[string]Vote
-	complete       bool // all words of the round are in
-	agreedRound    uint64
-	cancelledSince uint64
-	cancelledJobs  []string
-	serveUntil     time.Duration
-}
+	// LoadedRevision is the revision that the controller's mirror was loaded at. Whatever it
+	// acknowledged before it was restarted is no newer than that.
+	LoadedRevision uint64 `json:"loaded"`
 
-// NextRound is the question to be asked now, if one is due: every has passed since the last,
-// and all have answered that or never will.
-func (l *Coordinator) NextRound(now, every, span time.Duration) (Round, bool) {
-	switch {
-	case l.round == 0 || l.complete && now-l.startedAt >= every:
-		l.round++
-	case !l.complete && now-l.startedAt >= span:
-		// Who has not answered by now may never have been asked: nothing may rest on
-		// the round before the next one, so that gets no number.
-		l.round += 2
-	default:
-		return Round{}, false
-	}
-	l.startedAt, l.complete, l.votes = now, false, map[string]Vote{}
-	return Round{Number: l.round, CancelledSince: l.cancelledSince, AgreedRound: l.agreedRound, Cancelled: l.cancelledJobs, VotesIncludeMirror: true}, true
-}
+	// Cancelled lists every job whose cancellation, newer than CancelledSince, the controller
+	// may have acknowledged.
+	CancelledSince uint64   `json:"since"`
+	Cancelled      []string `json:"cancelled,omitempty"`
 
-// ReceiveVote takes a controller's word. epoch is the leader's own; labels are all controllers,
-// the leader too.
-func (l *Coordinator) ReceiveVote(label string, w Vote, epoch uint64, span time.Duration, labels []string) {
-	if w.Round != l.round || l.complete {
-		return
-	}
-	l.votes[label] = w
-	for _, x := range labels {
-		if _, ok := l.votes[x]; !ok {
-			return
-		}
-	}
-	l.complete = true
-	least, most := ^uint64(0), uint64(0)
-	agreed := true
-	var cancelled []string
-	for _, x := range labels {
-		w := l.votes[x]
-		agreed = agreed && w.StoreDown && w.Epoch == epoch && w.MirrorRevision > 0 && w.IncludesMirror
-		least = min(least, w.MirrorRevision)
-		most = max(most, w.LoadedRevision, w.CancelledSince)
-		cancelled = append(cancelled, w.Cancelled...)
-	}
-	l.cancelledSince = least
-	if !agreed || least < most {
-		return // somebody may have told of a cancellation that another does not know
-	}
-	slices.Sort(cancelled)
-	l.agreedRound, l.cancelledJobs = l.round, slices.Compact(cancelled)
-	l.serveUntil = l.startedAt + span
+	// IncludesMirror says that Cancelled holds what the mirror brought, too. An older version
+	// lists only what it wrote itself and had confirmed: its vote is not enough.
+	IncludesMirror bool `json:"mirrored,omitempty"`
 }
 
-// CancelledJobs lists the jobs that the leader's own tasks must be stopped of, too.
-func (l *Coordinator) CancelledJobs() []string { return l.cancelledJobs }
-
-// MayServeUntil is until when the leader itself may go on.
-func (l *Coordinator) MayServeUntil() time.Duration { return l.serveUntil }
-
-// Voter answers the rounds. The zero value is ready.
-type Voter struct {
-	lastRound, previousRound uint64 // the rounds answered last, and when
-	lastVotedAt              time.Duration
-	previousVotedAt          time.Duration
-	serveUntil               time.Duration
+// permits reports whether the vote lets others serve in the leader's epoch.
+func (v *Vote) permits(epoch uint64) bool {
+	return v.StoreDown && v.Epoch == epoch && v.MirrorRevision > 0 && v.IncludesMirror
 }
 
-// HandleRound notes that the word on a question leaves now, and takes what it tells of earlier
+// Round is the question that the leader asks all controllers, with the outcome of earlier
 // rounds.
-func (m *Voter) HandleRound(now, span time.Duration, a Round) {
-	if a.Number <= m.lastRound {
-		return // an old question: its answer is not the first
-	}
-	if a.VotesIncludeMirror && a.AgreedRound > 0 && a.AgreedRound == m.lastRound && m.previousRound+1 == m.lastRound {
-		m.serveUntil = max(m.serveUntil, m.previousVotedAt+span)
-	}
-	m.previousRound, m.previousVotedAt = m.lastRound, m.lastVotedAt
-	m.lastRound, m.lastVotedAt = a.Number, now
-}
+type Round struct {
+	Number         uint64 `json:"round"`
+	CancelledSince uint64 `json:"since"` // list cancellations that are newer than this revision
+
+	// AgreedRound is the number of the last round in which all votes agreed, 0 if there is
+	// none, and Cancelled the jobs of which some controller then acknowledged a cancellation.
+	AgreedRound uint64   `json:"agreed,omitempty"`
+	Cancelled   []string `json:"void,omitempty"`
 
-// MayServeUntil is until when this member may go on.
-func (m *Voter) MayServeUntil() time.Duration { return m.serveUntil }
+	// VotesIncludeMirror says that AgreedRound rests on votes whose IncludesMirror was set.
+	VotesIncludeMirror bool `json:"mirrored,omitempty"`
+}
