--- a/internal/stepdown/stepdown.go
+++ b/internal/stepdown/stepdown.go
@@ -1,59 +1,72 @@
-// Package stepdown decides what follows from the links that a controller has and those that it
-// lacks: so far, when a leader that can serve nobody lets another lead. It has no clock,
-// input or output.
+// Package stepdown decides when a leader that keeps its lease but can serve nobody gives up
+// the lead, and for how long it then leaves the lead to others.
 //
-// The idea that a leader which keeps its lease but reaches too little must step down of
-// itself is check-quorum (Ongaro, Consensus: Bridging Theory and Practice, 2014, §6.2). Here
-// the state service elects, so what counts is not a majority of votes: it is whether any
+// A leader that holds its lease but reaches too little must step down by itself: that is
+// check-quorum (Ongaro, Consensus: Bridging Theory and Practice, 2014, §6.2). Here the
+// key-value store elects the leader, so what counts is not a majority of votes but whether any
 // work can start through this leader.
+//
+// The package owns the patience with such a leader and the back-off after a step-down. It has
+// no clock, input or output, and must not know what a link is: the caller says whether the
+// leader can serve anybody, who else lives, and writes the election record.
+//
+// Invariants: a condition that flaps faster than the caller's patience never causes a
+// step-down; whatever the links do, a controller steps down at most MaxStepDownsPerHour times
+// an hour as long as others take the lead; a site whose lead nobody else takes is not left
+// without a leader.
 package stepdown
 
 import "time"
 
-// Tracker is a controller's part in who leads.
+// maxDoublings is how often the back-off doubles. With a base of seconds the longest one lasts
+// minutes: a link that goes on flapping costs little, and one that is mended is soon used again.
+const maxDoublings = 6
+
+// Tracker is a controller's record of its own step-downs. Only BaseBackoff need be set.
 type Tracker struct {
-	// BaseBackoff is how long a controller that has handed over stays back the first time, and
-	// each time again twice as long, up to 64 times. It also bounds how often that happens:
-	// see MostInAnHour.
+	// BaseBackoff is how long a controller leaves the lead to others after it has stepped down
+	// for the first time. The time doubles with each further step-down, maxDoublings times. It
+	// also bounds how often step-downs happen: see MaxStepDownsPerHour.
 	BaseBackoff time.Duration
 
 	unable       bool          // it leads and can serve nobody
-	unableSince  time.Duration // since when it is so
-	ableSince    time.Duration // since when it is not
-	stepDowns    int
-	backoffUntil time.Duration // it stays back
+	unableSince  time.Duration // when unable last changed
+	ableSince    time.Duration // when unable last changed, or when the last back-off ended
+	stepDowns    int           // since it last led well for long
+	backoffUntil time.Duration
 }
 
-// maxDoublings is how often the time to stay back doubles.
-const maxDoublings = 6
-
-// ShouldStepDown takes note of whether this leader can serve nobody, and reports whether it has been
-// so for patience: then it should hand over. What flaps faster than that never counts.
-func (h *Tracker) ShouldStepDown(now time.Duration, idle bool, patience time.Duration) bool {
-	if idle != h.unable {
-		h.unable, h.unableSince, h.ableSince = idle, now, now
+// ShouldStepDown records whether this leader can serve nobody, and reports whether that has
+// lasted for patience.
+func (t *Tracker) ShouldStepDown(now time.Duration, unable bool, patience time.Duration) bool {
+	if unable != t.unable {
+		t.unable, t.unableSince, t.ableSince = unable, now, now
 	}
-	if !idle && now-h.ableSince >= h.BaseBackoff<<maxDoublings {
-		h.stepDowns = 0
+	if !unable && now-t.ableSince >= t.maxBackoff() {
+		t.stepDowns = 0
 	}
-	return idle && now-h.unableSince >= patience
+	return unable && now-t.unableSince >= patience
 }
 
-// SteppedDown notes that it has handed over.
-func (h *Tracker) SteppedDown(now time.Duration) {
-	h.backoffUntil = now + h.BaseBackoff<<min(h.stepDowns, maxDoublings)
-	h.stepDowns++
-	h.unable, h.ableSince = false, h.backoffUntil
+// SteppedDown records that the controller has stepped down, which starts its back-off.
+func (t *Tracker) SteppedDown(now time.Duration) {
+	t.backoffUntil = now + t.BaseBackoff<<min(t.stepDowns, maxDoublings)
+	t.stepDowns++
+	t.unable, t.ableSince = false, t.backoffUntil
 }
 
-// ShouldAbstain reports whether it should leave an empty place to others. It does not if no
-// other lives, or if the place has been empty for longer than others need to take it.
-func (h *Tracker) ShouldAbstain(now time.Duration, others bool, empty, need time.Duration) bool {
-	return now < h.backoffUntil && others && empty < need
+// ShouldAbstain reports whether this controller should leave a vacant lead to others. It
+// should not if no other lives, or if the lead has been vacant for longer than others need to
+// take it.
+func (t *Tracker) ShouldAbstain(now time.Duration, othersAlive bool, vacantFor, takeoverTime time.Duration) bool {
+	return now < t.backoffUntil && othersAlive && vacantFor < takeoverTime
 }
 
-// MaxStepDownsPerHour is how often a controller hands over in an hour at most, whatever its links
-// do, as long as others take the place.
-func (h *Tracker) MaxStepDownsPerHour() int {
-	return maxDoublings + 2 + int(time.Hour/(h.BaseBackoff<<maxDoublings))
+// MaxStepDownsPerHour is how often a controller steps down in an hour at most, whatever its
+// links do, as long as others take the lead: once for each length of the back-off, once more
+// at the start of the hour, and then once in each longest back-off.
+func (t *Tracker) MaxStepDownsPerHour() int {
+	return maxDoublings + 2 + int(time.Hour/t.maxBackoff())
 }
+
+func (t *Tracker) maxBackoff() time.Duration { return t.BaseBackoff << maxDoublings }
--- a/internal/stepdown/stepdown_test.go
+++ b/internal/stepdown/stepdown_test.go
@@ -5,35 +5,76 @@
 	"time"
 )
 
-// However its links flap, a controller hands over a bounded number of times in an hour; it
-// takes the place back when nobody else does; and a day of peace makes it new.
-func TestStepDownsPerHourAreBounded(t *testing.T) {
-	const second = time.Second
-	for _, period := range []time.Duration{3 * second, 5 * second, 20 * second, 300 * second} {
-		h := &Tracker{BaseBackoff: 16 * second}
-		handed, leads := 0, true
-		for now := time.Duration(0); now < time.Hour; now += second / 4 {
-			if !leads { // the one who took it is as badly off
-				leads = !h.ShouldAbstain(now, true, 0, 4*second)
-				continue
-			}
-			if h.ShouldStepDown(now, now/period%2 == 0, 4*second) {
-				h.SteppedDown(now)
-				handed, leads = handed+1, false
-			}
-		}
-		if period == 3*second && handed > 0 || handed > h.MaxStepDownsPerHour() || period > 4*second && handed == 0 {
-			t.Errorf("a link that flaps every %v: %d times in an hour, bound %d", period, handed, h.MaxStepDownsPerHour())
-		}
-		if h.ShouldAbstain(time.Hour, false, 0, 4*second) || h.ShouldAbstain(time.Hour, true, 5*second, 4*second) {
-			t.Error("it stays back although nobody else can lead")
+const (
+	baseBackoff  = 16 * time.Second
+	patience     = 4 * time.Second
+	takeoverTime = 4 * time.Second
+	step         = time.Second / 4
+)
+
+// playFlapping plays an hour of a link that changes every period, and counts the step-downs.
+// Whoever takes the lead is as badly off and loses it at once.
+func playFlapping(tracker *Tracker, period time.Duration) (stepDowns int) {
+	leads := true
+	for now := time.Duration(0); now < time.Hour; now += step {
+		if !leads {
+			leads = !tracker.ShouldAbstain(now, true, 0, takeoverTime)
+			continue
 		}
-		later := 4 * time.Hour
-		h.ShouldStepDown(time.Hour, false, 4*second)
-		h.ShouldStepDown(later, false, 4*second)
-		h.SteppedDown(later)
-		if !h.ShouldAbstain(later+15*second, true, 0, 4*second) || h.ShouldAbstain(later+17*second, true, 0, 4*second) {
-			t.Error("after hours of leading well it is held against it how often it handed over before")
+		unable := now/period%2 == 0
+		if tracker.ShouldStepDown(now, unable, patience) {
+			tracker.SteppedDown(now)
+			stepDowns++
+			leads = false
 		}
 	}
+	return stepDowns
+}
+
+func TestStepDownsPerHourAreBounded(t *testing.T) {
+	for _, test := range []struct {
+		period   time.Duration // in which a link changes
+		stepDown bool          // it is cut for longer than the patience
+	}{
+		{3 * time.Second, false},
+		{5 * time.Second, true},
+		{20 * time.Second, true},
+		{300 * time.Second, true},
+	} {
+		t.Run(test.period.String(), func(t *testing.T) {
+			tracker := &Tracker{BaseBackoff: baseBackoff}
+			stepDowns := playFlapping(tracker, test.period)
+			if stepDowns > tracker.MaxStepDownsPerHour() || (stepDowns > 0) != test.stepDown {
+				t.Errorf("%d step-downs in an hour, bound %d", stepDowns, tracker.MaxStepDownsPerHour())
+			}
+			checkVacantLeadIsTaken(t, tracker)
+			checkRecordIsCleared(t, tracker)
+		})
+	}
+}
+
+// checkVacantLeadIsTaken checks that a controller takes the lead when nobody else does.
+func checkVacantLeadIsTaken(t *testing.T, tracker *Tracker) {
+	t.Helper()
+	if tracker.ShouldAbstain(time.Hour, false, 0, takeoverTime) {
+		t.Error("it abstains although no other controller lives")
+	}
+	if tracker.ShouldAbstain(time.Hour, true, takeoverTime+time.Second, takeoverTime) {
+		t.Error("it abstains although no other controller took the lead")
+	}
+}
+
+// checkRecordIsCleared checks that the back-off is the first again after hours of leading well.
+func checkRecordIsCleared(t *testing.T, tracker *Tracker) {
+	t.Helper()
+	const later = 4 * time.Hour
+	tracker.ShouldStepDown(time.Hour, false, patience)
+	tracker.ShouldStepDown(later, false, patience)
+	tracker.SteppedDown(later)
+	if !tracker.ShouldAbstain(later+baseBackoff-time.Second, true, 0, takeoverTime) {
+		t.Error("it takes the lead back before its back-off is over")
+	}
+	if tracker.ShouldAbstain(later+baseBackoff+time.Second, true, 0, takeoverTime) {
+		t.Error("its back-off still counts step-downs from hours before")
+	}
 }
