--- a/internal/calibration/calibration_test.go
+++ b/internal/calibration/calibration_test.go
@@ -6,28 +6,65 @@
 	"testing"
 )
 
-// Owners whose estimates are good are followed, those whose estimates are noise are not,
-// and estimates that are three times too high throughout make no difference.
+// learn observes 200 jobs whose estimates are three times too high throughout, and noisy.
+func learn(noise float64) *Model {
+	luck := rand.New(rand.NewPCG(1, 2))
+	model := &Model{}
+	for range 200 {
+		ratio := math.Exp(luck.NormFloat64() * 0.7)
+		estimate := 3 * 50 * ratio * math.Exp(luck.NormFloat64()*noise)
+		model.ObserveEstimate(estimate)
+		model.ObserveDuration(estimate, ratio)
+	}
+	return model
+}
+
 func TestSlopeFollowsQualityOfEstimates(t *testing.T) {
-	for _, c := range []struct{ noise, low, high float64 }{{0.05, 2.6, 3.2}, {3, 0.8, 1.35}} {
-		r := rand.New(rand.NewPCG(1, 2))
-		var f Model
-		for range 200 {
-			real := math.Exp(r.NormFloat64() * 0.7)
-			estimate := 3 * 50 * real * math.Exp(r.NormFloat64()*c.noise)
-			f.ObserveEstimate(estimate)
-			f.ObserveDuration(estimate, real)
-		}
-		typical := math.Exp(f.meanLogEstimate)
-		if x := f.Factor(3 * typical); x < c.low || x > c.high {
-			t.Errorf("with noise %v three times the usual estimate is taken for %v times the work", c.noise, x)
-		}
-		if f.Factor(typical) != 1 || f.Factor(1e9*typical) > maxFactor || f.Factor(0) != 1 {
-			t.Error(f.Factor(typical), f.Factor(1e9*typical), f.Factor(0))
+	for _, test := range []struct {
+		name      string
+		noise     float64
+		low, high float64 // bounds of the factor for three times the usual estimate
+	}{
+		{"good estimates are followed", 0.05, 2.6, 3.2},
+		{"noise is ignored", 3, 0.8, 1.35},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			model := learn(test.noise)
+			typical := math.Exp(model.meanLogEstimate)
+			if factor := model.Factor(3 * typical); factor < test.low || factor > test.high {
+				t.Errorf("three times the usual estimate: factor %v, not %v to %v", factor, test.low, test.high)
+			}
+			if factor := model.Factor(typical); factor != 1 {
+				t.Errorf("the usual estimate: factor %v, not 1", factor)
+			}
+			if factor := model.Factor(1e9 * typical); factor > maxFactor {
+				t.Errorf("a huge estimate: factor %v, more than %v", factor, maxFactor)
+			}
+			if factor := model.Factor(0); factor != 1 {
+				t.Errorf("no estimate: factor %v, not 1", factor)
+			}
+		})
+	}
+}
+
+func TestFactorIsOneWithoutHistory(t *testing.T) {
+	var model Model
+	if factor := model.Factor(10); factor != 1 {
+		t.Errorf("factor %v, not 1", factor)
+	}
+}
+
+func TestUnusableValuesAreIgnored(t *testing.T) {
+	model := learn(0.05)
+	before := *model
+	for _, ratio := range []float64{0, -1, math.Inf(1), math.NaN()} {
+		if model.ObserveDuration(400, ratio); *model != before {
+			t.Errorf("a ratio of %v changed the model", ratio)
 		}
 	}
-	var none Model
-	if none.Factor(10) != 1 {
-		t.Error("without any history all jobs of a name are alike")
+	for _, estimate := range []float64{0, -1, math.NaN()} {
+		if model.ObserveEstimate(estimate); *model != before {
+			t.Errorf("an estimate of %v changed the model", estimate)
+		}
 	}
 }
