--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -1,76 +1,86 @@
-// Package dag follows which jobs need which: who waits for whom, who may start, who
-// is cancelled because of whom, and how urgent a job is for the sake of those behind it.
-// It is pure: what the records of jobs say goes in, verdicts come out, and every
-// controller that has read the same records reaches the same ones, in whatever order it
-// read them.
+// Package dag follows which jobs depend on which: what each waits for, when it becomes ready,
+// which jobs are aborted because one that they depend on is, and how urgent a job is for the
+// sake of its dependents.
 //
-// Two facts carry it. Done is final, so a job that is ready stays ready. And no task of a
-// job starts before all that it needs is done, so a job behind one that is cancelled has
-// never had a task: that it is cancelled too is derived from the one record, without a
-// write for each and without touching a machine.
+// # What it owns
 //
-// Nothing here recurses: a user's chain may be thousands of jobs long. Telling the graph of
-// a job costs time in proportion to the edges that this settles, and each edge is settled
-// once. Ways weighed, with sources, are in docs/pipelines.md.
+// The dependency graph of unfinished jobs, and what follows from it. It is pure: what the
+// records of jobs say goes in, events and priorities come out. It has no clock, input or
+// output, and must not know where records are kept, what a task is, or how a job is ranked.
+//
+// # Invariants
+//
+// Every controller that has read the same records reaches the same result, in whatever order
+// it read them. Two facts carry that. Done is final, so a job that is ready stays ready. And
+// no task of a job starts before everything that it depends on is done, so a dependent of a
+// cancelled job has never had a task: that it is aborted, too, is derived from the one record,
+// without a write for each dependent and without a word to any machine.
+//
+// Nothing here recurses: a user's chain may be thousands of jobs long. To mark a job costs time
+// in proportion to the edges that this settles, and each edge is settled once. The ways that
+// were weighed, with sources, are in docs/dependencies.md.
 package dag
 
-import "slices"
-
 // State is how a job stands.
 type State int
 
+// The states of a job.
 const (
-	Unknown State = iota // nothing has been read of it yet; it is taken for open
-	Open                 // not over
+	Unknown State = iota // nothing has been read of it yet; it counts as open
+	Open                 // unfinished
 	Done
-	Aborted // by its user, or because one that it needs is
+	Aborted // cancelled by its user, or because of one that it depends on
 )
 
-// Event is news of a job that needs others: it has become ready, or is aborted.
+// Event is news of a job that depends on others: it has become ready, or is aborted.
 type Event struct {
 	Job     string
 	Aborted bool
-	Cause   string  // with Aborted: the job that was cancelled by its user
-	ReadyAt float64 // without: time of day when the last job that it needs was done, in seconds
+	Cause   string  // if aborted: the job whose abort caused it
+	ReadyAt float64 // if ready: time of day when the last of its dependencies was done, in seconds
 }
 
-// Graph holds the jobs that need others and those that are needed by a job that is not
-// over. The others are not in it.
+// Lookup tells how a job stands that the graph may not hold: its state in the store's mirror
+// and, if it is done, since when, as a time of day in seconds.
+type Lookup func(id string) (state State, doneAt float64)
+
+// Graph holds the unfinished jobs that wait for others, and the jobs that they wait for. Other
+// jobs are not in it.
 type Graph struct {
 	nodes        map[string]*node
-	arrivals     []*node // in the order in which they came, some of them gone
-	events       []Event
-	waitingCount int // jobs that need one that is not done
-	orderStale   bool
-	topological  []*node // open jobs, each before those that it needs
-	refreshTurn  int     // of those that are asked for their own weights anew
-}
+	arrivals     []*node // in the order in which they came; some of them removed
+	events       []Event // not taken yet
+	waitingCount int     // jobs with an unmet dependency
 
-// refreshInterval is how many times Weigh is called until every waiting job has been asked for
-// its own weight anew: what is predicted of it changes slowly, and with ten thousands of
-// them asking took most of a leader's round.
-const refreshInterval = 16
+	orderStale  bool    // the graph has changed since topological was made
+	topological []*node // unfinished jobs, each before those that it depends on
+	refreshTurn int     // which jobs' own priorities are asked for anew next
+}
 
+// node is a job. Its lists may hold nodes that are finished; the counts do not.
 type node struct {
-	id                string
-	state             State
-	dependenciesKnown bool    // what it needs is known
-	dependencies      []*node // some of them done by now,
-	unmet             int     // and so many not
-	dependents        []*node // that need it, some of them over by now,
-	liveDependents    int     // and so many not
-	countedWaiting    bool    // it is counted among those that wait
-	readyAt           float64 // when the newest of those that are done was
-	eventPending      bool    // it is aborted, and nobody has taken the news
-	removed           bool    // out of the graph
+	id    string
+	state State
+
+	dependenciesKnown bool // the job's own record was read
+	dependencies      []*node
+	unmet             int // dependencies that are not done
+	dependents        []*node
+	liveDependents    int // dependents that still wait
+
+	countedWaiting bool    // in Graph.waitingCount
+	readyAt        float64 // when the newest of the dependencies that are done was
+	eventPending   bool    // it is aborted, and nobody has taken the event yet
+	removed        bool    // from the graph
 
 	own, effective     Priority
-	unplacedDependents int // used by sort
+	unplacedDependents int // while the topological order is made
 }
 
 // New makes an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*node{}} }
 
+// node finds a job, or adds it with an unknown state.
 func (g *Graph) node(id string) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -81,37 +91,18 @@
 	return n
 }
 
-// Lookup says how a job stands that the graph may not have met: what the mirror holds of it,
-// and when it was done, as a time of day in seconds.
-type Lookup func(id string) (State, float64)
-
-// AddJob tells of an open job that needs others. A second time changes nothing: what a job
-// needs never does.
-func (g *Graph) AddJob(id string, needs []string, look Lookup) {
+// AddJob adds an unfinished job that depends on others. A second time changes nothing, since
+// a job's dependencies never change.
+func (g *Graph) AddJob(id string, dependencies []string, lookup Lookup) {
 	n := g.node(id)
 	if n.dependenciesKnown {
 		return
 	}
 	n.dependenciesKnown, n.state, g.orderStale = true, Open, true
-	for _, name := range needs {
-		m := g.nodes[name]
-		state, at := Unknown, 0.0
-		if m == nil || m.state == Unknown {
-			state, at = look(name)
-		} else {
-			state = m.state
-		}
-		switch state {
-		case Done:
-			n.readyAt = max(n.readyAt, at)
-		case Aborted:
-			g.abort(n, name)
+	for _, dependency := range dependencies {
+		if g.addDependency(n, dependency, lookup) == Aborted {
+			g.abort(n, dependency)
 			return
-		default:
-			m = g.node(name)
-			m.state = state
-			n.dependencies, n.unmet = append(n.dependencies, m), n.unmet+1
-			m.dependents, m.liveDependents = append(m.dependents, n), m.liveDependents+1
 		}
 	}
 	if n.unmet == 0 {
@@ -122,73 +113,110 @@
 	g.waitingCount++
 }
 
-// MarkOpen tells that an open job has been read that others may need.
+// addDependency adds an edge if the dependency is not finished, and returns how it stands.
+func (g *Graph) addDependency(n *node, id string, lookup Lookup) State {
+	state, doneAt := Unknown, 0.0
+	if known := g.nodes[id]; known != nil {
+		state = known.state
+	}
+	if state == Unknown {
+		state, doneAt = lookup(id)
+	}
+	switch state {
+	case Done:
+		n.readyAt = max(n.readyAt, doneAt)
+	case Unknown, Open:
+		dependency := g.node(id)
+		dependency.state = state
+		n.dependencies = append(n.dependencies, dependency)
+		n.unmet++
+		dependency.dependents = append(dependency.dependents, n)
+		dependency.liveDependents++
+	}
+	return state
+}
+
+// MarkOpen records that an unfinished job was read on which others may depend.
 func (g *Graph) MarkOpen(id string) {
 	if n := g.nodes[id]; n != nil && n.state == Unknown {
 		n.state = Open
 	}
 }
 
-// MarkFinished tells of a job that its own record calls done, at that time of day in seconds, or
-// cancelled.
-func (g *Graph) MarkFinished(id string, done bool, at float64) {
+// MarkFinished records what a job's own record says: that it is done, at that time of day in
+// seconds, or else cancelled.
+func (g *Graph) MarkFinished(id string, done bool, doneAt float64) {
 	n := g.nodes[id]
 	if n == nil {
-		return
+		return // nothing depends on it
 	}
-	if !done {
+	if done {
+		g.markDone(n, doneAt)
+	} else {
 		g.abort(n, id)
-		return
 	}
-	g.detach(n) // it needs nothing that is not done, or an older version ran it
+}
+
+func (g *Graph) markDone(n *node, doneAt float64) {
+	g.detach(n) // it may have unmet dependencies if an older version ran it
 	n.state, g.orderStale = Done, true
-	by := n.dependents
+	dependents := n.dependents
 	n.dependents, n.liveDependents = nil, 0
 	g.removeIfUnneeded(n)
-	for _, d := range by {
-		if d.state != Open {
-			continue
-		}
-		d.readyAt = max(d.readyAt, at)
-		if d.unmet--; d.unmet == 0 {
-			d.countedWaiting = false
-			g.waitingCount--
-			g.markReady(d)
+	for _, dependent := range dependents {
+		if dependent.state == Open {
+			g.meetDependency(dependent, doneAt)
 		}
 	}
 }
 
-// markReady says that a job may start now.
+// meetDependency records that one of the dependencies of a waiting job is done.
+func (g *Graph) meetDependency(n *node, doneAt float64) {
+	n.readyAt = max(n.readyAt, doneAt)
+	n.unmet--
+	if n.unmet == 0 {
+		n.countedWaiting = false
+		g.waitingCount--
+		g.markReady(n)
+	}
+}
+
 func (g *Graph) markReady(n *node) {
 	g.events = append(g.events, Event{Job: n.id, ReadyAt: n.readyAt})
 	g.removeIfUnneeded(n)
 }
 
-// abort takes out a job and all behind it.
-func (g *Graph) abort(n *node, cause string) {
+// abort aborts a job and, without recursion, everything that depends on it.
+func (g *Graph) abort(first *node, cause string) {
 	g.orderStale = true
-	for todo := []*node{n}; len(todo) > 0; {
-		n := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
+	pending := []*node{first}
+	for len(pending) > 0 {
+		n := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		if n.state == Aborted || n.state == Done {
 			continue
 		}
 		g.detach(n)
 		n.state = Aborted
-		todo = append(todo, n.dependents...)
+		pending = append(pending, n.dependents...)
 		n.dependents, n.liveDependents = nil, 0
-		if n.id == cause {
-			g.removeIfUnneeded(n)
-			continue
-		}
-		// It stays until the news is taken: until then whoever looks it up elsewhere finds
-		// it open, and a job that needs it would wait for ever.
-		n.eventPending = true
-		g.events = append(g.events, Event{Job: n.id, Aborted: true, Cause: cause})
+		g.reportAbort(n, cause)
+	}
+}
+
+// reportAbort adds the event of an aborted job, unless its own record was the cause.
+func (g *Graph) reportAbort(n *node, cause string) {
+	if n.id == cause {
+		g.removeIfUnneeded(n)
+		return
 	}
+	// It stays in the graph until the event is taken. Until then a lookup elsewhere finds the
+	// job open, and a new job that depends on it would wait for ever.
+	n.eventPending = true
+	g.events = append(g.events, Event{Job: n.id, Aborted: true, Cause: cause})
 }
 
-// detach has a waiting job wait no more.
+// detach ends a job's wait for its dependencies.
 func (g *Graph) detach(n *node) {
 	if n.unmet == 0 {
 		return
@@ -198,15 +226,15 @@
 		n.countedWaiting = false
 		g.waitingCount--
 	}
-	for _, m := range n.dependencies {
-		if m.liveDependents > 0 {
-			m.liveDependents--
+	for _, dependency := range n.dependencies {
+		if dependency.liveDependents > 0 {
+			dependency.liveDependents--
 		}
-		g.removeIfUnneeded(m)
+		g.removeIfUnneeded(dependency)
 	}
 }
 
-// removeIfUnneeded forgets a job that nobody needs any more and that waits for nobody.
+// removeIfUnneeded removes a job on which no other waits and that waits for none.
 func (g *Graph) removeIfUnneeded(n *node) {
 	if n.liveDependents == 0 && n.unmet == 0 && !n.eventPending && !n.removed {
 		n.removed, g.orderStale = true, true
@@ -214,106 +242,39 @@
 	}
 }
 
-// TakeEvents are the verdicts since the last call, in the order in which they fell.
+// TakeEvents returns the events since the last call, in the order in which they occurred.
 func (g *Graph) TakeEvents() []Event {
-	news := g.events
+	events := g.events
 	g.events = nil
-	for i := range news {
-		if n := g.nodes[news[i].Job]; n != nil && news[i].Aborted {
+	for i := range events {
+		if n := g.nodes[events[i].Job]; n != nil && events[i].Aborted {
 			n.eventPending = false
 			g.removeIfUnneeded(n)
 		}
 	}
-	return news
+	return events
 }
 
-// IsWaiting reports whether a job needs one that is not done.
+// IsWaiting reports whether a job has an unmet dependency.
 func (g *Graph) IsWaiting(id string) bool {
 	n := g.nodes[id]
 	return n != nil && n.unmet > 0
 }
 
-// WaitingCount is how many jobs do.
+// WaitingCount is the number of jobs with an unmet dependency.
 func (g *Graph) WaitingCount() int { return g.waitingCount }
 
-// UnmetDependencies names up to most of the jobs that a job waits for, and how many more there are.
-func (g *Graph) UnmetDependencies(id string, most int) (names []string, more int) {
+// UnmetDependencies names up to limit of the jobs that a job waits for, and says how many
+// more there are.
+func (g *Graph) UnmetDependencies(id string, limit int) (names []string, more int) {
 	n := g.nodes[id]
 	if n == nil {
 		return nil, 0
 	}
-	for _, m := range n.dependencies {
-		if m.state != Done && len(names) < most {
-			names = append(names, m.id)
+	for _, dependency := range n.dependencies {
+		if dependency.state != Done && len(names) < limit {
+			names = append(names, dependency.id)
 		}
 	}
 	return names, n.unmet - len(names)
 }
-
-// Priority is how a job counts in a pipeline.
-type Priority struct {
-	Urgency      int     // the smaller the more urgent
-	LatestFinish float64 // time of day by which it is to be done, in seconds; +Inf: no matter
-	Duration     float64 // seconds that it will take once it is ready
-}
-
-// UpdatePriorities works out anew what each open job of a pipeline counts with: the urgency of the
-// most urgent job that needs it, and the earliest moment by which it must be done for all
-// of those to be in time, their predicted times taken off along the longest path (latest
-// finish times of critical-path scheduling). own tells of a job by itself: of those that
-// may start and of new ones at every call, of the others by turns.
-func (g *Graph) UpdatePriorities(own func(id string) Priority) {
-	if g.orderStale {
-		g.sortTopologically()
-	}
-	g.refreshTurn = (g.refreshTurn + 1) % refreshInterval
-	for i, n := range g.topological {
-		if n.unmet == 0 || n.own == (Priority{}) || i%refreshInterval == g.refreshTurn {
-			n.own = own(n.id)
-		}
-		n.effective = n.own
-	}
-	for _, n := range g.topological {
-		for _, m := range n.dependencies {
-			m.effective.Urgency = min(m.effective.Urgency, n.effective.Urgency)
-			m.effective.LatestFinish = min(m.effective.LatestFinish, n.effective.LatestFinish-n.own.Duration)
-		}
-	}
-}
-
-// sortTopologically puts the open jobs into an order in which each comes before those that it needs.
-func (g *Graph) sortTopologically() {
-	g.orderStale = false
-	g.arrivals = slices.DeleteFunc(g.arrivals, func(n *node) bool { return n.removed })
-	for _, n := range g.arrivals {
-		n.unplacedDependents = 0
-	}
-	for _, n := range g.arrivals {
-		for _, m := range n.dependencies {
-			m.unplacedDependents++
-		}
-	}
-	g.topological = g.topological[:0]
-	for _, n := range g.arrivals {
-		if n.unplacedDependents == 0 {
-			g.topological = append(g.topological, n)
-		}
-	}
-	for i := 0; i < len(g.topological); i++ {
-		for _, m := range g.topological[i].dependencies {
-			if m.unplacedDependents--; m.unplacedDependents == 0 && !m.removed {
-				g.topological = append(g.topological, m)
-			}
-		}
-	}
-}
-
-// Priority is what Weigh last made of a job; not ok if it is in no pipeline, or has only
-// just come.
-func (g *Graph) Priority(id string) (Priority, bool) {
-	n := g.nodes[id]
-	if n == nil || n.own == (Priority{}) {
-		return Priority{}, false
-	}
-	return n.effective, true
-}
