--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -23,7 +23,7 @@
 	Why  string   `default:"Regression before a landing; expected: no change" help:"One plain sentence for the journal, under 120 characters."`
 	Days int      `default:"0" help:"How many days a hunt plays on each deployment; 0: as many as the bench does."`
 	Day  string   `placeholder:"DAY" help:"Instead of a score: this one day of each deployment, by its name, or a TOML file of your own."`
-	Site []string `type:"existingfile" placeholder:"SITE" help:"Instead of the kit's: site files of your own (docs/floors.md says how to make one)."`
+	Site []string `type:"existingfile" placeholder:"SITE" help:"Instead of the kit's: site files of your own (docs/fair-share.md says how to make one)."`
 	Mode string   `arg:"" enum:"quick,fleet,full,hunt" help:"quick: the two roughest days of the four deployments; fleet: of the two at fleet size as well, for a change of storage, membership, timers or messages; full: every standard day of all six; hunt: drawn days on all six, and on the two of meeting troubles."`
 }
 
--- a/internal/core/compound_faults_test.go
+++ b/internal/core/compound_faults_test.go
@@ -12,7 +12,7 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Stories of the meetings that the users named first; docs/meetings.md says what each goes
+// Stories of the meetings that the users named first; docs/fault-interleavings.md says what each goes
 // through, and without which guard it was seen to fail.
 
 // startScenario begins a story with so many controllers, whose settings change may alter first.
@@ -116,7 +116,7 @@
 	})
 }
 
-// keyPrefixes are the kinds of write, by the key that each changes; docs/meetings.md has the same
+// keyPrefixes are the kinds of write, by the key that each changes; docs/fault-interleavings.md has the same
 // table.
 var keyPrefixes = []string{"c/node/", "c/leader", "c/map", "c/rigs/", "c/job/", "c/run/", "c/accepted/", "c/admitted/",
 	"c/prog/", "c/long/", "c/est", "c/types", ""}
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -12,7 +12,7 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Stories in which two troubles meet; docs/meetings.md says what each goes through.
+// Stories in which two troubles meet; docs/fault-interleavings.md says what each goes through.
 
 func (s *scenario) cancelSpan() time.Duration { return config.Seconds(s.Set.Site.Workers.CancelS) }
 
