--- a/internal/degraded/degraded_test.go
+++ b/internal/degraded/degraded_test.go
@@ -88,19 +88,19 @@
 	if since, jobs := l.Since(5); since != 5 || !slices.Equal(jobs, []string{"job-7", "job-6"}) {
 		t.Fatal(since, jobs)
 	}
-	for r := range uint64(leastMost - 1) {
+	for r := range uint64(minCapacity - 1) {
 		l.Record(fmt.Sprint("job-", 100+r), 100+r)
 	}
-	if since, jobs := l.Since(0); since != 7 || len(jobs) != leastMost-1 {
+	if since, jobs := l.Since(0); since != 7 || len(jobs) != minCapacity-1 {
 		t.Fatal(since, len(jobs))
 	}
 }
 
 // A log that is made for more holds them, and still takes the same one once.
-func TestCancellationLogHoldsWhatItIsMadeFor(t *testing.T) {
+func TestCancellationLogHoldsItsCapacity(t *testing.T) {
 	for _, most := range []uint64{10, 8000, 16000} {
 		l := NewCancellationLog(int(most))
-		holds := max(most, leastMost)
+		holds := max(most, minCapacity)
 		for range 2 {
 			for r := range holds {
 				l.Record(fmt.Sprint("job-", r), 100+r)
--- a/internal/degraded/log.go
+++ b/internal/degraded/log.go
@@ -1,7 +1,7 @@
 package degraded
 
-// leastMost is how many cancellations a Log holds at the least.
-const leastMost = 1024
+// minCapacity is how many cancellations a CancellationLog holds at the least.
+const minCapacity = 1024
 
 // CancellationLog remembers the cancellations that a controller may have told of since it was started:
 // those that its mirror has brought, and those of its own that the mirror has yet to bring.
@@ -10,10 +10,10 @@
 // Guards against a memory of answers alone: a user was told by a controller that had not
 // written the cancellation, or had got no answer to its write, and nobody listed it.
 type CancellationLog struct {
-	most    int
-	from    uint64 // all that are newer are there
-	entries []entry
-	jobs    map[string]bool // of the entries
+	capacity int
+	from     uint64 // all that are newer are there
+	entries  []entry
+	jobs     map[string]bool // of the entries
 }
 
 type entry struct {
@@ -23,7 +23,7 @@
 
 // NewCancellationLog makes a log that holds at least so many cancellations. A round needs those that
 // the mirror of any controller has yet to bring.
-func NewCancellationLog(most int) CancellationLog { return CancellationLog{most: most} }
+func NewCancellationLog(capacity int) CancellationLog { return CancellationLog{capacity: capacity} }
 
 // Record adds a cancellation and the revision of its write. The same one may come twice, in
 // any order with others.
@@ -34,7 +34,7 @@
 	if l.jobs == nil {
 		l.jobs = map[string]bool{}
 	}
-	if len(l.entries) >= max(l.most, leastMost) {
+	if len(l.entries) >= max(l.capacity, minCapacity) {
 		oldest := l.entries[0]
 		l.from = max(l.from, oldest.revision)
 		delete(l.jobs, oldest.job)
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -25,20 +25,20 @@
 	clock   func() time.Duration
 }
 
-// leastConns is how many connections a client may open at the least.
-const leastConns = 64
+// minConnections is how many connections a client may open at the least.
+const minConnections = 64
 
-// connShare of a process's sockets, one in so many, may go to the state service: what a site of
-// 1,454 machines, with 2,885 sockets and 250 requests a second, has at the least, and a larger
-// site in proportion. While the service answers slowly, requests under way are as many as its
-// requests a second times the seconds that it takes.
-const connShare = 48
+// socketsPerConnection is how many of a process's sockets there are to each connection to the
+// state service: what a site of 1,454 machines, with 2,885 sockets and 250 requests a second, has
+// at the least, and a larger site in proportion. While the service answers slowly, requests under
+// way are as many as its requests a second times the seconds that it takes.
+const socketsPerConnection = 48
 
 // New makes a client of a process that may open maxSockets; timeout bounds each call beyond
 // what a watch holds.
 func New(addr string, timeout time.Duration, maxSockets int, clock func() time.Duration) *Client {
-	conns := max(maxSockets/connShare, leastConns)
-	return &Client{rpc: rpc.New(conns, timeout), addr: addr, timeout: timeout, clock: clock}
+	connections := max(maxSockets/socketsPerConnection, minConnections)
+	return &Client{rpc: rpc.New(connections, timeout), addr: addr, timeout: timeout, clock: clock}
 }
 
 // Commit runs a transaction.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -249,9 +249,9 @@
 
 // Send puts a message on its way. It does not wait: each link is written at its own pace.
 // While more waits on all of them than may, the one with the most is closed: the next one
-// starts with the whole picture.
+// starts with the whole snapshot.
 //
-// Guards against a bound by count: a whole picture of 3,200 machines with 64 tasks each is
+// Guards against a bound by count: a whole snapshot of 3,200 machines with 64 tasks each is
 // more than the 1,024 messages that a link once queued, and closed it at every try.
 func (l *Link) Send(e core.SendToPeer) {
 	l.mu.Lock()
--- a/internal/peer/queue_test.go
+++ b/internal/peer/queue_test.go
@@ -13,8 +13,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// picture is a member's whole picture of machines with 64 tasks each.
-func picture(machines int) peerproto.Message {
+// snapshotOf is a member's whole snapshot of machines with 64 tasks each.
+func snapshotOf(machines int) peerproto.Message {
 	m := peerproto.Message{Epoch: 7, Snapshot: true, ReadSeq: 12}
 	for i := range machines {
 		s := peerproto.MachineState{Name: fmt.Sprintf("n-%07d", i), Addr: "10.0.0.1:8000", Type: "barn", Zone: "a", TasksComplete: true, AcceptsTasks: true}
@@ -44,38 +44,38 @@
 	return a, next[core.PeerConnected](t, sent).Session, sent, got
 }
 
-// A whole picture goes into a link at once, and a second one that was asked for meanwhile.
+// A whole snapshot goes into a link at once, and a second one that was asked for meanwhile.
 // Both arrive over that same link, in order: a count of messages once closed it at every try
 // from 3,200 machines on, mostly before the first line.
-func TestWholePictureArrives(t *testing.T) {
-	for _, of := range []struct{ machines, pictures int }{{4000, 1}, {4000, 2}, {8000, 1}} {
-		machines, pictures := of.machines, of.pictures
-		t.Run(fmt.Sprintf("%d machines, %d pictures", machines, pictures), func(t *testing.T) {
+func TestWholeSnapshotArrives(t *testing.T) {
+	for _, of := range []struct{ machines, snapshots int }{{4000, 1}, {4000, 2}, {8000, 1}} {
+		machines, snapshots := of.machines, of.snapshots
+		t.Run(fmt.Sprintf("%d machines, %d snapshots", machines, snapshots), func(t *testing.T) {
 			a, session, sent, got := pair(t, roomForAll)
-			m := picture(machines)
-			pieces := m.MemberChunks()
-			for range pictures {
-				for _, p := range pieces {
+			m := snapshotOf(machines)
+			chunks := m.MemberChunks()
+			for range snapshots {
+				for _, p := range chunks {
 					a.Send(core.SendToPeer{Session: session, Message: p})
 				}
 			}
 			next[core.PeerConnected](t, got)
-			for n := range pictures * len(pieces) {
+			for n := range snapshots * len(chunks) {
 				select {
 				case c := <-got:
 					line, ok := c.(core.PeerReceived)
-					want := &pieces[n%len(pieces)]
+					want := &chunks[n%len(chunks)]
 					if !ok {
-						t.Fatalf("%T after %d of %d messages", c, n, len(pieces))
+						t.Fatalf("%T after %d of %d messages", c, n, len(chunks))
 					}
 					if line.Message.Chunk != want.Chunk || line.Message.More != want.More || len(line.Message.Machines) != len(want.Machines) ||
 						line.Message.Machines[0].Name != want.Machines[0].Name || len(line.Message.Machines[0].Tasks) != 64 {
-						t.Fatalf("message %d of %d is another: piece %d", n, len(pieces), line.Message.Chunk)
+						t.Fatalf("message %d of %d is another: chunk %d", n, len(chunks), line.Message.Chunk)
 					}
 				case c := <-sent:
 					t.Fatalf("%T at the sender after %d messages", c, n)
 				case <-time.After(10 * time.Second):
-					t.Fatalf("%d of %d messages came", n, len(pieces))
+					t.Fatalf("%d of %d messages came", n, len(chunks))
 				}
 			}
 		})
@@ -110,7 +110,7 @@
 	defer a.Target("")
 	session := next[core.PeerConnected](t, sent).Session
 	begin := time.Now()
-	m := picture(4000)
+	m := snapshotOf(4000)
 	for _, p := range m.MemberChunks() {
 		a.Send(core.SendToPeer{Session: session, Message: p})
 	}
@@ -159,11 +159,11 @@
 		return next[core.PeerConnected](t, sent).Session
 	}
 	unread, reads := dial(false), dial(true)
-	m := picture(4000)
-	pieces := m.MemberChunks()
+	m := snapshotOf(4000)
+	chunks := m.MemberChunks()
 	closed := false
-	for i := 0; i < 3*len(pieces) && !closed; i++ {
-		a.Send(core.SendToPeer{Session: unread, Message: pieces[i%len(pieces)]})
+	for i := 0; i < 3*len(chunks) && !closed; i++ {
+		a.Send(core.SendToPeer{Session: unread, Message: chunks[i%len(chunks)]})
 		a.Send(core.SendToPeer{Session: reads, Message: peerproto.Message{Epoch: 7}})
 		a.mu.Lock()
 		sum := 0
