--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -84,9 +84,9 @@
 	log := logger()
 	began := time.Now()
 	v, s, err := kvfile.Open(f.File)
-	if errors.Is(err, kvfile.ErrDamaged) {
+	if errors.Is(err, kvfile.ErrCorrupt) {
 		hint := "there is no snapshot that can be read"
-		if last, state := kvfile.LastGood(f.Snapshots); last != "" {
+		if last, state := kvfile.NewestValidSnapshot(f.Snapshots); last != "" {
 			hint = fmt.Sprintf("the last good snapshot is %s (revision %d): see `chalkhubctl state restore`, docs/state.md", last, state.Revision)
 		}
 		return fmt.Errorf("%w; %s", err, hint)
@@ -100,8 +100,8 @@
 		return err
 	}
 	log.Info("state read", "file", f.File, "revision", s.Revision, "keys", s.Len(), "took", time.Since(began))
-	srv := kvserver.New(kvserver.Settings{Limits: kvstore.Limits{ValueKB: f.Limits.ValueKB, TxnOps: f.Limits.TxnOps},
-		RPS: f.Limits.RPS, WriteRPS: f.Limits.WriteRPS, Batch: f.Batch}, s, v)
+	srv := kvserver.New(kvserver.Settings{Limits: kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.TxnOps},
+		RequestsPerSecond: f.Limits.RPS, WritesPerSecond: f.Limits.WriteRPS, MaxBatch: f.Batch}, s, v)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return srv.Serve(ctx, l) })
 	if f.Depot != "" {
@@ -126,7 +126,7 @@
 func wish(dir string) string { return filepath.Join(dir, ".wanted") }
 
 // snapshots takes a snapshot now and then, and whenever one is asked for.
-func snapshots(ctx context.Context, f *local.StateFile, v *kvfile.Vault, srv *kvserver.Server, log *slog.Logger) error {
+func snapshots(ctx context.Context, f *local.StateFile, v *kvfile.File, srv *kvserver.Server, log *slog.Logger) error {
 	last, at := uint64(0), time.Now()
 	for {
 		select {
@@ -141,21 +141,21 @@
 			continue
 		}
 		at = time.Now()
-		path, s, err := v.Snapshot(f.Snapshots)
+		path, s, err := v.TakeSnapshot(f.Snapshots)
 		if err != nil {
 			log.Error("no snapshot", "error", err)
 			continue
 		}
 		last = s.Revision
 		if f.Keep > 0 {
-			if err := kvfile.Prune(f.Snapshots, f.Keep); err != nil {
+			if err := kvfile.PruneSnapshots(f.Snapshots, f.Keep); err != nil {
 				log.Error("old snapshots stay", "error", err)
 			}
 		}
 		if asked {
 			os.Remove(wish(f.Snapshots))
 		}
-		log.Info("snapshot taken", "file", path, "revision", s.Revision, "keys", s.Len(), "took", time.Since(at), "figures", srv.Figures())
+		log.Info("snapshot taken", "file", path, "revision", s.Revision, "keys", s.Len(), "took", time.Since(at), "figures", srv.Metrics())
 	}
 }
 
@@ -176,7 +176,7 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 		if _, err := os.Stat(wish(c.Folder)); os.IsNotExist(err) {
-			if list := kvfile.Snapshots(c.Folder); len(list) > 0 {
+			if list := kvfile.ListSnapshots(c.Folder); len(list) > 0 {
 				fmt.Println(list[0])
 				return nil
 			}
@@ -193,7 +193,7 @@
 
 // Run restores a snapshot.
 func (c *stateRestoreCmd) Run() error {
-	kept, s, err := kvfile.Restore(c.Snapshot, c.File)
+	kept, s, err := kvfile.RestoreSnapshot(c.Snapshot, c.File)
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("sound: revision %d, %d keys, %d leases, %d changes kept\n", s.Revision, s.Len(), len(s.Leases()), len(s.Log()))
+	fmt.Printf("sound: revision %d, %d keys, %d leases, %d changes kept\n", s.Revision, s.Len(), len(s.LeaseTTLs()), len(s.Events()))
 	return nil
 }
 
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -14,13 +14,13 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// page is how many keys are read at once: the most that the service gives.
-const page = 1000
+// loadPageKeys is how many keys are read at once: the most that the service gives.
+const loadPageKeys = 1000
 
 // Client talks to the state service. Its methods block.
 type Client struct {
 	rpc     *rpc.Client
-	addr    string
+	address string
 	timeout time.Duration
 	clock   func() time.Duration
 }
@@ -38,7 +38,7 @@
 // what a watch holds.
 func New(addr string, timeout time.Duration, maxSockets int, clock func() time.Duration) *Client {
 	conns := max(maxSockets/connShare, leastConns)
-	return &Client{rpc: rpc.New(conns, timeout), addr: addr, timeout: timeout, clock: clock}
+	return &Client{rpc: rpc.New(conns, timeout), address: addr, timeout: timeout, clock: clock}
 }
 
 // Commit runs a transaction.
@@ -47,19 +47,19 @@
 	if e.Txn.If == nil {
 		e.Txn.If = []protocol.Guard{}
 	}
-	d.Outcome = engine.CommitOutcome(c.rpc.Call("POST", c.addr, "/commit", e.Txn, &d.Answer, c.timeout, fasthttp.StatusOK, fasthttp.StatusConflict))
+	d.Outcome = engine.CommitOutcome(c.rpc.Call("POST", c.address, "/commit", e.Txn, &d.Answer, c.timeout, fasthttp.StatusOK, fasthttp.StatusConflict))
 	return d
 }
 
 // Load reads a page of our keys.
 func (c *Client) Load(e core.LoadPage) core.LoadResult {
 	d := core.LoadResult{SentAt: c.clock()}
-	q := "/store?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Page=" + strconv.Itoa(page)
+	q := "/store?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Page=" + strconv.Itoa(loadPageKeys)
 	if e.After != "" {
 		q += "&Since=" + url.QueryEscape(e.After)
 	}
 	var items protocol.KeyPage
-	if c.rpc.Call("GET", c.addr, q, nil, &items, c.timeout, fasthttp.StatusOK) == fasthttp.StatusOK {
+	if c.rpc.Call("GET", c.address, q, nil, &items, c.timeout, fasthttp.StatusOK) == fasthttp.StatusOK {
 		d.OK, d.Items, d.More, d.Revision = true, items.Items, items.More, items.Revision
 	}
 	return d
@@ -70,7 +70,7 @@
 	d := core.WatchResult{Barrier: e.Barrier, SentAt: c.clock()}
 	q := "/follow?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Since=" + strconv.FormatUint(e.Since, 10) +
 		"&HoldMs=" + strconv.FormatInt(e.Hold.Milliseconds(), 10)
-	d.Outcome = engine.WatchOutcome(c.rpc.Call("GET", c.addr, q, nil, &d.Answer, c.timeout+e.Hold, fasthttp.StatusOK))
+	d.Outcome = engine.WatchOutcome(c.rpc.Call("GET", c.address, q, nil, &d.Answer, c.timeout+e.Hold, fasthttp.StatusOK))
 	return d
 }
 
@@ -78,11 +78,11 @@
 func (c *Client) Lease(e core.RenewLease) core.LeaseResult {
 	d := core.LeaseResult{SentAt: c.clock(), LeaseID: e.LeaseID}
 	if e.LeaseID != 0 {
-		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds/"+strconv.FormatUint(e.LeaseID, 10)+"/extend", nil, nil, c.timeout))
+		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.address, "/holds/"+strconv.FormatUint(e.LeaseID, 10)+"/extend", nil, nil, c.timeout))
 		return d
 	}
 	var a protocol.LeaseResponse
-	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.addr, "/holds", protocol.LeaseRequest{TTLMillis: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
+	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.address, "/holds", protocol.LeaseRequest{TTLMillis: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
 	d.LeaseID = a.Lease
 	return d
 }
--- a/internal/kvfile/vault.go
+++ b/internal/kvfile/file.go
@@ -32,40 +32,40 @@
 	metaKey      = []byte("state")
 )
 
-// format is raised when the file's layout changes.
-const format = 1
+// formatVersion is raised when the file's layout changes.
+const formatVersion = 1
 
-// ErrDamaged is returned for a file whose content cannot be trusted.
-var ErrDamaged = errors.New("the file is damaged")
+// ErrCorrupt is returned for a file whose content cannot be trusted.
+var ErrCorrupt = errors.New("the file is damaged")
 
-// ErrFull is returned for a write that found no space; nothing of it was done.
-var ErrFull = errors.New("no space is left for the state file")
+// ErrNoSpace is returned for a write that found no space; nothing of it was done.
+var ErrNoSpace = errors.New("no space is left for the state file")
 
 // ErrInUse is returned when another process has the file open.
 var ErrInUse = errors.New("another process has the state file open")
 
-// meta sums up what else is in the file.
-type meta struct {
-	Format   int    `msgpack:"f"`
-	Revision uint64 `msgpack:"r"`
-	NextID   uint64 `msgpack:"n"`
-	First    uint64 `msgpack:"o"`  // oldest revision that can be followed from
-	LogFrom  uint64 `msgpack:"lf"` // number of the oldest change kept
-	LogTo    uint64 `msgpack:"lt"` // number after the newest one
-	Records  int    `msgpack:"c"`  // keys and leases
-	// Sum is the sum of all records' checksums: a page of an earlier time whose
+// metadata sums up what else is in the file.
+type metadata struct {
+	Format          int    `msgpack:"f"`
+	Revision        uint64 `msgpack:"r"`
+	LastLeaseID     uint64 `msgpack:"n"`
+	CompactRevision uint64 `msgpack:"o"`  // oldest revision that can be followed from
+	FirstEvent      uint64 `msgpack:"lf"` // number of the oldest change kept
+	EndEvent        uint64 `msgpack:"lt"` // number after the newest one
+	RecordCount     int    `msgpack:"c"`  // keys and leases
+	// ChecksumTotal is the sum of all records' checksums: a page of an earlier time whose
 	// records are sound by themselves does not add up to it.
-	Sum uint64 `msgpack:"s"`
+	ChecksumTotal uint64 `msgpack:"s"`
 }
 
-// Vault is an open file. One goroutine may use it, snapshots aside.
-type Vault struct {
-	db   *bolt.DB
-	meta meta
+// File is an open file. One goroutine may use it, snapshots aside.
+type File struct {
+	db       *bolt.DB
+	metadata metadata
 }
 
-// seal puts a record's checksum, which covers its key, in front of its value.
-func seal(bucket, key, value []byte) ([]byte, uint64) {
+// sealRecord puts a record's checksum, which covers its key, in front of its value.
+func sealRecord(bucket, key, value []byte) ([]byte, uint64) {
 	sum := checksum(bucket, key, value)
 	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(value)), sum), value...), sum
 }
@@ -80,24 +80,24 @@
 	return h.Sum64()
 }
 
-// unseal gives a record's value if its checksum holds.
-func unseal(bucket, key, record []byte) ([]byte, uint64, error) {
+// unsealRecord gives a record's value if its checksum holds.
+func unsealRecord(bucket, key, record []byte) ([]byte, uint64, error) {
 	if len(record) < 8 {
-		return nil, 0, fmt.Errorf("%w: record %q of %s is cut short", ErrDamaged, key, bucket)
+		return nil, 0, fmt.Errorf("%w: record %q of %s is cut short", ErrCorrupt, key, bucket)
 	}
 	sum := binary.BigEndian.Uint64(record)
 	if checksum(bucket, key, record[8:]) != sum {
-		return nil, 0, fmt.Errorf("%w: record %q of %s has a wrong checksum", ErrDamaged, key, bucket)
+		return nil, 0, fmt.Errorf("%w: record %q of %s has a wrong checksum", ErrCorrupt, key, bucket)
 	}
 	return record[8:], sum, nil
 }
 
-func num(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 // Open opens the file, or makes it, and reads and checks everything in it. The error
 // wraps ErrDamaged if the file cannot be trusted; nothing is ever mended in silence.
-func Open(path string) (v *Vault, s *kvstore.State, err error) {
-	return open(path, false)
+func Open(path string) (v *File, s *kvstore.State, err error) {
+	return openFile(path, false)
 }
 
 // Verify reads a file without changing it.
@@ -105,19 +105,19 @@
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
-	v, s, err := open(path, true)
+	v, s, err := openFile(path, true)
 	if err != nil {
 		return nil, err
 	}
 	return s, v.Close()
 }
 
-func open(path string, readOnly bool) (v *Vault, s *kvstore.State, err error) {
+func openFile(path string, readOnly bool) (v *File, s *kvstore.State, err error) {
 	switch st, err := os.Stat(path); {
 	case err == nil && st.Size() == 0:
-		return nil, nil, fmt.Errorf("%s: %w: it is empty", path, ErrDamaged)
+		return nil, nil, fmt.Errorf("%s: %w: it is empty", path, ErrCorrupt)
 	case errors.Is(err, os.ErrNotExist) && !readOnly:
-		if err := create(path); err != nil {
+		if err := createFile(path); err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -130,7 +130,7 @@
 			if db != nil {
 				db.Close()
 			}
-			v, s, err = nil, nil, fmt.Errorf("%s: %w: %v", path, ErrDamaged, x)
+			v, s, err = nil, nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, x)
 		}
 	}()
 	// The list of free pages is made anew at each start. Guards against a damaged one,
@@ -142,12 +142,12 @@
 	case errors.Is(err, os.ErrPermission):
 		return nil, nil, err
 	case err != nil:
-		if full(err) {
-			return nil, nil, fmt.Errorf("%s: %w: %w", path, ErrFull, err)
+		if isNoSpace(err) {
+			return nil, nil, fmt.Errorf("%s: %w: %w", path, ErrNoSpace, err)
 		}
-		return nil, nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
+		return nil, nil, fmt.Errorf("%s: %w: %w", path, ErrCorrupt, err)
 	}
-	v = &Vault{db: db}
+	v = &File{db: db}
 	if s, err = v.load(); err != nil {
 		db.Close()
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
@@ -155,7 +155,7 @@
 	return v, s, nil
 }
 
-func syncFolder(dir string) error {
+func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -165,30 +165,30 @@
 }
 
 // Close closes the file.
-func (v *Vault) Close() error { return v.db.Close() }
+func (v *File) Close() error { return v.db.Close() }
 
-// create makes an empty file. It gets its name when it is whole: one that a crash left
+// createFile makes an empty file. It gets its name when it is whole: one that a crash left
 // half made would be taken for a damaged one.
-func create(path string) error {
+func createFile(path string) error {
 	half := path + ".new"
 	if err := os.Remove(half); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
 	db, err := bolt.Open(half, 0o600, &bolt.Options{Timeout: 200 * time.Millisecond, NoFreelistSync: true})
 	if err != nil {
-		if full(err) {
-			return fmt.Errorf("%w: %w", ErrFull, err)
+		if isNoSpace(err) {
+			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 		return err
 	}
-	v := &Vault{db: db}
+	v := &File{db: db}
 	err = db.Update(func(tx *bolt.Tx) error {
 		for _, b := range [][]byte{keysBucket, leasesBucket, logBucket, metaBucket} {
 			if _, err := tx.CreateBucket(b); err != nil {
 				return err
 			}
 		}
-		return v.putMeta(tx, meta{Format: format})
+		return v.writeMetadata(tx, metadata{Format: formatVersion})
 	})
 	if err = errors.Join(err, db.Close()); err != nil {
 		return err
@@ -196,16 +196,16 @@
 	if err := os.Rename(half, path); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(path)) // the file's name must survive too
+	return syncDir(filepath.Dir(path)) // the file's name must survive too
 }
 
-func (v *Vault) putMeta(tx *bolt.Tx, m meta) error {
-	record, _ := seal(metaBucket, metaKey, protocol.Encode(m))
+func (v *File) writeMetadata(tx *bolt.Tx, m metadata) error {
+	record, _ := sealRecord(metaBucket, metaKey, protocol.Encode(m))
 	return tx.Bucket(metaBucket).Put(metaKey, record)
 }
 
 // load reads everything and holds it against the sums.
-func (v *Vault) load() (*kvstore.State, error) {
+func (v *File) load() (*kvstore.State, error) {
 	keys, leases := map[string]kvstore.Entry{}, map[uint64]int64{}
 	var events []protocol.WatchEvent
 	var sum uint64
@@ -213,33 +213,33 @@
 	err := v.db.View(func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{keysBucket, leasesBucket, logBucket, metaBucket} {
 			if tx.Bucket(name) == nil {
-				return fmt.Errorf("%w: it has no bucket %s", ErrDamaged, name)
+				return fmt.Errorf("%w: it has no bucket %s", ErrCorrupt, name)
 			}
 		}
-		value, _, err := unseal(metaBucket, metaKey, tx.Bucket(metaBucket).Get(metaKey))
+		value, _, err := unsealRecord(metaBucket, metaKey, tx.Bucket(metaBucket).Get(metaKey))
 		if err != nil {
 			return err
 		}
-		if err := msgpack.Unmarshal(value, &v.meta); err != nil {
-			return fmt.Errorf("%w: %w", ErrDamaged, err)
+		if err := msgpack.Unmarshal(value, &v.metadata); err != nil {
+			return fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
-		if v.meta.Format != format {
-			return fmt.Errorf("the file has format %d, this program reads %d", v.meta.Format, format)
+		if v.metadata.Format != formatVersion {
+			return fmt.Errorf("the file has format %d, this program reads %d", v.metadata.Format, formatVersion)
 		}
 		each := func(bucket []byte, f func(k, v []byte) error) error {
 			return tx.Bucket(bucket).ForEach(func(k, record []byte) error {
-				value, s, err := unseal(bucket, k, record)
+				value, s, err := unsealRecord(bucket, k, record)
 				if err != nil {
 					return err
 				}
 				// Guards against a damaged key in a page above: a walk does not notice
 				// it, but a write would put the key into another place once more.
 				if found := tx.Bucket(bucket).Get(k); !bytes.Equal(found, record) {
-					return fmt.Errorf("%w: record %q of %s is not where it is looked for", ErrDamaged, k, bucket)
+					return fmt.Errorf("%w: record %q of %s is not where it is looked for", ErrCorrupt, k, bucket)
 				}
 				sum += s
 				if err := f(k, value); err != nil {
-					return fmt.Errorf("%w: record %q of %s: %w", ErrDamaged, k, bucket, err)
+					return fmt.Errorf("%w: record %q of %s: %w", ErrCorrupt, k, bucket, err)
 				}
 				return nil
 			})
@@ -272,14 +272,14 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &v.meta
-	if records != m.Records || uint64(len(events)) != m.LogTo-m.LogFrom || sum != m.Sum {
+	m := &v.metadata
+	if records != m.RecordCount || uint64(len(events)) != m.EndEvent-m.FirstEvent || sum != m.ChecksumTotal {
 		return nil, fmt.Errorf("%w: %d records and %d changes do not add up to the %d and %d it should hold",
-			ErrDamaged, records, len(events), m.Records, m.LogTo-m.LogFrom)
+			ErrCorrupt, records, len(events), m.RecordCount, m.EndEvent-m.FirstEvent)
 	}
-	s, err := kvstore.Restore(m.Revision, m.NextID, m.First, keys, leases, events)
+	s, err := kvstore.Restore(m.Revision, m.LastLeaseID, m.CompactRevision, keys, leases, events)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return s, nil
 }
@@ -288,19 +288,19 @@
 // said so. An error that wraps ErrFull means that nothing was done and that the next
 // write may succeed. After any other error nobody knows what the disk holds, and the
 // vault must not be used any more.
-func (v *Vault) Write(b *kvstore.Batch, next *kvstore.State) error {
-	m := v.meta
-	m.Revision, m.NextID, m.First = next.Revision, next.NextID, next.First()
+func (v *File) Write(b *kvstore.Batch, next *kvstore.State) error {
+	m := v.metadata
+	m.Revision, m.LastLeaseID, m.CompactRevision = next.Revision, next.LastLeaseID, next.CompactRevision()
 	err := v.db.Update(func(tx *bolt.Tx) error {
 		put := func(bucket, key, value []byte) error {
 			bk := tx.Bucket(bucket)
 			if old := bk.Get(key); old != nil {
-				m.Sum -= binary.BigEndian.Uint64(old)
+				m.ChecksumTotal -= binary.BigEndian.Uint64(old)
 			} else if &bucket[0] != &logBucket[0] {
-				m.Records++
+				m.RecordCount++
 			}
-			record, s := seal(bucket, key, value)
-			m.Sum += s
+			record, s := sealRecord(bucket, key, value)
+			m.ChecksumTotal += s
 			return bk.Put(key, record)
 		}
 		drop := func(bucket, key []byte) error {
@@ -309,13 +309,13 @@
 			if old == nil {
 				return nil
 			}
-			m.Sum -= binary.BigEndian.Uint64(old)
+			m.ChecksumTotal -= binary.BigEndian.Uint64(old)
 			if &bucket[0] != &logBucket[0] {
-				m.Records--
+				m.RecordCount--
 			}
 			return bk.Delete(key)
 		}
-		for _, w := range b.Writes {
+		for _, w := range b.EntryWrites {
 			var err error
 			if w.Delete {
 				err = drop(keysBucket, []byte(w.Key))
@@ -326,51 +326,51 @@
 				return err
 			}
 		}
-		for _, l := range b.Leases {
+		for _, l := range b.LeaseWrites {
 			var err error
-			if l.LifeMS == 0 {
-				err = drop(leasesBucket, num(l.ID))
+			if l.TTLMillis == 0 {
+				err = drop(leasesBucket, encodeUint64(l.ID))
 			} else {
-				err = put(leasesBucket, num(l.ID), num(uint64(l.LifeMS)))
+				err = put(leasesBucket, encodeUint64(l.ID), encodeUint64(uint64(l.TTLMillis)))
 			}
 			if err != nil {
 				return err
 			}
 		}
 		for _, e := range b.Events() {
-			if err := put(logBucket, num(m.LogTo), protocol.Encode(e)); err != nil {
+			if err := put(logBucket, encodeUint64(m.EndEvent), protocol.Encode(e)); err != nil {
 				return err
 			}
-			m.LogTo++
+			m.EndEvent++
 		}
-		for m.LogTo-m.LogFrom > uint64(len(next.Log())) {
-			if err := drop(logBucket, num(m.LogFrom)); err != nil {
+		for m.EndEvent-m.FirstEvent > uint64(len(next.Events())) {
+			if err := drop(logBucket, encodeUint64(m.FirstEvent)); err != nil {
 				return err
 			}
-			m.LogFrom++
+			m.FirstEvent++
 		}
-		return v.putMeta(tx, m)
+		return v.writeMetadata(tx, m)
 	})
 	if err != nil {
-		if full(err) {
-			return fmt.Errorf("%w: %w", ErrFull, err)
+		if isNoSpace(err) {
+			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 		return err
 	}
-	v.meta = m
+	v.metadata = m
 	return nil
 }
 
-// full reports whether an error says that there is no space. Pages are written, and the
+// isNoSpace reports whether an error says that there is no space. Pages are written, and the
 // file is made longer, before the page that makes them count; that one is as old as the
 // file and needs no space.
-func full(err error) bool {
+func isNoSpace(err error) bool {
 	// bbolt hands the text alone of an error on, if it could not make the file longer.
 	return strings.HasPrefix(err.Error(), "file resize error") || errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
 // Size is how long the file is in bytes.
-func (v *Vault) Size() (n int64) {
+func (v *File) Size() (n int64) {
 	_ = v.db.View(func(tx *bolt.Tx) error { n = tx.Size(); return nil })
 	return n
 }
--- a/internal/kvfile/vault_test.go
+++ b/internal/kvfile/file_test.go
@@ -13,19 +13,19 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// dump is everything a state holds, as text.
-func dump(s *kvstore.State) string {
+// dumpState is everything a state holds, as text.
+func dumpState(s *kvstore.State) string {
 	var b strings.Builder
-	fmt.Fprintln(&b, s.Revision, s.NextID, s.First(), s.Leases())
+	fmt.Fprintln(&b, s.Revision, s.LastLeaseID, s.CompactRevision(), s.LeaseTTLs())
 	s.Each(func(k string, e kvstore.Entry) bool { b.WriteString(k); b.Write(kvstore.EncodeEntry(e)); return true })
-	for _, e := range s.Log() {
+	for _, e := range s.Events() {
 		b.Write(protocol.Encode(e))
 	}
 	return b.String()
 }
 
-// filled makes a file with some hundred keys, changed over and over.
-func filled(t *testing.T, path string, turns int) *kvstore.State {
+// createFilledFile makes a file with some hundred keys, changed over and over.
+func createFilledFile(t *testing.T, path string, turns int) *kvstore.State {
 	t.Helper()
 	v, s, err := Open(path)
 	if err != nil {
@@ -35,13 +35,13 @@
 	r := rand.New(rand.NewPCG(7, 7))
 	for i := range turns {
 		b := s.Begin()
-		id := b.Grant(5000)
+		id := b.GrantLease(5000)
 		for range 20 {
 			key := fmt.Sprintf("c/%03d", r.IntN(300))
-			b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: protocol.Encode(strings.Repeat("x", r.IntN(300))), Lease: id}}})
+			b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: protocol.Encode(strings.Repeat("x", r.IntN(300))), LeaseID: id}}})
 		}
 		if i%3 == 0 {
-			b.End(id)
+			b.RevokeLease(id)
 		}
 		next := b.Next()
 		if err := v.Write(b, next); err != nil {
@@ -54,19 +54,19 @@
 
 // A file that was changed anywhere is refused, or the change was in a place that holds
 // nothing; in no case does it read as something else. The error leads to the snapshot.
-func TestDamageIsNoticed(t *testing.T) {
+func TestCorruptionIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db")
 	// What a crash left of an earlier first start is no trouble.
 	if err := os.WriteFile(path+".new", []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want := dump(filled(t, path, 40))
+	want := dumpState(createFilledFile(t, path, 40))
 	v, s, err := Open(path)
-	if err != nil || dump(s) != want {
+	if err != nil || dumpState(s) != want {
 		t.Fatalf("the file does not read back: %v", err)
 	}
-	snap, _, err := v.Snapshot(filepath.Join(dir, "snapshots"))
+	snap, _, err := v.TakeSnapshot(filepath.Join(dir, "snapshots"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,9 +85,9 @@
 		}
 		got, err := Verify(bad)
 		switch {
-		case err == nil && dump(got) != want:
+		case err == nil && dumpState(got) != want:
 			t.Fatalf("%s: read as something else", what)
-		case err != nil && !errors.Is(err, ErrDamaged):
+		case err != nil && !errors.Is(err, ErrCorrupt):
 			t.Fatalf("%s: %v", what, err)
 		case err != nil:
 			refused++
@@ -112,18 +112,18 @@
 		t.Fatalf("only %d of the damaged files were refused", refused)
 	}
 	// The way back, with the bad file kept.
-	if got, s := LastGood(filepath.Join(dir, "snapshots")); got != snap || dump(s) != want {
+	if got, s := NewestValidSnapshot(filepath.Join(dir, "snapshots")); got != snap || dumpState(s) != want {
 		t.Fatalf("last good snapshot: %q", got)
 	}
-	kept, s, err := Restore(snap, bad)
-	if err != nil || kept == "" || dump(s) != want {
+	kept, s, err := RestoreSnapshot(snap, bad)
+	if err != nil || kept == "" || dumpState(s) != want {
 		t.Fatalf("restore: %q, %v", kept, err)
 	}
 }
 
 // A snapshot is whole while writes go on, and the file of a service that runs is not
 // replaced under it.
-func TestSnapshotsWhileRunning(t *testing.T) {
+func TestSnapshotsWhileWriting(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db")
 	v, s, err := Open(path)
@@ -154,7 +154,7 @@
 	}()
 	snaps := filepath.Join(dir, "snaps")
 	for range 5 {
-		_, got, err := v.Snapshot(snaps)
+		_, got, err := v.TakeSnapshot(snaps)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,10 +168,10 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Restore(Snapshots(snaps)[0], path); !errors.Is(err, ErrInUse) {
+	if _, _, err := RestoreSnapshot(ListSnapshots(snaps)[0], path); !errors.Is(err, ErrInUse) {
 		t.Fatalf("restored under a running service: %v", err)
 	}
-	if err := Prune(snaps, 1); err != nil || len(Snapshots(snaps)) != 1 {
-		t.Fatalf("%v are left, %v", Snapshots(snaps), err)
+	if err := PruneSnapshots(snaps, 1); err != nil || len(ListSnapshots(snaps)) != 1 {
+		t.Fatalf("%v are left, %v", ListSnapshots(snaps), err)
 	}
 }
--- a/internal/kvfile/golden_test.go
+++ b/internal/kvfile/golden_test.go
@@ -15,13 +15,13 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// goldenFolder holds a state file that commit 587869a made by the changes of goldenChanges,
+// goldenDir holds a state file that commit 587869a made by the changes of goldenChanges,
 // and its records as text. The commit in production then (4eec271) has the same kvfile.
-const goldenFolder = "testdata/golden/587869a"
+const goldenDir = "testdata/golden/587869a"
 
-// goldenChanges makes a file with keys, keys of a lease, a lease that ended, a deleted key,
+// writeGoldenChanges makes a file with keys, keys of a lease, a lease that ended, a deleted key,
 // and a change to each.
-func goldenChanges(t *testing.T, path string) {
+func writeGoldenChanges(t *testing.T, path string) {
 	t.Helper()
 	v, s, err := Open(path)
 	if err != nil {
@@ -37,29 +37,29 @@
 		}
 	}
 	put := func(key, value string, lease uint64) *kvstore.Txn {
-		return &kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: protocol.Encode(value), Lease: lease}}}
+		return &kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: protocol.Encode(value), LeaseID: lease}}}
 	}
 	write(func(b *kvstore.Batch) {
 		b.Commit(put("c/plain", "first", 0))
 		b.Commit(put("c/gone", "soon", 0))
 	})
 	write(func(b *kvstore.Batch) {
-		lives, ends := b.Grant(5000), b.Grant(6000)
+		lives, ends := b.GrantLease(5000), b.GrantLease(6000)
 		b.Commit(put("c/held", "by a lease", lives))
 		b.Commit(put("c/ends", "with its lease", ends))
 	})
 	write(func(b *kvstore.Batch) {
 		b.Commit(put("c/plain", "second", 0))
 		b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Delete: "c/gone"}}})
-		b.End(2)
+		b.RevokeLease(2)
 	})
 	if err := v.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// recordsOf is every record of a file as text, a line each: bucket, key, bytes.
-func recordsOf(t *testing.T, path string) string {
+// dumpRecords is every record of a file as text, a line each: bucket, key, bytes.
+func dumpRecords(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true})
 	if err != nil {
@@ -88,17 +88,17 @@
 // TestGoldenStateFile pins the state file, and so the snapshots, which are copies of it: one
 // that an earlier version made is read, and the same changes make the same records.
 func TestGoldenStateFile(t *testing.T) {
-	golden := filepath.Join(goldenFolder, "state.db")
-	text, err := os.ReadFile(filepath.Join(goldenFolder, "records.txt"))
+	golden := filepath.Join(goldenDir, "state.db")
+	text, err := os.ReadFile(filepath.Join(goldenDir, "records.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := recordsOf(t, golden); got != string(text) {
+	if got := dumpRecords(t, golden); got != string(text) {
 		t.Fatalf("the golden file holds\n%snot\n%s", got, text)
 	}
 	path := filepath.Join(t.TempDir(), "state.db")
-	goldenChanges(t, path)
-	if got := recordsOf(t, path); got != string(text) {
+	writeGoldenChanges(t, path)
+	if got := dumpRecords(t, path); got != string(text) {
 		t.Errorf("the file is written in another way\n was\n%s now\n%s", text, got)
 	}
 	old, err := Verify(golden)
@@ -109,10 +109,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want, got := dump(made), dump(old); got != want {
+	if want, got := dumpState(made), dumpState(old); got != want {
 		t.Errorf("the golden file is read as\n%q, not\n%q", got, want)
 	}
-	if name := SnapshotName(1234); name != "snapshot-0000000000001234.db" {
+	if name := SnapshotFileName(1234); name != "snapshot-0000000000001234.db" {
 		t.Errorf("a snapshot is named %s", name)
 	}
 }
--- a/internal/kvfile/snapshot.go
+++ b/internal/kvfile/snapshots.go
@@ -19,15 +19,15 @@
 	snapshotSuffix = ".db"
 )
 
-// SnapshotName is the file of a snapshot at a revision; names sort by revision.
-func SnapshotName(revision uint64) string {
+// SnapshotFileName is the file of a snapshot at a revision; names sort by revision.
+func SnapshotFileName(revision uint64) string {
 	return fmt.Sprintf("%s%016d%s", snapshotPrefix, revision, snapshotSuffix)
 }
 
-// Snapshot writes a copy into a folder while the vault goes on being used, reads it
+// TakeSnapshot writes a copy into a folder while the vault goes on being used, reads it
 // back, and only then gives it its name. It may be called from any goroutine. It
 // returns the file's path and the state in it.
-func (v *Vault) Snapshot(dir string) (string, *kvstore.State, error) {
+func (v *File) TakeSnapshot(dir string) (string, *kvstore.State, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", nil, err
 	}
@@ -48,15 +48,15 @@
 	if err != nil {
 		return "", nil, fmt.Errorf("the snapshot does not read back: %w", err)
 	}
-	path := filepath.Join(dir, SnapshotName(s.Revision))
+	path := filepath.Join(dir, SnapshotFileName(s.Revision))
 	if err := os.Rename(f.Name(), path); err != nil {
 		return "", nil, err
 	}
-	return path, s, syncFolder(dir)
+	return path, s, syncDir(dir)
 }
 
-// Snapshots are the paths of a folder's snapshots, newest first.
-func Snapshots(dir string) []string {
+// ListSnapshots are the paths of a folder's snapshots, newest first.
+func ListSnapshots(dir string) []string {
 	entries, _ := os.ReadDir(dir) // a folder that is not there has none
 	var out []string
 	for _, e := range entries {
@@ -69,9 +69,9 @@
 	return out
 }
 
-// LastGood is the newest snapshot of a folder that reads back whole, "" if none does.
-func LastGood(dir string) (string, *kvstore.State) {
-	for _, p := range Snapshots(dir) {
+// NewestValidSnapshot is the newest snapshot of a folder that reads back whole, "" if none does.
+func NewestValidSnapshot(dir string) (string, *kvstore.State) {
+	for _, p := range ListSnapshots(dir) {
 		if s, err := Verify(p); err == nil {
 			return p, s
 		}
@@ -79,10 +79,10 @@
 	return "", nil
 }
 
-// Prune removes all but the newest snapshots of a folder.
-func Prune(dir string, keep int) error {
+// PruneSnapshots removes all but the newest snapshots of a folder.
+func PruneSnapshots(dir string, keep int) error {
 	var errs []error
-	for i, p := range Snapshots(dir) {
+	for i, p := range ListSnapshots(dir) {
 		if i >= keep {
 			errs = append(errs, os.Remove(p))
 		}
@@ -90,9 +90,9 @@
 	return errors.Join(errs...)
 }
 
-// Restore puts a snapshot in the place of the state file. A file that is there is kept
+// RestoreSnapshot puts a snapshot in the place of the state file. A file that is there is kept
 // beside it under another name; its path is returned.
-func Restore(snapshot, path string) (kept string, s *kvstore.State, err error) {
+func RestoreSnapshot(snapshot, path string) (kept string, s *kvstore.State, err error) {
 	if s, err = Verify(snapshot); err != nil {
 		return "", nil, err
 	}
@@ -128,5 +128,5 @@
 	if err := os.Rename(out.Name(), path); err != nil {
 		return kept, nil, err
 	}
-	return kept, s, syncFolder(dir)
+	return kept, s, syncDir(dir)
 }
--- a/internal/kvserver/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -22,7 +22,7 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-var lavish = Settings{Limits: kvstore.Limits{ValueKB: 16, TxnOps: 16}, RPS: 1e6, WriteRPS: 1e6, Batch: 256}
+var generousSettings = Settings{Limits: kvstore.Limits{MaxValueKiB: 16, MaxTxnOps: 16}, RequestsPerSecond: 1e6, WritesPerSecond: 1e6, MaxBatch: 256}
 
 // TestMain lets this program be the service whose process the tests kill.
 func TestMain(m *testing.M) {
@@ -47,12 +47,12 @@
 		panic(err)
 	}
 	fmt.Println(l.Addr())
-	err = New(lavish, s, v).Serve(context.Background(), l)
+	err = New(generousSettings, s, v).Serve(context.Background(), l)
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(1)
 }
 
-func process(t *testing.T, path string, env ...string) (*exec.Cmd, string) {
+func startProcess(t *testing.T, path string, env ...string) (*exec.Cmd, string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "CHALK_TEST_STATE="+path)
@@ -75,12 +75,12 @@
 
 // The process is killed over and over while clients write. No answered write is lost,
 // and no transaction is there by half: each sets a pair of keys to one number.
-func TestKilledWhileWriting(t *testing.T) {
+func TestAcknowledgedWritesSurviveKill(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.db")
 	const clients = 8
 	var answered [clients]int
 	for round := range 6 {
-		cmd, addr := process(t, path)
+		cmd, addr := startProcess(t, path)
 		var wg sync.WaitGroup
 		var total atomic.Int64
 		for c := range clients {
@@ -131,9 +131,9 @@
 
 // A full disk is answered with 503 and loses nothing; reads and followers go on, and
 // once there is space, writes do too.
-func TestFullDisk(t *testing.T) {
+func TestDiskFullReturnsUnavailable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.db")
-	cmd, addr := process(t, path, "CHALK_TEST_FSIZE=2097152")
+	cmd, addr := startProcess(t, path, "CHALK_TEST_FSIZE=2097152")
 	call := rpc.New(2, time.Second)
 	write := func(n int) int {
 		txn := protocol.Transaction{If: []protocol.Guard{}, Then: []protocol.Operation{{Put: fmt.Sprintf("c/%05d", n), Value: strings.Repeat("y", 12<<10)}}}
@@ -156,7 +156,7 @@
 	}
 	cmd.Process.Kill()
 	cmd.Wait()
-	_, addr = process(t, path)
+	_, addr = startProcess(t, path)
 	s, err := kvfile.Verify(path + ".none")
 	if s != nil || err == nil {
 		t.Fatal("a file that is not there was read")
@@ -182,7 +182,7 @@
 
 // The service speaks the PROTOCOL, as the controllers' client and a few malformed
 // requests see it.
-func TestOverHTTP(t *testing.T) {
+func TestHTTPProtocol(t *testing.T) {
 	v, s, err := kvfile.Open(filepath.Join(t.TempDir(), "state.db"))
 	if err != nil {
 		t.Fatal(err)
@@ -192,8 +192,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := lavish
-	set.WriteRPS = 40
+	set := generousSettings
+	set.WritesPerSecond = 40
 	srv := New(set, s, v)
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error, 1)
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/state.go
@@ -19,46 +19,46 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Kept is how many changes a follower may be behind (PROTOCOL, GET /follow).
-const Kept = 10_000
+// RetainedEvents is how many changes a follower may be behind (PROTOCOL, GET /follow).
+const RetainedEvents = 10_000
 
 // Limits of the PROTOCOL on pages and leases.
 const (
-	maxKey   = 200
-	maxItems = 1000
-	maxPage  = 512 << 10 // bytes
-	minLife  = 100       // ms
-	maxLife  = 600_000   // ms
+	maxKeyBytes       = 200
+	maxPageItems      = 1000
+	maxPageBytes      = 512 << 10 // bytes
+	minLeaseTTLMillis = 100       // ms
+	maxLeaseTTLMillis = 600_000   // ms
 )
 
 // Limits are the settings of a site.
 type Limits struct {
-	ValueKB float64 // of one value, in KiB
-	TxnOps  int     // puts and deletes in a transaction; four times as many conditions
+	MaxValueKiB float64 // of one value, in KiB
+	MaxTxnOps   int     // puts and deletes in a transaction; four times as many conditions
 }
 
 // Entry is what is stored under a key.
 type Entry struct {
 	Value   protocol.Raw `msgpack:"v"`
 	Version uint64       `msgpack:"r"`           // the revision of its last change
-	Lease   uint64       `msgpack:"l,omitempty"` // 0: none
+	LeaseID uint64       `msgpack:"l,omitempty"` // 0: none
 }
 
 // State is the store at one revision. Everything in it may be read by any number of
 // goroutines; nothing in it is ever changed.
 type State struct {
-	Revision uint64
-	NextID   uint64 // the last lease's number
-	keys     *iradix.Tree[Entry]
-	leases   *iradix.Tree[int64]    // life in ms, by the lease's number
-	held     *iradix.Tree[struct{}] // lease's number + key
-	log      []protocol.WatchEvent  // the last changes, oldest first
-	first    uint64                 // follows from before this revision are too old
+	Revision        uint64
+	LastLeaseID     uint64 // the last lease's number
+	entries         *iradix.Tree[Entry]
+	leaseTTLs       *iradix.Tree[int64]    // life in ms, by the lease's number
+	attachments     *iradix.Tree[struct{}] // lease's number + key
+	events          []protocol.WatchEvent  // the last changes, oldest first
+	compactRevision uint64                 // follows from before this revision are too old
 }
 
-// Empty is the store before its first change.
-func Empty() *State {
-	return &State{keys: iradix.New[Entry](), leases: iradix.New[int64](), held: iradix.New[struct{}]()}
+// NewState is the store before its first change.
+func NewState() *State {
+	return &State{entries: iradix.New[Entry](), leaseTTLs: iradix.New[int64](), attachments: iradix.New[struct{}]()}
 }
 
 // Restore builds a State from what was saved. Events are sorted by revision; first is
@@ -69,17 +69,17 @@
 		if id == 0 || id > nextID {
 			return nil, fmt.Errorf("lease %d is beyond the last one, %d", id, nextID)
 		}
-		l.Insert(number(id), life)
+		l.Insert(leaseKey(id), life)
 	}
 	for key, e := range keys {
 		if e.Version == 0 || e.Version > revision {
 			return nil, fmt.Errorf("key %s has version %d beyond the store's revision %d", key, e.Version, revision)
 		}
-		if e.Lease != 0 {
-			if _, ok := leases[e.Lease]; !ok {
-				return nil, fmt.Errorf("key %s hangs on lease %d, which is not there", key, e.Lease)
+		if e.LeaseID != 0 {
+			if _, ok := leases[e.LeaseID]; !ok {
+				return nil, fmt.Errorf("key %s hangs on lease %d, which is not there", key, e.LeaseID)
 			}
-			h.Insert(held(e.Lease, key), struct{}{})
+			h.Insert(attachmentKey(e.LeaseID, key), struct{}{})
 		}
 		k.Insert([]byte(key), e)
 	}
@@ -88,30 +88,30 @@
 			return nil, fmt.Errorf("change %d of the log has revision %d out of order", i, v)
 		}
 	}
-	return &State{Revision: revision, NextID: nextID, first: first, keys: k.Commit(), leases: l.Commit(), held: h.Commit(), log: events}, nil
+	return &State{Revision: revision, LastLeaseID: nextID, compactRevision: first, entries: k.Commit(), leaseTTLs: l.Commit(), attachments: h.Commit(), events: events}, nil
 }
 
-// number puts lease numbers in order as keys.
-func number(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
+// leaseKey puts lease numbers in order as keys.
+func leaseKey(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
 
-func held(id uint64, key string) []byte { return append(number(id), key...) }
+func attachmentKey(id uint64, key string) []byte { return append(leaseKey(id), key...) }
 
 // Len is how many keys there are.
-func (s *State) Len() int { return s.keys.Len() }
+func (s *State) Len() int { return s.entries.Len() }
 
-// First is the oldest revision that can still be followed from.
-func (s *State) First() uint64 { return s.first }
+// CompactRevision is the oldest revision that can still be followed from.
+func (s *State) CompactRevision() uint64 { return s.compactRevision }
 
-// Log is the last changes, oldest first.
-func (s *State) Log() []protocol.WatchEvent { return s.log }
+// Events is the last changes, oldest first.
+func (s *State) Events() []protocol.WatchEvent { return s.events }
 
 // Get is the entry of a key.
-func (s *State) Get(key string) (Entry, bool) { return s.keys.Get([]byte(key)) }
+func (s *State) Get(key string) (Entry, bool) { return s.entries.Get([]byte(key)) }
 
-// Leases are the leases with their lives in ms.
-func (s *State) Leases() map[uint64]int64 {
+// LeaseTTLs are the leases with their lives in ms.
+func (s *State) LeaseTTLs() map[uint64]int64 {
 	out := map[uint64]int64{}
-	s.leases.Root().Walk(func(k []byte, life int64) bool {
+	s.leaseTTLs.Root().Walk(func(k []byte, life int64) bool {
 		out[binary.BigEndian.Uint64(k)] = life
 		return false
 	})
@@ -120,20 +120,20 @@
 
 // Each calls f with every key in order until f returns false.
 func (s *State) Each(f func(key string, e Entry) bool) {
-	s.keys.Root().Walk(func(k []byte, e Entry) bool { return !f(string(k), e) })
+	s.entries.Root().Walk(func(k []byte, e Entry) bool { return !f(string(k), e) })
 }
 
 // Range is a page of the keys with a prefix, beginning after since.
 func (s *State) Range(prefix, since string, page int) protocol.KeyPage {
-	if page <= 0 || page > maxItems {
-		page = maxItems
+	if page <= 0 || page > maxPageItems {
+		page = maxPageItems
 	}
 	out := protocol.KeyPage{Items: []protocol.KeyValue{}, Revision: s.Revision}
 	from := prefix
 	if since != "" && since+"\x00" > from {
 		from = since + "\x00" // the first key that can follow
 	}
-	it := s.keys.Root().Iterator()
+	it := s.entries.Root().Iterator()
 	it.SeekLowerBound([]byte(from))
 	size := 0
 	for {
@@ -144,7 +144,7 @@
 		// Sizes count as text, which is at most a quarter longer for the numbers and
 		// quotes that our values have; a page with one item is always given.
 		size += len(k) + len(e.Value)*5/4 + 32
-		if len(out.Items) == page || size > maxPage && len(out.Items) > 0 {
+		if len(out.Items) == page || size > maxPageBytes && len(out.Items) > 0 {
 			out.More = true
 			return out
 		}
@@ -152,15 +152,15 @@
 	}
 }
 
-// Since is all changes with a prefix after a revision; ok is false if that is too old
+// EventsSince is all changes with a prefix after a revision; ok is false if that is too old
 // for the changes that are kept.
-func (s *State) Since(prefix string, rev uint64) (protocol.WatchResponse, bool) {
-	if rev < s.first {
+func (s *State) EventsSince(prefix string, rev uint64) (protocol.WatchResponse, bool) {
+	if rev < s.compactRevision {
 		return protocol.WatchResponse{}, false
 	}
 	out := protocol.WatchResponse{Revision: s.Revision, Events: []protocol.WatchEvent{}}
-	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > rev })
-	for _, e := range s.log[i:] {
+	i := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > rev })
+	for _, e := range s.events[i:] {
 		if strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "" {
 			out.Events = append(out.Events, e)
 		}
@@ -170,10 +170,10 @@
 
 // Op is one change of a transaction, its value still as it came.
 type Op struct {
-	Put    string       `msgpack:"Set"`
-	Value  protocol.Raw `msgpack:"Data"`
-	Lease  uint64       `msgpack:"Permit"`
-	Delete string       `msgpack:"Delete"`
+	Put     string       `msgpack:"Set"`
+	Value   protocol.Raw `msgpack:"Data"`
+	LeaseID uint64       `msgpack:"Permit"`
+	Delete  string       `msgpack:"Delete"`
 }
 
 // Txn is a transaction as it came.
@@ -182,16 +182,16 @@
 	Then []Op             `msgpack:"Then"`
 }
 
-// Check says what makes a transaction malformed, "" if nothing does.
-func (t *Txn) Check(lim Limits) string {
-	if n := len(t.Then); n > lim.TxnOps {
-		return fmt.Sprintf("%d changes in one transaction, at most %d", n, lim.TxnOps)
+// Validate says what makes a transaction malformed, "" if nothing does.
+func (t *Txn) Validate(lim Limits) string {
+	if n := len(t.Then); n > lim.MaxTxnOps {
+		return fmt.Sprintf("%d changes in one transaction, at most %d", n, lim.MaxTxnOps)
 	}
-	if n := len(t.If); n > 4*lim.TxnOps {
-		return fmt.Sprintf("%d conditions in one transaction, at most %d", n, 4*lim.TxnOps)
+	if n := len(t.If); n > 4*lim.MaxTxnOps {
+		return fmt.Sprintf("%d conditions in one transaction, at most %d", n, 4*lim.MaxTxnOps)
 	}
 	for _, g := range t.If {
-		if why := badKey(g.Key); why != "" {
+		if why := validateKey(g.Key); why != "" {
 			return why
 		}
 	}
@@ -201,7 +201,7 @@
 		if o.Put != "" && o.Delete != "" {
 			return "a change both sets and deletes"
 		}
-		if why := badKey(key); why != "" {
+		if why := validateKey(key); why != "" {
 			return why
 		}
 		if changed[key] {
@@ -211,16 +211,16 @@
 		if o.Put != "" && len(o.Value) == 0 {
 			return fmt.Sprintf("key %s is set without a value", key)
 		}
-		if float64(len(o.Value)) > lim.ValueKB*1024 {
-			return fmt.Sprintf("the value of %s has %d bytes, at most %g KiB", key, len(o.Value), lim.ValueKB)
+		if float64(len(o.Value)) > lim.MaxValueKiB*1024 {
+			return fmt.Sprintf("the value of %s has %d bytes, at most %g KiB", key, len(o.Value), lim.MaxValueKiB)
 		}
 	}
 	return ""
 }
 
-func badKey(key string) string {
-	if key == "" || len(key) > maxKey {
-		return fmt.Sprintf("a key must have 1 to %d bytes", maxKey)
+func validateKey(key string) string {
+	if key == "" || len(key) > maxKeyBytes {
+		return fmt.Sprintf("a key must have 1 to %d bytes", maxKeyBytes)
 	}
 	if strings.ContainsAny(key, " \t\r\n\x00") {
 		return "a key must not contain spaces"
@@ -228,8 +228,8 @@
 	return ""
 }
 
-// Write is one record that must become durable with a batch.
-type Write struct {
+// EntryWrite is one record that must become durable with a batch.
+type EntryWrite struct {
 	Key    string
 	Entry  Entry // of a put
 	Delete bool
@@ -237,32 +237,32 @@
 
 // LeaseWrite is a lease that begins or, with life 0, ends.
 type LeaseWrite struct {
-	ID     uint64
-	LifeMS int64
+	ID        uint64
+	TTLMillis int64
 }
 
 // Batch applies commands one after another to a copy.
 type Batch struct {
-	base   *State
-	keys   *iradix.Txn[Entry]
-	leases *iradix.Txn[int64]
-	held   *iradix.Txn[struct{}]
-	rev    uint64
-	nextID uint64
-	events []protocol.WatchEvent
-
-	Writes []Write
-	Leases []LeaseWrite
+	base        *State
+	entries     *iradix.Txn[Entry]
+	leaseTTLs   *iradix.Txn[int64]
+	attachments *iradix.Txn[struct{}]
+	revision    uint64
+	lastLeaseID uint64
+	events      []protocol.WatchEvent
+
+	EntryWrites []EntryWrite
+	LeaseWrites []LeaseWrite
 }
 
 // Begin starts a batch on a state.
 func (s *State) Begin() *Batch {
-	return &Batch{base: s, keys: s.keys.Txn(), leases: s.leases.Txn(), held: s.held.Txn(), rev: s.Revision, nextID: s.NextID}
+	return &Batch{base: s, entries: s.entries.Txn(), leaseTTLs: s.leaseTTLs.Txn(), attachments: s.attachments.Txn(), revision: s.Revision, lastLeaseID: s.LastLeaseID}
 }
 
-// Empty reports whether nothing needs to be written.
-func (b *Batch) Empty() bool {
-	return len(b.Writes) == 0 && len(b.Leases) == 0 && b.rev == b.base.Revision
+// IsEmpty reports whether nothing needs to be written.
+func (b *Batch) IsEmpty() bool {
+	return len(b.EntryWrites) == 0 && len(b.LeaseWrites) == 0 && b.revision == b.base.Revision
 }
 
 // Events are the changes of the batch.
@@ -272,85 +272,85 @@
 // conditions that failed, or 400 for a lease that is not there.
 func (b *Batch) Commit(t *Txn) (int, protocol.TransactionResult, string) {
 	for _, o := range t.Then {
-		if o.Put != "" && o.Lease != 0 {
-			if _, ok := b.leases.Get(number(o.Lease)); !ok {
+		if o.Put != "" && o.LeaseID != 0 {
+			if _, ok := b.leaseTTLs.Get(leaseKey(o.LeaseID)); !ok {
 				return 400, protocol.TransactionResult{}, "no such lease"
 			}
 		}
 	}
 	var failed []string
 	for _, g := range t.If {
-		if e, _ := b.keys.Get([]byte(g.Key)); e.Version != g.Version {
+		if e, _ := b.entries.Get([]byte(g.Key)); e.Version != g.Version {
 			failed = append(failed, g.Key)
 		}
 	}
 	if failed != nil {
-		return 409, protocol.TransactionResult{Failed: failed, Revision: b.rev}, ""
+		return 409, protocol.TransactionResult{Failed: failed, Revision: b.revision}, ""
 	}
 	if len(t.Then) > 0 {
-		b.rev++
+		b.revision++
 	}
 	for _, o := range t.Then {
 		if o.Delete != "" {
 			b.remove(o.Delete)
 			continue
 		}
-		b.put(o.Put, Entry{Value: append(protocol.Raw(nil), o.Value...), Version: b.rev, Lease: o.Lease})
+		b.put(o.Put, Entry{Value: append(protocol.Raw(nil), o.Value...), Version: b.revision, LeaseID: o.LeaseID})
 	}
-	return 200, protocol.TransactionResult{Revision: b.rev}, ""
+	return 200, protocol.TransactionResult{Revision: b.revision}, ""
 }
 
 func (b *Batch) put(key string, e Entry) {
-	old, had := b.keys.Insert([]byte(key), e)
-	if had && old.Lease != 0 && old.Lease != e.Lease {
-		b.held.Delete(held(old.Lease, key))
+	old, had := b.entries.Insert([]byte(key), e)
+	if had && old.LeaseID != 0 && old.LeaseID != e.LeaseID {
+		b.attachments.Delete(attachmentKey(old.LeaseID, key))
 	}
-	if e.Lease != 0 {
-		b.held.Insert(held(e.Lease, key), struct{}{})
+	if e.LeaseID != 0 {
+		b.attachments.Insert(attachmentKey(e.LeaseID, key), struct{}{})
 	}
-	b.Writes = append(b.Writes, Write{Key: key, Entry: e})
+	b.EntryWrites = append(b.EntryWrites, EntryWrite{Key: key, Entry: e})
 	b.events = append(b.events, protocol.WatchEvent{Put: key, Value: e.Value, Version: e.Version})
 }
 
 func (b *Batch) remove(key string) {
-	old, had := b.keys.Delete([]byte(key))
+	old, had := b.entries.Delete([]byte(key))
 	if !had {
 		return
 	}
-	if old.Lease != 0 {
-		b.held.Delete(held(old.Lease, key))
+	if old.LeaseID != 0 {
+		b.attachments.Delete(attachmentKey(old.LeaseID, key))
 	}
-	b.Writes = append(b.Writes, Write{Key: key, Delete: true})
-	b.events = append(b.events, protocol.WatchEvent{Delete: key, Version: b.rev})
+	b.EntryWrites = append(b.EntryWrites, EntryWrite{Key: key, Delete: true})
+	b.events = append(b.events, protocol.WatchEvent{Delete: key, Version: b.revision})
 }
 
-// Grant begins a lease; 0 means that its life is outside what the PROTOCOL allows.
-func (b *Batch) Grant(lifeMS int64) uint64 {
-	if lifeMS < minLife || lifeMS > maxLife {
+// GrantLease begins a lease; 0 means that its life is outside what the PROTOCOL allows.
+func (b *Batch) GrantLease(lifeMS int64) uint64 {
+	if lifeMS < minLeaseTTLMillis || lifeMS > maxLeaseTTLMillis {
 		return 0
 	}
-	b.nextID++
-	b.leases.Insert(number(b.nextID), lifeMS)
-	b.Leases = append(b.Leases, LeaseWrite{ID: b.nextID, LifeMS: lifeMS})
-	return b.nextID
+	b.lastLeaseID++
+	b.leaseTTLs.Insert(leaseKey(b.lastLeaseID), lifeMS)
+	b.LeaseWrites = append(b.LeaseWrites, LeaseWrite{ID: b.lastLeaseID, TTLMillis: lifeMS})
+	return b.lastLeaseID
 }
 
-// Alive is a lease's life in ms.
-func (b *Batch) Alive(id uint64) (int64, bool) { return b.leases.Get(number(id)) }
+// LeaseTTL is a lease's life in ms.
+func (b *Batch) LeaseTTL(id uint64) (int64, bool) { return b.leaseTTLs.Get(leaseKey(id)) }
 
-// End ends a lease and removes its keys, all with one revision; false if it is not there.
-func (b *Batch) End(id uint64) bool {
-	if _, ok := b.leases.Delete(number(id)); !ok {
+// RevokeLease ends a lease and removes its keys, all with one revision; false if it is not there.
+func (b *Batch) RevokeLease(id uint64) bool {
+	if _, ok := b.leaseTTLs.Delete(leaseKey(id)); !ok {
 		return false
 	}
-	b.Leases = append(b.Leases, LeaseWrite{ID: id})
+	b.LeaseWrites = append(b.LeaseWrites, LeaseWrite{ID: id})
 	var keys []string
-	b.held.Root().WalkPrefix(number(id), func(k []byte, _ struct{}) bool {
+	b.attachments.Root().WalkPrefix(leaseKey(id), func(k []byte, _ struct{}) bool {
 		keys = append(keys, string(k[8:]))
 		return false
 	})
 	if len(keys) > 0 {
-		b.rev++
+		b.revision++
 	}
 	for _, k := range keys {
 		b.remove(k)
@@ -360,18 +360,18 @@
 
 // Next is the state after the batch. The base stays as it was.
 func (b *Batch) Next() *State {
-	s := &State{Revision: b.rev, NextID: b.nextID, keys: b.keys.Commit(), leases: b.leases.Commit(), held: b.held.Commit(), first: b.base.first}
+	s := &State{Revision: b.revision, LastLeaseID: b.lastLeaseID, entries: b.entries.Commit(), leaseTTLs: b.leaseTTLs.Commit(), attachments: b.attachments.Commit(), compactRevision: b.base.compactRevision}
 	// The owner makes one state after another, so what lies behind the end of the base's
 	// log is nobody's: a batch that was given up is written over.
-	s.log = append(b.base.log, b.events...)
-	if over := len(s.log) - Kept; over > 0 {
+	s.events = append(b.base.events, b.events...)
+	if over := len(s.events) - RetainedEvents; over > 0 {
 		// Changes of one revision stay together: half of them would be a change that
 		// no follower may see.
-		s.first = s.log[over-1].Version
-		for over < len(s.log) && s.log[over].Version == s.first {
+		s.compactRevision = s.events[over-1].Version
+		for over < len(s.events) && s.events[over].Version == s.compactRevision {
 			over++
 		}
-		s.log = s.log[over:]
+		s.events = s.events[over:]
 	}
 	return s
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -112,7 +112,7 @@
 	s.Out = true
 	s.w.After(d, func() {
 		s.Out = false
-		for _, id := range slices.Sorted(maps.Keys(s.now.Leases())) {
+		for _, id := range slices.Sorted(maps.Keys(s.now.LeaseTTLs())) {
 			s.arm(id)
 		}
 		s.wake()
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -80,20 +80,20 @@
 }
 
 func newState(w *World) *State {
-	return &State{w: w, now: kvstore.Empty(), ends: map[uint64]time.Duration{}, Refuses: map[string]bool{}, Forgot: map[string]bool{}}
+	return &State{w: w, now: kvstore.NewState(), ends: map[uint64]time.Duration{}, Refuses: map[string]bool{}, Forgot: map[string]bool{}}
 }
 
 func (s *State) refuses(node string) bool { return s.Out || s.Refuses[node] }
 
 func (s *State) arm(id uint64) {
-	life, _ := s.now.Begin().Alive(id)
+	life, _ := s.now.Begin().LeaseTTL(id)
 	ends := s.w.Now + time.Duration(life)*time.Millisecond
 	s.ends[id] = ends
 	s.w.At(ends, func() {
 		if s.ends[id] != ends || s.Out {
 			return
 		}
-		s.change(func(b *kvstore.Batch) { b.End(id) })
+		s.change(func(b *kvstore.Batch) { b.RevokeLease(id) })
 	})
 }
 
@@ -113,14 +113,14 @@
 		return e.LeaseID, core.LeaseRefused
 	}
 	if e.LeaseID != 0 {
-		if _, ok := s.now.Begin().Alive(e.LeaseID); !ok {
+		if _, ok := s.now.Begin().LeaseTTL(e.LeaseID); !ok {
 			return e.LeaseID, core.LeaseExpired
 		}
 		s.arm(e.LeaseID)
 		return e.LeaseID, core.LeaseGranted
 	}
 	var id uint64
-	s.change(func(b *kvstore.Batch) { id = b.Grant(e.TTL.Milliseconds()) })
+	s.change(func(b *kvstore.Batch) { id = b.GrantLease(e.TTL.Milliseconds()) })
 	if id == 0 {
 		s.w.broke("malformed", "%s asks for a lease of %v", node, e.TTL)
 		return 0, core.LeaseRefused
@@ -161,7 +161,7 @@
 	s.Writes += len(t.Then)
 	txn := kvstore.Txn{If: t.If}
 	for _, op := range t.Then {
-		o := kvstore.Op{Put: op.Put, Lease: op.Lease, Delete: op.Delete}
+		o := kvstore.Op{Put: op.Put, LeaseID: op.Lease, Delete: op.Delete}
 		if op.Put != "" {
 			o.Value = protocol.Encode(op.Value)
 		}
@@ -186,7 +186,7 @@
 
 // since answers a watch.
 func (s *State) since(rev uint64, done func(core.WatchOutcome, protocol.WatchResponse)) {
-	e, ok := s.now.Since(core.KeyPrefix, rev)
+	e, ok := s.now.EventsSince(core.KeyPrefix, rev)
 	if !ok {
 		done(core.WatchCompacted, e)
 		return
