--- a/internal/kvfile/bench_test.go
+++ b/internal/kvfile/bench_test.go
@@ -13,40 +13,50 @@
 //
 //	go test ./internal/kvfile -run XXX -bench Recovery -benchtime 1x
 func BenchmarkRecovery(b *testing.B) {
-	for _, n := range []int{10_000, 100_000, 1_000_000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+	for _, keys := range []int{10_000, 100_000, 1_000_000} {
+		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			path := filepath.Join(b.TempDir(), "state.db")
-			v, s, err := Open(path)
-			if err != nil {
-				b.Fatal(err)
-			}
-			v.db.NoSync = true // the making is not measured
-			value := protocol.Encode(string(make([]byte, 400)))
-			for i := 0; i < n; {
-				batch := s.Begin()
-				for range min(5000, n-i) {
-					batch.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: fmt.Sprintf("c/job/job-%09d", i), Value: value}}})
-					i++
-				}
-				s = batch.Next()
-				if err := v.Write(batch, s); err != nil {
-					b.Fatal(err)
-				}
-			}
-			if err := v.Close(); err != nil {
-				b.Fatal(err)
-			}
+			createLargeFile(b, path, keys)
 			b.ResetTimer()
 			for range b.N {
-				v, s, err := Open(path)
-				if err != nil || s.Len() != n {
+				file, state, err := Open(path)
+				if err != nil || state.Len() != keys {
 					b.Fatal(err)
 				}
 				b.StopTimer()
-				b.ReportMetric(float64(v.Size())/(1<<20), "file-MB")
-				v.Close()
+				b.ReportMetric(float64(file.Size())/(1<<20), "file-MB")
+				if err := file.Close(); err != nil {
+					b.Fatal(err)
+				}
 				b.StartTimer()
 			}
 		})
 	}
 }
+
+func createLargeFile(b *testing.B, path string, keys int) {
+	b.Helper()
+	file, state, err := Open(path)
+	if err != nil {
+		b.Fatal(err)
+	}
+	file.db.NoSync = true // the making is not measured
+	value := protocol.Encode(string(make([]byte, 400)))
+	for written := 0; written < keys; {
+		batch := state.Begin()
+		for range min(5000, keys-written) {
+			op := kvstore.Op{Put: fmt.Sprintf("c/job/job-%09d", written), Value: value}
+			if _, err := batch.Commit(&kvstore.Txn{Then: []kvstore.Op{op}}); err != nil {
+				b.Fatal(err)
+			}
+			written++
+		}
+		state = batch.Next()
+		if err := file.Write(batch, state); err != nil {
+			b.Fatal(err)
+		}
+	}
+	if err := file.Close(); err != nil {
+		b.Fatal(err)
+	}
+}
--- a/internal/kvfile/golden_test.go
+++ b/internal/kvfile/golden_test.go
@@ -19,43 +19,42 @@
 // and its records as text. The commit in production then (4eec271) has the same kvfile.
 const goldenDir = "testdata/golden/587869a"
 
-// writeGoldenChanges makes a file with keys, keys of a lease, a lease that ended, a deleted key,
-// and a change to each.
+// writeGoldenChanges makes a file with keys, keys of a lease, a lease that ended, a deleted
+// key, and a change to each.
 func writeGoldenChanges(t *testing.T, path string) {
 	t.Helper()
-	v, s, err := Open(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	write := func(change func(b *kvstore.Batch)) {
+	file, state := mustOpen(t, path)
+	defer mustClose(t, file)
+	write := func(change func(batch *kvstore.Batch)) {
 		t.Helper()
-		b := s.Begin()
-		change(b)
-		s = b.Next()
-		if err := v.Write(b, s); err != nil {
+		batch := state.Begin()
+		change(batch)
+		state = batch.Next()
+		if err := file.Write(batch, state); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put := func(key, value string, lease uint64) *kvstore.Txn {
-		return &kvstore.Txn{Then: []kvstore.Op{{Put: key, Value: protocol.Encode(value), LeaseID: lease}}}
+	put := func(key, value string, leaseID uint64) kvstore.Op {
+		return kvstore.Op{Put: key, Value: protocol.Encode(value), LeaseID: leaseID}
 	}
-	write(func(b *kvstore.Batch) {
-		b.Commit(put("c/plain", "first", 0))
-		b.Commit(put("c/gone", "soon", 0))
+	write(func(batch *kvstore.Batch) {
+		mustCommit(t, batch, put("c/plain", "first", 0))
+		mustCommit(t, batch, put("c/gone", "soon", 0))
 	})
-	write(func(b *kvstore.Batch) {
-		lives, ends := b.GrantLease(5000), b.GrantLease(6000)
-		b.Commit(put("c/held", "by a lease", lives))
-		b.Commit(put("c/ends", "with its lease", ends))
+	var revoked uint64
+	write(func(batch *kvstore.Batch) {
+		kept := mustGrant(t, batch, 5000)
+		revoked = mustGrant(t, batch, 6000)
+		mustCommit(t, batch, put("c/held", "by a lease", kept))
+		mustCommit(t, batch, put("c/ends", "with its lease", revoked))
 	})
-	write(func(b *kvstore.Batch) {
-		b.Commit(put("c/plain", "second", 0))
-		b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Delete: "c/gone"}}})
-		b.RevokeLease(2)
+	write(func(batch *kvstore.Batch) {
+		mustCommit(t, batch, put("c/plain", "second", 0))
+		mustCommit(t, batch, kvstore.Op{Delete: "c/gone"})
+		if err := batch.RevokeLease(revoked); err != nil {
+			t.Fatal(err)
+		}
 	})
-	if err := v.Close(); err != nil {
-		t.Fatal(err)
-	}
 }
 
 // dumpRecords is every record of a file as text, a line each: bucket, key, bytes.
--- a/internal/kvfile/snapshots.go
+++ b/internal/kvfile/snapshots.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
@@ -17,116 +18,139 @@
 const (
 	snapshotPrefix = "snapshot-"
 	snapshotSuffix = ".db"
+	// snapshotDirMode is fileMode with the right to enter.
+	snapshotDirMode = 0o700
 )
 
-// SnapshotFileName is the file of a snapshot at a revision; names sort by revision.
+// SnapshotFileName is the name of a snapshot at a revision; names sort by revision.
 func SnapshotFileName(revision uint64) string {
 	return fmt.Sprintf("%s%016d%s", snapshotPrefix, revision, snapshotSuffix)
 }
 
-// TakeSnapshot writes a copy into a folder while the vault goes on being used, reads it
-// back, and only then gives it its name. It may be called from any goroutine. It
-// returns the file's path and the state in it.
-func (v *File) TakeSnapshot(dir string) (string, *kvstore.State, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+// TakeSnapshot writes a copy into a folder while the File goes on being used, reads it
+// back, and only then gives it its name. It returns the snapshot's path and the state in
+// it. Any goroutine may call it.
+func (f *File) TakeSnapshot(dir string) (string, *kvstore.State, error) {
+	if err := os.MkdirAll(dir, snapshotDirMode); err != nil {
 		return "", nil, err
 	}
-	f, err := os.CreateTemp(dir, ".taking-*")
+	temp, err := os.CreateTemp(dir, ".taking-*")
 	if err != nil {
 		return "", nil, err
 	}
-	defer os.Remove(f.Name())
-	err = v.db.View(func(tx *bolt.Tx) error {
-		_, err := tx.WriteTo(f)
+	defer removeTemp(temp.Name())
+	err = f.db.View(func(tx *bolt.Tx) error {
+		_, err := tx.WriteTo(temp)
 		return err
 	})
-	err = errors.Join(err, f.Sync(), f.Close())
-	if err != nil {
+	if err = errors.Join(err, temp.Sync(), temp.Close()); err != nil {
 		return "", nil, err
 	}
-	s, err := Verify(f.Name())
+	state, err := Verify(temp.Name())
 	if err != nil {
 		return "", nil, fmt.Errorf("the snapshot does not read back: %w", err)
 	}
-	path := filepath.Join(dir, SnapshotFileName(s.Revision))
-	if err := os.Rename(f.Name(), path); err != nil {
+	path := filepath.Join(dir, SnapshotFileName(state.Revision))
+	if err := os.Rename(temp.Name(), path); err != nil {
 		return "", nil, err
 	}
-	return path, s, syncDir(dir)
+	return path, state, syncDir(dir)
+}
+
+// removeTemp removes a temporary file unless it has got its name.
+func removeTemp(path string) {
+	_ = os.Remove(path) // what stays behind is never taken for anything
 }
 
 // ListSnapshots are the paths of a folder's snapshots, newest first.
 func ListSnapshots(dir string) []string {
 	entries, _ := os.ReadDir(dir) // a folder that is not there has none
-	var out []string
-	for _, e := range entries {
-		if n := e.Name(); strings.HasPrefix(n, snapshotPrefix) && strings.HasSuffix(n, snapshotSuffix) {
-			out = append(out, filepath.Join(dir, n))
+	var paths []string
+	for _, entry := range entries {
+		if name := entry.Name(); strings.HasPrefix(name, snapshotPrefix) && strings.HasSuffix(name, snapshotSuffix) {
+			paths = append(paths, filepath.Join(dir, name))
 		}
 	}
-	slices.Sort(out)
-	slices.Reverse(out)
-	return out
+	slices.Sort(paths)
+	slices.Reverse(paths)
+	return paths
 }
 
-// NewestValidSnapshot is the newest snapshot of a folder that reads back whole, "" if none does.
+// NewestValidSnapshot is the newest snapshot of a folder that reads back whole, and the
+// state in it; the path is empty if there is none.
 func NewestValidSnapshot(dir string) (string, *kvstore.State) {
-	for _, p := range ListSnapshots(dir) {
-		if s, err := Verify(p); err == nil {
-			return p, s
+	for _, path := range ListSnapshots(dir) {
+		if state, err := Verify(path); err == nil {
+			return path, state
 		}
 	}
 	return "", nil
 }
 
-// PruneSnapshots removes all but the newest snapshots of a folder.
+// PruneSnapshots removes all but so many of the newest snapshots of a folder.
 func PruneSnapshots(dir string, keep int) error {
 	var errs []error
-	for i, p := range ListSnapshots(dir) {
+	for i, path := range ListSnapshots(dir) {
 		if i >= keep {
-			errs = append(errs, os.Remove(p))
+			errs = append(errs, os.Remove(path))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// RestoreSnapshot puts a snapshot in the place of the state file. A file that is there is kept
-// beside it under another name; its path is returned.
-func RestoreSnapshot(snapshot, path string) (kept string, s *kvstore.State, err error) {
-	if s, err = Verify(snapshot); err != nil {
+// RestoreSnapshot puts a snapshot in the place of a state file, and returns the state in
+// it. A file that is there is kept beside it under another name, replaced, unless it is in
+// use: the error then wraps ErrInUse.
+func RestoreSnapshot(snapshot, path string) (replaced string, state *kvstore.State, err error) {
+	if state, err = Verify(snapshot); err != nil {
 		return "", nil, err
 	}
-	in, err := os.Open(snapshot)
+	dir := filepath.Dir(path)
+	temp, err := copyToTemp(snapshot, dir)
 	if err != nil {
 		return "", nil, err
 	}
-	defer in.Close()
-	dir := filepath.Dir(path)
+	defer removeTemp(temp)
+	if _, err := os.Stat(path); err == nil {
+		if replaced, err = setAside(path); err != nil {
+			return "", nil, err
+		}
+	}
+	if err := os.Rename(temp, path); err != nil {
+		return replaced, nil, err
+	}
+	return replaced, state, syncDir(dir)
+}
+
+// copyToTemp copies a file to a temporary one in a folder and returns that one's path.
+func copyToTemp(path, dir string) (string, error) {
+	in, err := os.Open(path)
+	if err != nil {
+		return "", err
+	}
+	defer func() { _ = in.Close() }() // it was only read
 	out, err := os.CreateTemp(dir, ".restoring-*")
 	if err != nil {
-		return "", nil, err
+		return "", err
 	}
-	defer os.Remove(out.Name())
 	_, err = io.Copy(out, in)
 	if err = errors.Join(err, out.Sync(), out.Close()); err != nil {
-		return "", nil, err
+		removeTemp(out.Name())
+		return "", err
 	}
-	if _, err := os.Stat(path); err == nil {
-		if _, err := Verify(path); errors.Is(err, ErrInUse) {
-			return "", nil, err // a service that runs would go on with the file it has
-		}
-		for i := 1; ; i++ {
-			kept = fmt.Sprintf("%s.replaced-%d", path, i)
-			if _, err := os.Lstat(kept); os.IsNotExist(err) {
-				break
-			}
-		}
-		if err := os.Rename(path, kept); err != nil {
-			return "", nil, err
-		}
+	return out.Name(), nil
+}
+
+// setAside gives a state file that is not in use another name and returns that.
+func setAside(path string) (string, error) {
+	// A service that runs would go on with the file it has, whatever its name.
+	if _, err := Verify(path); errors.Is(err, ErrInUse) {
+		return "", err
 	}
-	if err := os.Rename(out.Name(), path); err != nil {
-		return kept, nil, err
+	for i := 1; ; i++ {
+		free := fmt.Sprintf("%s.replaced-%d", path, i)
+		if _, err := os.Lstat(free); errors.Is(err, fs.ErrNotExist) {
+			return free, os.Rename(path, free)
+		}
 	}
-	return kept, s, syncDir(dir)
 }
--- a/internal/kvserver/applier.go
+++ b/internal/kvserver/applier.go
@@ -1,169 +1,210 @@
-// Package kvserver is the state service: a store that one goroutine owns, a disk that
-// every change reaches before it is answered, and the PROTOCOL's HTTP round them.
 package kvserver
 
 import (
 	"errors"
+	"maps"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/kvfile"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
-	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Storage makes batches durable, as vault.Vault does.
+// Storage makes batches durable, as kvfile.File does.
 type Storage interface {
-	Write(*kvstore.Batch, *kvstore.State) error
+	// Write returns once a batch, which leads to the state next, is durable. An error that
+	// wraps kvfile.ErrNoSpace means that nothing was done and that the next write may
+	// succeed; after any other error nobody knows what is durable.
+	Write(batch *kvstore.Batch, next *kvstore.State) error
 }
 
-// command is a request for the owner. One of its fields is set.
-type command struct {
-	commit         *kvstore.Txn
-	grantTTLMillis int64  // life of a new lease in ms
-	renewLeaseID   uint64 // a lease's number
-	revokeLeaseID  uint64 // a lease's number
-}
-
-// reply is a command's answer. Status 0 means that none may be given: nobody knows
-// whether the change is durable.
-type reply struct {
-	status  int
-	txn     protocol.TransactionResult
-	leaseID uint64
-	reason  string // of a 400 or 503
-}
-
-// applier owns the store. It has no goroutine, clock or disk of its own: Turn is called
+// applier owns the store: it applies commands, expires leases, and replaces the state once
+// the next one is durable. It has no goroutine and no clock of its own: apply is called
 // with the time on a steady clock.
 type applier struct {
-	state          *kvstore.State
+	state          *kvstore.State // what is durable
 	storage        Storage
-	leaseDeadlines map[uint64]time.Duration // by lease: when it ends unless it is renewed
-	lastApplied    time.Duration            // when Turn was called last
+	leaseDeadlines map[uint64]time.Duration // when leases expire unless they are renewed
+	lastApplied    time.Duration
 	stallThreshold time.Duration
 	outOfSpace     bool // the last write found no space
 }
 
-// newApplier owns a state that was read from disk at the time now. Every lease has its
-// full time again: whoever holds it could not renew it while nothing ran here.
+// newApplier owns a state that was read from its storage at the time now. Every lease has
+// its full time again: whoever holds it could not renew it while nothing ran here.
 //
-// gap is how long after the last turn the process is taken to have stood still.
-func newApplier(s *kvstore.State, disk Storage, now, gap time.Duration) *applier {
-	k := &applier{state: s, storage: disk, lastApplied: now, stallThreshold: gap}
-	k.restartLeases(now)
-	return k
+// stallThreshold is how long after the last call of apply the process is taken to have
+// stood still.
+func newApplier(state *kvstore.State, storage Storage, now, stallThreshold time.Duration) *applier {
+	a := &applier{state: state, storage: storage, lastApplied: now, stallThreshold: stallThreshold}
+	a.restartLeases(now)
+	return a
 }
 
-func (k *applier) restartLeases(now time.Duration) {
-	k.leaseDeadlines = map[uint64]time.Duration{}
-	for id, life := range k.state.LeaseTTLs() {
-		k.leaseDeadlines[id] = now + time.Duration(life)*time.Millisecond
+// restartLeases gives every lease its full time again.
+func (a *applier) restartLeases(now time.Duration) {
+	a.leaseDeadlines = map[uint64]time.Duration{}
+	for leaseID, ttl := range a.state.LeaseTTLs() {
+		a.leaseDeadlines[leaseID] = deadline(now, ttl)
 	}
 }
 
+func deadline(now time.Duration, ttlMillis int64) time.Duration {
+	return now + time.Duration(ttlMillis)*time.Millisecond
+}
+
 // committedState is what is durable.
-func (k *applier) committedState() *kvstore.State { return k.state }
+func (a *applier) committedState() *kvstore.State { return a.state }
 
-// apply applies commands in order with one write to the disk, and gives their answers.
-// An error means that the disk is in doubt: the answers have status 0 where a change
-// may or may not be durable, and the process must end.
-func (k *applier) apply(now time.Duration, cmds []command) ([]reply, error) {
+// apply applies commands in order with one write to the storage, and returns their
+// replies. An error means that the storage is in doubt: the outcome of all commands is
+// unknown, and the process must end.
+func (a *applier) apply(now time.Duration, commands []command) ([]reply, error) {
 	// Guards against a process that was stopped, or a disk that hung, for longer than a
 	// lease: its holders could not renew it, which is an outage, and after an outage
 	// every lease has its full time again.
-	if now-k.lastApplied > k.stallThreshold {
-		k.restartLeases(now)
+	if now-a.lastApplied > a.stallThreshold {
+		a.restartLeases(now)
 	}
-	k.lastApplied = now
-	b := k.state.Begin()
-	answers := make([]reply, len(cmds))
-	renewed := map[uint64]time.Duration{}
-	granted := map[uint64]time.Duration{}
-	var ended []uint64
-	end := func(id uint64) bool {
-		if !b.RevokeLease(id) {
-			return false
-		}
-		ended = append(ended, id)
-		delete(renewed, id)
-		delete(granted, id)
-		return true
+	a.lastApplied = now
+	r := &applyRound{
+		now:          now,
+		batch:        a.state.Begin(),
+		replies:      make([]reply, len(commands)),
+		newDeadlines: map[uint64]time.Duration{},
 	}
-	// Renewals that came in time are served before leases end: the queue that they
-	// stood in is ours.
-	for i, c := range cmds {
-		if c.renewLeaseID == 0 {
-			continue
+	// Renewals that came in time are served before leases expire: the queue that they
+	// stood in is the server's.
+	r.renewLeases(commands)
+	// In an outage no lease expires: its holder may have been refused.
+	if !a.outOfSpace {
+		r.expireLeases(a.leaseDeadlines)
+	}
+	r.execute(commands)
+	if r.batch.IsEmpty() {
+		maps.Copy(a.leaseDeadlines, r.newDeadlines)
+		return r.replies, nil
+	}
+	return a.persist(r)
+}
+
+// persist writes a round's batch and takes its state over if that is durable.
+func (a *applier) persist(r *applyRound) ([]reply, error) {
+	next := r.batch.Next()
+	switch err := a.storage.Write(r.batch, next); {
+	case err == nil:
+		a.adopt(next, r)
+		return r.replies, nil
+	case errors.Is(err, kvfile.ErrNoSpace):
+		a.outOfSpace = true
+		// Nothing of the batch was done, so nothing of it may be answered either, and a
+		// conflict may rest on what was not done.
+		for i := range r.replies {
+			r.replies[i] = reply{outcome: outcomeUnavailable, err: err}
 		}
-		if life, ok := b.LeaseTTL(c.renewLeaseID); ok {
-			renewed[c.renewLeaseID] = now + time.Duration(life)*time.Millisecond
-			answers[i] = reply{status: 200}
-		} else {
-			answers[i] = reply{status: 404, reason: "no such lease"}
+		return r.replies, nil
+	default:
+		for i := range r.replies {
+			r.replies[i] = reply{outcome: outcomeUnknown}
 		}
+		return r.replies, err
 	}
-	for id, at := range k.leaseDeadlines {
-		// In an outage no lease ends: its holder may have been refused.
-		if _, ok := renewed[id]; !ok && at <= now && !k.outOfSpace {
-			end(id)
+}
+
+// adopt takes over the state that a round has made durable.
+func (a *applier) adopt(next *kvstore.State, r *applyRound) {
+	a.state = next
+	for _, leaseID := range r.endedLeases {
+		delete(a.leaseDeadlines, leaseID)
+	}
+	maps.Copy(a.leaseDeadlines, r.newDeadlines)
+	if a.outOfSpace {
+		a.outOfSpace = false
+		a.restartLeases(r.now) // the outage is over
+	}
+}
+
+// applyRound is one call of apply: what its commands would change.
+type applyRound struct {
+	now          time.Duration
+	batch        *kvstore.Batch
+	replies      []reply                  // by command
+	newDeadlines map[uint64]time.Duration // of leases that are renewed or granted
+	endedLeases  []uint64                 // expired or revoked
+}
+
+func (r *applyRound) renewLeases(commands []command) {
+	for i, c := range commands {
+		renewal, ok := c.(renewLease)
+		if !ok {
+			continue
+		}
+		ttl, exists := r.batch.LeaseTTL(renewal.leaseID)
+		if !exists {
+			r.replies[i] = reply{outcome: outcomeNotFound, err: kvstore.ErrLeaseNotFound}
+			continue
 		}
+		r.newDeadlines[renewal.leaseID] = deadline(r.now, ttl)
+		r.replies[i] = reply{outcome: outcomeDone}
 	}
-	for i, c := range cmds {
-		switch {
-		case c.commit != nil:
-			status, txn, why := b.Commit(c.commit)
-			answers[i] = reply{status: status, txn: txn, reason: why}
-		case c.grantTTLMillis != 0:
-			if id := b.GrantLease(c.grantTTLMillis); id != 0 {
-				granted[id] = now + time.Duration(c.grantTTLMillis)*time.Millisecond
-				answers[i] = reply{status: 200, leaseID: id}
-			} else {
-				answers[i] = reply{status: 400, reason: "LifeMs must be from 100 to 600000"}
-			}
-		case c.revokeLeaseID != 0:
-			answers[i] = reply{status: 404, reason: "no such lease"}
-			if end(c.revokeLeaseID) {
-				answers[i] = reply{status: 200}
-			}
+}
+
+// expireLeases ends the leases that are due and not just renewed.
+func (r *applyRound) expireLeases(deadlines map[uint64]time.Duration) {
+	for leaseID, due := range deadlines {
+		if _, renewed := r.newDeadlines[leaseID]; !renewed && due <= r.now {
+			// Every lease with a deadline exists, so there is no error.
+			_ = r.endLease(leaseID)
 		}
 	}
-	if b.IsEmpty() {
-		k.setDeadlines(renewed)
-		return answers, nil
+}
+
+func (r *applyRound) endLease(leaseID uint64) error {
+	if err := r.batch.RevokeLease(leaseID); err != nil {
+		return err
 	}
-	next := b.Next()
-	switch err := k.storage.Write(b, next); {
-	case err == nil:
-		k.state = next
-		for _, id := range ended {
-			delete(k.leaseDeadlines, id)
-		}
-		k.setDeadlines(renewed)
-		k.setDeadlines(granted)
-		if k.outOfSpace {
-			// The outage is over.
-			k.outOfSpace = false
-			k.restartLeases(now)
-		}
-		return answers, nil
-	case errors.Is(err, kvfile.ErrNoSpace):
-		// Nothing of the batch was done, so nothing of it may be answered either, and
-		// a 409 may rest on what was not done.
-		k.outOfSpace = true
-		for i := range answers {
-			answers[i] = reply{status: 503, reason: err.Error()}
+	r.endedLeases = append(r.endedLeases, leaseID)
+	delete(r.newDeadlines, leaseID)
+	return nil
+}
+
+// execute executes all commands but renewals, in order.
+func (r *applyRound) execute(commands []command) {
+	for i, c := range commands {
+		switch c := c.(type) {
+		case commitTxn:
+			r.replies[i] = r.commit(c.txn)
+		case grantLease:
+			r.replies[i] = r.grant(c.ttlMillis)
+		case revokeLease:
+			r.replies[i] = r.revoke(c.leaseID)
 		}
-		return answers, nil
+	}
+}
+
+func (r *applyRound) commit(txn *kvstore.Txn) reply {
+	result, err := r.batch.Commit(txn)
+	switch {
+	case err != nil:
+		return reply{outcome: outcomeInvalid, err: err}
+	case !result.Committed():
+		return reply{outcome: outcomeConflict, txn: result}
 	default:
-		for i := range answers {
-			answers[i] = reply{}
-		}
-		return answers, err
+		return reply{outcome: outcomeDone, txn: result}
+	}
+}
+
+func (r *applyRound) grant(ttlMillis int64) reply {
+	leaseID, err := r.batch.GrantLease(ttlMillis)
+	if err != nil {
+		return reply{outcome: outcomeInvalid, err: err}
 	}
+	r.newDeadlines[leaseID] = deadline(r.now, ttlMillis)
+	return reply{outcome: outcomeDone, leaseID: leaseID}
 }
 
-func (k *applier) setDeadlines(ends map[uint64]time.Duration) {
-	for id, at := range ends {
-		k.leaseDeadlines[id] = at
+func (r *applyRound) revoke(leaseID uint64) reply {
+	if err := r.endLease(leaseID); err != nil {
+		return reply{outcome: outcomeNotFound, err: err}
 	}
+	return reply{outcome: outcomeDone}
 }
--- a/internal/kvserver/applier_test.go
+++ b/internal/kvserver/applier_test.go
@@ -14,272 +14,307 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// memoryStorage is a disk that keeps what was synced and loses the rest when it crashes.
+// memoryStorage keeps what was written to it. It can fail, as a disk does.
 type memoryStorage struct {
-	entries               map[string]kvstore.Entry
-	leaseTTLs             map[uint64]int64
-	events                []protocol.WatchEvent
-	revision, lastLeaseID uint64
-	compactRevision       uint64
-	writeError            error
-	loseAcknowledgement   bool // the next write is done, but nobody hears of it
+	contents            kvstore.Contents
+	writeError          error
+	loseAcknowledgement bool // a write that fails is carried out all the same
 }
 
 func newMemoryStorage() *memoryStorage {
-	return &memoryStorage{entries: map[string]kvstore.Entry{}, leaseTTLs: map[uint64]int64{}}
+	return &memoryStorage{contents: kvstore.Contents{Entries: map[string]kvstore.Entry{}, LeaseTTLs: map[uint64]int64{}}}
 }
 
-func (m *memoryStorage) Write(b *kvstore.Batch, next *kvstore.State) error {
+func (m *memoryStorage) Write(batch *kvstore.Batch, next *kvstore.State) error {
 	if m.writeError != nil && !m.loseAcknowledgement {
 		return m.writeError
 	}
-	for _, w := range b.EntryWrites {
-		if w.Delete {
-			delete(m.entries, w.Key)
+	for _, write := range batch.EntryWrites {
+		if write.Delete {
+			delete(m.contents.Entries, write.Key)
 		} else {
-			m.entries[w.Key] = w.Entry
+			m.contents.Entries[write.Key] = write.Entry
 		}
 	}
-	for _, l := range b.LeaseWrites {
-		if l.TTLMillis == 0 {
-			delete(m.leaseTTLs, l.ID)
+	for _, lease := range batch.LeaseWrites {
+		if lease.TTLMillis == 0 {
+			delete(m.contents.LeaseTTLs, lease.ID)
 		} else {
-			m.leaseTTLs[l.ID] = l.TTLMillis
+			m.contents.LeaseTTLs[lease.ID] = lease.TTLMillis
 		}
 	}
-	m.events = next.Events() // what lies within it is never written again
-	m.revision, m.lastLeaseID, m.compactRevision = next.Revision, next.LastLeaseID, next.CompactRevision()
+	m.contents.Events = next.Events() // what lies within them is never written again
+	m.contents.Revision = next.Revision
+	m.contents.LastLeaseID = next.LastLeaseID
+	m.contents.CompactRevision = next.CompactRevision()
 	return m.writeError
 }
 
+// restore is the state that is read after a restart.
 func (m *memoryStorage) restore() (*kvstore.State, error) {
-	return kvstore.Restore(m.revision, m.lastLeaseID, m.compactRevision, maps.Clone(m.entries), maps.Clone(m.leaseTTLs), append([]protocol.WatchEvent(nil), m.events...))
+	contents := m.contents
+	contents.Entries = maps.Clone(contents.Entries)
+	contents.LeaseTTLs = maps.Clone(contents.LeaseTTLs)
+	contents.Events = append([]protocol.WatchEvent(nil), contents.Events...)
+	return kvstore.Restore(contents)
 }
 
-func putOp(key string, v int, lease uint64) kvstore.Op {
-	return kvstore.Op{Put: key, Value: protocol.Encode(v), LeaseID: lease}
+// values are the encoded values by key.
+func (m *memoryStorage) values() map[string]string {
+	values := map[string]string{}
+	for key, entry := range m.contents.Entries {
+		values[key] = string(entry.Value)
+	}
+	return values
 }
 
-// Whatever the disk does, an answered change is there after the next start, a change
-// answered 503 is not, and one without an answer is there whole or not at all.
-func TestAcknowledgedWritesSurviveRestarts(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		disk := newMemoryStorage()
-		now := time.Duration(0)
-		start := func() *applier {
-			s, err := disk.restore()
-			if err != nil {
-				t.Fatal(err)
-			}
-			return newApplier(s, disk, now, time.Second)
+func putOp(key string, value int, leaseID uint64) kvstore.Op {
+	return kvstore.Op{Put: key, Value: protocol.Encode(value), LeaseID: leaseID}
+}
+
+func txnOf(ops ...kvstore.Op) commitTxn { return commitTxn{txn: &kvstore.Txn{Then: ops}} }
+
+// durabilityTest plays random transactions against an applier whose storage fails at
+// times, beside a model of what must be in the store.
+type durabilityTest struct {
+	*rapid.T
+	storage *memoryStorage
+	applier *applier
+	now     time.Duration
+	model   map[string]string // values by key
+}
+
+// restart reads the store anew, as after a crash.
+func (d *durabilityTest) restart() {
+	state, err := d.storage.restore()
+	if err != nil {
+		d.Fatal(err)
+	}
+	d.applier = newApplier(state, d.storage, d.now, time.Second)
+}
+
+// check compares the store with the model.
+func (d *durabilityTest) check() {
+	got := map[string]string{}
+	for key, entry := range d.applier.committedState().All() {
+		got[key] = string(entry.Value)
+	}
+	if !maps.Equal(got, d.model) {
+		d.Fatalf("the store holds %v, it should hold %v", got, d.model)
+	}
+}
+
+// drawFailure draws what the storage does with the next write.
+func (d *durabilityTest) drawFailure() {
+	d.storage.writeError, d.storage.loseAcknowledgement = nil, false
+	switch rapid.IntRange(0, 7).Draw(d.T, "disk") {
+	case 0:
+		d.storage.writeError = kvfile.ErrNoSpace
+	case 1:
+		d.storage.writeError = errors.New("input/output error")
+		d.storage.loseAcknowledgement = rapid.Bool().Draw(d.T, "lost answer")
+	}
+}
+
+func (d *durabilityTest) drawTxn() commitTxn {
+	txn := &kvstore.Txn{}
+	keys := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c/d", "c/e"}), 1, 3, rapid.ID).Draw(d.T, "keys")
+	for _, key := range keys {
+		if rapid.IntRange(0, 3).Draw(d.T, "op") == 0 {
+			txn.Then = append(txn.Then, kvstore.Op{Delete: key})
+		} else {
+			txn.Then = append(txn.Then, putOp(key, rapid.IntRange(0, 99).Draw(d.T, "value"), 0))
+		}
+	}
+	if rapid.Bool().Draw(d.T, "guarded") {
+		entry, _ := d.applier.committedState().Get("a")
+		txn.If = []protocol.Guard{{Key: "a", Version: entry.Version}}
+	}
+	return commitTxn{txn: txn}
+}
+
+// modelAfter is the model after the transactions that were done, or may be.
+func (d *durabilityTest) modelAfter(commands []command, replies []reply) map[string]string {
+	after := maps.Clone(d.model)
+	for i, r := range replies {
+		if r.outcome != outcomeDone && r.outcome != outcomeUnknown {
+			continue
 		}
-		k := start()
-		model := map[string]string{} // what must be there
-		check := func() {
-			got := map[string]string{}
-			k.committedState().Each(func(key string, e kvstore.Entry) bool {
-				got[key] = string(e.Value)
-				return true
-			})
-			if !maps.Equal(got, model) {
-				t.Fatalf("the store holds %v, it should hold %v", got, model)
+		for _, op := range commands[i].(commitTxn).txn.Then {
+			if op.Delete != "" {
+				delete(after, op.Delete)
+			} else {
+				after[op.Put] = string(op.Value)
 			}
 		}
+	}
+	return after
+}
+
+// round applies a few transactions and restarts if the storage is in doubt.
+func (d *durabilityTest) round() {
+	d.now += time.Duration(rapid.IntRange(1, 400).Draw(d.T, "ms")) * time.Millisecond
+	d.drawFailure()
+	var commands []command
+	for range rapid.IntRange(0, 4).Draw(d.T, "commands") {
+		commands = append(commands, d.drawTxn())
+	}
+	replies, err := d.applier.apply(d.now, commands)
+	after := d.modelAfter(commands, replies)
+	switch {
+	case err == nil:
+		d.model = after
+	case d.storage.loseAcknowledgement:
+		// Guards that failed on the way are not told; take what the storage has, but
+		// only if it is a whole round.
+		got := d.storage.values()
+		if len(commands) == 1 && !maps.Equal(got, after) && !maps.Equal(got, d.model) {
+			d.Fatalf("half a transaction: %v, neither %v nor %v", got, d.model, after)
+		}
+		d.model = got
+	}
+	if err != nil {
+		d.restart()
+	}
+	d.check()
+}
+
+// Whatever the storage does, an acknowledged change is there after the next start, a change
+// answered as unavailable is not, and one without an answer is there whole or not at all.
+func TestAcknowledgedWritesSurviveRestarts(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		d := &durabilityTest{T: t, storage: newMemoryStorage(), model: map[string]string{}}
+		d.restart()
 		for range rapid.IntRange(1, 40).Draw(t, "turns") {
-			now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
-			disk.writeError, disk.loseAcknowledgement = nil, false
-			switch rapid.IntRange(0, 7).Draw(t, "disk") {
-			case 0:
-				disk.writeError = kvfile.ErrNoSpace
-			case 1:
-				disk.writeError = errors.New("input/output error")
-				disk.loseAcknowledgement = rapid.Bool().Draw(t, "lost answer")
-			}
-			var cmds []command
-			for range rapid.IntRange(0, 4).Draw(t, "commands") {
-				txn := &kvstore.Txn{}
-				for _, key := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c/d", "c/e"}), 1, 3, rapid.ID).Draw(t, "keys") {
-					if rapid.IntRange(0, 3).Draw(t, "op") == 0 {
-						txn.Then = append(txn.Then, kvstore.Op{Delete: key})
-					} else {
-						txn.Then = append(txn.Then, putOp(key, rapid.IntRange(0, 99).Draw(t, "value"), 0))
-					}
-				}
-				if rapid.Bool().Draw(t, "guarded") {
-					e, _ := k.committedState().Get("a")
-					txn.If = []protocol.Guard{{Key: "a", Version: e.Version}}
-				}
-				cmds = append(cmds, command{commit: txn})
-			}
-			answers, err := k.apply(now, cmds)
-			with := maps.Clone(model)
-			for i, a := range answers {
-				if a.status == 200 || a.status == 0 {
-					for _, o := range cmds[i].commit.Then {
-						if o.Delete != "" {
-							delete(with, o.Delete)
-						} else {
-							with[o.Put] = string(o.Value)
-						}
-					}
-				}
-			}
-			if err != nil { // crash, and start anew
-				k = start()
-				if disk.loseAcknowledgement {
-					// Guards that failed on the way are not told; take what the disk has,
-					// but only if it is a whole turn.
-					got := map[string]string{}
-					for key, e := range disk.entries {
-						got[key] = string(e.Value)
-					}
-					if len(cmds) == 1 && !maps.Equal(got, with) && !maps.Equal(got, model) {
-						t.Fatalf("half a transaction: %v, neither %v nor %v", got, model, with)
-					}
-					with = got
-				} else {
-					with = model
-				}
-			}
-			model = with
-			check()
+			d.round()
 			if rapid.IntRange(0, 5).Draw(t, "kill") == 0 {
-				k = start()
-				check()
+				d.restart()
+				d.check()
 			}
 		}
 	})
 }
 
-func requireOK(t *testing.T, a []reply, err error) reply {
+// mustApply applies a command that must be done.
+func mustApply(t *testing.T, a *applier, now time.Duration, c command) reply {
 	t.Helper()
-	if err != nil || len(a) != 1 || a[0].status != 200 {
-		t.Fatalf("%+v, %v", a, err)
+	replies, err := a.apply(now, []command{c})
+	if err != nil || len(replies) != 1 || replies[0].outcome != outcomeDone {
+		t.Fatalf("%+v, %v", replies, err)
 	}
-	return a[0]
+	return replies[0]
 }
 
-func applyOne(t *testing.T, k *applier, now time.Duration, c command) reply {
+// leaseTest is an applier with a lease of two seconds that a key is attached to.
+type leaseTest struct {
+	*testing.T
+	storage *memoryStorage
+	applier *applier
+	leaseID uint64
+}
+
+const attachedKey = "c/node"
+
+// newLeaseTest grants the lease at 0 and attaches the key to it.
+func newLeaseTest(t *testing.T) *leaseTest {
 	t.Helper()
-	a, err := k.apply(now, []command{c})
-	return requireOK(t, a, err)
+	l := &leaseTest{T: t, storage: newMemoryStorage()}
+	l.applier = newApplier(kvstore.NewState(), l.storage, 0, time.Second)
+	l.leaseID = mustApply(t, l.applier, 0, grantLease{ttlMillis: 2000}).leaseID
+	mustApply(t, l.applier, 10*time.Millisecond, txnOf(putOp(attachedKey, 1, l.leaseID)))
+	return l
 }
 
-// A lease takes its keys with it when it ends, has its full time after a restart, after
-// an outage and after the process stood still, and never ends early.
-func TestLeaseExpiry(t *testing.T) {
-	disk := newMemoryStorage()
-	k := newApplier(kvstore.NewState(), disk, 0, time.Second)
-	ms := time.Millisecond
-	idle := func(now time.Duration) {
-		if _, err := k.apply(now, nil); err != nil {
-			t.Fatal(err)
+// tick applies nothing at so many milliseconds each.
+func (l *leaseTest) tick(millis ...int) {
+	l.Helper()
+	for _, ms := range millis {
+		if _, err := l.applier.apply(time.Duration(ms)*time.Millisecond, nil); err != nil {
+			l.Fatal(err)
 		}
 	}
-	there := func() bool { _, ok := k.committedState().Get("c/node"); return ok }
-	id := applyOne(t, k, 0, command{grantTTLMillis: 2000}).leaseID
-	applyOne(t, k, 10*ms, command{commit: &kvstore.Txn{Then: []kvstore.Op{putOp("c/node", 1, id)}}})
-	for now := 100 * ms; now < 1990*ms; now += 400 * ms {
-		idle(now)
-	}
-	applyOne(t, k, 1990*ms, command{renewLeaseID: id})
-	for now := 2500 * ms; now < 3990*ms; now += 400 * ms {
-		idle(now)
+}
+
+// wantAlive checks that the key that is attached to the lease is still there.
+func (l *leaseTest) wantAlive(otherwise string) {
+	l.Helper()
+	if _, ok := l.applier.committedState().Get(attachedKey); !ok {
+		l.Fatal(otherwise)
 	}
-	if !there() {
-		t.Fatal("the lease ended early")
+}
+
+// wantExpiry checks that the lease expires, with its key and one revision, at so many
+// milliseconds.
+func (l *leaseTest) wantExpiry(millis int) {
+	l.Helper()
+	revision := l.applier.committedState().Revision
+	l.tick(millis)
+	state := l.applier.committedState()
+	if _, ok := state.Get(attachedKey); ok || state.Revision != revision+1 {
+		l.Fatal("the lease did not expire, or its keys went without a revision")
 	}
+}
+
+// A lease takes its keys with it when it expires, has its full time after a restart, after
+// an outage and after the process stood still, and never expires early.
+func TestLeaseExpiry(t *testing.T) {
+	const ms = time.Millisecond
+	l := newLeaseTest(t)
+	l.tick(100, 500, 900, 1300, 1700)
+	mustApply(t, l.applier, 1990*ms, renewLease{leaseID: l.leaseID})
+	l.tick(2500, 2900, 3300, 3700)
+	l.wantAlive("the lease expired early")
 	// A restart: full time again.
-	s, err := disk.restore()
+	state, err := l.storage.restore()
 	if err != nil {
 		t.Fatal(err)
 	}
-	k = newApplier(s, disk, 4*time.Second, time.Second)
-	idle(4900 * ms)
-	idle(5800 * ms)
+	l.applier = newApplier(state, l.storage, 4*time.Second, time.Second)
+	l.tick(4900, 5800)
 	// The process stands still for ten seconds: full time again.
-	idle(15800 * ms)
-	idle(16700 * ms)
-	if !there() {
-		t.Fatal("the lease ended while nobody could renew it")
-	}
-	// The disk is full: nothing ends, and afterwards it has its full time.
-	disk.writeError = kvfile.ErrNoSpace
+	l.tick(15800, 16700)
+	l.wantAlive("the lease expired while nobody could renew it")
+	// The disk is full: nothing expires, and afterwards it has its full time.
+	write := txnOf(putOp("x", 1, 0))
+	l.storage.writeError = kvfile.ErrNoSpace
 	for now := 17500 * ms; now < 30*time.Second; now += 500 * ms {
-		if a, _ := k.apply(now, []command{{commit: &kvstore.Txn{Then: []kvstore.Op{putOp("x", 1, 0)}}}}); a[0].status != 503 {
-			t.Fatalf("a full disk answers %d", a[0].status)
+		if replies, err := l.applier.apply(now, []command{write}); err != nil || replies[0].outcome != outcomeUnavailable {
+			t.Fatalf("a full disk answers %+v, %v", replies[0], err)
 		}
 	}
-	disk.writeError = nil
-	applyOne(t, k, 30*time.Second, command{commit: &kvstore.Txn{Then: []kvstore.Op{putOp("x", 1, 0)}}})
-	idle(30900 * ms)
-	idle(31800 * ms)
-	if !there() {
-		t.Fatal("the lease ended with the outage")
-	}
-	rev := k.committedState().Revision
-	idle(32050 * ms)
-	if there() || k.committedState().Revision != rev+1 {
-		t.Fatal("the lease did not end, or its keys went without a revision")
-	}
-	if a, _ := k.apply(32060*ms, []command{{commit: &kvstore.Txn{Then: []kvstore.Op{putOp("c/node", 1, id)}}}, {renewLeaseID: id}}); a[0].status != 400 || a[1].status != 404 {
-		t.Fatalf("a lease that has ended: %+v", a)
+	l.storage.writeError = nil
+	mustApply(t, l.applier, 30*time.Second, write)
+	l.tick(30900, 31800)
+	l.wantAlive("the lease expired with the outage")
+	l.wantExpiry(32050)
+	replies, err := l.applier.apply(32060*ms, []command{txnOf(putOp(attachedKey, 1, l.leaseID)), renewLease{leaseID: l.leaseID}})
+	if err != nil || replies[0].outcome != outcomeInvalid || replies[1].outcome != outcomeNotFound {
+		t.Fatalf("a lease that has expired: %+v, %v", replies, err)
 	}
 }
 
-// A follower sees each change once, with its prefix, and hears 410 when it is more than
-// the kept changes behind, also across a restart.
+// A watch sees each change once, with its prefix, and is refused when it is more than the
+// kept events behind, also across a restart.
 func TestWatchBehindRetainedEvents(t *testing.T) {
-	disk := newMemoryStorage()
-	k := newApplier(kvstore.NewState(), disk, 0, time.Hour)
+	storage := newMemoryStorage()
+	a := newApplier(kvstore.NewState(), storage, 0, time.Hour)
 	for i := range kvstore.RetainedEvents/2 + 10 {
 		// Two changes of one revision.
-		applyOne(t, k, time.Duration(i), command{commit: &kvstore.Txn{Then: []kvstore.Op{putOp(fmt.Sprintf("c/%d", i), i, 0), putOp("d", i, 0)}}})
+		mustApply(t, a, time.Duration(i), txnOf(putOp(fmt.Sprintf("c/%d", i), i, 0), putOp("d", i, 0)))
 	}
 	for range 2 {
-		s := k.committedState()
-		if _, fine := s.EventsSince("c/", 9); fine {
-			t.Fatal("changes that are gone are given")
+		state := a.committedState()
+		if _, err := state.EventsSince("c/", 9); !errors.Is(err, kvstore.ErrCompacted) {
+			t.Fatalf("events that are gone: %v", err)
 		}
-		e, fine := s.EventsSince("c/", s.CompactRevision())
-		if !fine || len(e.Events) != kvstore.RetainedEvents/2 || e.Events[0].Put != "c/10" || e.Revision != s.Revision {
-			t.Fatalf("%v, %d changes from %v", fine, len(e.Events), e.Events[0])
+		found, err := state.EventsSince("c/", state.CompactRevision())
+		if err != nil || len(found.Events) != kvstore.RetainedEvents/2 || found.Events[0].Put != "c/10" || found.Revision != state.Revision {
+			t.Fatalf("%v, %d events at revision %d", err, len(found.Events), found.Revision)
 		}
-		again, err := disk.restore()
+		restored, err := storage.restore()
 		if err != nil {
 			t.Fatal(err)
 		}
-		k = newApplier(again, disk, 0, time.Hour)
-	}
-}
-
-func TestRangePages(t *testing.T) {
-	k := newApplier(kvstore.NewState(), newMemoryStorage(), 0, time.Hour)
-	big := make([]byte, 20<<10)
-	for i := range 60 {
-		applyOne(t, k, time.Duration(i), command{commit: &kvstore.Txn{Then: []kvstore.Op{{Put: fmt.Sprintf("c/%02d", i), Value: protocol.Encode(string(big))}, putOp(fmt.Sprintf("d/%02d", i), i, 0)}}})
-	}
-	seen, since := 0, ""
-	for {
-		p := k.committedState().Range("c/", since, 0)
-		for _, it := range p.Items {
-			if it.Key <= since {
-				t.Fatalf("%s after %s", it.Key, since)
-			}
-			since = it.Key
-			seen++
-		}
-		if !p.More {
-			break
-		}
-		if len(p.Items) > 26 {
-			t.Fatalf("a page of %d items is over 512 KiB", len(p.Items))
-		}
-	}
-	if seen != 60 {
-		t.Fatalf("%d keys of 60", seen)
-	}
-	if p := k.committedState().Range("d/", "", 7); len(p.Items) != 7 || !p.More {
-		t.Fatalf("%d items, more %v", len(p.Items), p.More)
+		a = newApplier(restored, storage, 0, time.Hour)
 	}
 }
--- a/internal/kvstore/state.go
+++ b/internal/kvstore/state.go
@@ -1,15 +1,26 @@
-// Package kvstore is the state service's store, without input, output or clock: keys with
-// revisions, conditional transactions, leases and the last changes, as the PROTOCOL's
-// "Controller nodes -> state service" has them.
+// Package kvstore is the state machine of the key-value store: keys with revisions,
+// compare-and-swap transactions, leases with the keys that are attached to them, and the
+// last events for watches, as the PROTOCOL's "Controller nodes -> state service" has them.
 //
-// A State never changes. A Batch starts from one, applies commands and holds the next
-// State and what must be written for it; whoever owns the store shows the next State to
-// others only once that is durable, and keeps the earlier one if it never is.
+// It owns what the store holds and the rules by which that changes. It has no input,
+// output, clock or goroutine: it does not know when a lease expires, whether a change is
+// durable, or who asks. Those are the business of packages kvserver and kvfile.
+//
+// Invariants:
+//   - A State never changes and may be read by any number of goroutines.
+//   - A Batch starts from one State, applies changes one after another, and holds the next
+//     State and what must be written to disk for it. Whoever owns the store publishes the
+//     next State only once that is durable, and keeps the earlier one if it never is.
+//   - Each change has a revision of its own, one above the last. A lease's end removes all
+//     keys that are attached to it with one revision.
+//   - Events of one revision are kept or forgotten together.
 package kvstore
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
+	"iter"
 	"sort"
 	"strings"
 
@@ -19,41 +30,53 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// RetainedEvents is how many changes a follower may be behind (PROTOCOL, GET /follow).
+// RetainedEvents is how many events are kept for watches (PROTOCOL, GET /follow).
 const RetainedEvents = 10_000
 
-// Limits of the PROTOCOL on pages and leases.
+// Bounds of a page of keys (PROTOCOL, GET /store).
 const (
-	maxKeyBytes       = 200
-	maxPageItems      = 1000
-	maxPageBytes      = 512 << 10 // bytes
-	minLeaseTTLMillis = 100       // ms
-	maxLeaseTTLMillis = 600_000   // ms
+	maxPageItems = 1000
+	maxPageBytes = 512 << 10
 )
 
-// Limits are the settings of a site.
-type Limits struct {
-	MaxValueKiB float64 // of one value, in KiB
-	MaxTxnOps   int     // puts and deletes in a transaction; four times as many conditions
-}
+// itemOverheadBytes is what an item of a page takes beside its key and value: field names
+// and numbers.
+const itemOverheadBytes = 32
+
+// ErrCompacted says that a watch asked for events from before the ones that are kept: the
+// caller must read the keys again.
+var ErrCompacted = errors.New("the revision is older than the events that are kept")
+
+// ErrInconsistent says that saved contents contradict themselves.
+var ErrInconsistent = errors.New("the contents are inconsistent")
 
 // Entry is what is stored under a key.
 type Entry struct {
 	Value   protocol.Raw `msgpack:"v"`
 	Version uint64       `msgpack:"r"`           // the revision of its last change
-	LeaseID uint64       `msgpack:"l,omitempty"` // 0: none
+	LeaseID uint64       `msgpack:"l,omitempty"` // the lease that it is attached to, 0: none
 }
 
-// State is the store at one revision. Everything in it may be read by any number of
-// goroutines; nothing in it is ever changed.
+// EncodeEntry turns an entry into the form in which it is saved.
+func EncodeEntry(entry Entry) []byte { return protocol.Encode(entry) }
+
+// DecodeEntry reads what EncodeEntry made.
+func DecodeEntry(encoded []byte) (entry Entry, err error) {
+	err = msgpack.Unmarshal(encoded, &entry)
+	return entry, err
+}
+
+// State is the store at one revision. It is immutable.
 type State struct {
-	Revision        uint64
-	LastLeaseID     uint64 // the last lease's number
-	entries         *iradix.Tree[Entry]
-	leaseTTLs       *iradix.Tree[int64]    // life in ms, by the lease's number
-	attachments     *iradix.Tree[struct{}] // lease's number + key
-	events          []protocol.WatchEvent  // the last changes, oldest first
-	compactRevision uint64                 // follows from before this revision are too old
+	Revision    uint64
+	LastLeaseID uint64 // leases are numbered from 1
+	entries     *iradix.Tree[Entry]
+	leaseTTLs   *iradix.Tree[int64]    // milliseconds, by leaseKey
+	attachments *iradix.Tree[struct{}] // by attachmentKey
+	events      []protocol.WatchEvent  // the last ones, oldest first
+	// compactRevision is the oldest revision that a watch can start from: all events after
+	// it are kept.
+	compactRevision uint64
 }
 
 // NewState is the store before its first change.
@@ -61,326 +84,184 @@
 	return &State{entries: iradix.New[Entry](), leaseTTLs: iradix.New[int64](), attachments: iradix.New[struct{}]()}
 }
 
-// Restore builds a State from what was saved. Events are sorted by revision; first is
-// the oldest revision that can still be followed from.
-func Restore(revision, nextID, first uint64, keys map[string]Entry, leases map[uint64]int64, events []protocol.WatchEvent) (*State, error) {
-	k, l, h := iradix.New[Entry]().Txn(), iradix.New[int64]().Txn(), iradix.New[struct{}]().Txn()
-	for id, life := range leases {
-		if id == 0 || id > nextID {
-			return nil, fmt.Errorf("lease %d is beyond the last one, %d", id, nextID)
+// Contents are all that a State holds, as it is saved.
+type Contents struct {
+	Revision        uint64
+	LastLeaseID     uint64
+	CompactRevision uint64
+	Entries         map[string]Entry
+	LeaseTTLs       map[uint64]int64      // milliseconds
+	Events          []protocol.WatchEvent // oldest first
+}
+
+// Restore makes a State of saved contents. The error wraps ErrInconsistent if no sequence
+// of changes could have led to them.
+func Restore(contents Contents) (*State, error) {
+	leaseTTLs, err := restoreLeases(&contents)
+	if err != nil {
+		return nil, err
+	}
+	entries, attachments, err := restoreEntries(&contents)
+	if err != nil {
+		return nil, err
+	}
+	if err := checkEvents(&contents); err != nil {
+		return nil, err
+	}
+	return &State{
+		Revision:        contents.Revision,
+		LastLeaseID:     contents.LastLeaseID,
+		entries:         entries,
+		leaseTTLs:       leaseTTLs,
+		attachments:     attachments,
+		events:          contents.Events,
+		compactRevision: contents.CompactRevision,
+	}, nil
+}
+
+func restoreLeases(contents *Contents) (*iradix.Tree[int64], error) {
+	leaseTTLs := iradix.New[int64]().Txn()
+	for id, ttl := range contents.LeaseTTLs {
+		if id == 0 || id > contents.LastLeaseID {
+			return nil, fmt.Errorf("%w: lease %d is beyond the last one, %d", ErrInconsistent, id, contents.LastLeaseID)
 		}
-		l.Insert(leaseKey(id), life)
+		leaseTTLs.Insert(leaseKey(id), ttl)
 	}
-	for key, e := range keys {
-		if e.Version == 0 || e.Version > revision {
-			return nil, fmt.Errorf("key %s has version %d beyond the store's revision %d", key, e.Version, revision)
+	return leaseTTLs.Commit(), nil
+}
+
+func restoreEntries(contents *Contents) (*iradix.Tree[Entry], *iradix.Tree[struct{}], error) {
+	entries, attachments := iradix.New[Entry]().Txn(), iradix.New[struct{}]().Txn()
+	for key, entry := range contents.Entries {
+		if entry.Version == 0 || entry.Version > contents.Revision {
+			return nil, nil, fmt.Errorf("%w: key %s has version %d, the store has revision %d",
+				ErrInconsistent, key, entry.Version, contents.Revision)
 		}
-		if e.LeaseID != 0 {
-			if _, ok := leases[e.LeaseID]; !ok {
-				return nil, fmt.Errorf("key %s hangs on lease %d, which is not there", key, e.LeaseID)
+		if entry.LeaseID != 0 {
+			if _, ok := contents.LeaseTTLs[entry.LeaseID]; !ok {
+				return nil, nil, fmt.Errorf("%w: key %s is attached to lease %d, which does not exist",
+					ErrInconsistent, key, entry.LeaseID)
 			}
-			h.Insert(attachmentKey(e.LeaseID, key), struct{}{})
+			attachments.Insert(attachmentKey(entry.LeaseID, key), struct{}{})
 		}
-		k.Insert([]byte(key), e)
+		entries.Insert([]byte(key), entry)
 	}
-	for i := range events {
-		if v := events[i].Version; v <= first && v != 0 || v > revision || i > 0 && v < events[i-1].Version {
-			return nil, fmt.Errorf("change %d of the log has revision %d out of order", i, v)
+	return entries.Commit(), attachments.Commit(), nil
+}
+
+// checkEvents checks that versions of events rise, from after the compact revision (0
+// stands for a store that has forgotten none) up to the store's revision.
+func checkEvents(contents *Contents) error {
+	previous := uint64(0)
+	for i := range contents.Events {
+		version := contents.Events[i].Version
+		compacted := version != 0 && version <= contents.CompactRevision
+		if compacted || version > contents.Revision || version < previous {
+			return fmt.Errorf("%w: event %d has revision %d out of order", ErrInconsistent, i, version)
 		}
+		previous = version
 	}
-	return &State{Revision: revision, LastLeaseID: nextID, compactRevision: first, entries: k.Commit(), leaseTTLs: l.Commit(), attachments: h.Commit(), events: events}, nil
+	return nil
 }
 
-// leaseKey puts lease numbers in order as keys.
-func leaseKey(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
+// leaseKey orders leases by their numbers.
+func leaseKey(leaseID uint64) []byte { return binary.BigEndian.AppendUint64(nil, leaseID) }
 
-func attachmentKey(id uint64, key string) []byte { return append(leaseKey(id), key...) }
+// leaseKeyBytes is the length of a leaseKey.
+const leaseKeyBytes = 8
+
+// attachmentKey puts the keys of a lease behind each other.
+func attachmentKey(leaseID uint64, key string) []byte { return append(leaseKey(leaseID), key...) }
 
 // Len is how many keys there are.
 func (s *State) Len() int { return s.entries.Len() }
 
-// CompactRevision is the oldest revision that can still be followed from.
+// CompactRevision is the oldest revision that a watch can start from.
 func (s *State) CompactRevision() uint64 { return s.compactRevision }
 
-// Events is the last changes, oldest first.
+// Events are the events that are kept, oldest first.
 func (s *State) Events() []protocol.WatchEvent { return s.events }
 
 // Get is the entry of a key.
 func (s *State) Get(key string) (Entry, bool) { return s.entries.Get([]byte(key)) }
 
-// LeaseTTLs are the leases with their lives in ms.
+// LeaseTTLs are the times to live of all leases, in milliseconds by number.
 func (s *State) LeaseTTLs() map[uint64]int64 {
-	out := map[uint64]int64{}
-	s.leaseTTLs.Root().Walk(func(k []byte, life int64) bool {
-		out[binary.BigEndian.Uint64(k)] = life
+	ttls := map[uint64]int64{}
+	s.leaseTTLs.Root().Walk(func(key []byte, ttl int64) bool {
+		ttls[binary.BigEndian.Uint64(key)] = ttl
 		return false
 	})
-	return out
+	return ttls
 }
 
-// Each calls f with every key in order until f returns false.
-func (s *State) Each(f func(key string, e Entry) bool) {
-	s.entries.Root().Walk(func(k []byte, e Entry) bool { return !f(string(k), e) })
-}
-
-// Range is a page of the keys with a prefix, beginning after since.
-func (s *State) Range(prefix, since string, page int) protocol.KeyPage {
-	if page <= 0 || page > maxPageItems {
-		page = maxPageItems
-	}
-	out := protocol.KeyPage{Items: []protocol.KeyValue{}, Revision: s.Revision}
-	from := prefix
-	if since != "" && since+"\x00" > from {
-		from = since + "\x00" // the first key that can follow
-	}
-	it := s.entries.Root().Iterator()
-	it.SeekLowerBound([]byte(from))
-	size := 0
-	for {
-		k, e, ok := it.Next()
-		if !ok || !strings.HasPrefix(string(k), prefix) {
-			return out
-		}
-		// Sizes count as text, which is at most a quarter longer for the numbers and
-		// quotes that our values have; a page with one item is always given.
-		size += len(k) + len(e.Value)*5/4 + 32
-		if len(out.Items) == page || size > maxPageBytes && len(out.Items) > 0 {
-			out.More = true
-			return out
-		}
-		out.Items = append(out.Items, protocol.KeyValue{Key: string(k), Value: e.Value, Version: e.Version})
-	}
-}
-
-// EventsSince is all changes with a prefix after a revision; ok is false if that is too old
-// for the changes that are kept.
-func (s *State) EventsSince(prefix string, rev uint64) (protocol.WatchResponse, bool) {
-	if rev < s.compactRevision {
-		return protocol.WatchResponse{}, false
-	}
-	out := protocol.WatchResponse{Revision: s.Revision, Events: []protocol.WatchEvent{}}
-	i := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > rev })
-	for _, e := range s.events[i:] {
-		if strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "" {
-			out.Events = append(out.Events, e)
-		}
-	}
-	return out, true
-}
-
-// Op is one change of a transaction, its value still as it came.
-type Op struct {
-	Put     string       `msgpack:"Set"`
-	Value   protocol.Raw `msgpack:"Data"`
-	LeaseID uint64       `msgpack:"Permit"`
-	Delete  string       `msgpack:"Delete"`
-}
-
-// Txn is a transaction as it came.
-type Txn struct {
-	If   []protocol.Guard `msgpack:"Guards"`
-	Then []Op             `msgpack:"Then"`
-}
-
-// Validate says what makes a transaction malformed, "" if nothing does.
-func (t *Txn) Validate(lim Limits) string {
-	if n := len(t.Then); n > lim.MaxTxnOps {
-		return fmt.Sprintf("%d changes in one transaction, at most %d", n, lim.MaxTxnOps)
-	}
-	if n := len(t.If); n > 4*lim.MaxTxnOps {
-		return fmt.Sprintf("%d conditions in one transaction, at most %d", n, 4*lim.MaxTxnOps)
-	}
-	for _, g := range t.If {
-		if why := validateKey(g.Key); why != "" {
-			return why
-		}
-	}
-	changed := map[string]bool{}
-	for _, o := range t.Then {
-		key := o.Put + o.Delete
-		if o.Put != "" && o.Delete != "" {
-			return "a change both sets and deletes"
-		}
-		if why := validateKey(key); why != "" {
-			return why
-		}
-		if changed[key] {
-			return fmt.Sprintf("key %s is changed twice", key)
-		}
-		changed[key] = true
-		if o.Put != "" && len(o.Value) == 0 {
-			return fmt.Sprintf("key %s is set without a value", key)
-		}
-		if float64(len(o.Value)) > lim.MaxValueKiB*1024 {
-			return fmt.Sprintf("the value of %s has %d bytes, at most %g KiB", key, len(o.Value), lim.MaxValueKiB)
-		}
-	}
-	return ""
-}
+// LeaseTTL is a lease's time to live in milliseconds; false if there is no such lease.
+func (s *State) LeaseTTL(leaseID uint64) (int64, bool) { return s.leaseTTLs.Get(leaseKey(leaseID)) }
 
-func validateKey(key string) string {
-	if key == "" || len(key) > maxKeyBytes {
-		return fmt.Sprintf("a key must have 1 to %d bytes", maxKeyBytes)
+// All gives every key in order.
+func (s *State) All() iter.Seq2[string, Entry] {
+	return func(yield func(string, Entry) bool) {
+		s.entries.Root().Walk(func(key []byte, entry Entry) bool { return !yield(string(key), entry) })
 	}
-	if strings.ContainsAny(key, " \t\r\n\x00") {
-		return "a key must not contain spaces"
-	}
-	return ""
-}
-
-// EntryWrite is one record that must become durable with a batch.
-type EntryWrite struct {
-	Key    string
-	Entry  Entry // of a put
-	Delete bool
-}
-
-// LeaseWrite is a lease that begins or, with life 0, ends.
-type LeaseWrite struct {
-	ID        uint64
-	TTLMillis int64
 }
 
-// Batch applies commands one after another to a copy.
-type Batch struct {
-	base        *State
-	entries     *iradix.Txn[Entry]
-	leaseTTLs   *iradix.Txn[int64]
-	attachments *iradix.Txn[struct{}]
-	revision    uint64
-	lastLeaseID uint64
-	events      []protocol.WatchEvent
-
-	EntryWrites []EntryWrite
-	LeaseWrites []LeaseWrite
-}
-
-// Begin starts a batch on a state.
-func (s *State) Begin() *Batch {
-	return &Batch{base: s, entries: s.entries.Txn(), leaseTTLs: s.leaseTTLs.Txn(), attachments: s.attachments.Txn(), revision: s.Revision, lastLeaseID: s.LastLeaseID}
-}
-
-// IsEmpty reports whether nothing needs to be written.
-func (b *Batch) IsEmpty() bool {
-	return len(b.EntryWrites) == 0 && len(b.LeaseWrites) == 0 && b.revision == b.base.Revision
-}
-
-// Events are the changes of the batch.
-func (b *Batch) Events() []protocol.WatchEvent { return b.events }
-
-// Commit applies a transaction that Check has found well formed: 200, 409 with the
-// conditions that failed, or 400 for a lease that is not there.
-func (b *Batch) Commit(t *Txn) (int, protocol.TransactionResult, string) {
-	for _, o := range t.Then {
-		if o.Put != "" && o.LeaseID != 0 {
-			if _, ok := b.leaseTTLs.Get(leaseKey(o.LeaseID)); !ok {
-				return 400, protocol.TransactionResult{}, "no such lease"
-			}
-		}
+// Range is a page of the keys with a prefix, beginning after the key given as after. A
+// limit of 0, or above the most that a page may hold, stands for that.
+func (s *State) Range(prefix, after string, limit int) protocol.KeyPage {
+	if limit <= 0 || limit > maxPageItems {
+		limit = maxPageItems
 	}
-	var failed []string
-	for _, g := range t.If {
-		if e, _ := b.entries.Get([]byte(g.Key)); e.Version != g.Version {
-			failed = append(failed, g.Key)
+	page := protocol.KeyPage{Items: []protocol.KeyValue{}, Revision: s.Revision}
+	iterator := s.entries.Root().Iterator()
+	iterator.SeekLowerBound([]byte(firstKey(prefix, after)))
+	size := 0
+	for {
+		key, entry, ok := iterator.Next()
+		if !ok || !strings.HasPrefix(string(key), prefix) {
+			return page
 		}
-	}
-	if failed != nil {
-		return 409, protocol.TransactionResult{Failed: failed, Revision: b.revision}, ""
-	}
-	if len(t.Then) > 0 {
-		b.revision++
-	}
-	for _, o := range t.Then {
-		if o.Delete != "" {
-			b.remove(o.Delete)
-			continue
+		size += itemBytes(key, entry)
+		if len(page.Items) == limit || size > maxPageBytes && len(page.Items) > 0 {
+			page.More = true
+			return page
 		}
-		b.put(o.Put, Entry{Value: append(protocol.Raw(nil), o.Value...), Version: b.revision, LeaseID: o.LeaseID})
+		page.Items = append(page.Items, protocol.KeyValue{Key: string(key), Value: entry.Value, Version: entry.Version})
 	}
-	return 200, protocol.TransactionResult{Revision: b.revision}, ""
 }
 
-func (b *Batch) put(key string, e Entry) {
-	old, had := b.entries.Insert([]byte(key), e)
-	if had && old.LeaseID != 0 && old.LeaseID != e.LeaseID {
-		b.attachments.Delete(attachmentKey(old.LeaseID, key))
+// firstKey is the least key with a prefix that can follow after another key.
+func firstKey(prefix, after string) string {
+	if after == "" {
+		return prefix
 	}
-	if e.LeaseID != 0 {
-		b.attachments.Insert(attachmentKey(e.LeaseID, key), struct{}{})
-	}
-	b.EntryWrites = append(b.EntryWrites, EntryWrite{Key: key, Entry: e})
-	b.events = append(b.events, protocol.WatchEvent{Put: key, Value: e.Value, Version: e.Version})
+	return max(prefix, after+"\x00")
 }
 
-func (b *Batch) remove(key string) {
-	old, had := b.entries.Delete([]byte(key))
-	if !had {
-		return
-	}
-	if old.LeaseID != 0 {
-		b.attachments.Delete(attachmentKey(old.LeaseID, key))
-	}
-	b.EntryWrites = append(b.EntryWrites, EntryWrite{Key: key, Delete: true})
-	b.events = append(b.events, protocol.WatchEvent{Delete: key, Version: b.revision})
+// itemBytes is what an item counts in a page. Sizes count as text, which is at most a
+// quarter longer for the numbers and quotes that the controllers' values have.
+func itemBytes(key []byte, entry Entry) int {
+	return len(key) + len(entry.Value)*5/4 + itemOverheadBytes
 }
 
-// GrantLease begins a lease; 0 means that its life is outside what the PROTOCOL allows.
-func (b *Batch) GrantLease(lifeMS int64) uint64 {
-	if lifeMS < minLeaseTTLMillis || lifeMS > maxLeaseTTLMillis {
-		return 0
+// EventsSince is all events with a prefix after a revision. It returns ErrCompacted if not
+// all of them are kept.
+func (s *State) EventsSince(prefix string, revision uint64) (protocol.WatchResponse, error) {
+	if revision < s.compactRevision {
+		return protocol.WatchResponse{}, ErrCompacted
 	}
-	b.lastLeaseID++
-	b.leaseTTLs.Insert(leaseKey(b.lastLeaseID), lifeMS)
-	b.LeaseWrites = append(b.LeaseWrites, LeaseWrite{ID: b.lastLeaseID, TTLMillis: lifeMS})
-	return b.lastLeaseID
-}
-
-// LeaseTTL is a lease's life in ms.
-func (b *Batch) LeaseTTL(id uint64) (int64, bool) { return b.leaseTTLs.Get(leaseKey(id)) }
-
-// RevokeLease ends a lease and removes its keys, all with one revision; false if it is not there.
-func (b *Batch) RevokeLease(id uint64) bool {
-	if _, ok := b.leaseTTLs.Delete(leaseKey(id)); !ok {
-		return false
-	}
-	b.LeaseWrites = append(b.LeaseWrites, LeaseWrite{ID: id})
-	var keys []string
-	b.attachments.Root().WalkPrefix(leaseKey(id), func(k []byte, _ struct{}) bool {
-		keys = append(keys, string(k[8:]))
-		return false
-	})
-	if len(keys) > 0 {
-		b.revision++
-	}
-	for _, k := range keys {
-		b.remove(k)
-	}
-	return true
-}
-
-// Next is the state after the batch. The base stays as it was.
-func (b *Batch) Next() *State {
-	s := &State{Revision: b.revision, LastLeaseID: b.lastLeaseID, entries: b.entries.Commit(), leaseTTLs: b.leaseTTLs.Commit(), attachments: b.attachments.Commit(), compactRevision: b.base.compactRevision}
-	// The owner makes one state after another, so what lies behind the end of the base's
-	// log is nobody's: a batch that was given up is written over.
-	s.events = append(b.base.events, b.events...)
-	if over := len(s.events) - RetainedEvents; over > 0 {
-		// Changes of one revision stay together: half of them would be a change that
-		// no follower may see.
-		s.compactRevision = s.events[over-1].Version
-		for over < len(s.events) && s.events[over].Version == s.compactRevision {
-			over++
+	found := protocol.WatchResponse{Revision: s.Revision, Events: []protocol.WatchEvent{}}
+	begin := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > revision })
+	for _, event := range s.events[begin:] {
+		if concerns(event, prefix) {
+			found.Events = append(found.Events, event)
 		}
-		s.events = s.events[over:]
 	}
-	return s
+	return found, nil
 }
 
-// EncodeEntry and DecodeEntry are how an entry is saved.
-func EncodeEntry(e Entry) []byte { return protocol.Encode(e) }
-
-// DecodeEntry reads what EncodeEntry wrote.
-func DecodeEntry(b []byte) (e Entry, err error) {
-	err = msgpack.Unmarshal(b, &e)
-	return e, err
+// concerns reports whether an event is about a key with a prefix. One of Put and Delete
+// is empty, and that one must not match an empty prefix.
+func concerns(event protocol.WatchEvent, prefix string) bool {
+	return event.Put != "" && strings.HasPrefix(event.Put, prefix) ||
+		event.Delete != "" && strings.HasPrefix(event.Delete, prefix)
 }
--- /dev/null
+++ b/internal/kvstore/state_test.go
@@ -0,0 +1,160 @@
+package kvstore
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"github.com/chalkhub/chalkhub/internal/protocol"
+)
+
+func put(key string, value any, leaseID uint64) Op {
+	return Op{Put: key, Value: protocol.Encode(value), LeaseID: leaseID}
+}
+
+// mustCommit is the state after one transaction.
+func mustCommit(t *testing.T, state *State, ops ...Op) *State {
+	t.Helper()
+	batch := state.Begin()
+	if result, err := batch.Commit(&Txn{Then: ops}); err != nil || !result.Committed() {
+		t.Fatalf("commit: %+v, %v", result, err)
+	}
+	return batch.Next()
+}
+
+func TestRangePages(t *testing.T) {
+	state := NewState()
+	large := string(make([]byte, 20<<10))
+	for i := range 60 {
+		state = mustCommit(t, state, put(fmt.Sprintf("c/%02d", i), large, 0), put(fmt.Sprintf("d/%02d", i), i, 0))
+	}
+	seen, after := 0, ""
+	for {
+		page := state.Range("c/", after, 0)
+		for _, item := range page.Items {
+			if item.Key <= after {
+				t.Fatalf("%s after %s", item.Key, after)
+			}
+			after = item.Key
+			seen++
+		}
+		if !page.More {
+			break
+		}
+		if len(page.Items) > 26 {
+			t.Fatalf("a page of %d items is over 512 KiB", len(page.Items))
+		}
+	}
+	if seen != 60 {
+		t.Fatalf("%d keys of 60", seen)
+	}
+	if page := state.Range("d/", "", 7); len(page.Items) != 7 || !page.More {
+		t.Fatalf("%d items, more %v", len(page.Items), page.More)
+	}
+}
+
+// A batch changes neither its base nor, if it is given up, what follows the base.
+func TestAbandonedBatchLeavesNoTrace(t *testing.T) {
+	base := mustCommit(t, NewState(), put("a", 1, 0))
+	mustCommit(t, base, put("a", "abandoned", 0), put("b", 1, 0))
+	next := mustCommit(t, base, put("c", 1, 0))
+	if _, ok := next.Get("b"); ok || base.Len() != 1 || next.Len() != 2 {
+		t.Errorf("%d keys before and %d after", base.Len(), next.Len())
+	}
+	events, err := next.EventsSince("", base.Revision)
+	if err != nil || len(events.Events) != 1 || events.Events[0].Put != "c" {
+		t.Errorf("events %+v, %v", events, err)
+	}
+}
+
+// A failed condition changes nothing, and a transaction that changes nothing has no
+// revision of its own.
+func TestCommitConditions(t *testing.T) {
+	state := mustCommit(t, NewState(), put("a", 1, 0))
+	for _, test := range []struct {
+		name         string
+		txn          Txn
+		wantFailed   []string
+		wantRevision uint64
+		wantErr      error
+	}{
+		{"version matches", Txn{If: []protocol.Guard{{Key: "a", Version: 1}}, Then: []Op{put("a", 2, 0)}}, nil, 2, nil},
+		{"key does not exist", Txn{If: []protocol.Guard{{Key: "b"}}, Then: []Op{put("b", 2, 0)}}, nil, 2, nil},
+		{"some fail", Txn{If: []protocol.Guard{{Key: "a"}, {Key: "a", Version: 1}, {Key: "b", Version: 1}}, Then: []Op{put("a", 2, 0)}}, []string{"a", "b"}, 1, nil},
+		{"no changes", Txn{If: []protocol.Guard{{Key: "a", Version: 1}}}, nil, 1, nil},
+		{"unknown lease", Txn{Then: []Op{put("a", 2, 7)}}, nil, 0, ErrLeaseNotFound},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			batch := state.Begin()
+			result, err := batch.Commit(&test.txn)
+			if !errors.Is(err, test.wantErr) || fmt.Sprint(result.FailedKeys) != fmt.Sprint(test.wantFailed) || result.Revision != test.wantRevision {
+				t.Fatalf("%+v, %v", result, err)
+			}
+			if changed := !batch.IsEmpty(); changed != (err == nil && result.Committed() && len(test.txn.Then) > 0) {
+				t.Fatalf("changes: %v", batch.EntryWrites)
+			}
+		})
+	}
+}
+
+func TestRevokeLeaseRemovesItsKeysAtOneRevision(t *testing.T) {
+	batch := NewState().Begin()
+	kept, err := batch.GrantLease(5000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	revoked, err := batch.GrantLease(5000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	state := mustCommit(t, batch.Next(), put("a", 1, revoked), put("b", 1, revoked), put("c", 1, kept), put("d", 1, revoked))
+	state = mustCommit(t, state, put("d", 2, 0)) // detached from its lease
+	batch = state.Begin()
+	if err := batch.RevokeLease(revoked); err != nil {
+		t.Fatal(err)
+	}
+	if err := batch.RevokeLease(revoked); !errors.Is(err, ErrLeaseNotFound) {
+		t.Fatalf("a lease that has ended is revoked: %v", err)
+	}
+	next := batch.Next()
+	if _, ok := next.LeaseTTL(revoked); ok || next.Len() != 2 || next.Revision != state.Revision+1 {
+		t.Fatalf("%d keys at revision %d after %d", next.Len(), next.Revision, state.Revision)
+	}
+	for _, ttl := range []int64{99, 600_001} {
+		if _, err := next.Begin().GrantLease(ttl); !errors.Is(err, ErrLeaseTTL) {
+			t.Errorf("a time to live of %d ms: %v", ttl, err)
+		}
+	}
+}
+
+func TestRestoreRefusesInconsistentContents(t *testing.T) {
+	valid := func() Contents {
+		return Contents{
+			Revision: 9, LastLeaseID: 2, CompactRevision: 5,
+			Entries:   map[string]Entry{"a": {Version: 9, LeaseID: 1}},
+			LeaseTTLs: map[uint64]int64{1: 5000},
+			Events:    []protocol.WatchEvent{{Put: "b", Version: 6}, {Put: "a", Version: 9}},
+		}
+	}
+	if _, err := Restore(valid()); err != nil {
+		t.Fatal(err)
+	}
+	for name, corrupt := range map[string]func(*Contents){
+		"lease beyond the last":           func(c *Contents) { c.LeaseTTLs[3] = 5000 },
+		"lease 0":                         func(c *Contents) { c.LeaseTTLs[0] = 5000 },
+		"entry without a version":         func(c *Contents) { c.Entries["b"] = Entry{} },
+		"entry beyond the revision":       func(c *Contents) { c.Entries["b"] = Entry{Version: 10} },
+		"entry of an unknown lease":       func(c *Contents) { c.Entries["b"] = Entry{Version: 9, LeaseID: 2} },
+		"event beyond the revision":       func(c *Contents) { c.Events[1].Version = 10 },
+		"event of a compacted revision":   func(c *Contents) { c.Events[0].Version = 5 },
+		"events in the order of no store": func(c *Contents) { c.Events[0], c.Events[1] = c.Events[1], c.Events[0] },
+	} {
+		t.Run(name, func(t *testing.T) {
+			contents := valid()
+			corrupt(&contents)
+			if _, err := Restore(contents); !errors.Is(err, ErrInconsistent) {
+				t.Fatalf("error %v", err)
+			}
+		})
+	}
+}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -121,15 +121,13 @@
 
 // Forget removes a key behind everybody's back.
 func (s *State) Forget(key string) {
-	s.change(func(b *kvstore.Batch) { b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}}) })
+	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
 }
 
 // Reopen puts a job back to where it was when it was accepted, behind everybody's back.
 func (s *State) Reopen(spec protocol.Job) {
 	rec := records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: 1e9}
-	s.change(func(b *kvstore.Batch) {
-		b.Commit(&kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + spec.ID, Value: protocol.Encode(rec)}}})
-	})
+	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + spec.ID, Value: protocol.Encode(rec)}}})
 }
 
 // StandStill stops the process where it is, without ending it: what it was about
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -8,7 +8,6 @@
 
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/engine"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/records"
@@ -86,14 +85,14 @@
 func (s *State) refuses(node string) bool { return s.Out || s.Refuses[node] }
 
 func (s *State) arm(id uint64) {
-	life, _ := s.now.Begin().LeaseTTL(id)
+	life, _ := s.now.LeaseTTL(id)
 	ends := s.w.Now + time.Duration(life)*time.Millisecond
 	s.ends[id] = ends
 	s.w.At(ends, func() {
 		if s.ends[id] != ends || s.Out {
 			return
 		}
-		s.change(func(b *kvstore.Batch) { b.RevokeLease(id) })
+		s.change(func(b *kvstore.Batch) { _ = b.RevokeLease(id) }) // it may have ended
 	})
 }
 
@@ -105,6 +104,15 @@
 	s.wake()
 }
 
+// commitUnseen commits a transaction behind everybody's back.
+func (s *State) commitUnseen(txn *kvstore.Txn) {
+	s.change(func(b *kvstore.Batch) {
+		if _, err := b.Commit(txn); err != nil {
+			panic(fmt.Sprintf("simulation: commit: %v", err)) // only a lease that is not there
+		}
+	})
+}
+
 func (s *State) lease(node string, e core.RenewLease) (uint64, core.LeaseOutcome) {
 	if s.refuses(node) {
 		return e.LeaseID, core.LeaseRefused
@@ -113,15 +121,16 @@
 		return e.LeaseID, core.LeaseRefused
 	}
 	if e.LeaseID != 0 {
-		if _, ok := s.now.Begin().LeaseTTL(e.LeaseID); !ok {
+		if _, ok := s.now.LeaseTTL(e.LeaseID); !ok {
 			return e.LeaseID, core.LeaseExpired
 		}
 		s.arm(e.LeaseID)
 		return e.LeaseID, core.LeaseGranted
 	}
 	var id uint64
-	s.change(func(b *kvstore.Batch) { id = b.GrantLease(e.TTL.Milliseconds()) })
-	if id == 0 {
+	var err error
+	s.change(func(b *kvstore.Batch) { id, err = b.GrantLease(e.TTL.Milliseconds()) })
+	if err != nil {
 		s.w.broke("malformed", "%s asks for a lease of %v", node, e.TTL)
 		return 0, core.LeaseRefused
 	}
@@ -167,10 +176,18 @@
 		}
 		txn.Then = append(txn.Then, o)
 	}
-	var status int
-	var answer protocol.TransactionResult
-	s.change(func(b *kvstore.Batch) { status, answer, _ = b.Commit(&txn) })
-	return engine.CommitOutcome(status), answer
+	var result kvstore.TxnResult
+	var err error
+	s.change(func(b *kvstore.Batch) { result, err = b.Commit(&txn) })
+	answer := protocol.TransactionResult{Failed: result.FailedKeys, Revision: result.Revision}
+	switch {
+	case err != nil:
+		return core.CommitRejected, answer
+	case !result.Committed():
+		return core.CommitConflict, answer
+	default:
+		return core.Committed, answer
+	}
 }
 
 // load answers with a page of keys.
@@ -186,8 +203,8 @@
 
 // since answers a watch.
 func (s *State) since(rev uint64, done func(core.WatchOutcome, protocol.WatchResponse)) {
-	e, ok := s.now.EventsSince(core.KeyPrefix, rev)
-	if !ok {
+	e, err := s.now.EventsSince(core.KeyPrefix, rev)
+	if err != nil {
 		done(core.WatchCompacted, e)
 		return
 	}
@@ -252,7 +269,7 @@
 		}
 		txn.Then = append(txn.Then, kvstore.Op{Put: "c/job/" + id, Value: protocol.Encode(rec)})
 	}
-	s.change(func(b *kvstore.Batch) { b.Commit(&txn) })
+	s.commitUnseen(&txn)
 }
 
 // Behind puts a job into the store and n jobs that wait for it: half of them for it alone,
@@ -270,7 +287,7 @@
 		before = spec.ID
 		txn.Then = append(txn.Then, kvstore.Op{Put: "c/run/" + spec.ID, Value: protocol.Encode(records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: 1e9})})
 	}
-	s.change(func(b *kvstore.Batch) { b.Commit(&txn) })
+	s.commitUnseen(&txn)
 }
 
 // malformed says what is wrong with a transaction: it is over a limit of the
@@ -298,11 +315,10 @@
 
 // Count counts the keys with a prefix.
 func (s *State) Count(prefix string) (n int) {
-	s.now.Each(func(k string, _ kvstore.Entry) bool {
-		if strings.HasPrefix(k, prefix) {
+	for key := range s.now.All() {
+		if strings.HasPrefix(key, prefix) {
 			n++
 		}
-		return true
-	})
+	}
 	return n
 }
