--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	log.Info("state read", "file", f.File, "revision", s.Revision, "keys", s.Len(), "took", time.Since(began))
+	log.Info("state loaded", "file", f.File, "revision", s.Revision, "keys", s.Len(), "took", time.Since(began))
 	srv := kvserver.New(kvserver.Settings{Limits: kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.TxnOps},
 		RequestsPerSecond: f.Limits.RPS, WritesPerSecond: f.Limits.WriteRPS, MaxBatch: f.Batch}, s, v)
 	g, ctx := errgroup.WithContext(ctx)
@@ -143,19 +143,19 @@
 		at = time.Now()
 		path, s, err := v.TakeSnapshot(f.Snapshots)
 		if err != nil {
-			log.Error("no snapshot", "error", err)
+			log.Error("snapshot failed", "error", err)
 			continue
 		}
 		last = s.Revision
 		if f.Keep > 0 {
 			if err := kvfile.PruneSnapshots(f.Snapshots, f.Keep); err != nil {
-				log.Error("old snapshots stay", "error", err)
+				log.Error("pruning snapshots failed", "error", err)
 			}
 		}
 		if asked {
 			os.Remove(wish(f.Snapshots))
 		}
-		log.Info("snapshot taken", "file", path, "revision", s.Revision, "keys", s.Len(), "took", time.Since(at), "figures", srv.Metrics())
+		log.Info("snapshot taken", "file", path, "revision", s.Revision, "keys", s.Len(), "took", time.Since(at), "metrics", srv.Metrics())
 	}
 }
 
