--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -131,11 +131,11 @@
 	}
 	maxQueued := int(set.Site.Resources.RAMMB * peerQueueShare * (1 << 20))
 	links := peer.New(siblings, report/10, report, maxQueued, e.Post, status)
-	out := engine.Outside{
-		State:  kvclient.New(set.External.State, time.Second, set.Site.Resources.MaxSockets, e.Clock),
-		Cloud:  cloud.New(set.External.Cloud),
-		Worker: worker.New(set.Site.Resources.MaxSockets/4, report),
-		Peer:   links,
+	out := engine.Clients{
+		Store:   kvclient.New(set.External.State, time.Second, set.Site.Resources.MaxSockets, e.Clock),
+		Cloud:   cloud.New(set.External.Cloud),
+		Workers: worker.New(set.Site.Resources.MaxSockets/4, report),
+		Peers:   links,
 	}
 	e.Connect(out)
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -25,15 +25,15 @@
 // New makes a client.
 func New(addr string) *Client { return &Client{rpc: rpc.New(8, timeout), addr: addr} }
 
-// Types asks for the machine types.
-func (c *Client) Types() core.MachineTypesResult {
+// ListMachineTypes asks for the machine types.
+func (c *Client) ListMachineTypes() core.MachineTypesResult {
 	var d core.MachineTypesResult
 	d.Outcome = engine.CloudOutcome(c.rpc.Call("GET", c.addr, "/machine_types", nil, &d.Answer, timeout, fasthttp.StatusOK))
 	return d
 }
 
-// List reads a page of the list.
-func (c *Client) List(e core.ListInstances) core.ListInstancesResult {
+// ListInstances reads a page of the list.
+func (c *Client) ListInstances(e core.ListInstances) core.ListInstancesResult {
 	q := "/machines?Page=500"
 	if e.After != "" {
 		q += "&Since=" + url.QueryEscape(e.After)
@@ -43,15 +43,15 @@
 	return core.ListInstancesResult{Outcome: engine.CloudOutcome(status), Machines: l.Machines, More: l.More}
 }
 
-// Hire rents machines.
-func (c *Client) Hire(e core.CreateInstances) core.CreateInstancesResult {
+// CreateInstances rents machines.
+func (c *Client) CreateInstances(e core.CreateInstances) core.CreateInstancesResult {
 	var n protocol.MachineNames
 	status := c.rpc.Call("POST", c.addr, "/machines", e.Request, &n, timeout, fasthttp.StatusOK)
 	return core.CreateInstancesResult{Request: e.Request.Request, Outcome: engine.CloudOutcome(status), Names: n.Machines}
 }
 
-// Delete returns machines.
-func (c *Client) Delete(e core.DeleteInstances) core.DeleteInstancesResult {
+// DeleteInstances returns machines.
+func (c *Client) DeleteInstances(e core.DeleteInstances) core.DeleteInstancesResult {
 	status := c.rpc.Call("POST", c.addr, "/machines/delete", protocol.MachineNames{Machines: e.Names}, nil, timeout)
 	return core.DeleteInstancesResult{Names: e.Names, Outcome: engine.CloudOutcome(status)}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -15,63 +15,63 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 )
 
-// batch is the most commands applied at once.
-const batch = 256
+// maxBatch is the most commands applied at once.
+const maxBatch = 256
 
-// Outside is everything beyond the core. Calls that wait are run in goroutines
+// Clients is everything beyond the core. Calls that wait are run in goroutines
 // of their own.
-type Outside struct {
-	State interface {
+type Clients struct {
+	Store interface {
 		Commit(core.Commit) core.CommitResult
-		Load(core.LoadPage) core.LoadResult
-		Follow(core.Watch) core.WatchResult
-		Lease(core.RenewLease) core.LeaseResult
+		LoadPage(core.LoadPage) core.LoadResult
+		Watch(core.Watch) core.WatchResult
+		RenewLease(core.RenewLease) core.LeaseResult
 	}
 	Cloud interface {
-		Types() core.MachineTypesResult
-		List(core.ListInstances) core.ListInstancesResult
-		Hire(core.CreateInstances) core.CreateInstancesResult
-		Delete(core.DeleteInstances) core.DeleteInstancesResult
+		ListMachineTypes() core.MachineTypesResult
+		ListInstances(core.ListInstances) core.ListInstancesResult
+		CreateInstances(core.CreateInstances) core.CreateInstancesResult
+		DeleteInstances(core.DeleteInstances) core.DeleteInstancesResult
 	}
-	Worker interface {
-		Do(core.CallWorker) core.CallWorkerResult
-		Inspect(core.ProbeWorker) core.ProbeResult
+	Workers interface {
+		Call(core.CallWorker) core.CallWorkerResult
+		Probe(core.ProbeWorker) core.ProbeResult
 	}
-	Peer interface {
-		Target(label string)
+	Peers interface {
+		Connect(label string)
 		Send(core.SendToPeer)
-		Close(session uint64)
+		CloseSession(session uint64)
 	}
 }
 
 // Engine owns a core.
 type Engine struct {
-	core  *core.Core
-	out   Outside
-	log   *slog.Logger
-	queue chan core.Command
-	start time.Time
-	ready atomic.Bool
-
-	mu      sync.Mutex
-	nextID  core.RequestID
-	waiting map[core.RequestID]chan core.Reply
-	answers *hdrhistogram.Histogram // ms
+	core      *core.Core
+	clients   Clients
+	logger    *slog.Logger
+	queue     chan core.Command
+	startedAt time.Time
+	ready     atomic.Bool
+
+	mu            sync.Mutex
+	nextID        core.RequestID
+	replyChannels map[core.RequestID]chan core.Reply
+	responseTimes *hdrhistogram.Histogram // ms
 }
 
 // New makes an engine. Outside is set before Run.
 func New(c *core.Core, log *slog.Logger) *Engine {
 	return &Engine{
-		core: c, log: log, queue: make(chan core.Command, 4096), start: time.Now(),
-		waiting: map[core.RequestID]chan core.Reply{}, answers: hdrhistogram.New(1, 60_000, 2),
+		core: c, logger: log, queue: make(chan core.Command, 4096), startedAt: time.Now(),
+		replyChannels: map[core.RequestID]chan core.Reply{}, responseTimes: hdrhistogram.New(1, 60_000, 2),
 	}
 }
 
 // Connect gives the engine its outside.
-func (e *Engine) Connect(out Outside) { e.out = out }
+func (e *Engine) Connect(out Clients) { e.clients = out }
 
 // Clock is the steady clock that the core lives by.
-func (e *Engine) Clock() time.Duration { return time.Since(e.start) }
+func (e *Engine) Clock() time.Duration { return time.Since(e.startedAt) }
 
 // Ready reports whether the node can take requests.
 func (e *Engine) Ready() bool { return e.ready.Load() }
@@ -87,12 +87,12 @@
 	e.mu.Lock()
 	e.nextID++
 	id := e.nextID
-	e.waiting[id] = ch
+	e.replyChannels[id] = ch
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		delete(e.waiting, id)
-		_ = e.answers.RecordValue(min(max(time.Since(begin).Milliseconds(), 1), 60_000)) // within bounds
+		delete(e.replyChannels, id)
+		_ = e.responseTimes.RecordValue(min(max(time.Since(begin).Milliseconds(), 1), 60_000)) // within bounds
 		e.mu.Unlock()
 	}()
 	select {
@@ -118,7 +118,7 @@
 	}
 	s := r.Body.(*core.Status)
 	e.mu.Lock()
-	s.ResponseTimes = core.Summarize(e.answers)
+	s.ResponseTimes = core.Summarize(e.responseTimes)
 	e.mu.Unlock()
 	return s, true
 }
@@ -127,7 +127,7 @@
 func (e *Engine) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	cmds := make([]core.Command, 0, batch)
+	cmds := make([]core.Command, 0, maxBatch)
 	for {
 		cmds = cmds[:0]
 		select {
@@ -138,7 +138,7 @@
 		case <-timer.C:
 		}
 	more:
-		for len(cmds) < batch {
+		for len(cmds) < maxBatch {
 			select {
 			case c := <-e.queue:
 				cmds = append(cmds, c)
@@ -158,42 +158,42 @@
 	switch f := eff.(type) {
 	case core.Reply:
 		e.mu.Lock()
-		ch := e.waiting[f.ID]
-		delete(e.waiting, f.ID)
+		ch := e.replyChannels[f.ID]
+		delete(e.replyChannels, f.ID)
 		e.mu.Unlock()
 		if ch != nil {
 			ch <- f
 		}
 	case core.Log:
-		e.log.Log(context.Background(), slog.Level(f.Level), f.Text, f.Args...)
+		e.logger.Log(context.Background(), slog.Level(f.Level), f.Text, f.Args...)
 	case core.SetReady:
 		e.ready.Store(f.Ready)
 	case core.SendToPeer:
-		e.out.Peer.Send(f)
+		e.clients.Peers.Send(f)
 	case core.ConnectPeer:
-		e.out.Peer.Target(f.Label)
+		e.clients.Peers.Connect(f.Label)
 	case core.ClosePeer:
-		e.out.Peer.Close(f.Session)
+		e.clients.Peers.CloseSession(f.Session)
 	case core.Commit:
-		go func() { e.Post(e.out.State.Commit(f)) }()
+		go func() { e.Post(e.clients.Store.Commit(f)) }()
 	case core.LoadPage:
-		go func() { e.Post(e.out.State.Load(f)) }()
+		go func() { e.Post(e.clients.Store.LoadPage(f)) }()
 	case core.Watch:
-		go func() { e.Post(e.out.State.Follow(f)) }()
+		go func() { e.Post(e.clients.Store.Watch(f)) }()
 	case core.RenewLease:
-		go func() { e.Post(e.out.State.Lease(f)) }()
+		go func() { e.Post(e.clients.Store.RenewLease(f)) }()
 	case core.CallWorker:
-		go func() { e.Post(e.out.Worker.Do(f)) }()
+		go func() { e.Post(e.clients.Workers.Call(f)) }()
 	case core.ProbeWorker:
-		go func() { e.Post(e.out.Worker.Inspect(f)) }()
+		go func() { e.Post(e.clients.Workers.Probe(f)) }()
 	case core.ListMachineTypes:
-		go func() { e.Post(e.out.Cloud.Types()) }()
+		go func() { e.Post(e.clients.Cloud.ListMachineTypes()) }()
 	case core.ListInstances:
-		go func() { e.Post(e.out.Cloud.List(f)) }()
+		go func() { e.Post(e.clients.Cloud.ListInstances(f)) }()
 	case core.CreateInstances:
-		go func() { e.Post(e.out.Cloud.Hire(f)) }()
+		go func() { e.Post(e.clients.Cloud.CreateInstances(f)) }()
 	case core.DeleteInstances:
-		go func() { e.Post(e.out.Cloud.Delete(f)) }()
+		go func() { e.Post(e.clients.Cloud.DeleteInstances(f)) }()
 	default:
 		panic("engine: unknown effect")
 	}
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -25,19 +25,19 @@
 	clock   func() time.Duration
 }
 
-// leastConns is how many connections a client may open at the least.
-const leastConns = 64
+// minConnections is how many connections a client may open at the least.
+const minConnections = 64
 
-// connShare of a process's sockets, one in so many, may go to the state service: what a site of
+// socketsPerConnection of a process's sockets, one in so many, may go to the state service: what a site of
 // 1,454 machines, with 2,885 sockets and 250 requests a second, has at the least, and a larger
 // site in proportion. While the service answers slowly, requests under way are as many as its
 // requests a second times the seconds that it takes.
-const connShare = 48
+const socketsPerConnection = 48
 
 // New makes a client of a process that may open maxSockets; timeout bounds each call beyond
 // what a watch holds.
 func New(addr string, timeout time.Duration, maxSockets int, clock func() time.Duration) *Client {
-	conns := max(maxSockets/connShare, leastConns)
+	conns := max(maxSockets/socketsPerConnection, minConnections)
 	return &Client{rpc: rpc.New(conns, timeout), address: addr, timeout: timeout, clock: clock}
 }
 
@@ -51,8 +51,8 @@
 	return d
 }
 
-// Load reads a page of our keys.
-func (c *Client) Load(e core.LoadPage) core.LoadResult {
+// LoadPage reads a page of our keys.
+func (c *Client) LoadPage(e core.LoadPage) core.LoadResult {
 	d := core.LoadResult{SentAt: c.clock()}
 	q := "/store?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Page=" + strconv.Itoa(loadPageKeys)
 	if e.After != "" {
@@ -65,8 +65,8 @@
 	return d
 }
 
-// Follow waits for changes.
-func (c *Client) Follow(e core.Watch) core.WatchResult {
+// Watch waits for changes.
+func (c *Client) Watch(e core.Watch) core.WatchResult {
 	d := core.WatchResult{Barrier: e.Barrier, SentAt: c.clock()}
 	q := "/follow?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Since=" + strconv.FormatUint(e.Since, 10) +
 		"&HoldMs=" + strconv.FormatInt(e.Hold.Milliseconds(), 10)
@@ -74,8 +74,8 @@
 	return d
 }
 
-// Lease renews a lease, or asks for one.
-func (c *Client) Lease(e core.RenewLease) core.LeaseResult {
+// RenewLease renews a lease, or asks for one.
+func (c *Client) RenewLease(e core.RenewLease) core.LeaseResult {
 	d := core.LeaseResult{SentAt: c.clock(), LeaseID: e.LeaseID}
 	if e.LeaseID != 0 {
 		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.address, "/holds/"+strconv.FormatUint(e.LeaseID, 10)+"/extend", nil, nil, c.timeout))
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -16,7 +16,7 @@
 // While the state service takes a fifth of a second to answer, all that a large site may ask
 // of it in that time is under way at once. The site is one of 1,454 machines with 2,885 sockets
 // and 250 requests a second, made larger in proportion.
-func TestRequestsOfLargeSiteAreUnderWayAtOnce(t *testing.T) {
+func TestRequestsOfLargeSiteAreInFlightAtOnce(t *testing.T) {
 	for _, machines := range []int{4000, 8000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			sockets := 2885 * machines / 1454
--- a/internal/peer/peer.go
+++ b/internal/peer/links.go
@@ -17,33 +17,33 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// Link keeps the links of a node.
-type Link struct {
-	siblings map[string]string // label -> address
-	post     func(core.Command)
-	status   func() ([]byte, bool)
-	retry    time.Duration
-	timeout  time.Duration
-	// maxQueued is how many bytes of memory may wait to be written, on all links together.
-	maxQueued int
+// Links keeps the links of a node.
+type Links struct {
+	siblings      map[string]string // label -> address
+	post          func(core.Command)
+	status        func() ([]byte, bool)
+	retryInterval time.Duration
+	timeout       time.Duration
+	// maxQueuedBytes is how many bytes of memory may wait to be written, on all links together.
+	maxQueuedBytes int
 
-	mu      sync.Mutex
-	ctx     context.Context
-	next    uint64
-	links   map[uint64]*session
-	queued  int // bytes that wait on all links
-	target  string
-	stopOut context.CancelFunc
+	mu          sync.Mutex
+	ctx         context.Context
+	lastID      uint64
+	sessions    map[uint64]*session
+	queuedBytes int // bytes that wait on all links
+	target      string
+	stopDialing context.CancelFunc
 }
 
 // session is one connection. What it queues is guarded by the lock of its Link.
 type session struct {
-	id     uint64
-	conn   net.Conn
-	queue  []queuedMessage
-	queued int        // bytes of the queue
-	more   *sync.Cond // the queue has grown, or the session is closed
-	closed bool
+	id          uint64
+	conn        net.Conn
+	queue       []queuedMessage
+	queuedBytes int        // bytes of the queue
+	changed     *sync.Cond // the queue has grown, or the session is closed
+	closed      bool
 }
 
 // queuedMessage waits to be written.
@@ -54,13 +54,13 @@
 
 // New makes the links of a node. status renders the status page. What waits to be written
 // takes at most maxQueued bytes of memory.
-func New(siblings map[string]string, retry, timeout time.Duration, maxQueued int, post func(core.Command), status func() ([]byte, bool)) *Link {
-	return &Link{siblings: siblings, retry: retry, timeout: timeout, maxQueued: maxQueued, post: post, status: status,
-		links: map[uint64]*session{}, ctx: context.Background()}
+func New(siblings map[string]string, retry, timeout time.Duration, maxQueued int, post func(core.Command), status func() ([]byte, bool)) *Links {
+	return &Links{siblings: siblings, retryInterval: retry, timeout: timeout, maxQueuedBytes: maxQueued, post: post, status: status,
+		sessions: map[uint64]*session{}, ctx: context.Background()}
 }
 
 // Serve accepts links until ctx ends.
-func (l *Link) Serve(ctx context.Context, ln net.Listener) error {
+func (l *Links) Serve(ctx context.Context, ln net.Listener) error {
 	l.mu.Lock()
 	l.ctx = ctx
 	l.mu.Unlock()
@@ -72,28 +72,28 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			time.Sleep(l.retry)
+			time.Sleep(l.retryInterval)
 			continue
 		}
-		go l.accepted(conn)
+		go l.handleAccepted(conn)
 	}
 }
 
-func (l *Link) accepted(conn net.Conn) {
+func (l *Links) handleAccepted(conn net.Conn) {
 	r := bufio.NewReaderSize(conn, 16<<10)
 	conn.SetReadDeadline(time.Now().Add(l.timeout))
 	if head, err := r.Peek(4); err != nil {
 		conn.Close()
 		return
 	} else if string(head) == "GET " {
-		l.page(conn)
+		l.serveStatusPage(conn)
 		return
 	}
-	l.run(conn, r, "")
+	l.runSession(conn, r, "")
 }
 
-// page answers a browser with the status page, whatever path it asks for.
-func (l *Link) page(conn net.Conn) {
+// serveStatusPage answers a browser with the status page, whatever path it asks for.
+func (l *Links) serveStatusPage(conn net.Conn) {
 	defer conn.Close()
 	body, ok := l.status()
 	status := "200 OK"
@@ -105,52 +105,52 @@
 	conn.Write(body)
 }
 
-// Target names the sibling to keep a link to; an earlier link is closed.
-func (l *Link) Target(label string) {
+// Connect names the sibling to keep a link to; an earlier link is closed.
+func (l *Links) Connect(label string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.target == label && label != "" {
 		return
 	}
 	l.target = label
-	if l.stopOut != nil {
-		l.stopOut()
-		l.stopOut = nil
+	if l.stopDialing != nil {
+		l.stopDialing()
+		l.stopDialing = nil
 	}
 	addr := l.siblings[label]
 	if addr == "" {
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
-	l.stopOut = cancel
+	l.stopDialing = cancel
 	go l.dial(ctx, label, addr)
 }
 
-func (l *Link) dial(ctx context.Context, label, addr string) {
+func (l *Links) dial(ctx context.Context, label, addr string) {
 	d := net.Dialer{Timeout: l.timeout}
 	for ctx.Err() == nil {
 		conn, err := d.DialContext(ctx, "tcp4", addr)
 		if err == nil {
 			stop := context.AfterFunc(ctx, func() { conn.Close() })
-			l.run(conn, bufio.NewReaderSize(conn, 16<<10), label)
+			l.runSession(conn, bufio.NewReaderSize(conn, 16<<10), label)
 			stop()
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(l.retry):
+		case <-time.After(l.retryInterval):
 		}
 	}
 }
 
-// run reads a link until it breaks.
-func (l *Link) run(conn net.Conn, r *bufio.Reader, label string) {
+// runSession reads a link until it breaks.
+func (l *Links) runSession(conn net.Conn, r *bufio.Reader, label string) {
 	l.mu.Lock()
-	l.next++
-	s := &session{id: l.next, conn: conn, more: sync.NewCond(&l.mu)}
-	l.links[s.id] = s
+	l.lastID++
+	s := &session{id: l.lastID, conn: conn, changed: sync.NewCond(&l.mu)}
+	l.sessions[s.id] = s
 	l.mu.Unlock()
 	l.post(core.PeerConnected{Session: s.id, Label: label})
-	go l.write(s)
+	go l.writeQueue(s)
 	for {
 		conn.SetReadDeadline(time.Now().Add(4 * l.timeout))
 		line, err := readLine(r)
@@ -163,7 +163,7 @@
 		}
 		l.post(core.PeerReceived{Session: s.id, Message: m})
 	}
-	l.drop(s)
+	l.removeSession(s)
 	l.post(core.PeerDisconnected{Session: s.id})
 }
 
@@ -181,27 +181,27 @@
 	}
 }
 
-func (l *Link) drop(s *session) {
+func (l *Links) removeSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.links, s.id)
-	l.end(s)
+	delete(l.sessions, s.id)
+	l.closeSession(s)
 }
 
-// end closes a session and lets go what it has queued; its reader drops it. The lock is held.
-func (l *Link) end(s *session) {
+// closeSession closes a session and lets go what it has queued; its reader drops it. The lock is held.
+func (l *Links) closeSession(s *session) {
 	s.conn.Close()
 	s.closed = true
-	l.queued -= s.queued
-	s.queue, s.queued = nil, 0
-	s.more.Signal()
+	l.queuedBytes -= s.queuedBytes
+	s.queue, s.queuedBytes = nil, 0
+	s.changed.Signal()
 }
 
-// write sends what a session has queued until it is closed. A peer that does not read for
+// writeQueue sends what a session has queued until it is closed. A peer that does not read for
 // the timeout of a link gets it closed.
-func (l *Link) write(s *session) {
+func (l *Links) writeQueue(s *session) {
 	for {
-		m, ok := l.first(s)
+		m, ok := l.nextMessage(s)
 		if !ok {
 			return
 		}
@@ -214,17 +214,17 @@
 			s.conn.Close()
 			return
 		}
-		l.sent(s)
+		l.dequeue(s)
 	}
 }
 
-// first waits for the message that a session is to write next; it stays queued until it is
+// nextMessage waits for the message that a session is to write next; it stays queued until it is
 // written. ok is false once the session is closed.
-func (l *Link) first(s *session) (m peerproto.Message, ok bool) {
+func (l *Links) nextMessage(s *session) (m peerproto.Message, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(s.queue) == 0 && !s.closed {
-		s.more.Wait()
+		s.changed.Wait()
 	}
 	if s.closed {
 		return m, false
@@ -232,15 +232,15 @@
 	return s.queue[0].message, true
 }
 
-// sent takes the first message of a session out of its queue.
-func (l *Link) sent(s *session) {
+// dequeue takes the first message of a session out of its queue.
+func (l *Links) dequeue(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s.closed {
 		return
 	}
-	l.queued -= s.queue[0].bytes
-	s.queued -= s.queue[0].bytes
+	l.queuedBytes -= s.queue[0].bytes
+	s.queuedBytes -= s.queue[0].bytes
 	s.queue[0] = queuedMessage{} // its memory goes now, the list's when that grows
 	if s.queue = s.queue[1:]; len(s.queue) == 0 {
 		s.queue = nil
@@ -253,38 +253,38 @@
 //
 // Guards against a bound by count: a whole picture of 3,200 machines with 64 tasks each is
 // more than the 1,024 messages that a link once queued, and closed it at every try.
-func (l *Link) Send(e core.SendToPeer) {
+func (l *Links) Send(e core.SendToPeer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.links[e.Session]
+	s := l.sessions[e.Session]
 	if s == nil || s.closed {
 		return
 	}
 	bytes := memoryBytes(&e.Message)
 	s.queue = append(s.queue, queuedMessage{e.Message, bytes})
-	s.queued += bytes
-	l.queued += bytes
-	s.more.Signal()
-	for l.queued > l.maxQueued {
-		l.end(l.longest())
+	s.queuedBytes += bytes
+	l.queuedBytes += bytes
+	s.changed.Signal()
+	for l.queuedBytes > l.maxQueuedBytes {
+		l.closeSession(l.longestQueue())
 	}
 }
 
-// longest is the session with the longest queue, by bytes. The lock is held.
-func (l *Link) longest() (longest *session) {
-	for _, s := range l.links {
-		if longest == nil || s.queued > longest.queued || s.queued == longest.queued && s.id < longest.id {
+// longestQueue is the session with the longest queue, by bytes. The lock is held.
+func (l *Links) longestQueue() (longest *session) {
+	for _, s := range l.sessions {
+		if longest == nil || s.queuedBytes > longest.queuedBytes || s.queuedBytes == longest.queuedBytes && s.id < longest.id {
 			longest = s
 		}
 	}
 	return longest
 }
 
-// Close ends a link.
-func (l *Link) Close(id uint64) {
+// CloseSession ends a link.
+func (l *Links) CloseSession(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := l.links[id]; s != nil {
+	if s := l.sessions[id]; s != nil {
 		s.conn.Close()
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/links_test.go
@@ -12,12 +12,12 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// roomForAll is a bound on what waits that no test reaches.
-const roomForAll = 1 << 30
+// generousQueueBytes is a bound on what waits that no test reaches.
+const generousQueueBytes = 1 << 30
 
 // Two nodes on loopback: lines arrive, a broken link comes back as a new one,
 // and a browser gets the status page from the same port.
-func TestLinkAndStatusPage(t *testing.T) {
+func TestLinkReconnectsAndServesStatusPage(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -26,22 +26,22 @@
 	}
 	got := make(chan core.Command, 16)
 	page := func() ([]byte, bool) { return []byte(`{"label":"b"}`), true }
-	b := New(nil, 10*time.Millisecond, time.Second, roomForAll, func(c core.Command) { got <- c }, page)
+	b := New(nil, 10*time.Millisecond, time.Second, generousQueueBytes, func(c core.Command) { got <- c }, page)
 	go b.Serve(ctx, ln)
 
 	sent := make(chan core.Command, 16)
-	a := New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, time.Second, roomForAll, func(c core.Command) { sent <- c }, page)
-	a.Target("b")
-	up := next[core.PeerConnected](t, sent)
+	a := New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, time.Second, generousQueueBytes, func(c core.Command) { sent <- c }, page)
+	a.Connect("b")
+	up := waitFor[core.PeerConnected](t, sent)
 	a.Send(core.SendToPeer{Session: up.Session, Message: peerproto.Message{Hello: &peerproto.Hello{Label: "a", BootID: "1"}}})
-	there := next[core.PeerConnected](t, got)
-	line := next[core.PeerReceived](t, got)
+	there := waitFor[core.PeerConnected](t, got)
+	line := waitFor[core.PeerReceived](t, got)
 	if line.Session != there.Session || line.Message.Hello.Label != "a" {
 		t.Fatalf("%+v", line)
 	}
-	b.Close(there.Session)
-	next[core.PeerDisconnected](t, sent)
-	if again := next[core.PeerConnected](t, sent); again.Session == up.Session {
+	b.CloseSession(there.Session)
+	waitFor[core.PeerDisconnected](t, sent)
+	if again := waitFor[core.PeerConnected](t, sent); again.Session == up.Session {
 		t.Fatal("a new link has the number of the old one")
 	}
 
@@ -57,7 +57,7 @@
 	}
 }
 
-func next[T core.Command](t *testing.T, ch chan core.Command) T {
+func waitFor[T core.Command](t *testing.T, ch chan core.Command) T {
 	t.Helper()
 	timeout := time.After(5 * time.Second)
 	for {
--- a/internal/peer/queue_test.go
+++ b/internal/peer/queue_test.go
@@ -13,8 +13,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// picture is a member's whole picture of machines with 64 tasks each.
-func picture(machines int) peerproto.Message {
+// snapshotOf is a member's whole picture of machines with 64 tasks each.
+func snapshotOf(machines int) peerproto.Message {
 	m := peerproto.Message{Epoch: 7, Snapshot: true, ReadSeq: 12}
 	for i := range machines {
 		s := peerproto.MachineState{Name: fmt.Sprintf("n-%07d", i), Addr: "10.0.0.1:8000", Type: "barn", Zone: "a", TasksComplete: true, AcceptsTasks: true}
@@ -26,8 +26,8 @@
 	return m
 }
 
-// pair is two nodes on loopback: what a sends, b gets.
-func pair(t *testing.T, maxQueued int) (a *Link, session uint64, sent, got chan core.Command) {
+// connectedPair is two nodes on loopback: what a sends, b gets.
+func connectedPair(t *testing.T, maxQueued int) (a *Links, session uint64, sent, got chan core.Command) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -36,30 +36,30 @@
 		t.Fatal(err)
 	}
 	sent, got = make(chan core.Command, 64), make(chan core.Command, 64)
-	b := New(nil, 10*time.Millisecond, 5*time.Second, roomForAll, func(c core.Command) { got <- c }, nil)
+	b := New(nil, 10*time.Millisecond, 5*time.Second, generousQueueBytes, func(c core.Command) { got <- c }, nil)
 	go b.Serve(ctx, ln)
 	a = New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, 5*time.Second, maxQueued, func(c core.Command) { sent <- c }, nil)
-	a.Target("b")
-	t.Cleanup(func() { a.Target("") })
-	return a, next[core.PeerConnected](t, sent).Session, sent, got
+	a.Connect("b")
+	t.Cleanup(func() { a.Connect("") })
+	return a, waitFor[core.PeerConnected](t, sent).Session, sent, got
 }
 
 // A whole picture goes into a link at once, and a second one that was asked for meanwhile.
 // Both arrive over that same link, in order: a count of messages once closed it at every try
 // from 3,200 machines on, mostly before the first line.
-func TestWholePictureArrives(t *testing.T) {
+func TestSnapshotOfLargeFleetArrives(t *testing.T) {
 	for _, of := range []struct{ machines, pictures int }{{4000, 1}, {4000, 2}, {8000, 1}} {
 		machines, pictures := of.machines, of.pictures
 		t.Run(fmt.Sprintf("%d machines, %d pictures", machines, pictures), func(t *testing.T) {
-			a, session, sent, got := pair(t, roomForAll)
-			m := picture(machines)
+			a, session, sent, got := connectedPair(t, generousQueueBytes)
+			m := snapshotOf(machines)
 			pieces := m.MemberChunks()
 			for range pictures {
 				for _, p := range pieces {
 					a.Send(core.SendToPeer{Session: session, Message: p})
 				}
 			}
-			next[core.PeerConnected](t, got)
+			waitFor[core.PeerConnected](t, got)
 			for n := range pictures * len(pieces) {
 				select {
 				case c := <-got:
@@ -82,8 +82,8 @@
 	}
 }
 
-// deaf accepts connections and never reads.
-func deaf(t *testing.T) net.Listener {
+// listenWithoutReading accepts connections and never reads.
+func listenWithoutReading(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -103,25 +103,25 @@
 }
 
 // A peer that reads nothing for the timeout of a link gets it closed, however little waits.
-func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
+func TestSessionOfStalledPeerIsClosed(t *testing.T) {
 	sent := make(chan core.Command, 64)
-	a := New(map[string]string{"b": deaf(t).Addr().String()}, time.Hour, 300*time.Millisecond, roomForAll, func(c core.Command) { sent <- c }, nil)
-	a.Target("b")
-	defer a.Target("")
-	session := next[core.PeerConnected](t, sent).Session
+	a := New(map[string]string{"b": listenWithoutReading(t).Addr().String()}, time.Hour, 300*time.Millisecond, generousQueueBytes, func(c core.Command) { sent <- c }, nil)
+	a.Connect("b")
+	defer a.Connect("")
+	session := waitFor[core.PeerConnected](t, sent).Session
 	begin := time.Now()
-	m := picture(4000)
+	m := snapshotOf(4000)
 	for _, p := range m.MemberChunks() {
 		a.Send(core.SendToPeer{Session: session, Message: p})
 	}
-	next[core.PeerDisconnected](t, sent)
+	waitFor[core.PeerDisconnected](t, sent)
 	if took := time.Since(begin); took > 4*time.Second {
 		t.Fatalf("closed after %v", took)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.queued != 0 || len(a.links) != 0 {
-		t.Fatalf("%d bytes wait for a closed link, of %d", a.queued, len(a.links))
+	if a.queuedBytes != 0 || len(a.sessions) != 0 {
+		t.Fatalf("%d bytes wait for a closed link, of %d", a.queuedBytes, len(a.sessions))
 	}
 }
 
@@ -129,9 +129,9 @@
 // what waits never passes the bound.
 func TestQueuedMemoryIsBounded(t *testing.T) {
 	const bound = 8 << 20
-	a, _, sent, _ := pair(t, bound)
-	a.Target("") // as a leader, it is only dialled
-	next[core.PeerDisconnected](t, sent)
+	a, _, sent, _ := connectedPair(t, bound)
+	a.Connect("") // as a leader, it is only dialled
+	waitFor[core.PeerDisconnected](t, sent)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -156,10 +156,10 @@
 				}
 			}()
 		}
-		return next[core.PeerConnected](t, sent).Session
+		return waitFor[core.PeerConnected](t, sent).Session
 	}
 	unread, reads := dial(false), dial(true)
-	m := picture(4000)
+	m := snapshotOf(4000)
 	pieces := m.MemberChunks()
 	closed := false
 	for i := 0; i < 3*len(pieces) && !closed; i++ {
@@ -167,14 +167,14 @@
 		a.Send(core.SendToPeer{Session: reads, Message: peerproto.Message{Epoch: 7}})
 		a.mu.Lock()
 		sum := 0
-		for _, s := range a.links {
-			sum += s.queued
+		for _, s := range a.sessions {
+			sum += s.queuedBytes
 		}
-		if a.queued > bound || sum != a.queued {
-			t.Fatalf("%d bytes wait, %d on the links", a.queued, sum)
+		if a.queuedBytes > bound || sum != a.queuedBytes {
+			t.Fatalf("%d bytes wait, %d on the links", a.queuedBytes, sum)
 		}
-		closed = a.links[unread] == nil || a.links[unread].closed
-		if s := a.links[reads]; s == nil || s.closed {
+		closed = a.sessions[unread] == nil || a.sessions[unread].closed
+		if s := a.sessions[reads]; s == nil || s.closed {
 			t.Fatal("the link that is read is closed")
 		}
 		a.mu.Unlock()
@@ -182,13 +182,13 @@
 	if !closed {
 		t.Fatal("the link that is not read stays open")
 	}
-	if down := next[core.PeerDisconnected](t, sent); down.Session != unread {
+	if down := waitFor[core.PeerDisconnected](t, sent); down.Session != unread {
 		t.Fatalf("session %d is down, not %d", down.Session, unread)
 	}
 }
 
 // No list of a message is left out when what waits is counted.
-func TestMemoryOfEveryListCounts(t *testing.T) {
+func TestMemoryCountsEveryList(t *testing.T) {
 	var m peerproto.Message
 	v := reflect.ValueOf(&m).Elem()
 	for i := range v.NumField() {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/client.go
@@ -15,20 +15,20 @@
 
 // Client calls any number of hosts.
 type Client struct {
-	http *fasthttp.Client
-	most int64 // connections that may be open before the idle ones are closed, 0: any
-	open atomic.Int64
+	http      *fasthttp.Client
+	maxOpen   int64 // connections that may be open before the idle ones are closed, 0: any
+	openCount atomic.Int64
 }
 
-// conn is a connection that is counted.
-type conn struct {
+// countedConn is a connection that is counted.
+type countedConn struct {
 	net.Conn
-	once sync.Once
-	open *atomic.Int64
+	once      sync.Once
+	openCount *atomic.Int64
 }
 
-func (c *conn) Close() error {
-	c.once.Do(func() { c.open.Add(-1) })
+func (c *countedConn) Close() error {
+	c.once.Do(func() { c.openCount.Add(-1) })
 	return c.Conn.Close()
 }
 
@@ -42,7 +42,7 @@
 // lately, and with a few thousand of them no user or worker could connect any more.
 func NewMany(conns, most int, dial time.Duration) *Client {
 	d := &net.Dialer{Timeout: dial}
-	c := &Client{most: int64(most)}
+	c := &Client{maxOpen: int64(most)}
 	c.http = &fasthttp.Client{
 		Name:                          "chalkhub",
 		MaxConnsPerHost:               conns,
@@ -57,22 +57,22 @@
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		Dial: func(addr string) (net.Conn, error) {
-			if c.most > 0 && c.open.Load() >= c.most {
+			if c.maxOpen > 0 && c.openCount.Load() >= c.maxOpen {
 				c.http.CloseIdleConnections()
 			}
 			x, err := d.Dial("tcp4", addr)
 			if err != nil {
 				return nil, err
 			}
-			c.open.Add(1)
-			return &conn{Conn: x, open: &c.open}, nil
+			c.openCount.Add(1)
+			return &countedConn{Conn: x, openCount: &c.openCount}, nil
 		},
 	}
 	return c
 }
 
-// Open is how many connections are open.
-func (c *Client) Open() int64 { return c.open.Load() }
+// OpenConnections is how many connections are open.
+func (c *Client) OpenConnections() int64 { return c.openCount.Load() }
 
 // Call sends one request. Status 0 means that no whole answer came. The answer
 // is decoded into out if the status is among ok.
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/client_test.go
@@ -9,7 +9,7 @@
 )
 
 // Calls to many hosts keep no more connections than they may, and each gets its answer.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	var hosts []string
 	for range 40 {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -26,7 +26,7 @@
 			if s := c.Call("GET", h, "/inspect", nil, nil, 2*time.Second); s != 200 {
 				t.Fatalf("round %d: status %d", round, s)
 			}
-			if n := c.Open(); n > 10 {
+			if n := c.OpenConnections(); n > 10 {
 				t.Fatalf("round %d: %d connections are open", round, n)
 			}
 		}
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -25,14 +25,14 @@
 	return &Client{rpc: rpc.NewMany(2, conns, timeout/4), timeout: timeout}
 }
 
-// Inspect asks a worker for its report.
-func (c *Client) Inspect(e core.ProbeWorker) core.ProbeResult {
+// Probe asks a worker for its report.
+func (c *Client) Probe(e core.ProbeWorker) core.ProbeResult {
 	status := c.rpc.Call("GET", e.Addr, "/inspect", nil, nil, c.timeout)
 	return core.ProbeResult{Machine: e.Machine, OK: status == fasthttp.StatusOK}
 }
 
-// Do sends commands to a worker.
-func (c *Client) Do(e core.CallWorker) core.CallWorkerResult {
+// Call sends commands to a worker.
+func (c *Client) Call(e core.CallWorker) core.CallWorkerResult {
 	d := core.CallWorkerResult{Machine: e.Machine, CallID: e.CallID}
 	timeout := c.timeout
 	if len(e.Body.Commands) == 0 {
