--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,8 +1,13 @@
-// Package cloud is the client of the cloud.
+// Package cloud is the controllers' client of the cloud: it carries out the core's requests
+// over HTTP and turns the answers into typed results.
+//
+// It owns the connections to the cloud and the form of the requests. It does not know which
+// machines are wanted; each request is sent once, and repeated by nobody but the core.
 package cloud
 
 import (
 	"net/url"
+	"strconv"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -13,45 +18,56 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// timeout bounds a call.
-const timeout = 5 * time.Second
+const (
+	// timeout bounds a call. No user waits for one.
+	timeout = 5 * time.Second
+	// maxConnections is far more than the core's few requests at a time take.
+	maxConnections = 8
+	// listPageMachines is how many machines are read at once.
+	listPageMachines = 500
+)
 
-// Client talks to the cloud. Its methods block.
+// Client calls the cloud. Its methods block until the answer is there or the time for it is
+// over; any goroutine may call them.
 type Client struct {
-	rpc  *rpc.Client
-	addr string
+	rpc     *rpc.Client
+	address string
 }
 
 // New makes a client.
-func New(addr string) *Client { return &Client{rpc: rpc.New(8, timeout), addr: addr} }
+func New(address string) *Client {
+	return &Client{rpc: rpc.New(maxConnections, timeout), address: address}
+}
 
 // ListMachineTypes asks for the machine types.
 func (c *Client) ListMachineTypes() core.MachineTypesResult {
-	var d core.MachineTypesResult
-	d.Outcome = engine.CloudOutcome(c.rpc.Call("GET", c.addr, "/machine_types", nil, &d.Answer, timeout, fasthttp.StatusOK))
-	return d
+	var result core.MachineTypesResult
+	status := c.rpc.Call(fasthttp.MethodGet, c.address, "/machine_types", nil, &result.Answer, timeout, fasthttp.StatusOK)
+	result.Outcome = engine.CloudOutcome(status)
+	return result
 }
 
-// ListInstances reads a page of the list.
-func (c *Client) ListInstances(e core.ListInstances) core.ListInstancesResult {
-	q := "/machines?Page=500"
-	if e.After != "" {
-		q += "&Since=" + url.QueryEscape(e.After)
+// ListInstances reads a page of the machines that are rented.
+func (c *Client) ListInstances(request core.ListInstances) core.ListInstancesResult {
+	path := "/machines?Page=" + strconv.Itoa(listPageMachines)
+	if request.After != "" {
+		path += "&Since=" + url.QueryEscape(request.After)
 	}
-	var l protocol.InstanceList
-	status := c.rpc.Call("GET", c.addr, q, nil, &l, timeout, fasthttp.StatusOK)
-	return core.ListInstancesResult{Outcome: engine.CloudOutcome(status), Machines: l.Machines, More: l.More}
+	var page protocol.InstanceList
+	status := c.rpc.Call(fasthttp.MethodGet, c.address, path, nil, &page, timeout, fasthttp.StatusOK)
+	return core.ListInstancesResult{Outcome: engine.CloudOutcome(status), Machines: page.Machines, More: page.More}
 }
 
 // CreateInstances rents machines.
-func (c *Client) CreateInstances(e core.CreateInstances) core.CreateInstancesResult {
-	var n protocol.MachineNames
-	status := c.rpc.Call("POST", c.addr, "/machines", e.Request, &n, timeout, fasthttp.StatusOK)
-	return core.CreateInstancesResult{Request: e.Request.Request, Outcome: engine.CloudOutcome(status), Names: n.Machines}
+func (c *Client) CreateInstances(request core.CreateInstances) core.CreateInstancesResult {
+	var names protocol.MachineNames
+	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/machines", request.Request, &names, timeout, fasthttp.StatusOK)
+	return core.CreateInstancesResult{Request: request.Request.Request, Outcome: engine.CloudOutcome(status), Names: names.Machines}
 }
 
 // DeleteInstances returns machines.
-func (c *Client) DeleteInstances(e core.DeleteInstances) core.DeleteInstancesResult {
-	status := c.rpc.Call("POST", c.addr, "/machines/delete", protocol.MachineNames{Machines: e.Names}, nil, timeout)
-	return core.DeleteInstancesResult{Names: e.Names, Outcome: engine.CloudOutcome(status)}
+func (c *Client) DeleteInstances(request core.DeleteInstances) core.DeleteInstancesResult {
+	names := protocol.MachineNames{Machines: request.Names}
+	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/machines/delete", names, nil, timeout)
+	return core.DeleteInstancesResult{Names: request.Names, Outcome: engine.CloudOutcome(status)}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,10 +1,20 @@
-// Package engine runs a core: one goroutine owns all state and works through a
-// queue of commands in batches; what the core wants done outside is done by
-// others, whose answers come back through the same queue.
+// Package engine runs a core: it gives it commands and the time, and carries out the
+// effects that it decides on.
+//
+// It owns the queue of commands, the steady clock of a node, the requests that wait for a
+// reply, and the goroutines in which outside calls run. It does not know what a command
+// means or why an effect is wanted; it decides nothing but which of them goes where.
+//
+// Invariants:
+//   - One goroutine, Engine.Run, touches the core. All else goes through the queue.
+//   - Effects are carried out in the order in which the core gives them, but for outside
+//     calls: these run beside each other, and their answers come back as commands.
+//   - A request gets one reply at the most.
 package engine
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -15,38 +25,24 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 )
 
-// maxBatch is the most commands applied at once.
-const maxBatch = 256
-
-// Clients is everything beyond the core. Calls that wait are run in goroutines
-// of their own.
-type Clients struct {
-	Store interface {
-		Commit(core.Commit) core.CommitResult
-		LoadPage(core.LoadPage) core.LoadResult
-		Watch(core.Watch) core.WatchResult
-		RenewLease(core.RenewLease) core.LeaseResult
-	}
-	Cloud interface {
-		ListMachineTypes() core.MachineTypesResult
-		ListInstances(core.ListInstances) core.ListInstancesResult
-		CreateInstances(core.CreateInstances) core.CreateInstancesResult
-		DeleteInstances(core.DeleteInstances) core.DeleteInstancesResult
-	}
-	Workers interface {
-		Call(core.CallWorker) core.CallWorkerResult
-		Probe(core.ProbeWorker) core.ProbeResult
-	}
-	Peers interface {
-		Connect(label string)
-		Send(core.SendToPeer)
-		CloseSession(session uint64)
-	}
-}
+const (
+	// maxBatch is the most commands that the core applies at once: with more, the first of
+	// them would wait for the last.
+	maxBatch = 256
+	// queueLength is how many commands may wait. With more, requests are refused, and
+	// whoever posts another command waits.
+	queueLength = 4096
+	// minTimerDelay keeps deadlines that follow on each other from spinning.
+	minTimerDelay = 2 * time.Millisecond
+
+	// maxRecordedMillis bounds the response times that are recorded; no request waits longer.
+	maxRecordedMillis = 60_000
+	significantDigits = 2 // within a percent, in a few kilobytes
+)
 
-// Engine owns a core.
+// Engine runs one core.
 type Engine struct {
-	core      *core.Core
+	core      *core.Core // belongs to Run
 	clients   Clients
 	logger    *slog.Logger
 	queue     chan core.Command
@@ -54,21 +50,26 @@
 	ready     atomic.Bool
 
 	mu            sync.Mutex
-	nextID        core.RequestID
-	replyChannels map[core.RequestID]chan core.Reply
-	responseTimes *hdrhistogram.Histogram // ms
+	lastID        core.RequestID
+	replyChannels map[core.RequestID]chan core.Reply // of the requests that wait
+	responseTimes *hdrhistogram.Histogram            // milliseconds
 }
 
-// New makes an engine. Outside is set before Run.
-func New(c *core.Core, log *slog.Logger) *Engine {
+// New makes an engine for a core, which belongs to it from then on. Connect follows before
+// Run.
+func New(c *core.Core, logger *slog.Logger) *Engine {
 	return &Engine{
-		core: c, logger: log, queue: make(chan core.Command, 4096), startedAt: time.Now(),
-		replyChannels: map[core.RequestID]chan core.Reply{}, responseTimes: hdrhistogram.New(1, 60_000, 2),
+		core:          c,
+		logger:        logger,
+		queue:         make(chan core.Command, queueLength),
+		startedAt:     time.Now(),
+		replyChannels: map[core.RequestID]chan core.Reply{},
+		responseTimes: hdrhistogram.New(1, maxRecordedMillis, significantDigits),
 	}
 }
 
-// Connect gives the engine its outside.
-func (e *Engine) Connect(out Clients) { e.clients = out }
+// Connect gives the engine its clients, which may need the engine themselves.
+func (e *Engine) Connect(clients Clients) { e.clients = clients }
 
 // Clock is the steady clock that the core lives by.
 func (e *Engine) Clock() time.Duration { return time.Since(e.startedAt) }
@@ -77,124 +78,135 @@
 func (e *Engine) Ready() bool { return e.ready.Load() }
 
 // Post puts a command into the queue and waits while that is full.
-func (e *Engine) Post(c core.Command) { e.queue <- c }
+func (e *Engine) Post(command core.Command) { e.queue <- command }
 
-// Ask posts the command that make builds and waits for its reply, at most for
+// Ask posts the command that build makes for a request and waits for its reply, at most for
 // the given time; ok is false if none came or the queue was full.
-func (e *Engine) Ask(build func(core.RequestID) core.Command, timeout time.Duration) (r core.Reply, ok bool) {
-	ch := make(chan core.Reply, 1)
+func (e *Engine) Ask(build func(core.RequestID) core.Command, timeout time.Duration) (reply core.Reply, ok bool) {
 	begin := time.Now()
-	e.mu.Lock()
-	e.nextID++
-	id := e.nextID
-	e.replyChannels[id] = ch
-	e.mu.Unlock()
-	defer func() {
-		e.mu.Lock()
-		delete(e.replyChannels, id)
-		_ = e.responseTimes.RecordValue(min(max(time.Since(begin).Milliseconds(), 1), 60_000)) // within bounds
-		e.mu.Unlock()
-	}()
+	id, replies := e.registerRequest()
+	defer e.finishRequest(id, begin)
 	select {
 	case e.queue <- build(id):
 	default:
-		return r, false
+		return core.Reply{}, false
 	}
-	t := time.NewTimer(timeout)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case r = <-ch:
-		return r, true
-	case <-t.C:
-		return r, false
+	case reply := <-replies:
+		return reply, true
+	case <-timer.C:
+		return core.Reply{}, false
 	}
 }
 
-// Status asks the core for its picture and adds the answer times.
+// registerRequest gives a request its number and the channel of its reply, which takes that
+// without waiting.
+func (e *Engine) registerRequest() (core.RequestID, <-chan core.Reply) {
+	replies := make(chan core.Reply, 1)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lastID++
+	e.replyChannels[e.lastID] = replies
+	return e.lastID, replies
+}
+
+// finishRequest forgets a request that has its reply, or waits for it no longer.
+func (e *Engine) finishRequest(id core.RequestID, begin time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	delete(e.replyChannels, id)
+	millis := min(max(time.Since(begin).Milliseconds(), 1), maxRecordedMillis)
+	_ = e.responseTimes.RecordValue(millis) // it is within the bounds
+}
+
+// Status asks the core for its status and adds the response times.
 func (e *Engine) Status(timeout time.Duration) (*core.Status, bool) {
-	r, ok := e.Ask(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, timeout)
+	reply, ok := e.Ask(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, timeout)
 	if !ok {
 		return nil, false
 	}
-	s := r.Body.(*core.Status)
+	status := reply.Body.(*core.Status) // the only reply to GetStatus
 	e.mu.Lock()
-	s.ResponseTimes = core.Summarize(e.responseTimes)
-	e.mu.Unlock()
-	return s, true
+	defer e.mu.Unlock()
+	status.ResponseTimes = core.Summarize(e.responseTimes)
+	return status, true
 }
 
-// Run works until ctx ends.
+// Run runs the core until ctx ends. Outside calls that are under way then are left to their
+// timeouts; nobody takes their answers any more.
 func (e *Engine) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	cmds := make([]core.Command, 0, maxBatch)
+	batch := make([]core.Command, 0, maxBatch)
 	for {
-		cmds = cmds[:0]
+		batch = batch[:0]
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case c := <-e.queue:
-			cmds = append(cmds, c)
+		case command := <-e.queue:
+			batch = append(batch, command)
 		case <-timer.C:
 		}
-	more:
-		for len(cmds) < maxBatch {
-			select {
-			case c := <-e.queue:
-				cmds = append(cmds, c)
-			default:
-				break more
-			}
+		batch = e.fillBatch(batch)
+		for _, effect := range e.core.Apply(e.now(), batch) {
+			e.perform(effect)
 		}
-		now := core.Instant{Monotonic: e.Clock(), Wall: float64(time.Now().UnixMicro()) / 1e6}
-		for _, eff := range e.core.Apply(now, cmds) {
-			e.perform(eff)
+		timer.Reset(max(e.core.NextDeadline()-e.Clock(), minTimerDelay))
+	}
+}
+
+// fillBatch adds what waits in the queue to a batch, up to the most that it may have.
+func (e *Engine) fillBatch(batch []core.Command) []core.Command {
+	for len(batch) < maxBatch {
+		select {
+		case command := <-e.queue:
+			batch = append(batch, command)
+		default:
+			return batch
 		}
-		timer.Reset(max(e.core.NextDeadline()-e.Clock(), 2*time.Millisecond))
 	}
+	return batch
+}
+
+func (e *Engine) now() core.Instant {
+	return core.Instant{Monotonic: e.Clock(), Wall: float64(time.Now().UnixMicro()) / 1e6}
 }
 
-func (e *Engine) perform(eff core.Effect) {
-	switch f := eff.(type) {
+// perform carries out an effect. It does not wait: calls to the outside go on in goroutines
+// of their own, which end with the calls' timeouts.
+func (e *Engine) perform(effect core.Effect) {
+	switch effect := effect.(type) {
 	case core.Reply:
-		e.mu.Lock()
-		ch := e.replyChannels[f.ID]
-		delete(e.replyChannels, f.ID)
-		e.mu.Unlock()
-		if ch != nil {
-			ch <- f
-		}
+		e.deliver(effect)
 	case core.Log:
-		e.logger.Log(context.Background(), slog.Level(f.Level), f.Text, f.Args...)
+		e.logger.Log(context.Background(), slog.Level(effect.Level), effect.Text, effect.Args...)
 	case core.SetReady:
-		e.ready.Store(f.Ready)
+		e.ready.Store(effect.Ready)
 	case core.SendToPeer:
-		e.clients.Peers.Send(f)
+		e.clients.Peers.Send(effect)
 	case core.ConnectPeer:
-		e.clients.Peers.Connect(f.Label)
+		e.clients.Peers.Connect(effect.Label)
 	case core.ClosePeer:
-		e.clients.Peers.CloseSession(f.Session)
-	case core.Commit:
-		go func() { e.Post(e.clients.Store.Commit(f)) }()
-	case core.LoadPage:
-		go func() { e.Post(e.clients.Store.LoadPage(f)) }()
-	case core.Watch:
-		go func() { e.Post(e.clients.Store.Watch(f)) }()
-	case core.RenewLease:
-		go func() { e.Post(e.clients.Store.RenewLease(f)) }()
-	case core.CallWorker:
-		go func() { e.Post(e.clients.Workers.Call(f)) }()
-	case core.ProbeWorker:
-		go func() { e.Post(e.clients.Workers.Probe(f)) }()
-	case core.ListMachineTypes:
-		go func() { e.Post(e.clients.Cloud.ListMachineTypes()) }()
-	case core.ListInstances:
-		go func() { e.Post(e.clients.Cloud.ListInstances(f)) }()
-	case core.CreateInstances:
-		go func() { e.Post(e.clients.Cloud.CreateInstances(f)) }()
-	case core.DeleteInstances:
-		go func() { e.Post(e.clients.Cloud.DeleteInstances(f)) }()
+		e.clients.Peers.CloseSession(effect.Session)
 	default:
-		panic("engine: unknown effect")
+		call := e.clients.call(effect)
+		if call == nil {
+			// An effect was added to the core and not to this package.
+			panic(fmt.Sprintf("engine: unknown effect %T", effect))
+		}
+		go func() { e.Post(call()) }()
+	}
+}
+
+// deliver hands a reply to the request that waits for it, if it still does.
+func (e *Engine) deliver(reply core.Reply) {
+	e.mu.Lock()
+	replies := e.replyChannels[reply.ID]
+	delete(e.replyChannels, reply.ID)
+	e.mu.Unlock()
+	if replies != nil {
+		replies <- reply
 	}
 }
--- a/internal/engine/outcomes.go
+++ b/internal/engine/outcomes.go
@@ -4,10 +4,11 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
 // NoAnswer is the status of a call that got no whole answer.
-const NoAnswer = 0
+const NoAnswer = rpc.NoAnswer
 
 // CommitOutcome decodes the state service's answer to a transaction.
 func CommitOutcome(status int) core.CommitOutcome {
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -1,4 +1,9 @@
-// Package kvclient is the client of the state service.
+// Package kvclient is the controllers' client of the state service: it carries out the
+// core's requests over HTTP and turns the answers into typed results.
+//
+// It owns the connections to the service and the form of the requests. It keeps nothing
+// of what it reads and does not know when a request is due, or what follows from a result:
+// each one is sent once, and repeated by nobody but the core.
 package kvclient
 
 import (
@@ -14,10 +19,21 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// loadPageKeys is how many keys are read at once: the most that the service gives.
-const loadPageKeys = 1000
+const (
+	// loadPageKeys is how many keys are read at once: the most that the service gives.
+	loadPageKeys = 1000
+	// minConnections is how many connections a client may open at the least.
+	minConnections = 64
+	// socketsPerConnection is how many of a process's sockets allow one connection to the
+	// state service: what a site of 1,454 machines, with 2,885 sockets and 250 requests a
+	// second, has at the least, and a larger site in proportion. While the service answers
+	// slowly, requests in flight are as many as its requests a second times the seconds
+	// that it takes.
+	socketsPerConnection = 48
+)
 
-// Client talks to the state service. Its methods block.
+// Client calls the state service. Its methods block until the answer is there or the time
+// for it is over; any goroutine may call them.
 type Client struct {
 	rpc     *rpc.Client
 	address string
@@ -25,64 +41,79 @@
 	clock   func() time.Duration
 }
 
-// minConnections is how many connections a client may open at the least.
-const minConnections = 64
-
-// socketsPerConnection of a process's sockets, one in so many, may go to the state service: what a site of
-// 1,454 machines, with 2,885 sockets and 250 requests a second, has at the least, and a larger
-// site in proportion. While the service answers slowly, requests under way are as many as its
-// requests a second times the seconds that it takes.
-const socketsPerConnection = 48
-
-// New makes a client of a process that may open maxSockets; timeout bounds each call beyond
-// what a watch holds.
-func New(addr string, timeout time.Duration, maxSockets int, clock func() time.Duration) *Client {
-	conns := max(maxSockets/socketsPerConnection, minConnections)
-	return &Client{rpc: rpc.New(conns, timeout), address: addr, timeout: timeout, clock: clock}
+// New makes a client of a process that may open maxSockets. A call may take the timeout,
+// a watch that and the time for which the service holds its answer back. The clock is the
+// core's.
+func New(address string, timeout time.Duration, maxSockets int, clock func() time.Duration) *Client {
+	connections := max(maxSockets/socketsPerConnection, minConnections)
+	return &Client{rpc: rpc.New(connections, timeout), address: address, timeout: timeout, clock: clock}
 }
 
 // Commit runs a transaction.
-func (c *Client) Commit(e core.Commit) core.CommitResult {
-	d := core.CommitResult{ID: e.ID}
-	if e.Txn.If == nil {
-		e.Txn.If = []protocol.Guard{}
+func (c *Client) Commit(request core.Commit) core.CommitResult {
+	txn := request.Txn
+	if txn.If == nil {
+		txn.If = []protocol.Guard{} // the protocol wants a list
 	}
-	d.Outcome = engine.CommitOutcome(c.rpc.Call("POST", c.address, "/commit", e.Txn, &d.Answer, c.timeout, fasthttp.StatusOK, fasthttp.StatusConflict))
-	return d
+	result := core.CommitResult{ID: request.ID}
+	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/commit", txn, &result.Answer, c.timeout,
+		fasthttp.StatusOK, fasthttp.StatusConflict)
+	result.Outcome = engine.CommitOutcome(status)
+	return result
 }
 
-// LoadPage reads a page of our keys.
-func (c *Client) LoadPage(e core.LoadPage) core.LoadResult {
-	d := core.LoadResult{SentAt: c.clock()}
-	q := "/store?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Page=" + strconv.Itoa(loadPageKeys)
-	if e.After != "" {
-		q += "&Since=" + url.QueryEscape(e.After)
+// LoadPage reads a page of the controllers' keys.
+func (c *Client) LoadPage(request core.LoadPage) core.LoadResult {
+	result := core.LoadResult{SentAt: c.clock()}
+	path := "/store?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Page=" + strconv.Itoa(loadPageKeys)
+	if request.After != "" {
+		path += "&Since=" + url.QueryEscape(request.After)
 	}
-	var items protocol.KeyPage
-	if c.rpc.Call("GET", c.address, q, nil, &items, c.timeout, fasthttp.StatusOK) == fasthttp.StatusOK {
-		d.OK, d.Items, d.More, d.Revision = true, items.Items, items.More, items.Revision
+	var page protocol.KeyPage
+	if c.get(path, &page, c.timeout) != fasthttp.StatusOK {
+		return result
 	}
-	return d
+	result.OK = true
+	result.Items = page.Items
+	result.More = page.More
+	result.Revision = page.Revision
+	return result
 }
 
-// Watch waits for changes.
-func (c *Client) Watch(e core.Watch) core.WatchResult {
-	d := core.WatchResult{Barrier: e.Barrier, SentAt: c.clock()}
-	q := "/follow?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Since=" + strconv.FormatUint(e.Since, 10) +
-		"&HoldMs=" + strconv.FormatInt(e.Hold.Milliseconds(), 10)
-	d.Outcome = engine.WatchOutcome(c.rpc.Call("GET", c.address, q, nil, &d.Answer, c.timeout+e.Hold, fasthttp.StatusOK))
-	return d
+// Watch waits for changes of the controllers' keys.
+func (c *Client) Watch(request core.Watch) core.WatchResult {
+	result := core.WatchResult{Barrier: request.Barrier, SentAt: c.clock()}
+	path := "/follow?Starts=" + url.QueryEscape(core.KeyPrefix) +
+		"&Since=" + strconv.FormatUint(request.Since, 10) +
+		"&HoldMs=" + strconv.FormatInt(request.Hold.Milliseconds(), 10)
+	status := c.get(path, &result.Answer, c.timeout+request.Hold)
+	result.Outcome = engine.WatchOutcome(status)
+	return result
 }
 
-// RenewLease renews a lease, or asks for one.
-func (c *Client) RenewLease(e core.RenewLease) core.LeaseResult {
-	d := core.LeaseResult{SentAt: c.clock(), LeaseID: e.LeaseID}
-	if e.LeaseID != 0 {
-		d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.address, "/holds/"+strconv.FormatUint(e.LeaseID, 10)+"/extend", nil, nil, c.timeout))
-		return d
+// RenewLease renews a lease, or asks for one if the request names none.
+func (c *Client) RenewLease(request core.RenewLease) core.LeaseResult {
+	if request.LeaseID == 0 {
+		return c.grantLease(request.TTL)
 	}
-	var a protocol.LeaseResponse
-	d.Outcome = engine.LeaseOutcome(c.rpc.Call("POST", c.address, "/holds", protocol.LeaseRequest{TTLMillis: e.TTL.Milliseconds()}, &a, c.timeout, fasthttp.StatusOK))
-	d.LeaseID = a.Lease
-	return d
+	result := core.LeaseResult{SentAt: c.clock(), LeaseID: request.LeaseID}
+	path := "/holds/" + strconv.FormatUint(request.LeaseID, 10) + "/extend"
+	status := c.rpc.Call(fasthttp.MethodPost, c.address, path, nil, nil, c.timeout)
+	result.Outcome = engine.LeaseOutcome(status)
+	return result
+}
+
+func (c *Client) grantLease(ttl time.Duration) core.LeaseResult {
+	result := core.LeaseResult{SentAt: c.clock()}
+	request := protocol.LeaseRequest{TTLMillis: ttl.Milliseconds()}
+	var lease protocol.LeaseResponse
+	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/holds", request, &lease, c.timeout, fasthttp.StatusOK)
+	result.Outcome = engine.LeaseOutcome(status)
+	result.LeaseID = lease.Lease
+	return result
+}
+
+// get reads a path and returns the status of the answer, which is decoded if that is 200.
+func (c *Client) get(path string, answer any, timeout time.Duration) int {
+	return c.rpc.Call(fasthttp.MethodGet, c.address, path, nil, answer, timeout, fasthttp.StatusOK)
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -1,9 +1,13 @@
-// Package rpc calls the outside systems: MessagePack bodies over HTTP, each
-// request sent once and never repeated behind the caller's back.
+// Package rpc calls the outside systems: MessagePack bodies over HTTP.
+//
+// It owns the connections and their number. It does not know what is called, what a status
+// means, or whether a call may be repeated: each request is sent once and never repeated
+// behind the caller's back.
 package rpc
 
 import (
 	"net"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -13,14 +17,25 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Client calls any number of hosts.
+const (
+	// maxIdle is how long a connection is kept without a call.
+	maxIdle = 20 * time.Second
+	// bufferBytes is enough for the header of any message.
+	bufferBytes = 4096
+)
+
+// NoAnswer stands for the status of a call that got no whole answer.
+const NoAnswer = 0
+
+// Client calls any number of hosts. Any goroutine may use it.
 type Client struct {
 	http      *fasthttp.Client
+	dialer    net.Dialer
 	maxOpen   int64 // connections that may be open before the idle ones are closed, 0: any
 	openCount atomic.Int64
 }
 
-// countedConn is a connection that is counted.
+// countedConn is a connection that counts until it is closed for the first time.
 type countedConn struct {
 	net.Conn
 	once      sync.Once
@@ -32,70 +47,72 @@
 	return c.Conn.Close()
 }
 
-// New makes a client with at most conns connections to one host, for calls to few hosts.
-func New(conns int, dial time.Duration) *Client { return NewMany(conns, 0, dial) }
+// New makes a client with at most so many connections to each host, for calls to few hosts.
+func New(connsPerHost int, dialTimeout time.Duration) *Client {
+	return NewMany(connsPerHost, 0, dialTimeout)
+}
 
-// NewMany makes a client for calls to many hosts: once most connections are open, idle
+// NewMany makes a client for calls to many hosts: once maxOpen connections are open, idle
 // ones are closed before another is opened.
 //
 // Guards the process's sockets: a connection is kept to each worker that was called
 // lately, and with a few thousand of them no user or worker could connect any more.
-func NewMany(conns, most int, dial time.Duration) *Client {
-	d := &net.Dialer{Timeout: dial}
-	c := &Client{maxOpen: int64(most)}
+func NewMany(connsPerHost, maxOpen int, dialTimeout time.Duration) *Client {
+	c := &Client{dialer: net.Dialer{Timeout: dialTimeout}, maxOpen: int64(maxOpen)}
 	c.http = &fasthttp.Client{
 		Name:                          "chalkhub",
-		MaxConnsPerHost:               conns,
-		MaxIdleConnDuration:           20 * time.Second,
-		MaxConnWaitTimeout:            dial,
-		ReadBufferSize:                4096,
-		WriteBufferSize:               4096,
+		Dial:                          c.dial,
+		MaxConnsPerHost:               connsPerHost,
+		MaxIdleConnDuration:           maxIdle,
+		MaxConnWaitTimeout:            dialTimeout,
+		ReadBufferSize:                bufferBytes,
+		WriteBufferSize:               bufferBytes,
 		NoDefaultUserAgentHeader:      true,
 		DisableHeaderNamesNormalizing: false,
 		// A repeated start or transaction would have an outcome nobody waits
 		// for, so a broken connection is an open outcome, not another try.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		Dial: func(addr string) (net.Conn, error) {
-			if c.maxOpen > 0 && c.openCount.Load() >= c.maxOpen {
-				c.http.CloseIdleConnections()
-			}
-			x, err := d.Dial("tcp4", addr)
-			if err != nil {
-				return nil, err
-			}
-			c.openCount.Add(1)
-			return &countedConn{Conn: x, openCount: &c.openCount}, nil
-		},
 	}
 	return c
 }
 
+func (c *Client) dial(address string) (net.Conn, error) {
+	if c.maxOpen > 0 && c.openCount.Load() >= c.maxOpen {
+		c.http.CloseIdleConnections()
+	}
+	conn, err := c.dialer.Dial("tcp4", address)
+	if err != nil {
+		return nil, err
+	}
+	c.openCount.Add(1)
+	return &countedConn{Conn: conn, openCount: &c.openCount}, nil
+}
+
 // OpenConnections is how many connections are open.
 func (c *Client) OpenConnections() int64 { return c.openCount.Load() }
 
-// Call sends one request. Status 0 means that no whole answer came. The answer
-// is decoded into out if the status is among ok.
-func (c *Client) Call(method, host, path string, body, out any, timeout time.Duration, ok ...int) int {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + host + path)
+// Call sends one request with a body, if that is not nil, and returns the status of its
+// answer, or NoAnswer. The answer is decoded if its status is among decoded.
+func (c *Client) Call(method, host, path string, body, answer any, timeout time.Duration, decoded ...int) int {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.SetRequestURI("http://" + host + path)
 	if body != nil {
-		req.Header.SetContentType(protocol.ContentType)
-		req.SetBodyRaw(protocol.Encode(body))
+		request.Header.SetContentType(protocol.ContentType)
+		request.SetBodyRaw(protocol.Encode(body))
+	}
+	if err := c.http.DoTimeout(request, response, timeout); err != nil {
+		return NoAnswer
 	}
-	if err := c.http.DoTimeout(req, resp, timeout); err != nil {
-		return 0
+	status := response.StatusCode()
+	if answer == nil || !slices.Contains(decoded, status) {
+		return status
 	}
-	status := resp.StatusCode()
-	for _, s := range ok {
-		if s == status && out != nil {
-			if err := protocol.Decode(resp.Body(), out); err != nil {
-				return 0
-			}
-		}
+	if err := protocol.Decode(response.Body(), answer); err != nil {
+		return NoAnswer
 	}
 	return status
 }
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -8,26 +8,39 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Calls to many hosts keep no more connections than they may, and each gets its answer.
-func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
-	var hosts []string
-	for range 40 {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+// startHosts starts servers that answer every request with 200, and returns their addresses.
+func startHosts(t *testing.T, count int) []string {
+	t.Helper()
+	var addresses []string
+	for range count {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
-		go func() { _ = fasthttp.Serve(l, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(200) }) }()
-		hosts = append(hosts, l.Addr().String())
+		t.Cleanup(func() {
+			if err := listener.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+		// It ends with its listener.
+		go func() { _ = fasthttp.Serve(listener, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(200) }) }()
+		addresses = append(addresses, listener.Addr().String())
 	}
-	c := NewMany(2, 10, time.Second)
+	return addresses
+}
+
+// Calls to many hosts keep no more connections than they may, and each gets its answer.
+func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
+	const maxOpen = 10
+	hosts := startHosts(t, 40)
+	client := NewMany(2, maxOpen, time.Second)
 	for round := range 3 {
-		for _, h := range hosts {
-			if s := c.Call("GET", h, "/inspect", nil, nil, 2*time.Second); s != 200 {
-				t.Fatalf("round %d: status %d", round, s)
+		for _, host := range hosts {
+			if status := client.Call("GET", host, "/inspect", nil, nil, 2*time.Second); status != 200 {
+				t.Fatalf("round %d: status %d", round, status)
 			}
-			if n := c.OpenConnections(); n > 10 {
-				t.Fatalf("round %d: %d connections are open", round, n)
+			if open := client.OpenConnections(); open > maxOpen {
+				t.Fatalf("round %d: %d connections are open", round, open)
 			}
 		}
 	}
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,4 +1,8 @@
-// Package worker is the client of the workers' direct commands.
+// Package worker is the controllers' client of the workers' direct commands: it carries out
+// the core's requests over HTTP and turns the answers into typed results.
+//
+// It owns the connections to the workers and their number. It does not know which worker is
+// due for what; each request is sent once, and repeated by nobody but the core.
 package worker
 
 import (
@@ -11,7 +15,20 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// Client talks to workers. Its methods block.
+const (
+	// connsPerWorker leaves room for a probe beside a command.
+	connsPerWorker = 2
+	// dialShare is the share of a call's time that a connection may take, one in so many. A
+	// machine that is there takes a connection within milliseconds; one that is dead leaves
+	// it hanging, whatever the call's own timeout.
+	dialShare = 4
+	// questionShare is the share of a call's time that a call without commands may take, one
+	// in so many: it is only a question, which may be asked again.
+	questionShare = 4
+)
+
+// Client calls workers. Its methods block until the answer is there or the time for it is
+// over; any goroutine may call them.
 type Client struct {
 	rpc     *rpc.Client
 	timeout time.Duration
@@ -19,25 +36,25 @@
 
 // New makes a client that keeps about as many connections open, to all workers together;
 // timeout bounds a call.
-func New(conns int, timeout time.Duration) *Client {
-	// A machine that is there takes a connection within milliseconds; one that is dead
-	// leaves it hanging, whatever the call's own timeout.
-	return &Client{rpc: rpc.NewMany(2, conns, timeout/4), timeout: timeout}
+func New(maxOpen int, timeout time.Duration) *Client {
+	return &Client{rpc: rpc.NewMany(connsPerWorker, maxOpen, timeout/dialShare), timeout: timeout}
 }
 
-// Probe asks a worker for its report.
-func (c *Client) Probe(e core.ProbeWorker) core.ProbeResult {
-	status := c.rpc.Call("GET", e.Addr, "/inspect", nil, nil, c.timeout)
-	return core.ProbeResult{Machine: e.Machine, OK: status == fasthttp.StatusOK}
+// Probe asks a worker whether it is there.
+func (c *Client) Probe(request core.ProbeWorker) core.ProbeResult {
+	status := c.rpc.Call(fasthttp.MethodGet, request.Addr, "/inspect", nil, nil, c.timeout)
+	return core.ProbeResult{Machine: request.Machine, OK: status == fasthttp.StatusOK}
 }
 
 // Call sends commands to a worker.
-func (c *Client) Call(e core.CallWorker) core.CallWorkerResult {
-	d := core.CallWorkerResult{Machine: e.Machine, CallID: e.CallID}
+func (c *Client) Call(request core.CallWorker) core.CallWorkerResult {
 	timeout := c.timeout
-	if len(e.Body.Commands) == 0 {
-		timeout /= 4 // only a question, which may be asked again
+	if len(request.Body.Commands) == 0 {
+		timeout /= questionShare
 	}
-	d.Outcome = engine.DirectOutcome(c.rpc.Call("POST", e.Addr, "/do", e.Body, &d.Report, timeout, fasthttp.StatusOK, fasthttp.StatusConflict))
-	return d
+	result := core.CallWorkerResult{Machine: request.Machine, CallID: request.CallID}
+	status := c.rpc.Call(fasthttp.MethodPost, request.Addr, "/do", request.Body, &result.Report, timeout,
+		fasthttp.StatusOK, fasthttp.StatusConflict)
+	result.Outcome = engine.DirectOutcome(status)
+	return result
 }
