--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -84,9 +84,9 @@
 	}
 	d.loggedActive = active
 	if active {
-		c.logInfo("the state service serves no controller, workers are kept alive", "epoch", d.epoch)
+		c.logInfo("degraded mode: the state service serves no controller, workers are kept alive", "epoch", d.epoch)
 	} else {
-		c.logInfo("workers are no longer kept alive without the state service", "entitled", c.membership.mayServe())
+		c.logInfo("degraded mode has ended", "entitled", c.membership.mayServe())
 	}
 }
 
@@ -146,7 +146,7 @@
 func (d *degradedMode) cancelJobs(jobIDs []string) {
 	for _, jobID := range jobIDs {
 		if !d.isCancelled(jobID) {
-			d.core.logDebug("cancelled, as was told", "job", jobID)
+			d.core.logDebug("job cancelled, as another controller reported", "job", jobID)
 			d.core.shard.expediteJob(jobID)
 		}
 		d.cancelledJobs[jobID] = d.core.now.Monotonic
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -140,7 +140,7 @@
 	c := r.core
 	j.readyAt, j.readyThisTerm = since, c.membership.leading
 	if c.membership.leading {
-		c.logDebug("ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "needed", j.record.Spec.Dependencies)
+		c.logDebug("job ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
 	}
 	c.scheduler.jobChanged(j)
 	c.scheduler.lastScheduling = 0 // its first tasks start at once
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -56,7 +56,7 @@
 // replyAccepted tells a user that a job is accepted.
 func (q *jobQueries) replyAccepted(id RequestID, record *records.Job) {
 	spec := &record.Spec
-	q.core.logDebug("accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "urgency", spec.Urgency,
+	q.core.logDebug("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "urgency", spec.Urgency,
 		"tasks", spec.Tasks, "cpus", spec.CPUs, "estimate", spec.EstimateS, "checkpoint", spec.CheckpointS)
 	q.core.emit(Reply{ID: id, Status: ReplyAccepted, Body: protocol.JobResponse{ID: spec.ID, State: record.State, Reason: record.StopReason}})
 }
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -149,7 +149,7 @@
 
 func (r *storedRecords) logUnreadable(key string, err error) {
 	if err != nil {
-		r.core.emit(Log{Level: LevelError, Text: "cannot read a key of the state service", Args: []any{"key", key, "error", err}})
+		r.core.emit(Log{Level: LevelError, Text: "cannot decode a key of the state service", Args: []any{"key", key, "error", err}})
 	}
 }
 
@@ -241,7 +241,7 @@
 		c.garbage.add(key)
 	}
 	if c.membership.leading {
-		c.logDebug("over", "job", id, "state", j.record.State, "why", j.record.StopReason)
+		c.logDebug("job ended", "job", id, "state", j.record.State, "reason", j.record.StopReason)
 	}
 	c.shard.stopJob(j)
 	r.archive.add(&j.record, j.version)
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -151,7 +151,7 @@
 		if zone != former && s.mayReassignZone(q, index, zone) {
 			zones := slices.Clone(q.entry.record.Zones)
 			zones[index] = zone
-			c.logInfo("a job's tasks move to another zone, theirs has no room", "job", q.id, "from", former, "to", zone)
+			c.logInfo("job reassigned to another zone: its zone has no room", "job", q.id, "from", former, "to", zone)
 			delete(q.zoneFullSince, index)
 			s.writeZones(q, zones)
 			return
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -36,7 +36,7 @@
 		switch {
 		case mostLost && !partitioned:
 			f.silentZones[zone] = f.core.now.Monotonic
-			f.core.logInfo("most of a zone is silent", "zone", zone, "silent", lost[zone], "machines", machines)
+			f.core.logInfo("zone partitioned: most of its machines are silent", "zone", zone, "silent", lost[zone], "machines", machines)
 		case partitioned && lost[zone]*recoveryDivisor < machines:
 			delete(f.silentZones, zone)
 			f.recoveredZones[zone] = f.core.now.Monotonic
