--- a/internal/mirror/barrier.go
+++ b/internal/mirror/barrier.go
@@ -42,7 +42,9 @@
 	for _, done := range served {
 		done(ok)
 	}
-	m.startBarrier()
+	if !m.barriers.underWay { // a callback may have started the next
+		m.startBarrier()
+	}
 }
 
 // AwaitOutcome calls done once the replica holds what became of a write: at once if the
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -275,3 +275,27 @@
 	h.AwaitOutcome(true, time.Second, func() {})
 	requireEqual(t, "barriers", len(h.changes), 2)
 }
+
+// Callbacks of a barrier that ask for another one, while a third waits. Each is served, by one
+// barrier at a time, however long the answers take.
+func TestBarrierAskedForByACallbackIsServed(t *testing.T) {
+	h := newHarness()
+	h.load(5)
+	h.changes = nil
+	served := 0
+	for range 3 {
+		h.Barrier(func(bool) { h.Barrier(func(bool) { served++ }) })
+	}
+	for range 4 {
+		h.pass(3 * readInterval)
+		asked := len(h.changes)
+		if asked > 1 {
+			t.Fatalf("%d barriers are under way", asked)
+		}
+		h.changes = nil
+		if asked == 1 {
+			h.answer(true, 6)
+		}
+	}
+	requireEqual(t, "served", served, 3)
+}
