--- a/internal/mirror/barrier.go
+++ b/internal/mirror/barrier.go
@@ -42,9 +42,7 @@
 	for _, done := range served {
 		done(ok)
 	}
-	if !m.barriers.underWay { // a callback may have started the next
-		m.startBarrier()
-	}
+	m.startBarrier()
 }
 
 // AwaitOutcome calls done once the replica holds what became of a write: at once if the
