--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/records"
@@ -151,7 +152,7 @@
 func (a *admission) feasibleZones(spec *protocol.Job) map[string]bool {
 	zones := map[string]bool{}
 	for _, machineType := range a.core.records.machineTypes {
-		if !allowsType(spec, machineType.Name) || !fitsEmptyMachine(machineType, spec) {
+		if !binpacking.AllowsType(spec, machineType.Name) || !binpacking.FitsMachineType(machineType, spec) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
@@ -170,6 +171,6 @@
 	if spec.Kind != protocol.KindArray {
 		tasks = float64(spec.Tasks)
 	}
-	return team.CPUsMax > 0 && tasks*spec.CPUs > team.CPUsMax+roundingSlack ||
-		team.GPUsMax > 0 && tasks*spec.GPUs > team.GPUsMax+roundingSlack
+	return team.CPUsMax > 0 && tasks*spec.CPUs > team.CPUsMax+binpacking.RoundingSlack ||
+		team.GPUsMax > 0 && tasks*spec.GPUs > team.GPUsMax+binpacking.RoundingSlack
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
@@ -164,7 +165,7 @@
 func (f *fleet) minUsefulSeconds(s *protocol.Job) float64 {
 	boot := math.Inf(1)
 	for _, t := range f.core.machineTypes() {
-		if allowsType(s, t.Name) && fitsEmptyMachine(t, s) {
+		if binpacking.AllowsType(s, t.Name) && binpacking.FitsMachineType(t, s) {
 			boot = min(boot, t.BootS)
 		}
 	}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/dag"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/records"
@@ -194,7 +195,7 @@
 func (f *fleet) imagePullSeconds(spec *protocol.Job) float64 {
 	rate := 0.0
 	for _, machineType := range f.core.machineTypes() {
-		if allowsType(spec, machineType.Name) && fitsEmptyMachine(machineType, spec) {
+		if binpacking.AllowsType(spec, machineType.Name) && binpacking.FitsMachineType(machineType, spec) {
 			rate = max(rate, machineType.FetchGBps)
 		}
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -4,6 +4,7 @@
 	"slices"
 	"strings"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
@@ -26,7 +27,7 @@
 
 // candidateMachine is a machine in the leader's plan of one round.
 type candidateMachine struct {
-	freeCapacity
+	binpacking.Capacity
 	name             string
 	shard            *shardView
 	view             *machineView
@@ -69,19 +70,19 @@
 		// The machine's own, made anew: ten thousand of them for each round were
 		// most of what the leader allocated.
 		m := &v.plan
-		*m = candidateMachine{name: name, shard: p, view: v, preemptorUrgency: lowestUrgency, freeCapacity: freeCapacity{
-			cpus: v.machineType.CPUs - v.used.cpus, gpus: v.machineType.GPUs - v.used.gpus, memoryGB: v.machineType.MemoryGB - v.used.memoryGB, typeName: s.Type, zone: s.Zone, spot: s.Spot, cachedImages: v.images,
+		*m = candidateMachine{name: name, shard: p, view: v, preemptorUrgency: lowestUrgency, Capacity: binpacking.Capacity{
+			CPUs: v.machineType.CPUs - v.used.cpus, GPUs: v.machineType.GPUs - v.used.gpus, MemoryGB: v.machineType.MemoryGB - v.used.memoryGB, TypeName: s.Type, Zone: s.Zone, Spot: s.Spot, CachedImages: v.images,
 		}}
 		if due, ok := made[name]; ok {
 			m.preempting, m.preemptorUrgency = true, due
 		}
 		if len(guessed) > 0 {
 			for _, f := range guessed[name] {
-				m.allocate(&f.job.entry.record.Spec)
+				m.Allocate(&f.job.entry.record.Spec)
 			}
 		}
 		out.machines = append(out.machines, m)
-		if m.cpus > roundingSlack {
+		if m.CPUs > binpacking.RoundingSlack {
 			out.withRoom = append(out.withRoom, m)
 		}
 	}
@@ -125,7 +126,7 @@
 		}
 		if why := o.overLimitReason(s, 1, p); why != "" {
 			q.reason = why
-			if slices.ContainsFunc(fitting, func(m *candidateMachine) bool { return m.fits(s) }) {
+			if slices.ContainsFunc(fitting, func(m *candidateMachine) bool { return m.Fits(s) }) {
 				o.reserveQuota(q, 1, p)
 			} else if sent == 0 {
 				o.reserveMachines(q, 1, p)
@@ -139,13 +140,13 @@
 		var m *candidateMachine
 		if s.Spread {
 			for _, x := range fitting {
-				if x.fits(s) && taskMayRunOn(&q.entry.record, i, x.typeName, x.zone, x.spot) {
+				if x.Fits(s) && binpacking.TaskMayRunOn(&q.entry.record, i, x.TypeName, x.Zone, x.Spot) {
 					m = x
 					break
 				}
 			}
 		} else {
-			for at < len(fitting) && !(fitting[at].fits(s) && taskMayRunOn(&q.entry.record, i, fitting[at].typeName, fitting[at].zone, fitting[at].spot)) {
+			for at < len(fitting) && !(fitting[at].Fits(s) && binpacking.TaskMayRunOn(&q.entry.record, i, fitting[at].TypeName, fitting[at].Zone, fitting[at].Spot)) {
 				at++
 			}
 			if at < len(fitting) {
@@ -180,7 +181,7 @@
 		if o.isAvoided(m, q) {
 			// Its part would look for another of its machines, and give the task back.
 			n := slices.IndexFunc(fitting, func(x *candidateMachine) bool {
-				return x.shard == m.shard && !o.isAvoided(x, q) && x.fits(s) && taskMayRunOn(&q.entry.record, i, x.typeName, x.zone, x.spot)
+				return x.shard == m.shard && !o.isAvoided(x, q) && x.Fits(s) && binpacking.TaskMayRunOn(&q.entry.record, i, x.TypeName, x.Zone, x.Spot)
 			})
 			if n < 0 {
 				q.retryAt[i] = c.now.Monotonic + c.intervals.maintenance
@@ -189,7 +190,7 @@
 			}
 			m = fitting[n]
 		}
-		m.allocate(s)
+		m.Allocate(s)
 		o.dispatchTask(q, i, m, o.nextAttemptNumber(), false, p)
 		sent++
 		q.reservedAt = 0
@@ -227,14 +228,14 @@
 	room := map[*shardView]float64{}
 	free := p.withRoom[:0]
 	for _, m := range p.withRoom {
-		if m.cpus <= roundingSlack {
+		if m.CPUs <= binpacking.RoundingSlack {
 			continue
 		}
 		free = append(free, m)
-		if m.fits(s) && allowsMachine(s, m.typeName, m.zone, m.spot) && !(m.preempting && (o.core.bestEffortTeams[s.Team] || q.effectiveUrgency > m.preemptorUrgency)) {
-			m.imageCached = m.hasImage(s.Image)
+		if m.Fits(s) && binpacking.AllowsMachine(s, m.TypeName, m.Zone, m.Spot) && !(m.preempting && (o.core.bestEffortTeams[s.Team] || q.effectiveUrgency > m.preemptorUrgency)) {
+			m.imageCached = m.HasImage(s.Image)
 			out = append(out, m)
-			room[m.shard] += m.cpus
+			room[m.shard] += m.CPUs
 		}
 	}
 	p.withRoom = free
@@ -245,12 +246,12 @@
 		switch {
 		case x.imageCached != y.imageCached:
 			return comesFirst(x.imageCached)
-		case x.spot != y.spot:
-			return comesFirst(x.spot)
+		case x.Spot != y.Spot:
+			return comesFirst(x.Spot)
 		case x.shard != y.shard && room[x.shard] != room[y.shard]:
 			return comesFirst(room[x.shard] > room[y.shard])
 		}
-		return x.compareFree(&y.freeCapacity)
+		return x.CompareFree(&y.Capacity)
 	})
 	return out
 }
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/protocol"
@@ -152,7 +153,7 @@
 			need.add(xs, float64(len(x.inflight)))
 		}
 	}
-	if t.CPUsMax > 0 && need.cpus > t.CPUsMax+roundingSlack || t.GPUsMax > 0 && need.gpus > t.GPUsMax+roundingSlack {
+	if t.CPUsMax > 0 && need.cpus > t.CPUsMax+binpacking.RoundingSlack || t.GPUsMax > 0 && need.gpus > t.GPUsMax+binpacking.RoundingSlack {
 		return
 	}
 	if p.quotaReservedFor == nil {
@@ -178,20 +179,20 @@
 	var usable []*candidateMachine
 	mayUse := q.machineFilter()
 	for _, m := range p.machines {
-		if mayUse(m.typeName, m.zone, m.spot) && !o.isAvoided(m, q) && !m.reserved && o.drainedCapacity(m).fits(s) {
+		if mayUse(m.TypeName, m.Zone, m.Spot) && !o.isAvoided(m, q) && !m.reserved && o.drainedCapacity(m).Fits(s) {
 			usable = append(usable, m)
 		}
 	}
 	slices.SortFunc(usable, func(x, y *candidateMachine) int {
-		return cmp.Or(cmp.Compare(y.cpus, x.cpus), cmp.Compare(x.name, y.name))
+		return cmp.Or(cmp.Compare(y.CPUs, x.CPUs), cmp.Compare(x.name, y.name))
 	})
 	for i, m := range usable {
-		for r := o.drainedCapacity(m); r.fits(s) && n > 0; n-- {
-			r.allocate(s)
+		for r := o.drainedCapacity(m); r.Fits(s) && n > 0; n-- {
+			r.Allocate(s)
 		}
 		if n == 0 {
 			for _, m := range usable[:i+1] {
-				m.reserved, m.cpus = true, 0
+				m.reserved, m.CPUs = true, 0
 			}
 			return
 		}
@@ -199,12 +200,12 @@
 }
 
 // drainedCapacity is the room that a machine will have once all but services have left it.
-func (o *scheduler) drainedCapacity(m *candidateMachine) *freeCapacity {
-	r := m.freeCapacity
-	r.cpus, r.gpus, r.memoryGB = m.view.machineType.CPUs, m.view.machineType.GPUs, m.view.machineType.MemoryGB
+func (o *scheduler) drainedCapacity(m *candidateMachine) *binpacking.Capacity {
+	r := m.Capacity
+	r.CPUs, r.GPUs, r.MemoryGB = m.view.machineType.CPUs, m.view.machineType.GPUs, m.view.machineType.MemoryGB
 	for _, f := range m.view.attempts {
 		if s := &f.job.entry.record.Spec; s.Kind == protocol.KindService {
-			r.allocate(s)
+			r.Allocate(s)
 		}
 	}
 	return &r
@@ -216,7 +217,7 @@
 // long as a patience lasts, and after as long a pause again, so that a turn that can't be
 // taken for a reason nobody foresaw holds up the others for half of the time at most.
 func (o *scheduler) mayReserve(q *queuedJob, n int, p *schedulingRound) bool {
-	if q.boost == fairshare.NoBoost && !q.startsEarly || float64(n)*q.entry.record.Spec.CPUs <= p.smallestTaskCPUs+roundingSlack {
+	if q.boost == fairshare.NoBoost && !q.startsEarly || float64(n)*q.entry.record.Spec.CPUs <= p.smallestTaskCPUs+binpacking.RoundingSlack {
 		return false
 	}
 	patience := config.Seconds(o.core.fairShareRules.OverdueAfter)
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
@@ -48,7 +49,7 @@
 		best := -1
 		for k := range trial {
 			m := &trial[k]
-			if m.fits(s) && taskMayRunOn(&q.entry.record, i, m.typeName, m.zone, m.spot) && (best < 0 || betterFit(&m.freeCapacity, &trial[best].freeCapacity, s.Image)) {
+			if m.Fits(s) && binpacking.TaskMayRunOn(&q.entry.record, i, m.TypeName, m.Zone, m.Spot) && (best < 0 || binpacking.BetterFit(&m.Capacity, &trial[best].Capacity, s.Image)) {
 				best = k
 			}
 		}
@@ -58,7 +59,7 @@
 			o.reserveMachines(q, n, p)
 			return
 		}
-		trial[best].allocate(s)
+		trial[best].Allocate(s)
 		chosen[i] = p.machines[best]
 	}
 	if over != "" {
@@ -73,7 +74,7 @@
 	attempt := o.nextAttemptNumber()
 	for i := range s.Tasks {
 		if m := chosen[i]; m != nil {
-			m.allocate(s)
+			m.Allocate(s)
 			o.dispatchTask(q, i, m, attempt, true, p)
 		}
 	}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -200,7 +200,7 @@
 	if r.machineType != nil {
 		cache = r.machineType.CacheGB
 	}
-	if r.images.use(j.Image, j.ImageGB, cache) {
+	if r.images.Use(j.Image, j.ImageGB, cache) {
 		r.imagesChanged = true
 		p.markChanged(r)
 	}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
@@ -71,29 +72,29 @@
 	expedited          bool // send commands without waiting for the next report
 	registered         bool
 	attempts           []*taskAttempt
-	images             imageCache
+	images             binpacking.ImageCache
 	backoffUntil       map[string]time.Duration // jobs whose tasks failed here
 	listsRead          uint64
 
-	fullStateDue    bool         // the leader needs the whole picture of it
-	imagesChanged   bool         // its images have changed
-	droppedTasks    []string     // tasks that were dropped since the leader was told
-	unpublished     bool         // its picture has changed since it was last told
-	cachedCapacity  freeCapacity // what room found, while counted is set
+	fullStateDue    bool                // the leader needs the whole picture of it
+	imagesChanged   bool                // its images have changed
+	droppedTasks    []string            // tasks that were dropped since the leader was told
+	unpublished     bool                // its picture has changed since it was last told
+	cachedCapacity  binpacking.Capacity // what room found, while counted is set
 	capacityValid   bool
 	capacityChanged bool // its room may have changed since tasks were last placed
 }
 
 // freeCapacity is what is free on a machine, starts under way counted. It is counted
 // anew only once something has changed.
-func (r *machine) freeCapacity() *freeCapacity {
+func (r *machine) freeCapacity() *binpacking.Capacity {
 	if r.capacityValid {
 		return &r.cachedCapacity
 	}
-	m := freeCapacity{cpus: r.machineType.CPUs, gpus: r.machineType.GPUs, memoryGB: r.machineType.MemoryGB, typeName: r.typeName, zone: r.zone, spot: r.spot, cachedImages: r.images.cached}
+	m := binpacking.Capacity{CPUs: r.machineType.CPUs, GPUs: r.machineType.GPUs, MemoryGB: r.machineType.MemoryGB, TypeName: r.typeName, Zone: r.zone, Spot: r.spot, CachedImages: r.images.Cached}
 	for _, t := range r.attempts {
 		if t.live() && t.spec != nil {
-			m.allocate(t.spec)
+			m.Allocate(t.spec)
 		}
 	}
 	r.cachedCapacity, r.capacityValid = m, true
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
@@ -105,7 +106,7 @@
 	// them for each report cost more the larger it was.
 	for _, r := range p.capacityChanged {
 		r.capacityChanged = false
-		if p.machines.get(r.name) == r && r.acceptsTasks() && r.freeCapacity().cpus > roundingSlack {
+		if p.machines.get(r.name) == r && r.acceptsTasks() && r.freeCapacity().CPUs > binpacking.RoundingSlack {
 			p.machinesWithCapacity.set(r.name, r)
 		} else if p.machinesWithCapacity.get(r.name) == r {
 			p.machinesWithCapacity.delete(r.name)
@@ -134,8 +135,8 @@
 		if !full[t.jobID] && (t.recordVersion == 0 || j.recordVersion == t.recordVersion) {
 			for _, r := range open {
 				m := r.freeCapacity()
-				if m.fits(t.spec) && taskMayRunOn(&j.record, t.taskIndex, r.typeName, r.zone, r.spot) && r.backoffUntil[t.jobID] <= c.now.Monotonic &&
-					(best == nil || betterFit(m, best.freeCapacity(), t.spec.Image)) {
+				if m.Fits(t.spec) && binpacking.TaskMayRunOn(&j.record, t.taskIndex, r.typeName, r.zone, r.spot) && r.backoffUntil[t.jobID] <= c.now.Monotonic &&
+					(best == nil || binpacking.BetterFit(m, best.freeCapacity(), t.spec.Image)) {
 					best = r
 				}
 			}
@@ -150,7 +151,7 @@
 			waiting = append(waiting, t)
 			continue
 		}
-		if !best.freeCapacity().hasImage(t.spec.Image) {
+		if !best.freeCapacity().HasImage(t.spec.Image) {
 			p.recordImage(best, t.spec)
 		}
 		t.phase, t.runningSince = phaseQueued, 0
@@ -167,10 +168,10 @@
 // holdForGang keeps room on a machine for a task of a gang.
 func (p *shard) holdForGang(machine string, t *taskAttempt, j *jobEntry) bool {
 	r := p.machines.get(machine)
-	if r == nil || !r.acceptsTasks() || t.recordVersion != 0 && j.recordVersion != t.recordVersion || !taskMayRunOn(&j.record, t.taskIndex, r.typeName, r.zone, r.spot) {
+	if r == nil || !r.acceptsTasks() || t.recordVersion != 0 && j.recordVersion != t.recordVersion || !binpacking.TaskMayRunOn(&j.record, t.taskIndex, r.typeName, r.zone, r.spot) {
 		return false
 	}
-	if !r.freeCapacity().fits(t.spec) {
+	if !r.freeCapacity().Fits(t.spec) {
 		return false
 	}
 	t.phase, t.state = phaseHeld, peerproto.StateHeld
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
@@ -40,11 +41,11 @@
 	rooms := map[*candidateMachine]*preemptionSet{}
 	mayUse := q.machineFilter()
 	usable := func(v *victim) bool {
-		return mayUse(v.machine.typeName, v.machine.zone, v.machine.spot) && !o.isAvoided(v.machine, q) && o.isPreemptible(v.attempt.job, q)
+		return mayUse(v.machine.TypeName, v.machine.Zone, v.machine.Spot) && !o.isAvoided(v.machine, q) && o.isPreemptible(v.attempt.job, q)
 	}
 	room := func(v *victim) *preemptionSet {
 		if rooms[v.machine] == nil {
-			rooms[v.machine] = &preemptionSet{freeCapacity: v.machine.freeCapacity}
+			rooms[v.machine] = &preemptionSet{Capacity: v.machine.Capacity}
 		}
 		return rooms[v.machine]
 	}
@@ -88,7 +89,7 @@
 // preemptionSet is room that is made on a machine: whose tasks are to be stopped, and for
 // how many others that makes room.
 type preemptionSet struct {
-	freeCapacity
+	binpacking.Capacity
 	victims     []*victim
 	lostWork    float64
 	tasksGained int
@@ -96,8 +97,8 @@
 
 // addFreed adds the room of a task that is stopped and says how many more of s now fit.
 func (m *preemptionSet) addFreed(stopped, s *protocol.Job) (n int) {
-	for m.release(stopped); m.fits(s); n++ {
-		m.allocate(s)
+	for m.Release(stopped); m.Fits(s); n++ {
+		m.Allocate(s)
 	}
 	return n
 }
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
@@ -66,7 +67,7 @@
 			n := float64(s.Tasks)
 			cpus += n * s.CPUs
 			gpus += n * s.GPUs
-			if cpus > t.CPUs+roundingSlack || gpus > t.GPUs+roundingSlack {
+			if cpus > t.CPUs+binpacking.RoundingSlack || gpus > t.GPUs+binpacking.RoundingSlack {
 				break
 			}
 			q.withinGuarantee = true
@@ -80,7 +81,7 @@
 	t, u := o.core.team(s.Team), p.teamUsage[s.Team]
 	switch {
 	case t == nil:
-	case t.CPUsMax > 0 && u.cpus+n*s.CPUs > t.CPUsMax+roundingSlack || t.GPUsMax > 0 && u.gpus+n*s.GPUs > t.GPUsMax+roundingSlack:
+	case t.CPUsMax > 0 && u.cpus+n*s.CPUs > t.CPUsMax+binpacking.RoundingSlack || t.GPUsMax > 0 && u.gpus+n*s.GPUs > t.GPUsMax+binpacking.RoundingSlack:
 		return fmt.Sprintf("team %s is at its limit", s.Team)
 	case o.core.bestEffortTeams[s.Team] && p.bestEffortCPUs+n*s.CPUs > p.bestEffortLimit:
 		return fmt.Sprintf("team %s has no guarantee and waits for what the others leave", s.Team)
@@ -120,7 +121,7 @@
 	for _, m := range p.machines {
 		all += m.view.machineType.CPUs
 		if o.core.now.Monotonic-m.view.lastClaimedAt >= o.core.intervals.reservationExpiry {
-			idle += m.cpus
+			idle += m.CPUs
 		}
 	}
 	// Less than a CPU is nothing: what is left of an inflow that ended long ago once kept
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
@@ -88,7 +89,7 @@
 // hasSpotType reports whether a machine type that holds a task is rented cheap.
 func (f *fleet) hasSpotType(s *protocol.Job) bool {
 	for _, mt := range f.core.machineTypes() {
-		if mt.SpotPrice > 0 && allowsType(s, mt.Name) && fitsEmptyMachine(mt, s) {
+		if mt.SpotPrice > 0 && binpacking.AllowsType(s, mt.Name) && binpacking.FitsMachineType(mt, s) {
 			return true
 		}
 	}
@@ -105,7 +106,7 @@
 		if len(q.entry.record.Zones) > 0 {
 			zone = slices.Contains(q.entry.record.Zones, h.zone)
 		}
-		if mt := f.core.machineTypes()[h.typeName]; zone && mt != nil && fitsEmptyMachine(mt, s) && allowsType(s, h.typeName) && (!h.spot || s.AllowSpot) {
+		if mt := f.core.machineTypes()[h.typeName]; zone && mt != nil && binpacking.FitsMachineType(mt, s) && binpacking.AllowsType(s, h.typeName) && (!h.spot || s.AllowSpot) {
 			return true
 		}
 	}
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -6,6 +6,7 @@
 	"math"
 	"sort"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
@@ -35,13 +36,13 @@
 	return func(yield func(pool, *protocol.MachineType) bool) {
 		for _, name := range sortedKeys(f.core.machineTypes()) {
 			mt := f.core.machineTypes()[name]
-			if !fitsEmptyMachine(mt, s) {
+			if !binpacking.FitsMachineType(mt, s) {
 				continue
 			}
 			for _, z := range mt.Zones {
 				for _, spot := range []bool{true, false} {
 					p := pool{name, z, spot}
-					if allowsMachine(s, name, z, spot) && !(spot && mt.SpotPrice <= 0) && f.poolBackoffUntil[p] <= f.core.now.Monotonic && !yield(p, mt) {
+					if binpacking.AllowsMachine(s, name, z, spot) && !(spot && mt.SpotPrice <= 0) && f.poolBackoffUntil[p] <= f.core.now.Monotonic && !yield(p, mt) {
 						return
 					}
 				}
@@ -162,7 +163,7 @@
 		have := 0.0
 		slots := func(typ, zone string, spot bool) float64 {
 			mt := f.core.machineTypes()[typ]
-			if mt == nil || !fitsEmptyMachine(mt, s) || !allowsType(s, typ) || z != "" && z != zone || spot && !s.AllowSpot {
+			if mt == nil || !binpacking.FitsMachineType(mt, s) || !binpacking.AllowsType(s, typ) || z != "" && z != zone || spot && !s.AllowSpot {
 				return 0
 			}
 			return tasksPerMachine(mt, s)
@@ -171,7 +172,7 @@
 			have += slots(p.typeName, p.zone, p.spot) * float64(n)
 		}
 		if have < tasks {
-			return z, (tasks - have) * max(s.CPUs, roundingSlack)
+			return z, (tasks - have) * max(s.CPUs, binpacking.RoundingSlack)
 		}
 	}
 	return "", 0
@@ -182,7 +183,7 @@
 	slots := math.Inf(1)
 	for _, x := range [][2]float64{{mt.CPUs, s.CPUs}, {mt.GPUs, s.GPUs}, {mt.MemoryGB, s.MemoryGB}} {
 		if x[1] > 0 {
-			slots = min(slots, math.Floor(x[0]/x[1]+roundingSlack))
+			slots = min(slots, math.Floor(x[0]/x[1]+binpacking.RoundingSlack))
 		}
 	}
 	if math.IsInf(slots, 1) {
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/records"
 )
@@ -25,8 +26,8 @@
 	spec := &q.entry.record.Spec
 	freeCPUs := s.possibleZones(spec)
 	for _, m := range machines {
-		if _, ok := freeCPUs[m.zone]; ok && allowsType(spec, m.typeName) && m.fits(spec) {
-			freeCPUs[m.zone] += m.cpus
+		if _, ok := freeCPUs[m.Zone]; ok && binpacking.AllowsType(spec, m.TypeName) && m.Fits(spec) {
+			freeCPUs[m.Zone] += m.CPUs
 		}
 	}
 	zones := zonesByFreeCPUs(freeCPUs)
@@ -45,7 +46,7 @@
 func (s *scheduler) possibleZones(spec *protocol.Job) map[string]float64 {
 	zones := map[string]float64{}
 	for _, machineType := range s.core.machineTypes() {
-		if !allowsType(spec, machineType.Name) || !fitsEmptyMachine(machineType, spec) {
+		if !binpacking.AllowsType(spec, machineType.Name) || !binpacking.FitsMachineType(machineType, spec) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
@@ -93,14 +94,16 @@
 func (q *queuedJob) machineFilter() func(typeName, zone string, spot bool) bool {
 	spec := &q.entry.record.Spec
 	if !spec.OneZone && !spec.Spread {
-		return func(typeName, zone string, spot bool) bool { return allowsMachine(spec, typeName, zone, spot) }
+		return func(typeName, zone string, spot bool) bool {
+			return binpacking.AllowsMachine(spec, typeName, zone, spot)
+		}
 	}
 	zones := map[string]bool{}
 	for task := q.nextWaiting(q.firstWaiting); task < spec.Tasks && len(zones) < len(q.entry.record.Zones); task = q.nextWaiting(task + 1) {
 		zones[q.entry.record.Zones[zoneIndex(q, task)]] = true
 	}
 	return func(typeName, zone string, spot bool) bool {
-		return zones[zone] && allowsMachine(spec, typeName, zone, spot)
+		return zones[zone] && binpacking.AllowsMachine(spec, typeName, zone, spot)
 	}
 }
 
@@ -199,11 +202,11 @@
 	freeCPUs, freeSlots = map[string]float64{}, map[string]float64{}
 	for _, v := range s.machines.all() {
 		state := &v.state
-		if !v.acceptsTasks() || !allowsMachine(spec, state.Type, state.Zone, state.Spot) {
+		if !v.acceptsTasks() || !binpacking.AllowsMachine(spec, state.Type, state.Zone, state.Spot) {
 			continue
 		}
 		free := v.free()
-		if fitsEmptyMachine(&free, spec) {
+		if binpacking.FitsMachineType(&free, spec) {
 			freeCPUs[state.Zone] += free.CPUs
 			freeSlots[state.Zone] += tasksPerMachine(&free, spec)
 		}
