--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -9,7 +9,7 @@
 )
 
 // degradedMode keeps the workers' leases alive through an outage of the state service that all
-// controllers see; package vigil says when that is safe. While it lasts nothing is
+// controllers see; package degraded says when that is safe. While it lasts nothing is
 // started, hired or returned, and no user is told anything new: workers are answered, and
 // tasks that may not run any more are stopped.
 //
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -12,7 +12,7 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Jobs that need others: how they are accepted, and what the graph of package pipeline
+// Jobs that need others: how they are accepted, and what the graph of package dag
 // says of them to the stored records and the leader.
 
 // submitDependent accepts a job that names others. afterBarrier: the mirror holds all that was
