--- a/internal/core/compound_faults_test.go
+++ b/internal/core/compound_faults_test.go
@@ -883,7 +883,7 @@
 		s.Cloud.Remove(first)
 		s.Cloud.Add("box", "b", true)
 		s.State.LateOnly, s.State.LateShare, s.State.LateFrom, s.State.LateBy = "c/job/", 1, 6*second, time.Duration(8+k)*second
-		s.eventually(90*second, "it is to move", func() bool { return s.logged("move to another zone") })
+		s.eventually(90*second, "it is to move", func() bool { return s.logged("job reassigned to another zone") })
 		s.Cloud.Add("box", "a", true)
 		s.Run(s.Now + 5*second)
 		s.State.LateShare = 0
