--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -71,7 +71,7 @@
 		case !ok:
 			c.queries.replyRetry(id, reasonStoreDown)
 		case j != nil:
-			c.queries.replyJob(id, ReplyOK, j)
+			c.queries.replyJob(id, j)
 		default:
 			c.queries.replyError(id, ReplyInvalid, reason)
 		}
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -47,7 +47,7 @@
 		case j == nil:
 			queries.replyUnknownJob(id)
 		case j.isFinal():
-			queries.replyJob(id, ReplyOK, j)
+			queries.replyJob(id, j)
 		default:
 			x.write(id, j, attempt)
 		}
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -27,7 +27,7 @@
 func (q *jobQueries) replyCurrent(id RequestID, jobID string) {
 	stored := q.core.records
 	if j := stored.acceptedJob(jobID); j != nil && j.isFinal() {
-		q.replyJob(id, ReplyOK, j) // a final state never changes
+		q.replyJob(id, j) // a final state never changes
 		return
 	}
 	q.core.mirror.Barrier(func(ok bool) {
@@ -38,7 +38,7 @@
 		case j == nil:
 			q.replyUnknownJob(id)
 		default:
-			q.replyJob(id, ReplyOK, j)
+			q.replyJob(id, j)
 		}
 	})
 }
@@ -47,7 +47,7 @@
 // ok: it was.
 func (q *jobQueries) replyUncertain(id RequestID, jobID string, ok bool) {
 	if j := q.core.records.acceptedJob(jobID); ok && j != nil {
-		q.replyJob(id, ReplyOK, j)
+		q.replyJob(id, j)
 	} else {
 		q.replyRetry(id, reasonStoreDown)
 	}
@@ -62,7 +62,7 @@
 }
 
 // replyJob answers with a job as the mirror and the leader's view of it have it.
-func (q *jobQueries) replyJob(id RequestID, status ReplyStatus, j *jobEntry) {
+func (q *jobQueries) replyJob(id RequestID, j *jobEntry) {
 	answer := protocol.JobResponse{ID: j.record.Spec.ID, State: j.record.State, Done: j.doneCount, Reason: j.record.StopReason}
 	if !j.isFinal() {
 		answer.Running = j.leaderView.Running
@@ -77,7 +77,7 @@
 			answer.Reason = "waits for the scheduler's next round"
 		}
 	}
-	q.core.emit(Reply{ID: id, Status: status, Body: answer})
+	q.core.emit(Reply{ID: id, Status: ReplyOK, Body: answer})
 }
 
 // retryAfter is when a user whose request could not be decided is asked to come again.
