--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -7,16 +7,19 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Command is something that happened: a request, an answer, a tick. The set is closed: only
-// the types of this file are commands.
+// Command is something that has happened: a request, the result of a call, news of a link. The
+// set is closed: only the types of this file are commands.
 type Command interface{ command() }
 
+// Tick says only that time has passed.
+type Tick struct{}
+
 // RequestID names a request that waits for its Reply.
 type RequestID uint64
 
-// Commands from users and workers.
+// Requests of users, workers and operators, each answered by one Reply.
 type (
-	// SubmitJob asks to accept a job.
+	// SubmitJob asks to accept a job. A job that was accepted before is answered as by QueryJob.
 	SubmitJob struct {
 		ID   RequestID
 		Spec protocol.Job
@@ -31,28 +34,26 @@
 		ID    RequestID
 		JobID string
 	}
-	// Heartbeat is a worker's report.
+	// Heartbeat is a worker's report of itself and its tasks.
 	Heartbeat struct {
 		ID     RequestID
 		Report protocol.Heartbeat
 	}
-	// GetStatus asks for the operators' picture.
+	// GetStatus asks for the Status of this node.
 	GetStatus struct {
 		ID RequestID
 	}
 )
 
-// Answers of the outside systems.
+// Results of calls to the state service.
 type (
-	// Tick says that time has passed.
-	Tick struct{}
 	// CommitResult answers Commit.
 	CommitResult struct {
 		ID      uint64
 		Outcome CommitOutcome
 		Answer  protocol.TransactionResult
 	}
-	// LoadResult answers Load.
+	// LoadResult answers LoadPage. Without OK the rest means nothing.
 	LoadResult struct {
 		OK       bool
 		SentAt   time.Duration
@@ -60,63 +61,72 @@
 		More     bool
 		Revision uint64
 	}
-	// WatchResult answers Follow. Sent is when the request left.
+	// WatchResult answers Watch. SentAt is when the request left: the answer is at least as new.
 	WatchResult struct {
 		Barrier bool
 		SentAt  time.Duration
 		Outcome WatchOutcome
 		Answer  protocol.WatchResponse
 	}
-	// LeaseResult answers Lease.
+	// LeaseResult answers RenewLease. The lease runs from SentAt at the least.
 	LeaseResult struct {
 		SentAt  time.Duration
 		LeaseID uint64
 		Outcome LeaseOutcome
 	}
-	// CallWorkerResult answers Do. A report is there if the outcome is DirectExecuted or DirectFenced.
+)
+
+// Results of calls to workers.
+type (
+	// CallWorkerResult answers CallWorker. The outcomes DirectExecuted and DirectFenced carry a
+	// report.
 	CallWorkerResult struct {
 		Machine string
 		CallID  uint64
 		Outcome DirectOutcome
 		Report  protocol.Heartbeat
 	}
-	// ProbeResult answers Inspect.
+	// ProbeResult answers ProbeWorker.
 	ProbeResult struct {
 		Machine string
 		OK      bool
 	}
-	// MachineTypesResult answers Types.
+)
+
+// Results of calls to the cloud.
+type (
+	// MachineTypesResult answers ListMachineTypes.
 	MachineTypesResult struct {
 		Outcome CloudOutcome
 		Answer  protocol.MachineTypes
 	}
-	// ListInstancesResult answers List with a page.
+	// ListInstancesResult answers ListInstances with a page.
 	ListInstancesResult struct {
 		Outcome  CloudOutcome
 		Machines []protocol.Instance
 		More     bool
 	}
-	// CreateInstancesResult answers Hire.
+	// CreateInstancesResult answers CreateInstances. There may be fewer names than were asked for.
 	CreateInstancesResult struct {
 		Request string
 		Outcome CloudOutcome
 		Names   []string
 	}
-	// DeleteInstancesResult answers Delete.
+	// DeleteInstancesResult answers DeleteInstances.
 	DeleteInstancesResult struct {
 		Names   []string
 		Outcome CloudOutcome
 	}
 )
 
-// What the peer link says.
+// News of the links to the sibling controllers.
 type (
-	// PeerConnected says that a link stands. Label is known only of links we dialled.
+	// PeerConnected says that a link is up. Label is set only for links that we dialled.
 	PeerConnected struct {
 		Session uint64
 		Label   string
 	}
-	// PeerDisconnected says that a link is gone.
+	// PeerDisconnected says that a link is down.
 	PeerDisconnected struct{ Session uint64 }
 	// PeerReceived is a message that came over a link.
 	PeerReceived struct {
@@ -125,22 +135,27 @@
 	}
 )
 
-func (SubmitJob) command()             {}
-func (QueryJob) command()              {}
-func (CancelJob) command()             {}
-func (Heartbeat) command()             {}
-func (GetStatus) command()             {}
-func (Tick) command()                  {}
-func (CommitResult) command()          {}
-func (LoadResult) command()            {}
-func (WatchResult) command()           {}
-func (LeaseResult) command()           {}
-func (CallWorkerResult) command()      {}
-func (ProbeResult) command()           {}
+func (Tick) command() {}
+
+func (SubmitJob) command() {}
+func (QueryJob) command()  {}
+func (CancelJob) command() {}
+func (Heartbeat) command() {}
+func (GetStatus) command() {}
+
+func (CommitResult) command() {}
+func (LoadResult) command()   {}
+func (WatchResult) command()  {}
+func (LeaseResult) command()  {}
+
+func (CallWorkerResult) command() {}
+func (ProbeResult) command()      {}
+
 func (MachineTypesResult) command()    {}
 func (ListInstancesResult) command()   {}
 func (CreateInstancesResult) command() {}
 func (DeleteInstancesResult) command() {}
-func (PeerConnected) command()         {}
-func (PeerDisconnected) command()      {}
-func (PeerReceived) command()          {}
+
+func (PeerConnected) command()    {}
+func (PeerDisconnected) command() {}
+func (PeerReceived) command()     {}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,14 +1,24 @@
-// Package core decides everything and touches nothing: commands go in, effects
-// come out. It has no clock, no sockets and no goroutines of its own.
+// Package core is the deterministic state machine of one controller: commands go in, effects
+// come out.
 //
-// Each part of it owns one thing: ledger the mirror of the state service,
-// membership the lease, the leader key and the map, part the machines of this
-// member, orchestrator the shared queue, estimator the history of durations and
-// fleet the machines that are rented.
+// It owns every decision and all state of a node, one part for each concern: the mirror is a
+// local replica of the state service and storedRecords what its keys say; admission, cancellation
+// and jobQueries answer users; membership holds the lease, the leader key and the shard map; shard
+// has the machines that this member owns, scheduler the leader's job queue, estimator the history
+// of run times, fleet the rented machines and machineRegistry the stored list of machines;
+// degradedMode serves while the state service is down for everybody, and garbageCollector deletes
+// keys that nobody needs any more.
+//
+// It may not know clocks, sockets, files, goroutines or the numbers of any protocol: package
+// engine passes the time with each batch of commands, carries out the effects and decodes the
+// answers.
+//
+// Invariants: the same batches at the same times give the same effects, so that a run can be
+// played again from its seed; a user is told only what is durable in the state service, or
+// agreed on in degraded mode; and whatever a leader writes is guarded by the leader key.
 package core
 
 import (
-	"container/heap"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
@@ -17,20 +27,17 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Instant is a moment: the steady clock measures spans, the time of day only dates.
+// Instant is a moment: spans are measured by the monotonic clock, the time of day only dates.
 type Instant struct {
 	Monotonic time.Duration
-	Wall      float64 // seconds
+	Wall      float64 // seconds since 1970
 }
 
-// clockDrift is how far two steady clocks may part, as a share of the span.
-const clockDrift = 0.0005
-
-// Core is the state of one controller.
+// Core is the state of one controller. It is not safe for concurrent use.
 type Core struct {
 	settings         *config.Settings
 	storeLimits      config.State // the limits of the state service that we keep to
-	throttled        bool         // it has refused a change for its rate
+	throttled        bool         // the state service has refused a change for its rate
 	policy           config.Policy
 	bootID           string
 	intervals        intervals
@@ -43,7 +50,7 @@
 	effects     []Effect
 	timers      timerHeap
 	lastTimerID uint64
-	loopback    []func() // messages to this node's own other half
+	loopback    []func() // deliveries of messages between this node's scheduler and its shard
 
 	mirror       *mirror.Mirror
 	records      *storedRecords
@@ -61,69 +68,17 @@
 	degraded     *degradedMode
 }
 
-// intervals are the spans the rules rest on, as ratios to the settings.
-type intervals struct {
-	workerLease        time.Duration // what a worker's lease is
-	heartbeat          time.Duration // how often workers report
-	memberLease        time.Duration // our own lease in the state service
-	maxStaleness       time.Duration // how long a renewal or a mirror counts as fresh
-	machineLeaseExpiry time.Duration // silence after which a worker has dropped its tasks
-	reservationExpiry  time.Duration // after which room that nobody was given is for whoever waits
-	machineBackoff     time.Duration // how long a machine gets no more of a job that has failed there
-	maintenance        time.Duration // the leader's slow round: fleet, views, what could not be placed
-	scheduling         time.Duration // the leader's quick round: rank and dispatch
-	readSpacing        time.Duration // the shortest time between two barriers, and between two watches
-	pageSpacing        time.Duration // the shortest time between two pages of a load
-}
-
-func newIntervals(s *config.Settings) intervals {
-	var t intervals
-	t.workerLease = config.Seconds(s.Site.Workers.LeaseS)
-	t.heartbeat = config.Seconds(s.Site.Workers.ReportS)
-	// A member that dies keeps its key for ttl, so ttl bounds a take-over; one
-	// that is cut off from the state service answers workers only for fresh,
-	// which must end before ttl does. fresh + lease stays below cancel_s.
-	t.memberLease = min(t.workerLease*2/5, (config.Seconds(s.Site.Workers.CancelS)-t.workerLease)*4/5)
-	t.maxStaleness = t.memberLease * 17 / 20
-	t.machineLeaseExpiry = t.workerLease + time.Duration(4*clockDrift*float64(t.workerLease+t.maxStaleness)) + t.heartbeat/8
-	t.machineBackoff = 4 * t.workerLease
-	t.reservationExpiry = 2 * t.workerLease
-	t.maintenance = time.Second
-	t.scheduling = min(t.heartbeat/6, t.maintenance)
-	// All nodes' watches and barriers together take at most half of the requests.
-	t.readSpacing = time.Duration(4 * float64(len(s.Siblings)+1) / s.Site.State.Least().RPS * float64(time.Second))
-	// And if all of them load at once, three quarters.
-	t.pageSpacing = t.readSpacing / 3
-	return t
-}
-
-// maxTxnOps is how many keys one transaction may change: what the settings allow, and
-// half of a second's changes, since a larger one would never pass the limit while
-// others write too.
-func (c *Core) maxTxnOps() int {
-	return max(min(c.storeLimits.TxnOps, int(c.storeLimits.WriteRPS/2)), 1)
-}
-
-// writeRate is the rate of changes that this node paces itself by: the present one until the
-// state service refuses a change for its rate, then the smaller of that and the one to come,
-// for good. Our own pace may have been the reason; then nothing is lost but some of it.
-func (c *Core) writeRate() float64 {
-	if c.throttled {
-		return c.storeLimits.WriteRPS
+// New makes the core of a controller. bootID must differ in every process.
+func New(settings *config.Settings, policy config.Policy, bootID string, debug bool) *Core {
+	c := &Core{
+		settings: settings, policy: policy, bootID: bootID, debug: debug,
+		intervals:       newIntervals(settings),
+		bestEffortTeams: bestEffortTeams(settings.Site.Teams),
+		storeLimits:     settings.Site.State.Least(),
 	}
-	return c.settings.Site.State.WriteRPS
-}
-
-// maxValueBytes is how many bytes a value may have, in the form in which limits are counted.
-func (c *Core) maxValueBytes() int { return int(c.storeLimits.ValueKB * 1024) }
-
-// New makes the core of a controller. boot must differ in every process.
-func New(set *config.Settings, policy config.Policy, boot string, debug bool) *Core {
-	c := &Core{settings: set, policy: policy, bootID: boot, debug: debug, intervals: newIntervals(set), bestEffortTeams: bestEffortTeams(set.Site.Teams)}
-	c.storeLimits = set.Site.State.Least()
-	c.controllerLabels = []string{set.Label}
-	for _, s := range set.Siblings {
-		c.controllerLabels = append(c.controllerLabels, s.Label)
+	c.controllerLabels = []string{settings.Label}
+	for _, sibling := range settings.Siblings {
+		c.controllerLabels = append(c.controllerLabels, sibling.Label)
 	}
 	c.fairShareRules = c.newFairShareRules()
 	c.garbage = newGarbageCollector(c)
@@ -143,76 +98,89 @@
 	return c
 }
 
-// Apply works through a batch of commands and returns what is to be done. The
-// returned slice is valid until the next call.
+// Apply works through a batch of commands and returns what is to be done. The returned slice
+// is valid until the next call.
 func (c *Core) Apply(now Instant, commands []Command) []Effect {
 	c.now = now
 	c.effects = c.effects[:0]
-	for _, cmd := range commands {
-		c.handle(cmd)
+	for _, command := range commands {
+		c.handle(command)
 	}
 	c.runTimers()
+	c.reconcile()
+	c.deliverLoopback()
+	return c.effects
+}
+
+// reconcile lets each part act on what the batch has changed. The order matters: each part
+// relies on those before it.
+func (c *Core) reconcile() {
 	c.membership.reconcile()
 	c.degraded.react()
 	c.scheduler.reconcile()
 	c.fleet.reconcile()
 	c.shard.reconcile()
+}
+
+// deliverLoopback delivers the messages between this node's scheduler and its own shard, and
+// those that they cause, as a link would to another node.
+func (c *Core) deliverLoopback() {
 	for len(c.loopback) > 0 {
-		f := c.loopback[0]
+		deliver := c.loopback[0]
 		c.loopback = c.loopback[1:]
-		f()
+		deliver()
 		if len(c.loopback) == 0 {
 			c.shard.reconcile()
 		}
 	}
-	return c.effects
 }
 
-func (c *Core) handle(cmd Command) {
-	switch cmd := cmd.(type) {
+// handle passes a command on to the part that it concerns.
+func (c *Core) handle(command Command) {
+	switch command := command.(type) {
 	case Tick:
 	case SubmitJob:
-		c.admission.submit(cmd.ID, cmd.Spec)
+		c.admission.submit(command.ID, command.Spec)
 	case QueryJob:
-		c.queries.query(cmd.ID, cmd.JobID)
+		c.queries.query(command.ID, command.JobID)
 	case CancelJob:
-		c.cancellation.cancel(cmd.ID, cmd.JobID)
+		c.cancellation.cancel(command.ID, command.JobID)
 	case Heartbeat:
-		c.shard.handleHeartbeat(cmd.ID, &cmd.Report)
+		c.shard.handleHeartbeat(command.ID, &command.Report)
 	case GetStatus:
-		c.emit(Reply{ID: cmd.ID, Status: ReplyOK, Body: c.status()})
+		c.emit(Reply{ID: command.ID, Status: ReplyOK, Body: c.status()})
 	case CommitResult:
-		c.handleCommit(cmd)
+		c.handleCommit(command)
 	case LoadResult:
-		c.handlePage(cmd)
+		c.handlePage(command)
 	case WatchResult:
-		c.handleChanges(cmd)
+		c.handleChanges(command)
 	case LeaseResult:
-		c.membership.handleLeaseResult(cmd)
+		c.membership.handleLeaseResult(command)
 	case CallWorkerResult:
-		c.shard.handleCallResult(&cmd)
+		c.shard.handleCallResult(&command)
 	case ProbeResult:
-		c.shard.handleProbeResult(cmd)
+		c.shard.handleProbeResult(command)
 	case MachineTypesResult:
-		c.fleet.handleMachineTypes(cmd)
+		c.fleet.handleMachineTypes(command)
 	case ListInstancesResult:
-		c.fleet.handleList(cmd)
+		c.fleet.handleList(command)
 	case CreateInstancesResult:
-		c.fleet.handleCreate(cmd)
+		c.fleet.handleCreate(command)
 	case DeleteInstancesResult:
-		c.fleet.handleDelete(cmd)
+		c.fleet.handleDelete(command)
 	case PeerConnected:
-		c.peerConnected(cmd)
+		c.peerConnected(command)
 	case PeerDisconnected:
-		c.peerDisconnected(cmd)
+		c.peerDisconnected(command)
 	case PeerReceived:
-		c.peerReceived(cmd)
+		c.peerReceived(command)
 	default:
 		panic("core: unknown command")
 	}
 }
 
-func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
+func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
 func (c *Core) logInfo(text string, args ...any) {
 	c.emit(Log{Level: LevelInfo, Text: text, Args: args})
@@ -224,8 +192,8 @@
 	}
 }
 
-// peerConnected and its kin tell a link we dialled (to the leader) from one a member
-// dialled (we may be its leader).
+// peerConnected tells a link that we dialled, which leads to the leader, from one that a
+// member dialled, whose leader we may be.
 func (c *Core) peerConnected(p PeerConnected) {
 	if p.Label != "" {
 		c.shard.leaderLinkUp(p.Session)
@@ -239,67 +207,24 @@
 	c.scheduler.memberLinkDown(p.Session)
 }
 
+// peerReceived routes a message: over the link to the leader it is for the shard, or asks for
+// a vote; over any other it is from a member, to the leader.
 func (c *Core) peerReceived(p PeerReceived) {
-	m := &p.Message
+	message := &p.Message
 	switch {
-	case p.Session == c.shard.leaderLink && m.Round != nil:
+	case p.Session == c.shard.leaderLink && message.Round != nil:
 		c.shard.leaderHeardAt = c.now.Monotonic
-		c.degraded.handleRound(m.Epoch, m.Round)
+		c.degraded.handleRound(message.Epoch, message.Round)
 	case p.Session == c.shard.leaderLink:
-		c.shard.handleLeaderMessage(m)
-	case m.Vote != nil:
-		c.scheduler.handleVote(p.Session, m.Vote)
+		c.shard.handleLeaderMessage(message)
+	case message.Vote != nil:
+		c.scheduler.handleVote(p.Session, message.Vote)
 	default:
-		c.scheduler.handleShardMessage(p.Session, m)
-	}
-}
-
-// afterFunc runs f once d has passed.
-func (c *Core) afterFunc(d time.Duration, f func()) {
-	c.lastTimerID++
-	heap.Push(&c.timers, timer{deadline: c.now.Monotonic + d, sequence: c.lastTimerID, run: f})
-}
-
-func (c *Core) runTimers() {
-	for len(c.timers) > 0 && c.timers[0].deadline <= c.now.Monotonic {
-		heap.Pop(&c.timers).(timer).run()
-	}
-}
-
-// NextDeadline is when the core wants to be called even if nothing happens.
-func (c *Core) NextDeadline() time.Duration {
-	next := c.now.Monotonic + min(c.intervals.maintenance/4, c.intervals.scheduling)
-	if len(c.timers) > 0 && c.timers[0].deadline < next {
-		next = c.timers[0].deadline
+		c.scheduler.handleShardMessage(p.Session, message)
 	}
-	return next
-}
-
-type timer struct {
-	deadline time.Duration
-	sequence uint64
-	run      func()
-}
-
-type timerHeap []timer
-
-func (h timerHeap) Len() int { return len(h) }
-func (h timerHeap) Less(i, j int) bool {
-	return h[i].deadline < h[j].deadline || h[i].deadline == h[j].deadline && h[i].sequence < h[j].sequence
 }
-func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
-func (h *timerHeap) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	old[len(old)-1] = timer{}
-	*h = old[:len(old)-1]
-	return x
-}
-
-// scaleDuration turns a span into one that holds on every clock.
-func scaleDuration(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
+// team is the team of a name, nil if the site has none of it.
 func (c *Core) team(name string) *config.Team {
 	for i := range c.settings.Site.Teams {
 		if c.settings.Site.Teams[i].Name == name {
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -22,10 +22,10 @@
 // what became of it; otherwise it is better to pause before looking.
 func (o CommitOutcome) Decided() bool { return o == Committed || o == CommitConflict }
 
-// LeaseOutcome is what became of a Lease request.
+// LeaseOutcome is what became of a RenewLease.
 type LeaseOutcome int
 
-// Outcomes of a Lease request.
+// Outcomes of a RenewLease.
 const (
 	LeaseUnknown LeaseOutcome = iota // no answer: it may have been renewed
 	LeaseGranted                     // granted or renewed
@@ -33,10 +33,10 @@
 	LeaseRefused                     // refused for any other reason
 )
 
-// WatchOutcome is what became of a Follow request.
+// WatchOutcome is what became of a Watch, a barrier or not.
 type WatchOutcome int
 
-// Outcomes of a Follow request.
+// Outcomes of a Watch.
 const (
 	WatchUnknown     WatchOutcome = iota // no answer
 	WatchServed                          // the events are complete up to the answer's revision
@@ -61,10 +61,10 @@
 	}
 }
 
-// DirectOutcome is what became of direct commands to a worker.
+// DirectOutcome is what became of a CallWorker.
 type DirectOutcome int
 
-// Outcomes of direct commands.
+// Outcomes of a CallWorker.
 const (
 	DirectUnknown  DirectOutcome = iota // no answer: they may have been executed, or may be later
 	DirectExecuted                      // executed; the worker's report comes along
