--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -9,7 +9,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Status is the operators' picture of a node.
+// Status is what a node tells its operators about itself. The JSON names are a public interface.
 type Status struct {
 	Label            string                    `json:"label"`
 	Epoch            uint64                    `json:"epoch"`
@@ -28,14 +28,14 @@
 	ResponseTimes    LatencySummary            `json:"answers_ms"` // of this node, filled in by the engine
 	RejectedRequests map[string]int64          `json:"refused_requests,omitempty"`
 
-	// Only on the leader.
-	AbsentControllers map[string]float64 `json:"nodes_away_s,omitempty"`     // controllers outside the map, for how long
+	// Problems, which only the leader knows: what somebody on call looks for first.
+	AbsentControllers map[string]float64 `json:"nodes_away_s,omitempty"`     // controllers outside the shard map, for how long
 	CrashLoopingJobs  map[string]string  `json:"faulty_jobs,omitempty"`      // jobs that seem to fail wherever they run
 	UnhealthyMachines map[string]string  `json:"faulty_machines,omitempty"`  // machines in quarantine
-	UnseenMachines    int                `json:"machines_unseen,omitempty"`  // that a take-over still waits for
+	UnseenMachines    int                `json:"machines_unseen,omitempty"`  // that a failover still waits for
 	SilentZones       map[string]float64 `json:"silent_zones_s,omitempty"`   // zones most of which is silent, for how long
 	DrainingMachines  []string           `json:"machines_leaving,omitempty"` // being drained and returned
-	FairShareBoosts   []FairShareBoost   `json:"classes_short,omitempty"`    // classes that are served too little, and have their turn
+	FairShareBoosts   []FairShareBoost   `json:"classes_short,omitempty"`    // classes that are served too little, and are boosted
 }
 
 // LatencySummary is what a histogram holds, in short.
@@ -80,6 +80,7 @@
 	Reason   string `json:"reason,omitempty"`
 }
 
+// status describes this node as it is now.
 func (c *Core) status() *Status {
 	s := &Status{
 		Label: c.settings.Label, Epoch: c.membership.epoch(), Entitled: c.membership.mayServe(),
@@ -91,73 +92,94 @@
 	if c.records.shardMap != nil {
 		s.Members = sortedKeys(c.records.shardMap.Members)
 	}
+	c.addJobCounts(s)
+	for name, m := range c.shard.machines.all() {
+		s.Machines[name] = MachineStatus{Type: m.typeName, Zone: m.zone, Spot: m.spot, Trusted: m.trusted,
+			Silent: m.leaseExpired, Draining: m.draining, Tasks: len(m.attempts)}
+	}
+	if c.membership.leading {
+		c.addSchedulerStatus(s)
+		c.addJobProblems(s)
+		c.addMachineProblems(s)
+	}
+	return s
+}
+
+// addJobCounts counts the jobs by state, those that have ended too.
+func (c *Core) addJobCounts(s *Status) {
 	s.DependentJobs = c.records.dependencies.WaitingCount()
-	for _, j := range c.records.jobs {
-		s.Jobs[j.record.State]++
+	for _, entry := range c.records.jobs {
+		s.Jobs[entry.record.State]++
 	}
-	for _, e := range c.records.archive.jobs {
-		if e.done {
+	for _, ended := range c.records.archive.jobs {
+		if ended.done {
 			s.Jobs[protocol.JobDone]++
 		} else {
 			s.Jobs[protocol.JobCancelled]++
 		}
 	}
-	for name, r := range c.shard.machines.all() {
-		s.Machines[name] = MachineStatus{Type: r.typeName, Zone: r.zone, Spot: r.spot, Trusted: r.trusted, Silent: r.leaseExpired, Draining: r.draining, Tasks: len(r.attempts)}
+}
+
+// addSchedulerStatus adds what the leader plans with.
+func (c *Core) addSchedulerStatus(s *Status) {
+	s.TeamCPUs = map[string]float64{}
+	for team, usage := range c.scheduler.computeTeamUsage() {
+		s.TeamCPUs[team] = usage.cpus
 	}
-	if c.membership.leading {
-		s.TeamCPUs = map[string]float64{}
-		for team, u := range c.scheduler.computeTeamUsage() {
-			s.TeamCPUs[team] = u.cpus
-		}
-		s.DesiredCPUs = c.fleet.desiredCPUs
-		s.Estimates = map[string]float64{}
-		s.StartLatencies = map[string]LatencySummary{}
-		for u, name := range []string{protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow} {
-			if h := c.scheduler.startLatencies[u]; h.TotalCount() > 0 {
-				s.StartLatencies[name] = Summarize(h)
-			}
+	s.DesiredCPUs = c.fleet.desiredCPUs
+	s.Estimates = map[string]float64{}
+	for key, mean := range c.estimator.history {
+		s.Estimates[key.String()] = mean.mean
+	}
+	s.StartLatencies = map[string]LatencySummary{}
+	for level, urgency := range []string{protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow} {
+		if latencies := c.scheduler.startLatencies[level]; latencies.TotalCount() > 0 {
+			s.StartLatencies[urgency] = Summarize(latencies)
 		}
-		for k, m := range c.estimator.history {
-			s.Estimates[k.String()] = m.mean
+	}
+	for id, job := range c.scheduler.queue.all() {
+		s.Queue = append(s.Queue, QueuedJobStatus{JobID: id, Waiting: max(job.waitingTasks(), 0), InFlight: len(job.inflight), Reason: job.reason})
+	}
+}
+
+// addJobProblems adds the jobs that fail wherever they run and the classes that are served too
+// little.
+func (c *Core) addJobProblems(s *Status) {
+	s.CrashLoopingJobs = map[string]string{}
+	for id, job := range c.scheduler.queue.all() {
+		if c.scheduler.isCrashLooping(job) {
+			s.CrashLoopingJobs[id] = c.scheduler.failureReason(job)
 		}
-		for id, q := range c.scheduler.queue.all() {
-			s.Queue = append(s.Queue, QueuedJobStatus{JobID: id, Waiting: max(q.waitingTasks(), 0), InFlight: len(q.inflight), Reason: q.reason})
+	}
+	for i := range c.scheduler.fairShareStates {
+		if state := &c.scheduler.fairShareStates[i]; state.Boost != fairshare.NoBoost {
+			s.FairShareBoosts = append(s.FairShareBoosts, FairShareBoost{
+				Team: state.Team, Class: state.Class, Served: state.Served, Overdue: state.Overdue,
+				AheadOfUrgent: state.Boost == fairshare.BoostAboveUrgent,
+			})
 		}
-		c.addProblems(s)
 	}
-	return s
 }
 
-// addProblems tells what somebody on call looks for first.
-func (c *Core) addProblems(s *Status) {
-	s.AbsentControllers, s.CrashLoopingJobs, s.UnhealthyMachines, s.SilentZones = map[string]float64{}, map[string]string{}, map[string]string{}, map[string]float64{}
+// addMachineProblems adds the controllers, machines and zones that are not as they should be.
+func (c *Core) addMachineProblems(s *Status) {
+	s.AbsentControllers, s.UnhealthyMachines, s.SilentZones = map[string]float64{}, map[string]string{}, map[string]float64{}
 	for label, since := range c.membership.absentSince {
 		s.AbsentControllers[label] = (c.now.Monotonic - since).Seconds()
 	}
-	for id, q := range c.scheduler.queue.all() {
-		if c.scheduler.isCrashLooping(q) {
-			s.CrashLoopingJobs[id] = c.scheduler.failureReason(q)
-		}
-	}
-	for name, v := range c.scheduler.machines.all() {
-		if v.unhealthy {
-			s.UnhealthyMachines[name] = fmt.Sprintf("tasks of %d jobs failed here", len(v.failedJobs))
+	for name, view := range c.scheduler.machines.all() {
+		if view.unhealthy {
+			s.UnhealthyMachines[name] = fmt.Sprintf("tasks of %d jobs failed here", len(view.failedJobs))
 		}
 	}
 	for range c.scheduler.unseenMachines() {
 		s.UnseenMachines++
 	}
-	for i := range c.scheduler.fairShareStates {
-		if x := &c.scheduler.fairShareStates[i]; x.Boost != fairshare.NoBoost {
-			s.FairShareBoosts = append(s.FairShareBoosts, FairShareBoost{x.Team, x.Class, x.Served, x.Overdue, x.Boost == fairshare.BoostAboveUrgent})
-		}
-	}
 	for zone, since := range c.fleet.silentZones {
 		s.SilentZones[zone] = (c.now.Monotonic - since).Seconds()
 	}
-	for name, h := range c.fleet.instances.all() {
-		if h.returnReason != "" {
+	for name, inst := range c.fleet.instances.all() {
+		if inst.returnReason != "" {
 			s.DrainingMachines = append(s.DrainingMachines, name)
 		}
 	}
