--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -5,67 +5,81 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// A machine is closing while there is clearly more than the work needs and it is
-// the dearest or the emptiest: it gets no new tasks and is returned once its last
-// one has ended.
+// A machine is cordoned while there is clearly more than the work needs and it is among the
+// dearest or the emptiest: it gets no new tasks and is returned once its last one has ended.
 
-// publishCordons lets the parts know which of their machines are closing.
+// evictionReason is what a job's user reads of tasks that are moved.
+const evictionReason = "tasks moved off a machine that is no longer needed"
+
+// publishCordons tells the shards which of their machines are cordoned, and which no longer.
 //
-// Only the leader knew it once, and parts went on filling them: long after a burst
-// twice the machines that were needed stayed, each with a few tasks.
+// Guards against shards that went on filling them: long after a burst twice the machines that
+// were needed stayed, each with a few tasks.
 func (f *fleet) publishCordons() {
 	c := f.core
-	for name, v := range c.scheduler.machines.all() {
-		is := f.cordoned[name]
-		p := c.scheduler.shards[v.shard]
-		if v.cordoned == is || p == nil || p.session == 0 || p.syncedEpoch != c.scheduler.epoch {
+	for name, view := range c.scheduler.machines.all() {
+		cordoned := f.cordoned[name]
+		shard := c.scheduler.shards[view.shard]
+		if view.cordoned == cordoned || shard == nil || shard.session == 0 || shard.syncedEpoch != c.scheduler.epoch {
 			continue
 		}
-		v.cordoned, p.outboxDue = is, true
-		if is {
-			v.cordonedAt = c.now.Monotonic
-			p.outbox.Cordon = append(p.outbox.Cordon, name)
+		view.cordoned, shard.outboxDue = cordoned, true
+		if cordoned {
+			view.cordonedAt = c.now.Monotonic
+			shard.outbox.Cordon = append(shard.outbox.Cordon, name)
 		} else {
-			p.outbox.Uncordon = append(p.outbox.Uncordon, name)
+			shard.outbox.Uncordon = append(shard.outbox.Uncordon, name)
 		}
 	}
 }
 
-// evictFromCordoned stops the last tasks on closing machines if all of them save their
-// progress and there is room for them elsewhere: a machine of dozens of CPUs is
-// paid for as long as its longest task runs, and moving costs a save and a fetch.
-func (f *fleet) evictFromCordoned(up []*instance) {
+// evictFromCordoned stops the last tasks on cordoned machines if all of them save checkpoints
+// and there is room for them elsewhere: a machine of dozens of CPUs is paid for as long as its
+// longest task runs, and moving costs a checkpoint and an image pull.
+func (f *fleet) evictFromCordoned(running []*instance) {
 	c := f.core
-	room := 0.0
-	for _, h := range up {
-		if v := c.scheduler.machines.get(h.name); !v.cordoned && !v.unschedulable && h.returnReason == "" && !v.state.InterruptionNotice && !v.unhealthy {
-			room += c.machineTypes()[h.typeName].CPUs - v.used.cpus
+	room := f.freeCPUs(running)
+	for _, inst := range running {
+		view := c.scheduler.machines.get(inst.name)
+		shard := c.scheduler.shards[view.shard]
+		// The wait lets short tasks end by themselves, and a load that comes back finds the
+		// machine as it was.
+		waited := view.cordoned && c.now.Monotonic-view.cordonedAt >= c.intervals.workerLease
+		if !waited || shard == nil || shard.session == 0 || view.used.cpus > room || !canEvictAll(view) {
+			continue
 		}
+		room -= view.used.cpus
+		f.evictAll(shard, view, inst.name)
 	}
-	for _, h := range up {
-		v := c.scheduler.machines.get(h.name)
-		p := c.scheduler.shards[v.shard]
-		// The wait lets short tasks end by themselves, and a load that comes back
-		// finds the machine as it was.
-		if !v.cordoned || c.now.Monotonic-v.cordonedAt < c.intervals.workerLease || p == nil || p.session == 0 || v.used.cpus > room || !canEvictAll(v) {
-			continue
+}
+
+// freeCPUs adds up what is free on the machines that may be given tasks.
+func (f *fleet) freeCPUs(running []*instance) float64 {
+	free := 0.0
+	for _, inst := range running {
+		view := f.core.scheduler.machines.get(inst.name)
+		if !view.cordoned && !view.unschedulable && inst.returnReason == "" && !view.state.InterruptionNotice && !view.unhealthy {
+			free += f.core.machineTypes()[inst.typeName].CPUs - view.used.cpus
 		}
-		room -= v.used.cpus
-		for _, name := range sortedKeys(v.attempts) {
-			if t := v.attempts[name]; !t.stopRequested {
-				c.scheduler.requestStop(p, t, peerproto.StopTask{Task: name, Machine: h.name, Reason: "tasks moved off a machine that is no longer needed"}, lowestUrgency)
-			}
+	}
+	return free
+}
+
+func (f *fleet) evictAll(shard *shardView, view *machineView, machine string) {
+	for _, task := range sortedKeys(view.attempts) {
+		if attempt := view.attempts[task]; !attempt.stopRequested {
+			f.core.scheduler.requestStop(shard, attempt, peerproto.StopTask{Task: task, Machine: machine, Reason: evictionReason}, lowestUrgency)
 		}
 	}
 }
 
 // canEvictAll reports whether every task on a machine can be stopped without loss.
-func canEvictAll(v *machineView) bool {
-	for _, t := range v.attempts {
-		s := &t.job.entry.record.Spec
-		if s.Kind != protocol.KindArray || s.CheckpointS <= 0 || t.taskState != protocol.TaskRunning && !t.stopRequested {
+func canEvictAll(view *machineView) bool {
+	for _, attempt := range view.attempts {
+		spec := &attempt.job.entry.record.Spec
+		if spec.Kind != protocol.KindArray || spec.CheckpointS <= 0 || attempt.taskState != protocol.TaskRunning && !attempt.stopRequested {
 			return false
 		}
 	}
-	return len(v.attempts) > 0
+	return len(view.attempts) > 0
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -9,164 +9,115 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// capacityDemand is how many CPUs the unfinished work should have. soon is for work to be
-// done as soon as a cheap machine pays; due for it to be done in time, which is
-// worth an ordinary machine; firm is the share of due that may not run on cheap
-// machines at all. rush is what to hire ordinary machines of a type up to: one
-// helps only once it has booted, and types differ in that. busy is what tasks take
-// now.
+// Kinds of objectives in the settings.
+const (
+	objectiveGuarantee = "guarantee" // guaranteed work starts at once
+	objectiveFinished  = "finished"  // jobs of a class are done within a time
+	objectiveDeadline  = "deadline"  // jobs of a class are done by their own deadlines
+	objectiveWait      = "wait"      // jobs of a class start within a time
+)
+
+// capacityDemand is how many CPUs the unfinished work should have.
 type capacityDemand struct {
-	total, onTime, onTimeOnDemand, inUse float64
-	totalOnDemand                        float64 // the share of soon that may not run on cheap machines
-	onTimeByType                         map[string]float64
-}
+	inUse          float64 // what tasks take now
+	total          float64 // for work to be done as soon as a spot machine pays
+	totalOnDemand  float64 // the share of total that must not run on spot machines
+	onTime         float64 // for work to meet its objectives, which is worth an on-demand machine
+	onTimeOnDemand float64 // the share of onTime that must not rest on spot machines
 
-// computeDemand adds up what each unfinished job needs. Work is done in rank order, so
-// what a job waits for is all that ranks before it, and what of that kind is
-// still to come while it waits: due is the capacity at which the worst-off job
-// is just in time.
-func (f *fleet) computeDemand(ranked []*queuedJob) capacityDemand {
-	c := f.core
-	d := capacityDemand{onTimeByType: map[string]float64{}}
-	soon := map[string]float64{}
-	var ahead, firm float64
-	for _, q := range ranked {
-		s := &q.entry.record.Spec
-		waiting := float64(max(q.waitingTasks(), 0))
-		flying := float64(len(q.inflight))
-		pred := q.predictedSeconds
-		cpus := (waiting + flying) * s.CPUs
-		d.inUse += flying * s.CPUs
-		work := (waiting*pred + flying*pred/2) * s.CPUs
-		if s.Kind == protocol.KindArray {
-			if c.scheduler.isCrashLooping(q) {
-				waiting = min(waiting, 1)
-				work = waiting * pred * s.CPUs
-			}
-			cpus = min(waiting+flying, math.Ceil(work/s.CPUs/max(f.minUsefulSeconds(s), pred, 1))) * s.CPUs
-		}
-		if t := c.team(s.Team); t != nil && t.CPUsMax > 0 {
-			cpus = max(min(cpus, t.CPUsMax-soon[s.Team]), 0)
-			soon[s.Team] += cpus
-		}
-		d.total += cpus
-		if !s.AllowSpot {
-			d.totalOnDemand += cpus
-		}
-		if s.Kind != protocol.KindArray {
-			d.onTime += cpus // replicas run for ever: their room is never free
-			if !s.AllowSpot {
-				firm += cpus
-			}
-			continue
-		}
-		ahead += work
-		if !s.AllowSpot {
-			firm += min(cpus, work/f.completionHorizon(q, pred))
-		}
-		// What no aim is set for is worth cheap machines only.
-		if waiting > 0 && (q.withinGuarantee || f.hasObjective(s) || q.hasDeadline()) {
-			left := f.completionHorizon(q, pred)
-			need := ahead/left + f.inflowBefore(q)
-			d.onTime = max(d.onTime, need)
-			for name, mt := range c.machineTypes() {
-				if left >= mt.BootS*c.policy.RushBoots {
-					d.onTimeByType[name] = max(d.onTimeByType[name], need)
-				}
-			}
-		}
-	}
-	d.total += f.burstReserve
-	d.onTime = min(d.onTime, d.total)
-	for name, need := range d.onTimeByType {
-		d.onTimeByType[name] = min(need, d.total)
-	}
-	d.onTimeOnDemand = firm + (d.onTime-firm)*(1-c.policy.SpotShare)
-	return d
+	// onTimeByType is what to rent on-demand machines of a type up to: a machine helps only
+	// once it has booted, and types differ in that.
+	onTimeByType map[string]float64
 }
 
-// inflowBefore is how many CPUs the work that keeps coming in, and ranks before a job,
-// takes.
-func (f *fleet) inflowBefore(q *queuedJob) float64 {
-	u := q.effectiveUrgency
-	var sum float64
-	for v, x := range f.inflowByUrgency {
-		if v < u {
-			sum += x
-		}
-	}
-	return sum
+// demandSum adds up a capacityDemand over the jobs in rank order.
+type demandSum struct {
+	capacityDemand
+	totalByTeam map[string]float64
+	ahead       float64 // CPU seconds of work that ranks before the job at hand, and its own
+	onDemand    float64 // CPUs for jobs that must not run on spot machines
 }
 
-// jobArrived counts a new job's work into the inflow of its urgency.
-func (f *fleet) jobArrived(q *queuedJob) {
-	s := &q.entry.record.Spec
-	span := 8 * f.core.intervals.workerLease.Seconds()
-	for _, a := range f.core.settings.Site.Objectives {
-		if a.Kind == "wait" && a.Class == s.Class {
-			f.burstReserve = max(f.burstReserve, float64(s.Tasks)*s.CPUs)
-			f.burstAt = f.core.now.Monotonic
-		}
+// computeDemand adds up what each unfinished job needs. Work is done in rank order, so what a
+// job waits for is all that ranks before it, and what of that kind still comes in while it
+// waits: onTime is the capacity at which the worst-off job is just in time.
+func (f *fleet) computeDemand(ranked []*queuedJob) capacityDemand {
+	sum := demandSum{
+		capacityDemand: capacityDemand{onTimeByType: map[string]float64{}},
+		totalByTeam:    map[string]float64{},
 	}
-	work := float64(s.Tasks) * s.CPUs * f.core.estimator.predict(s) / span
-	f.inflowByUrgency[q.effectiveUrgency] += work
-	if !f.core.bestEffortTeams[s.Team] {
-		f.guaranteedInflow += work
+	for _, job := range ranked {
+		f.addJobDemand(&sum, job)
 	}
+	demand := sum.capacityDemand
+	demand.total += f.burstReserve
+	demand.onTime = min(demand.onTime, demand.total)
+	for name, cpus := range demand.onTimeByType {
+		demand.onTimeByType[name] = min(cpus, demand.total)
+	}
+	demand.onTimeOnDemand = sum.onDemand + (demand.onTime-sum.onDemand)*(1-f.core.policy.SpotShare)
+	return demand
 }
 
-// restoreInflow works out, for a new leader, what came in before it led.
-func (f *fleet) restoreInflow() {
-	span := 8 * f.core.intervals.workerLease.Seconds()
-	f.guaranteedInflow = 0
-	count := func(s *protocol.Job, at float64) {
-		if !f.core.bestEffortTeams[s.Team] {
-			f.guaranteedInflow += float64(s.Tasks) * s.CPUs * f.core.estimator.predict(s) / span * math.Exp(-max(f.core.now.Wall-at, 0)/span)
-		}
-	}
-	l := f.core.records
-	for _, id := range sortedKeys(l.jobs) {
-		if j := l.jobs[id]; j.version > 0 && !l.dependencies.IsWaiting(id) {
-			count(&j.record.Spec, j.waitingSince())
-		}
-	}
-	var recent []string
-	for id, e := range l.archive.jobs {
-		if f.core.now.Wall-float64(e.submittedAt) < 8*span {
-			recent = append(recent, id)
-		}
-	}
-	slices.Sort(recent)
-	for _, id := range recent {
-		e := l.archive.jobs[id]
-		s := l.archive.shapes[e.shape]
-		s.Tasks = int(e.tasks)
-		count(&s, float64(e.submittedAt))
+// addJobDemand adds what one job needs.
+func (f *fleet) addJobDemand(sum *demandSum, job *queuedJob) {
+	spec := &job.entry.record.Spec
+	waiting, inflight := float64(max(job.waitingTasks(), 0)), float64(len(job.inflight))
+	seconds := job.predictedSeconds
+	cpus := (waiting + inflight) * spec.CPUs
+	work := (waiting*seconds + inflight*seconds/2) * spec.CPUs // what runs is half done on average
+	sum.inUse += inflight * spec.CPUs
+	if spec.Kind == protocol.KindArray {
+		if f.core.scheduler.isCrashLooping(job) {
+			waiting = min(waiting, 1) // it is only tried
+			work = waiting * seconds * spec.CPUs
+		}
+		cpus = min(waiting+inflight, math.Ceil(work/spec.CPUs/max(f.minUsefulSeconds(spec), seconds, 1))) * spec.CPUs
+	}
+	if team := f.core.team(spec.Team); team != nil && team.CPUsMax > 0 {
+		cpus = max(min(cpus, team.CPUsMax-sum.totalByTeam[spec.Team]), 0)
+		sum.totalByTeam[spec.Team] += cpus
+	}
+	sum.total += cpus
+	if !spec.AllowSpot {
+		sum.totalOnDemand += cpus
+	}
+	if spec.Kind != protocol.KindArray {
+		sum.onTime += cpus // replicas run for ever: their room is never free
+		if !spec.AllowSpot {
+			sum.onDemand += cpus
+		}
+		return
+	}
+	sum.ahead += work
+	if !spec.AllowSpot {
+		sum.onDemand += min(cpus, work/f.completionHorizon(job))
+	}
+	// What has no objective is worth spot machines only.
+	if waiting > 0 && (job.withinGuarantee || f.hasObjective(spec) || job.hasDeadline()) {
+		f.addOnTimeDemand(sum, job)
 	}
 }
 
-// decayInflow lets the inflow fall with the time since it came.
-func (f *fleet) decayInflow() {
-	span := 8 * f.core.intervals.workerLease.Seconds()
-	dt := (f.core.now.Monotonic - f.decayedAt).Seconds()
-	f.decayedAt = f.core.now.Monotonic
-	f.burstReserve *= math.Exp(-dt / span)
-	f.guaranteedInflow *= math.Exp(-dt / span)
-	if f.core.now.Monotonic-f.burstAt > 3*f.core.intervals.workerLease {
-		f.burstReserve = 0
-	}
-	for u, x := range f.inflowByUrgency {
-		f.inflowByUrgency[u] = x * math.Exp(-dt/span)
+// addOnTimeDemand raises the capacity to what lets a job be done in time.
+func (f *fleet) addOnTimeDemand(sum *demandSum, job *queuedJob) {
+	left := f.completionHorizon(job)
+	cpus := sum.ahead/left + f.inflowBefore(job)
+	sum.onTime = max(sum.onTime, cpus)
+	for name, machineType := range f.core.machineTypes() {
+		if left >= machineType.BootS*f.core.policy.RushBoots {
+			sum.onTimeByType[name] = max(sum.onTimeByType[name], cpus)
+		}
 	}
 }
 
-// minUsefulSeconds is the shortest time in which queued work is worth a cheap machine:
-// its boot is paid as well.
-func (f *fleet) minUsefulSeconds(s *protocol.Job) float64 {
+// minUsefulSeconds is the shortest time in which queued work is worth a spot machine: its boot
+// is paid for as well.
+func (f *fleet) minUsefulSeconds(spec *protocol.Job) float64 {
 	boot := math.Inf(1)
-	for _, t := range f.core.machineTypes() {
-		if binpacking.AllowsType(s, t.Name) && binpacking.FitsMachineType(t, s) {
-			boot = min(boot, t.BootS)
+	for _, machineType := range f.core.machineTypes() {
+		if binpacking.AllowsType(spec, machineType.Name) && binpacking.FitsMachineType(machineType, spec) {
+			boot = min(boot, machineType.BootS)
 		}
 	}
 	if math.IsInf(boot, 1) {
@@ -175,52 +126,63 @@
 	return boot * f.core.policy.SoonBoots
 }
 
-// completionHorizon is the time in which a job's queued work must be done to be in time.
-// Once it is too late for that, a cheap machine is all that it is worth.
-func (f *fleet) completionHorizon(q *queuedJob, pred float64) float64 {
-	s := &q.entry.record.Spec
-	age := max(f.core.now.Wall-q.entry.waitingSince(), 0)
-	patient := 10 * f.core.intervals.workerLease.Seconds()
-	h := math.Inf(1)
-	for _, a := range f.core.settings.Site.Objectives {
-		if a.Kind == "guarantee" && q.withinGuarantee {
-			// Guaranteed work that waits will start late whatever is hired; it
-			// should not wait much longer than a boot.
-			h = min(h, 2*f.minUsefulSeconds(s))
-		}
-		if a.Class != s.Class {
+// Spans of completionHorizon.
+const (
+	// hastePerMiss is how much of a job's time one miss in a hundred gives back: an objective
+	// that allows more misses is worth less haste.
+	hastePerMiss = 6
+	// patientLeases is in how many worker leases work without an objective is to be done.
+	patientLeases = 10
+	// guaranteeBoots is in how many of the shortest useful times guaranteed work is to be done.
+	// It starts late whatever is rented; it should not wait much longer than a boot.
+	guaranteeBoots = 2
+)
+
+// completionHorizon is the time in which a job's queued work must be done to be in time, in
+// seconds. Once it is too late for that, a spot machine is all that it is worth.
+func (f *fleet) completionHorizon(job *queuedJob) float64 {
+	spec, policy := &job.entry.record.Spec, &f.core.policy
+	horizon := math.Inf(1)
+	for i := range f.core.settings.Site.Objectives {
+		objective := &f.core.settings.Site.Objectives[i]
+		if objective.Kind == objectiveGuarantee && job.withinGuarantee {
+			horizon = min(horizon, guaranteeBoots*f.minUsefulSeconds(spec))
+		}
+		if objective.Class != spec.Class {
 			continue
 		}
-		left := math.Inf(1)
-		switch a.Kind {
-		case "finished":
-			left = a.WithinS - age
-		case "deadline":
-			if s.DeadlineS > 0 {
-				left = s.DeadlineS*max(a.Times, 1) - (f.core.now.Wall - q.entry.record.SubmittedAt)
-			}
-		case "wait":
-			left = pred
-		}
-		// An aim that allows more misses is worth less haste.
-		if left > 0 {
-			h = min(h, left*min(f.core.policy.HorizonShare+hastePerMiss*(1-a.Share), 1))
+		if left := f.timeLeft(objective, job); left > 0 {
+			horizon = min(horizon, left*min(policy.HorizonShare+hastePerMiss*(1-objective.Share), 1))
 		}
 	}
-	// What others need has what is left before the last of them is late.
-	if left := q.dependentsDeadline - f.core.now.Wall; left > 0 && q.hasDeadline() {
-		h = min(h, left*f.core.policy.HorizonShare)
+	// What others depend on has what is left before the last of them is late.
+	if left := job.dependentsDeadline - f.core.now.Wall; left > 0 && job.hasDeadline() {
+		horizon = min(horizon, left*policy.HorizonShare)
 	}
-	if math.IsInf(h, 1) {
-		h = patient
+	if math.IsInf(horizon, 1) {
+		horizon = patientLeases * f.core.intervals.workerLease.Seconds()
 	}
-	return max(h, f.minUsefulSeconds(s))
+	return max(horizon, f.minUsefulSeconds(spec))
 }
 
-// hasObjective reports whether the users have set an aim for a job's class.
-func (f *fleet) hasObjective(s *protocol.Job) bool {
-	return slices.ContainsFunc(f.core.settings.Site.Objectives, func(a config.Objective) bool { return a.Class == s.Class })
+// timeLeft is how many seconds a job has left to meet an objective of its class, +Inf if that
+// sets no time for it.
+func (f *fleet) timeLeft(objective *config.Objective, job *queuedJob) float64 {
+	spec, now := &job.entry.record.Spec, f.core.now.Wall
+	switch objective.Kind {
+	case objectiveFinished:
+		return objective.WithinS - max(now-job.entry.waitingSince(), 0)
+	case objectiveDeadline:
+		if spec.DeadlineS > 0 {
+			return spec.DeadlineS*max(objective.Times, 1) - (now - job.entry.record.SubmittedAt)
+		}
+	case objectiveWait:
+		return job.predictedSeconds
+	}
+	return math.Inf(1)
 }
 
-// hastePerMiss is how much of a job's time one miss in a hundred gives back.
-const hastePerMiss = 6
+// hasObjective reports whether the users have set an objective for a job's class.
+func (f *fleet) hasObjective(spec *protocol.Job) bool {
+	return slices.ContainsFunc(f.core.settings.Site.Objectives, func(o config.Objective) bool { return o.Class == spec.Class })
+}
--- /dev/null
+++ b/internal/core/instance_return.go
@@ -0,0 +1,189 @@
+package core
+
+import (
+	"time"
+
+	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+)
+
+// returnReason is why a machine is drained and returned.
+type returnReason string
+
+// Reasons to return a machine.
+const (
+	returnIdle         returnReason = "idle"
+	returnFailed       returnReason = "failed"          // by the cloud's word
+	returnTakenBack    returnReason = "taken back"      // the list no longer has it
+	returnFaulty       returnReason = "faulty"          // jobs fail there that run elsewhere
+	returnNeverUp      returnReason = "did not come up" // it boots for too long
+	returnSilent       returnReason = "silent"          // long after it has dropped its tasks
+	returnDead         returnReason = "dead"            // silent while its zone is heard
+	returnUnresponsive returnReason = "does not answer" // nor did it since the shard map changed
+)
+
+// beginReturn drains a machine; it is deleted once that is done.
+func (f *fleet) beginReturn(inst *instance, why returnReason) {
+	if inst.returnReason != "" {
+		return
+	}
+	inst.returnReason = why
+	if view := f.core.scheduler.machines.get(inst.name); view != nil {
+		view.leaving = true
+	}
+	f.core.logInfo("draining instance", "machine", inst.name, "type", inst.typeName, "zone", inst.zone, "spot", inst.spot, "why", string(why))
+}
+
+// returnInstances gives up machines that are of no use any more, and deletes those that are
+// drained.
+func (f *fleet) returnInstances() {
+	var names []string
+	for name, inst := range f.instances.all() {
+		f.giveUp(inst)
+		if inst.returnReason == "" || inst.deleteInFlight {
+			continue
+		}
+		if f.isDrained(inst) && len(names) < protocol.MaxDelete {
+			names = append(names, name)
+		}
+	}
+	if len(names) == 0 || !f.takeScalingCall() {
+		return
+	}
+	for _, name := range names {
+		f.instances.get(name).deleteInFlight = true
+	}
+	f.core.emit(DeleteInstances{Names: names})
+}
+
+// giveUp begins to return a machine that never came up, failed, vanished or is faulty.
+func (f *fleet) giveUp(inst *instance) {
+	if inst.returnReason != "" {
+		return
+	}
+	why, forced := f.uselessReason(inst)
+	if why == "" {
+		return
+	}
+	if why == returnNeverUp {
+		f.failedBoots[inst.typeName]++
+	}
+	f.beginReturn(inst, why)
+	inst.forced = forced
+}
+
+// uselessReason says why a machine is of no use any more, if so, and whether it is to be deleted
+// without waiting for its tasks to end.
+func (f *fleet) uselessReason(inst *instance) (why returnReason, forced bool) {
+	c := f.core
+	view, machineType := c.scheduler.machines.get(inst.name), c.machineTypes()[inst.typeName]
+	up := view != nil && view.state.AcceptsTasks
+	age := c.now.Monotonic - inst.createdAt
+	switch {
+	case inst.cloudState == protocol.MachineFailed:
+		return returnFailed, false
+	case inst.missedLists >= missedListsUntilLost && !up && age > 4*f.listLag():
+		return returnTakenBack, true // the cloud's answer says that its tasks are gone
+	case view != nil && view.unhealthy:
+		return returnFaulty, false
+	case view == nil:
+		if machineType != nil && age > max(f.bootTimeout(machineType), minBootTimeout) {
+			return returnNeverUp, false
+		}
+		return "", false
+	case !up && view.state.TasksComplete && c.now.Monotonic-view.emptySince > f.silenceBeforeReturn(inst.zone):
+		return returnSilent, false
+	case view.state.Silent && view.upSince >= 0 && f.isZoneReachable(view):
+		// Waiting for its lease to end would hold its tasks up for as long again; once the
+		// cloud has deleted it they are surely gone.
+		return returnDead, true
+	case f.isUnresponsive(view) && f.isZoneReachable(view):
+		return returnUnresponsive, true
+	}
+	return "", false
+}
+
+// isUnresponsive reports whether a machine has not answered since the shard map changed, so that
+// nobody knows what may be running there and everything that may be is held up. Each has its own
+// time to answer.
+//
+// Guards against two ways of choosing that time. Counted from the change of the map alone, a
+// quarter of the machines that came up later were deleted at their first heartbeat. With three
+// heartbeats, 15 to 18 s, no earlier job started anything for as long at each failover, since
+// among a thousand spot machines there nearly always is one that was taken back without notice.
+func (f *fleet) isUnresponsive(view *machineView) bool {
+	c := f.core
+	patience := max(c.intervals.heartbeat, c.intervals.workerLease/5)
+	return !view.state.TasksComplete && view.state.Silent && c.now.Monotonic-view.unsureSince > patience
+}
+
+// minBootTimeout is how long any machine may boot, however fast its type is.
+const minBootTimeout = time.Minute
+
+// maxBootDoublings bounds how often failed boots double the time allowed.
+const maxBootDoublings = 2
+
+// bootTimeout is how long a machine may boot. It doubles with each that is given up while none
+// of its type comes up, up to four times as long.
+//
+// Guards against giving up every machine just before it is up where all boots take several
+// times as long as usual, one after another for twenty minutes.
+func (f *fleet) bootTimeout(machineType *protocol.MachineType) time.Duration {
+	factor := float64(int(1) << min(f.failedBoots[machineType.Name], maxBootDoublings))
+	return config.Seconds(machineType.BootS * f.core.policy.BootPatience * factor)
+}
+
+// isDrained reports whether a machine that is being returned may be deleted. If its shard has
+// not been told to drain it, it is told.
+func (f *fleet) isDrained(inst *instance) bool {
+	c := f.core
+	view, registered := c.scheduler.machines.get(inst.name), c.records.machineRecords.get(inst.name) != nil
+	if view != nil && view.state.AcceptsTasks && !view.state.Draining && registered {
+		f.requestDrain(view, inst.name)
+		if !inst.forced && !view.unhealthy {
+			return false
+		}
+	}
+	waits := !inst.forced && inst.returnReason != returnFaulty && inst.cloudState != protocol.MachineFailed
+	if waits && view != nil && len(view.attempts) > 0 {
+		return false
+	}
+	return !(f.mayDeregister(inst.name) && registered) // out of the registry first
+}
+
+func (f *fleet) requestDrain(view *machineView, name string) {
+	if s := f.core.scheduler.shards[view.shard]; s != nil {
+		s.outbox.Drain = append(s.outbox.Drain, name)
+		s.outboxDue = true
+	}
+}
+
+// mayDeregister reports whether a machine that is being returned is empty, and its shard has
+// said that it gives it nothing more: then it can leave the registry before it is deleted.
+//
+// Guards against a new leader that waited 13 s for 35 machines which the last one had returned
+// just before it ended.
+func (f *fleet) mayDeregister(name string) bool {
+	inst, view := f.instances.get(name), f.core.scheduler.machines.get(name)
+	return inst != nil && inst.returnReason != "" && !inst.forced &&
+		view != nil && view.listedEpoch == f.core.scheduler.epoch &&
+		view.state.TasksComplete && view.state.AcceptsTasks && view.state.Draining && len(view.attempts) == 0
+}
+
+// handleDelete takes the result of deleting machines. Those that were not deleted are tried
+// again in the next round.
+func (f *fleet) handleDelete(result DeleteInstancesResult) {
+	for _, name := range result.Names {
+		if result.Outcome != CloudDone {
+			if inst := f.instances.get(name); inst != nil {
+				inst.deleteInFlight = false
+			}
+			continue
+		}
+		f.instances.delete(name)
+		f.deletedNames[name] = true
+		if view := f.core.scheduler.machines.get(name); view != nil {
+			view.leaving = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/machine_types.go
@@ -0,0 +1,105 @@
+package core
+
+import (
+	"fmt"
+	"iter"
+
+	"github.com/chalkhub/chalkhub/internal/protocol"
+)
+
+// storeMachineTypes learns the machine types from the cloud once and keeps them in the state
+// service, so that every node can judge submissions even while the cloud is out.
+func (f *fleet) storeMachineTypes() {
+	c := f.core
+	if len(c.records.machineTypes) > 0 || f.typesWriteInFlight {
+		return
+	}
+	if f.cloudTypes == nil {
+		if !f.typesRequested && f.takeCallToken() {
+			f.typesRequested = true
+			c.emit(ListMachineTypes{})
+		}
+		return
+	}
+	var ops []protocol.Operation
+	for key, record := range paginateTypes(f.cloudTypes.Types, c.maxValueBytes()/2) {
+		if c.mirror.Version(key) == 0 && len(ops) < c.registry.maxPagesPerWrite() {
+			ops = append(ops, protocol.Operation{Put: key, Value: record})
+		}
+	}
+	if len(ops) == 0 {
+		return
+	}
+	f.typesWriteInFlight = true
+	c.commit([]protocol.Guard{c.membership.leaderGuard()}, ops, func(result CommitResult) {
+		c.mirror.AwaitOutcome(result.Outcome.Decided(), c.intervals.maintenance/4, func() { f.typesWriteInFlight = false })
+	})
+}
+
+// handleMachineTypes takes the cloud's answer, or has it asked again after a while.
+func (f *fleet) handleMachineTypes(result MachineTypesResult) {
+	if result.Outcome == CloudDone && len(result.Answer.Types) > 0 {
+		f.typesRequested = false
+		f.cloudTypes = &result.Answer
+		return
+	}
+	f.core.afterFunc(f.core.intervals.maintenance, func() { f.typesRequested = false })
+}
+
+// Generous sizes of parts of a machine type's description, in bytes.
+const (
+	machineTypeBytes = 300 // without its name and zones
+	zoneNameBytes    = 4   // beside the name itself
+)
+
+func estimatedBytes(machineType *protocol.MachineType) int {
+	size := machineTypeBytes + len(machineType.Name)
+	for _, zone := range machineType.Zones {
+		size += len(zone) + zoneNameBytes
+	}
+	return size
+}
+
+// paginateTypes divides machine types over keys, each value at most limit bytes: there are
+// sites with more of them than one value holds.
+func paginateTypes(types []protocol.MachineType, limit int) iter.Seq2[string, protocol.MachineTypes] {
+	return func(yield func(string, protocol.MachineTypes) bool) {
+		total := len(types)
+		for page := 0; len(types) > 0; page++ {
+			count := typesOnPage(types, limit)
+			key := keyMachineTypes
+			if page > 0 {
+				key = fmt.Sprintf("%s/%04d", keyMachineTypes, page)
+			}
+			if !yield(key, protocol.MachineTypes{Types: types[:count], Total: total}) {
+				return
+			}
+			types = types[count:]
+		}
+	}
+}
+
+// typesOnPage is how many of the first types fit into so many bytes, at least one.
+func typesOnPage(types []protocol.MachineType, limit int) int {
+	size := 0
+	for i := range types {
+		size += estimatedBytes(&types[i])
+		if i > 0 && size > limit {
+			return i
+		}
+	}
+	return len(types)
+}
+
+// applyMachineTypes takes one key of the machine types into the records. They are used once all
+// of them are there.
+//
+// Guards against a job that was refused for a type that was still to be read.
+func (r *storedRecords) applyMachineTypes(record *protocol.MachineTypes) {
+	for i := range record.Types {
+		r.partialTypes[record.Types[i].Name] = &record.Types[i]
+	}
+	if len(r.partialTypes) >= record.Total {
+		r.machineTypes = r.partialTypes
+	}
+}
--- /dev/null
+++ b/internal/core/offers.go
@@ -0,0 +1,127 @@
+package core
+
+import (
+	"iter"
+	"math"
+	"sort"
+
+	"github.com/chalkhub/chalkhub/internal/binpacking"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+)
+
+// offer is a pool with what a unit of a job's work costs there.
+type offer struct {
+	pool
+	machineType *protocol.MachineType
+	cost        float64
+}
+
+// usualStayLeases is for how many worker leases a machine usually stays: boot and first image
+// pull are paid for as well, and are spread over that.
+const usualStayLeases = 6
+
+// offers lists the pools that could serve a job, cheapest first, and among those of the same
+// cost the zones with the fewest machines first.
+func (f *fleet) offers(spec *protocol.Job, onDemandOnly bool) []offer {
+	staySeconds := usualStayLeases * f.core.intervals.workerLease.Seconds()
+	machinesInZone := map[string]int{}
+	for p, count := range f.usableByPool {
+		machinesInZone[p.zone] += count
+	}
+	var offers []offer
+	for p, machineType := range f.eligiblePools(spec) {
+		if p.spot && onDemandOnly {
+			continue
+		}
+		price := machineType.Price
+		if p.spot {
+			price = machineType.SpotPrice
+		}
+		pullSeconds := spec.ImageGB / max(machineType.FetchGBps, minFetchGBps)
+		overhead := 1 + (machineType.BootS+pullSeconds)/staySeconds
+		offers = append(offers, offer{pool: p, machineType: machineType, cost: price / tasksPerMachine(machineType, spec) * overhead})
+	}
+	sort.SliceStable(offers, func(a, b int) bool {
+		if offers[a].cost != offers[b].cost {
+			return offers[a].cost < offers[b].cost
+		}
+		return machinesInZone[offers[a].zone] < machinesInZone[offers[b].zone]
+	})
+	return offers
+}
+
+// minFetchGBps stands in for a type's rate of image pulls that is not set.
+const minFetchGBps = 0.01
+
+// eligiblePools iterates over the pools that could serve a job and have not refused lately.
+func (f *fleet) eligiblePools(spec *protocol.Job) iter.Seq2[pool, *protocol.MachineType] {
+	return func(yield func(pool, *protocol.MachineType) bool) {
+		for _, name := range sortedKeys(f.core.machineTypes()) {
+			machineType := f.core.machineTypes()[name]
+			if !binpacking.FitsMachineType(machineType, spec) {
+				continue
+			}
+			for p := range poolsOf(machineType) {
+				eligible := binpacking.AllowsMachine(spec, p.typeName, p.zone, p.spot) && f.poolBackoffUntil[p] <= f.core.now.Monotonic
+				if eligible && !yield(p, machineType) {
+					return
+				}
+			}
+		}
+	}
+}
+
+// poolsOf iterates over the pools of a type, in each zone spot before on-demand. A type without
+// a spot price is not rented so.
+func poolsOf(machineType *protocol.MachineType) iter.Seq[pool] {
+	return func(yield func(pool) bool) {
+		for _, zone := range machineType.Zones {
+			if machineType.SpotPrice > 0 && !yield(pool{machineType.Name, zone, true}) {
+				return
+			}
+			if !yield(pool{machineType.Name, zone, false}) {
+				return
+			}
+		}
+	}
+}
+
+// tasksPerMachine is how many tasks of a job an empty machine holds.
+func tasksPerMachine(machineType *protocol.MachineType, spec *protocol.Job) float64 {
+	slots := math.Inf(1)
+	limit := func(has, needs float64) {
+		if needs > 0 {
+			slots = min(slots, math.Floor(has/needs+binpacking.RoundingSlack))
+		}
+	}
+	limit(machineType.CPUs, spec.CPUs)
+	limit(machineType.GPUs, spec.GPUs)
+	limit(machineType.MemoryGB, spec.MemoryGB)
+	if math.IsInf(slots, 1) {
+		return 1
+	}
+	return slots
+}
+
+// A pool that has refused is left alone for poolBackoffRounds maintenance rounds, twice as long
+// after each further refusal, up to 1<<maxBackoffDoublings times as long.
+const (
+	poolBackoffRounds   = 5
+	maxBackoffDoublings = 3
+)
+
+// backOffPool leaves a pool alone for a while after it refused.
+func (f *fleet) backOffPool(p pool) {
+	f.poolRefusals[p]++
+	wait := poolBackoffRounds * f.core.intervals.maintenance << min(f.poolRefusals[p]-1, maxBackoffDoublings)
+	f.poolBackoffUntil[p] = f.core.now.Monotonic + wait
+	f.core.logDebug("capacity refused", "type", p.typeName, "zone", p.zone, "spot", p.spot, "wait", wait)
+}
+
+// noCapacityReason says that every pool that could serve a job has refused, if so.
+func (f *fleet) noCapacityReason(spec *protocol.Job) string {
+	for range f.eligiblePools(spec) {
+		return ""
+	}
+	return "the cloud has no machine of the allowed types to give"
+}
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -10,225 +10,137 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// scaleIn returns machines that are not needed. An ordinary machine that the
-// work due does not need is parked: it gets no new tasks, and goes when its last
-// one ends. A cheap one is parked when there is clearly too much, and goes when
-// it has been idle for a while.
+// minInstanceAge is how old a machine gets before it is returned for being idle: the cloud
+// charges a minute at least.
+const minInstanceAge = 55 * time.Second
+
+// isClearSurplus reports whether so many CPUs are a quarter more than what is wanted, or above.
+func isClearSurplus(cpus, wanted float64) bool { return cpus >= wanted*5/4 }
+
+// scaleIn returns machines that are not needed. An on-demand machine that the work due does not
+// need is made unschedulable: the leader plans nothing for it, and it is returned when its last
+// task ends. A spot machine is made unschedulable when there is clearly too much, and returned
+// when it has been idle for a while.
 //
-// Only machines that are up count: parking for the sake of those that still
-// boot left a full queue and empty machines.
-func (f *fleet) scaleIn(d capacityDemand, waiting []*queuedJob) {
-	c := f.core
+// Guards against machines that were taken out for the sake of those that still booted, which
+// left a full queue and empty machines: only machines that are up count.
+func (f *fleet) scaleIn(demand capacityDemand, waiting []*queuedJob) {
 	f.cordoned = map[string]bool{}
-	for _, v := range c.scheduler.machines.all() {
-		v.unschedulable = false
-	}
-	var up []*instance
-	var have, spot float64
-	for name, h := range f.instances.all() {
-		v := c.scheduler.machines.get(name)
-		if h.returnReason == "" && v != nil && v.state.AcceptsTasks && v.upSince >= 0 && c.machineTypes()[h.typeName] != nil {
-			up = append(up, h)
-			if f.isUsable(h) {
-				have += c.machineTypes()[h.typeName].CPUs
-				if h.spot {
-					spot += c.machineTypes()[h.typeName].CPUs
-				}
-			}
-		}
-	}
-	for _, h := range up {
-		h.cpuShare = c.scheduler.machines.get(h.name).used.cpus / c.machineTypes()[h.typeName].CPUs
+	for _, view := range f.core.scheduler.machines.all() {
+		view.unschedulable = false
 	}
-	sort.SliceStable(up, func(a, b int) bool {
-		if up[a].spot != up[b].spot {
-			return up[b].spot
-		}
-		return up[a].cpuShare < up[b].cpuShare
-	})
-	enough := max(d.total, d.inUse)
-	waiting = slices.DeleteFunc(slices.Clone(waiting), func(q *queuedJob) bool { return !f.isConstrained(q) })
-	for _, h := range up {
-		if f.isNeeded(h, waiting) {
-			continue
-		}
-		v, mt := c.scheduler.machines.get(h.name), c.machineTypes()[h.typeName]
-		// A cheap machine serves none of the work that may not run on one.
-		want := have-mt.CPUs < enough && (d.totalOnDemand == 0 || spot-mt.CPUs < enough-d.totalOnDemand)
-		if h.spot && want || !h.spot && (have-mt.CPUs < d.onTime || have-spot-mt.CPUs < d.onTimeOnDemand) {
+	running, capacity := f.runningInstances()
+	f.sortForReturn(running)
+	wanted := max(demand.total, demand.inUse)
+	constrained := slices.DeleteFunc(slices.Clone(waiting), func(job *queuedJob) bool { return !f.isConstrained(job) })
+	for _, inst := range running {
+		cpus := f.core.machineTypes()[inst.typeName].CPUs
+		if f.isNeeded(inst, constrained) || !demand.canSpare(cpus, inst.spot, capacity, wanted) {
 			continue
 		}
-		idle := len(v.attempts) == 0
-		surplus := have-mt.CPUs >= enough*5/4
-		if h.spot {
-			keep := config.Seconds(mt.BootS * c.policy.IdleBoots)
-			idle = idle && (surplus || c.now.Monotonic-v.emptySince >= keep)
-		}
-		v.unschedulable = surplus || !h.spot
-		f.cordoned[h.name] = surplus
-		have -= mt.CPUs
-		if h.spot {
-			spot -= mt.CPUs
-		}
-		if idle && c.now.Monotonic-h.createdAt >= 55*time.Second {
-			f.beginReturn(h, "idle")
-		}
+		f.takeOut(inst, isClearSurplus(capacity.total-cpus, wanted))
+		capacity.add(-cpus, inst.spot)
 	}
 	f.publishCordons()
-	f.evictFromCordoned(up)
-}
-
-// isConstrained reports whether few machines can serve a job, or it needs many at once, or no
-// cheap one can: the ordinary machine that was hired for a job without an aim was parked,
-// and returned for a new one, for ever, where nothing is rented cheap.
-func (f *fleet) isConstrained(q *queuedJob) bool {
-	s := &q.entry.record.Spec
-	return len(s.MachineTypes) > 0 || s.Zone != "" || s.OneZone || s.Spread || !s.AllowSpot || s.Kind == protocol.KindGang || !f.hasSpotType(s)
+	f.evictFromCordoned(running)
 }
 
-// hasSpotType reports whether a machine type that holds a task is rented cheap.
-func (f *fleet) hasSpotType(s *protocol.Job) bool {
-	for _, mt := range f.core.machineTypes() {
-		if mt.SpotPrice > 0 && binpacking.AllowsType(s, mt.Name) && binpacking.FitsMachineType(mt, s) {
-			return true
+// runningInstances lists the machines that are up and of a known type, and adds up those of use.
+func (f *fleet) runningInstances() ([]*instance, cpuCapacity) {
+	var running []*instance
+	var capacity cpuCapacity
+	for name, inst := range f.instances.all() {
+		view, machineType := f.core.scheduler.machines.get(name), f.core.machineTypes()[inst.typeName]
+		if inst.returnReason != "" || view == nil || !view.state.AcceptsTasks || view.upSince < 0 || machineType == nil {
+			continue
+		}
+		running = append(running, inst)
+		if f.isUsable(inst) {
+			capacity.add(machineType.CPUs, inst.spot)
 		}
 	}
-	return false
+	return running, capacity
 }
 
-// isNeeded reports whether a waiting job that few machines can serve, or that
-// needs many at once, could use a machine: however much room there is elsewhere,
-// it is not given back.
-func (f *fleet) isNeeded(h *instance, waiting []*queuedJob) bool {
-	for _, q := range waiting {
-		s := &q.entry.record.Spec
-		zone := s.Zone == "" || s.Zone == h.zone
-		if len(q.entry.record.Zones) > 0 {
-			zone = slices.Contains(q.entry.record.Zones, h.zone)
-		}
-		if mt := f.core.machineTypes()[h.typeName]; zone && mt != nil && binpacking.FitsMachineType(mt, s) && binpacking.AllowsType(s, h.typeName) && (!h.spot || s.AllowSpot) {
-			return true
-		}
+// sortForReturn puts the machines to be returned first in front: on-demand before spot, and the
+// emptiest first.
+func (f *fleet) sortForReturn(running []*instance) {
+	for _, inst := range running {
+		inst.cpuShare = f.core.scheduler.machines.get(inst.name).used.cpus / f.core.machineTypes()[inst.typeName].CPUs
 	}
-	return false
+	sort.SliceStable(running, func(a, b int) bool {
+		if running[a].spot != running[b].spot {
+			return running[b].spot
+		}
+		return running[a].cpuShare < running[b].cpuShare
+	})
 }
 
-// beginReturn drains a machine and then returns it.
-func (f *fleet) beginReturn(h *instance, why string) {
-	if h.returnReason != "" {
-		return
+// canSpare reports whether the demand is met without a machine of so many CPUs. A spot machine
+// serves none of the work that must not run on one.
+func (d *capacityDemand) canSpare(cpus float64, spot bool, capacity cpuCapacity, wanted float64) bool {
+	if !spot {
+		return capacity.total-cpus >= d.onTime && capacity.onDemand()-cpus >= d.onTimeOnDemand
 	}
-	h.returnReason = why
-	if v := f.core.scheduler.machines.get(h.name); v != nil {
-		v.leaving = true
-	}
-	f.core.logInfo("returning machine", "machine", h.name, "type", h.typeName, "zone", h.zone, "spot", h.spot, "why", why)
+	needed := capacity.total-cpus < wanted && (d.totalOnDemand == 0 || capacity.spot-cpus < wanted-d.totalOnDemand)
+	return !needed
 }
 
-// returnInstances gives up machines that never came up, failed, vanished or are faulty, and
-// deletes those that are empty.
-func (f *fleet) returnInstances() {
+// takeOut has a machine that can be spared get no new tasks, and returns it if it is idle. With
+// a clear surplus its shard is told not to fill it, and an idle spot machine is not kept for
+// work that may come.
+func (f *fleet) takeOut(inst *instance, surplus bool) {
 	c := f.core
-	var names []string
-	for name, h := range f.instances.all() {
-		v := c.scheduler.machines.get(name)
-		mt := c.machineTypes()[h.typeName]
-		up := v != nil && v.state.AcceptsTasks
-		age := c.now.Monotonic - h.createdAt
-		switch {
-		case h.returnReason != "":
-		case h.cloudState == protocol.MachineFailed:
-			f.beginReturn(h, "failed")
-		case h.missedLists >= 2 && !up && age > 4*f.listLag():
-			f.beginReturn(h, "taken back")
-			h.forced = true // the cloud's answer says that its tasks are gone
-		case v != nil && v.unhealthy:
-			f.beginReturn(h, "faulty")
-		case mt != nil && v == nil && age > f.bootTimeout(mt) && age > time.Minute:
-			f.failedBoots[h.typeName]++
-			f.beginReturn(h, "did not come up")
-		case v != nil && !up && v.state.TasksComplete && c.now.Monotonic-v.emptySince > f.silenceBeforeReturn(h.zone):
-			f.beginReturn(h, "silent")
-		case v != nil && v.state.Silent && v.upSince >= 0 && f.isZoneReachable(v):
-			// Waiting for its lease to end would hold its tasks up for as long
-			// again; once the cloud has deleted it they are surely gone.
-			f.beginReturn(h, "dead")
-			h.forced = true
-		case v != nil && !v.state.TasksComplete && v.state.Silent && c.now.Monotonic-v.unsureSince > max(c.intervals.heartbeat, c.intervals.workerLease/5) && f.isZoneReachable(v):
-			// After a change of the map, the last machines that do not answer
-			// hold up everything that may be running on them. Each has its own
-			// time to answer: counted from the change of the map alone, a quarter
-			// of the machines that came up later were deleted at their first word.
-			// Among a thousand cheap machines there nearly always is one that was
-			// taken without a word: three report periods were 15 to 18 s in which
-			// no earlier job started anything, at each change of leader.
-			f.beginReturn(h, "does not answer")
-			h.forced = true
-		}
-		if h.returnReason == "" || h.deleteInFlight {
-			continue
-		}
-		if up && !v.state.Draining && c.records.machineRecords.get(name) != nil {
-			if p := c.scheduler.shards[v.shard]; p != nil {
-				p.outbox.Drain = append(p.outbox.Drain, name)
-				p.outboxDue = true
-			}
-			if !h.forced && !v.unhealthy {
-				continue
-			}
-		}
-		if v != nil && len(v.attempts) > 0 && !h.forced && h.returnReason != "faulty" && h.cloudState != protocol.MachineFailed {
-			continue
-		}
-		if f.mayDeregister(name) && c.records.machineRecords.get(name) != nil {
-			continue // out of the register first
-		}
-		if len(names) < protocol.MaxDelete {
-			names = append(names, name)
-		}
-	}
-	if len(names) == 0 || !f.takeScalingCall() {
-		return
+	view := c.scheduler.machines.get(inst.name)
+	idle := len(view.attempts) == 0
+	if inst.spot {
+		keep := config.Seconds(c.machineTypes()[inst.typeName].BootS * c.policy.IdleBoots)
+		idle = idle && (surplus || c.now.Monotonic-view.emptySince >= keep)
 	}
-	for _, n := range names {
-		f.instances.get(n).deleteInFlight = true
+	view.unschedulable = surplus || !inst.spot
+	f.cordoned[inst.name] = surplus
+	if idle && c.now.Monotonic-inst.createdAt >= minInstanceAge {
+		f.beginReturn(inst, returnIdle)
 	}
-	c.emit(DeleteInstances{Names: names})
 }
 
-// bootTimeout is how long a machine may boot. It doubles with each that is given up while
-// none of its type comes up, up to four times as long.
+// isConstrained reports whether few machines can serve a job, or it needs many at once, or no
+// spot machine can serve it.
 //
-// Guards against giving up every machine just before it is up where all boots take several
-// times as long as usual, one after another for twenty minutes.
-func (f *fleet) bootTimeout(mt *protocol.MachineType) time.Duration {
-	return config.Seconds(mt.BootS * f.core.policy.BootPatience * float64(int(1)<<min(f.failedBoots[mt.Name], 2)))
+// Guards against an on-demand machine that was rented for a job without an objective, taken out
+// and replaced by a new one, for ever, where nothing is rented as spot.
+func (f *fleet) isConstrained(job *queuedJob) bool {
+	spec := &job.entry.record.Spec
+	return len(spec.MachineTypes) > 0 || spec.Zone != "" || spec.OneZone || spec.Spread || !spec.AllowSpot ||
+		spec.Kind == protocol.KindGang || !f.hasSpotType(spec)
 }
 
-// mayDeregister reports whether a machine that is returned is empty, and its part has
-// said that it gives it nothing more: then it can leave the register before it is
-// deleted. A new leader once waited 13 s for 35 machines that the last one had
-// returned just before it ended.
-func (f *fleet) mayDeregister(name string) bool {
-	h, v := f.instances.get(name), f.core.scheduler.machines.get(name)
-	return h != nil && h.returnReason != "" && !h.forced && v != nil && v.listedEpoch == f.core.scheduler.epoch &&
-		v.state.TasksComplete && v.state.AcceptsTasks && v.state.Draining && len(v.attempts) == 0
+// hasSpotType reports whether a machine type that holds a task of a job is rented as spot.
+func (f *fleet) hasSpotType(spec *protocol.Job) bool {
+	for _, machineType := range f.core.machineTypes() {
+		if machineType.SpotPrice > 0 && binpacking.AllowsType(spec, machineType.Name) && binpacking.FitsMachineType(machineType, spec) {
+			return true
+		}
+	}
+	return false
 }
 
-func (f *fleet) handleDelete(d DeleteInstancesResult) {
-	if d.Outcome != CloudDone {
-		for _, n := range d.Names {
-			if h := f.instances.get(n); h != nil {
-				h.deleteInFlight = false
-			}
-		}
-		return
+// isNeeded reports whether a waiting constrained job could use a machine: however much room
+// there is elsewhere, it is not returned then.
+func (f *fleet) isNeeded(inst *instance, constrained []*queuedJob) bool {
+	machineType := f.core.machineTypes()[inst.typeName]
+	if machineType == nil {
+		return false
 	}
-	for _, n := range d.Names {
-		f.instances.delete(n)
-		f.deletedNames[n] = true
-		if v := f.core.scheduler.machines.get(n); v != nil {
-			v.leaving = true
+	for _, job := range constrained {
+		spec := &job.entry.record.Spec
+		inZone := spec.Zone == "" || spec.Zone == inst.zone
+		if zones := job.entry.record.Zones; len(zones) > 0 {
+			inZone = slices.Contains(zones, inst.zone)
+		}
+		if inZone && binpacking.FitsMachineType(machineType, spec) && binpacking.AllowsType(spec, inst.typeName) && (!inst.spot || spec.AllowSpot) {
+			return true
 		}
 	}
+	return false
 }
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -2,262 +2,245 @@
 
 import (
 	"fmt"
-	"iter"
 	"math"
-	"sort"
 
 	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// createRequest is a rental request under way.
+// createRequest is a call to create instances that is under way.
 type createRequest struct {
 	request  protocol.CreateMachinesRequest
-	attempts int
+	attempts int // that had no answer, or were above the cloud's limit
 }
 
-func (h *createRequest) pool() pool { return pool{h.request.Type, h.request.Zone, h.request.Spot} }
+func (r *createRequest) pool() pool { return pool{r.request.Type, r.request.Zone, r.request.Spot} }
 
-// pool is a type, zone and kind: capacity is refused for one of these alone.
-type pool struct {
-	typeName, zone string
-	spot           bool
+// maxCreateAttempts is after how many attempts without a result a request is given up. What it
+// has created all the same shows up in the list.
+const maxCreateAttempts = 5
+
+// mayScaleOut reports whether the leader knows what it has: after a failover not until the list
+// shows what the last leader rented, or it would be rented twice.
+func (f *fleet) mayScaleOut() bool {
+	c := f.core
+	return c.scheduler.epochAtElection == 0 || f.listing.completed > 0 && c.now.Monotonic-c.membership.leaderSince > f.listLag()*3/2
 }
 
-// offer is a pool with what a unit of work costs there.
-type offer struct {
-	pool
-	machineType *protocol.MachineType
-	cost        float64
+// shortage is how many CPUs are missing while machines are being created for one job after
+// another.
+type shortage struct {
+	demand    *capacityDemand
+	planned   cpuCapacity // before this round
+	created   float64     // in this round, spot or not
+	total     float64     // missing for all work
+	onDemand  float64     // missing for work that must not rest on spot machines
+	maxOnTime float64     // the largest need of any type that is to be on time
 }
 
-// eligiblePools walks over those that could serve a job and have not refused lately.
-func (f *fleet) eligiblePools(s *protocol.Job) iter.Seq2[pool, *protocol.MachineType] {
-	return func(yield func(pool, *protocol.MachineType) bool) {
-		for _, name := range sortedKeys(f.core.machineTypes()) {
-			mt := f.core.machineTypes()[name]
-			if !binpacking.FitsMachineType(mt, s) {
-				continue
-			}
-			for _, z := range mt.Zones {
-				for _, spot := range []bool{true, false} {
-					p := pool{name, z, spot}
-					if binpacking.AllowsMachine(s, name, z, spot) && !(spot && mt.SpotPrice <= 0) && f.poolBackoffUntil[p] <= f.core.now.Monotonic && !yield(p, mt) {
-						return
-					}
-				}
-			}
-		}
+func newShortage(demand *capacityDemand, planned cpuCapacity) *shortage {
+	s := &shortage{
+		demand: demand, planned: planned,
+		total:    demand.total - planned.total,
+		onDemand: demand.onTimeOnDemand - planned.onDemand(),
 	}
+	for _, cpus := range demand.onTimeByType {
+		s.maxOnTime = max(s.maxOnTime, cpus)
+	}
+	return s
 }
 
-// offers lists the pools that could serve a job, cheapest first. A machine's
-// boot and first fetch are paid too, so they are spread over a usual stay.
-func (f *fleet) offers(s *protocol.Job, ordinaryOnly bool) []offer {
-	c := f.core
-	stay := 6 * c.intervals.workerLease.Seconds()
-	inZone := map[string]int{}
-	for p, n := range f.usableByPool {
-		inZone[p.zone] += n
+// onDemandOnly reports whether what is missing most must not rest on spot machines.
+func (s *shortage) onDemandOnly() bool {
+	return s.onDemand > max(s.total, s.maxOnTime-s.planned.total-s.created, 0)
+}
+
+// in is how many CPUs are missing that machines of an offer would be worth renting for.
+func (s *shortage) in(o *offer) float64 {
+	if o.spot {
+		return s.total
+	}
+	return max(s.demand.onTimeByType[o.typeName]-s.planned.total-s.created, s.onDemand)
+}
+
+// reduce counts machines that are being created.
+func (s *shortage) reduce(cpus float64, spot bool) {
+	s.total -= cpus
+	s.created += cpus
+	if !spot {
+		s.onDemand -= cpus
+	}
+}
+
+// scaleOut creates instances for the waiting jobs, in rank order, as far as the demand exceeds
+// what is planned.
+func (f *fleet) scaleOut(waiting []*queuedJob, demand capacityDemand, planned cpuCapacity) {
+	if len(waiting) == 0 || !f.mayScaleOut() {
+		return
 	}
-	var out []offer
-	for p, mt := range f.eligiblePools(s) {
-		if p.spot && ordinaryOnly {
+	missing := newShortage(&demand, planned)
+	for _, job := range waiting {
+		f.scaleOutFor(job, missing)
+	}
+}
+
+// scaleOutFor creates instances that a job may use: for the common demand, and for what the job
+// itself lacks where few machines can serve it.
+func (f *fleet) scaleOutFor(job *queuedJob, missing *shortage) {
+	zone, jobLacks := f.missingCapacity(job)
+	offers := f.offers(&job.entry.record.Spec, missing.onDemandOnly())
+	for i := range offers {
+		o := &offers[i]
+		if jobLacks > 0 && zone != "" && o.zone != zone {
 			continue
 		}
-		price := mt.Price
-		if p.spot {
-			price = mt.SpotPrice
+		lack := missing.in(o)
+		if lack < o.machineType.CPUs/2 && jobLacks <= 0 {
+			continue
 		}
-		warm := 1 + (mt.BootS+s.ImageGB/max(mt.FetchGBps, 0.01))/stay
-		out = append(out, offer{pool: p, machineType: mt, cost: price / tasksPerMachine(mt, s) * warm})
-	}
-	sort.SliceStable(out, func(a, b int) bool {
-		if out[a].cost != out[b].cost {
-			return out[a].cost < out[b].cost
+		if f.requestPending(o.pool) || !f.takeScalingCall() {
+			continue
 		}
-		return inZone[out[a].zone] < inZone[out[b].zone]
-	})
-	return out
+		count := machinesFor(o.machineType, max(lack, jobLacks), zone == "")
+		f.createInstances(o.pool, count, lack)
+		cpus := float64(count) * o.machineType.CPUs
+		jobLacks -= cpus
+		missing.reduce(cpus, o.spot)
+	}
 }
 
-// mayScaleOut waits after a take-over until the list shows what the last leader
-// rented, or it would be rented twice.
-func (f *fleet) mayScaleOut() bool {
-	c := f.core
-	return c.scheduler.epochAtElection == 0 || f.listsCompleted > 0 && c.now.Monotonic-c.membership.leaderSince > f.listLag()*3/2
+// machinesFor is how many machines of a type to ask for in one zone. Spread over the zones, none
+// gets more than its share at once.
+func machinesFor(machineType *protocol.MachineType, cpus float64, spread bool) int {
+	count := max(int(math.Ceil(cpus/machineType.CPUs)), 1)
+	if zones := len(machineType.Zones); spread {
+		count = (count + zones - 1) / zones
+	}
+	return min(count, protocol.MaxCreate)
 }
 
-func (f *fleet) scaleOut(jobs []*queuedJob, d capacityDemand, have, spot float64) {
-	if len(jobs) == 0 || !f.mayScaleOut() {
-		return
-	}
+// createInstances asks the cloud for machines, under a name that no other request has.
+func (f *fleet) createInstances(p pool, count int, lack float64) {
 	c := f.core
-	lackSoon, lackFirm := d.total-have, d.onTimeOnDemand-(have-spot)
-	most := 0.0
-	for _, need := range d.onTimeByType {
-		most = max(most, need)
+	f.requestCounter++
+	request := protocol.CreateMachinesRequest{
+		Request: fmt.Sprintf("h-%s-%d-%d", c.bootID, c.scheduler.epoch, f.requestCounter),
+		Type:    p.typeName, Zone: p.zone, Spot: p.spot, Count: count,
 	}
-	hired := 0.0
-	for _, q := range jobs {
-		s := &q.entry.record.Spec
-		strandedIn, own := f.missingCapacity(q)
-		for _, o := range f.offers(s, lackFirm > max(lackSoon, most-have-hired, 0)) {
-			if own > 0 && strandedIn != "" && o.zone != strandedIn {
-				continue
-			}
-			short := d.onTimeByType[o.typeName] - have - hired
-			if o.spot {
-				short = lackSoon
-			} else {
-				short = max(short, lackFirm)
-			}
-			if short < o.machineType.CPUs/2 && own <= 0 {
-				continue
-			}
-			n := max(int(math.Ceil(max(short, own)/o.machineType.CPUs)), 1)
-			// Spread over the zones: none gets more than its share at once.
-			if strandedIn == "" {
-				n = (n + len(o.machineType.Zones) - 1) / len(o.machineType.Zones)
-			}
-			n = min(n, protocol.MaxCreate)
-			if f.requestPending(o.pool) || !f.takeScalingCall() {
-				continue
-			}
-			f.requestCounter++
-			req := protocol.CreateMachinesRequest{
-				Request: fmt.Sprintf("h-%s-%d-%d", c.bootID, c.scheduler.epoch, f.requestCounter),
-				Type:    o.typeName, Zone: o.zone, Spot: o.spot, Count: n,
-			}
-			f.createRequests[req.Request] = &createRequest{request: req}
-			c.emit(CreateInstances{Request: req})
-			c.logDebug("hiring", "request", req.Request, "type", o.typeName, "zone", o.zone, "spot", o.spot, "count", n, "short", short)
-			cpus := float64(n) * o.machineType.CPUs
-			own -= cpus
-			lackSoon -= cpus
-			hired += cpus
-			if !o.spot {
-				lackFirm -= cpus
-			}
+	f.createRequests[request.Request] = &createRequest{request: request}
+	c.emit(CreateInstances{Request: request})
+	c.logDebug("creating instances", "request", request.Request, "type", p.typeName, "zone", p.zone, "spot", p.spot,
+		"count", count, "cpus_missing", lack)
+}
+
+func (f *fleet) requestPending(p pool) bool {
+	for _, request := range f.createRequests {
+		if request.pool() == p {
+			return true
 		}
 	}
+	return false
 }
 
-// missingCapacity says in which zone (empty: any) a job lacks machines that may take its
-// tasks, however many there are for others, and how many CPUs it lacks there.
-func (f *fleet) missingCapacity(q *queuedJob) (zone string, lack float64) {
-	s := &q.entry.record.Spec
-	zones := []string{s.Zone}
-	if len(q.entry.record.Zones) > 0 {
-		zones = q.entry.record.Zones
+// missingCapacity says in which zone (empty: any) a job lacks machines that may take its tasks,
+// however many there are for others, and how many CPUs it lacks there.
+func (f *fleet) missingCapacity(job *queuedJob) (zone string, cpus float64) {
+	spec := &job.entry.record.Spec
+	zones := []string{spec.Zone}
+	if len(job.entry.record.Zones) > 0 {
+		zones = job.entry.record.Zones
 	}
-	tasks := math.Ceil(float64(q.waitingTasks()+len(q.inflight)) / float64(len(zones)))
-	if s.Kind == protocol.KindArray {
-		few := math.Ceil(tasks * q.predictedSeconds / max(f.minUsefulSeconds(s), q.predictedSeconds, 1))
-		if len(s.MachineTypes) == 0 && zones[0] == "" && s.AllowSpot {
-			few = 1 // any machine will do: it takes part in the common demand
-		}
-		tasks = min(tasks, few)
-	}
-	for _, z := range zones {
-		have := 0.0
-		slots := func(typ, zone string, spot bool) float64 {
-			mt := f.core.machineTypes()[typ]
-			if mt == nil || !binpacking.FitsMachineType(mt, s) || !binpacking.AllowsType(s, typ) || z != "" && z != zone || spot && !s.AllowSpot {
-				return 0
-			}
-			return tasksPerMachine(mt, s)
-		}
-		for p, n := range f.plannedByPool() {
-			have += slots(p.typeName, p.zone, p.spot) * float64(n)
-		}
-		if have < tasks {
-			return z, (tasks - have) * max(s.CPUs, binpacking.RoundingSlack)
+	wanted := f.slotsWanted(job, zones)
+	for _, zone := range zones {
+		if slots := f.plannedSlots(spec, zone); slots < wanted {
+			return zone, (wanted - slots) * max(spec.CPUs, binpacking.RoundingSlack)
 		}
 	}
 	return "", 0
 }
 
-// tasksPerMachine is how many tasks of a job an empty machine holds.
-func tasksPerMachine(mt *protocol.MachineType, s *protocol.Job) float64 {
-	slots := math.Inf(1)
-	for _, x := range [][2]float64{{mt.CPUs, s.CPUs}, {mt.GPUs, s.GPUs}, {mt.MemoryGB, s.MemoryGB}} {
-		if x[1] > 0 {
-			slots = min(slots, math.Floor(x[0]/x[1]+binpacking.RoundingSlack))
-		}
+// slotsWanted is for how many tasks of a job there should be room in each of its zones.
+func (f *fleet) slotsWanted(job *queuedJob, zones []string) float64 {
+	spec := &job.entry.record.Spec
+	tasks := math.Ceil(float64(job.waitingTasks()+len(job.inflight)) / float64(len(zones)))
+	if spec.Kind != protocol.KindArray {
+		return tasks // they all run at once
 	}
-	if math.IsInf(slots, 1) {
-		return 1
+	slots := math.Ceil(tasks * job.predictedSeconds / max(f.minUsefulSeconds(spec), job.predictedSeconds, 1))
+	if len(spec.MachineTypes) == 0 && zones[0] == "" && spec.AllowSpot {
+		slots = 1 // any machine will do: it takes part in the common demand
 	}
-	return slots
+	return min(tasks, slots)
 }
 
-func (f *fleet) requestPending(p pool) bool {
-	for _, h := range f.createRequests {
-		if h.pool() == p {
-			return true
+// plannedSlots is how many tasks of a job the planned machines of a zone (empty: of all) hold
+// when they are empty.
+func (f *fleet) plannedSlots(spec *protocol.Job, zone string) float64 {
+	total := 0.0
+	for p, count := range f.plannedByPool() {
+		machineType := f.core.machineTypes()[p.typeName]
+		if machineType == nil || !binpacking.FitsMachineType(machineType, spec) || !binpacking.AllowsType(spec, p.typeName) ||
+			zone != "" && zone != p.zone || p.spot && !spec.AllowSpot {
+			continue
 		}
+		total += tasksPerMachine(machineType, spec) * float64(count)
 	}
-	return false
+	return total
 }
 
-func (f *fleet) handleCreate(d CreateInstancesResult) {
-	c := f.core
-	h := f.createRequests[d.Request]
-	if h == nil {
+// handleCreate takes the result of a create request.
+func (f *fleet) handleCreate(result CreateInstancesResult) {
+	request := f.createRequests[result.Request]
+	if request == nil {
 		return
 	}
-	p := h.pool()
-	switch d.Outcome {
+	switch result.Outcome {
 	case CloudDone:
-		delete(f.createRequests, d.Request)
-		for _, n := range d.Names {
-			if f.instances.get(n) == nil && !f.deletedNames[n] {
-				f.adopt(n, p.typeName, p.zone, p.spot).cloudState = protocol.MachineBooting
-			}
-		}
-		if len(d.Names) > 0 {
-			c.logInfo("hired", "machines", len(d.Names), "of", h.request.Count, "type", p.typeName, "zone", p.zone, "spot", p.spot)
-			f.poolRefusals[p] = 0
-		}
-		if len(d.Names) < h.request.Count {
-			f.backOffPool(p)
-		}
+		delete(f.createRequests, result.Request)
+		f.adoptCreated(request, result.Names)
 	case CloudUnavailable:
-		delete(f.createRequests, d.Request)
-		f.backOffPool(p)
+		delete(f.createRequests, result.Request)
+		f.backOffPool(request.pool())
 	case CloudRejected:
-		delete(f.createRequests, d.Request)
-		c.emit(Log{Level: LevelError, Text: "the cloud calls a rental request malformed", Args: []any{"request", d.Request}})
-		f.backOffPool(p)
+		delete(f.createRequests, result.Request)
+		f.core.emit(Log{Level: LevelError, Text: "the cloud rejected a create request as malformed", Args: []any{"request", result.Request}})
+		f.backOffPool(request.pool())
 	default:
-		// No answer, or too many calls: the same name may be sent again and
-		// rents nothing twice.
-		h.attempts++
-		if h.attempts > 5 {
-			delete(f.createRequests, d.Request) // what it rented shows up in the list
-			return
-		}
-		c.afterFunc(c.intervals.maintenance, func() {
-			if f.createRequests[d.Request] == h {
-				c.emit(CreateInstances{Request: h.request})
-			}
-		})
+		f.retryCreate(request)
 	}
 }
 
-// backOffPool leaves a pool alone for a while after it refused.
-func (f *fleet) backOffPool(p pool) {
-	f.poolRefusals[p]++
-	wait := 5 * f.core.intervals.maintenance << min(f.poolRefusals[p]-1, 3)
-	f.poolBackoffUntil[p] = f.core.now.Monotonic + wait
-	f.core.logDebug("capacity refused", "type", p.typeName, "zone", p.zone, "spot", p.spot, "wait", wait)
+// adoptCreated takes the machines that a request has created. Fewer than were asked for are a
+// refusal of the rest.
+func (f *fleet) adoptCreated(request *createRequest, names []string) {
+	p := request.pool()
+	for _, name := range names {
+		if f.instances.get(name) == nil && !f.deletedNames[name] {
+			f.adopt(name, p).cloudState = protocol.MachineBooting
+		}
+	}
+	if len(names) > 0 {
+		f.core.logInfo("instances created", "machines", len(names), "of", request.request.Count, "type", p.typeName, "zone", p.zone, "spot", p.spot)
+		f.poolRefusals[p] = 0
+	}
+	if len(names) < request.request.Count {
+		f.backOffPool(p)
+	}
 }
 
-// noCapacityReason says which capacity a job waits for, if every pool has refused.
-func (f *fleet) noCapacityReason(s *protocol.Job) string {
-	for range f.eligiblePools(s) {
-		return ""
+// retryCreate sends a request again that had no answer or was above the cloud's limit. It has
+// the same name and creates nothing twice.
+func (f *fleet) retryCreate(request *createRequest) {
+	c := f.core
+	name := request.request.Request
+	request.attempts++
+	if request.attempts > maxCreateAttempts {
+		delete(f.createRequests, name)
+		return
 	}
-	return "the cloud has no machine of the allowed types to give"
+	c.afterFunc(c.intervals.maintenance, func() {
+		if f.createRequests[name] == request {
+			c.emit(CreateInstances{Request: request.request})
+		}
+	})
 }
