--- /dev/null
+++ b/internal/core/commit_faults_test.go
@@ -0,0 +1,209 @@
+package core_test
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/simulation"
+)
+
+// keyPrefixes are the kinds of write, by the key that each changes; docs/fault-interleavings.md has the same
+// table.
+var keyPrefixes = []string{"c/node/", "c/leader", "c/map", "c/rigs/", "c/job/", "c/run/", "c/accepted/", "c/admitted/",
+	"c/prog/", "c/long/", "c/est", "c/types", ""}
+
+// Every transaction of one kind is carried out at once and its answer is lost, or half of
+// them are carried out late: others act on what they read, the writer's next try finds it, and
+// the work is done all the same.
+func TestLostOrLateCommitAnswers(t *testing.T) {
+	for _, key := range keyPrefixes {
+		for _, late := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s late %v", key, late), func(t *testing.T) {
+				t.Parallel()
+				lost := 0
+				for seed := range uint64(2) {
+					lost += simulateLostAnswers(t, 3100+seed, key, late)
+				}
+				if lost == 0 && key != "c/types" { // which are written once, before any story can begin
+					t.Fatal("no transaction was like that: nothing was shown")
+				}
+			})
+		}
+	}
+}
+
+// simulateLostAnswers is such a day; it returns how many transactions were like that.
+func simulateLostAnswers(t *testing.T, seed uint64, key string, late bool) int {
+	s := &scenario{World: simulation.Build(seed, simulation.Settings(3), simulation.Types()), t: t}
+	s.State.LateOnly, s.State.LateShare = key, 1
+	if key == "" {
+		s.State.LateShare = 0.7
+	}
+	if late {
+		s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.6, 2*second, 12*second
+	}
+	s.Users.CloseLooks = true
+	s.Run(s.Now + 15*second)
+	s.addMachines(8)
+	head := s.Users.Submit(simulation.Array(1), 80) // that others wait for
+	var jobs []*simulation.Job
+	for k := range 18 {
+		spec := simulation.Array(1 + k%3*12)
+		spec.Team = []string{"blue", "red"}[k%2]
+		if k%5 == 4 && head.Accepted {
+			spec.Dependencies = []string{head.Spec.ID}
+		}
+		if k%7 == 0 { // its description goes into pieces
+			spec = withManyTypes(spec)
+		}
+		j := s.Users.Submit(spec, float64(2+k%4*4))
+		jobs = append(jobs, j)
+		if k%6 == 2 { // more than may have a write each
+			for n := range 48 {
+				one := simulation.Array(1)
+				if n%2 == 0 && head.Accepted {
+					one.Dependencies = []string{head.Spec.ID}
+				}
+				s.Users.Submit(one, 2)
+			}
+		}
+		if k%4 == 1 {
+			s.After(4*second, func() { s.Users.Abort(j) })
+		}
+		if k == 6 || k == 14 {
+			s.crashLeader(second / 5)
+		}
+		if k%3 == 1 { // the map changes, and back
+			s.Nodes[k%len(s.Nodes)].Crash(2 * second)
+		}
+		s.Run(s.Now + 3*second)
+	}
+	s.eventually(400*second, "the work is done although answers are still lost", s.Users.AllTold)
+	s.recoverAndFinish(second)
+	return s.State.Late
+}
+
+// withManyTypes makes a job's description larger than a value.
+func withManyTypes(spec protocol.Job) protocol.Job {
+	for n := range 2500 {
+		spec.MachineTypes = append(spec.MachineTypes, fmt.Sprintf("type-%06d", n))
+	}
+	spec.MachineTypes = append(spec.MachineTypes, "box")
+	return spec
+}
+
+// New machines are up within two seconds and get work at once, for teams at their limits, while
+// writes lag, are late or lose their answers, and the leader ends, at any moment of it: the
+// next one starts nothing twice and passes no limit.
+func TestNewMachinesWithSlowStore(t *testing.T) {
+	for how, lag := range map[string]func(s *scenario){
+		"slow":         func(s *scenario) { s.State.Slow = 900 * time.Millisecond },
+		"late":         func(s *scenario) { s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.5, 2*second, 12*second },
+		"answers lost": func(s *scenario) { s.State.LateShare = 0.6 },
+		"register late": func(s *scenario) {
+			s.State.LateOnly, s.State.LateShare, s.State.LateFrom, s.State.LateBy = "c/rigs/", 1, 2*second, 8*second
+		},
+		"register lost":   func(s *scenario) { s.State.LateOnly, s.State.LateShare = "c/rigs/", 1 },
+		"slow and copied": func(s *scenario) { s.State.Slow, s.Copies, s.CopyBy = 300*time.Millisecond, 0.3, 20*second },
+	} {
+		t.Run(how, func(t *testing.T) {
+			acrossSeeds(t, 3400, 4, func(t *testing.T, k, controllers int, seed uint64) {
+				s := startScenario(t, seed, controllers, func(x *config.Site) { x.Teams[1].CPUsMax = 16 })
+				s.Cloud.AtOnce = true
+				lag(s)
+				for wave := range 4 {
+					for _, team := range []string{"red", "blue"} {
+						spec := simulation.Array(12 + wave*4)
+						spec.Team = team
+						s.Users.Submit(spec, float64(4+wave*5))
+					}
+					seen := s.Cloud.Hired
+					s.Until(s.Now+8*second, func() bool { return s.Cloud.Hired > seen })
+					s.Run(s.Now + time.Duration(k*2+wave)*second/2) // from before they are up to long after
+					s.crashLeader(second / 5)
+					s.Run(s.Now + 4*second)
+				}
+				s.recoverAndFinish(400 * second)
+			})
+		})
+	}
+}
+
+// One-task jobs come four a second for minutes, a quarter of them is cancelled, with the
+// smallest budget of writes, which falls, beside longer jobs and through ends of the leader:
+// each is accepted, told and forgotten by nobody, and no more than a few seconds late.
+func TestSmallJobFlood(t *testing.T) {
+	acrossSeeds(t, 3600, 2, func(t *testing.T, k, controllers int, seed uint64) {
+		s := startScenario(t, seed, controllers, func(x *config.Site) {
+			x.State = config.State{RPS: 350, WriteRPS: 35, ValueKB: 16, TxnOps: 16, Next: &config.State{WriteRPS: 8}}
+		})
+		s.addMachines(16)
+		s.Users.CloseLooks = k%2 == 0
+		s.At(s.Now+60*second, func() { s.State.Lowered = true })
+		var jobs, gone []*simulation.Job
+		for n := range 4 * 150 {
+			j := s.Users.Submit(simulation.Array(1), float64(3+n%5*3))
+			jobs = append(jobs, j)
+			if n%4 == 1 {
+				gone = append(gone, j)
+				s.After(time.Duration(n%7)*2*second, func() { s.Users.Abort(j) })
+			}
+			if n%100 == 50 {
+				s.Users.Submit(simulation.Array(30), 10)
+			}
+			if n%200 == 150 {
+				s.crashLeader(second / 5)
+			}
+			s.Run(s.Now + second/4)
+			old := jobs[max(0, n-4*12)]
+			if !old.Accepted {
+				t.Fatalf("%s is not accepted after 12 s\n%s", old.Spec.ID, s.lastLogs(*logLines))
+			}
+		}
+		s.eventually(20*second, "cancellations are confirmed", func() bool {
+			return !slices.ContainsFunc(gone, func(j *simulation.Job) bool { return j.Told != protocol.JobCancelled && j.Told != protocol.JobDone })
+		})
+		s.recoverAndFinish(120 * second)
+		if s.State.Refused > 1000 { // thousands, if each submission has a write of its own
+			t.Fatalf("%d requests were above the limits", s.State.Refused)
+		}
+	})
+}
+
+// Jobs are cancelled at the very moment at which the state service refuses the leader alone, at
+// each of its nodes, before it and after it, and it stays refused until the others have acted.
+func TestCancellationAsStoreRefusesLeader(t *testing.T) {
+	for _, offset := range []time.Duration{-20, 0, 3, 40, 400} { // milliseconds
+		acrossSeeds(t, 4400, 3, func(t *testing.T, k, controllers int, seed uint64) {
+			s := startScenario(t, seed, controllers, nil)
+			s.addMachines(12)
+			var jobs []*simulation.Job
+			for range controllers * 2 {
+				jobs = append(jobs, s.Users.Submit(simulation.Array(4), 300))
+			}
+			s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == controllers*8 })
+			n, at := s.leader(), s.Now+second
+			s.At(at, func() { s.State.Refuses[n.Label] = true })
+			s.At(at+offset*time.Millisecond, func() {
+				for i, j := range jobs {
+					if i%2 == 0 {
+						s.abortUnanswered(s.Nodes[i/2], j)
+					}
+					s.Users.Abort(j)
+				}
+			})
+			if k == 2 { // and a second later it serves nobody
+				s.At(at+second, func() { s.State.Outage(s.cancelSpan() + 10*second) })
+			}
+			s.Run(at + s.cancelSpan() + 15*second)
+			s.State.Refuses = map[string]bool{}
+			s.recoverAndFinish(60 * second)
+			s.Run(s.Now + s.cancelSpan() + second)
+			s.requireInvariants()
+		})
+	}
+}
