--- a/internal/core/random_deployment_test.go
+++ b/internal/core/random_deployment_test.go
@@ -15,55 +15,65 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// deployment is what was drawn.
+// deployment is a drawn site with its work.
 type deployment struct {
 	settings    config.Settings
 	types       []protocol.MachineType
-	lastFaultAt time.Duration // when the last trouble is
+	lastFaultAt time.Duration // when the last fault is over
 	upgradedAt  time.Duration // when all controllers run the new version
-	cpuSeconds  float64       // CPU seconds
+	cpuSeconds  float64       // of all work
 	jobs        []*simulation.Job
-	endlessJobs []*simulation.Job
+	endlessJobs []*simulation.Job // which run until their user cancels them
 }
 
 func (d *deployment) lease() time.Duration { return config.Seconds(d.settings.Site.Workers.LeaseS) }
 
-// completionTimeout is how long the work may take once the troubles are over: what the
-// machines need for it at a quarter of their pace, and dozens of leases.
+// completionTimeout is how long the work may take once the faults are over: what the machines
+// need for it at a quarter of their pace, and dozens of leases.
 func (d *deployment) completionTimeout(s *scenario) time.Duration {
 	cpus := 0.0
-	for _, t := range d.types {
-		for _, z := range t.Zones {
-			cpus += t.CPUs * float64(s.Cloud.Capacity[t.Name+" "+z])
+	for _, machineType := range d.types {
+		for _, zone := range machineType.Zones {
+			cpus += machineType.CPUs * float64(s.Cloud.Capacity[machineType.Name+" "+zone])
 		}
 	}
-	for _, t := range d.settings.Site.Teams {
-		if t.CPUsMax > 0 {
-			cpus = min(cpus, t.CPUsMax)
+	for _, team := range d.settings.Site.Teams {
+		if team.CPUsMax > 0 {
+			cpus = min(cpus, team.CPUsMax)
 		}
 	}
 	return 60*d.lease() + 600*second + config.Seconds(4*d.cpuSeconds/max(cpus, 1))
 }
 
-func (d *deployment) unfinished(s *scenario) string {
+// unfinished describes the jobs that are not over.
+func (d *deployment) unfinished() string {
 	var left []string
-	for _, j := range d.jobs {
-		if j.Refused == 0 && j.Told != protocol.JobDone && j.Told != protocol.JobCancelled {
-			left = append(left, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", j.Spec.ID, j.Spec.Kind, j.Spec.Team,
-				j.Spec.Tasks, j.Spec.CPUs, j.Told, j.Answer.Reason))
+	for _, job := range d.jobs {
+		if job.Refused == 0 && job.Told != protocol.JobDone && job.Told != protocol.JobCancelled {
+			spec := &job.Spec
+			left = append(left, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", spec.ID, spec.Kind, spec.Team,
+				spec.Tasks, spec.CPUs, job.Told, job.Answer.Reason))
 		}
 	}
 	return strings.Join(left, ", ")
 }
 
-// drawFloat draws a number of the given steps, so that what is shrunk is plain.
-func drawFloat(rt *rapid.T, what string, from, to float64) float64 {
+// teamName is one of the teams, or the one that users name where there is none.
+func (d *deployment) teamName(k int) string {
+	if teams := d.settings.Site.Teams; len(teams) > 0 {
+		return teams[k%len(teams)].Name
+	}
+	return "nobody"
+}
+
+// drawFloat draws a number of the given steps, so that what a failure is shrunk to is plain.
+func drawFloat(rt *rapid.T, label string, from, to float64) float64 {
 	const steps = 16
-	return from + (to-from)*float64(rapid.IntRange(0, steps).Draw(rt, what))/steps
+	return from + (to-from)*float64(rapid.IntRange(0, steps).Draw(rt, label))/steps
 }
 
-func drawSpan(rt *rapid.T, what string, from, to float64) time.Duration {
-	return config.Seconds(drawFloat(rt, what, from, to))
+func drawSpan(rt *rapid.T, label string, from, to float64) time.Duration {
+	return config.Seconds(drawFloat(rt, label, from, to))
 }
 
 // drawRestartDelay draws how soon a process that ends is back.
@@ -71,74 +81,97 @@
 	return rapid.SampledFrom([]time.Duration{second / 20, second / 5, second, 3 * second, 10 * second}).Draw(rt, "back")
 }
 
+// drawDeployment draws the settings of a site.
 func drawDeployment(rt *rapid.T) *deployment {
 	d := &deployment{lastFaultAt: 20 * second}
-	zones := []string{"north", "south", "east", "west", "hill", "bay"}[:rapid.IntRange(1, 6).Draw(rt, "zones")]
-	s := &d.settings.Site
-	s.Zones = zones
-	n := rapid.IntRange(1, 7).Draw(rt, "controllers")
-	s.InitialSize = n
-	for i := range n {
+	site := &d.settings.Site
+	site.Zones = []string{"north", "south", "east", "west", "hill", "bay"}[:rapid.IntRange(1, 6).Draw(rt, "zones")]
+	site.InitialSize = rapid.IntRange(1, 7).Draw(rt, "controllers")
+	for i := range site.InitialSize {
 		d.settings.Siblings = append(d.settings.Siblings, config.Sibling{Label: fmt.Sprintf("ctl-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i+1),
-			Zone: rapid.SampledFrom(zones).Draw(rt, "its zone")})
+			Zone: rapid.SampledFrom(site.Zones).Draw(rt, "its zone")})
+	}
+	heartbeat := drawFloat(rt, "report_s", 1, 6)
+	lease := max(heartbeat*drawFloat(rt, "lease in reports", 4.5, 9), 9)
+	site.Workers = config.Workers{ReportS: heartbeat, LeaseS: lease, CancelS: lease * drawFloat(rt, "cancel in leases", 1.3, 3.6),
+		GangWaitS: 1.6 * lease, GangPeerS: 2 * heartbeat}
+	site.State = drawStoreLimits(rt)
+	site.Cloud = config.Cloud{RPS: drawFloat(rt, "cloud rps", 1, 10), ListLagS: drawFloat(rt, "list lag", 1, 20)}
+	site.Resources = config.Resources{Cores: 0.2, RAMMB: 128, MaxSockets: 1000}
+	for i := range rapid.IntRange(1, 5).Draw(rt, "types") {
+		d.types = append(d.types, drawMachineType(rt, i, site.Zones))
+	}
+	for i := range rapid.IntRange(0, 4).Draw(rt, "teams") {
+		site.Teams = append(site.Teams, drawTeam(rt, i))
 	}
-	report := drawFloat(rt, "report_s", 1, 6)
-	lease := max(report*drawFloat(rt, "lease in reports", 4.5, 9), 9)
-	s.Workers = config.Workers{ReportS: report, LeaseS: lease, CancelS: lease * drawFloat(rt, "cancel in leases", 1.3, 3.6),
-		GangWaitS: 1.6 * lease, GangPeerS: 2 * report}
-	s.State = config.State{RPS: drawFloat(rt, "rps", 50, 500), WriteRPS: drawFloat(rt, "write_rps", 10, 150),
+	site.Objectives = drawObjectives(rt)
+	return d
+}
+
+// drawStoreLimits draws the limits of the state service, and perhaps lower ones that are
+// announced.
+func drawStoreLimits(rt *rapid.T) config.State {
+	limits := config.State{RPS: drawFloat(rt, "rps", 50, 500), WriteRPS: drawFloat(rt, "write_rps", 10, 150),
 		ValueKB: rapid.SampledFrom([]float64{4, 8, 16, 32, 64}).Draw(rt, "value_kb"), TxnOps: rapid.IntRange(4, 32).Draw(rt, "txn_ops")}
 	if rapid.Bool().Draw(rt, "limits fall") {
-		s.State.Next = &config.State{WriteRPS: s.State.WriteRPS * drawFloat(rt, "to", 0.6, 1),
+		limits.Next = &config.State{WriteRPS: limits.WriteRPS * drawFloat(rt, "to", 0.6, 1),
 			ValueKB: rapid.SampledFrom([]float64{2, 4, 0}).Draw(rt, "next value_kb"), TxnOps: rapid.IntRange(0, 8).Draw(rt, "next txn_ops")}
 	}
-	s.Cloud = config.Cloud{RPS: drawFloat(rt, "cloud rps", 1, 10), ListLagS: drawFloat(rt, "list lag", 1, 20)}
-	s.Resources = config.Resources{Cores: 0.2, RAMMB: 128, MaxSockets: 1000}
-	for i := range rapid.IntRange(1, 5).Draw(rt, "types") {
-		t := protocol.MachineType{Name: fmt.Sprintf("t%d", i), CPUs: float64(int(4) << rapid.IntRange(0, 4).Draw(rt, "cpus")),
-			CacheGB: 30, FetchGBps: 0.5, BootS: drawFloat(rt, "boot", 5, 50), Zones: zones}
-		t.MemoryGB, t.Price = t.CPUs*4, t.CPUs*0.05
-		if rapid.Bool().Draw(rt, "spot") {
-			t.SpotPrice = t.Price / 4
-		}
-		if i > 0 && rapid.Bool().Draw(rt, "gpus") {
-			t.GPUs = t.CPUs / 4
-		}
-		if i > 0 && rapid.Bool().Draw(rt, "one zone only") {
-			t.Zones = zones[len(zones)-1:]
-		}
-		d.types = append(d.types, t)
+	return limits
+}
+
+// drawMachineType draws a type. The first one has no GPUs and is in all zones.
+func drawMachineType(rt *rapid.T, i int, zones []string) protocol.MachineType {
+	machineType := protocol.MachineType{Name: fmt.Sprintf("t%d", i), CPUs: float64(int(4) << rapid.IntRange(0, 4).Draw(rt, "cpus")),
+		CacheGB: 30, FetchGBps: 0.5, BootS: drawFloat(rt, "boot", 5, 50), Zones: zones}
+	machineType.MemoryGB, machineType.Price = machineType.CPUs*4, machineType.CPUs*0.05
+	if rapid.Bool().Draw(rt, "spot") {
+		machineType.SpotPrice = machineType.Price / 4
 	}
-	for i := range rapid.IntRange(0, 4).Draw(rt, "teams") {
-		t := config.Team{Name: fmt.Sprintf("team-%d", i)}
-		if rapid.Bool().Draw(rt, "guarantee") {
-			t.CPUs = drawFloat(rt, "guaranteed", 8, 100)
-		}
-		if rapid.Bool().Draw(rt, "limit") {
-			t.CPUsMax = max(t.CPUs, drawFloat(rt, "limit cpus", 32, 300))
-		}
-		s.Teams = append(s.Teams, t)
+	if i > 0 && rapid.Bool().Draw(rt, "gpus") {
+		machineType.GPUs = machineType.CPUs / 4
+	}
+	if i > 0 && rapid.Bool().Draw(rt, "one zone only") {
+		machineType.Zones = zones[len(zones)-1:]
+	}
+	return machineType
+}
+
+func drawTeam(rt *rapid.T, i int) config.Team {
+	team := config.Team{Name: fmt.Sprintf("team-%d", i)}
+	if rapid.Bool().Draw(rt, "guarantee") {
+		team.CPUs = drawFloat(rt, "guaranteed", 8, 100)
+	}
+	if rapid.Bool().Draw(rt, "limit") {
+		team.CPUsMax = max(team.CPUs, drawFloat(rt, "limit cpus", 32, 300))
 	}
+	return team
+}
+
+var jobClasses = []string{"photos", "alerts", "reports"}
+
+func drawObjectives(rt *rapid.T) []config.Objective {
+	var objectives []config.Objective
 	for _, class := range jobClasses {
 		switch rapid.IntRange(0, 3).Draw(rt, "aim") {
 		case 0:
-			s.Objectives = append(s.Objectives, config.Objective{Kind: "finished", Class: class, WithinS: 120, Share: 0.9})
+			objectives = append(objectives, config.Objective{Kind: "finished", Class: class, WithinS: 120, Share: 0.9})
 		case 1:
-			s.Objectives = append(s.Objectives, config.Objective{Kind: "deadline", Class: class, Share: 0.9, Times: 1})
+			objectives = append(objectives, config.Objective{Kind: "deadline", Class: class, Share: 0.9, Times: 1})
 		case 2:
-			s.Objectives = append(s.Objectives, config.Objective{Kind: "wait", Class: class, WithinS: 3, Share: 0.8})
+			objectives = append(objectives, config.Objective{Kind: "wait", Class: class, WithinS: 3, Share: 0.8})
 		}
 	}
-	return d
+	return objectives
 }
 
 // drawMachines puts up machines: some that are there from the start, and what may be rented.
 func (d *deployment) drawMachines(rt *rapid.T, s *scenario) {
-	for _, t := range d.types {
-		for _, z := range t.Zones {
-			s.Cloud.Capacity[t.Name+" "+z] = rapid.IntRange(4, 24).Draw(rt, "capacity")
+	for _, machineType := range d.types {
+		for _, zone := range machineType.Zones {
+			s.Cloud.Capacity[machineType.Name+" "+zone] = rapid.IntRange(4, 24).Draw(rt, "capacity")
 			for range rapid.IntRange(0, 3).Draw(rt, "up at the start") {
-				s.Cloud.Add(t.Name, z, false)
+				s.Cloud.Add(machineType.Name, zone, false)
 			}
 		}
 	}
@@ -149,22 +182,19 @@
 	s.State.LateShare, s.State.LateBy = drawFloat(rt, "late transactions", 0, 0.05), 12*second
 }
 
-// drawUpgrade may begin with old controllers that come back as new ones, one after another
-// and before work comes that they do not know; and may lower the limits of the state
-// service at some moment.
+// drawUpgrade may begin with controllers of the previous version that come back as new ones, one
+// after another and before work comes that they do not know; and may lower the limits of the
+// state service at some moment.
 func (d *deployment) drawUpgrade(rt *rapid.T, s *scenario) {
 	if rapid.Bool().Draw(rt, "upgrade") {
-		back := drawRestartDelay(rt)
-		for _, n := range s.Nodes {
-			n.Old = true
-			n.Start()
-		}
+		delay := drawRestartDelay(rt)
+		s.startOldVersion()
 		d.upgradedAt = second
-		for _, n := range s.Nodes {
+		for _, node := range s.Nodes {
 			d.upgradedAt += drawSpan(rt, "the next one after", 0.05, 6)
-			s.At(d.upgradedAt, func() { n.Old = false; n.Crash(back) })
+			s.At(d.upgradedAt, func() { node.Old = false; node.Crash(delay) })
 		}
-		d.upgradedAt += back + second
+		d.upgradedAt += delay + second
 		d.lastFaultAt = max(d.lastFaultAt, d.upgradedAt)
 	}
 	if d.settings.Site.State.Next != nil {
@@ -174,76 +204,109 @@
 	}
 }
 
-var jobClasses = []string{"photos", "alerts", "reports"}
+// drawnJob is a job with what becomes of it.
+type drawnJob struct {
+	spec         protocol.Job
+	seconds      float64 // that each task runs for
+	endless      bool
+	mistaken     bool
+	dependencies int // how many of the newest jobs it depends on, less two; none below that
+	cancelled    bool
+	cancelAfter  time.Duration
+	submitAt     time.Duration
+}
 
 // drawJobs has users submit jobs over a minute.
 func (d *deployment) drawJobs(rt *rapid.T, s *scenario) {
-	mt := d.types[0]
 	sizes := distuv.LogNormal{Mu: math.Log(10), Sigma: 0.9, Src: s.Rand}
 	spans := distuv.LogNormal{Mu: math.Log(9), Sigma: 0.7, Src: s.Rand}
 	for range rapid.IntRange(1, 14).Draw(rt, "jobs") {
-		spec := simulation.Array(int(min(max(sizes.Rand(), 1), 90)))
-		spec.Team = "nobody"
-		if teams := d.settings.Site.Teams; len(teams) > 0 {
-			spec.Team = rapid.SampledFrom(teams).Draw(rt, "team").Name
-		}
-		spec.Class = rapid.SampledFrom(jobClasses).Draw(rt, "class")
-		spec.Urgency = rapid.SampledFrom([]string{protocol.UrgencyNormal, protocol.UrgencyLow, protocol.UrgencyHigh, protocol.UrgencyProduction}).Draw(rt, "urgency")
-		spec.CPUs = rapid.SampledFrom([]float64{1, 0.5, 2, 4}).Draw(rt, "cpus")
-		spec.Image = fmt.Sprintf("img-%d", rapid.IntRange(0, 3).Draw(rt, "image"))
-		spec.AllowSpot = rapid.Bool().Draw(rt, "spot")
-		if rapid.Bool().Draw(rt, "saves") {
-			spec.CheckpointS, spec.SaveS = 4, 1
-		}
-		if spec.Class == "alerts" {
-			spec.DeadlineS = 90
-		}
-		run := min(spans.Rand(), 60)
-		spec.EstimateS = run * drawFloat(rt, "guess", 0.5, 2)
-		forever := false
-		switch rapid.IntRange(0, 9).Draw(rt, "kind") {
-		case 1:
-			spec.Kind, spec.EstimateS, spec.Tasks, forever = protocol.KindService, 0, min(spec.Tasks, 6), true
-		case 2:
-			spec.Kind, spec.Tasks, spec.CPUs = protocol.KindGang, min(spec.Tasks, 8), 1
-		}
-		switch rapid.IntRange(0, 7).Draw(rt, "where") {
-		case 1:
-			spec.OneZone = true
-		case 2:
-			spec.Spread = true
-		case 3:
-			spec.Zone = rapid.SampledFrom(mt.Zones).Draw(rt, "zone")
-		case 4:
-			spec.MachineTypes = []string{mt.Name}
-		}
-		behind := rapid.IntRange(0, 5).Draw(rt, "needs")
-		mistaken := rapid.IntRange(0, 11).Draw(rt, "mistaken") == 1
-		cancelled := rapid.IntRange(0, 7).Draw(rt, "cancelled") == 1
-		after := drawSpan(rt, "cancelled after", 1, 50)
-		s.At(max(drawSpan(rt, "submitted", 0, 60), d.upgradedAt*time.Duration(min(behind/3, 1))), func() {
-			spec.Dependencies = d.newestAccepted(behind)
-			j := s.Users.Submit(spec, run)
-			j.Mistaken = mistaken
-			d.jobs = append(d.jobs, j)
-			d.cpuSeconds += run * spec.CPUs * float64(spec.Tasks)
-			switch {
-			case cancelled:
-				s.After(after, func() { s.Users.Abort(j) })
-			case forever || mistaken:
-				d.endlessJobs = append(d.endlessJobs, j)
-			}
-		})
+		job := d.drawJob(rt, int(min(max(sizes.Rand(), 1), 90)), spans.Rand)
+		s.At(job.submitAt, func() { d.submit(s, job) })
 	}
 	d.lastFaultAt = max(d.lastFaultAt, 62*second)
 }
 
-// newestAccepted names up to n of the jobs that were accepted so far, the newest ones. While
-// old controllers live nobody asks for that.
+// drawJob draws a job of so many tasks.
+func (d *deployment) drawJob(rt *rapid.T, tasks int, drawSeconds func() float64) *drawnJob {
+	job := &drawnJob{spec: simulation.Array(tasks)}
+	spec := &job.spec
+	spec.Team = "nobody"
+	if teams := d.settings.Site.Teams; len(teams) > 0 {
+		spec.Team = rapid.SampledFrom(teams).Draw(rt, "team").Name
+	}
+	spec.Class = rapid.SampledFrom(jobClasses).Draw(rt, "class")
+	spec.Urgency = rapid.SampledFrom([]string{protocol.UrgencyNormal, protocol.UrgencyLow, protocol.UrgencyHigh, protocol.UrgencyProduction}).Draw(rt, "urgency")
+	spec.CPUs = rapid.SampledFrom([]float64{1, 0.5, 2, 4}).Draw(rt, "cpus")
+	spec.Image = fmt.Sprintf("img-%d", rapid.IntRange(0, 3).Draw(rt, "image"))
+	spec.AllowSpot = rapid.Bool().Draw(rt, "spot")
+	if rapid.Bool().Draw(rt, "saves") {
+		spec.CheckpointS, spec.SaveS = 4, 1
+	}
+	if spec.Class == "alerts" {
+		spec.DeadlineS = 90
+	}
+	job.seconds = min(drawSeconds(), 60)
+	spec.EstimateS = job.seconds * drawFloat(rt, "guess", 0.5, 2)
+	job.drawKind(rt)
+	d.drawConstraint(rt, spec)
+	job.dependencies = rapid.IntRange(0, 5).Draw(rt, "needs")
+	job.mistaken = rapid.IntRange(0, 11).Draw(rt, "mistaken") == 1
+	job.cancelled = rapid.IntRange(0, 7).Draw(rt, "cancelled") == 1
+	job.cancelAfter = drawSpan(rt, "cancelled after", 1, 50)
+	job.submitAt = drawSpan(rt, "submitted", 0, 60)
+	if job.dependencies >= 3 { // which controllers of the previous version do not know
+		job.submitAt = max(job.submitAt, d.upgradedAt)
+	}
+	return job
+}
+
+// drawKind may make a job a service or a gang.
+func (j *drawnJob) drawKind(rt *rapid.T) {
+	spec := &j.spec
+	switch rapid.IntRange(0, 9).Draw(rt, "kind") {
+	case 1:
+		spec.Kind, spec.EstimateS, spec.Tasks, j.endless = protocol.KindService, 0, min(spec.Tasks, 6), true
+	case 2:
+		spec.Kind, spec.Tasks, spec.CPUs = protocol.KindGang, min(spec.Tasks, 8), 1
+	}
+}
+
+// drawConstraint may bind a job to zones or a machine type.
+func (d *deployment) drawConstraint(rt *rapid.T, spec *protocol.Job) {
+	machineType := &d.types[0]
+	switch rapid.IntRange(0, 7).Draw(rt, "where") {
+	case 1:
+		spec.OneZone = true
+	case 2:
+		spec.Spread = true
+	case 3:
+		spec.Zone = rapid.SampledFrom(machineType.Zones).Draw(rt, "zone")
+	case 4:
+		spec.MachineTypes = []string{machineType.Name}
+	}
+}
+
+// submit has a user submit a drawn job.
+func (d *deployment) submit(s *scenario, drawn *drawnJob) {
+	drawn.spec.Dependencies = d.newestAccepted(drawn.dependencies - 2)
+	job := s.Users.Submit(drawn.spec, drawn.seconds)
+	job.Mistaken = drawn.mistaken
+	d.jobs = append(d.jobs, job)
+	d.cpuSeconds += drawn.seconds * drawn.spec.CPUs * float64(drawn.spec.Tasks)
+	switch {
+	case drawn.cancelled:
+		s.After(drawn.cancelAfter, func() { s.Users.Abort(job) })
+	case drawn.endless || drawn.mistaken:
+		d.endlessJobs = append(d.endlessJobs, job)
+	}
+}
+
+// newestAccepted names up to n of the jobs that were accepted so far, the newest ones.
 func (d *deployment) newestAccepted(n int) (names []string) {
-	for _, j := range slices.Backward(d.jobs) {
-		if j.Accepted && j.Spec.Kind != protocol.KindService && len(names) < n-2 {
-			names = append(names, j.Spec.ID)
+	for _, job := range slices.Backward(d.jobs) {
+		if job.Accepted && job.Spec.Kind != protocol.KindService && len(names) < n {
+			names = append(names, job.Spec.ID)
 		}
 	}
 	return names
@@ -251,9 +314,9 @@
 
 // cancelRunning has users cancel up to n of the jobs that are under way.
 func (d *deployment) cancelRunning(s *scenario, n int) {
-	for _, j := range d.jobs {
-		if j.Told == protocol.JobRunning && n > 0 {
-			s.Users.Abort(j)
+	for _, job := range d.jobs {
+		if job.Told == protocol.JobRunning && n > 0 {
+			s.Users.Abort(job)
 			n--
 		}
 	}
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -1,6 +1,7 @@
 package core_test
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -10,297 +11,403 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-var faultKinds = slices.Sorted(slices.Values([]string{"crash", "two crash", "all crash", "roll",
-	"ends again and again", "leaders end", "copies", "no state", "no workers", "no network", "no cloud",
-	"answers lost", "reports kept for the next leader", "machines mute", "cancelled at the end", "cancelled as machines hang",
-	"cancelled as the leader is refused", "cancelled while work changes hands", "odd requests", "reports held back", "all away", "ten leaders",
-	"gap", "late writes", "leader cut from all but workers and users", "machines deaf", "commands held up",
-	"refused by the state", "state out", "state slow", "cloud out", "stands still", "peers refuse", "slow links", "links", "links again", "zone cut", "zones apart",
-	"machines die", "machines hang", "machines sick", "machines slow", "taken back", "no capacity", "polls", "burst"}))
+// fault is one drawn fault. The fields are drawn for every kind, which uses what it needs.
+type fault struct {
+	*deployment
+	rt          *rapid.T
+	s           *scenario
+	at, span    time.Duration // when it begins, and for how long
+	node        *simulation.Node
+	count       int // of machines or jobs
+	keepPackets bool
+	zone        string
+}
 
-// drawFault draws one trouble and returns its name.
-func (d *deployment) drawFault(rt *rapid.T, s *scenario) string {
-	at := drawSpan(rt, "at", 2, 100)
-	span := drawSpan(rt, "for", 1, 60)
-	d.lastFaultAt = max(d.lastFaultAt, at+span+second)
-	n := rapid.SampledFrom(s.Nodes).Draw(rt, "node")
-	some := rapid.IntRange(1, 12).Draw(rt, "some")
-	keep := rapid.Bool().Draw(rt, "packets kept")
-	zones := d.settings.Site.Zones
-	zone := rapid.SampledFrom(zones).Draw(rt, "zone")
-	during := func(begin, end func()) {
-		s.At(at, begin)
-		s.At(at+span, end)
+// injectors inject a fault of each kind.
+var injectors = mergeInjectors(controllerFaults, storeFaults, networkFaults, machineFaults, cloudFaults, requestFaults)
+
+func mergeInjectors(groups ...map[string]func(*fault)) map[string]func(*fault) {
+	all := map[string]func(*fault){}
+	for _, group := range groups {
+		maps.Copy(all, group)
 	}
-	links := func() { // each a direction of its own, or both, and mended in any order
-		end := func(what string) string {
-			return rapid.SampledFrom([]string{"state", "workers", "workers/" + zone, "workers/even", "workers/odd", "cloud", "sibling"}).Draw(rt, what)
-		}
-		for range rapid.IntRange(1, 4).Draw(rt, "links") {
-			a, b := rapid.SampledFrom(s.Nodes).Draw(rt, "of").Label, end("to")
-			if b == "sibling" {
-				b = rapid.SampledFrom(s.Nodes).Draw(rt, "sibling").Label
-			}
-			l := rapid.SampledFrom([]simulation.Link{simulation.Dropped, simulation.Held, simulation.Refused, simulation.Resets, simulation.Unread,
-				{Delay: 2 * second}, {Loss: 0.4}, {Largest: 4096}}).Draw(rt, "link")
-			if rapid.IntRange(0, 3).Draw(rt, "flaps") == 3 {
-				l.Period = drawSpan(rt, "period", 0.5, 12.5)
-			}
-			ways := rapid.IntRange(0, 2).Draw(rt, "ways")
-			from, till := drawSpan(rt, "begins after", 0, 10), drawSpan(rt, "ends after", 12, 70)
-			set := func(l simulation.Link) {
-				if ways != 1 {
-					s.Link(a, b, l)
-				}
-				if ways != 0 {
-					s.Link(b, a, l)
-				}
-			}
-			s.At(at+from, func() { set(l) })
-			s.At(at+till, func() { set(simulation.Link{}) })
-			d.lastFaultAt = max(d.lastFaultAt, at+till+second)
+	return all
+}
+
+// faultKinds are the kinds that are drawn. Their order is part of what a seed stands for.
+var faultKinds = []string{
+	"all controllers down", "all controllers crash", "commit answers lost", "job burst",
+	"cancellation while machines hang", "cancellation as store refuses leader", "cancellation at completion",
+	"cancellation during handover", "cloud down", "commands delayed", "packets duplicated", "controller crash",
+	"crash loop", "cancellation then outage", "late commits", "leader partitioned from all but workers and users",
+	"repeated failovers", "link faults", "link faults, again", "one-way partition from machines", "machines die",
+	"machines hang", "machines cannot reach controllers", "faulty machines", "slow machines", "no cloud capacity",
+	"partition from cloud", "controller isolated", "partition from store", "partition from workers",
+	"invalid requests", "peer connections refused", "poll flood", "controller refused by store",
+	"heartbeats delayed past failover", "heartbeats replayed at failover", "rolling restart", "slow peer links",
+	"controller paused", "store outage", "slow store", "spot machines reclaimed", "ten failovers",
+	"two controllers crash", "zone partitioned", "zones partitioned from each other",
+}
+
+// drawFault draws one fault, schedules it and returns its kind.
+func (d *deployment) drawFault(rt *rapid.T, s *scenario) string {
+	f := &fault{deployment: d, rt: rt, s: s, at: drawSpan(rt, "at", 2, 100), span: drawSpan(rt, "for", 1, 60)}
+	f.lastsUntil(f.at + f.span)
+	f.node = rapid.SampledFrom(s.Nodes).Draw(rt, "node")
+	f.count = rapid.IntRange(1, 12).Draw(rt, "some")
+	f.keepPackets = rapid.Bool().Draw(rt, "packets kept")
+	f.zone = rapid.SampledFrom(d.settings.Site.Zones).Draw(rt, "zone")
+	kind := rapid.SampledFrom(faultKinds).Draw(rt, "trouble")
+	injectors[kind](f)
+	return kind
+}
+
+// lastsUntil notes that a fault is over at a time.
+func (f *fault) lastsUntil(end time.Duration) { f.lastFaultAt = max(f.lastFaultAt, end+second) }
+
+// atStart schedules what happens when the fault begins.
+func (f *fault) atStart(begin func()) { f.s.At(f.at, begin) }
+
+// during schedules the beginning and the end of the fault.
+func (f *fault) during(begin, end func()) {
+	f.s.At(f.at, begin)
+	f.s.At(f.at+f.span, end)
+}
+
+// onMachines has something happen to some machines when the fault begins.
+func (f *fault) onMachines(happen func(*simulation.Worker)) {
+	f.atStart(func() {
+		for _, machine := range f.s.SomeWorkers(f.count) {
+			happen(machine)
 		}
+	})
+}
+
+// partition cuts two ends off from one another for the time of the fault.
+func (f *fault) partition(a, b string) {
+	f.during(func() { f.s.Cut(a, b, f.keepPackets) }, func() { f.s.Mend(a, b) })
+}
+
+// refuseLeader has the store refuse whoever leads now, for a while.
+func (f *fault) refuseLeader(span time.Duration) {
+	if leader := f.s.currentLeader(); leader != nil {
+		f.s.State.Refuses[leader.Label] = true
+		f.s.After(span, func() { delete(f.s.State.Refuses, leader.Label) })
 	}
-	cut := func(a, b string) { during(func() { s.Cut(a, b, keep) }, func() { s.Mend(a, b) }) }
-	workers := func(f func(*simulation.Worker)) {
-		s.At(at, func() {
-			for _, k := range s.SomeWorkers(some) {
-				f(k)
-			}
-		})
-	}
-	what := rapid.SampledFrom(faultKinds).Draw(rt, "trouble")
-	switch what {
-	case "answers lost":
-		share := drawFloat(rt, "share", 0.1, 0.7)
-		during(func() { s.State.LateShare, s.State.LateBy = share, 0 }, func() { s.State.LateShare, s.State.LateBy = 0.02, 12*second })
-	case "reports kept for the next leader":
-		during(func() { s.KeepReports = true }, func() { s.KeepReports = false })
-		s.At(at+span+time.Duration(some)*second/12, func() { s.crashLeader(second / 5) })
-	case "machines mute":
-		workers(func(k *simulation.Worker) {
-			k.Mute = true
-			s.After(span, func() { k.Mute = false })
-		})
-	case "cancelled at the end":
-		during(func() { s.Users.AtEnd = 0.4 }, func() { s.Users.AtEnd = 0 })
-	case "cancelled as machines hang":
-		hang := drawSpan(rt, "hang", 0.5, 1.5*d.lease().Seconds())
-		back := drawRestartDelay(rt)
-		s.At(at, func() {
-			for _, j := range d.jobs {
-				for i := 0; i < j.Spec.Tasks && some > 0; i++ {
-					if k := s.Workers[j.On(i)]; k != nil && !k.Hung {
-						some--
-						k.Hung = true
-						s.After(hang, func() { k.Hung = false })
-					}
-				}
-			}
-			d.cancelRunning(s, 6)
-		})
-		s.At(at+back/4, func() { s.crashLeader(back) })
-	case "cancelled as the leader is refused":
-		s.At(at, func() {
-			if n := s.currentLeader(); n != nil {
-				s.State.Refuses[n.Label] = true
-				s.After(span, func() { delete(s.State.Refuses, n.Label) })
-			}
-			d.cancelRunning(s, some)
-		})
-		if keep {
-			s.At(at+second, func() { s.State.Outage(span) })
-		}
-	case "cancelled while work changes hands":
-		back := drawRestartDelay(rt)
-		s.At(at, func() { n.Crash(back) })
-		for k := range 6 {
-			s.At(at+time.Duration(k)*d.lease()/8, func() { d.cancelRunning(s, 1) })
-		}
-	case "odd requests":
-		for k := range 8 {
-			s.At(at+time.Duration(k)*span/8, func() { d.sendInvalidRequests(s, k) })
-		}
-	case "reports held back":
-		s.At(at, func() {
-			for _, k := range s.SomeWorkers(some) {
-				for _, n := range s.Nodes {
-					s.Link(k.Info.Name, n.Label, simulation.Held)
-					s.After(span, func() { s.Link(k.Info.Name, n.Label, simulation.Link{}) })
-				}
-			}
-		})
-		s.At(at+second, func() { s.crashLeader(second / 5) })
-	case "all away":
-		for _, n := range s.Nodes {
-			s.At(at, func() { n.Crash(d.lease() + span/4) })
+}
+
+// controllerFaults end, restart and pause controllers.
+var controllerFaults = map[string]func(*fault){
+	"all controllers down": func(f *fault) {
+		down := f.lease() + f.span/4
+		for _, node := range f.s.Nodes {
+			f.atStart(func() { node.Crash(down) })
 		}
-		d.lastFaultAt = max(d.lastFaultAt, at+d.lease()+span/4+second)
-	case "ten leaders":
+		f.lastsUntil(f.at + down)
+	},
+	"ten failovers": func(f *fault) {
 		for k := range 10 {
-			s.At(at+time.Duration(k)*12*second, func() { s.crashLeader(second / 5) })
+			f.s.At(f.at+time.Duration(k)*12*second, func() { f.s.crashLeader(second / 5) })
 		}
-		d.lastFaultAt = max(d.lastFaultAt, at+110*second)
-	case "crash":
-		back := drawRestartDelay(rt)
-		s.At(at, func() { n.Crash(back) })
-	case "two crash":
-		back, other := drawRestartDelay(rt), s.Nodes[(slices.Index(s.Nodes, n)+1)%len(s.Nodes)]
-		s.At(at, func() { n.Crash(back) })
-		s.At(at+back/2, func() { other.Crash(back) })
-	case "all crash":
-		for _, n := range s.Nodes { // and come back in any order
-			back := drawRestartDelay(rt)
-			s.At(at, func() { n.Crash(back) })
+		f.lastsUntil(f.at + 109*second)
+	},
+	"controller crash": func(f *fault) {
+		delay := drawRestartDelay(f.rt)
+		f.atStart(func() { f.node.Crash(delay) })
+	},
+	"two controllers crash": func(f *fault) {
+		delay, other := drawRestartDelay(f.rt), f.s.Nodes[(slices.Index(f.s.Nodes, f.node)+1)%len(f.s.Nodes)]
+		f.atStart(func() { f.node.Crash(delay) })
+		f.s.At(f.at+delay/2, func() { other.Crash(delay) })
+	},
+	"all controllers crash": func(f *fault) {
+		for _, node := range f.s.Nodes { // and come back in any order
+			delay := drawRestartDelay(f.rt)
+			f.atStart(func() { node.Crash(delay) })
 		}
-	case "roll":
-		back := drawRestartDelay(rt)
-		for i, n := range s.Nodes {
-			s.At(at+time.Duration(i)*span/8, func() { n.Crash(back) })
+	},
+	"rolling restart": func(f *fault) {
+		delay := drawRestartDelay(f.rt)
+		for i, node := range f.s.Nodes {
+			f.s.At(f.at+time.Duration(i)*f.span/8, func() { node.Crash(delay) })
 		}
-	case "ends again and again":
+	},
+	"crash loop": func(f *fault) {
 		for i := range 10 {
-			s.At(at+time.Duration(i)*second, func() { n.Crash(50 * time.Millisecond) })
+			f.s.At(f.at+time.Duration(i)*second, func() { f.node.Crash(50 * time.Millisecond) })
 		}
-	case "leaders end":
-		back := drawRestartDelay(rt)
-		for i := range 4 { // in the middle of what the end before began
-			s.At(at+time.Duration(i)*d.lease()/8, func() {
-				if n := s.currentLeader(); n != nil {
-					n.Crash(back)
-				}
-			})
+	},
+	"repeated failovers": func(f *fault) {
+		delay := drawRestartDelay(f.rt)
+		for i := range 4 { // in the middle of what the one before began
+			f.s.At(f.at+time.Duration(i)*f.lease()/8, func() { f.s.crashLeader(delay) })
 		}
-	case "copies":
-		during(func() { s.Copies, s.CopyBy = 0.2, span }, func() { s.Copies = 0 })
-	case "no state":
-		cut(n.Label, "state")
-	case "no workers":
-		cut(n.Label, "workers")
-	case "no network":
+	},
+	"controller paused": func(f *fault) {
+		f.atStart(func() {
+			if f.node.Alive() {
+				f.node.StandStill(f.span)
+			}
+		})
+	},
+}
+
+// storeFaults are those of the state service.
+var storeFaults = map[string]func(*fault){
+	"commit answers lost": func(f *fault) {
+		share, store := drawFloat(f.rt, "share", 0.1, 0.7), f.s.State
+		f.during(func() { store.LateShare, store.LateBy = share, 0 }, func() { store.LateShare, store.LateBy = 0.02, 12*second })
+	},
+	"late commits": func(f *fault) {
+		share, store := drawFloat(f.rt, "share", 0.1, 0.6), f.s.State
+		before := store.LateShare
+		f.during(func() { store.LateShare, store.LateFrom = share, 2*second }, func() { store.LateShare, store.LateFrom = before, 0 })
+	},
+	"controller refused by store": func(f *fault) {
+		f.during(func() { f.s.State.Refuses[f.node.Label] = true }, func() { delete(f.s.State.Refuses, f.node.Label) })
+	},
+	"store outage": func(f *fault) {
+		f.atStart(func() { f.s.State.Outage(f.span) })
+	},
+	"slow store": func(f *fault) {
+		f.during(func() { f.s.State.Slow = 300 * time.Millisecond }, func() { f.s.State.Slow = 0 })
+	},
+	"cancellation as store refuses leader": func(f *fault) {
+		f.atStart(func() {
+			f.refuseLeader(f.span)
+			f.cancelRunning(f.s, f.count)
+		})
+		if f.keepPackets {
+			f.s.At(f.at+second, func() { f.s.State.Outage(f.span) })
+		}
+	},
+	"cancellation then outage": func(f *fault) { // jobs are cancelled through those who are still served
+		alone := drawSpan(f.rt, "the leader alone for", 0.5, 4.5)
+		outage := f.s.cancelSpan() + drawSpan(f.rt, "longer by", 1, 30)
+		f.lastsUntil(f.at + alone + outage)
+		f.atStart(func() {
+			f.refuseLeader(alone + outage)
+			f.cancelRunning(f.s, f.count)
+		})
+		f.s.At(f.at+alone, func() { f.s.State.Outage(outage) })
+	},
+}
+
+// networkFaults are partitions, and links that delay, duplicate or refuse.
+var networkFaults = map[string]func(*fault){
+	"packets duplicated": func(f *fault) {
+		f.during(func() { f.s.Copies, f.s.CopyBy = 0.2, f.span }, func() { f.s.Copies = 0 })
+	},
+	"partition from store":   func(f *fault) { f.partition(f.node.Label, "state") },
+	"partition from workers": func(f *fault) { f.partition(f.node.Label, "workers") },
+	"partition from cloud":   func(f *fault) { f.partition(f.node.Label, "cloud") },
+	"controller isolated": func(f *fault) {
 		for _, end := range []string{"state", "workers", "cloud", "users"} {
-			cut(n.Label, end)
+			f.partition(f.node.Label, end)
 		}
-		for _, x := range s.Nodes {
-			if x != n {
-				cut(n.Label, x.Label)
+		for _, other := range f.s.Nodes {
+			if other != f.node {
+				f.partition(f.node.Label, other.Label)
 			}
 		}
-	case "no cloud":
-		cut(n.Label, "cloud")
-	case "refused by the state":
-		during(func() { s.State.Refuses[n.Label] = true }, func() { delete(s.State.Refuses, n.Label) })
-	case "state out":
-		s.At(at, func() { s.State.Outage(span) })
-	case "late writes":
-		share := drawFloat(rt, "share", 0.1, 0.6)
-		before := s.State.LateShare
-		during(func() { s.State.LateShare, s.State.LateFrom = share, 2*second }, func() { s.State.LateShare, s.State.LateFrom = before, 0 })
-	case "gap": // jobs are cancelled through those who are still served
-		alone := drawSpan(rt, "the leader alone for", 0.5, 4.5)
-		out := s.cancelSpan() + drawSpan(rt, "longer by", 1, 30)
-		d.lastFaultAt = max(d.lastFaultAt, at+alone+out+second)
-		s.At(at, func() {
-			if n := s.currentLeader(); n != nil {
-				s.State.Refuses[n.Label] = true
-				s.After(alone+out, func() { delete(s.State.Refuses, n.Label) })
+	},
+	"leader partitioned from all but workers and users": func(f *fault) {
+		f.atStart(func() {
+			if leader := f.s.currentLeader(); leader != nil {
+				f.s.partition(f.span, leader.Label, f.s.otherEnds(leader)...)
 			}
-			d.cancelRunning(s, some)
+			f.s.After(f.span/4, func() { f.cancelRunning(f.s, f.count) })
 		})
-		s.At(at+alone, func() { s.State.Outage(out) })
-	case "leader cut from all but workers and users":
-		s.At(at, func() {
-			if n := s.currentLeader(); n != nil {
-				s.partition(span, n.Label, s.otherEnds(n)...)
-			}
-			s.After(span/4, func() { d.cancelRunning(s, some) })
+	},
+	"commands delayed": func(f *fault) {
+		held := simulation.Link{Hold: true, Period: drawSpan(f.rt, "period", 1, 8)}
+		f.during(func() { f.s.Link(f.node.Label, "workers", held) }, func() { f.s.Link(f.node.Label, "workers", simulation.Link{}) })
+	},
+	"peer connections refused": func(f *fault) {
+		f.during(func() { f.s.PeersRefuse = true }, func() { f.s.PeersRefuse = false })
+	},
+	"slow peer links": func(f *fault) {
+		f.during(func() { f.s.PeerLatency = 400 * time.Millisecond }, func() { f.s.PeerLatency = 0 })
+	},
+	"link faults":        (*fault).drawLinkFaults,
+	"link faults, again": (*fault).drawLinkFaults, // drawn twice as often as the rest
+	"zone partitioned": func(f *fault) {
+		f.during(func() { f.s.CutZone(f.zone, "", f.keepPackets) }, func() { f.s.MendZone(f.zone, "") })
+	},
+	"zones partitioned from each other": func(f *fault) {
+		if other := rapid.SampledFrom(f.settings.Site.Zones).Draw(f.rt, "other"); other != f.zone {
+			f.during(func() { f.s.CutZone(f.zone, other, f.keepPackets) }, func() { f.s.MendZone(f.zone, other) })
+		}
+	},
+}
+
+// drawLinkFaults draws up to four faulty links, each in a direction of its own, or both, and
+// mended in any order.
+func (f *fault) drawLinkFaults() {
+	for range rapid.IntRange(1, 4).Draw(f.rt, "links") {
+		f.drawLinkFault()
+	}
+}
+
+func (f *fault) drawLinkFault() {
+	from := rapid.SampledFrom(f.s.Nodes).Draw(f.rt, "of").Label
+	to := rapid.SampledFrom([]string{"state", "workers", "workers/" + f.zone, "workers/even", "workers/odd", "cloud", "sibling"}).Draw(f.rt, "to")
+	if to == "sibling" {
+		to = rapid.SampledFrom(f.s.Nodes).Draw(f.rt, "sibling").Label
+	}
+	link := rapid.SampledFrom([]simulation.Link{simulation.Dropped, simulation.Held, simulation.Refused, simulation.Resets, simulation.Unread,
+		{Delay: 2 * second}, {Loss: 0.4}, {Largest: 4096}}).Draw(f.rt, "link")
+	if rapid.IntRange(0, 3).Draw(f.rt, "flaps") == 3 {
+		link.Period = drawSpan(f.rt, "period", 0.5, 12.5)
+	}
+	const (
+		forth = iota
+		back
+	)
+	ways := rapid.IntRange(0, 2).Draw(f.rt, "ways") // forth, back or both
+	begin, end := drawSpan(f.rt, "begins after", 0, 10), drawSpan(f.rt, "ends after", 12, 70)
+	set := func(link simulation.Link) {
+		if ways != back {
+			f.s.Link(from, to, link)
+		}
+		if ways != forth {
+			f.s.Link(to, from, link)
+		}
+	}
+	f.s.At(f.at+begin, func() { set(link) })
+	f.s.At(f.at+end, func() { set(simulation.Link{}) })
+	f.lastsUntil(f.at + end)
+}
+
+// machineFaults are those of the workers and of what they send.
+var machineFaults = map[string]func(*fault){
+	"machines cannot reach controllers": func(f *fault) {
+		f.onMachines(func(machine *simulation.Worker) {
+			machine.Mute = true
+			f.s.After(f.span, func() { machine.Mute = false })
 		})
-	case "machines deaf":
-		workers(func(k *simulation.Worker) {
-			for _, n := range s.Nodes {
-				s.Link(n.Label, k.Info.Name, simulation.Dropped)
-				s.After(span, func() { s.Link(n.Label, k.Info.Name, simulation.Link{}) })
+	},
+	"one-way partition from machines": func(f *fault) {
+		f.onMachines(func(machine *simulation.Worker) {
+			for _, node := range f.s.Nodes {
+				f.s.Link(node.Label, machine.Info.Name, simulation.Dropped)
+				f.s.After(f.span, func() { f.s.Link(node.Label, machine.Info.Name, simulation.Link{}) })
 			}
 		})
-	case "commands held up":
-		l := simulation.Link{Hold: true, Period: drawSpan(rt, "period", 1, 8)}
-		during(func() { s.Link(n.Label, "workers", l) }, func() { s.Link(n.Label, "workers", simulation.Link{}) })
-	case "state slow":
-		during(func() { s.State.Slow = 300 * time.Millisecond }, func() { s.State.Slow = 0 })
-	case "cloud out":
-		during(func() { s.Cloud.Out = true }, func() { s.Cloud.Out = false })
-	case "stands still":
-		s.At(at, func() {
-			if n.Alive() {
-				n.StandStill(span)
-			}
+	},
+	"machines die": func(f *fault) {
+		f.onMachines(func(machine *simulation.Worker) { f.s.Cloud.Remove(machine.Info.Name) })
+	},
+	"machines hang": func(f *fault) {
+		f.onMachines(func(machine *simulation.Worker) {
+			machine.Hung = true
+			f.s.After(f.span, func() { machine.Hung = false })
 		})
-	case "peers refuse":
-		during(func() { s.PeersRefuse = true }, func() { s.PeersRefuse = false })
-	case "slow links":
-		during(func() { s.PeerLatency = 400 * time.Millisecond }, func() { s.PeerLatency = 0 })
-	case "links", "links again": // drawn twice as often as the rest
-		links()
-	case "zone cut":
-		during(func() { s.CutZone(zone, "", keep) }, func() { s.MendZone(zone, "") })
-	case "zones apart":
-		if other := rapid.SampledFrom(zones).Draw(rt, "other"); other != zone {
-			during(func() { s.CutZone(zone, other, keep) }, func() { s.MendZone(zone, other) })
-		}
-	case "machines die":
-		workers(func(k *simulation.Worker) { s.Cloud.Remove(k.Info.Name) })
-	case "machines hang":
-		workers(func(k *simulation.Worker) {
-			k.Hung = true
-			s.After(span, func() { k.Hung = false })
+	},
+	"faulty machines": func(f *fault) {
+		f.onMachines(func(machine *simulation.Worker) {
+			machine.Faulty = true
+			f.s.After(f.span, func() { machine.Faulty = false })
+		})
+	},
+	"slow machines":           func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.Slow = 3 }) },
+	"spot machines reclaimed": func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.Recall(f.span / 8) }) },
+	"heartbeats delayed past failover": func(f *fault) {
+		f.onMachines(func(machine *simulation.Worker) {
+			for _, node := range f.s.Nodes {
+				f.s.Link(machine.Info.Name, node.Label, simulation.Held)
+				f.s.After(f.span, func() { f.s.Link(machine.Info.Name, node.Label, simulation.Link{}) })
+			}
 		})
-	case "machines sick":
-		workers(func(k *simulation.Worker) {
-			k.Faulty = true
-			s.After(span, func() { k.Faulty = false })
+		f.s.At(f.at+second, func() { f.s.crashLeader(second / 5) })
+	},
+	"heartbeats replayed at failover": func(f *fault) {
+		f.during(func() { f.s.KeepReports = true }, func() { f.s.KeepReports = false })
+		f.s.At(f.at+f.span+time.Duration(f.count)*second/12, func() { f.s.crashLeader(second / 5) })
+	},
+	"cancellation while machines hang": func(f *fault) {
+		hang := drawSpan(f.rt, "hang", 0.5, 1.5*f.lease().Seconds())
+		delay := drawRestartDelay(f.rt)
+		f.atStart(func() {
+			f.hangMachinesOfJobs(hang)
+			f.cancelRunning(f.s, 6)
 		})
-	case "machines slow":
-		workers(func(k *simulation.Worker) { k.Slow = 3 })
-	case "taken back":
-		workers(func(k *simulation.Worker) { k.Recall(span / 8) })
-	case "no capacity":
-		during(func() {
-			for _, t := range d.types {
-				s.Cloud.Capacity[t.Name] = 0
+		f.s.At(f.at+delay/4, func() { f.s.crashLeader(delay) })
+	},
+}
+
+// hangMachinesOfJobs hangs some machines that run tasks, in the order of the jobs.
+func (f *fault) hangMachinesOfJobs(span time.Duration) {
+	left := f.count
+	for _, job := range f.jobs {
+		for i := 0; i < job.Spec.Tasks && left > 0; i++ {
+			if machine := f.s.Workers[job.On(i)]; machine != nil && !machine.Hung {
+				left--
+				machine.Hung = true
+				f.s.After(span, func() { machine.Hung = false })
+			}
+		}
+	}
+}
+
+// cloudFaults are those of the cloud.
+var cloudFaults = map[string]func(*fault){
+	"cloud down": func(f *fault) {
+		f.during(func() { f.s.Cloud.Out = true }, func() { f.s.Cloud.Out = false })
+	},
+	"no cloud capacity": func(f *fault) {
+		f.during(func() {
+			for _, machineType := range f.types {
+				f.s.Cloud.Capacity[machineType.Name] = 0
 			}
 		}, func() {
-			for _, t := range d.types {
-				delete(s.Cloud.Capacity, t.Name)
+			for _, machineType := range f.types {
+				delete(f.s.Cloud.Capacity, machineType.Name)
 			}
 		})
-	case "polls":
+	},
+}
+
+// requestFaults are what users do at a bad moment, or too often.
+var requestFaults = map[string]func(*fault){
+	"cancellation at completion": func(f *fault) {
+		f.during(func() { f.s.Users.AtEnd = 0.4 }, func() { f.s.Users.AtEnd = 0 })
+	},
+	"cancellation during handover": func(f *fault) {
+		delay := drawRestartDelay(f.rt)
+		f.atStart(func() { f.node.Crash(delay) })
+		for k := range 6 {
+			f.s.At(f.at+time.Duration(k)*f.lease()/8, func() { f.cancelRunning(f.s, 1) })
+		}
+	},
+	"invalid requests": func(f *fault) {
+		for k := range 8 {
+			f.s.At(f.at+time.Duration(k)*f.span/8, func() { f.sendInvalidRequests(f.s, k) })
+		}
+	},
+	"poll flood": func(f *fault) {
 		for k := range 300 {
-			s.At(at+time.Duration(k)*span/300, s.Users.PollAny)
+			f.s.At(f.at+time.Duration(k)*f.span/300, f.s.Users.PollAny)
 		}
-	case "burst":
-		s.At(at, func() {
+	},
+	"job burst": func(f *fault) {
+		f.atStart(func() {
 			for k := range 25 {
 				spec := simulation.Array(1 + k%3)
-				spec.Team = "nobody"
-				if teams := d.settings.Site.Teams; len(teams) > 0 {
-					spec.Team = teams[k%len(teams)].Name
-				}
+				spec.Team = f.teamName(k)
 				spec.AllowSpot = k%2 == 0
-				d.cpuSeconds += 5
-				d.jobs = append(d.jobs, s.Users.Submit(spec, 4))
+				f.cpuSeconds += 5
+				f.jobs = append(f.jobs, f.s.Users.Submit(spec, 4))
 			}
 		})
-	}
-	return what
+	},
 }
 
-// sendInvalidRequests has users hand in again what is not over, cancel what is done, and send what can't run.
+// sendInvalidRequests has users submit again what is not over, cancel what is done, and submit
+// what can't run.
 func (d *deployment) sendInvalidRequests(s *scenario, k int) {
 	spec := simulation.Array(1)
-	spec.Team = "nobody"
-	if teams := d.settings.Site.Teams; len(teams) > 0 {
-		spec.Team = teams[k%len(teams)].Name
-	}
+	spec.Team = d.teamName(k)
 	switch k % 2 {
 	case 0:
 		spec.CPUs = 4096
@@ -308,12 +415,12 @@
 		spec.MachineTypes = []string{"no such type"}
 	}
 	s.Users.Never(spec)
-	for _, j := range d.jobs {
+	for _, job := range d.jobs {
 		switch {
-		case j.Told == protocol.JobDone:
-			s.Users.Abort(j)
-		case j.Accepted:
-			s.Users.Resubmit(j)
+		case job.Told == protocol.JobDone:
+			s.Users.Abort(job)
+		case job.Accepted:
+			s.Users.Resubmit(job)
 		}
 	}
 }
--- a/internal/core/randomized_test.go
+++ b/internal/core/randomized_test.go
@@ -12,7 +12,7 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// The same worlds in every run, unless others are asked for:
+// The same simulations in every run, unless others are asked for:
 // go test ./internal/core -run RandomizedSimulation -rapid.checks 2000 -rapid.seed 7
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "24", "rapid.nofailfile": "true", "rapid.shrinktime": "60s"} {
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestRandomizedSimulation draws a deployment that nobody has shown us, work for it and a pile
-// of overlapping troubles. Whatever they are, no rule is broken, requests are mostly
-// answered once the troubles are over, and every accepted job comes to its end.
+// TestRandomizedSimulation draws a deployment, work for it and several overlapping faults.
+// Whatever they are, no invariant is violated, requests are mostly answered once the faults are
+// over, and every accepted job comes to its end.
 func TestRandomizedSimulation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := drawDeployment(rt)
@@ -34,64 +34,88 @@
 		d.drawJobs(rt, s)
 		s.Users.CloseLooks = rapid.IntRange(0, 3).Draw(rt, "close looks") == 3
 		s.Cloud.AtOnce = rapid.IntRange(0, 3).Draw(rt, "boots at once") == 3
-		var pile []string
+		var kinds []string
 		for range rapid.IntRange(0, 7).Draw(rt, "troubles") {
-			pile = append(pile, d.drawFault(rt, s))
+			kinds = append(kinds, d.drawFault(rt, s))
 		}
-		drawnPairs.add(pile)
+		drawnPairs.add(kinds)
 		s.Run(d.lastFaultAt)
 		s.Loss, s.State.LateShare, s.Users.Calm = 0, 0, s.Now
 		s.requireInvariants()
 		s.Run(s.Now + 3*d.lease())
-		asked, served := s.Users.Asked, s.Users.Served
-		s.Run(s.Now + max(2*d.lease(), 20*second))
-		if asked, served = s.Users.Asked-asked, s.Users.Served-served; asked-served > max(asked/10, 1) {
-			rt.Fatalf("after all troubles %d of %d requests are answered\n%s", served, asked, s.lastLogs(*logLines))
-		}
-		// Users give up in the end on what runs for ever or fails everywhere.
-		for _, j := range d.endlessJobs {
-			if j.Refused == 0 && j.Told == "" {
-				s.eventually(2*d.lease()+10*second, "a job is accepted", func() bool { return j.Told != "" || j.Refused != 0 })
-			}
-			if j.Refused == 0 {
-				s.Users.Abort(j)
-			}
-		}
-		in := d.completionTimeout(s)
-		over := s.Until(s.Now+in, s.Users.AllTold)
+		s.requireAnswers(d)
+		s.cancelEndless(d)
+		timeout := d.completionTimeout(s)
+		over := s.Until(s.Now+timeout, s.Users.AllTold)
 		s.requireInvariants()
 		if !over {
-			rt.Fatalf("not over within %v: %s\n%s", in, d.unfinished(s), s.lastLogs(*logLines))
+			rt.Fatalf("not over within %v: %s\n%s", timeout, d.unfinished(), s.lastLogs(*logLines))
 		}
 	})
 	t.Log(drawnPairs.String())
 }
 
-// faultPairs counts how often two troubles were drawn for one world, so that what was never tried
-// is seen.
+// requireAnswers fails the test unless nine of ten requests are answered, or all but one.
+func (s *scenario) requireAnswers(d *deployment) {
+	s.t.Helper()
+	asked, served := s.Users.Asked, s.Users.Served
+	s.Run(s.Now + max(2*d.lease(), 20*second))
+	asked, served = s.Users.Asked-asked, s.Users.Served-served
+	if asked-served > max(asked/10, 1) {
+		s.t.Fatalf("after all faults %d of %d requests are answered\n%s", served, asked, s.lastLogs(*logLines))
+	}
+}
+
+// cancelEndless has users give up in the end on what runs for ever or fails everywhere.
+func (s *scenario) cancelEndless(d *deployment) {
+	s.t.Helper()
+	for _, job := range d.endlessJobs {
+		if job.Refused == 0 && job.Told == "" {
+			s.eventually(2*d.lease()+10*second, "a job is accepted", func() bool { return job.Told != "" || job.Refused != 0 })
+		}
+		if job.Refused == 0 {
+			s.Users.Abort(job)
+		}
+	}
+}
+
+// faultPairs counts how often two kinds of faults were drawn for one simulation, so that what
+// was never tried is seen.
 type faultPairs map[[2]string]int
 
 var drawnPairs = faultPairs{}
 
-func (m faultPairs) add(pile []string) {
-	slices.Sort(pile)
-	for i, a := range pile {
-		for _, b := range pile[i+1:] {
-			m[[2]string{a, b}]++
+func (p faultPairs) add(kinds []string) {
+	slices.Sort(kinds)
+	for i, a := range kinds {
+		for _, b := range kinds[i+1:] {
+			p[[2]string{a, b}]++
 		}
 	}
 }
 
-func (m faultPairs) String() string {
+func (p faultPairs) String() string {
 	var never []string
 	total := 0
-	for i, a := range faultKinds {
-		for _, b := range faultKinds[i:] {
-			if total++; m[[2]string{a, b}] == 0 {
+	sorted := slices.Sorted(slices.Values(faultKinds))
+	for i, a := range sorted {
+		for _, b := range sorted[i:] {
+			if total++; p[[2]string{a, b}] == 0 {
 				never = append(never, a+" + "+b)
 			}
 		}
 	}
-	return fmt.Sprintf("%d of %d meetings of two troubles were drawn; among those that were not: %s",
+	return fmt.Sprintf("%d of %d pairs of faults were drawn; among those that were not: %s",
 		total-len(never), total, strings.Join(never[:min(len(never), 5)], ", "))
 }
+
+func TestEveryFaultKindIsDrawnAndInjected(t *testing.T) {
+	if len(faultKinds) != len(injectors) {
+		t.Errorf("%d kinds are drawn, %d can be injected", len(faultKinds), len(injectors))
+	}
+	for _, kind := range faultKinds {
+		if injectors[kind] == nil {
+			t.Errorf("%q is drawn and nothing injects it", kind)
+		}
+	}
+}
