--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -11,14 +11,14 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// keyPrefixes are the kinds of write, by the key that each changes; docs/fault-interleavings.md has the same
-// table.
+// keyPrefixes are the kinds of write, by the key that each changes, the last one all of them;
+// docs/fault-interleavings.md has the same table.
 var keyPrefixes = []string{"c/node/", "c/leader", "c/map", "c/rigs/", "c/job/", "c/run/", "c/accepted/", "c/admitted/",
 	"c/prog/", "c/long/", "c/est", "c/types", ""}
 
-// Every transaction of one kind is carried out at once and its answer is lost, or half of
-// them are carried out late: others act on what they read, the writer's next try finds it, and
-// the work is done all the same.
+// Every transaction of one kind is carried out at once and its answer is lost, or half of them
+// are carried out late: others act on what they read, the writer's next attempt finds it, and
+// every job that its user does not cancel is done all the same.
 func TestLostOrLateCommitAnswers(t *testing.T) {
 	for _, key := range keyPrefixes {
 		for _, late := range []bool{false, true} {
@@ -28,15 +28,16 @@
 				for seed := range uint64(2) {
 					lost += simulateLostAnswers(t, 3100+seed, key, late)
 				}
-				if lost == 0 && key != "c/types" { // which are written once, before any story can begin
-					t.Fatal("no transaction was like that: nothing was shown")
+				if lost == 0 && key != "c/types" { // which are written once, before any scenario can begin
+					t.Fatal("no answer was lost or late: nothing was shown")
 				}
 			})
 		}
 	}
 }
 
-// simulateLostAnswers is such a day; it returns how many transactions were like that.
+// simulateLostAnswers runs a day of jobs, cancellations, failovers and handovers with such
+// answers, and returns how many there were.
 func simulateLostAnswers(t *testing.T, seed uint64, key string, late bool) int {
 	s := &scenario{World: simulation.Build(seed, simulation.Settings(3), simulation.Types()), t: t}
 	s.State.LateOnly, s.State.LateShare = key, 1
@@ -49,45 +50,61 @@
 	s.Users.CloseLooks = true
 	s.Run(s.Now + 15*second)
 	s.addMachines(8)
-	head := s.Users.Submit(simulation.Array(1), 80) // that others wait for
-	var jobs []*simulation.Job
+	head := s.Users.Submit(simulation.Array(1), 80) // that others depend on
+	uncancelled := []*simulation.Job{head}
 	for k := range 18 {
-		spec := simulation.Array(1 + k%3*12)
-		spec.Team = []string{"blue", "red"}[k%2]
-		if k%5 == 4 && head.Accepted {
-			spec.Dependencies = []string{head.Spec.ID}
-		}
-		if k%7 == 0 { // its description goes into pieces
-			spec = withManyTypes(spec)
-		}
-		j := s.Users.Submit(spec, float64(2+k%4*4))
-		jobs = append(jobs, j)
-		if k%6 == 2 { // more than may have a write each
-			for n := range 48 {
-				one := simulation.Array(1)
-				if n%2 == 0 && head.Accepted {
-					one.Dependencies = []string{head.Spec.ID}
-				}
-				s.Users.Submit(one, 2)
-			}
+		job := s.Users.Submit(lostAnswersSpec(k, head), float64(2+k%4*4))
+		if k%6 == 2 {
+			s.submitMany(48, head)
 		}
 		if k%4 == 1 {
-			s.After(4*second, func() { s.Users.Abort(j) })
+			s.After(4*second, func() { s.Users.Abort(job) })
+		} else {
+			uncancelled = append(uncancelled, job)
 		}
 		if k == 6 || k == 14 {
 			s.crashLeader(second / 5)
 		}
-		if k%3 == 1 { // the map changes, and back
+		if k%3 == 1 { // the shard map changes, and back
 			s.Nodes[k%len(s.Nodes)].Crash(2 * second)
 		}
 		s.Run(s.Now + 3*second)
 	}
 	s.eventually(400*second, "the work is done although answers are still lost", s.Users.AllTold)
+	if !toldState(protocol.JobDone, uncancelled...)() {
+		t.Fatal("a job that nobody cancelled is over and not done")
+	}
 	s.recoverAndFinish(second)
 	return s.State.Late
 }
 
-// withManyTypes makes a job's description larger than a value.
+// lostAnswersSpec describes the k-th job: some depend on head, and some have descriptions that
+// are stored in chunks.
+func lostAnswersSpec(k int, head *simulation.Job) protocol.Job {
+	spec := simulation.Array(1 + k%3*12)
+	spec.Team = []string{"blue", "red"}[k%2]
+	if k%5 == 4 && head.Accepted {
+		spec.Dependencies = []string{head.Spec.ID}
+	}
+	if k%7 == 0 {
+		spec = withManyTypes(spec)
+	}
+	return spec
+}
+
+// submitMany submits more jobs of one task at once than may have a write each. Half of them
+// depend on head.
+func (s *scenario) submitMany(count int, head *simulation.Job) {
+	for n := range count {
+		spec := simulation.Array(1)
+		if n%2 == 0 && head.Accepted {
+			spec.Dependencies = []string{head.Spec.ID}
+		}
+		s.Users.Submit(spec, 2)
+	}
+}
+
+// withManyTypes makes a job's description larger than a stored value may be.
 func withManyTypes(spec protocol.Job) protocol.Job {
 	for n := range 2500 {
 		spec.MachineTypes = append(spec.MachineTypes, fmt.Sprintf("type-%06d", n))
@@ -96,34 +113,37 @@
 	return spec
 }
 
-// New machines are up within two seconds and get work at once, for teams at their limits, while
-// writes lag, are late or lose their answers, and the leader ends, at any moment of it: the
-// next one starts nothing twice and passes no limit.
+// slowStores are the ways in which writes are slow, late or without an answer.
+var slowStores = map[string]func(s *scenario){
+	"slow":         func(s *scenario) { s.State.Slow = 900 * time.Millisecond },
+	"late":         func(s *scenario) { s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.5, 2*second, 12*second },
+	"answers lost": func(s *scenario) { s.State.LateShare = 0.6 },
+	"register late": func(s *scenario) {
+		s.State.LateOnly, s.State.LateShare, s.State.LateFrom, s.State.LateBy = "c/rigs/", 1, 2*second, 8*second
+	},
+	"register lost":   func(s *scenario) { s.State.LateOnly, s.State.LateShare = "c/rigs/", 1 },
+	"slow and copied": func(s *scenario) { s.State.Slow, s.Copies, s.CopyBy = 300*time.Millisecond, 0.3, 20*second },
+}
+
+// New machines are up within two seconds and get work at once, for teams at their quotas, while
+// writes are slow, late or lose their answers, and the leader crashes at any moment of it: the
+// next one starts nothing twice and exceeds no quota.
 func TestNewMachinesWithSlowStore(t *testing.T) {
-	for how, lag := range map[string]func(s *scenario){
-		"slow":         func(s *scenario) { s.State.Slow = 900 * time.Millisecond },
-		"late":         func(s *scenario) { s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.5, 2*second, 12*second },
-		"answers lost": func(s *scenario) { s.State.LateShare = 0.6 },
-		"register late": func(s *scenario) {
-			s.State.LateOnly, s.State.LateShare, s.State.LateFrom, s.State.LateBy = "c/rigs/", 1, 2*second, 8*second
-		},
-		"register lost":   func(s *scenario) { s.State.LateOnly, s.State.LateShare = "c/rigs/", 1 },
-		"slow and copied": func(s *scenario) { s.State.Slow, s.Copies, s.CopyBy = 300*time.Millisecond, 0.3, 20*second },
-	} {
-		t.Run(how, func(t *testing.T) {
-			acrossSeeds(t, 3400, 4, func(t *testing.T, k, controllers int, seed uint64) {
-				s := startScenario(t, seed, controllers, func(x *config.Site) { x.Teams[1].CPUsMax = 16 })
+	for name, slowDown := range slowStores {
+		t.Run(name, func(t *testing.T) {
+			acrossSeeds(t, 3400, 4, func(t *testing.T, variant, controllers int, seed uint64) {
+				s := startScenario(t, seed, controllers, func(site *config.Site) { site.Teams[1].CPUsMax = 16 })
 				s.Cloud.AtOnce = true
-				lag(s)
+				slowDown(s)
 				for wave := range 4 {
 					for _, team := range []string{"red", "blue"} {
 						spec := simulation.Array(12 + wave*4)
 						spec.Team = team
 						s.Users.Submit(spec, float64(4+wave*5))
 					}
-					seen := s.Cloud.Hired
-					s.Until(s.Now+8*second, func() bool { return s.Cloud.Hired > seen })
-					s.Run(s.Now + time.Duration(k*2+wave)*second/2) // from before they are up to long after
+					before := s.Cloud.Hired
+					s.Until(s.Now+8*second, func() bool { return s.Cloud.Hired > before })
+					s.Run(s.Now + time.Duration(variant*2+wave)*second/2) // from before they are up to long after
 					s.crashLeader(second / 5)
 					s.Run(s.Now + 4*second)
 				}
@@ -133,24 +153,24 @@
 	}
 }
 
-// One-task jobs come four a second for minutes, a quarter of them is cancelled, with the
-// smallest budget of writes, which falls, beside longer jobs and through ends of the leader:
-// each is accepted, told and forgotten by nobody, and no more than a few seconds late.
+// Jobs of one task come four a second for minutes and a quarter of them is cancelled, with the
+// smallest rate limit for writes, which is lowered, beside longer jobs and during failovers: each
+// is accepted, no more than a few seconds late, and its end is told.
 func TestSmallJobFlood(t *testing.T) {
-	acrossSeeds(t, 3600, 2, func(t *testing.T, k, controllers int, seed uint64) {
-		s := startScenario(t, seed, controllers, func(x *config.Site) {
-			x.State = config.State{RPS: 350, WriteRPS: 35, ValueKB: 16, TxnOps: 16, Next: &config.State{WriteRPS: 8}}
+	acrossSeeds(t, 3600, 2, func(t *testing.T, variant, controllers int, seed uint64) {
+		s := startScenario(t, seed, controllers, func(site *config.Site) {
+			site.State = config.State{RPS: 350, WriteRPS: 35, ValueKB: 16, TxnOps: 16, Next: &config.State{WriteRPS: 8}}
 		})
 		s.addMachines(16)
-		s.Users.CloseLooks = k%2 == 0
+		s.Users.CloseLooks = variant%2 == 0
 		s.At(s.Now+60*second, func() { s.State.Lowered = true })
-		var jobs, gone []*simulation.Job
+		var jobs, cancelled []*simulation.Job
 		for n := range 4 * 150 {
-			j := s.Users.Submit(simulation.Array(1), float64(3+n%5*3))
-			jobs = append(jobs, j)
+			job := s.Users.Submit(simulation.Array(1), float64(3+n%5*3))
+			jobs = append(jobs, job)
 			if n%4 == 1 {
-				gone = append(gone, j)
-				s.After(time.Duration(n%7)*2*second, func() { s.Users.Abort(j) })
+				cancelled = append(cancelled, job)
+				s.After(time.Duration(n%7)*2*second, func() { s.Users.Abort(job) })
 			}
 			if n%100 == 50 {
 				s.Users.Submit(simulation.Array(30), 10)
@@ -159,13 +179,14 @@
 				s.crashLeader(second / 5)
 			}
 			s.Run(s.Now + second/4)
-			old := jobs[max(0, n-4*12)]
-			if !old.Accepted {
+			if old := jobs[max(0, n-4*12)]; !old.Accepted {
 				t.Fatalf("%s is not accepted after 12 s\n%s", old.Spec.ID, s.lastLogs(*logLines))
 			}
 		}
 		s.eventually(20*second, "cancellations are confirmed", func() bool {
-			return !slices.ContainsFunc(gone, func(j *simulation.Job) bool { return j.Told != protocol.JobCancelled && j.Told != protocol.JobDone })
+			return !slices.ContainsFunc(cancelled, func(job *simulation.Job) bool {
+				return job.Told != protocol.JobCancelled && job.Told != protocol.JobDone
+			})
 		})
 		s.recoverAndFinish(120 * second)
 		if s.State.Refused > 1000 { // thousands, if each submission has a write of its own
@@ -174,11 +195,11 @@
 	})
 }
 
-// Jobs are cancelled at the very moment at which the state service refuses the leader alone, at
-// each of its nodes, before it and after it, and it stays refused until the others have acted.
+// Jobs are cancelled at each node, just before, while and just after the state service begins to
+// refuse the leader alone, and it stays refused until the others have acted.
 func TestCancellationAsStoreRefusesLeader(t *testing.T) {
 	for _, offset := range []time.Duration{-20, 0, 3, 40, 400} { // milliseconds
-		acrossSeeds(t, 4400, 3, func(t *testing.T, k, controllers int, seed uint64) {
+		acrossSeeds(t, 4400, 3, func(t *testing.T, variant, controllers int, seed uint64) {
 			s := startScenario(t, seed, controllers, nil)
 			s.addMachines(12)
 			var jobs []*simulation.Job
@@ -186,17 +207,17 @@
 				jobs = append(jobs, s.Users.Submit(simulation.Array(4), 300))
 			}
 			s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == controllers*8 })
-			n, at := s.leader(), s.Now+second
-			s.At(at, func() { s.State.Refuses[n.Label] = true })
+			leader, at := s.leader(), s.Now+second
+			s.At(at, func() { s.State.Refuses[leader.Label] = true })
 			s.At(at+offset*time.Millisecond, func() {
-				for i, j := range jobs {
+				for i, job := range jobs {
 					if i%2 == 0 {
-						s.abortUnanswered(s.Nodes[i/2], j)
+						s.abortUnanswered(s.Nodes[i/2], job)
 					}
-					s.Users.Abort(j)
+					s.Users.Abort(job)
 				}
 			})
-			if k == 2 { // and a second later it serves nobody
+			if variant == 2 { // and a second later it serves nobody
 				s.At(at+second, func() { s.State.Outage(s.cancelSpan() + 10*second) })
 			}
 			s.Run(at + s.cancelSpan() + 15*second)
--- a/internal/core/consistency_faults_test.go
+++ b/internal/core/consistency_faults_test.go
@@ -9,34 +9,34 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Users ask at all nodes within milliseconds, and hand in again, whatever was accepted, has
-// ended or is called cancelled, of every kind of job, while nodes start and read anew and the
-// service is slow: no node says anything older.
+// Users ask at all nodes within milliseconds about every kind of job that was accepted, has ended
+// or is called cancelled, and submit it again, while nodes restart and reload and the state
+// service is slow: no node says anything older than another has said.
 func TestReadsAreMonotonicAcrossNodes(t *testing.T) {
-	acrossSeeds(t, 3000, 3, func(t *testing.T, k, controllers int, seed uint64) {
+	acrossSeeds(t, 3000, 3, func(t *testing.T, _, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
 		s.addMachines(8)
 		s.Users.CloseLooks, s.Users.AtEnd = true, 0.3
 		kinds := []protocol.Job{simulation.Array(1), simulation.Array(3), simulation.Array(40), simulation.Array(2), simulation.Array(1)}
 		kinds[3].MachineTypes = []string{"box", "barn"}
-		kinds[4] = withManyTypes(kinds[4]) // its description goes into pieces
+		kinds[4] = withManyTypes(kinds[4]) // its description is stored in chunks
 		var last *simulation.Job
 		for k := range 24 {
 			spec := kinds[k%len(kinds)]
 			if k%6 == 5 && last != nil && last.Accepted {
 				spec.Dependencies = []string{last.Spec.ID}
 			}
-			j := s.Users.Submit(spec, float64(1+k%4))
-			for range 6 * (k % 3 / 2) { // some come many at a time, into lots
+			job := s.Users.Submit(spec, float64(1+k%4))
+			for range 6 * (k % 3 / 2) { // some come many at a time, into batches
 				s.Users.Submit(simulation.Array(1), 2)
 			}
-			last = j
+			last = job
 			switch k % 8 {
 			case 1:
-				s.Until(s.Now+5*second, func() bool { return j.Accepted })
-				s.Users.Abort(j)
+				s.Until(s.Now+5*second, func() bool { return job.Accepted })
+				s.Users.Abort(job)
 			case 3:
-				s.After(3*second, func() { s.Users.Abort(j) })
+				s.After(3*second, func() { s.Users.Abort(job) })
 			case 5:
 				s.State.Forgot[s.Nodes[k%controllers].Label] = true
 			case 6:
@@ -48,47 +48,45 @@
 		}
 		s.recoverAndFinish(200 * second)
 		if s.Users.Looks < 1000 {
-			t.Fatalf("only %d close looks were answered", s.Users.Looks)
+			t.Fatalf("only %d reads at all nodes were answered", s.Users.Looks)
 		}
 	})
 }
 
-// A cancellation, questions at all nodes and a repeated submission meet the end of a job's last
-// task, at that moment and in the milliseconds around it, with no other trouble: one final word
-// is told, at once, by all.
+// A cancellation, questions at all nodes and a repeated submission come at the very moment at
+// which a job's last task completes, or milliseconds later, without any fault: all nodes tell the
+// same final state at once.
 func TestRequestsAtJobCompletion(t *testing.T) {
-	done, gone := 0, 0
+	done, cancelled := 0, 0
 	for seed := range uint64(12) {
 		s := newScenario(t, 3800+seed)
 		s.addMachines(8)
 		s.Users.CloseLooks = true
-		var jobs []*simulation.Job
 		for k := range 20 {
-			j := s.Users.Submit(simulation.Array(1+k%3), 5)
-			jobs = append(jobs, j)
-			if !s.Until(s.Now+40*second, func() bool { return s.Users.Done(j) == j.Spec.Tasks }) {
-				t.Fatal("it does not end")
+			job := s.Users.Submit(simulation.Array(1+k%3), 5)
+			if !s.Until(s.Now+40*second, func() bool { return s.Users.Done(job) == job.Spec.Tasks }) {
+				t.Fatal("its tasks do not complete")
 			}
 			s.Run(s.Now + time.Duration(k*k)*time.Millisecond)
-			s.Users.Look(j)
-			s.Users.Abort(j)
-			s.Users.Resubmit(j)
-			s.eventually(3*second, "it is over", func() bool { return toldState(protocol.JobDone, j)() || toldState(protocol.JobCancelled, j)() })
-			if j.Told == protocol.JobDone {
+			s.Users.Look(job)
+			s.Users.Abort(job)
+			s.Users.Resubmit(job)
+			s.eventually(3*second, "it is over", func() bool { return job.Told == protocol.JobDone || job.Told == protocol.JobCancelled })
+			if job.Told == protocol.JobDone {
 				done++
 			} else {
-				gone++
+				cancelled++
 			}
 		}
 		s.recoverAndFinish(20 * second)
 	}
-	if done == 0 || gone == 0 {
-		t.Fatalf("%d were done and %d cancelled: one side was not shown", done, gone)
+	if done == 0 || cancelled == 0 {
+		t.Fatalf("%d were done and %d cancelled: one side was not shown", done, cancelled)
 	}
 }
 
-// A job is accepted at one node and comes again, changed so that it could not run, at all
-// nodes, of which one reads late: each answers by the job's state.
+// A job is accepted at one node and submitted again, changed so that it could not run, at all
+// nodes, of which one reads late: each answers with the job's state.
 func TestAcceptedJobIsNotRejectedByStaleMirror(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newScenario(t, 4800+seed)
@@ -96,18 +94,19 @@
 		s.Link("state", slow.Label, simulation.Link{Delay: 6 * second / 10})
 		s.Run(s.Now + 5*second)
 		s.Users.Only = s.leader()
-		j := s.Users.Submit(simulation.Array(2), 15)
-		s.eventually(10*second, "it is accepted", func() bool { return j.Accepted })
+		job := s.Users.Submit(simulation.Array(2), 15)
+		s.eventually(10*second, "it is accepted", func() bool { return job.Accepted })
 		s.Users.Only = nil
-		again, answers := j.Spec, map[string]core.ReplyStatus{}
+		again, answers := job.Spec, map[string]core.ReplyStatus{}
 		again.CPUs = 4096
-		for _, n := range s.Nodes {
-			n.Ask(func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: again} }, func(r core.Reply) { answers[n.Label] = r.Status })
+		for _, node := range s.Nodes {
+			submit := func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: again} }
+			node.Ask(submit, func(reply core.Reply) { answers[node.Label] = reply.Status })
 		}
 		s.Run(s.Now + 5*second)
-		for _, n := range s.Nodes {
-			if got := answers[n.Label]; got != 200 && (got != 503 || n != slow) {
-				t.Fatalf("%s answers %d", n.Label, got)
+		for _, node := range s.Nodes {
+			if got := answers[node.Label]; got != core.ReplyOK && (got != core.ReplyUnavailable || node != slow) {
+				t.Fatalf("%s answers %d", node.Label, got)
 			}
 		}
 		s.Link("state", slow.Label, simulation.Link{})
--- a/internal/core/fault_helpers_test.go
+++ b/internal/core/fault_helpers_test.go
@@ -11,84 +11,83 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// startScenario begins a story with so many controllers, whose settings change may alter first.
+// startScenario starts so many controllers, whose settings change may alter first, and waits
+// until they are ready.
 func startScenario(t testing.TB, seed uint64, controllers int, change func(*config.Site)) *scenario {
 	t.Helper()
-	set := simulation.Settings(controllers)
+	settings := simulation.Settings(controllers)
 	if change != nil {
-		change(&set.Site)
+		change(&settings.Site)
 	}
-	s := &scenario{World: simulation.Build(seed, set, simulation.Types()), t: t}
+	s := &scenario{World: simulation.Build(seed, settings, simulation.Types()), t: t}
 	s.eventually(20*second, "the nodes are ready", func() bool {
 		return !slices.ContainsFunc(s.Nodes, func(n *simulation.Node) bool { return !n.Ready })
 	})
 	return s
 }
 
-// acrossSeeds plays a story over several seeds, with three controllers and with five.
-func acrossSeeds(t *testing.T, first, seeds uint64, play func(t *testing.T, k, controllers int, seed uint64)) {
+// acrossSeeds plays a scenario over several seeds, with three controllers and with five. The
+// scenario gets the number of the seed among them, by which it may vary.
+func acrossSeeds(t *testing.T, first, seeds uint64, play func(t *testing.T, variant, controllers int, seed uint64)) {
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			t.Parallel()
-			for seed := range seeds {
-				play(t, int(seed), controllers, first+seed)
+			for variant := range seeds {
+				play(t, int(variant), controllers, first+variant)
 			}
 		})
 	}
 }
 
-// startFull begins a story with twelve machines that are full: team red at its limit, a job that goes
-// on for a minute, and one that is to be cancelled.
-func startFull(t *testing.T, seed uint64, controllers int) (s *scenario, gone *simulation.Job) {
+// startFull starts controllers with twelve machines that are full: of a team at its quota, of a
+// job that goes on for a minute, and of one that is to be cancelled, which it returns.
+func startFull(t *testing.T, seed uint64, controllers int) (s *scenario, toCancel *simulation.Job) {
 	s = startScenario(t, seed, controllers, nil)
 	s.addMachines(12)
 	spec := simulation.Array(24)
 	spec.Team = "red"
 	s.Users.Submit(spec, 40)
 	s.Users.Submit(simulation.Array(8), 60)
-	gone = s.Users.Submit(simulation.Array(16), 200)
+	toCancel = s.Users.Submit(simulation.Array(16), 200)
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 48 })
-	return
+	return s, toCancel
 }
 
-// recoverAndFinish ends a story: no trouble is left, every user hears how its job ended, and nobody waits
-// for nothing.
-func (s *scenario) recoverAndFinish(d time.Duration) {
+// recoverAndFinish ends all faults and waits until every user has heard how each job ended. From
+// then on nobody may be left without an answer.
+func (s *scenario) recoverAndFinish(timeout time.Duration) {
 	s.t.Helper()
 	s.State.LateShare, s.State.Slow, s.State.Refuses = 0, 0, map[string]bool{}
 	s.Copies, s.KeepReports, s.Users.AtEnd, s.Cloud.Out = 0, false, 0, false
 	s.Users.Calm = s.Now
-	s.eventually(d, "all is over", s.Users.AllTold)
+	s.eventually(timeout, "all is over", s.Users.AllTold)
 }
 
 // crashLeader crashes whoever leads.
-func (s *scenario) crashLeader(back time.Duration) {
-	if n := s.currentLeader(); n != nil {
-		n.Crash(back)
+func (s *scenario) crashLeader(restartDelay time.Duration) {
+	if node := s.currentLeader(); node != nil {
+		node.Crash(restartDelay)
 	}
 }
 
-func (s *scenario) crashAll(back time.Duration) {
-	for _, n := range s.Nodes {
-		n.Crash(back)
+// crashAll crashes all controllers.
+func (s *scenario) crashAll(restartDelay time.Duration) {
+	for _, node := range s.Nodes {
+		node.Crash(restartDelay)
 	}
 }
 
-// hand submits a job and waits until it is accepted.
-func (s *scenario) submitAccepted(spec protocol.Job, run float64) *simulation.Job {
+// submitAccepted submits a job and waits until it is accepted.
+func (s *scenario) submitAccepted(spec protocol.Job, seconds float64) *simulation.Job {
 	s.t.Helper()
-	j := s.Users.Submit(spec, run)
-	s.eventually(30*second, "a job is accepted", func() bool { return j.Accepted })
-	return j
+	job := s.Users.Submit(spec, seconds)
+	s.eventually(30*second, "a job is accepted", func() bool { return job.Accepted })
+	return job
 }
 
+// toldState tells whether the users of all jobs were told a state last.
 func toldState(state string, jobs ...*simulation.Job) func() bool {
 	return func() bool {
-		for _, j := range jobs {
-			if j.Told != state {
-				return false
-			}
-		}
-		return true
+		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return job.Told != state })
 	}
 }
