--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -11,21 +11,21 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// dependentArray describes a job of n tasks that needs others.
-func dependentArray(n int, needs ...*simulation.Job) protocol.Job {
-	spec := simulation.Array(n)
-	for _, j := range needs {
-		spec.Dependencies = append(spec.Dependencies, j.Spec.ID)
+// dependentArray describes a job of so many tasks that depends on others.
+func dependentArray(tasks int, dependencies ...*simulation.Job) protocol.Job {
+	spec := simulation.Array(tasks)
+	for _, job := range dependencies {
+		spec.Dependencies = append(spec.Dependencies, job.Spec.ID)
 	}
 	return spec
 }
 
-// submitDiamond submits a pipeline: one, two that need it, and one that needs both.
+// submitDiamond submits a job, two that depend on it, and one that depends on both.
 func (s *scenario) submitDiamond() []*simulation.Job {
-	a := s.submitAccepted(simulation.Array(3), 6)
-	b := s.submitAccepted(dependentArray(4, a), 5)
-	c := s.submitAccepted(dependentArray(2, a, a), 9)
-	return []*simulation.Job{a, b, c, s.submitAccepted(dependentArray(1, b, c), 2)}
+	head := s.submitAccepted(simulation.Array(3), 6)
+	left := s.submitAccepted(dependentArray(4, head), 5)
+	right := s.submitAccepted(dependentArray(2, head, head), 9)
+	return []*simulation.Job{head, left, right, s.submitAccepted(dependentArray(1, left, right), 2)}
 }
 
 func TestDependentJobsRunInOrder(t *testing.T) {
@@ -36,7 +36,7 @@
 	})
 	s.leader().Crash(second / 5)
 	s.eventually(200*second, "all are done", toldState(protocol.JobDone, jobs...))
-	// The last job of a pipeline may come when all else is over.
+	// A dependent may also come when all that it depends on is over.
 	last := s.submitAccepted(dependentArray(1, jobs...), 1)
 	s.eventually(60*second, "that one too", toldState(protocol.JobDone, last))
 }
@@ -46,13 +46,13 @@
 	jobs := s.submitDiamond()
 	other := s.submitAccepted(simulation.Array(1), 300)
 	s.Users.Abort(jobs[0])
-	s.eventually(45*second, "all behind it are cancelled", toldState(protocol.JobCancelled, jobs...))
+	s.eventually(45*second, "all dependents are cancelled", toldState(protocol.JobCancelled, jobs...))
 	late := s.submitAccepted(dependentArray(2, other, jobs[3]), 1)
-	s.eventually(10*second, "who names a cancelled one is accepted and cancelled", toldState(protocol.JobCancelled, late))
+	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", toldState(protocol.JobCancelled, late))
 	if !strings.Contains(late.Answer.Reason, jobs[3].Spec.ID) {
 		t.Fatalf("the reason is %q", late.Answer.Reason)
 	}
-	s.crashAll(second / 20) // whoever reads the records comes to the same
+	s.crashAll(second / 20) // whoever reloads the records comes to the same
 	s.Run(s.Now + 60*second)
 	for range 60 {
 		s.Users.PollAny()
@@ -61,7 +61,7 @@
 	s.requireInvariants()
 }
 
-// One branch of a diamond is cancelled: the end too, the other branch goes on.
+// One branch of a diamond is cancelled: the last job is too, the other branch goes on.
 func TestCancelledBranchOfDiamond(t *testing.T) {
 	s := newScenario(t, 302)
 	jobs := s.submitDiamond()
@@ -70,28 +70,29 @@
 	s.eventually(60*second, "the other branch is done", toldState(protocol.JobDone, jobs[0], jobs[2]))
 }
 
-// Whichever of done and cancelled comes first, those behind follow it, wherever they are
-// asked about; the checker holds every answer against the others.
+// Whichever of done and cancelled comes first, the dependents follow it, wherever they are asked
+// about; the invariant checker compares the answers.
 func TestCancellationRacesCompletion(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(60) {
 		s := newScenario(t, 400+seed)
-		a := s.submitAccepted(simulation.Array(1), 4)
-		b := s.submitAccepted(dependentArray(1, a), 1)
-		s.Until(s.Now+60*second, func() bool { return a.Running() > 0 })
+		head := s.submitAccepted(simulation.Array(1), 4)
+		accepted := s.submitAccepted(dependentArray(1, head), 1)
+		s.Until(s.Now+60*second, func() bool { return head.Running() > 0 })
 		s.Run(s.Now + 4*second - 300*time.Millisecond + time.Duration(seed)*25*time.Millisecond)
-		s.Users.Abort(a)
-		c := s.Users.Submit(dependentArray(1, a, b), 1)
+		s.Users.Abort(head)
+		late := s.Users.Submit(dependentArray(1, head, accepted), 1)
 		if seed%4 == 0 {
 			s.leader().Crash(second / 20)
 		}
 		s.eventually(200*second, "all come to the same end", func() bool {
-			return c.Told == a.Told && b.Told == a.Told && toldState(c.Told, a)() && a.Told != "" && a.Told != protocol.JobQueued && a.Told != protocol.JobRunning
+			final := head.Told == protocol.JobDone || head.Told == protocol.JobCancelled
+			return final && toldState(head.Told, accepted, late)()
 		})
-		outcomes[a.Told]++
+		outcomes[head.Told]++
 	}
 	if outcomes[protocol.JobDone] == 0 || outcomes[protocol.JobCancelled] == 0 {
-		t.Fatalf("the story shows one outcome only: %v", outcomes)
+		t.Fatalf("only one outcome was shown: %v", outcomes)
 	}
 }
 
@@ -99,39 +100,39 @@
 	s := newScenario(t, 303)
 	service := simulation.Array(1)
 	service.Kind, service.EstimateS = protocol.KindService, 0
-	up := s.submitAccepted(service, 1)
+	running := s.submitAccepted(service, 1)
 	self := simulation.Array(1)
 	self.ID, self.Dependencies = "job-777777", []string{"job-777777"}
 	stranger := simulation.Array(1)
 	stranger.Dependencies = []string{"job-888888"}
-	s.requireRejected(self, stranger, dependentArray(1, up))
+	s.requireRejected(self, stranger, dependentArray(1, running))
 	// A repeat is answered by what was accepted, whatever it names.
-	a := s.submitAccepted(simulation.Array(1), 3)
-	b := s.submitAccepted(dependentArray(1, a), 3)
-	b.Spec.Dependencies = []string{"job-888888"}
-	s.Users.Resubmit(b)
+	head := s.submitAccepted(simulation.Array(1), 3)
+	dependent := s.submitAccepted(dependentArray(1, head), 3)
+	dependent.Spec.Dependencies = []string{"job-888888"}
+	s.Users.Resubmit(dependent)
 	s.Run(s.Now + 5*second)
 	s.requireInvariants()
 }
 
-// A pipeline that waits holds nothing: another team's, and its own team's, work runs as if
-// it were not there.
+// Dependents that wait hold no capacity and no quota: the work of their own team and of others
+// runs as if they were not there.
 func TestWaitingDependentsHoldNoCapacity(t *testing.T) {
 	s := newScenario(t, 304)
 	spec := simulation.Array(24)
 	spec.Team = "red"
-	first := s.submitAccepted(spec, 40) // its team's whole limit
+	first := s.submitAccepted(spec, 40) // its team's whole quota
 	for range 3 {
-		w := dependentArray(24, first)
-		w.Team, w.Urgency = "red", protocol.UrgencyProduction
-		s.submitAccepted(w, 5)
+		dependent := dependentArray(24, first)
+		dependent.Team, dependent.Urgency = "red", protocol.UrgencyProduction
+		s.submitAccepted(dependent, 5)
 	}
 	free := s.submitAccepted(simulation.Array(8), 5) // team blue's guarantee
 	s.eventually(60*second, "other work is done", toldState(protocol.JobDone, free))
 	s.eventually(400*second, "and in the end all", s.Users.AllTold)
 }
 
-// What an urgent job needs is treated as urgent.
+// What an urgent job depends on is treated as urgent.
 func TestDependenciesInheritUrgency(t *testing.T) {
 	done := func(urgent bool) time.Duration {
 		s := newScenario(t, 305)
@@ -150,29 +151,29 @@
 		return s.Now
 	}
 	if plain, urgent := done(false), done(true); urgent*5 > plain*4 {
-		t.Fatalf("done after %v with an urgent job behind it, after %v without", urgent, plain)
+		t.Fatalf("done after %v with an urgent dependent, after %v without", urgent, plain)
 	}
 }
 
-// The checker itself: three seeded faults must be caught, or the stories above assert
-// nothing.
+// The invariant checker itself: three violations that are brought about must be caught, or the
+// scenarios above assert nothing.
 func TestCheckerCatchesDependencyFaults(t *testing.T) {
-	caught := func(s *scenario, rule string) {
+	requireCaught := func(s *scenario, invariant string) {
 		t.Helper()
-		if !slices.ContainsFunc(s.Broken, func(b string) bool { return strings.Contains(b, " "+rule+": ") }) {
-			t.Errorf("%s was not caught: %v", rule, s.Broken)
+		if !slices.ContainsFunc(s.Broken, func(b string) bool { return strings.Contains(b, " "+invariant+": ") }) {
+			t.Errorf("%s was not caught: %v", invariant, s.Broken)
 		}
 	}
-	// Controllers that know nothing of needs start at once.
+	// Controllers of the previous version know nothing of dependencies and start at once.
 	s := newScenario(t, 311)
 	s.startOldVersion()
 	s.Run(s.Now + 5*second)
 	first := s.submitAccepted(simulation.Array(2), 60)
 	s.submitAccepted(dependentArray(2, first), 5)
 	s.Run(s.Now + 60*second)
-	caught(s, "too_early")
+	requireCaught(s, "too_early")
 
-	// The record of a cancellation is lost, and everybody reads the state anew.
+	// The record of a cancellation is lost, and every controller reloads.
 	s = newScenario(t, 312)
 	first = s.submitAccepted(simulation.Array(2), 600)
 	rest := s.submitAccepted(dependentArray(2, first), 5)
@@ -181,7 +182,7 @@
 	s.State.Reopen(first.Spec)
 	s.crashAll(second)
 	s.Run(s.Now + 100*second)
-	caught(s, "orphaned")
+	requireCaught(s, "orphaned")
 
 	// Controllers that were not told of the limits to come write too much.
 	s = newScenario(t, 313)
@@ -189,11 +190,11 @@
 	s.State.Lowered = true
 	s.Users.Submit(simulation.Array(2), 5)
 	s.Run(s.Now + 20*second)
-	caught(s, "malformed")
+	requireCaught(s, "malformed")
 }
 
-// The first job of a chain fails wherever it runs: those behind it wait, say so and hold
-// nothing, and go with it when its user gives up.
+// The first job of a chain fails wherever it runs: its dependents wait, say so and hold nothing,
+// and are cancelled with it when its user gives up.
 func TestDependencyChainWithFailingHead(t *testing.T) {
 	s := newScenario(t, 314)
 	head := s.submitAccepted(simulation.Array(4), 5)
@@ -203,30 +204,30 @@
 	free := s.submitAccepted(simulation.Array(8), 5)
 	s.eventually(100*second, "other work is done", toldState(protocol.JobDone, free))
 	s.Run(s.Now + 60*second)
-	if why := rest[1].Answer.Reason; why != "waits for "+rest[0].Spec.ID {
-		t.Fatalf("the last says %q", why)
+	if reason := rest[1].Answer.Reason; reason != "waits for "+rest[0].Spec.ID {
+		t.Fatalf("the last says %q", reason)
 	}
 	s.Users.Abort(head)
 	s.eventually(60*second, "all are cancelled", toldState(protocol.JobCancelled, head, rest[0], rest[1]))
 }
 
-// A chain across teams, one of which is at its limit for long.
+// A chain across teams, one of which is at its quota for long.
 func TestDependencyChainAcrossTeams(t *testing.T) {
 	s := newScenario(t, 315)
-	red := func(n int, needs ...*simulation.Job) protocol.Job {
-		spec := dependentArray(n, needs...)
+	ofRed := func(tasks int, dependencies ...*simulation.Job) protocol.Job {
+		spec := dependentArray(tasks, dependencies...)
 		spec.Team = "red"
 		return spec
 	}
-	full := s.submitAccepted(red(24), 150)
-	s.eventually(60*second, "its team is at its limit", func() bool { return full.Running() == 24 })
-	a := s.submitAccepted(simulation.Array(4), 4)
-	b := s.submitAccepted(red(4, a), 4)
-	c := s.submitAccepted(dependentArray(4, b), 4)
-	s.eventually(60*second, "the first is done", toldState(protocol.JobDone, a))
+	full := s.submitAccepted(ofRed(24), 150)
+	s.eventually(60*second, "its team is at its quota", func() bool { return full.Running() == 24 })
+	head := s.submitAccepted(simulation.Array(4), 4)
+	middle := s.submitAccepted(ofRed(4, head), 4)
+	last := s.submitAccepted(dependentArray(4, middle), 4)
+	s.eventually(60*second, "the first is done", toldState(protocol.JobDone, head))
 	s.Run(s.Now + 8*second)
-	if !strings.Contains(b.Answer.Reason, "at its limit") {
-		t.Fatalf("the second is %s and says %q, %d of the first run", b.Told, b.Answer.Reason, full.Running())
+	if !strings.Contains(middle.Answer.Reason, "at its limit") {
+		t.Fatalf("the second is %s and says %q, %d of the first run", middle.Told, middle.Answer.Reason, full.Running())
 	}
-	s.eventually(300*second, "all are done", toldState(protocol.JobDone, full, a, b, c))
+	s.eventually(300*second, "all are done", toldState(protocol.JobDone, full, head, middle, last))
 }
--- a/internal/core/rolling_upgrade_test.go
+++ b/internal/core/rolling_upgrade_test.go
@@ -10,62 +10,67 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// startOldVersion has all controllers run the version before, allNew ends them and has them come
-// back with this one, allEnd only ends them.
+// startOldVersion starts all controllers with the previous version.
 func (s *scenario) startOldVersion() {
-	for _, n := range s.Nodes {
-		n.Old = true
-		n.Start()
+	for _, node := range s.Nodes {
+		node.Old = true
+		node.Start()
 	}
 }
 
+// upgradeAll restarts all controllers with the present version.
 func (s *scenario) upgradeAll() {
-	for _, n := range s.Nodes {
-		n.Old = false
+	for _, node := range s.Nodes {
+		node.Old = false
 	}
 	s.crashAll(second / 5)
 }
 
-// A roll: one controller after another comes back with the new version, the leader first;
-// what is new is refused while an old one lives, and works at once after.
+// upgrade restarts a controller with the present version.
+func upgrade(node *simulation.Node) {
+	node.Old = false
+	node.Crash(second / 5)
+}
+
+// One controller after another restarts with the present version, the leader first: what is new
+// is rejected while one of the previous version lives, and works at once after.
 func TestRollingUpgrade(t *testing.T) {
 	s := newScenario(t, 306)
-	for _, n := range s.Nodes {
-		n.Old = true
-		n.Crash(second / 20)
+	for _, node := range s.Nodes {
+		node.Old = true
+		node.Crash(second / 20)
 	}
 	s.Run(s.Now + 30*second)
 	before := s.submitAccepted(simulation.Array(30), 20)
 	var after *simulation.Job
 	for k := range s.Nodes {
-		n := s.leader()
-		for i := k; !n.Old; i++ {
-			n = s.Nodes[i%len(s.Nodes)]
+		node := s.leader()
+		for i := k; !node.Old; i++ {
+			node = s.Nodes[i%len(s.Nodes)]
 		}
-		n.Old = false
-		n.Crash(second / 5)
+		upgrade(node)
 		s.Run(s.Now + 8*second)
 		if k == 1 {
-			old := s.Nodes[slices.IndexFunc(s.Nodes, func(n *simulation.Node) bool { return n.Old })]
-			s.Link("users", old.Label, simulation.Refused) // it would take the job without its needs
+			old := s.Nodes[slices.IndexFunc(s.Nodes, func(node *simulation.Node) bool { return node.Old })]
+			s.Link("users", old.Label, simulation.Refused) // it would accept the job without its dependencies
 			after = s.Users.Submit(dependentArray(2, before), 3)
 			s.Run(s.Now + 6*second)
 			if after.Accepted {
-				t.Fatal("accepted while an old controller lives")
+				t.Fatal("accepted while a controller of the previous version lives")
 			}
 			s.Link("users", old.Label, simulation.Link{})
 		}
 	}
-	s.eventually(200*second, "all is done", func() bool { return toldState(protocol.JobDone, before)() && after.Told == protocol.JobDone })
+	s.eventually(200*second, "all is done", toldState(protocol.JobDone, before, after))
 }
 
-// Everything at once across a roll: a controller that is cut off, one that stands still,
-// limits that fall during an outage, a wave of machines, and all end when half are new.
+// A rolling upgrade with a controller that is partitioned, one that is paused, limits that are
+// lowered during an outage, a wave of machines, and a crash of all when half are upgraded.
 func TestRollingUpgradeDuringFaults(t *testing.T) {
 	for seed := range uint64(12) {
-		set := simulation.Settings(4)
-		set.Site.State.Next = &config.State{WriteRPS: 30, ValueKB: 2, TxnOps: 5}
-		s := &scenario{World: simulation.Build(320+seed, set, simulation.Types()), t: t}
+		settings := simulation.Settings(4)
+		settings.Site.State.Next = &config.State{WriteRPS: 30, ValueKB: 2, TxnOps: 5}
+		s := &scenario{World: simulation.Build(320+seed, settings, simulation.Types()), t: t}
 		s.startOldVersion()
 		for range 30 {
 			s.Cloud.Add("box", "a", true)
@@ -77,20 +82,12 @@
 		}
 		s.Run(s.Now + 10*second)
 		s.partition(25*second, s.Nodes[0].Label, "state")
-		for k, n := range s.Nodes {
-			n.Old = false
-			n.Crash(second / 5)
+		for k, node := range s.Nodes {
+			upgrade(node)
 			s.Run(s.Now + 3*second)
 			switch k {
 			case 1:
-				for i, x := range s.Nodes {
-					x.Crash(second * time.Duration(1+(i+int(seed))%4) / 10)
-				}
-				s.State.Outage(12 * second)
-				s.After(4*second, func() { s.State.Lowered = true })
-				for range 60 {
-					s.Cloud.Add("box", "b", true)
-				}
+				s.crashAllInOutage(seed)
 			case 2:
 				s.Run(s.Now + 2*second)
 				s.Nodes[3].StandStill(20 * second)
@@ -103,3 +100,16 @@
 		s.eventually(400*second, "all is done", toldState(protocol.JobDone, jobs...))
 	}
 }
+
+// crashAllInOutage crashes all controllers, which come back in an order of the seed, in an outage
+// of the state service in which its limits are lowered and many machines come up.
+func (s *scenario) crashAllInOutage(seed uint64) {
+	for i, node := range s.Nodes {
+		node.Crash(second * time.Duration(1+(i+int(seed))%4) / 10)
+	}
+	s.State.Outage(12 * second)
+	s.After(4*second, func() { s.State.Lowered = true })
+	for range 60 {
+		s.Cloud.Add("box", "b", true)
+	}
+}
