--- /dev/null
+++ b/internal/core/consistency_faults_test.go
@@ -0,0 +1,115 @@
+package core_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/simulation"
+)
+
+// Users ask at all nodes within milliseconds about every kind of job that was accepted, has ended
+// or is called cancelled, and submit it again, while nodes restart and reload and the state
+// service is slow: no node says anything older than another has said.
+func TestReadsAreMonotonicAcrossNodes(t *testing.T) {
+	acrossSeeds(t, 3000, 3, func(t *testing.T, _, controllers int, seed uint64) {
+		s := startScenario(t, seed, controllers, nil)
+		s.addMachines(8)
+		s.Users.CloseLooks, s.Users.AtEnd = true, 0.3
+		kinds := []protocol.Job{simulation.Array(1), simulation.Array(3), simulation.Array(40), simulation.Array(2), simulation.Array(1)}
+		kinds[3].MachineTypes = []string{"box", "barn"}
+		kinds[4] = withManyTypes(kinds[4]) // its description is stored in chunks
+		var last *simulation.Job
+		for k := range 24 {
+			spec := kinds[k%len(kinds)]
+			if k%6 == 5 && last != nil && last.Accepted {
+				spec.Dependencies = []string{last.Spec.ID}
+			}
+			job := s.Users.Submit(spec, float64(1+k%4))
+			for range 6 * (k % 3 / 2) { // some come many at a time, into batches
+				s.Users.Submit(simulation.Array(1), 2)
+			}
+			last = job
+			switch k % 8 {
+			case 1:
+				s.Until(s.Now+5*second, func() bool { return job.Accepted })
+				s.Users.Abort(job)
+			case 3:
+				s.After(3*second, func() { s.Users.Abort(job) })
+			case 5:
+				s.State.Forgot[s.Nodes[k%controllers].Label] = true
+			case 6:
+				s.Nodes[k%controllers].Crash(second / 5)
+			case 7:
+				s.State.Slow = time.Duration(k%3) * 100 * time.Millisecond
+			}
+			s.Run(s.Now + 2*second)
+		}
+		s.recoverAndFinish(200 * second)
+		if s.Users.Looks < 1000 {
+			t.Fatalf("only %d reads at all nodes were answered", s.Users.Looks)
+		}
+	})
+}
+
+// A cancellation, questions at all nodes and a repeated submission come at the very moment at
+// which a job's last task completes, or milliseconds later, without any fault: all nodes tell the
+// same final state at once.
+func TestRequestsAtJobCompletion(t *testing.T) {
+	done, cancelled := 0, 0
+	for seed := range uint64(12) {
+		s := newScenario(t, 3800+seed)
+		s.addMachines(8)
+		s.Users.CloseLooks = true
+		for k := range 20 {
+			job := s.Users.Submit(simulation.Array(1+k%3), 5)
+			if !s.Until(s.Now+40*second, func() bool { return s.Users.Done(job) == job.Spec.Tasks }) {
+				t.Fatal("its tasks do not complete")
+			}
+			s.Run(s.Now + time.Duration(k*k)*time.Millisecond)
+			s.Users.Look(job)
+			s.Users.Abort(job)
+			s.Users.Resubmit(job)
+			s.eventually(3*second, "it is over", func() bool { return job.Told == protocol.JobDone || job.Told == protocol.JobCancelled })
+			if job.Told == protocol.JobDone {
+				done++
+			} else {
+				cancelled++
+			}
+		}
+		s.recoverAndFinish(20 * second)
+	}
+	if done == 0 || cancelled == 0 {
+		t.Fatalf("%d were done and %d cancelled: one side was not shown", done, cancelled)
+	}
+}
+
+// A job is accepted at one node and submitted again, changed so that it could not run, at all
+// nodes, of which one reads late: each answers with the job's state.
+func TestAcceptedJobIsNotRejectedByStaleMirror(t *testing.T) {
+	for seed := range uint64(3) {
+		s := newScenario(t, 4800+seed)
+		slow := s.follower()
+		s.Link("state", slow.Label, simulation.Link{Delay: 6 * second / 10})
+		s.Run(s.Now + 5*second)
+		s.Users.Only = s.leader()
+		job := s.Users.Submit(simulation.Array(2), 15)
+		s.eventually(10*second, "it is accepted", func() bool { return job.Accepted })
+		s.Users.Only = nil
+		again, answers := job.Spec, map[string]core.ReplyStatus{}
+		again.CPUs = 4096
+		for _, node := range s.Nodes {
+			submit := func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: again} }
+			node.Ask(submit, func(reply core.Reply) { answers[node.Label] = reply.Status })
+		}
+		s.Run(s.Now + 5*second)
+		for _, node := range s.Nodes {
+			if got := answers[node.Label]; got != core.ReplyOK && (got != core.ReplyUnavailable || node != slow) {
+				t.Fatalf("%s answers %d", node.Label, got)
+			}
+		}
+		s.Link("state", slow.Label, simulation.Link{})
+		s.eventually(60*second, "it is done", s.Users.AllTold)
+	}
+}
