--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -55,7 +55,7 @@
 	membership   *membership
 	shard        *shard
 	scheduler    *scheduler
-	estimator    *estimator
+	estimator    *taskEstimator
 	fleet        *fleet
 	registry     *machineRegistry
 	degraded     *degradedMode
@@ -135,7 +135,7 @@
 	c.queries = &jobQueries{c}
 	c.membership = newMembership(c)
 	c.shard = newShard(c)
-	c.estimator = newEstimator(c)
+	c.estimator = newTaskEstimator(c)
 	c.fleet = newFleet(c)
 	c.registry = &machineRegistry{core: c}
 	c.scheduler = newScheduler(c)
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -108,7 +108,7 @@
 			f.burstAt = f.core.now.Monotonic
 		}
 	}
-	work := float64(s.Tasks) * s.CPUs * f.core.estimator.predict(s) / span
+	work := float64(s.Tasks) * s.CPUs * f.core.estimator.Predict(s) / span
 	f.inflowByUrgency[q.effectiveUrgency] += work
 	if !f.core.bestEffortTeams[s.Team] {
 		f.guaranteedInflow += work
@@ -121,7 +121,7 @@
 	f.guaranteedInflow = 0
 	count := func(s *protocol.Job, at float64) {
 		if !f.core.bestEffortTeams[s.Team] {
-			f.guaranteedInflow += float64(s.Tasks) * s.CPUs * f.core.estimator.predict(s) / span * math.Exp(-max(f.core.now.Wall-at, 0)/span)
+			f.guaranteedInflow += float64(s.Tasks) * s.CPUs * f.core.estimator.Predict(s) / span * math.Exp(-max(f.core.now.Wall-at, 0)/span)
 		}
 	}
 	l := f.core.records
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -180,7 +180,7 @@
 	if spec.DeadlineS > 0 {
 		weight.LatestFinish = j.record.SubmittedAt + spec.DeadlineS
 	}
-	weight.Duration = s.core.estimator.predict(spec) + s.core.fleet.imagePullSeconds(spec)
+	weight.Duration = s.core.estimator.Predict(spec) + s.core.fleet.imagePullSeconds(spec)
 	if q := s.queue.get(id); q != nil && q.waitingTasks() == 0 {
 		weight.Duration /= 2 // all that is left of it is under way
 	}
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -13,7 +13,7 @@
 // (GPUs) times predicted duration of what is left of the job, which waiting shrinks.
 func (o *scheduler) rankJobs() []*queuedJob {
 	o.markWithinGuarantee()
-	o.core.estimator.beginRound()
+	o.core.estimator.BeginRound()
 	o.updateDependencyWeights()
 	var jobs []*queuedJob
 	for _, q := range o.queue.all() {
@@ -27,7 +27,7 @@
 		// A task that has outlived the prediction twice over disproves it: a name
 		// without history once took the mean of its team's tiny tasks, so that
 		// hours of work seemed to be worth no machine.
-		q.predictedSeconds = o.core.estimator.predict(&q.entry.record.Spec)
+		q.predictedSeconds = o.core.estimator.Predict(&q.entry.record.Spec)
 		if ran := q.longestRunning.Seconds(); ran > 2*q.predictedSeconds && q.entry.record.Spec.Kind != protocol.KindService {
 			q.predictedSeconds = ran
 		}
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -6,6 +6,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"github.com/chalkhub/chalkhub/internal/estimator"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 	"github.com/chalkhub/chalkhub/internal/protocol"
@@ -30,17 +31,17 @@
 	reason             string
 	publishedView      peerproto.JobView
 	predictedSeconds   float64
-	durations          runningMean     // of its own completed tasks that this leader has seen
-	rankBand           int             // its place in the order: first the band,
-	rankInBand         float64         // then the size
-	withinGuarantee    bool            // within its team's guarantee
-	boost              fairshare.Boost // its class's turn, whatever its urgency
-	protected          bool            // its class is short, or it has only just begun: its tasks are not stopped for others
-	startsEarly        bool            // it is to begin by now: its first task goes before its rank
-	effectiveUrgency   int             // its urgency, or that of the most urgent job that needs it
-	dependentsDeadline float64         // time of day by which it is to be done for those to be in time, +Inf: no matter
-	reservedAt         time.Duration   // since when its limit or machines are kept for it, 0: they are not
-	stoppedTasks       map[int]bool    // tasks that were stopped: what is left of them says nothing of their duration
+	durations          estimator.RunningMean // of its own completed tasks that this leader has seen
+	rankBand           int                   // its place in the order: first the band,
+	rankInBand         float64               // then the size
+	withinGuarantee    bool                  // within its team's guarantee
+	boost              fairshare.Boost       // its class's turn, whatever its urgency
+	protected          bool                  // its class is short, or it has only just begun: its tasks are not stopped for others
+	startsEarly        bool                  // it is to begin by now: its first task goes before its rank
+	effectiveUrgency   int                   // its urgency, or that of the most urgent job that needs it
+	dependentsDeadline float64               // time of day by which it is to be done for those to be in time, +Inf: no matter
+	reservedAt         time.Duration         // since when its limit or machines are kept for it, 0: they are not
+	stoppedTasks       map[int]bool          // tasks that were stopped: what is left of them says nothing of their duration
 	stopCount          int
 	stopReason         string
 	gangReleased       bool // a gang's tasks were told to start
@@ -172,7 +173,7 @@
 		q.unlocated = j.version <= o.electionRevision && !j.readyThisTerm
 		o.hasUnlocated = o.hasUnlocated || q.unlocated
 		o.queue.set(id, q)
-		o.core.estimator.jobArrived(&j.record.Spec)
+		o.core.estimator.JobArrived(&j.record.Spec)
 		if s := &j.record.Spec; o.core.debug {
 			o.core.logDebug("queued", "job", id, "at", j.record.SubmittedAt, "team", s.Team, "class", s.Class, "tasks", s.Tasks, "cpus", s.CPUs, "guess_s", s.EstimateS)
 		}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -118,8 +118,8 @@
 				s.StartLatencies[name] = Summarize(h)
 			}
 		}
-		for k, m := range c.estimator.history {
-			s.Estimates[k.String()] = m.mean
+		for k, m := range c.estimator.Means() {
+			s.Estimates[k.String()] = m
 		}
 		for id, q := range c.scheduler.queue.all() {
 			s.Queue = append(s.Queue, QueuedJobStatus{JobID: id, Waiting: max(q.waitingTasks(), 0), InFlight: len(q.inflight), Reason: q.reason})
