--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -168,7 +168,7 @@
 		s.Addr, s.Type, s.Zone, s.Spot = r.addr, r.typeName, r.zone, r.spot
 	}
 	if r.fullStateDue || r.imagesChanged {
-		s.Images = slices.Clone(r.images.Recency)
+		s.Images = slices.Clone(r.images.Images())
 	}
 	for _, t := range r.attempts {
 		if r.fullStateDue || !t.published {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -91,7 +91,7 @@
 	if r.capacityValid {
 		return &r.cachedCapacity
 	}
-	m := binpacking.Capacity{CPUs: r.machineType.CPUs, GPUs: r.machineType.GPUs, MemoryGB: r.machineType.MemoryGB, TypeName: r.typeName, Zone: r.zone, Spot: r.spot, CachedImages: r.images.Cached}
+	m := binpacking.Capacity{CPUs: r.machineType.CPUs, GPUs: r.machineType.GPUs, MemoryGB: r.machineType.MemoryGB, TypeName: r.typeName, Zone: r.zone, Spot: r.spot, CachedImages: r.images.Set()}
 	for _, t := range r.attempts {
 		if t.live() && t.spec != nil {
 			m.Allocate(t.spec)
