--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -6,189 +6,247 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// machineCommands lists what the machine must do now: kills first, then clears, then
-// starts, if any may go out. doID is that of the /do they go with, 0 for a response to a
-// report.
-func (p *shard) machineCommands(r *machine, doID uint64, start bool) []protocol.Command {
-	var cmds, clears []protocol.Command
-	clearNow, direct, starts := false, false, false
-	for _, t := range r.attempts {
-		starts = starts || t.phase == phaseQueued && start
-		if t.phase != phaseListed {
+// machineCommands lists what a machine must do now: stops first, then clears of tasks that have
+// ended, then starts, if any may go out. callID is that of the call they go with, 0 for a response
+// to a heartbeat.
+func (s *shard) machineCommands(m *machine, callID uint64, mayStart bool) []protocol.Command {
+	var commands []protocol.Command
+	var clears pendingClears
+	startDue := false
+	for _, attempt := range m.attempts {
+		startDue = startDue || attempt.phase == phaseQueued && mayStart
+		if attempt.phase != phaseListed {
 			continue
 		}
-		j := p.core.records.acceptedJob(t.jobID)
-		over := p.mustNotRun(t.jobID, j)
-		switch {
-		case t.state == protocol.TaskExited:
-			// A completed task is cleared only once that is durable, or a crash
-			// of every controller would lose the only trace of it.
-			if t.exitReason != protocol.ExitDone || over || j.isTaskDone(t.taskIndex) || j.record.Spec.Kind == protocol.KindService {
-				clears = append(clears, protocol.Command{Kind: protocol.CommandForget, Task: t.task, Attempt: t.number})
-				direct = direct || t.callID != 0 && t.startToken == r.token
-				clearNow = clearNow || t.exitReason != protocol.ExitDone || p.core.now.Monotonic-t.endedAt > p.core.intervals.workerLease/2
-			}
-		case over || j.isTaskDone(t.taskIndex):
-			cmds = append(cmds, protocol.Command{Kind: protocol.CommandStop, Task: t.task, Attempt: t.number})
-		case t.stopRequested && (t.stopNow || t.state != protocol.TaskSaving):
-			stop := protocol.Command{Kind: protocol.CommandStop, Task: t.task, Attempt: t.number}
-			if !t.stopNow {
-				stop.GraceS = j.record.Spec.SaveS
-			}
-			cmds = append(cmds, stop)
+		entry := s.core.records.acceptedJob(attempt.jobID)
+		if attempt.state == protocol.TaskExited {
+			s.clearIfDurable(&clears, m, attempt, entry)
+		} else if stop, due := s.stopCommand(attempt, entry); due {
+			commands = append(commands, stop)
 		}
 	}
-	// Each change of its list makes a worker report once more. Clearing alone is
-	// no reason for that: it waits for other commands, but not for long.
-	if len(clears) > 0 && (clearNow || len(cmds) > 0 || starts) {
-		if direct {
-			// Guards against a /do that was carried out and comes once more: what it
-			// started is unknown to the worker once it is cleared, and it would start
-			// it again. The worker takes the token and the clearing together, so
-			// nothing that it lists meanwhile is in doubt.
-			r.token++
+	// Each change of its list makes a worker report once more. Clearing alone is no reason for
+	// that: it waits for other commands, but not for long.
+	if len(clears.commands) > 0 && (clears.urgent || len(commands) > 0 || startDue) {
+		if clears.sentDirectly {
+			// Guards against a call that was carried out and comes once more: what it started
+			// is unknown to the worker once it is cleared, and it would start it again. The
+			// worker takes the token and the clear together, so nothing that it lists
+			// meanwhile is in doubt.
+			m.token++
 		}
-		cmds = append(cmds, clears...)
+		commands = append(commands, clears.commands...)
 	}
-	for _, t := range r.attempts {
-		if t.phase != phaseQueued || !start || p.core.degraded.isCancelled(t.jobID) {
+	if mayStart {
+		commands = s.appendStarts(commands, m, callID)
+	}
+	return commands
+}
+
+// pendingClears gathers the commands to clear a machine's tasks that have ended.
+type pendingClears struct {
+	commands     []protocol.Command
+	urgent       bool // not to wait for other commands
+	sentDirectly bool // one of the tasks was started by a call with the present token
+}
+
+// clearIfDurable has an attempt that has ended cleared. A completed task is cleared only once that
+// is durable, or a crash of every controller would lose the only trace of it.
+func (s *shard) clearIfDurable(clears *pendingClears, m *machine, attempt *taskAttempt, entry *jobEntry) {
+	failed := attempt.exitReason != protocol.ExitDone
+	if !failed && !s.mustNotRun(attempt.jobID, entry) && !entry.isTaskDone(attempt.taskIndex) && entry.record.Spec.Kind != protocol.KindService {
+		return
+	}
+	clears.commands = append(clears.commands, protocol.Command{Kind: protocol.CommandForget, Task: attempt.task, Attempt: attempt.number})
+	if attempt.callID != 0 && attempt.startToken == m.token {
+		clears.sentDirectly = true
+	}
+	if failed || s.core.now.Monotonic-attempt.endedAt > s.core.intervals.workerLease/2 {
+		clears.urgent = true
+	}
+}
+
+// stopCommand is the command to stop an attempt that runs, if it is due.
+func (s *shard) stopCommand(attempt *taskAttempt, entry *jobEntry) (stop protocol.Command, due bool) {
+	stop = protocol.Command{Kind: protocol.CommandStop, Task: attempt.task, Attempt: attempt.number}
+	switch {
+	case s.mustNotRun(attempt.jobID, entry) || entry.isTaskDone(attempt.taskIndex):
+		return stop, true
+	case attempt.stopRequested && (attempt.stopNow || attempt.state != protocol.TaskSaving):
+		if !attempt.stopNow {
+			stop.GraceS = entry.record.Spec.SaveS
+		}
+		return stop, true
+	}
+	return protocol.Command{}, false
+}
+
+// appendStarts adds the commands to start what is queued on a machine.
+func (s *shard) appendStarts(commands []protocol.Command, m *machine, callID uint64) []protocol.Command {
+	for _, attempt := range m.attempts {
+		if attempt.phase != phaseQueued || s.core.degraded.isCancelled(attempt.jobID) {
 			continue
 		}
-		t.startToken = r.token
-		if doID != 0 {
-			t.phase, t.callID = phaseSentDirectly, doID
+		attempt.startToken = m.token
+		if callID != 0 {
+			attempt.phase, attempt.callID = phaseSentDirectly, callID
 		} else {
-			t.phase = phaseSentInReply
+			attempt.phase = phaseSentInReply
 		}
-		cmds = append(cmds, protocol.Command{Kind: protocol.CommandStart, Task: t.task, Attempt: t.number})
+		commands = append(commands, protocol.Command{Kind: protocol.CommandStart, Task: attempt.task, Attempt: attempt.number})
 	}
-	return cmds
+	return commands
 }
 
-// mustNotRun reports whether no task of a job may run; j is what the mirror holds of it.
-func (p *shard) mustNotRun(ref string, j *jobEntry) bool {
-	return j == nil || j.isFinal() || p.core.degraded.isCancelled(ref)
+// mustNotRun reports whether no task of a job may run; entry is what the mirror holds of it.
+func (s *shard) mustNotRun(jobID string, entry *jobEntry) bool {
+	return entry == nil || entry.isFinal() || s.core.degraded.isCancelled(jobID)
 }
 
 // stopCommands lists what a machine must stop whatever else may be on its way to it, where its list
 // is not to be trusted for more.
 //
 // Guards against renewing a machine's lease with an answer that leaves a cancelled task on it.
-func (p *shard) stopCommands(rep *protocol.Heartbeat) []protocol.Command {
-	var cmds []protocol.Command
-	for i := range rep.Tasks {
-		t := &rep.Tasks[i]
-		ref, _, err := protocol.ParseTaskName(t.Task)
-		if err == nil && t.State != protocol.TaskExited && p.mustNotRun(ref, p.core.records.acceptedJob(ref)) {
-			cmds = append(cmds, protocol.Command{Kind: protocol.CommandStop, Task: t.Task, Attempt: t.Attempt})
+func (s *shard) stopCommands(report *protocol.Heartbeat) []protocol.Command {
+	var commands []protocol.Command
+	for i := range report.Tasks {
+		task := &report.Tasks[i]
+		jobID, _, err := protocol.ParseTaskName(task.Task)
+		if err == nil && task.State != protocol.TaskExited && s.mustNotRun(jobID, s.core.records.acceptedJob(jobID)) {
+			commands = append(commands, protocol.Command{Kind: protocol.CommandStop, Task: task.Task, Attempt: task.Attempt})
 		}
 	}
-	return cmds
+	return commands
 }
 
-// sendCommands sends what is urgent by /do.
-func (p *shard) sendCommands(r *machine) {
-	r.expedited = false
-	if cmds := p.machineCommands(r, p.lastCallID+1, true); len(cmds) > 0 {
-		p.callMachine(r, cmds)
+// sendCommands sends a machine what is urgent by a call.
+func (s *shard) sendCommands(m *machine) {
+	m.expedited = false
+	if commands := s.machineCommands(m, s.lastCallID+1, true); len(commands) > 0 {
+		s.callMachine(m, commands)
 	}
 }
 
-// placeAssigned finds room for what the leader has dispatched. A start goes out in the
-// response to the machine's next report, or by /do if that is far.
-func (p *shard) placeAssigned() {
-	c := p.core
-	if len(p.unplaced) == 0 || !p.placementDue && c.now.Monotonic < p.nextPlacementAt {
+// placeAssigned finds machines for the attempts that the leader has dispatched to this shard, if
+// that is due.
+func (s *shard) placeAssigned() {
+	now := s.core.now.Monotonic
+	if len(s.unplaced) == 0 || !s.placementDue && now < s.nextPlacementAt {
 		return
 	}
-	p.placementDue, p.nextPlacementAt = false, c.now.Monotonic+c.intervals.scheduling
-	// A full part has few machines with room, and looking for them among all of
-	// them for each report cost more the larger it was.
-	for _, r := range p.capacityChanged {
-		r.capacityChanged = false
-		if p.machines.get(r.name) == r && r.acceptsTasks() && r.freeCapacity().CPUs > binpacking.RoundingSlack {
-			p.machinesWithCapacity.set(r.name, r)
-		} else if p.machinesWithCapacity.get(r.name) == r {
-			p.machinesWithCapacity.delete(r.name)
-		}
+	s.placementDue, s.nextPlacementAt = false, now+s.core.intervals.scheduling
+	s.updateMachinesWithCapacity()
+	open := make([]*machine, 0, s.machinesWithCapacity.len())
+	for _, m := range s.machinesWithCapacity.all() {
+		open = append(open, m)
 	}
-	p.capacityChanged = p.capacityChanged[:0]
-	open := make([]*machine, 0, p.machinesWithCapacity.len())
-	for _, r := range p.machinesWithCapacity.all() {
-		open = append(open, r)
-	}
-	full := map[string]bool{} // jobs that found no room: their other tasks won't either
-	waiting := p.unplaced[:0]
-	for _, t := range p.unplaced {
-		j := c.records.acceptedJob(t.jobID)
-		if p.mustNotRun(t.jobID, j) {
-			p.returnTask(t)
-			continue
+	full := map[string]bool{} // jobs of which a task found no room: their others won't either
+	unplaced := s.unplaced[:0]
+	for _, attempt := range s.unplaced {
+		if !s.place(attempt, open, full) {
+			unplaced = append(unplaced, attempt)
 		}
-		// Where its zones matter it goes by the record that the leader went by: one that is
-		// older has yet to come, and by one that is newer the leader decides anew.
-		if t.recordVersion != 0 && j.recordVersion > t.recordVersion {
-			p.returnTask(t)
-			continue
+	}
+	s.unplaced = unplaced
+	s.placementDue = false // what was marked meanwhile only lost room
+}
+
+// updateMachinesWithCapacity follows the machines whose room may have changed. A full shard has few
+// machines with room, and looking for them among all of them for each heartbeat cost more the
+// larger it was.
+func (s *shard) updateMachinesWithCapacity() {
+	for _, m := range s.capacityChanged {
+		m.capacityChanged = false
+		if s.machines.get(m.name) == m && m.acceptsTasks() && m.freeCapacity().CPUs > binpacking.RoundingSlack {
+			s.machinesWithCapacity.set(m.name, m)
+		} else if s.machinesWithCapacity.get(m.name) == m {
+			s.machinesWithCapacity.delete(m.name)
 		}
-		var best *machine
-		if !full[t.jobID] && (t.recordVersion == 0 || j.recordVersion == t.recordVersion) {
-			for _, r := range open {
-				m := r.freeCapacity()
-				if m.Fits(t.spec) && binpacking.TaskMayRunOn(&j.record, t.taskIndex, r.typeName, r.zone, r.spot) && r.backoffUntil[t.jobID] <= c.now.Monotonic &&
-					(best == nil || binpacking.BetterFit(m, best.freeCapacity(), t.spec.Image)) {
-					best = r
-				}
-			}
+	}
+	s.capacityChanged = s.capacityChanged[:0]
+}
+
+// place finds a machine for an attempt, or returns the attempt to the leader's queue, and reports
+// whether either is done. The start goes out in the response to the machine's next heartbeat, or by
+// a call if that is far.
+func (s *shard) place(attempt *taskAttempt, open []*machine, full map[string]bool) bool {
+	now, intervals := s.core.now.Monotonic, &s.core.intervals
+	entry := s.core.records.acceptedJob(attempt.jobID)
+	// Where its zones matter an attempt goes by the record that the leader went by: an older
+	// one has yet to be followed by that, and by a newer one the leader decides anew.
+	if s.mustNotRun(attempt.jobID, entry) || attempt.recordVersion != 0 && entry.recordVersion > attempt.recordVersion {
+		s.returnTask(attempt)
+		return true
+	}
+	var best *machine
+	if !full[attempt.jobID] && (attempt.recordVersion == 0 || entry.recordVersion == attempt.recordVersion) {
+		best = s.bestMachine(attempt, entry, open)
+	}
+	if best == nil {
+		full[attempt.jobID] = !attempt.spec.Spread
+		// Until it is placed, runningSince is when it was dispatched.
+		if now-attempt.runningSince < intervals.maintenance {
+			return false
 		}
-		if best == nil {
-			full[t.jobID] = !t.spec.Spread
-			// Unplaced for one round: back to the shared queue.
-			if c.now.Monotonic-t.runningSince >= c.intervals.maintenance {
-				p.returnTask(t)
-				continue
-			}
-			waiting = append(waiting, t)
+		s.returnTask(attempt)
+		return true
+	}
+	if !best.freeCapacity().HasImage(attempt.spec.Image) {
+		s.recordImage(best, attempt.spec)
+	}
+	attempt.phase, attempt.runningSince = phaseQueued, 0
+	s.core.logDebug("placed", "task", attempt.task, "machine", best.name)
+	s.addAttempt(best, attempt)
+	if nextHeartbeat := best.lastHeardAt + intervals.heartbeat; nextHeartbeat-now > intervals.heartbeat/6 {
+		s.expedite(best)
+	}
+	return true
+}
+
+// bestMachine is the machine that fits an attempt best, nil if none does.
+func (s *shard) bestMachine(attempt *taskAttempt, entry *jobEntry, open []*machine) *machine {
+	var best *machine
+	for _, m := range open {
+		free := m.freeCapacity()
+		if !free.Fits(attempt.spec) || !m.allowsTask(entry, attempt.taskIndex) || m.backoffUntil[attempt.jobID] > s.core.now.Monotonic {
 			continue
 		}
-		if !best.freeCapacity().HasImage(t.spec.Image) {
-			p.recordImage(best, t.spec)
-		}
-		t.phase, t.runningSince = phaseQueued, 0
-		c.logDebug("placed", "task", t.task, "machine", best.name)
-		p.addAttempt(best, t)
-		if best.lastHeardAt+c.intervals.heartbeat-c.now.Monotonic > c.intervals.heartbeat/6 {
-			p.expedite(best)
+		if best == nil || binpacking.BetterFit(free, best.freeCapacity(), attempt.spec.Image) {
+			best = m
 		}
 	}
-	p.unplaced = waiting
-	p.placementDue = false // what was marked here only lost room
+	return best
+}
+
+// allowsTask reports whether a task of a job may be on a machine, whatever the room.
+func (m *machine) allowsTask(entry *jobEntry, index int) bool {
+	return binpacking.TaskMayRunOn(&entry.record, index, m.typeName, m.zone, m.spot)
 }
 
-// holdForGang keeps room on a machine for a task of a gang.
-func (p *shard) holdForGang(machine string, t *taskAttempt, j *jobEntry) bool {
-	r := p.machines.get(machine)
-	if r == nil || !r.acceptsTasks() || t.recordVersion != 0 && j.recordVersion != t.recordVersion || !binpacking.TaskMayRunOn(&j.record, t.taskIndex, r.typeName, r.zone, r.spot) {
+// holdForGang holds room on a machine for a task of a gang, and reports whether there is room.
+func (s *shard) holdForGang(name string, attempt *taskAttempt, entry *jobEntry) bool {
+	m := s.machines.get(name)
+	if m == nil || !m.acceptsTasks() || attempt.recordVersion != 0 && entry.recordVersion != attempt.recordVersion {
 		return false
 	}
-	if !r.freeCapacity().Fits(t.spec) {
+	if !m.allowsTask(entry, attempt.taskIndex) || !m.freeCapacity().Fits(attempt.spec) {
 		return false
 	}
-	t.phase, t.state = phaseHeld, peerproto.StateHeld
-	p.addAttempt(r, t)
+	attempt.phase, attempt.state = phaseHeld, peerproto.StateHeld
+	s.addAttempt(m, attempt)
 	return true
 }
 
-// resolveHeld lets f decide which of the held tasks stay.
-func (p *shard) resolveHeld(list []peerproto.TaskAttempt, f func(*machine, *taskAttempt) bool) {
-	for _, x := range list {
-		r := p.machines.get(x.Machine)
-		if r == nil {
+// resolveHeld lets keep decide which of the listed tasks that room is held for stay.
+func (s *shard) resolveHeld(list []peerproto.TaskAttempt, keep func(*machine, *taskAttempt) bool) {
+	for _, try := range list {
+		m := s.machines.get(try.Machine)
+		if m == nil {
 			continue
 		}
-		p.retainAttempts(r, func(t *taskAttempt) bool {
-			return t.phase != phaseHeld || t.task != x.Task || t.number != x.Attempt || f(r, t)
+		s.retainAttempts(m, func(attempt *taskAttempt) bool {
+			return attempt.phase != phaseHeld || attempt.task != try.Task || attempt.number != try.Attempt || keep(m, attempt)
 		})
-		p.markChanged(r)
+		s.markChanged(m)
 	}
 }
