--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -2,339 +2,288 @@
 
 import (
 	"slices"
-	"strings"
 
-	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// schedulingRound is what one round works with: the room on every machine that can be given
-// work, and what each team uses. The round fills both up as it goes.
-type schedulingRound struct {
-	machines            []*candidateMachine
-	withRoom            []*candidateMachine // those with any room left
-	teamUsage           map[string]*usage
-	bestEffortCPUs      float64               // CPUs that guests' tasks may be taking,
-	bestEffortLimit     float64               // of so many that they may take
-	infeasible          map[taskShape]bool    // no machine has room for a task like this any more
-	quotaReservedFor    map[string]*queuedJob // team -> whose turn it is, what gets free of the limit is kept for that
-	machineReservations int                   // for so many jobs machines are kept in this round
-	smallestTaskCPUs    float64               // CPUs of the smallest task that waits
-	victims             []victim              // what may be stopped, cheapest first
-	victimsListed       bool                  // victims have been looked for
-}
+// jobDispatch is the dispatch of one job's tasks in one round.
+type jobDispatch struct {
+	scheduler *scheduler
+	round     *schedulingRound
+	job       *queuedJob
+	spec      *protocol.Job
+	canary    bool // of a crash-looping job one task is tried at a time
 
-// candidateMachine is a machine in the leader's plan of one round.
-type candidateMachine struct {
-	binpacking.Capacity
-	name             string
-	shard            *shardView
-	view             *machineView
-	imageCached      bool // holds the image of the job that is looked at
-	reserved         bool // for a job whose turn it is
-	preempting       bool // tasks are being stopped here for somebody else,
-	preemptorUrgency int  // as urgent as this
+	machines  []*candidateMachine // feasible for its tasks, in the order in which they are filled
+	next      int                 // the machines before this one have no room for any of its tasks
+	fullZones []bool              // by zone of a spread job: a task found no room there
+	sent      int
+	backedOff int // tasks that wait because they failed
 }
 
-func (o *scheduler) newRound() *schedulingRound {
-	guessed := map[string][]*inflightAttempt{}
-	made := map[string]int{} // machine -> the urgency that room is made for
-	for name, f := range o.unplacedAttempts {
-		if f.awaitingPlacement {
-			guessed[f.plannedMachine] = append(guessed[f.plannedMachine], f)
-		} else {
-			delete(o.unplacedAttempts, name)
-		}
-	}
-	for name, f := range o.stopRequests {
-		if o.attempts[name] == f {
-			if due, ok := made[f.machine]; !ok || f.stopUrgency < due {
-				made[f.machine] = f.stopUrgency
-			}
-		} else {
-			delete(o.stopRequests, name)
-		}
-	}
-	out := &schedulingRound{teamUsage: o.computeTeamUsage(), infeasible: map[taskShape]bool{}}
-	out.machines = make([]*candidateMachine, 0, o.machines.len())
-	for name, v := range o.machines.all() {
-		s := &v.state
-		if !v.acceptsTasks() || v.unschedulable {
-			continue
-		}
-		p := o.shards[v.shard]
-		if p == nil || p.session == 0 || p.syncedEpoch != o.epoch {
-			continue
-		}
-		// The machine's own, made anew: ten thousand of them for each round were
-		// most of what the leader allocated.
-		m := &v.plan
-		*m = candidateMachine{name: name, shard: p, view: v, preemptorUrgency: lowestUrgency, Capacity: binpacking.Capacity{
-			CPUs: v.machineType.CPUs - v.used.cpus, GPUs: v.machineType.GPUs - v.used.gpus, MemoryGB: v.machineType.MemoryGB - v.used.memoryGB, TypeName: s.Type, Zone: s.Zone, Spot: s.Spot, CachedImages: v.images,
-		}}
-		if due, ok := made[name]; ok {
-			m.preempting, m.preemptorUrgency = true, due
-		}
-		if len(guessed) > 0 {
-			for _, f := range guessed[name] {
-				m.Allocate(&f.job.entry.record.Spec)
-			}
-		}
-		out.machines = append(out.machines, m)
-		if m.CPUs > binpacking.RoundingSlack {
-			out.withRoom = append(out.withRoom, m)
-		}
-	}
-	o.limitBestEffort(out)
-	return out
-}
-
-// dispatch sends the waiting tasks of a job to parts with room, roomiest first.
-func (o *scheduler) dispatch(q *queuedJob, p *schedulingRound) {
-	c := o.core
-	s := &q.entry.record.Spec
-	if !o.canStart(q, p) {
+// dispatch sends the waiting tasks of a job to shards that own machines with room for them, and
+// notes why the others wait.
+func (s *scheduler) dispatch(q *queuedJob, round *schedulingRound) {
+	spec := q.spec()
+	if !s.canStart(q, round) {
 		return
 	}
-	if why := o.quotaReservedReason(q, p); why != "" {
-		q.reason = why
+	if reason := round.quotaReservedReason(spec); reason != "" {
+		q.reason = reason
 		return
 	}
-	canary := o.isCrashLooping(q)
-	if canary && !o.mayStartCanary(q) {
+	canary := s.isCrashLooping(q)
+	if canary && !s.mayStartCanary(q) {
 		return
 	}
-	fitting := o.feasibleMachines(q, p)
-	at, held, sent := 0, 0, 0
-	if c.debug {
-		defer func() {
-			if sent > 0 || q.reason != "" {
-				c.logDebug("ranked", "job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee, "dispatched", sent, "waiting", q.waitingTasks(), "reason", q.reason)
-			}
-		}()
+	d := jobDispatch{
+		scheduler: s,
+		round:     round,
+		job:       q,
+		spec:      spec,
+		canary:    canary,
+		machines:  s.feasibleMachines(q, round),
+		fullZones: make([]bool, max(len(q.entry.record.Zones), 1)),
+	}
+	d.run()
+	if s.core.debug && (d.sent > 0 || q.reason != "") {
+		s.core.logDebug("ranked", "job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee, "dispatched", d.sent, "waiting", q.waitingTasks(), "reason", q.reason)
+	}
+}
+
+// canStart reports whether a job's tasks may be dispatched at all, whatever the room, and notes
+// why not.
+func (s *scheduler) canStart(q *queuedJob, round *schedulingRound) bool {
+	spec := q.spec()
+	switch {
+	case q.unlocated:
+		q.reason = "waits until every machine has been seen after a change of leader"
+	case !s.isWithinItsZone(q):
+		q.reason = "waits until its tasks in another zone have ended"
+	case (spec.OneZone || spec.Spread) && len(q.entry.record.Zones) == 0:
+		s.chooseZones(q, round.machines)
+		q.reason = "waits for its zone to be chosen"
+	default:
+		return true
 	}
-	// Counted once: counting anew for each task of a huge job took the round's
-	// whole share of the processor.
-	left := q.waitingTasks()
-	full := make([]bool, max(len(q.entry.record.Zones), 1)) // zones of a spread job
+	return false
+}
+
+// run tries the waiting tasks in their order.
+func (d *jobDispatch) run() {
+	q := d.job
+	// Counted once: counting anew for each task of a huge job took the round's whole share of
+	// the processor.
+	waiting := q.waitingTasks()
 	q.firstWaiting = q.nextWaiting(q.firstWaiting)
-	for i := q.firstWaiting; i < s.Tasks && sent < left; i = q.nextWaiting(i + 1) {
-		if q.retryAt[i] > c.now.Monotonic {
-			held++
-			continue
-		}
-		if why := o.overLimitReason(s, 1, p); why != "" {
-			q.reason = why
-			if slices.ContainsFunc(fitting, func(m *candidateMachine) bool { return m.Fits(s) }) {
-				o.reserveQuota(q, 1, p)
-			} else if sent == 0 {
-				o.reserveMachines(q, 1, p)
-			}
-			return
-		}
-		if s.Spread && len(q.entry.record.Zones) == 1 && len(q.inflight) >= (s.Tasks+1)/2 {
-			q.reason = "only half of its tasks may be in one zone at a time, and it may use no other"
-			return
-		}
-		var m *candidateMachine
-		if s.Spread {
-			for _, x := range fitting {
-				if x.Fits(s) && binpacking.TaskMayRunOn(&q.entry.record, i, x.TypeName, x.Zone, x.Spot) {
-					m = x
-					break
-				}
-			}
-		} else {
-			for at < len(fitting) && !(fitting[at].Fits(s) && binpacking.TaskMayRunOn(&q.entry.record, i, fitting[at].TypeName, fitting[at].Zone, fitting[at].Spot)) {
-				at++
-			}
-			if at < len(fitting) {
-				m = fitting[at]
-			}
-		}
-		if m == nil && s.Spread && !full[(i+1)%len(full)] {
-			// Its zone is full; tasks that belong into the other one go on. The first
-			// task without room once held up all, with machines idle in that zone.
-			if n := i % len(full); !full[n] {
-				full[n] = true
-				o.reassignZone(q, i)
-			}
-			continue
-		}
-		if m == nil {
-			o.reassignZone(q, i)
-			if q.reason == "" {
-				q.reason = o.noRoomReason(s)
-			}
-			if q.stopCount > 0 {
-				q.reason = q.stopReason + "; " + q.reason
-			}
-			if !q.startsEarly { // a first task waits for room, nothing is stopped for it
-				o.preemptFor(q, p)
-			}
-			if sent == 0 {
-				o.reserveMachines(q, 1, p)
-			}
-			return
-		}
-		if o.isAvoided(m, q) {
-			// Its part would look for another of its machines, and give the task back.
-			n := slices.IndexFunc(fitting, func(x *candidateMachine) bool {
-				return x.shard == m.shard && !o.isAvoided(x, q) && x.Fits(s) && binpacking.TaskMayRunOn(&q.entry.record, i, x.TypeName, x.Zone, x.Spot)
-			})
-			if n < 0 {
-				q.retryAt[i] = c.now.Monotonic + c.intervals.maintenance
-				held++
-				continue
-			}
-			m = fitting[n]
-		}
-		m.Allocate(s)
-		o.dispatchTask(q, i, m, o.nextAttemptNumber(), false, p)
-		sent++
-		q.reservedAt = 0
-		if canary {
-			q.failures.canaries++
-			q.reason = o.failureReason(q)
-			return
-		}
-		if q.startsEarly {
-			q.reason = "its first task has started, the others wait for their turn"
+	for index := q.firstWaiting; index < d.spec.Tasks && d.sent < waiting; index = q.nextWaiting(index + 1) {
+		if !d.tryTask(index) {
 			return
 		}
 	}
 	switch {
-	case held > 0:
-		q.reason = o.failureReason(q)
-	case slices.Contains(full, true) && q.reason == "":
-		q.reason = o.noRoomReason(s)
+	case d.backedOff > 0:
+		q.reason = d.scheduler.failureReason(q)
+	case slices.Contains(d.fullZones, true) && q.reason == "":
+		q.reason = d.scheduler.noRoomReason(d.spec)
 	}
 }
 
-// feasibleMachines lists the machines with room for a task, in the order in which they
-// are filled. What is full by now leaves the plan's free machines.
-//
-// Guards against small tasks that take, bit by bit, the room that others were stopped
-// for: a guest's next ones did, and those of two less urgent jobs that were stopped in
-// turn on the only machine that an urgent one could use, once a round for half an hour.
-func (o *scheduler) feasibleMachines(q *queuedJob, p *schedulingRound) []*candidateMachine {
-	s := &q.entry.record.Spec
-	like := taskShape{s.CPUs, s.GPUs, s.MemoryGB, s.Zone, s.AllowSpot, o.core.bestEffortTeams[s.Team], strings.Join(s.MachineTypes, " "), q.effectiveUrgency}
-	if p.infeasible[like] {
-		return nil // within a round room only shrinks
+// tryTask dispatches a task if it may start now and has room, and reports whether the job's next
+// tasks are to be tried.
+func (d *jobDispatch) tryTask(index int) bool {
+	now := d.scheduler.core.now.Monotonic
+	if d.job.retryAt[index] > now {
+		d.backedOff++
+		return true
+	}
+	if d.atLimit() {
+		return false
 	}
-	var out []*candidateMachine
-	room := map[*shardView]float64{}
-	free := p.withRoom[:0]
-	for _, m := range p.withRoom {
-		if m.CPUs <= binpacking.RoundingSlack {
-			continue
+	machine := d.findMachine(index)
+	if machine == nil && d.otherZoneHasRoom(index) {
+		d.markZoneFull(index)
+		return true
+	}
+	if machine == nil {
+		d.handleNoRoom(index)
+		return false
+	}
+	if d.scheduler.isAvoided(machine, d.job) {
+		if machine = d.findAlternative(index, machine); machine == nil {
+			d.job.retryAt[index] = now + d.scheduler.core.intervals.maintenance
+			d.backedOff++
+			return true
 		}
-		free = append(free, m)
-		if m.Fits(s) && binpacking.AllowsMachine(s, m.TypeName, m.Zone, m.Spot) && !(m.preempting && (o.core.bestEffortTeams[s.Team] || q.effectiveUrgency > m.preemptorUrgency)) {
-			m.imageCached = m.HasImage(s.Image)
-			out = append(out, m)
-			room[m.shard] += m.CPUs
+	}
+	return d.send(index, machine)
+}
+
+// atLimit reports whether the job may have no more tasks whatever the room, and notes why. What
+// an underserved account lacks is then reserved for it.
+func (d *jobDispatch) atLimit() bool {
+	q := d.job
+	if reason := d.scheduler.overLimitReason(d.spec, 1, d.round); reason != "" {
+		q.reason = reason
+		if slices.ContainsFunc(d.machines, func(m *candidateMachine) bool { return m.Fits(d.spec) }) {
+			d.scheduler.reserveQuota(q, 1, d.round)
+		} else if d.sent == 0 {
+			d.scheduler.reserveMachines(q, 1, d.round)
 		}
+		return true
+	}
+	if d.spec.Spread && len(q.entry.record.Zones) == 1 && len(q.inflight) >= (d.spec.Tasks+1)/2 {
+		q.reason = "only half of its tasks may be in one zone at a time, and it may use no other"
+		return true
 	}
-	p.withRoom = free
-	if len(out) == 0 {
-		p.infeasible[like] = true
+	return false
+}
+
+// findMachine is the first machine with room for a task, nil if there is none.
+func (d *jobDispatch) findMachine(index int) *candidateMachine {
+	if d.spec.Spread {
+		for _, machine := range d.machines {
+			if d.fits(index, machine) {
+				return machine
+			}
+		}
+		return nil
 	}
-	slices.SortStableFunc(out, func(x, y *candidateMachine) int {
-		switch {
-		case x.imageCached != y.imageCached:
-			return comesFirst(x.imageCached)
-		case x.Spot != y.Spot:
-			return comesFirst(x.Spot)
-		case x.shard != y.shard && room[x.shard] != room[y.shard]:
-			return comesFirst(room[x.shard] > room[y.shard])
+	// The tasks of other jobs are alike, and within a round room only shrinks: a machine
+	// without room for one task has none for the next.
+	for ; d.next < len(d.machines); d.next++ {
+		if d.fits(index, d.machines[d.next]) {
+			return d.machines[d.next]
 		}
-		return x.CompareFree(&y.Capacity)
-	})
-	return out
+	}
+	return nil
 }
 
-// isAvoided reports whether the part of a machine puts none of a job there, since it has failed.
-func (o *scheduler) isAvoided(m *candidateMachine, q *queuedJob) bool {
-	return m.view.backoffUntil[q.id] > o.core.now.Monotonic
+// findAlternative is another machine with room in the shard of one that the job avoids. The shard
+// would look for one itself, and return the task if it finds none.
+func (d *jobDispatch) findAlternative(index int, avoided *candidateMachine) *candidateMachine {
+	for _, machine := range d.machines {
+		if machine.shard == avoided.shard && !d.scheduler.isAvoided(machine, d.job) && d.fits(index, machine) {
+			return machine
+		}
+	}
+	return nil
 }
 
-// taskShape is what decides which machines a task fits on.
-type taskShape struct {
-	cpus, gpus, memoryGB float64
-	zone                 string
-	spot, bestEffort     bool
-	types                string
-	urgency              int
+// fits reports whether a machine has room for a task and the task may be there.
+func (d *jobDispatch) fits(index int, machine *candidateMachine) bool {
+	return machine.Fits(d.spec) && machine.AllowsTask(&d.job.entry.record, index)
+}
+
+// otherZoneHasRoom reports whether tasks of a spread job that are tied to its other zone may go on
+// although one has found no room.
+//
+// Guards against the first task without room holding up all, with machines idle in the other zone.
+func (d *jobDispatch) otherZoneHasRoom(index int) bool {
+	return d.spec.Spread && !d.fullZones[(index+1)%len(d.fullZones)]
 }
 
-// comesFirst is what a comparison returns when its left side does, or does not, come first.
-func comesFirst(left bool) int {
-	if left {
-		return -1
+// markZoneFull notes that a task's zone has no room, and ties its tasks to another one if that
+// lasts.
+func (d *jobDispatch) markZoneFull(index int) {
+	zone := index % len(d.fullZones)
+	if d.fullZones[zone] {
+		return
 	}
-	return 1
+	d.fullZones[zone] = true
+	d.scheduler.reassignZone(d.job, index)
 }
 
-// canStart says why a job can't be dispatched yet, whatever the room.
-func (o *scheduler) canStart(q *queuedJob, p *schedulingRound) bool {
-	s := &q.entry.record.Spec
-	if q.unlocated {
-		q.reason = "waits until every machine has been seen after a change of leader"
-		return false
+// handleNoRoom notes that a task has found no room, and has room made or reserved for it if its
+// job may have that.
+func (d *jobDispatch) handleNoRoom(index int) {
+	q, s := d.job, d.scheduler
+	s.reassignZone(q, index)
+	if q.reason == "" {
+		q.reason = s.noRoomReason(d.spec)
 	}
-	if !o.isWithinItsZone(q) {
-		q.reason = "waits until its tasks in another zone have ended"
-		return false
+	if q.stopCount > 0 {
+		q.reason = q.stopReason + "; " + q.reason
 	}
-	if (s.OneZone || s.Spread) && len(q.entry.record.Zones) == 0 {
-		o.chooseZones(q, p.machines)
-		q.reason = "waits for its zone to be chosen"
+	if !q.startsEarly { // a first task that goes before its rank waits for room, nothing is preempted for it
+		s.preemptFor(q, d.round)
+	}
+	if d.sent == 0 {
+		s.reserveMachines(q, 1, d.round)
+	}
+}
+
+// send dispatches a task and reports whether the job's next tasks are to be tried.
+func (d *jobDispatch) send(index int, machine *candidateMachine) bool {
+	q, s := d.job, d.scheduler
+	machine.Allocate(d.spec)
+	s.send(d.round, taskDispatch{job: q, index: index, attempt: s.nextAttemptNumber(), machine: machine})
+	d.sent++
+	q.reservedAt = 0
+	switch {
+	case d.canary:
+		q.failures.canaries++
+		q.reason = s.failureReason(q)
+		return false
+	case q.startsEarly:
+		q.reason = "its first task has started, the others wait for their turn"
 		return false
 	}
 	return true
 }
 
-// nextAttemptNumber gives a number that no start has had, without a write: the epoch and
-// a count within it.
-func (o *scheduler) nextAttemptNumber() uint64 {
-	o.attemptCounter++
-	return o.epoch<<attemptBits | o.attemptCounter
+// taskDispatch is the decision to send a task to the shard of a machine.
+type taskDispatch struct {
+	job     *queuedJob
+	index   int
+	attempt uint64
+	machine *candidateMachine
+	hold    bool // that very machine is to hold room for it, until its gang is released
 }
 
-// dispatchTask dispatches a task to the part that owns m; hold asks for that very
-// machine to keep room. The team's quota is debited here.
-func (o *scheduler) dispatchTask(q *queuedJob, i int, m *candidateMachine, attempt uint64, hold bool, p *schedulingRound) {
-	s := &q.entry.record.Spec
-	if u := p.teamUsage[s.Team]; u != nil {
-		u.add(s, 1)
-	}
-	if o.core.bestEffortTeams[s.Team] {
-		p.bestEffortCPUs += s.CPUs
+// nextAttemptNumber gives a number that no start has had, without a write: the epoch and a count
+// within it.
+func (s *scheduler) nextAttemptNumber() uint64 {
+	s.attemptCounter++
+	return s.epoch<<attemptBits | s.attemptCounter
+}
+
+// send dispatches a task and counts it against its team's quota.
+func (s *scheduler) send(round *schedulingRound, d taskDispatch) {
+	q, member := d.job, d.machine.shard
+	round.addUsage(q.spec(), s.core.bestEffortTeams[q.spec().Team])
+	attempt := &inflightAttempt{
+		job:               q,
+		taskIndex:         d.index,
+		number:            d.attempt,
+		plannedMachine:    d.machine.name,
+		shard:             member.label,
+		dispatchSession:   member.session,
+		dispatchSeq:       member.messagesSent + 1,
+		awaitingPlacement: true,
+		claimants:         map[string]bool{},
 	}
-	f := &inflightAttempt{job: q, taskIndex: i, number: attempt, plannedMachine: m.name, shard: m.shard.label,
-		dispatchSession: m.shard.session, dispatchSeq: m.shard.messagesSent + 1, awaitingPlacement: true, claimants: map[string]bool{}}
-	name := protocol.TaskName(q.id, i)
-	o.trackAttempt(name, f)
-	o.unplacedAttempts[name] = f
-	delete(q.retryAt, i)
-	try := peerproto.TaskAttempt{Task: name, Attempt: f.number}
-	if s.OneZone || s.Spread {
-		try.Version, f.recordVersion = q.entry.recordVersion, q.entry.recordVersion
-		delete(q.zoneFullSince, zoneIndex(q, i))
+	task := protocol.TaskName(q.id, d.index)
+	s.trackAttempt(task, attempt)
+	s.unplacedAttempts[task] = attempt
+	delete(q.retryAt, d.index)
+	try := peerproto.TaskAttempt{Task: task, Attempt: d.attempt}
+	if spec := q.spec(); spec.OneZone || spec.Spread {
+		try.Version, attempt.recordVersion = q.entry.recordVersion, q.entry.recordVersion
+		delete(q.zoneFullSince, zoneIndex(q, d.index))
 	}
-	if hold {
-		try.Machine = m.name
+	if d.hold {
+		try.Machine = d.machine.name
 	}
-	m.shard.outbox.Dispatch = append(m.shard.outbox.Dispatch, try)
-	m.shard.outboxDue = true
+	member.outbox.Dispatch = append(member.outbox.Dispatch, try)
+	member.outboxDue = true
 }
 
-func (o *scheduler) noRoomReason(s *protocol.Job) string {
-	if why := o.core.fleet.noCapacityReason(s); why != "" {
-		return why
+// noRoomReason says why no machine has room for a task.
+func (s *scheduler) noRoomReason(spec *protocol.Job) string {
+	if reason := s.core.fleet.noCapacityReason(spec); reason != "" {
+		return reason
 	}
 	return "waits for room on a machine of its types and zone"
 }
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"slices"
 	"time"
@@ -13,111 +12,153 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// newFairShareRules turns the operators' choices into spans: what was served is remembered for
-// eight times the patience, and within a class waiting tells four times as slowly as in
-// the ordinary order, since half of the jobs counts.
-func (c *Core) newFairShareRules() fairshare.Rules {
-	patience := c.policy.FloorLeases * c.intervals.workerLease.Seconds()
-	return fairshare.Rules{MinShare: c.policy.FloorShare, OverdueAfter: patience, DecayTime: 8 * patience,
-		AgingTime: 4 * c.policy.AgingLeases * c.intervals.workerLease.Seconds()}
-}
-
-// Where a job stands that has its class's turn: behind what a guarantee covers and before
-// all ordinary work; or, if that did not help, before urgent work too, and behind services
-// only.
 const (
-	bandBehindGuarantee = 3
-	bandAheadOfUrgent   = -1
+	// servedMemory is for how many times the span after which an account is overdue what was
+	// served is remembered.
+	servedMemory = 8
+
+	// boostedAging is how many times as slowly waiting counts within a boosted account as in the
+	// ordinary order, since half of the account's jobs is what counts.
+	boostedAging = 4
 )
 
-// applyFairShare lets the jobs of classes that were served too little go first.
-func (o *scheduler) applyFairShare(ranked []*queuedJob) {
+// newFairShareRules turns the operators' policy into spans of seconds.
+func (c *Core) newFairShareRules() fairshare.Rules {
+	lease := c.intervals.workerLease.Seconds()
+	overdueAfter := c.policy.FloorLeases * lease
+	return fairshare.Rules{
+		MinShare:     c.policy.FloorShare,
+		OverdueAfter: overdueAfter,
+		DecayTime:    servedMemory * overdueAfter,
+		AgingTime:    boostedAging * c.policy.AgingLeases * lease,
+	}
+}
+
+// applyFairShare boosts the jobs of accounts that are underserved, and lets the first tasks of
+// large jobs start early.
+func (s *scheduler) applyFairShare(ranked []*queuedJob) {
 	jobs := make([]fairshare.Job, 0, len(ranked))
 	for _, q := range ranked {
-		s := &q.entry.record.Spec
-		service := s.Kind == protocol.KindService
-		left := float64(max(s.Tasks-q.entry.doneCount-len(q.unsavedTasks), 0))
-		jobs = append(jobs, fairshare.Job{
-			Account:       fairshare.Account{Team: s.Team, Class: s.Class},
-			Age:           max(o.core.now.Wall-q.entry.waitingSince(), 0),
-			StartedShare:  1 - float64(max(q.waitingTasks(), 0))/float64(s.Tasks),
-			RemainingWork: left * taskWidth(s) * o.core.estimator.predictForJob(q),
-			CPUsInUse:     float64(len(q.inflight)) * s.CPUs,
-			OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services never end, whoever else waits
-			Ineligible:    o.isCrashLooping(q) || service,
-		})
-	}
-	o.fairShareStates = o.core.records.archive.served.Evaluate(o.core.now.Wall, jobs, &o.core.fairShareRules)
-	if o.core.debug {
-		for i := range o.fairShareStates {
-			if x := &o.fairShareStates[i]; x.Boost != fairshare.NoBoost {
-				o.core.logDebug("turn", "team", x.Team, "class", x.Class, "served", x.Served, "overdue", x.Overdue, "late", x.LongOverdue, "owed", x.Deficit)
-			}
-		}
-	}
-	due := map[fairshare.Account]bool{}
-	for i := range o.fairShareStates {
-		due[o.fairShareStates[i].Account] = o.fairShareStates[i].Boost != fairshare.NoBoost
+		jobs = append(jobs, s.fairShareJob(q))
 	}
-	var large map[*queuedJob]bool // looked for only where somebody has waited for long enough
-	if from := o.earlyStartAge(); slices.ContainsFunc(jobs, func(j fairshare.Job) bool { return j.Age >= from }) {
-		large = largestJobs(ranked, due)
+	s.fairShareStates = s.core.records.archive.served.Evaluate(s.core.now.Wall, jobs, &s.core.fairShareRules)
+	s.logBoosts()
+	var largest map[*queuedJob]bool // looked for only where a job has waited for long enough
+	if age := s.earlyStartAge(); slices.ContainsFunc(jobs, func(j fairshare.Job) bool { return j.Age >= age }) {
+		largest = largestJobs(ranked, s.boostedAccounts())
 	}
 	for i, q := range ranked {
-		j := &jobs[i]
-		q.protected, q.startsEarly = j.Protected, false
-		switch q.boost = j.Boost; {
-		case j.Boost == fairshare.BoostBelowUrgent && q.rankBand > bandBehindGuarantee:
-			q.rankBand, q.rankInBand = bandBehindGuarantee, float64(j.BoostRank)
-		case j.Boost == fairshare.BoostAboveUrgent && q.rankBand > bandAheadOfUrgent:
-			q.rankBand, q.rankInBand = bandAheadOfUrgent, float64(j.BoostRank)
+		q.applyBoost(&jobs[i])
+		if largest[q] {
+			s.startEarly(q, jobs[i].Age)
 		}
-		if large[q] {
-			o.startEarly(q, j.Age)
+	}
+}
+
+// fairShareJob is what the account of a job is judged by.
+func (s *scheduler) fairShareJob(q *queuedJob) fairshare.Job {
+	spec := q.spec()
+	service := spec.Kind == protocol.KindService
+	left := float64(max(spec.Tasks-q.completedTasks(), 0))
+	return fairshare.Job{
+		Account:       accountOf(spec),
+		Age:           max(s.core.now.Wall-q.entry.waitingSince(), 0),
+		StartedShare:  1 - float64(max(q.waitingTasks(), 0))/float64(spec.Tasks),
+		RemainingWork: left * taskWidth(spec) * s.core.estimator.predictForJob(q),
+		CPUsInUse:     float64(len(q.inflight)) * spec.CPUs,
+		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services never end, whoever else waits
+		Ineligible:    s.isCrashLooping(q) || service,
+	}
+}
+
+// accountOf is the account that a job is served from.
+func accountOf(spec *protocol.Job) fairshare.Account {
+	return fairshare.Account{Team: spec.Team, Class: spec.Class}
+}
+
+func (s *scheduler) logBoosts() {
+	if !s.core.debug {
+		return
+	}
+	for i := range s.fairShareStates {
+		if state := &s.fairShareStates[i]; state.Boost != fairshare.NoBoost {
+			s.core.logDebug("fair-share boost", "team", state.Team, "class", state.Class, "served", state.Served, "overdue", state.Overdue, "late", state.LongOverdue, "owed", state.Deficit)
 		}
 	}
 }
 
-// largestJobs tells which of the jobs that are not over are the largest of their class of a team,
-// by tasks: a quarter of them, or an eighth where the class is due. A class whose jobs are alike
-// has none.
-func largestJobs(jobs []*queuedJob, due map[fairshare.Account]bool) map[*queuedJob]bool {
-	open := map[fairshare.Account][]*queuedJob{}
+// boostedAccounts are those that are underserved in this round.
+func (s *scheduler) boostedAccounts() map[fairshare.Account]bool {
+	boosted := map[fairshare.Account]bool{}
+	for i := range s.fairShareStates {
+		state := &s.fairShareStates[i]
+		boosted[state.Account] = state.Boost != fairshare.NoBoost
+	}
+	return boosted
+}
+
+// applyBoost moves a job of an underserved account up: behind what a guarantee covers and before
+// all ordinary work; or, if that did not help, before urgent work too, and behind services only.
+func (q *queuedJob) applyBoost(job *fairshare.Job) {
+	q.protected, q.startsEarly = job.Protected, false
+	q.boost = job.Boost
+	switch {
+	case job.Boost == fairshare.BoostBelowUrgent && q.rankBand > bandBehindGuarantee:
+		q.rankBand, q.rankInBand = bandBehindGuarantee, float64(job.BoostRank)
+	case job.Boost == fairshare.BoostAboveUrgent && q.rankBand > bandAheadOfUrgent:
+		q.rankBand, q.rankInBand = bandAheadOfUrgent, float64(job.BoostRank)
+	}
+}
+
+const (
+	// largestPart: one in so many jobs of an account is among its largest,
+	largestPart = 4
+
+	// largestPartBoosted is the same where the account is boosted: jobs that are completed count
+	// for more there than jobs that have begun.
+	largestPartBoosted = 8
+)
+
+// largestJobs tells which of the unfinished jobs are the largest of their account, by tasks. An
+// account whose jobs are alike has none.
+func largestJobs(jobs []*queuedJob, boosted map[fairshare.Account]bool) map[*queuedJob]bool {
+	byAccount := map[fairshare.Account][]*queuedJob{}
 	for _, q := range jobs {
-		a := fairshare.Account{Team: q.entry.record.Spec.Team, Class: q.entry.record.Spec.Class}
-		open[a] = append(open[a], q)
-	}
-	out := map[*queuedJob]bool{}
-	for a, list := range open {
-		slices.SortStableFunc(list, func(x, y *queuedJob) int { return cmp.Compare(y.entry.record.Spec.Tasks, x.entry.record.Spec.Tasks) })
-		part := 4
-		if due[a] {
-			part = 8
+		account := accountOf(q.spec())
+		byAccount[account] = append(byAccount[account], q)
+	}
+	largest := map[*queuedJob]bool{}
+	for account, list := range byAccount {
+		slices.SortStableFunc(list, func(a, b *queuedJob) int { return cmp.Compare(b.spec().Tasks, a.spec().Tasks) })
+		part := largestPart
+		if boosted[account] {
+			part = largestPartBoosted
 		}
+		median := list[len(list)/2].spec().Tasks
 		for _, q := range list[:(len(list)+part-1)/part] {
-			out[q] = q.entry.record.Spec.Tasks > list[len(list)/2].entry.record.Spec.Tasks
+			largest[q] = q.spec().Tasks > median
 		}
 	}
-	return out
+	return largest
 }
 
-// earlyStartAge is how long a large job waits, in seconds, until its first task goes ahead.
-func (o *scheduler) earlyStartAge() float64 {
-	if o.core.policy.BeginS <= 0 {
+// earlyStartAge is how many seconds a large job waits until its first task goes ahead: two thirds
+// of the time within which it is to begin.
+func (s *scheduler) earlyStartAge() float64 {
+	if s.core.policy.BeginS <= 0 {
 		return math.Inf(1)
 	}
-	return o.core.policy.BeginS * 2 / 3
+	return s.core.policy.BeginS * 2 / 3
 }
 
-// startEarly lets the first task of an array that is among the largest of its class go before all but
-// services once its job has waited for two thirds of the time in which it is to begin. It is one
-// task; the rest has its ordinary rank, and the first is not stopped for others.
+// startEarly lets the first task of an array that is among the largest of its account go before all
+// but services once its job has waited for long enough. It is one task; the rest has its ordinary
+// rank, and the first is not preempted.
 //
-// Guards against the largest jobs of a class that never begin, since smaller ones of the same
-// class come all the time: counted by jobs the class is served well. Where it is due, jobs that
-// are completed count for more than jobs that are begun.
-func (o *scheduler) startEarly(q *queuedJob, age float64) {
-	if age < o.earlyStartAge() || q.entry.record.Spec.Kind != protocol.KindArray || q.entry.doneCount+len(q.unsavedTasks) > 0 || o.isCrashLooping(q) {
+// Guards against the largest jobs of a class that never begin, since smaller ones of the same class
+// come all the time: counted by jobs the class is served well.
+func (s *scheduler) startEarly(q *queuedJob, age float64) {
+	if age < s.earlyStartAge() || q.spec().Kind != protocol.KindArray || q.completedTasks() > 0 || s.isCrashLooping(q) {
 		return
 	}
 	q.protected = q.protected || len(q.inflight) == 1
@@ -126,103 +167,105 @@
 	}
 }
 
-// quotaReservedReason says why a job starts nothing in this round although it could: its team's
-// limit is kept for another class.
-func (o *scheduler) quotaReservedReason(q *queuedJob, p *schedulingRound) string {
-	if by := p.quotaReservedFor[q.entry.record.Spec.Team]; by != nil {
-		return fmt.Sprintf("team %s is at its limit, and what is free next is for %s, of which too little was served", q.entry.record.Spec.Team, by.entry.record.Spec.Class)
-	}
-	return ""
-}
-
-// reserveQuota keeps what gets free of a team's limit for n tasks of a job whose turn it
-// is, if that can ever be enough.
+// reserveQuota keeps what gets free of a team's limit for so many tasks of a job of an underserved
+// account, if that can ever be enough.
 //
-// Guards against tasks of four CPUs that never start because each CPU that gets free goes
-// to a task of one, and against gangs that would need half of the limit at once.
-func (o *scheduler) reserveQuota(q *queuedJob, n int, p *schedulingRound) {
-	s := &q.entry.record.Spec
-	t := o.core.team(s.Team)
-	if t == nil || !o.mayReserve(q, n, p) {
+// Guards against tasks of four CPUs that never start because each CPU that gets free goes to a task
+// of one, and against gangs that would need half of the limit at once.
+func (s *scheduler) reserveQuota(q *queuedJob, tasks int, round *schedulingRound) {
+	spec := q.spec()
+	team := s.core.team(spec.Team)
+	if team == nil || !s.mayReserve(q, tasks, round) {
 		return
 	}
-	need := usage{}
-	need.add(s, float64(n))
-	for _, x := range o.queue.all() { // what endless services use never gets free
-		if xs := &x.entry.record.Spec; xs.Kind == protocol.KindService && xs.Team == s.Team {
-			need.add(xs, float64(len(x.inflight)))
+	var needed usage
+	needed.add(spec, float64(tasks))
+	for _, other := range s.queue.all() { // what endless services use never gets free
+		if other.spec().Kind == protocol.KindService && other.spec().Team == spec.Team {
+			needed.add(other.spec(), float64(len(other.inflight)))
 		}
 	}
-	if t.CPUsMax > 0 && need.cpus > t.CPUsMax+binpacking.RoundingSlack || t.GPUsMax > 0 && need.gpus > t.GPUsMax+binpacking.RoundingSlack {
+	if needed.exceeds(team) {
 		return
 	}
-	if p.quotaReservedFor == nil {
-		p.quotaReservedFor = map[string]*queuedJob{}
+	if round.quotaReservedFor == nil {
+		round.quotaReservedFor = map[string]*queuedJob{}
 	}
-	p.quotaReservedFor[s.Team] = q
+	round.quotaReservedFor[spec.Team] = q
 }
 
-// maxMachineReservations bounds for how many jobs machines are kept in one round.
+// maxMachineReservations bounds for how many jobs machines are reserved in one round.
 const maxMachineReservations = 4
 
-// reserveMachines keeps the machines with most room from the jobs that rank behind one whose
-// turn it is, as many as n of its tasks need once they are empty.
+// reserveMachines keeps the machines with most room from the jobs that rank behind one of an
+// underserved account, as many as so many of its tasks need once the machines are drained.
 //
-// Guards against a task that needs a whole machine and never starts because there is
-// always something small to fill each of them up with.
-func (o *scheduler) reserveMachines(q *queuedJob, n int, p *schedulingRound) {
-	if p.machineReservations >= maxMachineReservations || !o.mayReserve(q, n, p) {
+// Guards against a task that needs a whole machine and never starts because there is always
+// something small to fill each of them up with.
+func (s *scheduler) reserveMachines(q *queuedJob, tasks int, round *schedulingRound) {
+	if round.machineReservations >= maxMachineReservations || !s.mayReserve(q, tasks, round) {
 		return
 	}
-	p.machineReservations++
-	s := &q.entry.record.Spec
-	var usable []*candidateMachine
-	mayUse := q.machineFilter()
-	for _, m := range p.machines {
-		if mayUse(m.TypeName, m.Zone, m.Spot) && !o.isAvoided(m, q) && !m.reserved && o.drainedCapacity(m).Fits(s) {
-			usable = append(usable, m)
+	round.machineReservations++
+	machines := s.reservableMachines(q, round)
+	for i, machine := range machines {
+		for free := machine.drainedCapacity(); free.Fits(q.spec()) && tasks > 0; tasks-- {
+			free.Allocate(q.spec())
 		}
-	}
-	slices.SortFunc(usable, func(x, y *candidateMachine) int {
-		return cmp.Or(cmp.Compare(y.CPUs, x.CPUs), cmp.Compare(x.name, y.name))
-	})
-	for i, m := range usable {
-		for r := o.drainedCapacity(m); r.Fits(s) && n > 0; n-- {
-			r.Allocate(s)
-		}
-		if n == 0 {
-			for _, m := range usable[:i+1] {
-				m.reserved, m.CPUs = true, 0
+		if tasks == 0 {
+			for _, reserved := range machines[:i+1] {
+				reserved.reserved, reserved.CPUs = true, 0
 			}
 			return
 		}
 	}
 }
 
-// drainedCapacity is the room that a machine will have once all but services have left it.
-func (o *scheduler) drainedCapacity(m *candidateMachine) *binpacking.Capacity {
-	r := m.Capacity
-	r.CPUs, r.GPUs, r.MemoryGB = m.view.machineType.CPUs, m.view.machineType.GPUs, m.view.machineType.MemoryGB
-	for _, f := range m.view.attempts {
-		if s := &f.job.entry.record.Spec; s.Kind == protocol.KindService {
-			r.Allocate(s)
+// reservableMachines lists the machines that a job's tasks could use once they are drained, those
+// with most room first.
+func (s *scheduler) reservableMachines(q *queuedJob, round *schedulingRound) []*candidateMachine {
+	var machines []*candidateMachine
+	mayUse := q.machineFilter()
+	for _, m := range round.machines {
+		if mayUse(m.TypeName, m.Zone, m.Spot) && !s.isAvoided(m, q) && !m.reserved && m.drainedCapacity().Fits(q.spec()) {
+			machines = append(machines, m)
 		}
 	}
-	return &r
+	slices.SortFunc(machines, func(a, b *candidateMachine) int {
+		return cmp.Or(cmp.Compare(b.CPUs, a.CPUs), cmp.Compare(a.name, b.name))
+	})
+	return machines
 }
 
-// mayReserve reports whether anything is to be kept for n tasks of a job in this round: if it
-// is their turn, or that of its first, and if they need more at once than any other task
-// that waits, since whatever gets free is offered to them first. They have it kept for as
-// long as a patience lasts, and after as long a pause again, so that a turn that can't be
-// taken for a reason nobody foresaw holds up the others for half of the time at most.
-func (o *scheduler) mayReserve(q *queuedJob, n int, p *schedulingRound) bool {
-	if q.boost == fairshare.NoBoost && !q.startsEarly || float64(n)*q.entry.record.Spec.CPUs <= p.smallestTaskCPUs+binpacking.RoundingSlack {
+// drainedCapacity is the room that a machine will have once all tasks but those of services have
+// left it.
+func (m *candidateMachine) drainedCapacity() *binpacking.Capacity {
+	free := m.Capacity
+	free.CPUs, free.GPUs, free.MemoryGB = m.view.machineType.CPUs, m.view.machineType.GPUs, m.view.machineType.MemoryGB
+	for _, attempt := range m.view.attempts {
+		if spec := attempt.job.spec(); spec.Kind == protocol.KindService {
+			free.Allocate(spec)
+		}
+	}
+	return &free
+}
+
+// mayReserve reports whether anything is to be reserved for so many tasks of a job in this round:
+// if its account is boosted, or its first task is to start early, and if they need more at once
+// than any other task that waits, since whatever gets free is offered to them first. They have it
+// reserved for as long as an account takes to be overdue, and then not for as long again, so that
+// a reservation that can't be used for a reason nobody foresaw holds up the others for half of the
+// time at most.
+func (s *scheduler) mayReserve(q *queuedJob, tasks int, round *schedulingRound) bool {
+	if q.boost == fairshare.NoBoost && !q.startsEarly {
+		return false
+	}
+	if float64(tasks)*q.spec().CPUs <= round.smallestTaskCPUs+binpacking.RoundingSlack {
 		return false
 	}
-	patience := config.Seconds(o.core.fairShareRules.OverdueAfter)
-	if q.reservedAt == 0 || o.core.now.Monotonic-q.reservedAt > 2*patience {
-		q.reservedAt = max(o.core.now.Monotonic, time.Nanosecond)
+	now, span := s.core.now.Monotonic, config.Seconds(s.core.fairShareRules.OverdueAfter)
+	if q.reservedAt == 0 || now-q.reservedAt > 2*span {
+		q.reservedAt = max(now, time.Nanosecond) // 0 is for none
 	}
-	return o.core.now.Monotonic-q.reservedAt <= patience
+	return now-q.reservedAt <= span
 }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -8,121 +8,166 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// dispatchGang has room held for all tasks of a gang, if there is room for all. A
-// gang that lost a task ends as a whole on its workers, so it is held anew only
-// when none of its tasks is left anywhere.
-func (o *scheduler) dispatchGang(q *queuedJob, p *schedulingRound) {
-	s := &q.entry.record.Spec
-	if !o.canStart(q, p) {
+// dispatchGang has room held for all tasks of a gang, if there is room for all of them, and notes
+// why not. The tasks start once all machines hold their room: see releaseGangs.
+func (s *scheduler) dispatchGang(q *queuedJob, round *schedulingRound) {
+	if !s.mayStartGang(q, round) {
 		return
 	}
-	if len(q.inflight) > 0 {
-		q.reason = "waits until the rest of its last start has ended"
+	tasks := q.waitingTasks()
+	limitReason := s.overLimitReason(q.spec(), float64(tasks), round)
+	if limitReason != "" && q.boost == fairshare.NoBoost {
+		q.reason = limitReason
 		return
 	}
-	if o.isCrashLooping(q) && !o.mayStartCanary(q) {
+	machines := s.findGangMachines(q, round)
+	if machines == nil {
 		return
 	}
-	if why := o.quotaReservedReason(q, p); why != "" {
-		q.reason = why
+	if limitReason != "" {
+		q.reason = limitReason
+		s.reserveQuota(q, tasks, round)
 		return
 	}
-	n := q.waitingTasks()
-	over := o.overLimitReason(s, float64(n), p)
-	if over != "" && q.boost == fairshare.NoBoost {
-		q.reason = over
-		return
+	s.sendGang(q, machines, round)
+}
+
+// mayStartGang reports whether a gang's tasks may be dispatched, whatever the room, and notes why
+// not. A gang that lost a task ends as a whole on its workers, so it is dispatched anew only when
+// none of its tasks is left anywhere.
+func (s *scheduler) mayStartGang(q *queuedJob, round *schedulingRound) bool {
+	if !s.canStart(q, round) {
+		return false
+	}
+	if len(q.inflight) > 0 {
+		q.reason = "waits until the rest of its last start has ended"
+		return false
 	}
+	if s.isCrashLooping(q) && !s.mayStartCanary(q) {
+		return false
+	}
+	if reason := round.quotaReservedReason(q.spec()); reason != "" {
+		q.reason = reason
+		return false
+	}
+	return true
+}
+
+// findGangMachines finds a machine for each of a gang's tasks, by index, as if those before it had
+// their room already. It is nil if there is no room for all, or if a task must not be retried yet.
+func (s *scheduler) findGangMachines(q *queuedJob, round *schedulingRound) map[int]*candidateMachine {
+	spec := q.spec()
 	chosen := map[int]*candidateMachine{}
-	trial := make([]candidateMachine, len(p.machines))
-	for i, m := range p.machines {
-		trial[i] = *m
+	trial := make([]candidateMachine, len(round.machines))
+	for i, machine := range round.machines {
+		trial[i] = *machine
 	}
-	for i := range s.Tasks {
-		if q.taskDone(i) {
+	for index := range spec.Tasks {
+		if q.taskDone(index) {
 			continue
 		}
-		if q.retryAt[i] > o.core.now.Monotonic {
-			q.reason = o.failureReason(q)
-			return
-		}
-		best := -1
-		for k := range trial {
-			m := &trial[k]
-			if m.Fits(s) && binpacking.TaskMayRunOn(&q.entry.record, i, m.TypeName, m.Zone, m.Spot) && (best < 0 || binpacking.BetterFit(&m.Capacity, &trial[best].Capacity, s.Image)) {
-				best = k
-			}
+		if q.retryAt[index] > s.core.now.Monotonic {
+			q.reason = s.failureReason(q)
+			return nil
 		}
+		best := bestMachine(trial, q, index)
 		if best < 0 {
 			q.reason = "waits for room for all its tasks at once"
-			o.reassignZone(q, i)
-			o.reserveMachines(q, n, p)
-			return
+			s.reassignZone(q, index)
+			s.reserveMachines(q, q.waitingTasks(), round)
+			return nil
 		}
-		trial[best].Allocate(s)
-		chosen[i] = p.machines[best]
+		trial[best].Allocate(spec)
+		chosen[index] = round.machines[best]
 	}
-	if over != "" {
-		q.reason = over
-		o.reserveQuota(q, n, p)
-		return
+	return chosen
+}
+
+// bestMachine is the index of the machine that fits a task best, -1 if none does.
+func bestMachine(machines []candidateMachine, q *queuedJob, index int) int {
+	spec := q.spec()
+	best := -1
+	for i := range machines {
+		machine := &machines[i]
+		if !machine.Fits(spec) || !machine.AllowsTask(&q.entry.record, index) {
+			continue
+		}
+		if best < 0 || binpacking.BetterFit(&machine.Capacity, &machines[best].Capacity, spec.Image) {
+			best = i
+		}
 	}
+	return best
+}
+
+// sendGang dispatches all waiting tasks of a gang to the machines that were found for them.
+func (s *scheduler) sendGang(q *queuedJob, machines map[int]*candidateMachine, round *schedulingRound) {
 	q.reservedAt = 0
-	// The workers tell a gang's start from an earlier one by the attempt, so all
-	// of its tasks share one: with a number each they waited for one another for
-	// ever.
-	attempt := o.nextAttemptNumber()
-	for i := range s.Tasks {
-		if m := chosen[i]; m != nil {
-			m.Allocate(s)
-			o.dispatchTask(q, i, m, attempt, true, p)
+	// The workers tell a gang's start from an earlier one by the attempt, so all of its tasks
+	// share one: with a number each they waited for one another for ever.
+	attempt := s.nextAttemptNumber()
+	for index := range q.spec().Tasks {
+		if machine := machines[index]; machine != nil {
+			machine.Allocate(q.spec())
+			s.send(round, taskDispatch{job: q, index: index, attempt: attempt, machine: machine, hold: true})
 		}
 	}
-	q.gangReleased, q.gangHeldAt = false, o.core.now.Monotonic
-	if o.isCrashLooping(q) {
+	q.gangReleased, q.gangHeldAt = false, s.core.now.Monotonic
+	if s.isCrashLooping(q) {
 		q.failures.canaries++
 	}
 }
 
-// releaseGangs starts the gangs whose room is held in full, and lets go of those
-// that did not get it in time.
-func (o *scheduler) releaseGangs() {
-	for id, q := range o.queue.all() {
-		if q.entry.record.Spec.Kind != protocol.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
+// releaseGangs starts the gangs whose machines hold room for all tasks, and drops the held tasks
+// of those that did not get all of it in time.
+func (s *scheduler) releaseGangs() {
+	// Well before the workers give up waiting for one another.
+	timeout := config.Seconds(s.core.settings.Site.Workers.GangWaitS) / 4
+	for _, q := range s.queue.all() {
+		if q.spec().Kind != protocol.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
 			continue
 		}
-		held := 0
-		for _, f := range q.inflight {
-			switch {
-			case f.unlocated || f.awaitingPlacement || f.machine == "":
-			case f.taskState == peerproto.StateHeld:
-				held++
-			default:
-				q.gangReleased = true // an earlier leader has started it
-			}
-		}
-		if q.gangReleased {
+		held, started := q.gangProgress()
+		if started {
+			q.gangReleased = true // by an earlier leader
 			continue
 		}
-		late := o.core.now.Monotonic-q.gangHeldAt > config.Seconds(o.core.settings.Site.Workers.GangWaitS)/4
-		all := held == len(q.inflight) && q.waitingTasks() == 0
-		if !all && !late {
+		complete := held == len(q.inflight) && q.waitingTasks() == 0
+		if complete || s.core.now.Monotonic-q.gangHeldAt > timeout {
+			q.gangReleased = complete
+			s.resolveGang(q, complete)
+		}
+	}
+}
+
+// gangProgress counts the tasks of a gang that have room held for them, and reports whether any
+// has gone further than that.
+func (q *queuedJob) gangProgress() (held int, started bool) {
+	for _, attempt := range q.inflight {
+		switch {
+		case attempt.unlocated || attempt.awaitingPlacement || attempt.machine == "":
+		case attempt.taskState == peerproto.StateHeld:
+			held++
+		default:
+			started = true
+		}
+	}
+	return held, started
+}
+
+// resolveGang has the shards start the held tasks of a gang, or drop them.
+func (s *scheduler) resolveGang(q *queuedJob, start bool) {
+	for _, index := range sortedKeys(q.inflight) {
+		attempt := q.inflight[index]
+		member := s.shards[attempt.shard]
+		if member == nil || attempt.taskState != peerproto.StateHeld {
 			continue
 		}
-		q.gangReleased = all
-		for _, i := range sortedKeys(q.inflight) {
-			f := q.inflight[i]
-			p := o.shards[f.shard]
-			if p == nil || f.taskState != peerproto.StateHeld {
-				continue
-			}
-			try := peerproto.TaskAttempt{Task: protocol.TaskName(id, i), Attempt: f.number, Machine: f.machine}
-			if all {
-				p.outbox.StartHeld = append(p.outbox.StartHeld, try)
-			} else {
-				p.outbox.ReleaseHeld = append(p.outbox.ReleaseHeld, try)
-			}
-			p.outboxDue = true
+		try := peerproto.TaskAttempt{Task: protocol.TaskName(q.id, index), Attempt: attempt.number, Machine: attempt.machine}
+		if start {
+			member.outbox.StartHeld = append(member.outbox.StartHeld, try)
+		} else {
+			member.outbox.ReleaseHeld = append(member.outbox.ReleaseHeld, try)
 		}
+		member.outboxDue = true
 	}
 }
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -1,105 +1,131 @@
 package core
 
 import (
-	"cmp"
 	"math"
 	"slices"
 
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// rankJobs sorts the unfinished jobs: services, then what is urgent, then what its
-// team's guarantee covers, then by urgency, and on the ordinary path by CPUs
-// (GPUs) times predicted duration of what is left of the job, which waiting shrinks.
-func (o *scheduler) rankJobs() []*queuedJob {
-	o.markWithinGuarantee()
-	o.core.estimator.BeginRound()
-	o.updateDependencyWeights()
+// Levels of urgency, the most urgent first. Jobs of the first two should start at once.
+const (
+	urgencyProduction = iota
+	urgencyHigh
+	urgencyNormal
+	urgencyLow
+	urgencyLevels // how many there are
+
+	lowestUrgency = urgencyLow
+)
+
+// urgencyLevel is the level of an urgency's name.
+func urgencyLevel(name string) int {
+	switch name {
+	case protocol.UrgencyProduction:
+		return urgencyProduction
+	case protocol.UrgencyHigh:
+		return urgencyHigh
+	case protocol.UrgencyNormal:
+		return urgencyNormal
+	}
+	return lowestUrgency
+}
+
+// Bands of the rank, the first to start first: services by urgency, what an account that stays
+// underserved is boosted to, urgent jobs, those within a guarantee, what an underserved account is
+// boosted to first, and all others by urgency.
+const (
+	bandServices        = -10
+	bandAheadOfUrgent   = -1
+	bandUrgent          = 0
+	bandGuaranteed      = 2
+	bandBehindGuarantee = 3
+	bandOthers          = 10
+)
+
+// rankJobs sorts the unfinished jobs by bands, and within one by CPUs (GPUs) times predicted
+// duration of what is left of the job, which waiting shrinks.
+func (s *scheduler) rankJobs() []*queuedJob {
+	s.markWithinGuarantee()
+	s.core.estimator.BeginRound()
+	s.updateDependencyWeights()
 	var jobs []*queuedJob
-	for _, q := range o.queue.all() {
+	for _, q := range s.queue.all() {
 		if q.entry.isFinal() || q.finalizing {
 			continue
 		}
-		q.reason = ""
-		if len(q.failures.machines) > 0 && !q.provenToRun(&o.core.intervals) {
-			q.reason = o.failureReason(q)
-		}
-		// A task that has outlived the prediction twice over disproves it: a name
-		// without history once took the mean of its team's tiny tasks, so that
-		// hours of work seemed to be worth no machine.
-		q.predictedSeconds = o.core.estimator.Predict(&q.entry.record.Spec)
-		if ran := q.longestRunning.Seconds(); ran > 2*q.predictedSeconds && q.entry.record.Spec.Kind != protocol.KindService {
-			q.predictedSeconds = ran
-		}
-		q.effectiveUrgency, q.dependentsDeadline = urgencyLevel(q.entry.record.Spec.Urgency), math.Inf(1)
-		if w, ok := o.core.records.dependencies.Priority(q.id); ok {
-			q.effectiveUrgency, q.dependentsDeadline = min(q.effectiveUrgency, w.Urgency), w.LatestFinish
-		}
-		q.rankBand, q.rankInBand = o.rankOf(q)
+		s.updateRank(q)
 		jobs = append(jobs, q)
 	}
-	o.applyFairShare(jobs)
+	s.applyFairShare(jobs)
 	slices.SortStableFunc(jobs, (*queuedJob).compareRank)
 	return jobs
 }
 
-// compareRank orders jobs by their rank, the first to start first.
-func (q *queuedJob) compareRank(b *queuedJob) int {
-	return cmp.Or(cmp.Compare(q.rankBand, b.rankBand), cmp.Compare(q.rankInBand, b.rankInBand))
+// updateRank works out a job's rank anew, fair share aside.
+func (s *scheduler) updateRank(q *queuedJob) {
+	q.reason = ""
+	if len(q.failures.machines) > 0 && !q.provenToRun(&s.core.intervals) {
+		q.reason = s.failureReason(q)
+	}
+	q.predictedSeconds = s.predictTask(q)
+	q.effectiveUrgency, q.dependentsDeadline = urgencyLevel(q.spec().Urgency), math.Inf(1)
+	if priority, ok := s.core.records.dependencies.Priority(q.id); ok {
+		q.effectiveUrgency = min(q.effectiveUrgency, priority.Urgency)
+		q.dependentsDeadline = priority.LatestFinish
+	}
+	q.rankBand, q.rankInBand = s.bandOf(q), s.agedWork(q)
 }
 
-// ranksBefore reports whether a job takes free room before another one does.
-//
-// Guards against stopping tasks whose job then takes the room itself: one in its
-// guarantee ranks before another's promised work, was stopped for that although it was
-// less urgent, and started its next tasks there, once a round for half an hour.
-func (q *queuedJob) ranksBefore(b *queuedJob) bool { return q.compareRank(b) < 0 }
+// predictTask is how many seconds a task of a job runs. A task that has run for twice the
+// prediction disproves it: a class without history once took the mean of its team's tiny tasks, so
+// that hours of work seemed to be worth no machine.
+func (s *scheduler) predictTask(q *queuedJob) float64 {
+	predicted := s.core.estimator.Predict(q.spec())
+	ran := q.longestRunning.Seconds()
+	if ran > 2*predicted && q.spec().Kind != protocol.KindService {
+		return ran
+	}
+	return predicted
+}
 
-// rankOf is a job's band, and its size within that. A guest's work comes after what a
-// guarantee covers, however urgent it is: it took the room that its own tasks had been
-// stopped for, and was stopped again, once a round.
-func (o *scheduler) rankOf(q *queuedJob) (band int, size float64) {
-	s := &q.entry.record.Spec
-	u := q.effectiveUrgency
+// bandOf is a job's band. A best-effort team's work comes after what a guarantee covers, however
+// urgent it is: it took the room that its own tasks had been preempted for, and was preempted
+// again, once a round.
+func (s *scheduler) bandOf(q *queuedJob) int {
+	spec, urgency := q.spec(), q.effectiveUrgency
 	switch {
-	case s.Kind == protocol.KindService:
-		band = u - 10
-	case u <= 1 && !o.core.bestEffortTeams[s.Team]:
-		band = u
+	case spec.Kind == protocol.KindService:
+		return bandServices + urgency
+	case urgency <= urgencyHigh && !s.core.bestEffortTeams[spec.Team]:
+		return bandUrgent + urgency
 	case q.withinGuarantee:
-		band = 2
+		return bandGuaranteed
 	default:
-		band = 10 + u
-	}
-	size = taskWidth(s)
-	aged := 1 + max(o.core.now.Wall-q.entry.waitingSince(), 0)/(o.core.policy.AgingLeases*o.core.intervals.workerLease.Seconds())
-	if s.Kind != protocol.KindService {
-		// All that is left of a job, as the paper counts all GPUs of a job. By a
-		// task's product alone the jobs of one name tie, their age decides, and
-		// under load they all wait as long as the last one may.
-		size *= float64(max(s.Tasks-q.entry.doneCount-len(q.unsavedTasks), 1))
+		return bandOthers + urgency
 	}
-	return band, size * q.predictedSeconds / aged
 }
 
-// taskWidth is what a task counts with in the paper's product.
-func taskWidth(s *protocol.Job) float64 {
-	if s.GPUs > 0 {
-		return s.GPUs
+// agedWork is the work that is left of a job, less the longer it has waited.
+//
+// All tasks that are left count, as the paper counts all GPUs of a job. By the product of one task
+// the jobs of one class tie, their age decides, and under load they all wait for as long as the
+// last one may.
+func (s *scheduler) agedWork(q *queuedJob) float64 {
+	spec := q.spec()
+	width := taskWidth(spec)
+	if spec.Kind != protocol.KindService {
+		width *= float64(max(spec.Tasks-q.completedTasks(), 1))
 	}
-	return s.CPUs
+	agingSeconds := s.core.policy.AgingLeases * s.core.intervals.workerLease.Seconds()
+	aging := 1 + max(s.core.now.Wall-q.entry.waitingSince(), 0)/agingSeconds
+	return width * q.predictedSeconds / aging
 }
 
-func urgencyLevel(u string) int {
-	switch u {
-	case protocol.UrgencyProduction:
-		return 0
-	case protocol.UrgencyHigh:
-		return 1
-	case protocol.UrgencyNormal:
-		return 2
+// taskWidth is what a task counts for in the paper's product: its GPUs, or its CPUs if it has none.
+func taskWidth(spec *protocol.Job) float64 {
+	if spec.GPUs > 0 {
+		return spec.GPUs
 	}
-	return lowestUrgency
+	return spec.CPUs
 }
-
-const lowestUrgency = 3
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -1,299 +1,275 @@
 package core
 
 import (
-	"math"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/chalkhub/chalkhub/internal/estimator"
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
-	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// queuedJob is a job in the leader's queue.
-type queuedJob struct {
-	entry              *jobEntry
-	id                 string
-	inflight           map[int]*inflightAttempt
-	unsavedTasks       map[int]bool // completed, not durable yet
-	firstWaiting       int          // no task below it waits
-	unlocated          bool         // from before this leader: its tasks may be on unseen machines
-	retryAt            map[int]time.Duration
-	failures           failureRecord
-	longestRunning     time.Duration         // how long one of its tasks has been running, at the most
-	finalizing         bool                  // the final state is being written
-	choosingZones      bool                  // its zones are being written
-	zoneFullSince      map[int]time.Duration // since when the tasks of each of them have found no room
-	saveDueAt          time.Duration
-	savingProgress     bool
-	reason             string
-	publishedView      peerproto.JobView
-	predictedSeconds   float64
-	durations          estimator.RunningMean // of its own completed tasks that this leader has seen
-	rankBand           int                   // its place in the order: first the band,
-	rankInBand         float64               // then the size
-	withinGuarantee    bool                  // within its team's guarantee
-	boost              fairshare.Boost       // its class's turn, whatever its urgency
-	protected          bool                  // its class is short, or it has only just begun: its tasks are not stopped for others
-	startsEarly        bool                  // it is to begin by now: its first task goes before its rank
-	effectiveUrgency   int                   // its urgency, or that of the most urgent job that needs it
-	dependentsDeadline float64               // time of day by which it is to be done for those to be in time, +Inf: no matter
-	reservedAt         time.Duration         // since when its limit or machines are kept for it, 0: they are not
-	stoppedTasks       map[int]bool          // tasks that were stopped: what is left of them says nothing of their duration
-	stopCount          int
-	stopReason         string
-	gangReleased       bool // a gang's tasks were told to start
-	gangHeldAt         time.Duration
-}
+// scheduler is the leader's shared queue: it ranks the unfinished jobs and dispatches their tasks
+// to the shards, and keeps account of which task is on which machine. Only a leader's acts, and
+// only in an epoch whose shard map is its own.
+type scheduler struct {
+	core    *Core
+	leading bool
 
-func newQueuedJob(j *jobEntry) *queuedJob {
-	return &queuedJob{
-		entry: j, id: j.record.Spec.ID, effectiveUrgency: urgencyLevel(j.record.Spec.Urgency), dependentsDeadline: math.Inf(1), inflight: map[int]*inflightAttempt{}, unsavedTasks: map[int]bool{},
-		retryAt: map[int]time.Duration{}, failures: failureRecord{machines: map[string]bool{}}, stoppedTasks: map[int]bool{},
-	}
-}
+	// The term as leader, and the epoch in force.
+	epoch            uint64 // the epoch this leader acts in, 0: none yet
+	epochAtElection  uint64
+	epochEnteredAt   time.Duration
+	electionRevision uint64 // jobs newer than this were never dispatched by an earlier leader
+	reloadRevision   uint64 // the mirror's when it was last reloaded while this controller led
 
-func (q *queuedJob) waitingTasks() int {
-	return q.entry.record.Spec.Tasks - q.entry.doneCount - len(q.unsavedTasks) - len(q.inflight)
-}
+	// What the members tell of their shards.
+	shards      map[string]*shardView // by label
+	shardLabels map[uint64]string     // by session, "" before its hello
+	machines    *orderedMap[*machineView]
 
-// complete reports whether every task has completed, durably or not.
-func (q *queuedJob) complete() bool {
-	return q.entry.record.Spec.Kind != protocol.KindService && q.entry.doneCount+len(q.unsavedTasks) >= q.entry.record.Spec.Tasks
-}
+	// The queue, and the attempts that may be on a machine.
+	queue            *orderedMap[*queuedJob]
+	attempts         map[string]*inflightAttempt // by task name
+	unplacedAttempts map[string]*inflightAttempt // all that await placement, and a few that no longer do
+	stopRequests     map[string]*inflightAttempt // all that are asked to stop, and a few that have stopped
+	teamUsage        map[string]*usage           // by team, what its tasks may be taking
+	attemptCounter   uint64                      // of this epoch
 
-// nextWaiting is the first task from i on that is neither over nor dispatched.
-func (q *queuedJob) nextWaiting(i int) int {
-	for i < q.entry.record.Spec.Tasks && (q.inflight[i] != nil || q.taskDone(i)) {
-		i++
-	}
-	return i
-}
-
-func (q *queuedJob) taskDone(i int) bool { return q.unsavedTasks[i] || q.entry.isTaskDone(i) }
+	// Jobs and tasks of earlier leaders that may be on machines not seen yet.
+	hasUnlocated   bool
+	lastUnseen     string        // a machine that was not seen yet when last looked at
+	unseenLoggedAt time.Duration // when such machines were last named
 
-// scheduler is the leader's shared queue.
-type scheduler struct {
-	core                *Core
-	leading             bool
-	epoch               uint64 // the epoch this leader acts in, 0: none yet
-	epochAtElection     uint64
-	epochEnteredAt      time.Duration // when this leader entered the epoch
-	electionRevision    uint64        // jobs newer than this were never dispatched before us
-	reloadRevision      uint64        // the mirror's when it was last read anew while we led
-	dependencyWeightsAt time.Duration // when the weights of pipelines were last worked out
-	shards              map[string]*shardView
-	shardLabels         map[uint64]string // session -> label, "" before hello
-	machines            *orderedMap[*machineView]
-	queue               *orderedMap[*queuedJob]
-	attempts            map[string]*inflightAttempt
-	unplacedAttempts    map[string]*inflightAttempt // those that may be open, and a few that no longer are
-	stopRequests        map[string]*inflightAttempt // the same of those that are asked to stop
-	teamUsage           map[string]*usage           // by team, what its tasks may be taking
-	unsavedJobs         map[string]*queuedJob       // have completed tasks that are not durable
-	hasUnlocated        bool                        // some job or task is in limbo
-	lastUnseen          string                      // a machine that was not seen yet when last looked at
-	unseenLoggedAt      time.Duration               // when the machines that are waited for were last named
-	attemptCounter      uint64
-	lastMaintenance     time.Duration
-	lastScheduling      time.Duration
-	progressWriteTokens float64 // tokens for progress writes
+	// Completed tasks that are not durable yet.
+	unsavedJobs         map[string]*queuedJob
+	progressWriteTokens float64
 	progressTokensAt    time.Duration
 	progressSaveDue     bool
 	nextProgressSave    time.Duration
-	fairShareStates     []fairshare.AccountState   // how each class of each team stands, in this round
-	startLatencies      [4]*hdrhistogram.Histogram // ms from submission to running, by urgency
+
+	// Rounds.
+	lastScheduling      time.Duration // the quick round: rank and dispatch; 0: one is due
+	lastMaintenance     time.Duration // the slow round: fleet, garbage, what the members are told
+	dependencyWeightsAt time.Duration // when the priorities of dependencies were last worked out
+	fairShareStates     []fairshare.AccountState
+	startLatencies      [urgencyLevels]*hdrhistogram.Histogram // ms from submission to running
 }
 
-// maxStartLatencyMillis is the longest wait told apart, in ms.
-const maxStartLatencyMillis = 3_600_000
+const (
+	// maxStartLatencyMillis is the longest start latency told apart: an hour.
+	maxStartLatencyMillis = 3_600_000
+
+	// startLatencyDigits is how many digits of a start latency are told apart.
+	startLatencyDigits = 2
+)
 
 func newScheduler(c *Core) *scheduler {
-	o := &scheduler{core: c, shardLabels: map[uint64]string{}, shards: map[string]*shardView{}}
-	o.reset()
-	for i := range o.startLatencies {
-		o.startLatencies[i] = hdrhistogram.New(1, maxStartLatencyMillis, 2)
+	s := &scheduler{core: c, shardLabels: map[uint64]string{}, shards: map[string]*shardView{}}
+	s.reset()
+	for i := range s.startLatencies {
+		s.startLatencies[i] = hdrhistogram.New(1, maxStartLatencyMillis, startLatencyDigits)
 	}
-	return o
+	return s
 }
 
-func (o *scheduler) leadershipChanged(on bool) {
-	o.leading = on
-	o.epoch = 0
-	o.epochAtElection = o.core.membership.epoch()
-	// Guards against a leader that had to read everything anew: what came after its own
-	// key was written it may have dispatched itself, before its books were gone.
-	o.electionRevision = max(o.core.mirror.Version(keyLeader), o.reloadRevision)
-	o.dependencyWeightsAt = 0
-	o.reset()
-	o.lastMaintenance = 0
-	o.progressTokensAt = o.core.now.Monotonic
-	o.progressWriteTokens = o.core.writeRate() / 4
-	if on {
-		o.core.estimator.load()
-		for _, id := range sortedKeys(o.core.records.jobs) {
-			j := o.core.records.jobs[id]
-			j.readyThisTerm = false // so it was to a leader before us, ourselves perhaps
-			o.jobChanged(j)
-		}
-		o.core.fleet.reset()
-		o.core.fleet.restoreInflow()
+// reset drops all that an earlier term as leader knew of jobs and machines.
+func (s *scheduler) reset() {
+	s.machines, s.queue = newOrderedMap[*machineView](), newOrderedMap[*queuedJob]()
+	s.attempts = map[string]*inflightAttempt{}
+	s.unplacedAttempts, s.stopRequests = map[string]*inflightAttempt{}, map[string]*inflightAttempt{}
+	s.teamUsage, s.unsavedJobs = map[string]*usage{}, map[string]*queuedJob{}
+	s.hasUnlocated = false
+}
+
+// leadershipChanged begins a term as leader, or ends it.
+func (s *scheduler) leadershipChanged(leading bool) {
+	s.leading = leading
+	s.epoch = 0
+	s.epochAtElection = s.core.membership.epoch()
+	// Guards against a leader that had to reload its mirror: what came after its own key was
+	// written it may have dispatched itself, before it forgot.
+	s.electionRevision = max(s.core.mirror.Version(keyLeader), s.reloadRevision)
+	s.dependencyWeightsAt = 0
+	s.reset()
+	s.lastMaintenance = 0
+	s.progressTokensAt = s.core.now.Monotonic
+	s.progressWriteTokens = s.core.writeRate() / 4
+	if leading {
+		s.beginTerm()
 	}
 }
 
-func (o *scheduler) reset() {
-	o.machines, o.queue = newOrderedMap[*machineView](), newOrderedMap[*queuedJob]()
-	o.unplacedAttempts, o.stopRequests = map[string]*inflightAttempt{}, map[string]*inflightAttempt{}
-	o.attempts, o.teamUsage, o.unsavedJobs = map[string]*inflightAttempt{}, map[string]*usage{}, map[string]*queuedJob{}
-	o.hasUnlocated = false
+// beginTerm takes over the history and the unfinished jobs from the mirror.
+func (s *scheduler) beginTerm() {
+	s.core.estimator.load()
+	for _, id := range sortedKeys(s.core.records.jobs) {
+		entry := s.core.records.jobs[id]
+		entry.readyThisTerm = false // an earlier leader, perhaps this one, may have dispatched it
+		s.jobChanged(entry)
+	}
+	s.core.fleet.reset()
+	s.core.fleet.restoreInflow()
 }
 
 // jobChanged follows the mirror.
-func (o *scheduler) jobChanged(j *jobEntry) {
-	if !o.leading || j.version == 0 {
+func (s *scheduler) jobChanged(entry *jobEntry) {
+	if !s.leading || entry.version == 0 {
 		return
 	}
-	id := j.record.Spec.ID
-	if o.core.records.dependencies.IsWaiting(id) {
+	id := entry.record.Spec.ID
+	if s.core.records.dependencies.IsWaiting(id) {
 		return // it holds nothing, and comes again once it is ready
 	}
-	q := o.queue.get(id)
-	if j.isFinal() {
-		delete(o.unsavedJobs, id)
-		// Its flights stay until they are surely gone: they hold quota.
+	q := s.queue.get(id)
+	switch {
+	case entry.isFinal():
+		delete(s.unsavedJobs, id)
+		// Attempts stay until their tasks are surely gone: they count against the quota.
 		if q != nil && len(q.inflight) == 0 {
-			o.queue.delete(id)
+			s.queue.delete(id)
 		}
-		return
+	case q == nil:
+		s.enqueue(id, entry)
 	}
-	if q == nil {
-		q = newQueuedJob(j)
-		q.unlocated = j.version <= o.electionRevision && !j.readyThisTerm
-		o.hasUnlocated = o.hasUnlocated || q.unlocated
-		o.queue.set(id, q)
-		o.core.estimator.JobArrived(&j.record.Spec)
-		if s := &j.record.Spec; o.core.debug {
-			o.core.logDebug("queued", "job", id, "at", j.record.SubmittedAt, "team", s.Team, "class", s.Class, "tasks", s.Tasks, "cpus", s.CPUs, "guess_s", s.EstimateS)
-		}
-		if !q.unlocated {
-			o.core.fleet.jobArrived(q)
-		}
-		if q.complete() {
-			o.unsavedJobs[id] = q // its last leader did not get to say so
-		}
+}
+
+// enqueue takes a job into the queue.
+func (s *scheduler) enqueue(id string, entry *jobEntry) {
+	q := newQueuedJob(entry)
+	q.unlocated = entry.version <= s.electionRevision && !entry.readyThisTerm
+	s.hasUnlocated = s.hasUnlocated || q.unlocated
+	s.queue.set(id, q)
+	spec := q.spec()
+	s.core.estimator.JobArrived(spec)
+	if s.core.debug {
+		s.core.logDebug("queued", "job", id, "at", entry.record.SubmittedAt, "team", spec.Team, "class", spec.Class, "tasks", spec.Tasks, "cpus", spec.CPUs, "guess_s", spec.EstimateS)
+	}
+	if !q.unlocated {
+		s.core.fleet.jobArrived(q)
+	}
+	if q.complete() {
+		s.unsavedJobs[id] = q // its last leader ended before it wrote that
 	}
 }
 
-// progressSaved follows the mirror: what is durable is no longer ours to save.
-func (o *scheduler) progressSaved(id string) {
-	q := o.queue.get(id)
+// progressSaved follows the mirror: completed tasks that are durable need not be saved.
+func (s *scheduler) progressSaved(id string) {
+	q := s.queue.get(id)
 	if q == nil {
 		return
 	}
-	for i := range q.unsavedTasks {
-		if q.entry.isTaskDone(i) {
-			delete(q.unsavedTasks, i)
+	for index := range q.unsavedTasks {
+		if q.entry.isTaskDone(index) {
+			delete(q.unsavedTasks, index)
 		}
 	}
 }
 
-// enterEpoch enters the epoch of the map in force if it is ours.
-func (o *scheduler) enterEpoch() {
-	rec := o.core.records.shardMap
-	if rec == nil || rec.Leader != o.core.settings.Label || rec.Epoch <= o.epochAtElection || rec.Epoch == o.epoch {
+// enterEpoch enters the epoch of the shard map in force if this leader wrote it.
+func (s *scheduler) enterEpoch() {
+	shardMap := s.core.records.shardMap
+	if shardMap == nil || shardMap.Leader != s.core.settings.Label || shardMap.Epoch <= s.epochAtElection || shardMap.Epoch == s.epoch {
 		return
 	}
-	first := o.epoch == 0
-	o.epoch, o.epochEnteredAt = rec.Epoch, o.core.now.Monotonic
-	o.attemptCounter = 0
-	for _, v := range o.machines.all() {
-		v.state.TasksComplete, v.state.TasksBounded, v.state.AcceptsTasks, v.unsureSince = false, false, false, o.core.now.Monotonic
-		v.cordoned = false
+	first := s.epoch == 0
+	s.epoch, s.epochEnteredAt = shardMap.Epoch, s.core.now.Monotonic
+	s.attemptCounter = 0
+	s.distrustMachines()
+	s.markUnlocated()
+	for _, member := range s.shards {
+		// It may have entered this epoch, and sent its snapshot, before we did.
+		member.syncedEpoch, member.snapshotTasks = 0, nil
+		member.outbox, member.outboxDue = peerproto.Message{Resync: true}, true
 	}
-	for name := range o.core.records.machineRecords.all() {
-		o.ensureMachine(name)
+	if first {
+		s.core.logDebug("entered first epoch as leader", "machines", s.machines.len(), "jobs", s.queue.len())
 	}
-	// What was dispatched but not yet seen on a machine may be on any machine
-	// of a part that is gone; it counts as running until all are seen.
-	for _, f := range o.unplacedAttempts {
-		if f.awaitingPlacement {
-			f.awaitingPlacement, f.unlocated, o.hasUnlocated = false, true, true
-		}
+}
+
+// distrustMachines forgets what the shards of the last epoch told: a machine may have another
+// owner now. Those of the registry that no shard has told of count as not seen yet.
+func (s *scheduler) distrustMachines() {
+	for _, view := range s.machines.all() {
+		view.state.TasksComplete, view.state.TasksBounded, view.state.AcceptsTasks, view.unsureSince = false, false, false, s.core.now.Monotonic
+		view.cordoned = false
 	}
-	clear(o.unplacedAttempts)
-	for _, p := range o.shards {
-		// A part may have entered this epoch, and told all, before we did.
-		p.syncedEpoch, p.snapshotTasks = 0, nil
-		p.outbox, p.outboxDue = peerproto.Message{Resync: true}, true
+	for name := range s.core.records.machineRecords.all() {
+		s.ensureMachine(name)
 	}
-	if first {
-		o.core.logDebug("taking over", "machines", o.machines.len(), "jobs", o.queue.len())
+}
+
+// markUnlocated notes that a task which was dispatched but not yet seen on a machine may be on any
+// machine of a shard that is gone; it counts as running until all machines are seen.
+func (s *scheduler) markUnlocated() {
+	for _, attempt := range s.unplacedAttempts {
+		if attempt.awaitingPlacement {
+			attempt.awaitingPlacement, attempt.unlocated, s.hasUnlocated = false, true, true
+		}
 	}
+	clear(s.unplacedAttempts)
 }
 
-func (o *scheduler) reconcile() {
-	if !o.leading || !o.core.membership.mayServe() {
+// reconcile does what is due for a leader whose epoch is in force, and sends the members what has
+// gathered for them.
+func (s *scheduler) reconcile() {
+	if !s.leading || !s.core.membership.mayServe() {
 		return
 	}
-	o.enterEpoch()
-	if o.epoch == 0 || o.epoch != o.core.membership.epoch() {
+	s.enterEpoch()
+	if s.epoch == 0 || s.epoch != s.core.membership.epoch() {
 		return
 	}
-	if o.progressSaveDue || o.core.now.Monotonic >= o.nextProgressSave {
-		o.progressSaveDue, o.nextProgressSave = false, o.core.now.Monotonic+o.core.intervals.maintenance/4
-		o.saveProgress()
+	now, intervals := s.core.now.Monotonic, &s.core.intervals
+	if s.progressSaveDue || now >= s.nextProgressSave {
+		s.progressSaveDue, s.nextProgressSave = false, now+intervals.maintenance/4
+		s.saveProgress()
 	}
-	if o.lastScheduling == 0 || o.core.now.Monotonic-o.lastScheduling >= o.core.intervals.scheduling {
-		o.lastScheduling = o.core.now.Monotonic
-		o.removeGoneMachines()
-		o.core.registry.reconcile()
-		o.resolveUnlocated()
-		ranked, waiting := o.runRound()
-		if o.core.now.Monotonic-o.lastMaintenance >= o.core.intervals.maintenance {
-			o.lastMaintenance = o.core.now.Monotonic
-			o.core.fleet.autoscale(ranked, waiting)
-			o.core.estimator.save()
-			o.core.garbage.collect()
-			o.publishJobViews()
-		}
+	if s.lastScheduling == 0 || now-s.lastScheduling >= intervals.scheduling {
+		s.schedule()
 	}
-	for _, label := range sortedKeys(o.shards) {
-		if p := o.shards[label]; p.outboxDue && p.session != 0 {
-			m := p.outbox
-			p.messagesSent++
-			m.Epoch, m.Seq = o.epoch, p.messagesSent
-			p.outbox, p.outboxDue = peerproto.Message{}, false
-			if p.session == loopbackLink {
-				o.core.loopback = append(o.core.loopback, func() { o.core.shard.handleLeaderMessage(&m) })
-				continue
-			}
-			for _, piece := range m.LeaderChunks() {
-				o.core.emit(SendToPeer{Session: p.session, Message: piece})
-			}
-		}
+	s.flushOutboxes()
+}
+
+// schedule is the quick round, and the slow one if that is due.
+func (s *scheduler) schedule() {
+	s.lastScheduling = s.core.now.Monotonic
+	s.removeGoneMachines()
+	s.core.registry.reconcile()
+	s.resolveUnlocated()
+	ranked, waiting := s.runRound()
+	if s.core.now.Monotonic-s.lastMaintenance >= s.core.intervals.maintenance {
+		s.lastMaintenance = s.core.now.Monotonic
+		s.maintain(ranked, waiting)
 	}
 }
 
-// runRound ranks what waits and dispatches what fits.
-func (o *scheduler) runRound() (ranked, waiting []*queuedJob) {
-	ranked = o.rankJobs()
-	p := o.newRound()
-	p.smallestTaskCPUs = math.Inf(1)
-	for _, q := range ranked {
-		if q.waitingTasks() > 0 && !o.core.degraded.isCancelled(q.id) {
-			waiting = append(waiting, q)
-			p.smallestTaskCPUs = min(p.smallestTaskCPUs, q.entry.record.Spec.CPUs)
+// maintain is the slow round. ranked is every unfinished job and waiting those with tasks to
+// dispatch, both in rank order.
+func (s *scheduler) maintain(ranked, waiting []*queuedJob) {
+	s.core.fleet.autoscale(ranked, waiting)
+	s.core.estimator.save()
+	s.core.garbage.collect()
+	s.publishJobViews()
+}
+
+// flushOutboxes sends each member what has gathered for it.
+func (s *scheduler) flushOutboxes() {
+	for _, label := range sortedKeys(s.shards) {
+		member := s.shards[label]
+		if !member.outboxDue || member.session == 0 {
+			continue
 		}
-	}
-	for _, q := range waiting {
-		if q.entry.record.Spec.Kind == protocol.KindGang {
-			o.dispatchGang(q, p)
-		} else {
-			o.dispatch(q, p)
+		message := member.outbox
+		member.messagesSent++
+		message.Epoch, message.Seq = s.epoch, member.messagesSent
+		member.outbox, member.outboxDue = peerproto.Message{}, false
+		if member.session == loopbackLink {
+			s.core.loopback = append(s.core.loopback, func() { s.core.shard.handleLeaderMessage(&message) })
+			continue
+		}
+		for _, chunk := range message.LeaderChunks() {
+			s.core.emit(SendToPeer{Session: member.session, Message: chunk})
 		}
 	}
-	o.releaseGangs()
-	return ranked, waiting
 }
