--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -11,189 +11,231 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// victim is a task that may be stopped for others at a small loss.
+// victim is a task that may be preempted at a small loss.
 type victim struct {
 	attempt  *inflightAttempt
 	task     string
 	machine  *candidateMachine
-	lostWork float64
-}
-
-// preemptFor stops tasks for the sake of a job that found no room: those that lose
-// least, and no more than the job can use. The tasks of lower urgency go for an
-// urgent job; for a job within its team's guarantee, what other teams run beyond
-// theirs.
-func (o *scheduler) preemptFor(q *queuedJob, p *schedulingRound) {
-	c := o.core
-	s := &q.entry.record.Spec
-	may := o.isUrgent(q) || o.hasDeadlineObjective(q) || q.withinGuarantee && (c.policy.PreemptForGuarantee || len(c.bestEffortTeams) > 0)
-	if !may {
+	lostWork float64 // CPU seconds
+}
+
+// preemption is the choice of the tasks that are preempted for one job.
+type preemption struct {
+	scheduler *scheduler
+	job       *queuedJob
+	victims   []victim
+	mayUse    func(typ, zone string, spot bool) bool
+	sets      map[*candidateMachine]*preemptionSet // by machine: the room that is being made there
+}
+
+// preemptionSet is room that is made on a machine: whose tasks are to be stopped, and for how many
+// others that makes room.
+type preemptionSet struct {
+	binpacking.Capacity
+	victims     []*victim
+	lostWork    float64
+	tasksGained int
+}
+
+// preemptFor preempts tasks for a job that found no room: those that lose least, and no more than
+// the job can use. For an urgent job, or one with a deadline, tasks of less urgent jobs go; for a
+// job within its team's guarantee, what other teams run beyond theirs.
+func (s *scheduler) preemptFor(q *queuedJob, round *schedulingRound) {
+	if !s.mayPreempt(q) {
 		return
 	}
-	if !p.victimsListed {
-		p.victimsListed = true
-		o.findVictims(p)
+	if !round.victimsListed {
+		round.victimsListed = true
+		s.findVictims(round)
 	}
-	need := q.waitingTasks()
-	if o.isCrashLooping(q) {
-		need = 1 // the rest of it would only fail
+	p := preemption{
+		scheduler: s,
+		job:       q,
+		victims:   round.victims,
+		mayUse:    q.machineFilter(),
+		sets:      map[*candidateMachine]*preemptionSet{},
 	}
-	rooms := map[*candidateMachine]*preemptionSet{}
-	mayUse := q.machineFilter()
-	usable := func(v *victim) bool {
-		return mayUse(v.machine.TypeName, v.machine.Zone, v.machine.Spot) && !o.isAvoided(v.machine, q) && o.isPreemptible(v.attempt.job, q)
+	needed := q.waitingTasks()
+	if s.isCrashLooping(q) {
+		needed = 1 // the rest of it would only fail
 	}
-	room := func(v *victim) *preemptionSet {
-		if rooms[v.machine] == nil {
-			rooms[v.machine] = &preemptionSet{Capacity: v.machine.Capacity}
+	needed -= p.tasksComing()
+	for _, set := range p.cheapestSets() {
+		if needed <= 0 {
+			return
+		}
+		needed -= set.tasksGained
+		for _, v := range set.victims {
+			s.preempt(v, q)
 		}
-		return rooms[v.machine]
 	}
-	// What was asked for already is room on its way, whoever it was asked for:
-	// counting it for one job alone stopped far more than was needed.
+}
+
+// mayPreempt reports whether tasks of others may be preempted for a job at all.
+func (s *scheduler) mayPreempt(q *queuedJob) bool {
+	if s.isUrgent(q) || s.hasDeadlineObjective(q) {
+		return true
+	}
+	return q.withinGuarantee && (s.core.policy.PreemptForGuarantee || len(s.core.bestEffortTeams) > 0)
+}
+
+// tasksComing is for how many of the job's tasks room is on its way.
+//
+// Guards against preempting far more than is needed: what was asked to stop already is room on its
+// way, whichever job that was for.
+func (p *preemption) tasksComing() (tasks int) {
 	for i := range p.victims {
-		if v := &p.victims[i]; v.attempt.stopRequested && usable(v) {
-			need -= room(v).addFreed(&v.attempt.job.entry.record.Spec, s)
+		v := &p.victims[i]
+		if v.attempt.stopRequested && p.isUsable(v) {
+			tasks += p.setOf(v).addFreed(v.attempt.job.spec(), p.job.spec())
 		}
 	}
-	// Room counts machine by machine: the four smallest losses on four machines
-	// made no room for a task of four CPUs, and thousands were stopped in vain.
-	var found []*preemptionSet
+	return tasks
+}
+
+// cheapestSets lists sets of victims that each make room for at least one of the job's tasks, the
+// one with the smallest loss for each first.
+//
+// Room counts machine by machine: the four smallest losses on four machines made no room for a
+// task of four CPUs, and thousands of tasks were preempted in vain.
+func (p *preemption) cheapestSets() []*preemptionSet {
+	var sets []*preemptionSet
 	for i := range p.victims {
 		v := &p.victims[i]
-		if v.attempt.stopRequested || !usable(v) {
+		if v.attempt.stopRequested || !p.isUsable(v) {
 			continue
 		}
-		r := room(v)
-		r.victims = append(r.victims, v)
-		r.lostWork += v.lostWork
-		if n := r.addFreed(&v.attempt.job.entry.record.Spec, s); n > 0 {
-			found = append(found, &preemptionSet{victims: r.victims, lostWork: r.lostWork, tasksGained: n})
-			r.victims, r.lostWork = nil, 0
+		set := p.setOf(v)
+		set.victims = append(set.victims, v)
+		set.lostWork += v.lostWork
+		if tasks := set.addFreed(v.attempt.job.spec(), p.job.spec()); tasks > 0 {
+			sets = append(sets, &preemptionSet{victims: set.victims, lostWork: set.lostWork, tasksGained: tasks})
+			set.victims, set.lostWork = nil, 0
 		}
 	}
-	slices.SortStableFunc(found, func(a, b *preemptionSet) int {
+	slices.SortStableFunc(sets, func(a, b *preemptionSet) int {
 		return cmp.Compare(a.lostWork/float64(a.tasksGained), b.lostWork/float64(b.tasksGained))
 	})
-	for _, r := range found {
-		if need <= 0 {
-			return
-		}
-		need -= r.tasksGained
-		for _, v := range r.victims {
-			o.preempt(v, q)
-		}
-	}
+	return sets
 }
 
-// preemptionSet is room that is made on a machine: whose tasks are to be stopped, and for
-// how many others that makes room.
-type preemptionSet struct {
-	binpacking.Capacity
-	victims     []*victim
-	lostWork    float64
-	tasksGained int
+// isUsable reports whether the job could use a victim's room and may have it.
+func (p *preemption) isUsable(v *victim) bool {
+	m := v.machine
+	return p.mayUse(m.TypeName, m.Zone, m.Spot) && !p.scheduler.isAvoided(m, p.job) && p.scheduler.isPreemptible(v.attempt.job, p.job)
+}
+
+// setOf is the set that is being gathered on a victim's machine.
+func (p *preemption) setOf(v *victim) *preemptionSet {
+	set := p.sets[v.machine]
+	if set == nil {
+		set = &preemptionSet{Capacity: v.machine.Capacity}
+		p.sets[v.machine] = set
+	}
+	return set
 }
 
-// addFreed adds the room of a task that is stopped and says how many more of s now fit.
-func (m *preemptionSet) addFreed(stopped, s *protocol.Job) (n int) {
-	for m.Release(stopped); m.Fits(s); n++ {
-		m.Allocate(s)
+// addFreed adds the room of a task that is stopped, and takes it up with as many tasks as now fit,
+// which it counts.
+func (p *preemptionSet) addFreed(stopped, gained *protocol.Job) (tasks int) {
+	for p.Release(stopped); p.Fits(gained); tasks++ {
+		p.Allocate(gained)
 	}
-	return n
+	return tasks
 }
 
-// findVictims lists what may be stopped in this round.
-func (o *scheduler) findVictims(p *schedulingRound) {
-	for _, m := range p.machines {
-		if m.shard.session == 0 {
+// findVictims lists what may be preempted in this round, the smallest loss first.
+func (s *scheduler) findVictims(round *schedulingRound) {
+	for _, machine := range round.machines {
+		if machine.shard.session == 0 {
 			continue
 		}
-		for name, f := range m.view.attempts {
-			vs := &f.job.entry.record.Spec
-			loss, ok := o.lostWork(f)
-			if (ok || f.stopRequested) && vs.Kind != protocol.KindService {
-				p.victims = append(p.victims, victim{f, name, m, loss})
+		for task, attempt := range machine.view.attempts {
+			lost, ok := s.lostWork(attempt)
+			if (ok || attempt.stopRequested) && attempt.job.spec().Kind != protocol.KindService {
+				round.victims = append(round.victims, victim{attempt: attempt, task: task, machine: machine, lostWork: lost})
 			}
 		}
 	}
-	slices.SortFunc(p.victims, func(a, b victim) int {
+	slices.SortFunc(round.victims, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(a.lostWork, b.lostWork), cmp.Compare(a.task, b.task))
 	})
 }
 
+// lostWork is how many CPU seconds a task loses if it is stopped now; not ok if that is too much to
+// ask of it.
+func (s *scheduler) lostWork(attempt *inflightAttempt) (cpuSeconds float64, ok bool) {
+	if attempt.runningSince == 0 {
+		return 0, attempt.machine != "" && attempt.taskState == protocol.TaskFetching
+	}
+	lost := (s.core.now.Monotonic - attempt.runningSince).Seconds()
+	spec := attempt.job.spec()
+	if spec.CheckpointS > 0 {
+		lost = math.Mod(lost, spec.CheckpointS)
+	}
+	most := scaleDuration(s.core.intervals.heartbeat, s.core.policy.PreemptReports)
+	return lost * spec.CPUs, time.Duration(lost*float64(time.Second)) <= most
+}
+
 // preempt asks for a task to be stopped for the sake of a job.
-func (o *scheduler) preempt(v *victim, q *queuedJob) {
-	why := "tasks stopped to make room for more urgent work"
+func (s *scheduler) preempt(v *victim, q *queuedJob) {
+	reason := "tasks stopped to make room for more urgent work"
 	if v.attempt.job.effectiveUrgency <= q.effectiveUrgency {
-		why = "tasks stopped to give another team its guarantee"
+		reason = "tasks stopped to give another team its guarantee"
 	}
-	o.requestStop(v.machine.shard, v.attempt, peerproto.StopTask{Task: v.task, Machine: v.machine.name, Reason: why, Immediately: o.isUrgent(q)}, q.effectiveUrgency)
-	v.machine.preempting, v.machine.preemptorUrgency = true, min(v.attempt.stopUrgency, v.machine.preemptorUrgency)
+	stop := peerproto.StopTask{Task: v.task, Machine: v.machine.name, Reason: reason, Immediately: s.isUrgent(q)}
+	s.requestStop(v.machine.shard, v.attempt, stop, q.effectiveUrgency)
+	v.machine.preempting = true
+	v.machine.preemptorUrgency = min(v.attempt.stopUrgency, v.machine.preemptorUrgency)
 }
 
-// requestStop has a part stop a task. Until it has, work that is less urgent than due does not
-// take its room.
-func (o *scheduler) requestStop(p *shardView, f *inflightAttempt, stop peerproto.StopTask, due int) {
-	f.stopRequested, f.stopUrgency = true, due
-	o.stopRequests[stop.Task] = f
-	f.job.stopCount++
-	f.job.stopReason = stop.Reason
-	p.outbox.Stop = append(p.outbox.Stop, stop)
-	p.outboxDue = true
-	if f.job.stopCount == 1 {
-		o.core.logInfo("stopping tasks", "job", f.job.id, "why", stop.Reason)
+// requestStop has a shard stop a task. Until it has stopped, work that is less urgent than urgency
+// does not take its room.
+func (s *scheduler) requestStop(member *shardView, attempt *inflightAttempt, stop peerproto.StopTask, urgency int) {
+	attempt.stopRequested, attempt.stopUrgency = true, urgency
+	s.stopRequests[stop.Task] = attempt
+	attempt.job.stopCount++
+	attempt.job.stopReason = stop.Reason
+	member.outbox.Stop = append(member.outbox.Stop, stop)
+	member.outboxDue = true
+	if attempt.job.stopCount == 1 {
+		s.core.logInfo("stopping tasks", "job", attempt.job.id, "why", stop.Reason)
 	}
 }
 
-// isPreemptible reports whether the tasks of one job may be stopped for another.
-func (o *scheduler) isPreemptible(victim, q *queuedJob) bool {
-	v := &victim.entry.record.Spec
-	if victim == q || v.Kind == protocol.KindService || victim.protected || !q.ranksBefore(victim) {
+// isPreemptible reports whether the tasks of one job may be preempted for another.
+func (s *scheduler) isPreemptible(victim, preemptor *queuedJob) bool {
+	if victim == preemptor || victim.spec().Kind == protocol.KindService || victim.protected || !preemptor.ranksBefore(victim) {
 		return false
 	}
-	if victim.effectiveUrgency > q.effectiveUrgency {
-		// Never those that may stop its own tasks in turn.
-		return (o.isUrgent(q) || o.hasDeadlineObjective(q)) && !o.reclaimsGuarantee(victim, q)
+	if victim.effectiveUrgency > preemptor.effectiveUrgency {
+		// Never those that may have its own tasks preempted in turn.
+		return (s.isUrgent(preemptor) || s.hasDeadlineObjective(preemptor)) && !s.reclaimsGuarantee(victim, preemptor)
 	}
-	return o.reclaimsGuarantee(q, victim)
+	return s.reclaimsGuarantee(preemptor, victim)
 }
 
-// reclaimsGuarantee reports whether a job may have tasks of another team stopped for the sake of
+// reclaimsGuarantee reports whether a job may have tasks of another team preempted for the sake of
 // its own team's guarantee.
-func (o *scheduler) reclaimsGuarantee(q, victim *queuedJob) bool {
-	v, s := &victim.entry.record.Spec, &q.entry.record.Spec
-	if !q.withinGuarantee || victim.withinGuarantee || v.Team == s.Team {
+func (s *scheduler) reclaimsGuarantee(q, victim *queuedJob) bool {
+	spec := victim.spec()
+	if !q.withinGuarantee || victim.withinGuarantee || spec.Team == q.spec().Team {
 		return false
 	}
-	// A guest's task that saves loses little, and a guest was promised nothing.
-	return o.core.policy.PreemptForGuarantee || o.core.bestEffortTeams[v.Team] && v.CheckpointS > 0
+	// A best-effort task with checkpoints loses little, and was promised nothing.
+	return s.core.policy.PreemptForGuarantee || s.core.bestEffortTeams[spec.Team] && spec.CheckpointS > 0
 }
 
 // isUrgent reports whether a job's tasks should start at once.
-func (o *scheduler) isUrgent(q *queuedJob) bool { return q.effectiveUrgency <= 1 }
+func (s *scheduler) isUrgent(q *queuedJob) bool { return q.effectiveUrgency <= urgencyHigh }
 
 // hasDeadlineObjective reports whether a job has a deadline that its class is held to.
-func (o *scheduler) hasDeadlineObjective(q *queuedJob) bool {
-	s := &q.entry.record.Spec
-	for _, a := range o.core.settings.Site.Objectives {
-		if a.Class == s.Class && a.Kind == "deadline" {
-			return s.DeadlineS > 0
+func (s *scheduler) hasDeadlineObjective(q *queuedJob) bool {
+	spec := q.spec()
+	for _, objective := range s.core.settings.Site.Objectives {
+		if objective.Class == spec.Class && objective.Kind == "deadline" {
+			return spec.DeadlineS > 0
 		}
 	}
 	return false
 }
-
-// lostWork is how many seconds of work a task loses if it is stopped now; not ok if
-// that is too much to ask.
-func (o *scheduler) lostWork(f *inflightAttempt) (float64, bool) {
-	if f.runningSince == 0 {
-		return 0, f.machine != "" && f.taskState == protocol.TaskFetching
-	}
-	ran := (o.core.now.Monotonic - f.runningSince).Seconds()
-	s := &f.job.entry.record.Spec
-	if s.CheckpointS > 0 {
-		ran = math.Mod(ran, s.CheckpointS)
-	}
-	return ran * s.CPUs, time.Duration(ran*float64(time.Second)) <= scaleDuration(o.core.intervals.heartbeat, o.core.policy.PreemptReports)
-}
