--- /dev/null
+++ b/internal/binpacking/capacity_test.go
@@ -0,0 +1,90 @@
+package binpacking
+
+import (
+	"testing"
+
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
+)
+
+func TestAllocateAndRelease(t *testing.T) {
+	free := Capacity{CPUs: 0.3, GPUs: 1, MemoryGB: 4}
+	job := &protocol.Job{CPUs: 0.1, MemoryGB: 1}
+	for n := range 3 { // in floating point three times 0.1 is more than 0.3
+		if !free.Fits(job) {
+			t.Fatalf("no room for task %d", n)
+		}
+		free.Allocate(job)
+	}
+	if free.Fits(job) {
+		t.Error("a fourth task fits")
+	}
+	free.Release(job)
+	if !free.Fits(job) {
+		t.Error("what was released is not free")
+	}
+}
+
+func TestConstraintsOfAJob(t *testing.T) {
+	onDemand := Capacity{TypeName: "barn", Zone: "a"}
+	spot := Capacity{TypeName: "box", Zone: "b", Spot: true}
+	for _, c := range []struct {
+		what           string
+		job            protocol.Job
+		onDemand, spot bool
+	}{
+		{"any on-demand machine", protocol.Job{}, true, false},
+		{"any machine", protocol.Job{AllowSpot: true}, true, true},
+		{"one type", protocol.Job{AllowSpot: true, MachineTypes: []string{"box"}}, false, true},
+		{"one zone", protocol.Job{AllowSpot: true, Zone: "a"}, true, false},
+	} {
+		if got := onDemand.AllowsJob(&c.job); got != c.onDemand {
+			t.Errorf("%s: on-demand %v", c.what, got)
+		}
+		if got := spot.AllowsJob(&c.job); got != c.spot {
+			t.Errorf("%s: spot %v", c.what, got)
+		}
+	}
+}
+
+func TestTasksFollowTheZonesOfTheirJobsRecord(t *testing.T) {
+	inA, inB := Capacity{Zone: "a"}, Capacity{Zone: "b"}
+	for _, c := range []struct {
+		what     string
+		record   records.Job
+		index    int
+		inA, inB bool
+	}{
+		{"no zones are needed", records.Job{}, 0, true, true},
+		{"zone not chosen yet", records.Job{Spec: protocol.Job{OneZone: true}}, 0, false, false},
+		{"tied to one zone", records.Job{Spec: protocol.Job{OneZone: true}, Zones: []string{"b"}}, 0, false, true},
+		{"zones of a spread job not chosen yet", records.Job{Spec: protocol.Job{Spread: true}}, 0, false, false},
+		{"spread, even task", records.Job{Spec: protocol.Job{Spread: true}, Zones: []string{"a", "b"}}, 2, true, false},
+		{"spread, odd task", records.Job{Spec: protocol.Job{Spread: true}, Zones: []string{"a", "b"}}, 3, false, true},
+	} {
+		if got := inA.AllowsTask(&c.record, c.index); got != c.inA {
+			t.Errorf("%s: in a %v", c.what, got)
+		}
+		if got := inB.AllowsTask(&c.record, c.index); got != c.inB {
+			t.Errorf("%s: in b %v", c.what, got)
+		}
+	}
+}
+
+func TestBetterFit(t *testing.T) {
+	cached := map[string]bool{"img": true}
+	for _, c := range []struct {
+		what   string
+		better Capacity
+		worse  Capacity
+	}{
+		{"the image outweighs the price", Capacity{CachedImages: cached}, Capacity{Spot: true}},
+		{"a spot instance outweighs consolidation", Capacity{Spot: true, CPUs: 8}, Capacity{CPUs: 1}},
+		{"less is free", Capacity{CPUs: 1}, Capacity{CPUs: 2}},
+		{"less memory is free", Capacity{CPUs: 1, MemoryGB: 1}, Capacity{CPUs: 1, MemoryGB: 2}},
+	} {
+		if !BetterFit(&c.better, &c.worse, "img") || BetterFit(&c.worse, &c.better, "img") {
+			t.Errorf("%s: not preferred", c.what)
+		}
+	}
+}
