--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -13,88 +13,111 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// BenchmarkCosts says what single things cost a controller, by size of the fleet:
-// a report, a poll and a round (medians), a full picture of a member (to make, to
-// take, and its bytes on the link), and all that a new leader does until it has seen
-// every machine, with the longest single batch of that.
+// BenchmarkCosts says what single things cost a controller, by size of the fleet: a heartbeat, a
+// poll and a scheduling round (medians), a snapshot of a member (to make, to take, and its bytes on
+// the link), and all that a new leader does until it has seen every machine, with the longest single
+// batch of that.
 func BenchmarkCosts(b *testing.B) {
-	for _, n := range []int{1000, 3000, 10000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+	for _, machines := range []int{1000, 3000, 10000} {
+		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for range b.N {
-				measureCosts(b, n)
+				s := startLoaded(b, 1, machines)
+				durations := durationsByName{}
+				measureCommands(s, durations)
+				measureSnapshots(b, s, durations)
+				measureFailover(b, s)
+				for name, histogram := range durations {
+					b.ReportMetric(float64(histogram.ValueAtQuantile(50)), name+"-us")
+				}
 			}
 		})
 	}
 }
 
-func measureCosts(b *testing.B, n int) {
-	s := startLoaded(b, 1, n)
-	us := map[string]*hdrhistogram.Histogram{}
-	note := func(what string, took time.Duration) {
-		if us[what] == nil {
-			us[what] = hdrhistogram.New(1, 60_000_000, 3)
-		}
-		_ = us[what].RecordValue(min(max(took.Microseconds(), 1), 60_000_000)) // within bounds
+// maxMeasuredMicros is the longest duration told apart: a minute.
+const maxMeasuredMicros = 60_000_000
+
+// durationsByName are microseconds by what took them.
+type durationsByName map[string]*hdrhistogram.Histogram
+
+func (d durationsByName) record(name string, took time.Duration) {
+	if d[name] == nil {
+		d[name] = hdrhistogram.New(1, maxMeasuredMicros, 3)
 	}
-	due := false
-	s.Applied = func(_ *simulation.Node, cmds []core.Command, took time.Duration) {
-		if due {
-			note("round", took)
-			due = false
+	_ = d[name].RecordValue(min(max(took.Microseconds(), 1), maxMeasuredMicros)) // within bounds
+}
+
+// measureCommands measures heartbeats and polls that come alone, and ten scheduling rounds.
+func measureCommands(s *scenario, durations durationsByName) {
+	roundDue := false
+	s.Applied = func(_ *simulation.Node, commands []core.Command, took time.Duration) {
+		if roundDue {
+			durations.record("round", took)
+			roundDue = false
 			return
 		}
-		if len(cmds) != 1 {
+		if len(commands) != 1 {
 			return
 		}
-		switch cmds[0].(type) {
+		switch commands[0].(type) {
 		case core.Heartbeat:
-			note("report", took)
+			durations.record("report", took)
 		case core.QueryJob:
-			note("poll", took)
+			durations.record("poll", took)
 		}
 	}
-	lead := s.leader()
+	leader := s.leader()
 	for range 10 {
 		s.Run(s.Now + second/5)
-		lead.Core.ForceRound()
-		due = true
-		lead.Post(core.Tick{})
+		leader.Core.ForceRound()
+		roundDue = true
+		leader.Post(core.Tick{})
 		s.Run(s.Now + second/5)
 	}
-	follower := s.follower()
+}
+
+// measureSnapshots has a member make five snapshots, and the leader take them.
+func measureSnapshots(b *testing.B, s *scenario, durations durationsByName) {
+	b.Helper()
+	leader, follower := s.leader(), s.follower()
 	for range 5 {
 		begin := time.Now()
-		m := follower.Core.FullSnapshot()
-		line, err := json.Marshal(&m)
+		snapshot := follower.Core.FullSnapshot()
+		line, err := json.Marshal(&snapshot)
 		if err != nil {
 			b.Fatal(err)
 		}
-		note("picture-made", time.Since(begin))
+		durations.record("picture-made", time.Since(begin))
 		begin = time.Now()
-		lead.Core.ApplySnapshot(follower.Label, m)
-		note("picture-taken", time.Since(begin))
+		leader.Core.ApplySnapshot(follower.Label, snapshot)
+		durations.record("picture-taken", time.Since(begin))
 		b.ReportMetric(float64(len(line))/1024, "picture-KB")
 	}
+}
+
+// measureFailover measures what a new leader does until it has seen every machine.
+func measureFailover(b *testing.B, s *scenario) {
+	b.Helper()
 	var total, longest time.Duration
-	seen := false
+	allSeen := false
 	s.Applied = func(n *simulation.Node, _ []core.Command, took time.Duration) {
-		if n.Core.IsLeader() && !seen {
+		if n.Core.IsLeader() && !allSeen {
 			total += took
 			longest = max(longest, took)
 		}
 	}
-	lead.Crash(0)
+	s.leader().Crash(0)
 	s.Logs = nil
-	s.eventually(60*second, "every machine has been seen", func() bool { seen = seen || s.logged("every machine has been seen"); return seen })
-	for what, h := range us {
-		b.ReportMetric(float64(h.ValueAtQuantile(50)), what+"-us")
-	}
+	s.eventually(60*second, "every machine has been seen", func() bool {
+		allSeen = allSeen || s.logged("every machine has been seen")
+		return allSeen
+	})
 	b.ReportMetric(total.Seconds()*1000, "takeover-ms")
 	b.ReportMetric(longest.Seconds()*1000, "longest-ms")
 }
 
-// BenchmarkEnded is what jobs that are over cost a controller that starts: the time
-// to load the mirror and the memory that it then holds.
+// BenchmarkEnded is what archived jobs cost a controller that starts: the time to load the mirror and
+// the memory that it then holds.
 func BenchmarkEnded(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -11,29 +11,31 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// jobStream is jobs of one class that come again and again.
+// jobStream is jobs of one class that are submitted again and again.
 type jobStream struct {
 	team, class, urgency string
 	interval             time.Duration
 	tasks                int
 	cpus, runSeconds     float64
-	customize            func(*protocol.Job)
+	customize            func(*protocol.Job) // nil: nothing
 }
 
 // The work of team red, whose limit is 24 CPUs: photos and alerts want 22 of them, and
 // the reports, which rank last, 4.8.
 func photoJobs() jobStream {
-	return jobStream{"red", "photos", protocol.UrgencyNormal, 6 * second, 12, 1, 10, nil}
+	return jobStream{team: "red", class: "photos", urgency: protocol.UrgencyNormal, interval: 6 * second, tasks: 12, cpus: 1, runSeconds: 10}
 }
+
 func alertJobs() jobStream {
-	return jobStream{"red", "alerts", protocol.UrgencyHigh, 8 * second, 2, 1, 8, nil}
+	return jobStream{team: "red", class: "alerts", urgency: protocol.UrgencyHigh, interval: 8 * second, tasks: 2, cpus: 1, runSeconds: 8}
 }
+
 func reportJobs() jobStream {
-	return jobStream{"red", "reports", protocol.UrgencyLow, 40 * second, 4, 4, 12, nil}
+	return jobStream{team: "red", class: "reports", urgency: protocol.UrgencyLow, interval: 40 * second, tasks: 4, cpus: 4, runSeconds: 12}
 }
 
-// startContended begins a story of three controllers in which work comes for a while.
-func startContended(t testing.TB, seed uint64, till time.Duration, policy func(*config.Policy), set config.Settings, streams ...jobStream) *scenario {
+// startContended begins a scenario on twelve machines in which the streams submit jobs until a time.
+func startContended(t testing.TB, seed uint64, until time.Duration, policy func(*config.Policy), set config.Settings, streams ...jobStream) *scenario {
 	t.Helper()
 	w := simulation.Build(seed, set, simulation.Types())
 	w.Policy.FloorLeases = 2.5 // a day of minutes shows as much as one of hours
@@ -41,7 +43,7 @@
 		policy(&w.Policy)
 	}
 	for _, n := range w.Nodes {
-		n.Start() // with these choices
+		n.Start() // with this policy
 	}
 	s := &scenario{World: w, t: t}
 	for _, zone := range []string{"a", "b"} {
@@ -49,31 +51,38 @@
 			s.Cloud.Add("box", zone, false)
 		}
 	}
-	for _, x := range streams {
-		for at := 5 * second; at < till; at += x.interval {
-			s.At(at, func() { s.submitFrom(x) })
-		}
+	for _, stream := range streams {
+		s.submitBetween(stream, 5*second, until)
 	}
 	return s
 }
 
-func (s *scenario) submitFrom(x jobStream) *simulation.Job {
-	spec := simulation.Array(x.tasks)
-	spec.Team, spec.Class, spec.Urgency, spec.CPUs, spec.EstimateS = x.team, x.class, x.urgency, x.cpus, x.runSeconds
-	spec.Image = "img-" + x.class
-	if x.customize != nil {
-		x.customize(&spec)
+// submitBetween submits the jobs of a stream from one time on until another.
+func (s *scenario) submitBetween(stream jobStream, from, until time.Duration) {
+	for at := from; at < until; at += stream.interval {
+		s.At(at, func() { s.submitFrom(stream) })
 	}
-	return s.Users.Submit(spec, x.runSeconds)
 }
 
-// patience is after how long a job is overdue.
+// submitFrom submits one job of a stream.
+func (s *scenario) submitFrom(stream jobStream) *simulation.Job {
+	spec := simulation.Array(stream.tasks)
+	spec.Team, spec.Class, spec.Urgency = stream.team, stream.class, stream.urgency
+	spec.CPUs, spec.EstimateS = stream.cpus, stream.runSeconds
+	spec.Image = "img-" + stream.class
+	if stream.customize != nil {
+		stream.customize(&spec)
+	}
+	return s.Users.Submit(spec, stream.runSeconds)
+}
+
+// patience is after how long an account is overdue.
 func (s *scenario) patience() time.Duration {
 	return config.Seconds(s.Policy.FloorLeases * s.Set.Site.Workers.LeaseS)
 }
 
-// checkFairShare fails if a class is less than half done of what came at least two patiences
-// ago, where there was room for that in so much of the team's limit.
+// checkFairShare fails if less than half is done of the jobs of a class that came at least two
+// patiences ago, where there was room for that in so many CPUs of each team's limit.
 func (s *scenario) checkFairShare(limit float64) {
 	s.t.Helper()
 	s.requireInvariants()
@@ -84,7 +93,7 @@
 	}
 	broken, judged := s.Users.FloorsBroken(until, capacity)
 	if judged == 0 {
-		s.t.Fatal("half for all was not possible: the story shows nothing")
+		s.t.Fatal("half for all was not possible: the scenario shows nothing")
 	}
 	for _, a := range broken {
 		x := s.Users.Shares(until)[a]
@@ -92,25 +101,26 @@
 	}
 }
 
-func (s *scenario) classShare(team, class string) *simulation.Share {
+// classShare is how much is done of a class of team red, of what came at least two patiences ago.
+func (s *scenario) classShare(class string) *simulation.Share {
 	s.t.Helper()
-	x := s.Users.Shares(s.Now - 2*s.patience())[fairshare.Account{Team: team, Class: class}]
-	if x == nil {
+	share := s.Users.Shares(s.Now - 2*s.patience())[fairshare.Account{Team: "red", Class: class}]
+	if share == nil {
 		s.t.Fatalf("no job of %s", class)
 	}
-	return x
+	return share
 }
 
 // checkHalfServed fails if less than half of a class of team red is done.
 func (s *scenario) checkHalfServed(class string) {
 	s.t.Helper()
-	if x := s.classShare("red", class); 2*x.Done < x.Jobs {
-		s.t.Fatalf("%s: %d of %d are done, %d started\n%s", class, x.Done, x.Jobs, x.Started, s.lastLogs(*logLines))
+	if share := s.classShare(class); 2*share.Done < share.Jobs {
+		s.t.Fatalf("%s: %d of %d are done, %d started\n%s", class, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 }
 
-// An idle class whose team's limit is taken by the team's other work is half served, and
-// urgent work keeps its place; without the floor it was not served at all.
+// A class whose team's limit is taken by the team's other work is half served, and urgent work
+// keeps its place; without fair share it is not.
 func TestFairShareUnderTeamQuota(t *testing.T) {
 	t.Parallel()
 	const day = 400 * second
@@ -118,20 +128,20 @@
 	for _, policy := range []func(*config.Policy){none, nil} {
 		s := startContended(t, 501, day, policy, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
 		s.Run(day)
-		x := s.classShare("red", "reports")
+		reports := s.classShare("reports")
 		if policy == nil {
 			s.checkFairShare(18)
-			if a := s.classShare("red", "alerts"); a.Done < a.Jobs {
-				t.Errorf("%d of %d alerts are done", a.Done, a.Jobs)
+			if alerts := s.classShare("alerts"); alerts.Done < alerts.Jobs {
+				t.Errorf("%d of %d alerts are done", alerts.Done, alerts.Jobs)
 			}
-		} else if 2*x.Done >= x.Jobs {
-			t.Errorf("the story shows nothing: without a floor %d of %d reports are done", x.Done, x.Jobs)
+		} else if 2*reports.Done >= reports.Jobs {
+			t.Errorf("the scenario shows nothing: without fair share %d of %d reports are done", reports.Done, reports.Jobs)
 		}
 	}
 }
 
-// A leader that ends every quarter of a minute begins no accounts anew: what was served
-// is in the jobs' own records.
+// A leader that crashes every quarter of a minute does not lose the accounts: what was served is in
+// the jobs' own records.
 func TestFairShareSurvivesFailovers(t *testing.T) {
 	t.Parallel()
 	const day = 450 * second
@@ -147,10 +157,10 @@
 	}
 	s.Run(day)
 	s.requireInvariants()
-	// A change of leader stands still near a limit, so half for all is not possible.
-	x, y := s.classShare("red", "reports"), s.classShare("red", "photos")
-	if y.Done == 0 || 2*x.Done*y.Jobs < y.Done*x.Jobs {
-		t.Errorf("%d of %d reports, but %d of %d photos are done", x.Done, x.Jobs, y.Done, y.Jobs)
+	// A failover stands still near a limit, so half for all is not possible.
+	reports, photos := s.classShare("reports"), s.classShare("photos")
+	if photos.Done == 0 || 2*reports.Done*photos.Jobs < photos.Done*reports.Jobs {
+		t.Errorf("%d of %d reports, but %d of %d photos are done", reports.Done, reports.Jobs, photos.Done, photos.Jobs)
 	}
 }
 
@@ -160,10 +170,8 @@
 	const day = 24 * time.Minute
 	s := startContended(t, 503, day, nil, simulation.Settings(3), reportJobs())
 	// For six minutes the reports are alone, and all served; then the rest comes.
-	for _, x := range []jobStream{photoJobs(), alertJobs()} {
-		for at := 6 * time.Minute; at < day; at += x.interval {
-			s.At(at, func() { s.submitFrom(x) })
-		}
+	for _, stream := range []jobStream{photoJobs(), alertJobs()} {
+		s.submitBetween(stream, 6*time.Minute, day)
 	}
 	for at := 12 * time.Minute; at <= day; at += 4 * time.Minute {
 		s.Run(at)
@@ -177,9 +185,9 @@
 	const day = 520 * second
 	set := simulation.Settings(3)
 	s := startContended(t, 504, 200*second, nil, set, photoJobs(), alertJobs(), reportJobs())
-	for _, x := range []jobStream{photoJobs(), alertJobs(), reportJobs()} {
-		for k := range 6 * int(60*second/x.interval) {
-			s.At(60*second+time.Duration(k)*x.interval/6, func() { s.submitFrom(x) })
+	for _, stream := range []jobStream{photoJobs(), alertJobs(), reportJobs()} {
+		for k := range 6 * int(60*second/stream.interval) {
+			s.At(60*second+time.Duration(k)*stream.interval/6, func() { s.submitFrom(stream) })
 		}
 	}
 	s.Run(day)
@@ -196,54 +204,46 @@
 	for i := range 40 {
 		team := fmt.Sprintf("team-%02d", i)
 		set.Site.Teams = append(set.Site.Teams, config.Team{Name: team, CPUs: 2, CPUsMax: 4})
-		for _, x := range []jobStream{{class: "photos", urgency: protocol.UrgencyNormal, interval: 24 * second, tasks: 8, cpus: 1, runSeconds: 10},
-			{class: "alerts", urgency: protocol.UrgencyHigh, interval: 30 * second, tasks: 2, cpus: 1, runSeconds: 6},
-			{class: "reports", urgency: protocol.UrgencyLow, interval: 60 * second, tasks: 3, cpus: 2, runSeconds: 10}} {
-			x.team = team
-			streams = append(streams, x)
-		}
+		streams = append(streams,
+			jobStream{team: team, class: "photos", urgency: protocol.UrgencyNormal, interval: 24 * second, tasks: 8, cpus: 1, runSeconds: 10},
+			jobStream{team: team, class: "alerts", urgency: protocol.UrgencyHigh, interval: 30 * second, tasks: 2, cpus: 1, runSeconds: 6},
+			jobStream{team: team, class: "reports", urgency: protocol.UrgencyLow, interval: 60 * second, tasks: 3, cpus: 2, runSeconds: 10})
 	}
 	s := startContended(t, 505, day, nil, set, streams...)
 	s.Run(day)
 	s.checkFairShare(3)
 }
 
-// What can't be served holds no share, and what can is served beside it: jobs that fail
-// wherever they run, those whose only zone is cut off, whose only type is not to be had,
-// and services that never end.
+// What can't be served takes no share, and what can is served beside it: jobs that fail wherever
+// they run, those whose only zone is partitioned, whose only machine type is sold out, and services
+// that never end.
 func TestFairShareBesideUnservableJobs(t *testing.T) {
 	t.Parallel()
 	const day = 360 * second
+	unservable := jobStream{team: "red", class: "unservable", urgency: protocol.UrgencyLow, interval: 30 * second, tasks: 4, cpus: 4, runSeconds: 12}
 	for name, disturb := range map[string]func(*scenario){
 		"fails everywhere": func(s *scenario) {
 			s.Cloud.Capacity["barn"] = 0 // where two machines hold all, each failure would count for much
-			for at := 5 * second; at < day; at += 30 * second {
-				s.At(at, func() {
-					j := s.submitFrom(jobStream{"red", "broken", protocol.UrgencyLow, 0, 4, 4, 12, nil})
-					j.Mistaken = true
-				})
+			for at := 5 * second; at < day; at += unservable.interval {
+				s.At(at, func() { s.submitFrom(unservable).Mistaken = true })
 			}
 		},
 		"zone cut off": func(s *scenario) {
 			s.At(second, func() { s.CutZone("b", "", false) })
-			for at := 5 * second; at < day; at += 30 * second {
-				s.At(at, func() {
-					s.submitFrom(jobStream{"red", "far", protocol.UrgencyLow, 0, 4, 4, 12, func(j *protocol.Job) { j.Zone = "b" }})
-				})
-			}
+			inZone := unservable
+			inZone.customize = func(spec *protocol.Job) { spec.Zone = "b" }
+			s.submitBetween(inZone, 5*second, day)
 		},
 		"type not to be had": func(s *scenario) {
 			s.Cloud.Capacity["barn"] = 0
-			for at := 5 * second; at < day; at += 30 * second {
-				s.At(at, func() {
-					s.submitFrom(jobStream{"red", "large", protocol.UrgencyLow, 0, 4, 4, 12, func(j *protocol.Job) { j.MachineTypes = []string{"barn"} }})
-				})
-			}
+			ofType := unservable
+			ofType.customize = func(spec *protocol.Job) { spec.MachineTypes = []string{"barn"} }
+			s.submitBetween(ofType, 5*second, day)
 		},
 		"services": func(s *scenario) {
-			s.At(5*second, func() {
-				s.submitFrom(jobStream{"red", "gateway", protocol.UrgencyNormal, 0, 6, 1, 0, func(j *protocol.Job) { j.Kind, j.EstimateS = protocol.KindService, 0 }})
-			})
+			service := jobStream{team: "red", class: "gateway", urgency: protocol.UrgencyNormal, tasks: 6, cpus: 1}
+			service.customize = func(spec *protocol.Job) { spec.Kind = protocol.KindService }
+			s.At(5*second, func() { s.submitFrom(service) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -258,58 +258,73 @@
 	}
 }
 
-// Tasks of four CPUs, and a gang that needs half of a limit, or of the machines that
-// there are, at once, where each CPU that gets free would go to a task of one.
+// Tasks of four CPUs, and a gang that needs half of a limit, or of the machines that there are, at
+// once, where each CPU that gets free would go to a task of one.
 func TestFairShareForLargeTasksAndGangs(t *testing.T) {
 	t.Parallel()
-	const day = 300 * second
-	large := jobStream{"red", "large", protocol.UrgencyLow, 50 * second, 1, 4, 15, nil}
-	gang := func(n int) jobStream {
-		return jobStream{"red", "gangs", protocol.UrgencyLow, 30 * second, n, 1, 10, func(j *protocol.Job) { j.Kind = protocol.KindGang }}
+	large := jobStream{team: "red", class: "large", urgency: protocol.UrgencyLow, interval: 50 * second, tasks: 1, cpus: 4, runSeconds: 15}
+	gang := func(tasks int) jobStream {
+		return jobStream{team: "red", class: "gangs", urgency: protocol.UrgencyLow, interval: 30 * second, tasks: tasks, cpus: 1, runSeconds: 10,
+			customize: func(spec *protocol.Job) { spec.Kind = protocol.KindGang }}
 	}
-	for _, c := range []struct {
-		what  string
-		limit float64
-		boxes int
-		small int           // tasks of a job of the others
-		every time.Duration // and how often one comes
-		x     jobStream
-	}{{"machines are full", 60, 7, 3, 4 * second, large}, {"machines are full", 60, 7, 3, 4 * second, gang(14)},
-		{"the limit binds", 5, 4, 1, 7 * second, large}, {"the limit binds", 16, 8, 1, 3 * second / 2, gang(8)}} {
+	for _, c := range []contention{
+		{"machines are full", large, 60, 7, 3, 4 * second},
+		{"machines are full", gang(14), 60, 7, 3, 4 * second},
+		{"the limit binds", large, 5, 4, 1, 7 * second},
+		{"the limit binds", gang(8), 16, 8, 1, 3 * second / 2},
+	} {
 		for _, share := range []float64{0, config.DefaultPolicy().FloorShare} {
-			set := simulation.Settings(3)
-			set.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
-			streams := []jobStream{c.x}
-			for i := range 4 { // some at a time, that end one by one
-				streams = append(streams, jobStream{"red", "photos", protocol.UrgencyNormal,
-					c.every * time.Duration(20+i) / 20, c.small, 1, float64(9 + i), nil})
-			}
-			s := startContended(t, 507, day, func(p *config.Policy) {
-				p.FloorShare = share
-				p.BeginS = 0       // it starts one of these large tasks, floor or none
-				p.IdleBoots = 1000 // machines with room are there, as where other teams need them
-			}, set, streams...)
-			s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = c.boxes, 0
-			s.Run(day)
-			s.requireInvariants()
-			if x := s.classShare("red", c.x.class); share > 0 {
-				s.checkHalfServed(c.x.class)
-			} else if 2*x.Done >= x.Jobs {
-				t.Errorf("%s: the story shows nothing: without a floor %d of %d %s are done", c.what, x.Done, x.Jobs, c.x.class)
+			s := c.simulate(t, share)
+			if served := s.classShare(c.large.class); share > 0 {
+				s.checkHalfServed(c.large.class)
+			} else if 2*served.Done >= served.Jobs {
+				t.Errorf("%s: the scenario shows nothing: without fair share %d of %d %s are done", c.what, served.Done, served.Jobs, c.large.class)
 			}
 		}
 	}
 }
 
-// A flood of names that are each used once is one class like any other: it takes no more
-// than its turns, and what recurs is served.
+// contention is large jobs beside small ones of the same team that come all the time.
+type contention struct {
+	what     string
+	large    jobStream
+	limit    float64 // CPUs of the team
+	machines int
+	small    int           // tasks of a small job
+	interval time.Duration // between the small jobs of a stream
+}
+
+// simulate plays five minutes of it with a fair share.
+func (c *contention) simulate(t *testing.T, share float64) *scenario {
+	t.Helper()
+	const day = 300 * second
+	set := simulation.Settings(3)
+	set.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
+	streams := []jobStream{c.large}
+	for i := range 4 { // some at a time, that end one by one
+		streams = append(streams, jobStream{team: "red", class: "photos", urgency: protocol.UrgencyNormal,
+			interval: c.interval * time.Duration(20+i) / 20, tasks: c.small, cpus: 1, runSeconds: float64(9 + i)})
+	}
+	s := startContended(t, 507, day, func(p *config.Policy) {
+		p.FloorShare = share
+		p.BeginS = 0       // it starts one of these large tasks early, with or without fair share
+		p.IdleBoots = 1000 // machines with room are there, as where other teams need them
+	}, set, streams...)
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = c.machines, 0
+	s.Run(day)
+	s.requireInvariants()
+	return s
+}
+
+// Classes that are each used once count as one account like any other: together they take no more
+// than its share, and what recurs is served.
 func TestFairShareWithManySingleUseClasses(t *testing.T) {
 	t.Parallel()
 	const day = 360 * second
 	s := startContended(t, 509, day, nil, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
 	for k := range 80 {
 		s.At(time.Duration(10+4*k)*second, func() {
-			s.submitFrom(jobStream{"red", fmt.Sprintf("once-%d", k), protocol.UrgencyLow, 0, 2, 1, 10, nil})
+			s.submitFrom(jobStream{team: "red", class: fmt.Sprintf("once-%d", k), urgency: protocol.UrgencyLow, tasks: 2, cpus: 1, runSeconds: 10})
 		})
 	}
 	s.Run(day)
@@ -319,16 +334,16 @@
 	}
 }
 
-// A job that waits for its class's turn, or for another's, says so.
+// A job that waits because quota is reserved for another class says so.
 func TestFairShareReservationIsTheReason(t *testing.T) {
 	t.Parallel()
 	const day = 300 * second
 	s := startContended(t, 510, day, nil, simulation.Settings(3), photoJobs(), reportJobs())
-	said := map[string]bool{}
+	reasons := map[string]bool{}
 	for at := 5 * second; at < day; at += 3 * second {
 		s.At(at, func() {
-			for _, r := range s.Users.Reasons() {
-				said[r] = true
+			for _, reason := range s.Users.Reasons() {
+				reasons[reason] = true
 			}
 		})
 	}
@@ -337,14 +352,14 @@
 		"team red is at its limit, and what is free next is for reports, of which too little was served",
 		"team red is at its limit",
 	} {
-		if !said[want] {
+		if !reasons[want] {
 			t.Errorf("no job says %q", want)
 		}
 	}
 }
 
-// The largest jobs of a class begin in time although smaller ones come for ever and take all
-// that gets free: one task of a job that has waited for long goes first, and it is kept.
+// The largest jobs of a class begin in time although smaller ones come for ever and take all that
+// gets free: one task of a job that has waited for long goes first, and is not preempted.
 func TestLargestJobsStartEarly(t *testing.T) {
 	small := photoJobs()
 	small.interval, small.tasks = 4*second, 10 // more than the limit lets run
@@ -353,9 +368,9 @@
 	began := map[*simulation.Job]time.Duration{}
 	for k := range 6 {
 		s.At(time.Duration(30+10*k)*second, func() {
-			x := small
-			x.tasks, x.cpus, x.runSeconds = 60, float64(1+k%2*3), 30
-			large = append(large, s.submitFrom(x))
+			stream := small
+			stream.tasks, stream.cpus, stream.runSeconds = 60, float64(1+k%2*3), 30
+			large = append(large, s.submitFrom(stream))
 		})
 	}
 	for at := 30 * second; at < 250*second; at += second {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -11,8 +11,8 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// startLoaded begins a story with n machines of 16 CPUs that are full, and as much
-// work again waiting.
+// startLoaded begins a scenario with n machines of 16 CPUs that are full, and as much work again
+// waiting.
 func startLoaded(tb testing.TB, seed uint64, n int) *scenario {
 	tb.Helper()
 	s := newScenario(tb, seed)
@@ -30,7 +30,7 @@
 	return s
 }
 
-// BenchmarkSecond is a second of a busy deployment: reports, rounds and all.
+// BenchmarkSecond is a second of a busy deployment: heartbeats, rounds and all.
 // The growth between the sizes is what counts.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000} {
@@ -71,8 +71,8 @@
 	}
 }
 
-// Hundreds of machines come up at once: the register must not take the write
-// budget of many seconds, and all of them work soon.
+// Hundreds of machines come up at once: the registry must not take the write budget of many seconds,
+// and all of them work soon.
 func TestRegistrationBatchesWrites(t *testing.T) {
 	s := newScenario(t, 33)
 	s.Users.Submit(simulation.Array(3200), 60)
@@ -87,8 +87,8 @@
 	}
 }
 
-// The rules hold at size too: a crash of the leader, a state outage, a crash of
-// every node, and machines that are taken away.
+// The invariants hold at scale too: a crash of the leader, an outage of the store, a crash of every
+// node, and machines that are taken away.
 func TestLoadedClusterSurvivesFaults(t *testing.T) {
 	s := startLoaded(t, 34, 150)
 	s.leader().Crash(3 * second)
@@ -105,8 +105,8 @@
 	s.eventually(400*second, "nothing accepted is lost", s.Users.AllTold)
 }
 
-// After all nodes have ended, hundreds of machines are seen again, and none is
-// given up, within a few seconds.
+// After all nodes have crashed, hundreds of machines are seen again within a few seconds, and none is
+// given up.
 func TestFailoverAtScale(t *testing.T) {
 	s := startLoaded(t, 37, 300)
 	deleted := s.Cloud.Deleted
@@ -123,8 +123,8 @@
 	}
 }
 
-// BenchmarkPoll is a poll of a job that is not over, as the core sees it: many share
-// one read of the state service.
+// BenchmarkPoll is a poll of an unfinished job, as the core sees it: many share one read of the
+// store.
 func BenchmarkPoll(b *testing.B) {
 	s := newScenario(b, 1)
 	j := s.Users.Submit(simulation.Array(4), 1e6)
