--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -39,7 +39,7 @@
 		switch {
 		case q.entry.isFinal() || s.queue.get(id) != q || len(q.unsavedTasks) == 0 && !q.complete():
 			delete(s.unsavedJobs, id)
-		case q.finalizing || q.savingProgress || q.choosingZones:
+		case q.pendingWrite != noPendingWrite:
 		case q.complete():
 			s.writeCompletion(q)
 		case q.saveDueAt > 0 && s.core.now.Monotonic >= q.saveDueAt:
@@ -54,12 +54,12 @@
 // a race with a cancellation the same way everywhere.
 func (s *scheduler) writeCompletion(q *queuedJob) {
 	c, j := s.core, q.entry
-	q.finalizing = true
+	q.beginWrite(pendingCompletion)
 	final := finalRecord(j, protocol.JobDone, "")
 	final.DoneAt = math.Floor(c.now.Wall) // as the archive keeps it, so that it is the same for every leader
 	guards := []protocol.Guard{c.membership.leaderGuard(), j.recordGuard()}
 	c.commit(guards, finalOps(j, final, c.maxTxnOps()), func(result CommitResult) {
-		c.mirror.AwaitOutcome(result.Outcome.Decided(), c.intervals.maintenance/4, func() { q.finalizing = false })
+		c.mirror.AwaitOutcome(result.Outcome.Decided(), c.intervals.maintenance/4, q.endWrite)
 	})
 }
 
@@ -85,10 +85,10 @@
 		}
 	}
 	s.progressWriteTokens -= float64(len(ops))
-	q.savingProgress = true
+	q.beginWrite(pendingProgress)
 	c.commit(guards, ops, func(result CommitResult) {
 		q.saveDueAt = c.now.Monotonic + c.intervals.workerLease/4
-		c.mirror.AwaitOutcome(result.Outcome.Decided(), c.intervals.maintenance/2, func() { q.savingProgress = false })
+		c.mirror.AwaitOutcome(result.Outcome.Decided(), c.intervals.maintenance/2, q.endWrite)
 	})
 }
 
--- a/internal/core/queued_job.go
+++ b/internal/core/queued_job.go
@@ -30,11 +30,8 @@
 	longestRunning time.Duration         // how long one of its tasks has been running, at most
 	durations      estimator.RunningMean // of its own completed tasks that this leader has seen
 
-	// What is being written of it; at most one at a time.
-	finalizing     bool // its final state
-	choosingZones  bool // its zones
-	savingProgress bool // its completed tasks
-	saveDueAt      time.Duration
+	pendingWrite pendingWrite
+	saveDueAt    time.Duration // when its completed tasks are to be written, 0: they are not
 
 	zoneFullSince map[int]time.Duration // since when the tasks of each of its zones have found no room
 
@@ -64,6 +61,22 @@
 	publishedView peerproto.JobView // what all controllers were last told of it
 }
 
+// pendingWrite is what is being written of a job. While it is, nothing else of the job is written.
+type pendingWrite int
+
+const (
+	noPendingWrite pendingWrite = iota
+	pendingCompletion
+	pendingZones
+	pendingProgress
+)
+
+// beginWrite notes that a write of the job has begun; none may be pending.
+func (q *queuedJob) beginWrite(write pendingWrite) { q.pendingWrite = write }
+
+// endWrite notes that what became of the pending write is known, and in the mirror.
+func (q *queuedJob) endWrite() { q.pendingWrite = noPendingWrite }
+
 func newQueuedJob(entry *jobEntry) *queuedJob {
 	return &queuedJob{
 		id:                 entry.record.Spec.ID,
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -51,7 +51,7 @@
 	s.updateDependencyWeights()
 	var jobs []*queuedJob
 	for _, q := range s.queue.all() {
-		if q.entry.isFinal() || q.finalizing {
+		if q.entry.isFinal() || q.pendingWrite == pendingCompletion {
 			continue
 		}
 		s.updateRank(q)
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -20,7 +20,7 @@
 // before the first of them starts, so that every later leader keeps to it: the zones with the most
 // free CPUs that the job may use.
 func (s *scheduler) chooseZones(q *queuedJob, machines []*candidateMachine) {
-	if q.choosingZones || q.finalizing || q.savingProgress {
+	if q.pendingWrite != noPendingWrite {
 		return
 	}
 	spec := &q.entry.record.Spec
@@ -70,7 +70,7 @@
 func (s *scheduler) writeZones(q *queuedJob, zones []string) {
 	c, record := s.core, q.entry.record
 	record.Zones = zones
-	q.choosingZones = true
+	q.beginWrite(pendingZones)
 	guards := []protocol.Guard{c.membership.leaderGuard(), q.entry.recordGuard()}
 	op := protocol.Operation{Put: q.entry.recordKey(), Value: record}
 	if protocol.JSONSize(record) > c.maxValueBytes() {
@@ -79,7 +79,7 @@
 		guards = append(guards, c.mirror.Guard(op.Put))
 	}
 	c.commit(guards, []protocol.Operation{op}, func(CommitResult) {
-		c.mirror.Barrier(func(bool) { q.choosingZones = false })
+		c.mirror.Barrier(func(bool) { q.endWrite() })
 	})
 }
 
@@ -140,7 +140,7 @@
 // write may be carried out late, when tasks run in the former zone again: see isWithinItsZone.
 func (s *scheduler) reassignZone(q *queuedJob, task int) {
 	c, index := s.core, zoneIndex(q, task)
-	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.choosingZones || q.finalizing || q.savingProgress || s.hasUnlocated {
+	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.pendingWrite != noPendingWrite || s.hasUnlocated {
 		return
 	}
 	if !s.isZoneFullForLong(q, index) {
