--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -62,7 +62,7 @@
 	membership   *membership
 	shard        *shard
 	scheduler    *scheduler
-	estimator    *estimator
+	estimator    *taskEstimator
 	fleet        *fleet
 	registry     *machineRegistry
 	degraded     *degradedMode
@@ -90,7 +90,7 @@
 	c.queries = &jobQueries{c}
 	c.membership = newMembership(c)
 	c.shard = newShard(c)
-	c.estimator = newEstimator(c)
+	c.estimator = newTaskEstimator(c)
 	c.fleet = newFleet(c)
 	c.registry = &machineRegistry{core: c}
 	c.scheduler = newScheduler(c)
--- a/internal/core/inflow.go
+++ b/internal/core/inflow.go
@@ -26,7 +26,7 @@
 
 // jobInflow is what a job adds to the inflow as it arrives.
 func (f *fleet) jobInflow(spec *protocol.Job) float64 {
-	return float64(spec.Tasks) * spec.CPUs * f.core.estimator.predict(spec) / f.inflowSeconds()
+	return float64(spec.Tasks) * spec.CPUs * f.core.estimator.Predict(spec) / f.inflowSeconds()
 }
 
 // inflowBefore is how many CPUs the work takes that keeps coming in and is more urgent than a
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -128,8 +128,8 @@
 	}
 	s.DesiredCPUs = c.fleet.desiredCPUs
 	s.Estimates = map[string]float64{}
-	for key, mean := range c.estimator.history {
-		s.Estimates[key.String()] = mean.mean
+	for key, mean := range c.estimator.Means() {
+		s.Estimates[key.String()] = mean
 	}
 	s.StartLatencies = map[string]LatencySummary{}
 	for level, urgency := range []string{protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow} {
