--- a/client/client.go
+++ b/client/client.go
@@ -54,7 +54,7 @@
 	if e.Text != "" {
 		s += ": " + e.Text
 	}
-	if e.Kind == ErrNotNow {
+	if errors.Is(e.Kind, ErrNotNow) {
 		s += fmt.Sprintf(" (%d tries)", e.Tries)
 	}
 	return s
@@ -249,7 +249,7 @@
 		case 422:
 			last.Kind = ErrImpossible
 		}
-		if last.Kind != ErrNotNow {
+		if !errors.Is(last.Kind, ErrNotNow) {
 			return nil, last
 		}
 		gap := max(c.gap, retry)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -39,7 +39,7 @@
 		}
 		if status == 0 {
 			ctx.HijackSetNoResponse(true)
-			ctx.Hijack(func(c net.Conn) { c.Close() })
+			ctx.Hijack(func(c net.Conn) { _ = c.Close() })
 			return
 		}
 		ctx.SetStatusCode(status)
@@ -52,8 +52,8 @@
 			ctx.Response.SetBodyRaw(protocol.Encode(protocol.ErrorResponse{Error: "because"}))
 		}
 	}}
-	go srv.Serve(l)
-	t.Cleanup(func() { srv.Shutdown() })
+	go func() { _ = srv.Serve(l) }() // it ends with the cleanup
+	t.Cleanup(func() { _ = srv.Shutdown() })
 	return l.Addr().String()
 }
 
@@ -111,7 +111,7 @@
 			t.Errorf("%d: %v", status, err)
 		}
 		_, at := x.seen()
-		if again := len(at) > 1; again != (kind == ErrNotNow) {
+		if again := len(at) > 1; again != errors.Is(kind, ErrNotNow) {
 			t.Errorf("%d was sent %d times", status, len(at))
 		}
 	}
--- a/cmd/chalkhubctl/chalkhubctl_test.go
+++ b/cmd/chalkhubctl/chalkhubctl_test.go
@@ -125,8 +125,8 @@
 		t.Fatal(err)
 	}
 	srv := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBody(page) }}
-	go srv.Serve(l)
-	defer srv.Shutdown()
+	go func() { _ = srv.Serve(l) }() // it ends with the test
+	defer func() { _ = srv.Shutdown() }()
 	f := &figures{controllers: []local.Controller{{Label: "ctl-0", Status: l.Addr().String()}, {Label: "ctl-1", Status: "127.0.0.1:1"}}}
 	b, err := f.text()
 	if err != nil {
--- a/cmd/chalkhubctl/jobs.go
+++ b/cmd/chalkhubctl/jobs.go
@@ -354,7 +354,7 @@
 		if len(chosen) > 1 {
 			fmt.Printf("== task %d, attempt %d\n", o.Task, o.Attempt)
 		}
-		os.Stdout.Write(b)
+		_, _ = os.Stdout.Write(b) // as fmt.Print
 		if len(b) > 0 && b[len(b)-1] != '\n' {
 			fmt.Println()
 		}
--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	defer v.Close()
+	defer func() { _ = v.Close() }() // each write was durable when it was answered
 	l, err := listen(f.Listen)
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 			}
 		}
 		if asked {
-			os.Remove(wish(f.Snapshots))
+			_ = os.Remove(wish(f.Snapshots)) // one that stays asks for another snapshot
 		}
 		log.Info("snapshot taken", "file", path, "revision", s.Revision, "keys", s.Len(), "took", time.Since(at), "metrics", srv.Metrics())
 	}
@@ -182,7 +182,7 @@
 			}
 		}
 	}
-	os.Remove(wish(c.Folder))
+	_ = os.Remove(wish(c.Folder)) // whether it was there or not
 	return exit{exitNotNow, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
 }
 
