--- a/internal/tools/knownred/runner.go
+++ b/internal/tools/knownred/runner.go
@@ -50,8 +50,16 @@
 	return "^(" + strings.Join(names, "|") + ")$"
 }
 
+// packageTimeout bounds the tests of one package. The core's take some minutes with the race
+// detector, and several times as long on a machine that is busy with other work; go test's own
+// ten minutes would make the verdict depend on that.
+const packageTimeout = "-timeout=30m"
+
 // command prepares a go command; "test" gets the race detector if it is asked for.
 func (r *runner) command(verb string, args ...string) *exec.Cmd {
+	if verb == "test" {
+		args = append([]string{packageTimeout}, args...)
+	}
 	if verb == "test" && r.race {
 		args = append([]string{"-race"}, args...)
 	}
