--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -130,7 +130,7 @@
 		return b, err == nil
 	}
 	maxQueued := int(set.Site.Resources.RAMMB * peerQueueShare * (1 << 20))
-	links := peer.New(siblings, report/10, report, maxQueued, e.Post, status)
+	links := peer.New(peer.Settings{Siblings: siblings, RetryInterval: report / 10, Timeout: report, MaxQueuedBytes: maxQueued}, e.Post, status)
 	out := engine.Clients{
 		Store:   kvclient.New(set.External.State, time.Second, set.Site.Resources.MaxSockets, e.Clock),
 		Cloud:   cloud.New(set.External.Cloud),
--- a/internal/peer/memory.go
+++ b/internal/peer/memory.go
@@ -8,32 +8,39 @@
 
 // memoryBytes is what a message takes in memory while it waits, or a few more: names count
 // in each place, although most of them are shared with the core.
-func memoryBytes(m *peerproto.Message) int {
-	n := int(unsafe.Sizeof(*m))
-	if m.Hello != nil {
-		n += int(unsafe.Sizeof(*m.Hello)) + len(m.Hello.Label) + len(m.Hello.BootID)
+func memoryBytes(message *peerproto.Message) int {
+	total := int(unsafe.Sizeof(*message))
+	if hello := message.Hello; hello != nil {
+		total += int(unsafe.Sizeof(*hello)) + len(hello.Label) + len(hello.BootID)
 	}
-	if m.Vote != nil {
-		n += int(unsafe.Sizeof(*m.Vote)) + namesBytes(m.Vote.Cancelled)
+	if vote := message.Vote; vote != nil {
+		total += int(unsafe.Sizeof(*vote)) + namesBytes(vote.Cancelled)
 	}
-	if m.Round != nil {
-		n += int(unsafe.Sizeof(*m.Round)) + namesBytes(m.Round.Cancelled)
+	if round := message.Round; round != nil {
+		total += int(unsafe.Sizeof(*round)) + namesBytes(round.Cancelled)
 	}
-	n += listBytes(m.Machines, machineTextBytes)
-	for _, tries := range [][]peerproto.TaskAttempt{m.Assigned, m.Returned, m.Dispatch, m.StartHeld, m.ReleaseHeld} {
-		n += listBytes(tries, func(t *peerproto.TaskAttempt) int { return len(t.Task) + len(t.Machine) })
+	total += listBytes(message.Machines, machineTextBytes)
+	for _, attempts := range [][]peerproto.TaskAttempt{
+		message.Assigned, message.Returned, message.Dispatch, message.StartHeld, message.ReleaseHeld,
+	} {
+		total += listBytes(attempts, func(attempt *peerproto.TaskAttempt) int { return len(attempt.Task) + len(attempt.Machine) })
 	}
-	n += listBytes(m.Stop, func(s *peerproto.StopTask) int { return len(s.Task) + len(s.Machine) + len(s.Reason) })
-	n += listBytes(m.Views, func(v *peerproto.JobView) int { return len(v.Job) + len(v.Reason) })
-	for _, names := range [][]string{m.Released, m.Cancelled, m.Drain, m.Cordon, m.Uncordon} {
-		n += namesBytes(names)
+	total += listBytes(message.Stop, func(stop *peerproto.StopTask) int { return len(stop.Task) + len(stop.Machine) + len(stop.Reason) })
+	total += listBytes(message.Views, func(view *peerproto.JobView) int { return len(view.Job) + len(view.Reason) })
+	for _, names := range [][]string{message.Released, message.Cancelled, message.Drain, message.Cordon, message.Uncordon} {
+		total += namesBytes(names)
 	}
-	return n
+	return total
 }
 
-func machineTextBytes(s *peerproto.MachineState) int {
-	return len(s.Name) + len(s.Addr) + len(s.Type) + len(s.Zone) + namesBytes(s.Images) + namesBytes(s.RemovedTasks) +
-		listBytes(s.Tasks, func(t *peerproto.TaskState) int { return len(t.Task) + len(t.State) + len(t.ExitReason) })
+// machineTextBytes is what a machine takes beside its entry in the list.
+func machineTextBytes(machine *peerproto.MachineState) int {
+	return len(machine.Name) + len(machine.Addr) + len(machine.Type) + len(machine.Zone) +
+		namesBytes(machine.Images) + namesBytes(machine.RemovedTasks) + listBytes(machine.Tasks, taskTextBytes)
+}
+
+func taskTextBytes(task *peerproto.TaskState) int {
+	return len(task.Task) + len(task.State) + len(task.ExitReason)
 }
 
 func namesBytes(names []string) int {
@@ -43,9 +50,9 @@
 // listBytes is what a list takes with the texts of its entries.
 func listBytes[T any](list []T, textBytes func(*T) int) int {
 	var entry T
-	n := len(list) * int(unsafe.Sizeof(entry))
+	total := len(list) * int(unsafe.Sizeof(entry))
 	for i := range list {
-		n += textBytes(&list[i])
+		total += textBytes(&list[i])
 	}
-	return n
+	return total
 }
--- a/internal/peer/queue_test.go
+++ b/internal/peer/queue_test.go
@@ -1,8 +1,8 @@
 package peer
 
 import (
-	"context"
 	"fmt"
+	"io"
 	"net"
 	"reflect"
 	"testing"
@@ -13,193 +13,209 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// snapshotOf is a member's whole snapshot of machines with 64 tasks each.
-func snapshotOf(machines int) peerproto.Message {
-	m := peerproto.Message{Epoch: 7, Snapshot: true, ReadSeq: 12}
+// tasksPerMachine is how many tasks the machines of snapshotOf have.
+const tasksPerMachine = 64
+
+// snapshotOf is a member's whole snapshot of so many machines, as the messages that carry it.
+func snapshotOf(machines int) []peerproto.Message {
+	whole := peerproto.Message{Epoch: 7, Snapshot: true, ReadSeq: 12}
 	for i := range machines {
-		s := peerproto.MachineState{Name: fmt.Sprintf("n-%07d", i), Addr: "10.0.0.1:8000", Type: "barn", Zone: "a", TasksComplete: true, AcceptsTasks: true}
-		for k := range 64 {
-			s.Tasks = append(s.Tasks, peerproto.TaskState{Task: protocol.TaskName("job-100000001", 64*i+k), Attempt: 7 << 28, State: protocol.TaskRunning})
+		machine := peerproto.MachineState{
+			Name: fmt.Sprintf("n-%07d", i), Addr: "10.0.0.1:8000", Type: "barn", Zone: "a",
+			TasksComplete: true, AcceptsTasks: true,
+		}
+		for k := range tasksPerMachine {
+			task := protocol.TaskName("job-100000001", tasksPerMachine*i+k)
+			machine.Tasks = append(machine.Tasks, peerproto.TaskState{Task: task, Attempt: 7 << 28, State: protocol.TaskRunning})
 		}
-		m.Machines = append(m.Machines, s)
+		whole.Machines = append(whole.Machines, machine)
 	}
-	return m
+	return whole.MemberChunks()
 }
 
-// connectedPair is two nodes on loopback: what a sends, b gets.
-func connectedPair(t *testing.T, maxQueued int) (a *Links, session uint64, sent, got chan core.Command) {
+// connectedPair is two nodes on loopback with a session between them: what a sends, b gets.
+type connectedPair struct {
+	a         *Links
+	session   uint64
+	postedAtA chan core.Command
+	postedAtB chan core.Command
+}
+
+func newConnectedPair(t *testing.T, maxQueuedBytes int) *connectedPair {
 	t.Helper()
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	sent, got = make(chan core.Command, 64), make(chan core.Command, 64)
-	b := New(nil, 10*time.Millisecond, 5*time.Second, generousQueueBytes, func(c core.Command) { got <- c }, nil)
-	go b.Serve(ctx, ln)
-	a = New(map[string]string{"b": ln.Addr().String()}, 10*time.Millisecond, 5*time.Second, maxQueued, func(c core.Command) { sent <- c }, nil)
+	settings := testSettings("")
+	settings.Timeout = 5 * time.Second
+	b, postedAtB := newLinks(settings)
+	settings.Siblings = map[string]string{"b": serveLinks(t, b)}
+	settings.MaxQueuedBytes = maxQueuedBytes
+	a, postedAtA := newLinks(settings)
 	a.Connect("b")
 	t.Cleanup(func() { a.Connect("") })
-	return a, waitFor[core.PeerConnected](t, sent).Session, sent, got
+	session := waitFor[core.PeerConnected](t, postedAtA).Session
+	return &connectedPair{a: a, session: session, postedAtA: postedAtA, postedAtB: postedAtB}
 }
 
 // A whole snapshot goes into a link at once, and a second one that was asked for meanwhile.
 // Both arrive over that same link, in order: a count of messages once closed it at every try
 // from 3,200 machines on, mostly before the first line.
 func TestSnapshotOfLargeFleetArrives(t *testing.T) {
-	for _, of := range []struct{ machines, snapshots int }{{4000, 1}, {4000, 2}, {8000, 1}} {
-		machines, snapshots := of.machines, of.snapshots
-		t.Run(fmt.Sprintf("%d machines, %d snapshots", machines, snapshots), func(t *testing.T) {
-			a, session, sent, got := connectedPair(t, generousQueueBytes)
-			m := snapshotOf(machines)
-			chunks := m.MemberChunks()
-			for range snapshots {
-				for _, p := range chunks {
-					a.Send(core.SendToPeer{Session: session, Message: p})
+	for _, test := range []struct{ machines, snapshots int }{{4000, 1}, {4000, 2}, {8000, 1}} {
+		t.Run(fmt.Sprintf("%d machines, %d snapshots", test.machines, test.snapshots), func(t *testing.T) {
+			pair := newConnectedPair(t, generousQueueBytes)
+			chunks := snapshotOf(test.machines)
+			for range test.snapshots {
+				for _, chunk := range chunks {
+					pair.a.Send(core.SendToPeer{Session: pair.session, Message: chunk})
 				}
 			}
-			waitFor[core.PeerConnected](t, got)
-			for n := range snapshots * len(chunks) {
-				select {
-				case c := <-got:
-					line, ok := c.(core.PeerReceived)
-					want := &chunks[n%len(chunks)]
-					if !ok {
-						t.Fatalf("%T after %d of %d messages", c, n, len(chunks))
-					}
-					if line.Message.Chunk != want.Chunk || line.Message.More != want.More || len(line.Message.Machines) != len(want.Machines) ||
-						line.Message.Machines[0].Name != want.Machines[0].Name || len(line.Message.Machines[0].Tasks) != 64 {
-						t.Fatalf("message %d of %d is another: piece %d", n, len(chunks), line.Message.Chunk)
-					}
-				case c := <-sent:
-					t.Fatalf("%T at the sender after %d messages", c, n)
-				case <-time.After(10 * time.Second):
-					t.Fatalf("%d of %d messages came", n, len(chunks))
-				}
+			waitFor[core.PeerConnected](t, pair.postedAtB)
+			for n := range test.snapshots * len(chunks) {
+				pair.wantChunk(t, n, &chunks[n%len(chunks)])
 			}
 		})
 	}
 }
 
-// listenWithoutReading accepts connections and never reads.
-func listenWithoutReading(t *testing.T) net.Listener {
+// wantChunk checks that the message with a number is the next that b gets, and that the
+// session stays.
+func (p *connectedPair) wantChunk(t *testing.T, n int, want *peerproto.Message) {
 	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	select {
+	case command := <-p.postedAtB:
+		received, ok := command.(core.PeerReceived)
+		if !ok {
+			t.Fatalf("%T after %d messages", command, n)
+		}
+		got := &received.Message
+		if got.Chunk != want.Chunk || got.More != want.More || len(got.Machines) != len(want.Machines) ||
+			got.Machines[0].Name != want.Machines[0].Name || len(got.Machines[0].Tasks) != tasksPerMachine {
+			t.Fatalf("message %d is another: chunk %d", n, got.Chunk)
+		}
+	case command := <-p.postedAtA:
+		t.Fatalf("%T at the sender after %d messages", command, n)
+	case <-time.After(10 * time.Second):
+		t.Fatalf("%d messages came", n)
 	}
-	t.Cleanup(func() { ln.Close() })
+}
+
+// listenWithoutReading accepts connections and never reads; it returns the address.
+func listenWithoutReading(t *testing.T) string {
+	t.Helper()
+	listener := mustListen(t)
+	t.Cleanup(func() {
+		if err := listener.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { conn.Close() })
+			t.Cleanup(func() { closeConn(conn) })
 		}
 	}()
-	return ln
+	return listener.Addr().String()
 }
 
 // A peer that reads nothing for the timeout of a link gets it closed, however little waits.
 func TestSessionOfStalledPeerIsClosed(t *testing.T) {
-	sent := make(chan core.Command, 64)
-	a := New(map[string]string{"b": listenWithoutReading(t).Addr().String()}, time.Hour, 300*time.Millisecond, generousQueueBytes, func(c core.Command) { sent <- c }, nil)
+	settings := testSettings(listenWithoutReading(t))
+	settings.RetryInterval, settings.Timeout = time.Hour, 300*time.Millisecond
+	a, posted := newLinks(settings)
 	a.Connect("b")
 	defer a.Connect("")
-	session := waitFor[core.PeerConnected](t, sent).Session
+	session := waitFor[core.PeerConnected](t, posted).Session
 	begin := time.Now()
-	m := snapshotOf(4000)
-	for _, p := range m.MemberChunks() {
-		a.Send(core.SendToPeer{Session: session, Message: p})
+	for _, chunk := range snapshotOf(4000) {
+		a.Send(core.SendToPeer{Session: session, Message: chunk})
 	}
-	waitFor[core.PeerDisconnected](t, sent)
+	waitFor[core.PeerDisconnected](t, posted)
 	if took := time.Since(begin); took > 4*time.Second {
 		t.Fatalf("closed after %v", took)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.queuedBytes != 0 || len(a.sessions) != 0 {
-		t.Fatalf("%d bytes wait for a closed link, of %d", a.queuedBytes, len(a.sessions))
+		t.Fatalf("%d bytes wait for a closed session, of %d", a.queuedBytes, len(a.sessions))
 	}
 }
 
-// Where more waits than may, the link with the longest queue is closed, the others go on, and
-// what waits never passes the bound.
-func TestQueuedMemoryIsBounded(t *testing.T) {
-	const bound = 8 << 20
-	a, _, sent, _ := connectedPair(t, bound)
-	a.Connect("") // as a leader, it is only dialled
-	waitFor[core.PeerDisconnected](t, sent)
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+// dialAs makes a session with a node that serves links, by a peer that reads or does not.
+func dialAs(t *testing.T, address string, posted chan core.Command, reads bool) uint64 {
+	t.Helper()
+	conn, err := net.Dial("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go a.Serve(ctx, ln)
-	dial := func(read bool) uint64 {
-		conn, err := net.Dial("tcp4", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { conn.Close() })
-		fmt.Fprintln(conn, `{"epoch":7}`)
-		if read {
-			go func() {
-				buf := make([]byte, 64<<10)
-				for {
-					if _, err := conn.Read(buf); err != nil {
-						return
-					}
-				}
-			}()
-		}
-		return waitFor[core.PeerConnected](t, sent).Session
+	t.Cleanup(func() { closeConn(conn) })
+	if _, err := fmt.Fprintln(conn, `{"epoch":7}`); err != nil {
+		t.Fatal(err)
 	}
-	unread, reads := dial(false), dial(true)
-	m := snapshotOf(4000)
-	chunks := m.MemberChunks()
+	if reads {
+		go func() { _, _ = io.Copy(io.Discard, conn) }() // until it is closed
+	}
+	return waitFor[core.PeerConnected](t, posted).Session
+}
+
+// checkQueues checks that what waits is counted, within a bound, and returns whether a
+// session has ended.
+func checkQueues(t *testing.T, links *Links, bound int, session uint64) (ended bool) {
+	t.Helper()
+	links.mu.Lock()
+	defer links.mu.Unlock()
+	sum := 0
+	for _, s := range links.sessions {
+		sum += s.queuedBytes
+	}
+	if links.queuedBytes > bound || sum != links.queuedBytes {
+		t.Fatalf("%d bytes wait, %d on the sessions", links.queuedBytes, sum)
+	}
+	s := links.sessions[session]
+	return s == nil || s.closed
+}
+
+// Where more waits than may, the session with the longest queue is closed, the others go on,
+// and what waits never passes the bound.
+func TestQueuedMemoryIsBounded(t *testing.T) {
+	const bound = 8 << 20
+	settings := testSettings("")
+	settings.Timeout, settings.MaxQueuedBytes = 5*time.Second, bound
+	links, posted := newLinks(settings)
+	address := serveLinks(t, links)
+	stalled, reading := dialAs(t, address, posted, false), dialAs(t, address, posted, true)
+	chunks := snapshotOf(4000)
 	closed := false
 	for i := 0; i < 3*len(chunks) && !closed; i++ {
-		a.Send(core.SendToPeer{Session: unread, Message: chunks[i%len(chunks)]})
-		a.Send(core.SendToPeer{Session: reads, Message: peerproto.Message{Epoch: 7}})
-		a.mu.Lock()
-		sum := 0
-		for _, s := range a.sessions {
-			sum += s.queuedBytes
-		}
-		if a.queuedBytes > bound || sum != a.queuedBytes {
-			t.Fatalf("%d bytes wait, %d on the links", a.queuedBytes, sum)
-		}
-		closed = a.sessions[unread] == nil || a.sessions[unread].closed
-		if s := a.sessions[reads]; s == nil || s.closed {
-			t.Fatal("the link that is read is closed")
+		links.Send(core.SendToPeer{Session: stalled, Message: chunks[i%len(chunks)]})
+		links.Send(core.SendToPeer{Session: reading, Message: peerproto.Message{Epoch: 7}})
+		closed = checkQueues(t, links, bound, stalled)
+		if checkQueues(t, links, bound, reading) {
+			t.Fatal("the session that is read is closed")
 		}
-		a.mu.Unlock()
 	}
 	if !closed {
-		t.Fatal("the link that is not read stays open")
+		t.Fatal("the session that is not read stays open")
 	}
-	if down := waitFor[core.PeerDisconnected](t, sent); down.Session != unread {
-		t.Fatalf("session %d is down, not %d", down.Session, unread)
+	if down := waitFor[core.PeerDisconnected](t, posted); down.Session != stalled {
+		t.Fatalf("session %d is down, not %d", down.Session, stalled)
 	}
 }
 
 // No list of a message is left out when what waits is counted.
 func TestMemoryCountsEveryList(t *testing.T) {
-	var m peerproto.Message
-	v := reflect.ValueOf(&m).Elem()
-	for i := range v.NumField() {
-		f := v.Field(i)
-		if f.Kind() != reflect.Slice {
+	var message peerproto.Message
+	value := reflect.ValueOf(&message).Elem()
+	for i := range value.NumField() {
+		field := value.Field(i)
+		if field.Kind() != reflect.Slice {
 			continue
 		}
-		before := memoryBytes(&m)
-		f.Set(reflect.MakeSlice(f.Type(), 100, 100))
-		if got, least := memoryBytes(&m)-before, 100*int(f.Type().Elem().Size()); got < least {
-			t.Errorf("%s: %d bytes, at least %d", v.Type().Field(i).Name, got, least)
+		before := memoryBytes(&message)
+		field.Set(reflect.MakeSlice(field.Type(), 100, 100))
+		if got, least := memoryBytes(&message)-before, 100*int(field.Type().Elem().Size()); got < least {
+			t.Errorf("%s: %d bytes, at least %d", value.Type().Field(i).Name, got, least)
 		}
 	}
 }
