--- a/internal/kvserver/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -102,6 +103,34 @@
 	_ = p.cmd.Wait()         // says that it was killed
 }
 
+// killAndAwaitLock kills the process and waits until the state file's lock is free, which the
+// service and kvfile.Verify wait for only briefly.
+//
+// Guards against a lock that outlives its process: Linux keeps the mappings of a killed process,
+// and with them the file and its lock, for as long as anything reads the process's entries in
+// /proc, as ps does. On a busy machine that took longer than the end of the process itself.
+func (p *serviceProcess) killAndAwaitLock(t *testing.T, path string) {
+	t.Helper()
+	p.kill()
+	file, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close() //nolint:errcheck // it was only locked
+	for deadline := time.Now().Add(maxLockDelay); ; time.Sleep(time.Millisecond) {
+		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+		if err == nil {
+			return
+		}
+		if !errors.Is(err, syscall.EWOULDBLOCK) || time.Now().After(deadline) {
+			t.Fatalf("the lock of a killed service: %v", err)
+		}
+	}
+}
+
+// maxLockDelay bounds how long the lock of a killed process may outlive it.
+const maxLockDelay = 10 * time.Second
+
 // pairWriter writes ever higher numbers to a pair of keys, with one transaction each.
 type pairWriter struct {
 	name         string
@@ -171,7 +200,7 @@
 		for deadline := time.Now().Add(60 * time.Second); total.Load() < enough && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
-		process.kill()
+		process.killAndAwaitLock(t, path)
 		running.Wait()
 		if total.Load() == 0 {
 			t.Fatal("nothing was written")
@@ -209,7 +238,7 @@
 	if got := client.putLarge(written); got != 503 {
 		t.Fatalf("a second write is answered %d", got)
 	}
-	process.kill()
+	process.killAndAwaitLock(t, path)
 	process = startProcess(t, path)
 	client = newTestClient(process.address, 2)
 	if state, err := kvfile.Verify(path + ".none"); state != nil || err == nil {
