--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -68,7 +68,8 @@
 func (f *fleet) evictAll(shard *shardView, view *machineView, machine string) {
 	for _, task := range sortedKeys(view.attempts) {
 		if attempt := view.attempts[task]; !attempt.stopRequested {
-			f.core.scheduler.requestStop(shard, attempt, peerproto.StopTask{Task: task, Machine: machine, Reason: evictionReason}, lowestUrgency)
+			stop := peerproto.StopTask{Task: task, Machine: machine, Reason: evictionReason}
+			f.core.scheduler.requestStop(shard, attempt, stop, lowestUrgency)
 		}
 	}
 }
@@ -77,7 +78,8 @@
 func canEvictAll(view *machineView) bool {
 	for _, attempt := range view.attempts {
 		spec := &attempt.job.entry.record.Spec
-		if spec.Kind != protocol.KindArray || spec.CheckpointS <= 0 || attempt.taskState != protocol.TaskRunning && !attempt.stopRequested {
+		checkpoints := spec.Kind == protocol.KindArray && spec.CheckpointS > 0
+		if !checkpoints || attempt.taskState != protocol.TaskRunning && !attempt.stopRequested {
 			return false
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -182,6 +182,10 @@
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
+func (c *Core) logError(text string, args ...any) {
+	c.emit(Log{Level: LevelError, Text: text, Args: args})
+}
+
 func (c *Core) logInfo(text string, args ...any) {
 	c.emit(Log{Level: LevelInfo, Text: text, Args: args})
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -128,7 +128,8 @@
 func (f *fleet) adoptSeenMachines() {
 	c := f.core
 	for name, view := range c.scheduler.machines.all() {
-		if f.instances.get(name) == nil && !f.deletedNames[name] && (view.state.AcceptsTasks || c.records.machineRecords.get(name) != nil) {
+		unknown := f.instances.get(name) == nil && !f.deletedNames[name]
+		if unknown && (view.state.AcceptsTasks || c.records.machineRecords.get(name) != nil) {
 			inst := f.adopt(name, pool{view.state.Type, view.state.Zone, view.state.Spot})
 			inst.cloudState = protocol.MachineRunning
 		}
@@ -165,7 +166,7 @@
 			}
 		}
 		for _, request := range f.createRequests {
-			if !yield(request.pool(), request.request.Count) {
+			if !yield(request.pool(), request.body.Count) {
 				return
 			}
 		}
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -31,7 +31,8 @@
 	if view := f.core.scheduler.machines.get(inst.name); view != nil {
 		view.leaving = true
 	}
-	f.core.logInfo("draining instance", "machine", inst.name, "type", inst.typeName, "zone", inst.zone, "spot", inst.spot, "why", string(why))
+	f.core.logInfo("draining instance", "machine", inst.name, "type", inst.typeName, "zone", inst.zone,
+		"spot", inst.spot, "why", string(why))
 }
 
 // returnInstances gives up machines that are of no use any more, and deletes those that are
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -13,7 +13,7 @@
 	CommitUnknown     CommitOutcome = iota // no answer: it may have been applied, or may be later
 	Committed                              // all guards held, all changes are durable
 	CommitConflict                         // a guard failed; nothing was changed
-	CommitRejected                         // malformed, or it names a lease that has expired; nothing was changed
+	CommitRejected                         // malformed, or a lease that it names has expired; nothing was changed
 	CommitThrottled                        // above the rate limit; nothing was changed
 	CommitUnavailable                      // refused for any other reason
 )
@@ -67,9 +67,9 @@
 // Outcomes of a CallWorker.
 const (
 	DirectUnknown  DirectOutcome = iota // no answer: they may have been executed, or may be later
-	DirectExecuted                      // executed; the worker's report comes along
-	DirectFenced                        // the token or the session did not match: nothing was executed, the report comes along
-	DirectRefused                       // any other answer: there is something, but not a worker that took them
+	DirectExecuted                      // executed; a report comes along
+	DirectFenced                        // token or session did not match: nothing was executed; a report comes along
+	DirectRefused                       // any other answer: not from a worker that took them
 )
 
 // CloudOutcome is what became of a call to the cloud.
@@ -81,7 +81,7 @@
 	CloudDone                            // carried out
 	CloudRejected                        // the call is malformed
 	CloudUnavailable                     // no capacity, or an outage
-	CloudThrottled                       // above the rate limit, or any other answer: it may be tried again
+	CloudThrottled                       // above the rate limit, or any other answer: try again
 )
 
 // ReplyStatus says how a request of a user or a worker ended. The values are the status codes
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -138,7 +138,10 @@
 		if zones := job.entry.record.Zones; len(zones) > 0 {
 			inZone = slices.Contains(zones, inst.zone)
 		}
-		if inZone && binpacking.FitsMachineType(machineType, spec) && binpacking.AllowsType(spec, inst.typeName) && (!inst.spot || spec.AllowSpot) {
+		if !inZone || inst.spot && !spec.AllowSpot {
+			continue
+		}
+		if binpacking.FitsMachineType(machineType, spec) && binpacking.AllowsType(spec, inst.typeName) {
 			return true
 		}
 	}
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -10,11 +10,11 @@
 
 // createRequest is a call to create instances that is under way.
 type createRequest struct {
-	request  protocol.CreateMachinesRequest
+	body     protocol.CreateMachinesRequest
 	attempts int // that had no answer, or were above the cloud's limit
 }
 
-func (r *createRequest) pool() pool { return pool{r.request.Type, r.request.Zone, r.request.Spot} }
+func (r *createRequest) pool() pool { return pool{r.body.Type, r.body.Zone, r.body.Spot} }
 
 // maxCreateAttempts is after how many attempts without a result a request is given up. What it
 // has created all the same shows up in the list.
@@ -123,13 +123,13 @@
 func (f *fleet) createInstances(p pool, count int, lack float64) {
 	c := f.core
 	f.requestCounter++
-	request := protocol.CreateMachinesRequest{
+	body := protocol.CreateMachinesRequest{
 		Request: fmt.Sprintf("h-%s-%d-%d", c.bootID, c.scheduler.epoch, f.requestCounter),
 		Type:    p.typeName, Zone: p.zone, Spot: p.spot, Count: count,
 	}
-	f.createRequests[request.Request] = &createRequest{request: request}
-	c.emit(CreateInstances{Request: request})
-	c.logDebug("creating instances", "request", request.Request, "type", p.typeName, "zone", p.zone, "spot", p.spot,
+	f.createRequests[body.Request] = &createRequest{body: body}
+	c.emit(CreateInstances{Request: body})
+	c.logDebug("creating instances", "request", body.Request, "type", p.typeName, "zone", p.zone, "spot", p.spot,
 		"count", count, "cpus_missing", lack)
 }
 
@@ -203,7 +203,7 @@
 		f.backOffPool(request.pool())
 	case CloudRejected:
 		delete(f.createRequests, result.Request)
-		f.core.emit(Log{Level: LevelError, Text: "the cloud rejected a create request as malformed", Args: []any{"request", result.Request}})
+		f.core.logError("the cloud rejected a create request as malformed", "request", result.Request)
 		f.backOffPool(request.pool())
 	default:
 		f.retryCreate(request)
@@ -220,10 +220,11 @@
 		}
 	}
 	if len(names) > 0 {
-		f.core.logInfo("instances created", "machines", len(names), "of", request.request.Count, "type", p.typeName, "zone", p.zone, "spot", p.spot)
+		f.core.logInfo("instances created", "machines", len(names), "of", request.body.Count,
+			"type", p.typeName, "zone", p.zone, "spot", p.spot)
 		f.poolRefusals[p] = 0
 	}
-	if len(names) < request.request.Count {
+	if len(names) < request.body.Count {
 		f.backOffPool(p)
 	}
 }
@@ -232,7 +233,7 @@
 // the same name and creates nothing twice.
 func (f *fleet) retryCreate(request *createRequest) {
 	c := f.core
-	name := request.request.Request
+	name := request.body.Request
 	request.attempts++
 	if request.attempts > maxCreateAttempts {
 		delete(f.createRequests, name)
@@ -240,7 +241,7 @@
 	}
 	c.afterFunc(c.intervals.maintenance, func() {
 		if f.createRequests[name] == request {
-			c.emit(CreateInstances{Request: request.request})
+			c.emit(CreateInstances{Request: request.body})
 		}
 	})
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -49,7 +49,10 @@
 
 // Summarize sums up a histogram.
 func Summarize(h *hdrhistogram.Histogram) LatencySummary {
-	return LatencySummary{Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P90: h.ValueAtQuantile(90), P99: h.ValueAtQuantile(99), Max: h.Max()}
+	return LatencySummary{
+		Count: h.TotalCount(), Max: h.Max(),
+		P50: h.ValueAtQuantile(50), P90: h.ValueAtQuantile(90), P99: h.ValueAtQuantile(99),
+	}
 }
 
 // MachineStatus is one of this member's machines.
@@ -132,13 +135,16 @@
 		s.Estimates[key.String()] = mean
 	}
 	s.StartLatencies = map[string]LatencySummary{}
-	for level, urgency := range []string{protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow} {
+	urgencies := []string{protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow}
+	for level, urgency := range urgencies {
 		if latencies := c.scheduler.startLatencies[level]; latencies.TotalCount() > 0 {
 			s.StartLatencies[urgency] = Summarize(latencies)
 		}
 	}
 	for id, job := range c.scheduler.queue.all() {
-		s.Queue = append(s.Queue, QueuedJobStatus{JobID: id, Waiting: max(job.waitingTasks(), 0), InFlight: len(job.inflight), Reason: job.reason})
+		s.Queue = append(s.Queue, QueuedJobStatus{
+			JobID: id, Waiting: max(job.waitingTasks(), 0), InFlight: len(job.inflight), Reason: job.reason,
+		})
 	}
 }
 
