--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -21,9 +21,9 @@
 // jobs it failed are done elsewhere.
 func TestFaultyMachineIsReplaced(t *testing.T) {
 	s := newScenario(t, 60)
-	a := s.Users.Submit(simulation.Array(8), 10)
-	s.eventually(60*second, "tasks run", func() bool { return a.Running() > 0 })
-	bad := a.On(0)
+	job := s.Users.Submit(simulation.Array(8), 10)
+	s.eventually(60*second, "tasks run", func() bool { return job.Running() > 0 })
+	bad := job.On(0)
 	s.Workers[bad].Faulty = true
 	for range 5 {
 		s.Users.Submit(simulation.Array(8), 10)
@@ -54,13 +54,13 @@
 	for range 9 {
 		s.Cloud.Add("box", "b", true)
 	}
-	a := s.Users.Submit(simulation.Array(36), 10)
-	s.eventually(60*second, "tasks run", func() bool { return a.Running() > 20 })
+	job := s.Users.Submit(simulation.Array(36), 10)
+	s.eventually(60*second, "tasks run", func() bool { return job.Running() > 20 })
 	var sick []*simulation.Worker
 	for i := 0; i < 36 && len(sick) < 4; i += 4 {
-		if k := s.Workers[a.On(i)]; k != nil && !k.Faulty {
-			k.Faulty = true
-			sick = append(sick, k)
+		if worker := s.Workers[job.On(i)]; worker != nil && !worker.Faulty {
+			worker.Faulty = true
+			sick = append(sick, worker)
 		}
 	}
 	for i := range 10 {
@@ -86,8 +86,8 @@
 func TestUnmanagedMachinesAreUsed(t *testing.T) {
 	s := newScenario(t, 63)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	j := s.Users.Submit(simulation.Array(4), 5)
-	s.eventually(60*second, "the reason names the cloud", func() bool { return strings.Contains(j.Answer.Reason, "cloud") })
+	job := s.Users.Submit(simulation.Array(4), 5)
+	s.eventually(60*second, "the reason names the cloud", func() bool { return strings.Contains(job.Answer.Reason, "cloud") })
 	s.Cloud.Add("box", "a", true)
 	s.eventually(60*second, "the job is done", s.Users.AllTold)
 }
@@ -97,19 +97,19 @@
 // first users.
 func TestReadyBeforeTheCloudAnswers(t *testing.T) {
 	s := &scenario{World: simulation.New(77, 3), t: t}
-	for _, n := range s.Nodes {
-		s.Cut(n.Label, "cloud", false)
+	for _, node := range s.Nodes {
+		s.Cut(node.Label, "cloud", false)
 	}
 	s.eventually(second, "every controller is ready", func() bool {
 		return s.Nodes[0].Ready && s.Nodes[1].Ready && s.Nodes[2].Ready
 	})
-	j := s.Users.Submit(simulation.Array(2), 5)
+	job := s.Users.Submit(simulation.Array(2), 5)
 	s.Run(s.Now + 3*second)
-	if j.Accepted || j.Refused != 0 {
-		t.Fatalf("a controller decided without knowing the machine types: %+v", j)
+	if job.Accepted || job.Refused != 0 {
+		t.Fatalf("a controller decided without knowing the machine types: %+v", job)
 	}
-	for _, n := range s.Nodes {
-		s.Mend(n.Label, "cloud")
+	for _, node := range s.Nodes {
+		s.Mend(node.Label, "cloud")
 	}
 	s.eventually(60*second, "the job is done", s.Users.AllTold)
 }
@@ -144,10 +144,10 @@
 	s.Users.Submit(big, 20)
 	long := simulation.Array(12)
 	long.CheckpointS, long.SaveS = 5, 1
-	j := s.Users.Submit(long, 400)
+	job := s.Users.Submit(long, 400)
 	s.eventually(60*second, "each machine has one of both", func() bool { return s.Users.Running() == 24 })
 	s.eventually(150*second, "most machines are returned", func() bool { return len(s.Workers) <= 4 })
-	s.eventually(20*second, "the long tasks go on", func() bool { return j.Running() == 12 })
+	s.eventually(20*second, "the long tasks go on", func() bool { return job.Running() == 12 })
 }
 
 // Machines that are known before the cloud has listed its types get work once it has:
@@ -156,8 +156,8 @@
 	s := newScenario(t, 42)
 	s.Cloud.Out = true
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	for _, n := range s.Nodes {
-		n.Crash(second)
+	for _, node := range s.Nodes {
+		node.Crash(second)
 	}
 	s.State.Forget("c/types")
 	s.Cloud.Add("barn", "a", false)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -10,8 +10,8 @@
 
 func TestLeaderCrash(t *testing.T) {
 	s := newScenario(t, 3)
-	a, b := s.Users.Submit(simulation.Array(12), 20), s.Users.Submit(simulation.Array(12), 20)
-	s.eventually(60*second, "tasks run", func() bool { return a.Running()+b.Running() > 6 })
+	first, other := s.Users.Submit(simulation.Array(12), 20), s.Users.Submit(simulation.Array(12), 20)
+	s.eventually(60*second, "tasks run", func() bool { return first.Running()+other.Running() > 6 })
 	s.leader().Crash(8 * second)
 	s.eventually(120*second, "the work goes on", s.Users.AllTold)
 }
@@ -22,8 +22,8 @@
 		s.Users.Submit(simulation.Array(12), 15)
 	}
 	s.Run(s.Now + 25*second)
-	for _, n := range s.Nodes {
-		n.Crash(5 * second)
+	for _, node := range s.Nodes {
+		node.Crash(5 * second)
 	}
 	s.eventually(180*second, "nothing accepted is lost", s.Users.AllTold)
 }
@@ -33,8 +33,8 @@
 	for range 4 {
 		s.Users.Submit(simulation.Array(15), 12)
 	}
-	for i, n := range s.Nodes {
-		s.After(time.Duration(10+15*i)*second, func() { n.Crash(4 * second) })
+	for i, node := range s.Nodes {
+		s.After(time.Duration(10+15*i)*second, func() { node.Crash(4 * second) })
 	}
 	s.eventually(200*second, "the work goes on", s.Users.AllTold)
 }
@@ -44,13 +44,13 @@
 func TestPausedControllerResumes(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 80+seed, 15*second)
-		n := s.leader()
+		node := s.leader()
 		if seed%2 == 1 {
-			n = s.follower()
+			node = s.follower()
 		}
-		d := time.Duration(5+15*seed) * second
-		n.StandStill(d)
-		s.After(d/2, func() { s.Users.Submit(simulation.Array(6), 10) })
+		pause := time.Duration(5+15*seed) * second
+		node.StandStill(pause)
+		s.After(pause/2, func() { s.Users.Submit(simulation.Array(6), 10) })
 		s.eventually(300*second, "the work goes on", s.Users.AllTold)
 	}
 }
@@ -61,10 +61,10 @@
 	s := newScenario(t, 51)
 	spec := simulation.Array(60)
 	spec.Team, spec.EstimateS = "red", 100
-	j := s.Users.Submit(spec, 20)
-	s.eventually(90*second, "the team is at its limit", func() bool { return j.Running() == 24 })
-	for _, n := range s.Nodes {
-		n.Crash(4 * second)
+	job := s.Users.Submit(spec, 20)
+	s.eventually(90*second, "the team is at its limit", func() bool { return job.Running() == 24 })
+	for _, node := range s.Nodes {
+		node.Crash(4 * second)
 	}
 	s.eventually(300*second, "the job is done", s.Users.AllTold)
 }
@@ -79,11 +79,11 @@
 	}
 	s.eventually(60*second, "several machines run tasks", func() bool { return len(s.Workers) >= 5 })
 	s.Run(s.Now + 5*second)
-	for _, k := range s.SomeWorkers(1) {
-		s.Cloud.Remove(k.Info.Name)
+	for _, worker := range s.SomeWorkers(1) {
+		s.Cloud.Remove(worker.Info.Name)
 	}
-	for _, n := range s.Nodes {
-		n.Crash(2 * second)
+	for _, node := range s.Nodes {
+		node.Crash(2 * second)
 	}
 	s.Logs = nil
 	s.eventually(9*second, "every machine is seen or gone", func() bool { return s.logged("every machine has been seen") })
@@ -103,9 +103,9 @@
 	s.eventually(60*second, "the machines are full", func() bool { return s.Users.Running() >= 90 })
 	old := s.leader()
 	dead := ""
-	s.follower().Ask(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, func(r core.Reply) {
-		for name, m := range r.Body.(*core.Status).Machines {
-			if m.Trusted && (dead == "" || name < dead) {
+	s.follower().Ask(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, func(reply core.Reply) {
+		for name, status := range reply.Body.(*core.Status).Machines {
+			if status.Trusted && (dead == "" || name < dead) {
 				dead = name
 			}
 		}
@@ -125,22 +125,22 @@
 func TestLeaderReloadsState(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 910+seed)
-		j := s.Users.Submit(simulation.Array(60), 60)
-		s.eventually(90*second, "all run", func() bool { return j.Running() == 60 })
-		n, machine := s.leader(), j.On(int(seed)*16)
-		for _, x := range s.Nodes {
-			s.Cut(x.Label, machine, false)
+		job := s.Users.Submit(simulation.Array(60), 60)
+		s.eventually(90*second, "all run", func() bool { return job.Running() == 60 })
+		n, machine := s.leader(), job.On(int(seed)*16)
+		for _, other := range s.Nodes {
+			s.Cut(other.Label, machine, false)
 		}
 		s.State.Forgot[n.Label] = true
-		for _, x := range s.Nodes {
-			if x != n { // nor do those who looked after the machine
-				x.Crash(second / 5)
+		for _, other := range s.Nodes {
+			if other != n { // nor do those who looked after the machine
+				other.Crash(second / 5)
 			}
 		}
 		s.eventually(20*second, "it reloads the state", func() bool { return !s.State.Forgot[n.Label] })
 		s.Run(s.Now + 10*second)
-		for _, x := range s.Nodes {
-			s.Mend(x.Label, machine)
+		for _, other := range s.Nodes {
+			s.Mend(other.Label, machine)
 		}
 		s.eventually(300*second, "all is done", s.Users.AllTold)
 	}
--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -20,21 +20,21 @@
 // started elsewhere only afterwards.
 func TestPartitionedMachineKeepsTasksUntilLeaseExpiry(t *testing.T) {
 	s := newScenario(t, 30)
-	j := s.Users.Submit(simulation.Array(8), 50)
-	s.eventually(60*second, "every task runs", func() bool { return j.Running() == 8 })
-	s.partition(60*second, j.On(0), s.Nodes[0].Label, s.Nodes[1].Label, s.Nodes[2].Label)
+	job := s.Users.Submit(simulation.Array(8), 50)
+	s.eventually(60*second, "every task runs", func() bool { return job.Running() == 8 })
+	s.partition(60*second, job.On(0), s.Nodes[0].Label, s.Nodes[1].Label, s.Nodes[2].Label)
 	s.eventually(240*second, "its tasks run elsewhere", s.Users.AllTold)
 }
 
 // A worker that hangs and resumes within its lease still has its tasks.
 func TestHungMachineResumes(t *testing.T) {
 	s := newScenario(t, 31)
-	j := s.Users.Submit(simulation.Array(8), 30)
-	s.eventually(60*second, "every task runs", func() bool { return j.Running() == 8 })
-	k := s.Workers[j.On(3)]
-	k.Hung = true
+	job := s.Users.Submit(simulation.Array(8), 30)
+	s.eventually(60*second, "every task runs", func() bool { return job.Running() == 8 })
+	worker := s.Workers[job.On(3)]
+	worker.Hung = true
 	s.leader().Crash(3 * second)
-	s.After(12*second, func() { k.Hung = false })
+	s.After(12*second, func() { worker.Hung = false })
 	s.eventually(200*second, "the job is done", s.Users.AllTold)
 }
 
@@ -54,9 +54,9 @@
 		t.Logf("seed %d", seed)
 		s.Loss = 0.01
 		s.State.LateShare, s.State.LateBy = 0.03, 5*second
-		r := s.Rand
+		random := s.Rand
 		for i := range 12 {
-			spec := simulation.Array(4 + r.IntN(12))
+			spec := simulation.Array(4 + random.IntN(12))
 			if i%4 == 0 {
 				spec.Team = "red"
 			}
@@ -66,50 +66,50 @@
 			if i%7 == 3 {
 				spec.Team, spec.CheckpointS, spec.SaveS = "guest", 4, 1
 			}
-			s.After(time.Duration(r.IntN(60))*second, func() {
-				j := s.Users.Submit(spec, 3+r.Float64()*20)
-				j.Mistaken = i == 7
-				if i%6 == 5 || j.Mistaken {
-					s.After(time.Duration(5+r.IntN(40))*second, func() { s.Users.Abort(j) })
+			s.After(time.Duration(random.IntN(60))*second, func() {
+				job := s.Users.Submit(spec, 3+random.Float64()*20)
+				job.Mistaken = i == 7
+				if i%6 == 5 || job.Mistaken {
+					s.After(time.Duration(5+random.IntN(40))*second, func() { s.Users.Abort(job) })
 				}
 			})
 		}
 		for range 6 {
-			at := time.Duration(10+r.IntN(90)) * second
-			n := s.Nodes[r.IntN(3)]
-			switch r.IntN(7) {
+			start := time.Duration(10+random.IntN(90)) * second
+			node := s.Nodes[random.IntN(3)]
+			switch random.IntN(7) {
 			case 0:
-				s.After(at, func() { n.Crash(time.Duration(1+r.IntN(8)) * second) })
+				s.After(start, func() { node.Crash(time.Duration(1+random.IntN(8)) * second) })
 			case 1:
-				s.After(at, func() { s.State.Outage(time.Duration(5+r.IntN(25)) * second) })
+				s.After(start, func() { s.State.Outage(time.Duration(5+random.IntN(25)) * second) })
 			case 2:
-				end := []string{"state", "workers", s.Nodes[r.IntN(3)].Label, "cloud"}[r.IntN(4)]
-				keep := r.IntN(2) == 0
-				s.After(at, func() { s.Cut(n.Label, end, keep) })
-				s.After(at+time.Duration(5+r.IntN(30))*second, func() { s.Mend(n.Label, end) })
+				end := []string{"state", "workers", s.Nodes[random.IntN(3)].Label, "cloud"}[random.IntN(4)]
+				keep := random.IntN(2) == 0
+				s.After(start, func() { s.Cut(node.Label, end, keep) })
+				s.After(start+time.Duration(5+random.IntN(30))*second, func() { s.Mend(node.Label, end) })
 			case 3:
-				s.After(at, func() {
-					for _, k := range s.SomeWorkers(2) {
-						s.Cloud.Remove(k.Info.Name)
+				s.After(start, func() {
+					for _, worker := range s.SomeWorkers(2) {
+						s.Cloud.Remove(worker.Info.Name)
 					}
 				})
 			case 4:
-				s.After(at, func() {
-					for _, k := range s.SomeWorkers(2) {
-						k.Hung = true
-						s.After(time.Duration(3+r.IntN(25))*second, func() { k.Hung = false })
+				s.After(start, func() {
+					for _, worker := range s.SomeWorkers(2) {
+						worker.Hung = true
+						s.After(time.Duration(3+random.IntN(25))*second, func() { worker.Hung = false })
 					}
 				})
 			case 5:
-				d := time.Duration(3+r.IntN(40)) * second
-				s.After(at, func() {
-					if n.Alive() {
-						n.StandStill(d)
+				pause := time.Duration(3+random.IntN(40)) * second
+				s.After(start, func() {
+					if node.Alive() {
+						node.StandStill(pause)
 					}
 				})
 			case 6:
 				for k := range 200 {
-					s.After(at+time.Duration(k)*50*time.Millisecond, s.Users.PollAny)
+					s.After(start+time.Duration(k)*50*time.Millisecond, s.Users.PollAny)
 				}
 			}
 		}
@@ -163,9 +163,9 @@
 	for i := range 60 {
 		s.At(s.Now+time.Duration(i)*second/2, func() {
 			s.Users.Submit(simulation.Array(20), 4)
-			for _, k := range s.SomeWorkers(1) {
+			for _, worker := range s.SomeWorkers(1) {
 				if i%3 == 0 {
-					s.Cloud.Remove(k.Info.Name)
+					s.Cloud.Remove(worker.Info.Name)
 					s.Cloud.Add("barn", "a", true)
 				}
 			}
@@ -191,8 +191,8 @@
 		job := s.Users.Submit(long, 400)
 		s.eventually(60*second, "all of it runs", func() bool { return job.Running() == 48 })
 		var nodes []string
-		for _, n := range s.Nodes {
-			nodes = append(nodes, n.Label)
+		for _, node := range s.Nodes {
+			nodes = append(nodes, node.Label)
 		}
 		partitioned := 0
 		for _, worker := range s.Workers {
@@ -218,16 +218,16 @@
 func TestDuplicatedCommandsAreNotRepeated(t *testing.T) {
 	s := newScenario(t, 900)
 	s.Copies, s.CopyBy = 1, 120*second
-	j := s.Users.Submit(simulation.Array(4), 300)
-	s.eventually(60*second, "a machine is up", func() bool { return j.Running() == 4 })
+	job := s.Users.Submit(simulation.Array(4), 300)
+	s.eventually(60*second, "a machine is up", func() bool { return job.Running() == 4 })
 	var jobs []*simulation.Job
 	for range 12 { // beside it, so that they start by /do
 		jobs = append(jobs, s.Users.Submit(simulation.Array(2), 300))
 		s.Run(s.Now + 700*time.Millisecond)
 	}
 	s.Run(s.Now + 10*second)
-	for _, j := range jobs {
-		s.Users.Abort(j)
+	for _, job := range jobs {
+		s.Users.Abort(job)
 	}
 	s.Run(s.Now + 150*second)
 	s.requireInvariants()
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -14,10 +14,10 @@
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
 	low, high := simulation.Array(30), simulation.Array(10)
 	low.Urgency, high.Urgency = protocol.UrgencyLow, protocol.UrgencyHigh
-	l, h := s.Users.Submit(low, 10), s.Users.Submit(high, 10)
-	s.eventually(200*second, "the urgent job is done", func() bool { return h.Told == protocol.JobDone })
-	if l.Answer.Done > 10 {
-		t.Fatalf("%d tasks of the low-urgency job are done before the urgent job", l.Answer.Done)
+	lowJob, urgentJob := s.Users.Submit(low, 10), s.Users.Submit(high, 10)
+	s.eventually(200*second, "the urgent job is done", func() bool { return urgentJob.Told == protocol.JobDone })
+	if lowJob.Answer.Done > 10 {
+		t.Fatalf("%d tasks of the low-urgency job are done before the urgent job", lowJob.Answer.Done)
 	}
 }
 
@@ -28,13 +28,13 @@
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
 	low := simulation.Array(16)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
-	l := s.Users.Submit(low, 300)
-	s.eventually(60*second, "the low-urgency job fills the machine", func() bool { return l.Running() == 16 })
+	lowJob := s.Users.Submit(low, 300)
+	s.eventually(60*second, "the low-urgency job fills the machine", func() bool { return lowJob.Running() == 16 })
 	high := simulation.Array(8)
 	high.Urgency = protocol.UrgencyHigh
-	h := s.Users.Submit(high, 20)
-	s.eventually(10*second, "the urgent tasks run", func() bool { return h.Running() == 8 })
-	s.eventually(10*second, "the low-urgency job's user is told why", func() bool { return strings.Contains(l.Answer.Reason, "more urgent work") })
+	urgentJob := s.Users.Submit(high, 20)
+	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.Running() == 8 })
+	s.eventually(10*second, "the low-urgency job's user is told why", func() bool { return strings.Contains(lowJob.Answer.Reason, "more urgent work") })
 }
 
 // A best-effort team, one without a guarantee, uses what is idle, but its long tasks are preempted,
@@ -45,14 +45,14 @@
 	s.Cloud.Add("barn", "a", true)
 	long := simulation.Array(40)
 	long.Team, long.CheckpointS, long.SaveS, long.Urgency = "guest", 4, 1, protocol.UrgencyLow
-	g := s.Users.Submit(long, 300)
-	s.eventually(30*second, "the best-effort team fills the machine", func() bool { return g.Running() == 16 })
+	bestEffortJob := s.Users.Submit(long, 300)
+	s.eventually(30*second, "the best-effort team fills the machine", func() bool { return bestEffortJob.Running() == 16 })
 	own := simulation.Array(8)
 	own.Urgency = protocol.UrgencyLow
-	j := s.Users.Submit(own, 10)
-	s.eventually(15*second, "the other team has its guarantee", func() bool { return j.Running() == 8 })
-	s.eventually(10*second, "the best-effort user is told why", func() bool { return strings.Contains(g.Answer.Reason, "its guarantee") })
-	s.eventually(40*second, "the best-effort job goes on", func() bool { return g.Running() >= 14 })
+	guaranteedJob := s.Users.Submit(own, 10)
+	s.eventually(15*second, "the other team has its guarantee", func() bool { return guaranteedJob.Running() == 8 })
+	s.eventually(10*second, "the best-effort user is told why", func() bool { return strings.Contains(bestEffortJob.Answer.Reason, "its guarantee") })
+	s.eventually(40*second, "the best-effort job goes on", func() bool { return bestEffortJob.Running() >= 14 })
 }
 
 // Preemption makes room machine by machine: as many small tasks are stopped as a large one
@@ -66,13 +66,13 @@
 	one, other := simulation.Array(8), simulation.Array(8) // a task of each on every machine
 	one.Team, one.CheckpointS, one.SaveS, one.CPUs, one.MemoryGB = "guest", 4, 3, 2, 12
 	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
-	a, b := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
-	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return a.Running()+b.Running() >= 14 })
+	oneJob, otherJob := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
+	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return oneJob.Running()+otherJob.Running() >= 14 })
 	own := simulation.Array(2)
 	own.CPUs = 4
-	j := s.Users.Submit(own, 30)
-	s.eventually(6*second, "the large tasks run", func() bool { return j.Running() == 2 })
-	if n := a.Running() + b.Running(); n < 10 {
+	largeJob := s.Users.Submit(own, 30)
+	s.eventually(6*second, "the large tasks run", func() bool { return largeJob.Running() == 2 })
+	if n := oneJob.Running() + otherJob.Running(); n < 10 {
 		t.Fatalf("only %d of 16 small tasks are left", n)
 	}
 }
@@ -87,13 +87,13 @@
 	}
 	low := simulation.Array(16)
 	low.Urgency, low.CPUs, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 4, 2
-	l := s.Users.Submit(low, 300)
-	s.eventually(60*second, "the low-urgency job fills the machines", func() bool { return l.Running() == 16 })
+	lowJob := s.Users.Submit(low, 300)
+	s.eventually(60*second, "the low-urgency job fills the machines", func() bool { return lowJob.Running() == 16 })
 	high := simulation.Array(16)
 	high.Urgency = protocol.UrgencyHigh
-	h := s.Users.Submit(high, 20)
-	s.eventually(10*second, "the urgent tasks run", func() bool { return h.Running() == 16 })
-	if n := l.Running(); n < 11 {
+	urgentJob := s.Users.Submit(high, 20)
+	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.Running() == 16 })
+	if n := lowJob.Running(); n < 11 {
 		t.Fatalf("%d of 16 low-urgency tasks are left, four had to go", n)
 	}
 }
@@ -108,17 +108,17 @@
 	}
 	bad := simulation.Array(60)
 	bad.Urgency = protocol.UrgencyHigh
-	h := s.Users.Submit(bad, 10)
-	h.Mistaken = true
-	s.eventually(60*second, "it is known to fail", func() bool { return strings.Contains(h.Answer.Reason, "one is tried again at") })
+	crashLooping := s.Users.Submit(bad, 10)
+	crashLooping.Mistaken = true
+	s.eventually(60*second, "it is known to fail", func() bool { return strings.Contains(crashLooping.Answer.Reason, "one is tried again at") })
 	low := simulation.Array(80)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
-	l := s.Users.Submit(low, 600)
-	s.eventually(30*second, "the low-urgency job fills the machines", func() bool { return l.Running() >= 62 })
+	lowJob := s.Users.Submit(low, 600)
+	s.eventually(30*second, "the low-urgency job fills the machines", func() bool { return lowJob.Running() >= 62 })
 	least := 64
 	for range 100 {
 		s.Run(s.Now + second)
-		least = min(least, l.Running())
+		least = min(least, lowJob.Running())
 	}
 	if least < 58 {
 		t.Fatalf("%d of 64 low-urgency tasks were left", least)
@@ -133,14 +133,14 @@
 	s.Cloud.Add("box", "a", false)
 	long := simulation.Array(3)
 	long.CheckpointS, long.SaveS = 4, 1
-	l := s.Users.Submit(long, 300)
-	s.eventually(30*second, "it leaves one CPU free", func() bool { return l.Running() == 3 })
+	longJob := s.Users.Submit(long, 300)
+	s.eventually(30*second, "it leaves one CPU free", func() bool { return longJob.Running() == 3 })
 	big, small := simulation.Array(1), simulation.Array(1)
 	big.CPUs, big.Urgency = 4, protocol.UrgencyHigh
 	small.CheckpointS, small.SaveS = 4, 1
-	h := s.Users.Submit(big, 5)
+	urgentJob := s.Users.Submit(big, 5)
 	s.Users.Submit(small, 300)
-	s.eventually(20*second, "the urgent job is done", func() bool { return h.Told == protocol.JobDone })
+	s.eventually(20*second, "the urgent job is done", func() bool { return urgentJob.Told == protocol.JobDone })
 }
 
 // A best-effort team's urgent tasks with checkpoints, and another team's urgent ones within its
@@ -154,8 +154,8 @@
 	own.Urgency, own.CPUs = protocol.UrgencyHigh, 4
 	s.Users.Submit(bestEffort, 20)
 	s.Run(s.Now + 8*second)
-	j := s.Users.Submit(own, 10)
-	s.eventually(25*second, "the guaranteed job is done", func() bool { return j.Told == protocol.JobDone })
+	job := s.Users.Submit(own, 10)
+	s.eventually(25*second, "the guaranteed job is done", func() bool { return job.Told == protocol.JobDone })
 	s.eventually(200*second, "the best-effort one too", s.Users.AllTold)
 }
 
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -17,32 +17,32 @@
 	for name, ends := range map[string]func(s *scenario){
 		"the leader restarts before its keys have expired": func(s *scenario) { s.leader().Crash(soon) },
 		"it crashes again as soon as it has the leader key": func(s *scenario) {
-			n := s.leader()
+			node := s.leader()
 			for range 4 {
-				n.Crash(soon)
-				s.eventually(30*second, "it leads again", func() bool { return s.currentLeader() == n })
+				node.Crash(soon)
+				s.eventually(30*second, "it leads again", func() bool { return s.currentLeader() == node })
 			}
 		},
 		"it crashes between the shard map and the first dispatch": func(s *scenario) {
-			n := s.leader()
-			n.Crash(soon)
+			node := s.leader()
+			node.Crash(soon)
 			s.Logs = nil
-			s.eventually(30*second, "there is a new shard map", func() bool { return s.logged(n.Label + " new map") })
-			n.Crash(soon)
+			s.eventually(30*second, "there is a new shard map", func() bool { return s.logged(node.Label + " new map") })
+			node.Crash(soon)
 		},
 		"a member restarts while messages of its former process are delayed": func(s *scenario) {
-			n := s.follower()
-			s.Cut(n.Label, "state", true)
-			s.Cut(n.Label, "workers", true)
+			node := s.follower()
+			s.Cut(node.Label, "state", true)
+			s.Cut(node.Label, "workers", true)
 			s.Run(s.Now + second)
-			n.Crash(soon)
+			node.Crash(soon)
 			s.Run(s.Now + second/2)
-			n.Crash(soon) // none of the three can be heard
-			s.After(20*second, func() { s.Mend(n.Label, "state"); s.Mend(n.Label, "workers") })
+			node.Crash(soon) // none of the three can be heard
+			s.After(20*second, func() { s.Mend(node.Label, "state"); s.Mend(node.Label, "workers") })
 		},
 		"all crash and restart in another order": func(s *scenario) {
-			for i, n := range s.Nodes {
-				n.Crash(soon * time.Duration(1+(i+2)%3))
+			for i, node := range s.Nodes {
+				node.Crash(soon * time.Duration(1+(i+2)%3))
 			}
 		},
 		"ten crashes in ten seconds": func(s *scenario) {
@@ -93,16 +93,16 @@
 			s.Cloud.Add("box", "b", true)
 		}
 		s.Run(s.Now + 10*second)
-		if l := s.leader(); old {
-			l.Old = true
-			l.Crash(second / 10)
+		if node := s.leader(); old {
+			node.Old = true
+			node.Crash(second / 10)
 			s.Run(s.Now + 10*second)
 		}
 		member, ended, epoch, given := s.follower(), false, uint64(0), map[string]uint64{}
 		s.Link(member.Label, "workers", simulation.Link{Delay: 300 * time.Millisecond})
 		s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
-			for _, c := range cmds {
-				line, ok := c.(core.PeerReceived)
+			for _, command := range cmds {
+				line, ok := command.(core.PeerReceived)
 				if ok && ended && n != member && line.Message.Snapshot && line.Message.Epoch == epoch {
 					t.Error("the new process reports the former one's machines")
 				}
@@ -112,11 +112,11 @@
 				if !ended {
 					epoch = line.Message.Epoch
 				}
-				for _, d := range line.Message.Dispatch {
-					if before := given[d.Task]; before != 0 && before != d.Attempt && before>>28 == d.Attempt>>28 {
-						t.Errorf("%s is dispatched again under one and the same map", d.Task)
+				for _, dispatched := range line.Message.Dispatch {
+					if before := given[dispatched.Task]; before != 0 && before != dispatched.Attempt && before>>28 == dispatched.Attempt>>28 {
+						t.Errorf("%s is dispatched again under one and the same map", dispatched.Task)
 					}
-					given[d.Task] = d.Attempt
+					given[dispatched.Task] = dispatched.Attempt
 				}
 				if len(given) > 0 && !ended {
 					ended = true
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -139,10 +139,10 @@
 // other scenario asserts nothing.
 func TestInvariantCheckerCatchesDoubleRun(t *testing.T) {
 	s := newScenario(t, 2)
-	j := s.Users.Submit(simulation.Array(1), 60)
-	s.eventually(60*second, "the task runs", func() bool { return j.Running() == 1 })
+	job := s.Users.Submit(simulation.Array(1), 60)
+	s.eventually(60*second, "the task runs", func() bool { return job.Running() == 1 })
 	other := s.Cloud.Add("box", "b", false)
-	s.Workers[other].Force(protocol.TaskName(j.Spec.ID, 0), 99)
+	s.Workers[other].Force(protocol.TaskName(job.Spec.ID, 0), 99)
 	s.Run(s.Now + 5*second)
 	if len(s.Broken) == 0 || !strings.Contains(s.Broken[0], "ran_twice") {
 		t.Fatalf("the checker saw %q", s.Broken)
@@ -157,6 +157,6 @@
 		jobs = append(jobs, s.Users.Submit(spec, 1))
 	}
 	s.eventually(10*second, "all are refused", func() bool {
-		return !slices.ContainsFunc(jobs, func(j *simulation.Job) bool { return j.Refused != 422 })
+		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return job.Refused != 422 })
 	})
 }
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -13,9 +13,9 @@
 	s := newScenario(t, 52)
 	spec := simulation.Array(40)
 	spec.Team, spec.EstimateS = "red", 100
-	j := s.Users.Submit(spec, 200)
+	job := s.Users.Submit(spec, 200)
 	s.eventually(90*second, "the reason names the limit", func() bool {
-		return strings.Contains(j.Answer.Reason, "team red is at its limit")
+		return strings.Contains(job.Answer.Reason, "team red is at its limit")
 	})
 }
 
@@ -38,20 +38,20 @@
 	s := newScenario(t, 61)
 	var bad []*simulation.Job
 	for range 3 {
-		j := s.Users.Submit(simulation.Array(24), 10)
-		j.Mistaken = true
-		bad = append(bad, j)
+		job := s.Users.Submit(simulation.Array(24), 10)
+		job.Mistaken = true
+		bad = append(bad, job)
 	}
 	good := s.Users.Submit(simulation.Array(12), 25)
 	s.eventually(120*second, "the good job is done", func() bool { return good.Told == protocol.JobDone })
 	s.eventually(60*second, "a bad one says why", func() bool { return strings.Contains(bad[0].Answer.Reason, "one is tried again at") })
 	s.Run(s.Now + 100*second)
 	failed := 0
-	for _, l := range s.Logs {
-		if strings.Contains(l, "quarantined") {
-			t.Fatalf("a machine is quarantined: %s", l)
+	for _, line := range s.Logs {
+		if strings.Contains(line, "quarantined") {
+			t.Fatalf("a machine is quarantined: %s", line)
 		}
-		if strings.Contains(l, "task failed") {
+		if strings.Contains(line, "task failed") {
 			failed++
 		}
 	}
@@ -77,14 +77,14 @@
 		if seed == 1 {
 			spec.Zone = "a"
 		}
-		j := s.Users.Submit(spec, 30)
+		job := s.Users.Submit(spec, 30)
 		s.Users.Submit(simulation.Array(10), 20)
-		s.eventually(120*second, "all tasks run", func() bool { return j.Running() == 20 })
+		s.eventually(120*second, "all tasks run", func() bool { return job.Running() == 20 })
 		s.Run(s.Now + 5*second)
 		if seed == 0 {
 			s.leader().Crash(3 * second)
 		} else {
-			s.Cloud.Remove(j.On(7))
+			s.Cloud.Remove(job.On(7))
 		}
 		s.eventually(300*second, "both jobs are done", s.Users.AllTold)
 	}
@@ -101,11 +101,11 @@
 	s.Run(s.Now + 125*second) // now nothing of the others runs
 	long := simulation.Array(64)
 	long.Team = "guest"
-	g := s.Users.Submit(long, 100)
+	job := s.Users.Submit(long, 100)
 	most := 0
 	for range 25 {
 		s.Run(s.Now + second)
-		most = max(most, g.Running())
+		most = max(most, job.Running())
 	}
 	if most < 8 || most > 56 {
 		t.Fatalf("the best-effort team took %d of 64 CPUs", most)
@@ -125,8 +125,8 @@
 	s.eventually(200*second, "the others' work is done", s.Users.AllTold)
 	spec := simulation.Array(3)
 	spec.Team, spec.CPUs = "guest", 4 // more than an eighth of the only machine
-	g := s.Users.Submit(spec, 10)
-	s.eventually(45*second, "the best-effort job starts", func() bool { return g.Running() > 0 })
+	job := s.Users.Submit(spec, 10)
+	s.eventually(45*second, "the best-effort job starts", func() bool { return job.Running() > 0 })
 	s.eventually(60*second, "it is done", s.Users.AllTold)
 }
 
@@ -152,11 +152,11 @@
 	s := &scenario{World: simulation.Build(44, simulation.Settings(3), types), t: t}
 	halves, gang := simulation.Array(9), simulation.Array(4)
 	halves.Spread, gang.Spread, gang.Kind = true, true, protocol.KindGang
-	h, g := s.Users.Submit(halves, 10), s.Users.Submit(gang, 10)
-	s.eventually(60*second, "half of it runs", func() bool { return h.Running() == 5 })
-	s.eventually(120*second, "it is done", func() bool { return h.Told == protocol.JobDone })
-	if g.Refused != 422 {
-		t.Fatalf("the gang is answered %d", g.Refused)
+	halvesJob, gangJob := s.Users.Submit(halves, 10), s.Users.Submit(gang, 10)
+	s.eventually(60*second, "half of it runs", func() bool { return halvesJob.Running() == 5 })
+	s.eventually(120*second, "it is done", func() bool { return halvesJob.Told == protocol.JobDone })
+	if gangJob.Refused != 422 {
+		t.Fatalf("the gang is answered %d", gangJob.Refused)
 	}
 }
 
@@ -168,15 +168,15 @@
 	s.Cloud.Add("box", "b", true)
 	spec := simulation.Array(40)
 	spec.Spread = true
-	j := s.Users.Submit(spec, 8)
-	s.eventually(30*second, "both zones are used", func() bool { return j.Running() == 8 })
+	job := s.Users.Submit(spec, 8)
+	s.eventually(30*second, "both zones are used", func() bool { return job.Running() == 8 })
 	for i := range 40 {
-		if m := j.On(i); m != "" && s.Workers[m].Info.Zone == "a" {
-			s.Cloud.Remove(m)
+		if machine := job.On(i); machine != "" && s.Workers[machine].Info.Zone == "a" {
+			s.Cloud.Remove(machine)
 		}
 	}
-	before := j.Answer.Done
-	s.eventually(60*second, "the other zone goes on", func() bool { return j.Answer.Done >= before+12 })
+	before := job.Answer.Done
+	s.eventually(60*second, "the other zone goes on", func() bool { return job.Answer.Done >= before+12 })
 }
 
 // Long after the others' work has ended, a best-effort team's gang may use every machine.
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -14,8 +14,8 @@
 // their tasks, and none of them may run twice afterwards.
 func TestStoreOutageBeyondWorkerLease(t *testing.T) {
 	s := newScenario(t, 6)
-	j := s.Users.Submit(simulation.Array(16), 40)
-	s.eventually(60*second, "tasks run", func() bool { return j.Running() > 8 })
+	job := s.Users.Submit(simulation.Array(16), 40)
+	s.eventually(60*second, "tasks run", func() bool { return job.Running() > 8 })
 	s.State.Outage(40 * second)
 	s.Run(s.Now + 39*second)
 	s.requireInvariants()
@@ -27,9 +27,9 @@
 func TestControllerRefusedByStore(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 10+seed, 20*second)
-		n := s.Nodes[seed%3]
-		s.State.Refuses[n.Label] = true
-		s.After(40*second, func() { delete(s.State.Refuses, n.Label) })
+		node := s.Nodes[seed%3]
+		s.State.Refuses[node.Label] = true
+		s.After(40*second, func() { delete(s.State.Refuses, node.Label) })
 		s.eventually(240*second, "the work goes on", s.Users.AllTold)
 	}
 }
@@ -38,17 +38,17 @@
 // state service's rate limit: lease renewals and submissions need it.
 func TestPollsDoNotExhaustStoreRateLimit(t *testing.T) {
 	s := newScenario(t, 90)
-	j := s.Users.Submit(simulation.Array(4), 60)
-	s.eventually(30*second, "the job is accepted", func() bool { return j.Accepted })
+	job := s.Users.Submit(simulation.Array(4), 60)
+	s.eventually(30*second, "the job is accepted", func() bool { return job.Accepted })
 	s.Run(s.Now + 5*second)
 	s.State.Refused = 0
 	asked, answered := 0, 0
 	for i := range 3000 {
 		s.At(s.Now+time.Duration(i)*5*time.Millisecond, func() {
-			n := s.Nodes[i%3]
+			node := s.Nodes[i%3]
 			asked++
-			n.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
-				if r.Status == 200 {
+			node.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: job.Spec.ID} }, func(reply core.Reply) {
+				if reply.Status == 200 {
 					answered++
 				}
 			})
@@ -81,8 +81,8 @@
 		}
 		s.After(12*second, func() { s.Users.Abort(jobs[0]); s.Users.Abort(jobs[1]) })
 		s.eventually(400*second, "every job is over", s.Users.AllTold)
-		for _, j := range jobs {
-			s.Users.Resubmit(j) // however late, the answer is its state
+		for _, job := range jobs {
+			s.Users.Resubmit(job) // however late, the answer is its state
 		}
 		s.Run(s.Now + 20*second)
 		s.requireInvariants()
@@ -96,17 +96,17 @@
 	s.State.Ended(4500)
 	open := s.Users.Submit(simulation.Array(4), 200)
 	s.eventually(60*second, "it runs", func() bool { return open.Running() == 4 })
-	n := s.leader()
-	s.State.Refuses[n.Label] = true
-	s.After(6*second, func() { delete(s.State.Refuses, n.Label) })
-	n.Crash(second)
-	s.After(6*second+40*time.Millisecond, func() { s.State.Refuses[n.Label] = true })
-	s.After(8*second, func() { delete(s.State.Refuses, n.Label) })
-	s.eventually(20*second, "it is ready", func() bool { return n.Ready })
+	restarted := s.leader()
+	s.State.Refuses[restarted.Label] = true
+	s.After(6*second, func() { delete(s.State.Refuses, restarted.Label) })
+	restarted.Crash(second)
+	s.After(6*second+40*time.Millisecond, func() { s.State.Refuses[restarted.Label] = true })
+	s.After(8*second, func() { delete(s.State.Refuses, restarted.Label) })
+	s.eventually(20*second, "it is ready", func() bool { return restarted.Ready })
 	for i, want := range map[int]string{0: protocol.JobCancelled, 51: protocol.JobDone, 4499: protocol.JobDone} {
-		n.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(r core.Reply) {
-			if a := r.Body.(protocol.JobResponse); r.Status != 200 || a.State != want || a.Done == 0 && want == protocol.JobDone {
-				t.Errorf("%d: %+v", i, r)
+		restarted.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(reply core.Reply) {
+			if answer := reply.Body.(protocol.JobResponse); reply.Status != 200 || answer.State != want || answer.Done == 0 && want == protocol.JobDone {
+				t.Errorf("%d: %+v", i, reply)
 			}
 		})
 	}
@@ -147,13 +147,13 @@
 func TestDegradedModeRequiresEveryController(t *testing.T) {
 	for away := range 3 {
 		s := newScenario(t, 530+uint64(away))
-		j := s.Users.Submit(simulation.Array(12), 150)
-		s.eventually(60*second, "all tasks run", func() bool { return j.Running() == 12 })
+		job := s.Users.Submit(simulation.Array(12), 150)
+		s.eventually(60*second, "all tasks run", func() bool { return job.Running() == 12 })
 		one := s.follower()
 		switch away {
 		case 0:
-			for _, n := range s.Nodes {
-				s.State.Refuses[n.Label] = n != one
+			for _, node := range s.Nodes {
+				s.State.Refuses[node.Label] = node != one
 			}
 		case 1:
 			one.Crash(0)
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -14,15 +14,15 @@
 	s := newScenario(t, 50)
 	spec := simulation.Array(20)
 	spec.CheckpointS, spec.SaveS = 5, 4
-	j := s.Users.Submit(spec, 300)
-	s.eventually(60*second, "tasks run", func() bool { return j.Running() > 5 })
-	s.Users.Abort(j)
+	job := s.Users.Submit(spec, 300)
+	s.eventually(60*second, "tasks run", func() bool { return job.Running() > 5 })
+	s.Users.Abort(job)
 	s.leader().Crash(5 * second)
-	s.eventually(40*second, "no task is left", func() bool { return j.Told == protocol.JobCancelled && j.Running() == 0 })
+	s.eventually(40*second, "no task is left", func() bool { return job.Told == protocol.JobCancelled && job.Running() == 0 })
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
-	if !strings.Contains(j.Answer.Reason, "cancelled") {
-		t.Fatalf("the reason is %q", j.Answer.Reason)
+	if !strings.Contains(job.Answer.Reason, "cancelled") {
+		t.Fatalf("the reason is %q", job.Answer.Reason)
 	}
 }
 
@@ -30,12 +30,12 @@
 	s := newScenario(t, 54)
 	spec := simulation.Array(4)
 	spec.Kind, spec.EstimateS = protocol.KindService, 0
-	j := s.Users.Submit(spec, 0)
-	s.eventually(60*second, "all replicas run", func() bool { return j.Running() == 4 })
-	s.Cloud.Remove(j.On(0))
-	s.eventually(90*second, "lost replicas run again", func() bool { return j.Running() == 4 })
+	job := s.Users.Submit(spec, 0)
+	s.eventually(60*second, "all replicas run", func() bool { return job.Running() == 4 })
+	s.Cloud.Remove(job.On(0))
+	s.eventually(90*second, "lost replicas run again", func() bool { return job.Running() == 4 })
 	s.Run(s.Now + 60*second)
-	s.Users.Abort(j)
+	s.Users.Abort(job)
 	s.eventually(60*second, "it is over", s.Users.AllTold)
 }
 
@@ -53,8 +53,8 @@
 func TestJobWithMaxTasksIsAccepted(t *testing.T) {
 	s := newScenario(t, 66)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
-	j := s.Users.Submit(simulation.Array(protocol.MaxTasks), 1)
-	s.eventually(120*second, "progress is published", func() bool { return j.Answer.Done > 100 })
+	job := s.Users.Submit(simulation.Array(protocol.MaxTasks), 1)
+	s.eventually(120*second, "progress is published", func() bool { return job.Answer.Done > 100 })
 }
 
 // A site that names no team limits none.
@@ -104,7 +104,9 @@
 			s.Users.Resubmit(jobs[i]) // at another controller, at the same time
 		}
 	}
-	all := func() bool { return !slices.ContainsFunc(jobs, func(j *simulation.Job) bool { return !j.Accepted }) }
+	all := func() bool {
+		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return !job.Accepted })
+	}
 	s.eventually(4*second, "all are accepted", all)
 	if n := s.State.Writes - writes; n > 40 {
 		t.Fatalf("%d writes for 120 jobs", n)
@@ -112,13 +114,13 @@
 	s.Users.Abort(jobs[7])
 	s.Users.Abort(jobs[18])
 	s.leader().Crash(2 * second)
-	for _, j := range jobs[:20] {
-		s.Users.Resubmit(j)
+	for _, job := range jobs[:20] {
+		s.Users.Resubmit(job)
 	}
 	s.eventually(200*second, "every job is over", s.Users.AllTold)
 	s.eventually(60*second, "the batches are deleted", func() bool { return s.State.Count("c/accepted/") == 0 })
-	for _, j := range jobs {
-		s.Users.Resubmit(j) // the answer is its state, however late
+	for _, job := range jobs {
+		s.Users.Resubmit(job) // the answer is its state, however late
 	}
 	s.Run(s.Now + 20*second)
 	s.requireInvariants()
@@ -137,7 +139,7 @@
 			jobs = append(jobs, s.Users.Submit(simulation.Array(1), 5))
 		}
 		s.eventually(8*second, "all are accepted", func() bool {
-			return !slices.ContainsFunc(jobs, func(j *simulation.Job) bool { return !j.Accepted })
+			return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return !job.Accepted })
 		})
 	}
 }
