--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -103,7 +103,7 @@
 // Serve runs the agent until ctx ends; then its tasks are killed and it returns once
 // they are gone.
 func (d *Daemon) Serve(ctx context.Context, l net.Listener) error {
-	defer d.lock.Close()
+	defer func() { _ = d.lock.Close() }() // nothing was written
 	if err := d.alone(ctx); err != nil {
 		return err
 	}
@@ -367,7 +367,7 @@
 	folder := what.Folder
 	if folder == "" {
 		folder = filepath.Join(d.set.Folder, "work", name)
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }() // it is of no more use
 	}
 	output := filepath.Join(d.set.Folder, "output", name)
 	saves := filepath.Join(d.set.Saves, r.job, strconv.Itoa(r.index))
@@ -376,7 +376,7 @@
 			return err
 		}
 	}
-	defer os.Remove(output)
+	defer func() { _ = os.Remove(output) }() // what is kept of it is in the depot
 	env := []string{
 		"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "LANG=" + os.Getenv("LANG"),
 		"CHALK_JOB=" + r.job, "CHALK_TASK=" + strconv.Itoa(r.index), "CHALK_TASKS=" + strconv.Itoa(what.Job.Tasks),
@@ -432,7 +432,7 @@
 			d.set.Log.Warn("task ended with the lease", "task", r.key.Task, "attempt", r.key.Attempt)
 		}
 	}
-	in.Close()
+	_ = in.Close() // a shim that has ended has closed it
 	if e := cmd.Wait(); e != nil && err == nil {
 		err = e
 	}
@@ -444,7 +444,7 @@
 func (d *Daemon) tell(ctx context.Context, r *run, in io.WriteCloser, done chan struct{}, spec shim.Spec) {
 	say := func(v any) {
 		if b, err := json.Marshal(v); err == nil {
-			in.Write(append(b, '\n')) // a shim that has ended says so itself
+			_, _ = in.Write(append(b, '\n')) // a shim that has ended says so itself
 		}
 	}
 	say(spec)
@@ -482,7 +482,7 @@
 				sent = st.Size()
 			}
 		}
-		f.Close()
+		_ = f.Close() // it was only read
 	}
 }
 
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -51,8 +52,8 @@
 		t.Fatal(err)
 	}
 	srv := &fasthttp.Server{Handler: h}
-	go srv.Serve(l)
-	t.Cleanup(func() { srv.Shutdown() })
+	go func() { _ = srv.Serve(l) }() // it ends with the cleanup
+	t.Cleanup(func() { _ = srv.Shutdown() })
 	return l.Addr().String()
 }
 
@@ -88,7 +89,12 @@
 	dctx, dstop := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- folder.Serve(dctx, dl) }()
-	t.Cleanup(func() { dstop(); <-over })
+	t.Cleanup(func() {
+		dstop()
+		if err := <-over; !errors.Is(err, context.Canceled) {
+			t.Errorf("the depot ended: %v", err)
+		}
+	})
 	m.set = Settings{Depot: front, Folder: t.TempDir(), Saves: t.TempDir(), Shim: []string{os.Args[0], "shim"}, Addrs: []string{controller},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Agent: agent.Settings{Machine: "n-1", CPUs: 4, MemoryGB: 4, Controllers: []protocol.Redirect{{ReportTo: "ctl-0"}},
@@ -111,7 +117,7 @@
 	m.addr = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
-	go func() { defer close(over); d.Serve(ctx, l) }()
+	go func() { defer close(over); _ = d.Serve(ctx, l) }() // tests look at what it does
 	m.stop = func() { cancel(); <-over }
 	m.t.Cleanup(m.stop)
 }
@@ -124,9 +130,9 @@
 	}
 }
 
-func (m *machine) do(session uint64, cmds ...protocol.Command) int {
+func (m *machine) do(cmds ...protocol.Command) int {
 	m.t.Helper()
-	return m.call.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 5, Session: session, Commands: cmds}, nil, time.Second)
+	return m.call.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 5, Session: 1, Commands: cmds}, nil, time.Second)
 }
 
 func (m *machine) report() (r protocol.Heartbeat) {
@@ -161,14 +167,14 @@
 if [ -f "$CHALK_SAVES/progress" ]; then echo went on; exit 0; fi
 echo began; while :; do sleep 0.02; done`)
 	start := func(try uint64) {
-		m.do(1, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: try})
+		m.do(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: try})
 	}
 	start(1)
 	m.until("it has written", func(protocol.Heartbeat) bool { b, _ := m.folder.Output("job-1", 0, 1); return string(b) == "began\n" })
-	m.do(1, protocol.Command{Kind: protocol.CommandStop, Task: "job-1/0", Attempt: 1, GraceS: 10})
+	m.do(protocol.Command{Kind: protocol.CommandStop, Task: "job-1/0", Attempt: 1, GraceS: 10})
 	m.until("it has saved", is(protocol.TaskExited, protocol.ExitStopped, true))
 	for try := uint64(2); try < 4; try++ {
-		m.do(1, protocol.Command{Kind: protocol.CommandForget, Task: "job-1/0", Attempt: try - 1})
+		m.do(protocol.Command{Kind: protocol.CommandForget, Task: "job-1/0", Attempt: try - 1})
 		start(try)
 		m.until("it is done", is(protocol.TaskExited, protocol.ExitDone, false))
 	}
@@ -186,7 +192,7 @@
 	m := boot(t, 30)
 	m.describe(0, "true")
 	m.noDisk.Store(true)
-	m.do(1, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1})
+	m.do(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1})
 	m.until("it runs", is(protocol.TaskRunning, "", false))
 	time.Sleep(500 * time.Millisecond)
 	if r := m.report(); !is(protocol.TaskRunning, "", false)(r) || m.folder.Done("job-1", 0) {
@@ -204,7 +210,7 @@
 func TestLeaseEndsEverything(t *testing.T) {
 	m := boot(t, 5)
 	m.describe(0, "sh", "-c", "setsid sleep 300 & echo $!; wait")
-	m.do(1, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1}, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/1", Attempt: 1})
+	m.do(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1}, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/1", Attempt: 1})
 	m.until("both run", func(r protocol.Heartbeat) bool {
 		return len(r.Tasks) == 2 && r.Tasks[0].State == protocol.TaskRunning && r.Tasks[1].State == protocol.TaskRunning
 	})
@@ -214,7 +220,7 @@
 	}
 	m.away.Store(true)
 	m.until("the next session", func(r protocol.Heartbeat) bool { return r.Session > 1 && len(r.Tasks) == 0 })
-	if s := m.do(1, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 2}); s != 409 {
+	if s := m.do(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 2}); s != 409 {
 		t.Fatalf("an order for the last session is answered %d", s)
 	}
 }
@@ -240,7 +246,9 @@
 	if s := m.call.Call("GET", m.addr, "/inspect", nil, nil, 200*time.Millisecond); s != 0 {
 		t.Fatalf("it answers %d while something of the last agent is left", s)
 	}
-	held.Close()
+	if err := held.Close(); err != nil {
+		t.Fatal(err)
+	}
 	m.until("the next session", func(r protocol.Heartbeat) bool { return r.Session == 2 && r.Token == 5 && len(r.Tasks) == 0 })
 	if s := m.call.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 4, Session: 2}, nil, time.Second); s != 409 {
 		t.Fatalf("a token from before is answered %d", s)
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -87,7 +87,7 @@
 	}
 	say := func(w Word) {
 		if b, err := json.Marshal(&w); err == nil {
-			out.Write(append(b, '\n')) // an agent that is gone hears nothing
+			_, _ = out.Write(append(b, '\n')) // an agent that is gone hears nothing
 		}
 	}
 	cmd, err := start(&spec)
@@ -106,8 +106,11 @@
 			}
 		}
 	}()
-	exited := make(chan error, 1)
-	go func() { exited <- cmd.Wait() }()
+	exited := make(chan struct{})
+	go func() {
+		defer close(exited)
+		_ = cmd.Wait() // the process state says how it ended
+	}()
 	until := time.Duration(spec.Until)
 	// The kernel counts timers without the time asleep, so the clock is looked at again
 	// at least every quarter of a second.
@@ -118,9 +121,9 @@
 	kill := func() {
 		killed = true
 		// The group, and whoever left it; repeated, since they may fork meanwhile.
-		unix.Kill(-cmd.Process.Pid, unix.SIGKILL)
+		_ = unix.Kill(-cmd.Process.Pid, unix.SIGKILL)
 		for _, p := range descendants() {
-			unix.Kill(p, unix.SIGKILL)
+			_ = unix.Kill(p, unix.SIGKILL) // it may have ended by itself
 		}
 	}
 	for {
@@ -133,7 +136,7 @@
 			case o.Kill:
 				kill()
 			case o.Term:
-				unix.Kill(-cmd.Process.Pid, unix.SIGTERM)
+				_ = unix.Kill(-cmd.Process.Pid, unix.SIGTERM)
 			case o.Until != 0:
 				until = time.Duration(o.Until)
 			}
@@ -165,7 +168,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // the command has a copy
 	cmd := exec.Command(s.Command[0], s.Command[1:]...)
 	cmd.Env, cmd.Dir, cmd.Stdout, cmd.Stderr = s.Env, s.Folder, f, f
 	// The command dies with the thread that started it; that one is this process's main
@@ -183,7 +186,7 @@
 			return
 		}
 		for _, p := range left {
-			unix.Kill(p, unix.SIGKILL)
+			_ = unix.Kill(p, unix.SIGKILL) // it may have ended by itself
 		}
 		var ws unix.WaitStatus
 		for {
--- a/internal/shim/shim_test.go
+++ b/internal/shim/shim_test.go
@@ -51,7 +51,7 @@
 	if err := r.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.cmd.Process.Kill(); r.cmd.Wait() })
+	t.Cleanup(func() { _, _ = r.cmd.Process.Kill(), r.cmd.Wait() }) // it may have ended
 	r.out = bufio.NewScanner(out)
 	r.say(Spec{Command: []string{"sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH")}, Folder: filepath.Dir(r.file), Output: r.file, Until: int64(Clock() + until)})
 	if w := r.word(); w.Started == 0 {
@@ -120,7 +120,7 @@
 func TestNothingIsLeft(t *testing.T) {
 	for name, end := range map[string]func(*running){
 		"an order":                        func(r *running) { r.say(Order{Kill: true}) },
-		"the agent is gone":               func(r *running) { r.in.Close() },
+		"the agent is gone":               func(r *running) { _ = r.in.Close() },
 		"the lease ends, no agent awake":  func(r *running) { r.say(Order{Until: int64(Clock() + 300*time.Millisecond)}) },
 		"the lease ended before an order": func(r *running) { r.say(Order{Until: int64(Clock() - time.Second)}) },
 	} {
