--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -28,7 +28,7 @@
 			s.State.RPS, s.State.WriteRPS, s.State.TxnOps = 1e6, 1e6, 64
 			s.Cloud.Types[0].Most = 1
 			c := start(b, Options{Folder: b.TempDir(), Settings: s, Batch: batch})
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			var mu sync.Mutex
 			took := hdrhistogram.New(1, 60_000_000, 3)
 			var refused atomic.Int64
@@ -86,7 +86,7 @@
 			s.Cloud.Types[0].Most = n
 			s.Teams[0].CPUs = float64(n)
 			c := start(b, Options{Folder: b.TempDir(), Settings: s})
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			cl, err := c.Client()
 			if err != nil {
 				b.Fatal(err)
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -49,7 +49,7 @@
 func TestMain(m *testing.M) {
 	rc := m.Run()
 	if dir, err := programs(); err == nil {
-		os.RemoveAll(dir)
+		_ = os.RemoveAll(dir)
 	}
 	os.Exit(rc)
 }
@@ -140,7 +140,7 @@
 	closed := false
 	defer func() {
 		if !closed {
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	cl, err := c.Client()
@@ -215,7 +215,7 @@
 	until(95)
 	pid := agent(syscall.SIGSTOP)
 	time.Sleep(4 * time.Second)
-	syscall.Kill(pid, syscall.SIGCONT) // its machine may have been deleted meanwhile
+	_ = syscall.Kill(pid, syscall.SIGCONT) // its machine may have been deleted meanwhile
 	s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, see)
 	if err != nil || s.State != "done" || s.Done != tasks {
 		t.Fatalf("%+v, %v", s, err)
@@ -231,7 +231,7 @@
 	}
 	closed = true
 	c = up(t, folder, site())
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if cl, err = c.Client(); err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +250,7 @@
 	s.Cloud.SpotLifeS, s.Cloud.NoticeS = 5, 1.5
 	s.Cloud.Types[0].SpotPrice, s.Cloud.Types[0].Most = 0.01, 4
 	c := up(t, t.TempDir(), s)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	cl, err := c.Client()
 	if err != nil {
 		t.Fatal(err)
@@ -280,7 +280,7 @@
 	s := site()
 	s.Controllers = 1
 	a, b := up(t, t.TempDir(), s), up(t, t.TempDir(), s)
-	defer b.Close()
+	defer func() { _ = b.Close() }()
 	if _, err := Start(context.Background(), a.opt); err == nil || !strings.Contains(err.Error(), "another cluster is running in") {
 		t.Errorf("one folder for two: %v", err)
 	}
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -126,12 +126,12 @@
 		return nil, fmt.Errorf("the folder cannot be used: %w", err)
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, fmt.Errorf("another cluster is running in %s: stop it, or choose another --folder", opt.Folder)
 	}
 	c.lock = lock
 	if err := c.configure(); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, err
 	}
 	c.ctx, c.cancel = context.WithCancel(ctx)
@@ -186,7 +186,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
+		defer func() { _ = l.Close() }()
 		out = append(out, l.Addr().String())
 	}
 	return out, nil
@@ -300,7 +300,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // the child writes by itself
 	cmd := exec.Command(ch.args[0], ch.args[1:]...)
 	cmd.Stdout, cmd.Stderr = f, f
 	// Out of reach of the terminal's interrupt: the cluster is taken down in order.
@@ -311,10 +311,10 @@
 	c.mu.Lock()
 	ch.pid = cmd.Process.Pid
 	c.mu.Unlock()
-	stop := context.AfterFunc(c.ctx, func() { cmd.Process.Signal(syscall.SIGTERM) })
+	stop := context.AfterFunc(c.ctx, func() { _ = cmd.Process.Signal(syscall.SIGTERM) })
 	hard := context.AfterFunc(c.ctx, func() {
 		time.Sleep(10 * time.Second)
-		cmd.Process.Kill()
+		_ = cmd.Process.Kill() // it may have ended meanwhile
 	})
 	err = cmd.Wait()
 	stop()
@@ -386,7 +386,7 @@
 	if err != nil {
 		return fmt.Errorf("%s does not start: %w", name, err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	last := ""
 	for s := bufio.NewScanner(f); s.Scan(); {
 		if line := strings.TrimSpace(s.Text()); line != "" {
@@ -404,8 +404,8 @@
 func (c *Cluster) Close() error {
 	c.cancel()
 	err := c.group.Wait()
-	os.Remove(c.path(ClusterFile)) // a command that finds none says how to start one
-	c.lock.Close()
+	_ = os.Remove(c.path(ClusterFile)) // a command that finds none says how to start one
+	_ = c.lock.Close()
 	if errors.Is(err, context.Canceled) {
 		err = nil
 	}
--- a/internal/localcloud/rent.go
+++ b/internal/localcloud/rent.go
@@ -132,7 +132,7 @@
 				delete(c.machines, n)
 			}
 		}
-		f.Close()
+		_ = f.Close() // it was only read
 	}
 	for _, m := range c.machines {
 		go bury(m, filepath.Join(folders, m.Name))
@@ -158,18 +158,18 @@
 			break // it never started, or its folder was removed when it was gone
 		}
 		err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
-		f.Close()
+		_ = f.Close()
 		if err == nil {
 			break
 		}
 		// Process numbers come again; a command line with this folder does not.
 		line, err := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", m.pid))
 		if m.pid != 0 && err == nil && strings.Contains(string(line), folder+string(filepath.Separator)) {
-			unix.Kill(m.pid, unix.SIGKILL)
+			_ = unix.Kill(m.pid, unix.SIGKILL) // once more if it is still there
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	os.RemoveAll(folder)
+	_ = os.RemoveAll(folder) // it is of no more use
 }
 
 func (c *Cloud) write(r record) error {
@@ -244,7 +244,7 @@
 // live is a machine's whole life.
 func (c *Cloud) live(ctx context.Context, m *machine, t Type, l net.Listener) {
 	defer close(m.over)
-	defer l.Close()
+	defer func() { _ = l.Close() }() // the agent has a copy
 	fail := func(err error) {
 		c.log.Error("machine failed", "machine", m.Name, "error", err)
 		c.mu.Lock()
@@ -263,11 +263,11 @@
 	}
 	read, write, err := os.Pipe()
 	if err != nil {
-		file.Close()
+		_ = file.Close()
 		fail(err)
 		return
 	}
-	defer read.Close()
+	defer func() { _ = read.Close() }()
 	cmd, err := c.start(m.Instance, t, file, write)
 	if err == nil {
 		m.in, err = cmd.StdinPipe()
@@ -276,9 +276,9 @@
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		err = cmd.Start()
 	}
-	file.Close()
-	write.Close()
-	l.Close()
+	for _, ours := range []io.Closer{file, write, l} {
+		_ = ours.Close() // the agent has copies
+	}
 	if err != nil {
 		fail(err)
 		return
@@ -293,12 +293,13 @@
 	if m.Spot && c.set.SpotLifeS > 0 {
 		go c.takeBack(ctx, m)
 	}
-	defer os.RemoveAll(cmd.Dir) // the machine's own folder
-	defer context.AfterFunc(ctx, func() { cmd.Process.Kill() })()
+	defer func() { _ = os.RemoveAll(cmd.Dir) }() // the machine's own folder
+	defer context.AfterFunc(ctx, func() { _ = cmd.Process.Kill() })()
 	// The pipe ends when the agent, its shims and so all its tasks have ended.
-	io.Copy(io.Discard, read)
-	if err := cmd.Wait(); ctx.Err() == nil {
-		fail(fmt.Errorf("its agent ended: %v", err))
+	_, _ = io.Copy(io.Discard, read)
+	_ = cmd.Wait() // the process state says how it ended
+	if ctx.Err() == nil {
+		fail(fmt.Errorf("its agent ended: %v", cmd.ProcessState))
 	}
 }
 
@@ -318,7 +319,7 @@
 	if c.set.NoticeS > 0 {
 		notice := c.set.NoticeS * (0.5 + rand.Float64())
 		b, _ := json.Marshal(Line{NoticeS: notice}) // a number always encodes
-		m.in.Write(append(b, '\n'))                 // an agent that has ended needs none
+		_, _ = m.in.Write(append(b, '\n'))          // an agent that has ended needs none
 		if !sleep(notice) {
 			return
 		}
