--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -108,7 +108,7 @@
 
 // Serve answers until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	stop := context.AfterFunc(ctx, func() { l.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 	err := s.http.Serve(l)
 	if ctx.Err() != nil {
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -30,7 +30,7 @@
 	ln := fasthttputil.NewInmemoryListener()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go New(e, 100).Serve(ctx, ln)
+	go func() { _ = New(e, 100).Serve(ctx, ln) }() // it ends with the cleanup
 	return &fasthttp.Client{Dial: func(string) (net.Conn, error) { return ln.Dial() }}
 }
 
@@ -90,7 +90,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(conn, "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", protocol.MaxBody+1)
+	if _, err := fmt.Fprintf(conn, "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", protocol.MaxBody+1); err != nil {
+		t.Fatal(err)
+	}
 	var resp fasthttp.Response
 	if err := resp.Read(bufio.NewReader(conn)); err != nil || resp.StatusCode() != 400 {
 		t.Errorf("a body that is too long: %d, %v", resp.StatusCode(), err)
--- a/internal/artifacts/depot.go
+++ b/internal/artifacts/depot.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(t.Name())
+	defer func() { _ = os.Remove(t.Name()) }() // it is gone once it has its name
 	_, err = t.Write(b)
 	if err = errors.Join(err, t.Sync(), t.Close()); err != nil {
 		return err
--- a/internal/artifacts/depot_test.go
+++ b/internal/artifacts/depot_test.go
@@ -75,7 +75,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx, l) }()
-	defer func() { stop(); <-over }()
+	defer func() {
+		stop()
+		if err := <-over; !errors.Is(err, context.Canceled) {
+			t.Errorf("the depot ended: %v", err)
+		}
+	}()
 	call := rpc.New(1, time.Second)
 	for path, want := range map[string]int{
 		"/jobs": 200, "/jobs/..%2f..%2fsecret": 404, "/jobs/job-1/output/..%2f..%2f..%2fsecret/1": 404, "/jobs/job-1%2f..": 200, // the list: a path is made plain before it is read
--- a/internal/httpserver/serve.go
+++ b/internal/httpserver/serve.go
@@ -12,7 +12,7 @@
 
 // Until answers on a listener until ctx ends, and then returns ctx's error.
 func Until(ctx context.Context, srv *fasthttp.Server, l net.Listener) error {
-	defer context.AfterFunc(ctx, func() { l.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = l.Close() })()
 	err := srv.Serve(l)
 	if ctx.Err() != nil {
 		return ctx.Err()
--- a/internal/tools/knownred/runner.go
+++ b/internal/tools/knownred/runner.go
@@ -135,8 +135,8 @@
 		}
 	}
 	if verdict != "fail" {
-		return fmt.Errorf("known red: %s must fail, its verdict is %q (go test: %v): take its line away if its fault is mended\n%s",
-			e.Test, verdict, err, outputOf(events))
+		return errors.Join(err, fmt.Errorf("known red: %s must fail, its verdict is %q: take its line away if its fault is mended\n%s",
+			e.Test, verdict, outputOf(events)))
 	}
 	_, err = fmt.Fprintf(r.stdout, "known red: %s\n%s", e, outputOf(events))
 	return err
