--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -53,20 +53,20 @@
 	depot  *Depot
 	rpc    *rpc.Client
 	ctx    context.Context
-	lease  time.Duration // when it ends, owned by the loop
-	lock   *os.File      // held by the agent and its shims
-	kept   agent.Memory  // what is durable, owned by the loop
+	lease  time.Duration      // when it ends, owned by the loop
+	lock   *os.File           // held by the agent and its shims
+	kept   agent.DurableState // what is durable, owned by the loop
 
 	mu      sync.Mutex
 	nextID  int
-	waiting map[int]chan agent.Reply
+	waiting map[int]chan agent.StatusReply
 
-	runs map[agent.Key]*run // owned by the loop
+	runs map[agent.AttemptKey]*run // owned by the loop
 }
 
 // run is an attempt's process.
 type run struct {
-	key    agent.Key
+	key    agent.AttemptKey
 	job    string
 	index  int
 	orders chan shim.Order
@@ -86,12 +86,12 @@
 		return nil, err
 	}
 	d := &Daemon{set: set, lock: lock, events: make(chan any, 1024), depot: NewDepot(set.Depot), rpc: rpc.New(4, 2*time.Second),
-		waiting: map[int]chan agent.Reply{}, runs: map[agent.Key]*run{}}
+		waiting: map[int]chan agent.StatusReply{}, runs: map[agent.AttemptKey]*run{}}
 	return d, nil
 }
 
 // Notice tells the agent that its machine will be taken back.
-func (d *Daemon) Notice(left time.Duration) { d.post(agent.Notice{Left: left}) }
+func (d *Daemon) Notice(left time.Duration) { d.post(agent.PreemptionNotice{Remaining: left}) }
 
 func (d *Daemon) post(e any) {
 	select {
@@ -171,7 +171,7 @@
 
 // keepMemory makes the agent's session and token durable if they have changed.
 func (d *Daemon) keepMemory() error {
-	m := d.agent.Memory()
+	m := d.agent.DurableState()
 	if m == d.kept {
 		return nil
 	}
@@ -199,15 +199,15 @@
 	for {
 		// Timers of the kernel stand still while the machine sleeps and the lease does
 		// not, so the clock is looked at again every quarter of a second.
-		t := time.NewTimer(min(max(d.agent.Wake()-shim.Clock(), 0), 250*time.Millisecond))
+		t := time.NewTimer(min(max(d.agent.NextTick()-shim.Clock(), 0), 250*time.Millisecond))
 		var effects []any
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return ctx.Err()
 		case e := <-d.events:
-			if x, ok := e.(agent.Exited); ok {
-				delete(d.runs, x.Key)
+			if x, ok := e.(agent.AttemptExited); ok {
+				delete(d.runs, x.AttemptKey)
 			}
 			effects = d.agent.Handle(shim.Clock(), e)
 		case <-t.C:
@@ -228,7 +228,7 @@
 // do carries out an effect. Whatever waits does so in a goroutine of its own.
 func (d *Daemon) do(e any) {
 	switch e := e.(type) {
-	case agent.Reply:
+	case agent.StatusReply:
 		d.mu.Lock()
 		ch := d.waiting[e.ID]
 		delete(d.waiting, e.ID)
@@ -236,21 +236,21 @@
 		if ch != nil {
 			ch <- e
 		}
-	case agent.Send:
+	case agent.SendHeartbeat:
 		go d.report(e)
-	case agent.Describe:
-		go d.describe(e.Key)
-	case agent.Fetch:
-		time.AfterFunc(e.Span, func() { d.post(agent.Fetched{Key: e.Key}) })
-	case agent.Launch:
+	case agent.DescribeJob:
+		go d.describe(e.AttemptKey)
+	case agent.FetchImage:
+		time.AfterFunc(e.Duration, func() { d.post(agent.ImageFetched{AttemptKey: e.AttemptKey}) })
+	case agent.LaunchAttempt:
 		d.launch(e)
-	case agent.Term:
-		d.order(e.Key, shim.Order{Term: true})
-	case agent.Kill:
-		if r := d.runs[e.Key]; r != nil {
+	case agent.TerminateAttempt:
+		d.order(e.AttemptKey, shim.Order{Term: true})
+	case agent.KillAttempt:
+		if r := d.runs[e.AttemptKey]; r != nil {
 			r.quit()
 		}
-	case agent.Lease:
+	case agent.ExtendLease:
 		d.lease = e.Until
 		for k := range d.runs {
 			d.order(k, shim.Order{Until: int64(e.Until)})
@@ -259,7 +259,7 @@
 }
 
 // order tells a shim something, unless it has stopped listening.
-func (d *Daemon) order(k agent.Key, o shim.Order) {
+func (d *Daemon) order(k agent.AttemptKey, o shim.Order) {
 	r := d.runs[k]
 	if r == nil {
 		return
@@ -276,15 +276,15 @@
 	}
 }
 
-func (d *Daemon) report(e agent.Send) {
+func (d *Daemon) report(e agent.SendHeartbeat) {
 	var out protocol.HeartbeatReply
-	status := d.rpc.Call("POST", d.set.Addrs[e.Controller], "/v1/report", e.Report, &out, 4*time.Second, 200, 421)
-	d.post(agent.Answered{Status: status, Answer: out.HeartbeatResponse, Redirect: out.Redirect})
+	status := d.rpc.Call("POST", d.set.Addrs[e.Controller], "/v1/report", e.Heartbeat, &out, 4*time.Second, 200, 421)
+	d.post(agent.HeartbeatAnswered{Status: status, Response: out.HeartbeatResponse, Redirect: out.Redirect})
 }
 
 // describe asks the depot until it answers or the attempt is of no interest any more,
 // which the agent finds out by itself when the answer comes.
-func (d *Daemon) describe(k agent.Key) {
+func (d *Daemon) describe(k agent.AttemptKey) {
 	job, i, err := protocol.ParseTaskName(k.Task)
 	if err != nil {
 		return
@@ -292,7 +292,7 @@
 	for pause := 100 * time.Millisecond; ; pause = min(2*pause, 5*time.Second) {
 		what, found, done, ok := d.depot.Describe(job, i)
 		if ok {
-			d.post(agent.Described{Key: k, Found: found, What: what, Done: done})
+			d.post(agent.JobDescribed{AttemptKey: k, Found: found, Description: what, ResultStored: done})
 			return
 		}
 		select {
@@ -304,27 +304,27 @@
 }
 
 // launch starts an attempt's shim, or a timer for a simulated task.
-func (d *Daemon) launch(e agent.Launch) {
+func (d *Daemon) launch(e agent.LaunchAttempt) {
 	job, i, _ := protocol.ParseTaskName(e.Task) // parsed at its start
 	ctx, quit := context.WithCancel(d.ctx)
-	r := &run{key: e.Key, job: job, index: i, orders: make(chan shim.Order, 16), gone: make(chan struct{}), quit: quit}
-	d.runs[e.Key] = r
+	r := &run{key: e.AttemptKey, job: job, index: i, orders: make(chan shim.Order, 16), gone: make(chan struct{}), quit: quit}
+	d.runs[e.AttemptKey] = r
 	until := d.lease
 	go func() {
 		defer quit()
-		x := agent.Exited{Key: e.Key, Code: -1}
-		if len(e.What.Command) == 0 {
-			x.Code = d.simulate(ctx, r, e.What.SimulatedS)
-		} else if err := d.command(ctx, r, &e.What, until, &x); err != nil {
+		x := agent.AttemptExited{AttemptKey: e.AttemptKey, ExitCode: -1}
+		if len(e.Description.Command) == 0 {
+			x.ExitCode = d.simulate(ctx, r, e.Description.SimulatedS)
+		} else if err := d.command(ctx, r, &e.Description, until, &x); err != nil {
 			x.Error = err.Error()
 		}
-		if x.Code == 0 && x.Error == "" && !d.keep(ctx, r) {
-			x.Code = -1
+		if x.ExitCode == 0 && x.Error == "" && !d.keep(ctx, r) {
+			x.ExitCode = -1
 		}
 		if x.Error != "" {
 			d.set.Log.Error("task could not run", "task", e.Task, "attempt", e.Attempt, "error", x.Error)
 		} else {
-			d.set.Log.Info("task exited", "task", e.Task, "attempt", e.Attempt, "code", x.Code)
+			d.set.Log.Info("task exited", "task", e.Task, "attempt", e.Attempt, "code", x.ExitCode)
 		}
 		close(r.gone)
 		d.post(x)
@@ -362,7 +362,7 @@
 }
 
 // command runs an attempt's command in a shim until nothing of it is left.
-func (d *Daemon) command(ctx context.Context, r *run, what *protocol.JobDescription, until time.Duration, x *agent.Exited) error {
+func (d *Daemon) command(ctx context.Context, r *run, what *protocol.JobDescription, until time.Duration, x *agent.AttemptExited) error {
 	name := fmt.Sprintf("%s.%d.%d", r.job, r.index, r.key.Attempt)
 	folder := what.Folder
 	if folder == "" {
@@ -424,7 +424,7 @@
 		if json.Unmarshal(s.Bytes(), &word) != nil || !word.Over {
 			continue
 		}
-		x.Code, err = word.Code, nil
+		x.ExitCode, err = word.Code, nil
 		if word.Error != "" {
 			err = errors.New(word.Error)
 		}
@@ -496,14 +496,14 @@
 			reply(400, protocol.ErrorResponse{Error: "Baton or Shift is missing"})
 			return
 		}
-		event = func(id int) any { return agent.Asked{ID: id, Do: do} }
+		event = func(id int) any { return agent.CommandsReceived{ID: id, Request: do} }
 	case path == "/inspect" && ctx.IsGet():
-		event = func(id int) any { return agent.Inspected{ID: id} }
+		event = func(id int) any { return agent.StatusRequested{ID: id} }
 	default:
 		reply(404, protocol.ErrorResponse{Error: "no such page"})
 		return
 	}
-	ch := make(chan agent.Reply, 1)
+	ch := make(chan agent.StatusReply, 1)
 	d.mu.Lock()
 	d.nextID++
 	id := d.nextID
@@ -512,7 +512,7 @@
 	d.post(event(id))
 	select {
 	case r := <-ch:
-		reply(r.Status, r.Report)
+		reply(r.Status, r.Heartbeat)
 	case <-d.ctx.Done():
 		reply(503, protocol.ErrorResponse{Error: "the machine is going"})
 	}
