--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -49,7 +49,7 @@
 type Daemon struct {
 	set    Settings
 	agent  *agent.Agent
-	events chan any
+	events chan agent.Event
 	depot  *Depot
 	rpc    *rpc.Client
 	ctx    context.Context
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{set: set, lock: lock, events: make(chan any, 1024), depot: NewDepot(set.Depot), rpc: rpc.New(4, 2*time.Second),
+	d := &Daemon{set: set, lock: lock, events: make(chan agent.Event, 1024), depot: NewDepot(set.Depot), rpc: rpc.New(4, 2*time.Second),
 		waiting: map[int]chan agent.StatusReply{}, runs: map[agent.AttemptKey]*run{}}
 	return d, nil
 }
@@ -93,7 +93,7 @@
 // Notice tells the agent that its machine will be taken back.
 func (d *Daemon) Notice(left time.Duration) { d.post(agent.PreemptionNotice{Remaining: left}) }
 
-func (d *Daemon) post(e any) {
+func (d *Daemon) post(e agent.Event) {
 	select {
 	case d.events <- e:
 	case <-d.ctx.Done():
@@ -200,7 +200,7 @@
 		// Timers of the kernel stand still while the machine sleeps and the lease does
 		// not, so the clock is looked at again every quarter of a second.
 		t := time.NewTimer(min(max(d.agent.NextTick()-shim.Clock(), 0), 250*time.Millisecond))
-		var effects []any
+		var effects []agent.Effect
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -226,7 +226,7 @@
 }
 
 // do carries out an effect. Whatever waits does so in a goroutine of its own.
-func (d *Daemon) do(e any) {
+func (d *Daemon) do(e agent.Effect) {
 	switch e := e.(type) {
 	case agent.StatusReply:
 		d.mu.Lock()
@@ -488,7 +488,7 @@
 
 func (d *Daemon) handle(ctx *fasthttp.RequestCtx) {
 	reply := func(status int, body any) { httpserver.Reply(ctx, status, body) }
-	var event func(id int) any
+	var event func(id int) agent.Event
 	switch path := string(ctx.Path()); {
 	case path == "/do" && ctx.IsPost():
 		var do protocol.DirectCommands
@@ -496,9 +496,9 @@
 			reply(400, protocol.ErrorResponse{Error: "Baton or Shift is missing"})
 			return
 		}
-		event = func(id int) any { return agent.CommandsReceived{ID: id, Request: do} }
+		event = func(id int) agent.Event { return agent.CommandsReceived{ID: id, Request: do} }
 	case path == "/inspect" && ctx.IsGet():
-		event = func(id int) any { return agent.StatusRequested{ID: id} }
+		event = func(id int) agent.Event { return agent.StatusRequested{ID: id} }
 	default:
 		reply(404, protocol.ErrorResponse{Error: "no such page"})
 		return
