--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -172,5 +172,5 @@
 		ctx.Response.SetBodyRaw(b)
 	}}
 	logger().Info("serving figures", "at", "http://"+c.Listen+"/metrics")
-	return httpserver.Until(ctx, srv, l)
+	return httpserver.Serve(ctx, srv, l)
 }
--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -246,17 +246,17 @@
 	if err != nil {
 		return err
 	}
-	set := agentd.Settings{Depot: f.Depot, Folder: f.Folder, Saves: f.Saves, Shim: []string{self, "shim"}, Log: logger().With("machine", f.Machine)}
+	set := agentd.Settings{ArtifactsAddr: f.Depot, Dir: f.Folder, CheckpointDir: f.Saves, ShimCommand: []string{self, "shim"}, Logger: logger().With("machine", f.Machine)}
 	set.Agent = agent.Settings{Machine: f.Machine, Type: f.Type, Zone: f.Zone, Spot: f.Spot, CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB,
 		CacheGB: f.CacheGB, FetchGBps: f.FetchGBps, Workers: f.Workers}
 	for _, x := range f.Controllers {
 		set.Agent.Controllers = append(set.Agent.Controllers, protocol.Redirect{ReportTo: x.Label})
-		set.Addrs = append(set.Addrs, x.Serve)
+		set.ControllerAddrs = append(set.ControllerAddrs, x.Serve)
 	}
 	var l net.Listener
 	if c.Inherit {
 		l, err = net.FileListener(os.NewFile(3, "listener"))
-		set.Alive = os.NewFile(4, "alive")
+		set.LivenessFile = os.NewFile(4, "alive")
 	} else {
 		l, err = listen(f.Listen)
 	}
@@ -275,7 +275,7 @@
 			for s := bufio.NewScanner(os.Stdin); s.Scan(); {
 				var line localcloud.Line
 				if json.Unmarshal(s.Bytes(), &line) == nil && line.NoticeS > 0 {
-					d.Notice(config.Seconds(line.NoticeS))
+					d.NotifyPreemption(config.Seconds(line.NoticeS))
 				}
 			}
 			cancel() // the cloud is gone, and its machines with it
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -35,63 +35,65 @@
 // Settings of the process. What a controller is called and where it listens stand apart:
 // the agent knows them by their places in the list.
 type Settings struct {
-	Agent  agent.Settings
-	Addrs  []string // of the controllers, in the order of Agent.Controllers
-	Depot  string
-	Folder string   // working folders and output of the machine's attempts
-	Saves  string   // folder outside the machine that takes checkpoints
-	Shim   []string // program and arguments that run a shim
-	Alive  *os.File // handed down to the shims, nil: nothing
-	Log    *slog.Logger
+	Agent           agent.Settings
+	ControllerAddrs []string // of the controllers, in the order of Agent.Controllers
+	ArtifactsAddr   string
+	Dir             string   // working folders and output of the machine's attempts
+	CheckpointDir   string   // folder outside the machine that takes checkpoints
+	ShimCommand     []string // program and arguments that run a shim
+	LivenessFile    *os.File // handed down to the shims, nil: nothing
+	Logger          *slog.Logger
 }
 
 // Daemon is an agent that runs.
 type Daemon struct {
-	set    Settings
-	agent  *agent.Agent
-	events chan agent.Event
-	depot  *Depot
-	rpc    *rpc.Client
-	ctx    context.Context
-	lease  time.Duration      // when it ends, owned by the loop
-	lock   *os.File           // held by the agent and its shims
-	kept   agent.DurableState // what is durable, owned by the loop
+	settings   Settings
+	agent      *agent.Agent
+	events     chan agent.Event
+	artifacts  *ArtifactsClient
+	rpc        *rpc.Client
+	ctx        context.Context
+	leaseUntil time.Duration      // when it ends, owned by the loop
+	lock       *os.File           // held by the agent and its shims
+	durable    agent.DurableState // what is durable, owned by the loop
 
 	mu      sync.Mutex
 	nextID  int
 	waiting map[int]chan agent.StatusReply
 
-	runs map[agent.AttemptKey]*run // owned by the loop
+	processes map[agent.AttemptKey]*process // owned by the loop
 }
 
-// run is an attempt's process.
-type run struct {
+// process is an attempt's process.
+type process struct {
 	key    agent.AttemptKey
 	job    string
 	index  int
 	orders chan shim.Order
-	gone   chan struct{} // closed once nothing of it is left
-	quit   context.CancelFunc
+	exited chan struct{} // closed once nothing of it is left
+	cancel context.CancelFunc
 }
 
 // New makes a daemon.
 func New(set Settings) (*Daemon, error) {
-	for _, dir := range []string{set.Folder, set.Saves} {
+	for _, dir := range []string{set.Dir, set.CheckpointDir} {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
 		}
 	}
-	lock, err := os.OpenFile(filepath.Join(set.Folder, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(set.Dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{set: set, lock: lock, events: make(chan agent.Event, 1024), depot: NewDepot(set.Depot), rpc: rpc.New(4, 2*time.Second),
-		waiting: map[int]chan agent.StatusReply{}, runs: map[agent.AttemptKey]*run{}}
+	d := &Daemon{settings: set, lock: lock, events: make(chan agent.Event, 1024), artifacts: NewArtifactsClient(set.ArtifactsAddr), rpc: rpc.New(4, 2*time.Second),
+		waiting: map[int]chan agent.StatusReply{}, processes: map[agent.AttemptKey]*process{}}
 	return d, nil
 }
 
-// Notice tells the agent that its machine will be taken back.
-func (d *Daemon) Notice(left time.Duration) { d.post(agent.PreemptionNotice{Remaining: left}) }
+// NotifyPreemption tells the agent that its machine will be taken back.
+func (d *Daemon) NotifyPreemption(left time.Duration) {
+	d.post(agent.PreemptionNotice{Remaining: left})
+}
 
 func (d *Daemon) post(e agent.Event) {
 	select {
@@ -104,35 +106,35 @@
 // they are gone.
 func (d *Daemon) Serve(ctx context.Context, l net.Listener) error {
 	defer func() { _ = d.lock.Close() }() // nothing was written
-	if err := d.alone(ctx); err != nil {
+	if err := d.acquireLock(ctx); err != nil {
 		return err
 	}
-	if err := d.remember(); err != nil {
+	if err := d.loadState(); err != nil {
 		return err
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	d.ctx = ctx
 	// The machine's own name makes agents that start together report apart.
 	var seed uint64
-	for _, c := range d.set.Agent.Machine {
+	for _, c := range d.settings.Agent.Machine {
 		seed = seed*31 + uint64(c)
 	}
 	now := shim.Clock()
-	d.agent = agent.New(d.set.Agent, seed, now, d.kept)
-	d.lease = now + time.Duration(d.set.Agent.Workers.LeaseS*float64(time.Second))
-	srv := &fasthttp.Server{Handler: d.handle, Name: "chalk-agent", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: time.Minute,
+	d.agent = agent.New(d.settings.Agent, seed, now, d.durable)
+	d.leaseUntil = now + time.Duration(d.settings.Agent.Workers.LeaseS*float64(time.Second))
+	srv := &fasthttp.Server{Handler: d.handleRequest, Name: "chalk-agent", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: time.Minute,
 		ReadTimeout: time.Minute, WriteTimeout: 10 * time.Second, NoDefaultServerHeader: true, NoDefaultDate: true}
 	g.Go(func() error { return d.loop(ctx) })
-	g.Go(func() error { return httpserver.Until(ctx, srv, l) })
+	g.Go(func() error { return httpserver.Serve(ctx, srv, l) })
 	return g.Wait()
 }
 
-// alone waits until nothing is left of an agent that ran on this machine before: its
+// acquireLock waits until nothing is left of an agent that ran on this machine before: its
 // shims hold the lock that they inherited until all of their tasks are gone.
 //
 // Guards against a task that an earlier agent started and that is still dying when this
 // one tells that the machine has no tasks.
-func (d *Daemon) alone(ctx context.Context) error {
+func (d *Daemon) acquireLock(ctx context.Context) error {
 	for told := false; ; told = true {
 		err := unix.Flock(int(d.lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 		if err == nil {
@@ -142,7 +144,7 @@
 			return fmt.Errorf("lock %s: %w", d.lock.Name(), err)
 		}
 		if !told {
-			d.set.Log.Info("waiting until an earlier agent of this machine and its tasks are gone")
+			d.settings.Logger.Info("waiting until an earlier agent of this machine and its tasks are gone")
 		}
 		select {
 		case <-ctx.Done():
@@ -152,48 +154,48 @@
 	}
 }
 
-func (d *Daemon) memory() string { return filepath.Join(d.set.Folder, "memory.json") }
+func (d *Daemon) statePath() string { return filepath.Join(d.settings.Dir, "memory.json") }
 
-// remember reads what an earlier agent of this machine has kept; nothing: there was none.
-func (d *Daemon) remember() error {
-	b, err := os.ReadFile(d.memory())
+// loadState reads what an earlier agent of this machine has kept; nothing: there was none.
+func (d *Daemon) loadState() error {
+	b, err := os.ReadFile(d.statePath())
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err == nil {
-		err = json.Unmarshal(b, &d.kept)
+		err = json.Unmarshal(b, &d.durable)
 	}
 	if err != nil {
-		return fmt.Errorf("%s tells the machine's last session: %w", d.memory(), err)
+		return fmt.Errorf("%s tells the machine's last session: %w", d.statePath(), err)
 	}
 	return nil
 }
 
-// keepMemory makes the agent's session and token durable if they have changed.
-func (d *Daemon) keepMemory() error {
+// persistState makes the agent's session and token durable if they have changed.
+func (d *Daemon) persistState() error {
 	m := d.agent.DurableState()
-	if m == d.kept {
+	if m == d.durable {
 		return nil
 	}
 	b, err := json.Marshal(&m)
 	if err == nil {
-		err = artifacts.Write(d.memory(), b, 0)
+		err = artifacts.WriteFile(d.statePath(), b, 0)
 	}
 	if err != nil {
 		return fmt.Errorf("the machine's session must be kept before it is told: %w", err)
 	}
-	d.kept = m
+	d.durable = m
 	return nil
 }
 
 func (d *Daemon) loop(ctx context.Context) error {
 	// However it ends, nothing of the machine's tasks is left then.
 	defer func() {
-		for _, r := range d.runs {
-			r.quit()
+		for _, r := range d.processes {
+			r.cancel()
 		}
-		for _, r := range d.runs {
-			<-r.gone
+		for _, r := range d.processes {
+			<-r.exited
 		}
 	}()
 	for {
@@ -207,7 +209,7 @@
 			return ctx.Err()
 		case e := <-d.events:
 			if x, ok := e.(agent.AttemptExited); ok {
-				delete(d.runs, x.AttemptKey)
+				delete(d.processes, x.AttemptKey)
 			}
 			effects = d.agent.Handle(shim.Clock(), e)
 		case <-t.C:
@@ -215,18 +217,18 @@
 		}
 		t.Stop()
 		if len(effects) > 0 {
-			if err := d.keepMemory(); err != nil {
+			if err := d.persistState(); err != nil {
 				return err
 			}
 		}
 		for _, e := range effects {
-			d.do(e)
+			d.apply(e)
 		}
 	}
 }
 
-// do carries out an effect. Whatever waits does so in a goroutine of its own.
-func (d *Daemon) do(e agent.Effect) {
+// apply carries out an effect. Whatever waits does so in a goroutine of its own.
+func (d *Daemon) apply(e agent.Effect) {
 	switch e := e.(type) {
 	case agent.StatusReply:
 		d.mu.Lock()
@@ -237,60 +239,60 @@
 			ch <- e
 		}
 	case agent.SendHeartbeat:
-		go d.report(e)
+		go d.sendHeartbeat(e)
 	case agent.DescribeJob:
-		go d.describe(e.AttemptKey)
+		go d.describeJob(e.AttemptKey)
 	case agent.FetchImage:
 		time.AfterFunc(e.Duration, func() { d.post(agent.ImageFetched{AttemptKey: e.AttemptKey}) })
 	case agent.LaunchAttempt:
 		d.launch(e)
 	case agent.TerminateAttempt:
-		d.order(e.AttemptKey, shim.Order{Term: true})
+		d.sendOrder(e.AttemptKey, shim.Order{Terminate: true})
 	case agent.KillAttempt:
-		if r := d.runs[e.AttemptKey]; r != nil {
-			r.quit()
+		if r := d.processes[e.AttemptKey]; r != nil {
+			r.cancel()
 		}
 	case agent.ExtendLease:
-		d.lease = e.Until
-		for k := range d.runs {
-			d.order(k, shim.Order{Until: int64(e.Until)})
+		d.leaseUntil = e.Until
+		for k := range d.processes {
+			d.sendOrder(k, shim.Order{LeaseUntil: int64(e.Until)})
 		}
 	}
 }
 
-// order tells a shim something, unless it has stopped listening.
-func (d *Daemon) order(k agent.AttemptKey, o shim.Order) {
-	r := d.runs[k]
+// sendOrder tells a shim something, unless it has stopped listening.
+func (d *Daemon) sendOrder(k agent.AttemptKey, o shim.Order) {
+	r := d.processes[k]
 	if r == nil {
 		return
 	}
 	select {
 	case r.orders <- o:
-	case <-r.gone:
+	case <-r.exited:
 	default:
 		// A shim that does not read is stuck or stopped; its lease is not renewed, and
 		// whether it resumes or not, nothing of it is left after that.
-		if o.Term {
-			r.quit()
+		if o.Terminate {
+			r.cancel()
 		}
 	}
 }
 
-func (d *Daemon) report(e agent.SendHeartbeat) {
+func (d *Daemon) sendHeartbeat(e agent.SendHeartbeat) {
 	var out protocol.HeartbeatReply
-	status := d.rpc.Call("POST", d.set.Addrs[e.Controller], "/v1/report", e.Heartbeat, &out, 4*time.Second, 200, 421)
+	status := d.rpc.Call("POST", d.settings.ControllerAddrs[e.Controller], "/v1/report", e.Heartbeat, &out, 4*time.Second, 200, 421)
 	d.post(agent.HeartbeatAnswered{Status: status, Response: out.HeartbeatResponse, Redirect: out.Redirect})
 }
 
-// describe asks the depot until it answers or the attempt is of no interest any more,
+// describeJob asks the depot until it answers or the attempt is of no interest any more,
 // which the agent finds out by itself when the answer comes.
-func (d *Daemon) describe(k agent.AttemptKey) {
+func (d *Daemon) describeJob(k agent.AttemptKey) {
 	job, i, err := protocol.ParseTaskName(k.Task)
 	if err != nil {
 		return
 	}
 	for pause := 100 * time.Millisecond; ; pause = min(2*pause, 5*time.Second) {
-		what, found, done, ok := d.depot.Describe(job, i)
+		what, found, done, ok := d.artifacts.Describe(job, i)
 		if ok {
 			d.post(agent.JobDescribed{AttemptKey: k, Found: found, Description: what, ResultStored: done})
 			return
@@ -307,31 +309,31 @@
 func (d *Daemon) launch(e agent.LaunchAttempt) {
 	job, i, _ := protocol.ParseTaskName(e.Task) // parsed at its start
 	ctx, quit := context.WithCancel(d.ctx)
-	r := &run{key: e.AttemptKey, job: job, index: i, orders: make(chan shim.Order, 16), gone: make(chan struct{}), quit: quit}
-	d.runs[e.AttemptKey] = r
-	until := d.lease
+	r := &process{key: e.AttemptKey, job: job, index: i, orders: make(chan shim.Order, 16), exited: make(chan struct{}), cancel: quit}
+	d.processes[e.AttemptKey] = r
+	until := d.leaseUntil
 	go func() {
 		defer quit()
 		x := agent.AttemptExited{AttemptKey: e.AttemptKey, ExitCode: -1}
 		if len(e.Description.Command) == 0 {
 			x.ExitCode = d.simulate(ctx, r, e.Description.SimulatedS)
-		} else if err := d.command(ctx, r, &e.Description, until, &x); err != nil {
+		} else if err := d.runCommand(ctx, r, &e.Description, until, &x); err != nil {
 			x.Error = err.Error()
 		}
-		if x.ExitCode == 0 && x.Error == "" && !d.keep(ctx, r) {
+		if x.ExitCode == 0 && x.Error == "" && !d.storeResult(ctx, r) {
 			x.ExitCode = -1
 		}
 		if x.Error != "" {
-			d.set.Log.Error("task could not run", "task", e.Task, "attempt", e.Attempt, "error", x.Error)
+			d.settings.Logger.Error("task could not run", "task", e.Task, "attempt", e.Attempt, "error", x.Error)
 		} else {
-			d.set.Log.Info("task exited", "task", e.Task, "attempt", e.Attempt, "code", x.ExitCode)
+			d.settings.Logger.Info("task exited", "task", e.Task, "attempt", e.Attempt, "code", x.ExitCode)
 		}
-		close(r.gone)
+		close(r.exited)
 		d.post(x)
 	}()
 }
 
-func (d *Daemon) simulate(ctx context.Context, r *run, s float64) int {
+func (d *Daemon) simulate(ctx context.Context, r *process, s float64) int {
 	t := time.NewTimer(time.Duration(s * float64(time.Second)))
 	defer t.Stop()
 	for {
@@ -341,17 +343,17 @@
 		case <-ctx.Done():
 			return -1
 		case o := <-r.orders:
-			if o.Term {
+			if o.Terminate {
 				return 75 // it has saved nothing, but ends as one that has
 			}
 		}
 	}
 }
 
-// keep keeps the result of a task that is done. Until that is durable, the task counts
+// storeResult keeps the result of a task that is done. Until that is durable, the task counts
 // as running; when it is told to end first, its result is lost.
-func (d *Daemon) keep(ctx context.Context, r *run) bool {
-	for pause := 100 * time.Millisecond; !d.depot.Keep(r.job, r.index); pause = min(2*pause, 5*time.Second) {
+func (d *Daemon) storeResult(ctx context.Context, r *process) bool {
+	for pause := 100 * time.Millisecond; !d.artifacts.StoreResult(r.job, r.index); pause = min(2*pause, 5*time.Second) {
 		select {
 		case <-ctx.Done():
 			return false
@@ -361,16 +363,16 @@
 	return true
 }
 
-// command runs an attempt's command in a shim until nothing of it is left.
-func (d *Daemon) command(ctx context.Context, r *run, what *protocol.JobDescription, until time.Duration, x *agent.AttemptExited) error {
+// runCommand runs an attempt's command in a shim until nothing of it is left.
+func (d *Daemon) runCommand(ctx context.Context, r *process, what *protocol.JobDescription, until time.Duration, x *agent.AttemptExited) error {
 	name := fmt.Sprintf("%s.%d.%d", r.job, r.index, r.key.Attempt)
 	folder := what.Folder
 	if folder == "" {
-		folder = filepath.Join(d.set.Folder, "work", name)
+		folder = filepath.Join(d.settings.Dir, "work", name)
 		defer func() { _ = os.RemoveAll(folder) }() // it is of no more use
 	}
-	output := filepath.Join(d.set.Folder, "output", name)
-	saves := filepath.Join(d.set.Saves, r.job, strconv.Itoa(r.index))
+	output := filepath.Join(d.settings.Dir, "output", name)
+	saves := filepath.Join(d.settings.CheckpointDir, r.job, strconv.Itoa(r.index))
 	for _, dir := range []string{folder, filepath.Dir(output), saves} {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return err
@@ -380,17 +382,17 @@
 	env := []string{
 		"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "LANG=" + os.Getenv("LANG"),
 		"CHALK_JOB=" + r.job, "CHALK_TASK=" + strconv.Itoa(r.index), "CHALK_TASKS=" + strconv.Itoa(what.Job.Tasks),
-		"CHALK_ATTEMPT=" + strconv.FormatUint(r.key.Attempt, 10), "CHALK_SAVES=" + saves, "CHALK_MACHINE=" + d.set.Agent.Machine,
+		"CHALK_ATTEMPT=" + strconv.FormatUint(r.key.Attempt, 10), "CHALK_SAVES=" + saves, "CHALK_MACHINE=" + d.settings.Agent.Machine,
 	}
 	for k, v := range what.Env {
 		env = append(env, k+"="+v)
 	}
-	cmd := exec.Command(d.set.Shim[0], d.set.Shim[1:]...)
+	cmd := exec.Command(d.settings.ShimCommand[0], d.settings.ShimCommand[1:]...)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	cmd.Stderr = os.Stderr
 	cmd.ExtraFiles = []*os.File{d.lock}
-	if d.set.Alive != nil {
-		cmd.ExtraFiles = append(cmd.ExtraFiles, d.set.Alive)
+	if d.settings.LivenessFile != nil {
+		cmd.ExtraFiles = append(cmd.ExtraFiles, d.settings.LivenessFile)
 	}
 	// A group of its own: a signal to the agent's group is no order to its tasks.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -412,24 +414,24 @@
 	w.Add(2)
 	go func() {
 		defer w.Done()
-		d.tell(ctx, r, in, done, shim.Spec{Command: what.Command, Env: env, Folder: folder, Output: output, Until: int64(until)})
+		d.writeOrders(ctx, r, in, done, shim.Spec{Command: what.Command, Env: env, Dir: folder, OutputPath: output, LeaseUntil: int64(until)})
 	}()
 	go func() {
 		defer w.Done()
-		d.upload(r, output, done)
+		d.uploadOutput(r, output, done)
 	}()
 	err = errors.New("the shim ended without a word")
 	for s := bufio.NewScanner(out); s.Scan(); {
-		var word shim.Word
-		if json.Unmarshal(s.Bytes(), &word) != nil || !word.Over {
+		var word shim.Status
+		if json.Unmarshal(s.Bytes(), &word) != nil || !word.Exited {
 			continue
 		}
-		x.ExitCode, err = word.Code, nil
+		x.ExitCode, err = word.ExitCode, nil
 		if word.Error != "" {
 			err = errors.New(word.Error)
 		}
-		if word.Lease {
-			d.set.Log.Warn("task ended with the lease", "task", r.key.Task, "attempt", r.key.Attempt)
+		if word.LeaseExpired {
+			d.settings.Logger.Warn("task ended with the lease", "task", r.key.Task, "attempt", r.key.Attempt)
 		}
 	}
 	_ = in.Close() // a shim that has ended has closed it
@@ -439,9 +441,9 @@
 	return err
 }
 
-// tell writes the shim's lines. Once the attempt is to end, the order to kill is all
+// writeOrders writes the shim's lines. Once the attempt is to end, the order to kill is all
 // that follows.
-func (d *Daemon) tell(ctx context.Context, r *run, in io.WriteCloser, done chan struct{}, spec shim.Spec) {
+func (d *Daemon) writeOrders(ctx context.Context, r *process, in io.WriteCloser, done chan struct{}, spec shim.Spec) {
 	say := func(v any) {
 		if b, err := json.Marshal(v); err == nil {
 			_, _ = in.Write(append(b, '\n')) // a shim that has ended says so itself
@@ -461,8 +463,8 @@
 	}
 }
 
-// upload sends an attempt's output as it grows, and the last of it at the end.
-func (d *Daemon) upload(r *run, path string, done chan struct{}) {
+// uploadOutput sends an attempt's output as it grows, and the last of it at the end.
+func (d *Daemon) uploadOutput(r *process, path string, done chan struct{}) {
 	var sent int64 = -1
 	for last := false; !last; {
 		select {
@@ -478,7 +480,7 @@
 		if err == nil && st.Size() != sent {
 			b := make([]byte, min(st.Size(), artifacts.MaxOutput))
 			n, _ := f.ReadAt(b, st.Size()-int64(len(b))) // a file that shrank is sent shorter
-			if d.depot.Upload(r.job, r.index, r.key.Attempt, b[:n]) {
+			if d.artifacts.UploadOutput(r.job, r.index, r.key.Attempt, b[:n]) {
 				sent = st.Size()
 			}
 		}
@@ -486,7 +488,7 @@
 	}
 }
 
-func (d *Daemon) handle(ctx *fasthttp.RequestCtx) {
+func (d *Daemon) handleRequest(ctx *fasthttp.RequestCtx) {
 	reply := func(status int, body any) { httpserver.Reply(ctx, status, body) }
 	var event func(id int) agent.Event
 	switch path := string(ctx.Path()); {
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -33,19 +33,19 @@
 	os.Exit(m.Run())
 }
 
-// machine is an agent with a controller that answers its reports and a depot.
-type machine struct {
-	t      *testing.T
-	addr   string
-	folder *artifacts.Folder
-	away   atomic.Bool // the controller answers 503
-	noDisk atomic.Bool // the depot keeps no results
-	call   *rpc.Client
-	set    Settings
-	stop   func()
+// testMachine is an agent with a controller that answers its reports and a depot.
+type testMachine struct {
+	t              *testing.T
+	addr           string
+	store          *artifacts.Store
+	controllerDown atomic.Bool // the controller answers 503
+	resultsRefused atomic.Bool // the depot keeps no results
+	client         *rpc.Client
+	settings       Settings
+	stop           func()
 }
 
-func answering(t *testing.T, h fasthttp.RequestHandler) string {
+func serveHTTP(t *testing.T, h fasthttp.RequestHandler) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -57,21 +57,21 @@
 	return l.Addr().String()
 }
 
-func boot(t *testing.T, leaseS float64) *machine {
+func startMachine(t *testing.T, leaseS float64) *testMachine {
 	t.Helper()
-	m := &machine{t: t, call: rpc.New(4, time.Second)}
+	m := &testMachine{t: t, client: rpc.New(4, time.Second)}
 	folder, err := artifacts.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.folder = folder
+	m.store = folder
 	dl, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	inner := &fasthttp.HostClient{Addr: dl.Addr().String()}
-	front := answering(t, func(ctx *fasthttp.RequestCtx) {
-		if m.noDisk.Load() && ctx.IsPut() {
+	front := serveHTTP(t, func(ctx *fasthttp.RequestCtx) {
+		if m.resultsRefused.Load() && ctx.IsPut() {
 			ctx.SetStatusCode(503)
 			return
 		}
@@ -79,8 +79,8 @@
 			ctx.SetStatusCode(502)
 		}
 	})
-	controller := answering(t, func(ctx *fasthttp.RequestCtx) {
-		if m.away.Load() {
+	controller := serveHTTP(t, func(ctx *fasthttp.RequestCtx) {
+		if m.controllerDown.Load() {
 			ctx.SetStatusCode(503)
 			return
 		}
@@ -95,8 +95,8 @@
 			t.Errorf("the depot ended: %v", err)
 		}
 	})
-	m.set = Settings{Depot: front, Folder: t.TempDir(), Saves: t.TempDir(), Shim: []string{os.Args[0], "shim"}, Addrs: []string{controller},
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	m.settings = Settings{ArtifactsAddr: front, Dir: t.TempDir(), CheckpointDir: t.TempDir(), ShimCommand: []string{os.Args[0], "shim"}, ControllerAddrs: []string{controller},
+		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Agent: agent.Settings{Machine: "n-1", CPUs: 4, MemoryGB: 4, Controllers: []protocol.Redirect{{ReportTo: "ctl-0"}},
 			Workers: config.Workers{ReportS: 0.3, LeaseS: leaseS}}}
 	m.start()
@@ -104,9 +104,9 @@
 }
 
 // start starts an agent on the machine; stop ends it.
-func (m *machine) start() {
+func (m *testMachine) start() {
 	m.t.Helper()
-	d, err := New(m.set)
+	d, err := New(m.settings)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -122,38 +122,38 @@
 	m.t.Cleanup(m.stop)
 }
 
-func (m *machine) describe(checkpoint float64, command ...string) {
+func (m *testMachine) describe(checkpoint float64, command ...string) {
 	m.t.Helper()
 	d := &protocol.JobDescription{Job: protocol.Job{ID: "job-1", Tasks: 9, CPUs: 1, Team: "a", CheckpointS: checkpoint, SaveS: checkpoint}, Command: command}
-	if err := m.folder.PutJob(d); err != nil {
+	if err := m.store.PutJob(d); err != nil {
 		m.t.Fatal(err)
 	}
 }
 
-func (m *machine) do(cmds ...protocol.Command) int {
+func (m *testMachine) command(cmds ...protocol.Command) int {
 	m.t.Helper()
-	return m.call.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 5, Session: 1, Commands: cmds}, nil, time.Second)
+	return m.client.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 5, Session: 1, Commands: cmds}, nil, time.Second)
 }
 
-func (m *machine) report() (r protocol.Heartbeat) {
+func (m *testMachine) heartbeat() (r protocol.Heartbeat) {
 	m.t.Helper()
-	if m.call.Call("GET", m.addr, "/inspect", nil, &r, 10*time.Second, 200) != 200 {
+	if m.client.Call("GET", m.addr, "/inspect", nil, &r, 10*time.Second, 200) != 200 {
 		m.t.Fatal("no report")
 	}
 	return r
 }
 
-func (m *machine) until(what string, f func(protocol.Heartbeat) bool) {
+func (m *testMachine) waitUntil(what string, f func(protocol.Heartbeat) bool) {
 	m.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if f(m.report()) {
+		if f(m.heartbeat()) {
 			return
 		}
 	}
-	m.t.Fatalf("not in time: %s; %+v", what, m.report())
+	m.t.Fatalf("not in time: %s; %+v", what, m.heartbeat())
 }
 
-func is(state, why string, saved bool) func(protocol.Heartbeat) bool {
+func taskIs(state, why string, saved bool) func(protocol.Heartbeat) bool {
 	return func(r protocol.Heartbeat) bool {
 		return len(r.Tasks) == 1 && r.Tasks[0].State == state && r.Tasks[0].ExitReason == why && r.Tasks[0].Saved == saved
 	}
@@ -161,66 +161,66 @@
 
 // A command that is stopped saves, its next attempt goes on from there and is done, and
 // a third one exits at once, since its result is kept.
-func TestSavesAndGoesOn(t *testing.T) {
-	m := boot(t, 30)
+func TestAttemptResumesFromCheckpoint(t *testing.T) {
+	m := startMachine(t, 30)
 	m.describe(1, "sh", "-c", `trap 'echo half > "$CHALK_SAVES/progress"; exit 75' TERM
 if [ -f "$CHALK_SAVES/progress" ]; then echo went on; exit 0; fi
 echo began; while :; do sleep 0.02; done`)
 	start := func(try uint64) {
-		m.do(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: try})
+		m.command(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: try})
 	}
 	start(1)
-	m.until("it has written", func(protocol.Heartbeat) bool { b, _ := m.folder.Output("job-1", 0, 1); return string(b) == "began\n" })
-	m.do(protocol.Command{Kind: protocol.CommandStop, Task: "job-1/0", Attempt: 1, GraceS: 10})
-	m.until("it has saved", is(protocol.TaskExited, protocol.ExitStopped, true))
+	m.waitUntil("it has written", func(protocol.Heartbeat) bool { b, _ := m.store.Output("job-1", 0, 1); return string(b) == "began\n" })
+	m.command(protocol.Command{Kind: protocol.CommandStop, Task: "job-1/0", Attempt: 1, GraceS: 10})
+	m.waitUntil("it has saved", taskIs(protocol.TaskExited, protocol.ExitStopped, true))
 	for try := uint64(2); try < 4; try++ {
-		m.do(protocol.Command{Kind: protocol.CommandForget, Task: "job-1/0", Attempt: try - 1})
+		m.command(protocol.Command{Kind: protocol.CommandForget, Task: "job-1/0", Attempt: try - 1})
 		start(try)
-		m.until("it is done", is(protocol.TaskExited, protocol.ExitDone, false))
+		m.waitUntil("it is done", taskIs(protocol.TaskExited, protocol.ExitDone, false))
 	}
-	if b, _ := m.folder.Output("job-1", 0, 2); string(b) != "went on\n" {
+	if b, _ := m.store.Output("job-1", 0, 2); string(b) != "went on\n" {
 		t.Errorf("the second attempt wrote %q", b)
 	}
-	if _, err := m.folder.Output("job-1", 0, 3); err == nil {
+	if _, err := m.store.Output("job-1", 0, 3); err == nil {
 		t.Error("the third attempt ran although the result is kept")
 	}
 }
 
 // A result that is not durable is not told: the task goes on being reported as running
 // until the depot keeps it.
-func TestDoneIsDurableBeforeItIsTold(t *testing.T) {
-	m := boot(t, 30)
+func TestResultIsDurableBeforeItIsReported(t *testing.T) {
+	m := startMachine(t, 30)
 	m.describe(0, "true")
-	m.noDisk.Store(true)
-	m.do(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1})
-	m.until("it runs", is(protocol.TaskRunning, "", false))
+	m.resultsRefused.Store(true)
+	m.command(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1})
+	m.waitUntil("it runs", taskIs(protocol.TaskRunning, "", false))
 	time.Sleep(500 * time.Millisecond)
-	if r := m.report(); !is(protocol.TaskRunning, "", false)(r) || m.folder.Done("job-1", 0) {
+	if r := m.heartbeat(); !taskIs(protocol.TaskRunning, "", false)(r) || m.store.Done("job-1", 0) {
 		t.Fatalf("%+v", r)
 	}
-	m.noDisk.Store(false)
-	m.until("it is done", is(protocol.TaskExited, protocol.ExitDone, false))
-	if !m.folder.Done("job-1", 0) {
+	m.resultsRefused.Store(false)
+	m.waitUntil("it is done", taskIs(protocol.TaskExited, protocol.ExitDone, false))
+	if !m.store.Done("job-1", 0) {
 		t.Fatal("done was told before it was kept")
 	}
 }
 
 // When no controller answers, the lease ends, all tasks with it, and the next session
 // begins with none; an order for the last session is refused.
-func TestLeaseEndsEverything(t *testing.T) {
-	m := boot(t, 5)
+func TestLeaseExpiryKillsEveryTask(t *testing.T) {
+	m := startMachine(t, 5)
 	m.describe(0, "sh", "-c", "setsid sleep 300 & echo $!; wait")
-	m.do(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1}, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/1", Attempt: 1})
-	m.until("both run", func(r protocol.Heartbeat) bool {
+	m.command(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 1}, protocol.Command{Kind: protocol.CommandStart, Task: "job-1/1", Attempt: 1})
+	m.waitUntil("both run", func(r protocol.Heartbeat) bool {
 		return len(r.Tasks) == 2 && r.Tasks[0].State == protocol.TaskRunning && r.Tasks[1].State == protocol.TaskRunning
 	})
 	time.Sleep(6 * time.Second)
-	if r := m.report(); r.Session != 1 || len(r.Tasks) != 2 {
+	if r := m.heartbeat(); r.Session != 1 || len(r.Tasks) != 2 {
 		t.Fatalf("the lease is not renewed: %+v", r)
 	}
-	m.away.Store(true)
-	m.until("the next session", func(r protocol.Heartbeat) bool { return r.Session > 1 && len(r.Tasks) == 0 })
-	if s := m.do(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 2}); s != 409 {
+	m.controllerDown.Store(true)
+	m.waitUntil("the next session", func(r protocol.Heartbeat) bool { return r.Session > 1 && len(r.Tasks) == 0 })
+	if s := m.command(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 2}); s != 409 {
 		t.Fatalf("an order for the last session is answered %d", s)
 	}
 }
@@ -228,29 +228,29 @@
 // An agent that is started again on its machine begins a session that was never there and
 // obeys no token from before, and it says nothing until the tasks of the earlier one are
 // gone, be that as dead as it may.
-func TestStartedAgain(t *testing.T) {
-	m := boot(t, 30)
-	m.until("a token is seen", func(r protocol.Heartbeat) bool { return r.Token == 5 && r.Session == 1 })
+func TestRestartWaitsForEarlierTasks(t *testing.T) {
+	m := startMachine(t, 30)
+	m.waitUntil("a token is seen", func(r protocol.Heartbeat) bool { return r.Token == 5 && r.Session == 1 })
 	m.stop()
 	// A shim of the earlier agent that takes its time.
-	held, err := os.Open(m.set.Folder + "/lock")
+	held, err := os.Open(m.settings.Dir + "/lock")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := unix.Flock(int(held.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		t.Fatalf("the agent has ended and its lock is held: %v", err)
 	}
-	m.away.Store(true)
+	m.controllerDown.Store(true)
 	m.start()
 	time.Sleep(300 * time.Millisecond)
-	if s := m.call.Call("GET", m.addr, "/inspect", nil, nil, 200*time.Millisecond); s != 0 {
+	if s := m.client.Call("GET", m.addr, "/inspect", nil, nil, 200*time.Millisecond); s != 0 {
 		t.Fatalf("it answers %d while something of the last agent is left", s)
 	}
 	if err := held.Close(); err != nil {
 		t.Fatal(err)
 	}
-	m.until("the next session", func(r protocol.Heartbeat) bool { return r.Session == 2 && r.Token == 5 && len(r.Tasks) == 0 })
-	if s := m.call.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 4, Session: 2}, nil, time.Second); s != 409 {
+	m.waitUntil("the next session", func(r protocol.Heartbeat) bool { return r.Session == 2 && r.Token == 5 && len(r.Tasks) == 0 })
+	if s := m.client.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 4, Session: 2}, nil, time.Second); s != 409 {
 		t.Fatalf("a token from before is answered %d", s)
 	}
 }
--- a/internal/artifacts/depot.go
+++ b/internal/artifacts/store.go
@@ -27,11 +27,11 @@
 // MaxOutput is how much of an attempt's output is kept, the end of it, in bytes.
 const MaxOutput = 1 << 20
 
-// pageJobs is the most jobs that one answer lists.
-const pageJobs = 200
+// maxJobsPerPage is the most jobs that one answer lists.
+const maxJobsPerPage = 200
 
-// Folder is a depot's folder. Its methods may be called from any goroutine.
-type Folder struct {
+// Store is a depot's folder. Its methods may be called from any goroutine.
+type Store struct {
 	root string
 
 	mu   sync.Mutex
@@ -39,11 +39,11 @@
 }
 
 // Open opens a depot's folder, or makes it.
-func Open(root string) (*Folder, error) {
+func Open(root string) (*Store, error) {
 	if err := os.MkdirAll(filepath.Join(root, "jobs"), 0o700); err != nil {
 		return nil, err
 	}
-	f := &Folder{root: root}
+	f := &Store{root: root}
 	entries, err := os.ReadDir(filepath.Join(root, "jobs"))
 	if err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 		if err != nil {
 			return nil, err
 		}
-		f.jobs = append(f.jobs, listed(&d, st.ModTime()))
+		f.jobs = append(f.jobs, uploadedJob(&d, st.ModTime()))
 	}
 	slices.SortStableFunc(f.jobs, func(a, b protocol.UploadedJob) int {
 		switch {
@@ -79,17 +79,17 @@
 	return f, nil
 }
 
-func listed(d *protocol.JobDescription, at time.Time) protocol.UploadedJob {
+func uploadedJob(d *protocol.JobDescription, at time.Time) protocol.UploadedJob {
 	return protocol.UploadedJob{ID: d.Job.ID, Team: d.Job.Team, Tasks: d.Job.Tasks, UploadedAt: float64(at.UnixMilli()) / 1000}
 }
 
-func (f *Folder) job(id string, more ...string) string {
+func (f *Store) path(id string, more ...string) string {
 	return filepath.Join(append([]string{f.root, "jobs", id}, more...)...)
 }
 
-// Write makes a file durable under its name, whole or not at all; so many folders above
+// WriteFile makes a file durable under its name, whole or not at all; so many folders above
 // it may be new.
-func Write(path string, b []byte, above int) error {
+func WriteFile(path string, b []byte, above int) error {
 	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -123,34 +123,34 @@
 	return nil
 }
 
-// ErrOther is returned when a job's id is taken by another description.
-var ErrOther = errors.New("this job id belongs to another description")
+// ErrConflict is returned when a job's id is taken by another description.
+var ErrConflict = errors.New("this job id belongs to another description")
 
 // PutJob keeps a description. The same one may be put again.
-func (f *Folder) PutJob(d *protocol.JobDescription) error {
+func (f *Store) PutJob(d *protocol.JobDescription) error {
 	b := protocol.Encode(d)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	path := f.job(d.Job.ID, "job")
+	path := f.path(d.Job.ID, "job")
 	if old, err := os.ReadFile(path); err == nil {
 		var o protocol.JobDescription
 		if err := protocol.Decode(old, &o); err != nil {
 			return err
 		}
 		// Maps have no order, so descriptions are compared by what they say.
-		if !same(&o, d) {
-			return ErrOther
+		if !sameDescription(&o, d) {
+			return ErrConflict
 		}
 		return nil
 	}
-	if err := Write(path, b, 1); err != nil {
+	if err := WriteFile(path, b, 1); err != nil {
 		return err
 	}
-	f.jobs = append(f.jobs, listed(d, time.Now()))
+	f.jobs = append(f.jobs, uploadedJob(d, time.Now()))
 	return nil
 }
 
-func same(a, b *protocol.JobDescription) bool {
+func sameDescription(a, b *protocol.JobDescription) bool {
 	if len(a.Env) != len(b.Env) {
 		return false
 	}
@@ -165,8 +165,8 @@
 }
 
 // Job is a description; fs.ErrNotExist if nobody uploaded it.
-func (f *Folder) Job(id string) (*protocol.JobDescription, error) {
-	b, err := os.ReadFile(f.job(id, "job"))
+func (f *Store) Job(id string) (*protocol.JobDescription, error) {
+	b, err := os.ReadFile(f.path(id, "job"))
 	if err != nil {
 		return nil, err
 	}
@@ -175,12 +175,12 @@
 }
 
 // Jobs is a page of the newest jobs, after those that were uploaded since.
-func (f *Folder) Jobs(skip int) protocol.UploadedJobs {
+func (f *Store) Jobs(skip int) protocol.UploadedJobs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := protocol.UploadedJobs{Jobs: []protocol.UploadedJob{}}
 	for i := len(f.jobs) - 1 - skip; i >= 0; i-- {
-		if len(out.Jobs) == pageJobs {
+		if len(out.Jobs) == maxJobsPerPage {
 			out.More = true
 			break
 		}
@@ -190,34 +190,34 @@
 }
 
 // PutResult keeps that a task is done.
-func (f *Folder) PutResult(job string, task int) error {
-	path := f.job(job, "results", strconv.Itoa(task))
+func (f *Store) PutResult(job string, task int) error {
+	path := f.path(job, "results", strconv.Itoa(task))
 	if _, err := os.Stat(path); err == nil {
 		return nil
 	}
-	return Write(path, nil, 2)
+	return WriteFile(path, nil, 2)
 }
 
 // Done reports whether a task's result is kept.
-func (f *Folder) Done(job string, task int) bool {
-	_, err := os.Stat(f.job(job, "results", strconv.Itoa(task)))
+func (f *Store) Done(job string, task int) bool {
+	_, err := os.Stat(f.path(job, "results", strconv.Itoa(task)))
 	return err == nil
 }
 
 // PutOutput keeps an attempt's output, which an agent sends anew as it grows.
-func (f *Folder) PutOutput(job string, task int, try uint64, b []byte) error {
-	return Write(f.job(job, "output", fmt.Sprintf("%d.%d", task, try)), b, 2)
+func (f *Store) PutOutput(job string, task int, try uint64, b []byte) error {
+	return WriteFile(f.path(job, "output", fmt.Sprintf("%d.%d", task, try)), b, 2)
 }
 
 // Output is an attempt's output.
-func (f *Folder) Output(job string, task int, try uint64) ([]byte, error) {
-	return os.ReadFile(f.job(job, "output", fmt.Sprintf("%d.%d", task, try)))
+func (f *Store) Output(job string, task int, try uint64) ([]byte, error) {
+	return os.ReadFile(f.path(job, "output", fmt.Sprintf("%d.%d", task, try)))
 }
 
 // Outputs lists a job's attempts that have output, by task and attempt.
-func (f *Folder) Outputs(job string) protocol.OutputList {
+func (f *Store) Outputs(job string) protocol.OutputList {
 	out := protocol.OutputList{Attempts: []protocol.OutputFile{}}
-	entries, _ := os.ReadDir(f.job(job, "output")) // no folder: no output yet
+	entries, _ := os.ReadDir(f.path(job, "output")) // no folder: no output yet
 	for _, e := range entries {
 		var o protocol.OutputFile
 		if n, err := fmt.Sscanf(e.Name(), "%d.%d", &o.Task, &o.Attempt); n != 2 || err != nil {
@@ -241,19 +241,19 @@
 }
 
 // Serve answers until ctx ends.
-func (f *Folder) Serve(ctx context.Context, l net.Listener) error {
-	srv := &fasthttp.Server{Handler: f.handle, Name: "chalk-depot", MaxRequestBodySize: MaxOutput + 4096,
+func (f *Store) Serve(ctx context.Context, l net.Listener) error {
+	srv := &fasthttp.Server{Handler: f.handleRequest, Name: "chalk-depot", MaxRequestBodySize: MaxOutput + 4096,
 		IdleTimeout: 2 * time.Minute, ReadTimeout: 2 * time.Minute, WriteTimeout: 10 * time.Second, NoDefaultServerHeader: true, NoDefaultDate: true}
-	return httpserver.Until(ctx, srv, l)
+	return httpserver.Serve(ctx, srv, l)
 }
 
-func (f *Folder) handle(ctx *fasthttp.RequestCtx) {
+func (f *Store) handleRequest(ctx *fasthttp.RequestCtx) {
 	reply := func(status int, body any) { httpserver.Reply(ctx, status, body) }
 	fail := func(err error) {
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
 			reply(404, protocol.ErrorResponse{Error: "not there"})
-		case errors.Is(err, ErrOther):
+		case errors.Is(err, ErrConflict):
 			reply(409, protocol.ErrorResponse{Error: err.Error()})
 		default:
 			reply(503, protocol.ErrorResponse{Error: err.Error()})
--- a/internal/artifacts/depot_test.go
+++ b/internal/artifacts/store_test.go
@@ -14,28 +14,28 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-func described(id string, command ...string) *protocol.JobDescription {
+func testJob(id string, command ...string) *protocol.JobDescription {
 	return &protocol.JobDescription{Job: protocol.Job{ID: id, Tasks: 3, Team: "main"}, Command: command, Env: map[string]string{"A": "1", "B": "2"}}
 }
 
 // What was put is there after a start, an id belongs to one description for good, and an
 // upload that was never answered is no trouble.
-func TestKeptAcrossAStart(t *testing.T) {
+func TestArtifactsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	f, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"job-2", "job-1"} {
-		if err := f.PutJob(described(id, "true")); err != nil {
+		if err := f.PutJob(testJob(id, "true")); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	if err := errors.Join(f.PutJob(described("job-1", "true")), f.PutResult("job-1", 2), f.PutOutput("job-1", 2, 9, []byte("x")), f.PutOutput("job-1", 2, 9, []byte("xy"))); err != nil {
+	if err := errors.Join(f.PutJob(testJob("job-1", "true")), f.PutResult("job-1", 2), f.PutOutput("job-1", 2, 9, []byte("x")), f.PutOutput("job-1", 2, 9, []byte("xy"))); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.PutJob(described("job-1", "false")); !errors.Is(err, ErrOther) {
+	if err := f.PutJob(testJob("job-1", "false")); !errors.Is(err, ErrConflict) {
 		t.Fatalf("another description with the same id: %v", err)
 	}
 	if err := os.MkdirAll(filepath.Join(dir, "jobs", "job-3"), 0o700); err != nil {
@@ -59,7 +59,7 @@
 }
 
 // Names in requests cannot lead out of the folder.
-func TestNamesStayInside(t *testing.T) {
+func TestRequestsCannotLeaveRoot(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "secret"), []byte("s"), 0o600); err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 			t.Errorf("%s: %d, want %d", path, got, want)
 		}
 	}
-	if got := call.Call("PUT", l.Addr().String(), "/jobs/job-1", described("job-2", "true"), nil, time.Second); got != 400 {
+	if got := call.Call("PUT", l.Addr().String(), "/jobs/job-1", testJob("job-2", "true"), nil, time.Second); got != 400 {
 		t.Errorf("a description of another job: %d", got)
 	}
 }
--- a/internal/httpserver/serve.go
+++ b/internal/httpserver/httpserver.go
@@ -10,8 +10,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Until answers on a listener until ctx ends, and then returns ctx's error.
-func Until(ctx context.Context, srv *fasthttp.Server, l net.Listener) error {
+// Serve answers on a listener until ctx ends, and then returns ctx's error.
+func Serve(ctx context.Context, srv *fasthttp.Server, l net.Listener) error {
 	defer context.AfterFunc(ctx, func() { _ = l.Close() })()
 	err := srv.Serve(l)
 	if ctx.Err() != nil {
--- a/internal/kvserver/server.go
+++ b/internal/kvserver/server.go
@@ -132,7 +132,7 @@
 		defer close(s.stopped)
 		return s.applyLoop(ctx)
 	})
-	group.Go(func() error { return httpserver.Until(ctx, s.http, listener) })
+	group.Go(func() error { return httpserver.Serve(ctx, s.http, listener) })
 	return group.Wait()
 }
 
--- a/internal/localcloud/rent.go
+++ b/internal/localcloud/rent.go
@@ -402,7 +402,7 @@
 func (c *Cloud) Serve(ctx context.Context, l net.Listener) error {
 	srv := &fasthttp.Server{Handler: c.handle, Name: "chalk-cloud", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: time.Minute,
 		NoDefaultServerHeader: true, NoDefaultDate: true}
-	err := httpserver.Until(ctx, srv, l)
+	err := httpserver.Serve(ctx, srv, l)
 	c.mu.Lock()
 	names := make([]string, 0, len(c.machines))
 	for n := range c.machines {
--- a/internal/schema/form.go
+++ b/internal/schema/schema.go
@@ -32,20 +32,20 @@
 	return &Schema{c.MustCompile(name)}
 }
 
-// Mistake is one thing that is wrong, with its line, counted from 1.
-type Mistake struct {
+// Violation is one thing that is wrong, with its line, counted from 1.
+type Violation struct {
 	Line int
 	Text string
 }
 
-// Mistakes are all that is wrong with a file.
-type Mistakes struct {
+// Violations are all that is wrong with a file.
+type Violations struct {
 	File string
-	List []Mistake
+	List []Violation
 }
 
 // Error gives a line for each mistake.
-func (m *Mistakes) Error() string {
+func (m *Violations) Error() string {
 	var lines []string
 	for _, x := range m.List {
 		lines = append(lines, fmt.Sprintf("%s:%d: %s", m.File, x.Line, x.Text))
@@ -55,48 +55,48 @@
 
 // Read decodes a file's text into out, which may hold defaults. The error is *Mistakes.
 func (s *Schema) Read(file string, text []byte, out any) error {
-	bad := func(line int, what string) error { return &Mistakes{file, []Mistake{{line, what}}} }
+	bad := func(line int, what string) error { return &Violations{file, []Violation{{line, what}}} }
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
-		return &Mistakes{file, numbered(err)}
+		return &Violations{file, numbered(err)}
 	}
 	if len(root.Content) == 0 {
 		return bad(1, "the file is empty")
 	}
 	var value any
 	if err := root.Decode(&value); err != nil {
-		return &Mistakes{file, numbered(err)}
+		return &Violations{file, numbered(err)}
 	}
 	err := s.s.Validate(plain(value))
 	var v *jsonschema.ValidationError
 	if errors.As(err, &v) {
-		m := &Mistakes{File: file}
+		m := &Violations{File: file}
 		m.collect(root.Content[0], v)
-		slices.SortStableFunc(m.List, func(a, b Mistake) int { return a.Line - b.Line })
+		slices.SortStableFunc(m.List, func(a, b Violation) int { return a.Line - b.Line })
 		return m
 	}
 	if err != nil {
 		return bad(1, err.Error())
 	}
 	if err := root.Decode(out); err != nil {
-		return &Mistakes{file, numbered(err)}
+		return &Violations{file, numbered(err)}
 	}
 	return nil
 }
 
 // numbered takes the lines out of the YAML library's error, which is one sentence or a
 // list of them.
-func numbered(err error) (out []Mistake) {
+func numbered(err error) (out []Violation) {
 	for _, l := range strings.Split(strings.TrimPrefix(err.Error(), "yaml: "), "\n") {
 		l = strings.TrimSpace(l)
 		if l == "unmarshal errors:" || l == "" {
 			continue
 		}
-		m := Mistake{1, l}
+		m := Violation{1, l}
 		if rest, ok := strings.CutPrefix(l, "line "); ok {
 			if n, more, ok := strings.Cut(rest, ": "); ok {
 				if k, err := strconv.Atoi(n); err == nil {
-					m = Mistake{k, more}
+					m = Violation{k, more}
 				}
 			}
 		}
@@ -133,7 +133,7 @@
 var printer = message.NewPrinter(language.English)
 
 // collect gathers the innermost causes: the outer ones only say that there are some.
-func (m *Mistakes) collect(root *yaml.Node, v *jsonschema.ValidationError) {
+func (m *Violations) collect(root *yaml.Node, v *jsonschema.ValidationError) {
 	if len(v.Causes) > 0 {
 		for _, c := range v.Causes {
 			m.collect(root, c)
@@ -144,7 +144,7 @@
 	if len(v.InstanceLocation) > 0 {
 		text = strings.Join(v.InstanceLocation, ".") + ": " + text
 	}
-	m.List = append(m.List, Mistake{line(root, v.InstanceLocation), text})
+	m.List = append(m.List, Violation{line(root, v.InstanceLocation), text})
 }
 
 // line finds where a value stands; for one that is missing, its map.
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -26,27 +26,27 @@
 
 // Spec is the first line that a shim reads.
 type Spec struct {
-	Command []string `json:"command"`
-	Env     []string `json:"env"`
-	Folder  string   `json:"folder"`
-	Output  string   `json:"output"` // file that takes standard output and error
-	Until   int64    `json:"until"`  // when the lease ends, as Clock counts
+	Command    []string `json:"command"`
+	Env        []string `json:"env"`
+	Dir        string   `json:"folder"`
+	OutputPath string   `json:"output"` // file that takes standard output and error
+	LeaseUntil int64    `json:"until"`  // when the lease ends, as Clock counts
 }
 
 // Order is a later line.
 type Order struct {
-	Until int64 `json:"until,omitempty"` // the lease now ends then
-	Term  bool  `json:"term,omitempty"`  // ask the command to save and end
-	Kill  bool  `json:"kill,omitempty"`  // end it at once
+	LeaseUntil int64 `json:"until,omitempty"` // the lease now ends then
+	Terminate  bool  `json:"term,omitempty"`  // ask the command to save and end
+	Kill       bool  `json:"kill,omitempty"`  // end it at once
 }
 
-// Word is a line that the shim writes.
-type Word struct {
-	Started int    `json:"started,omitempty"` // the command's process
-	Over    bool   `json:"over,omitempty"`    // nothing of the command is left
-	Code    int    `json:"code"`              // its exit code, -1 if a signal ended it
-	Lease   bool   `json:"lease,omitempty"`   // it was ended because the lease was over
-	Error   string `json:"error,omitempty"`   // it could not be started
+// Status is a line that the shim writes.
+type Status struct {
+	PID          int    `json:"started,omitempty"` // the command's process
+	Exited       bool   `json:"over,omitempty"`    // nothing of the command is left
+	ExitCode     int    `json:"code"`              // its exit code, -1 if a signal ended it
+	LeaseExpired bool   `json:"lease,omitempty"`   // it was ended because the lease was over
+	Error        string `json:"error,omitempty"`   // it could not be started
 }
 
 // Clock is a steady clock that all processes of this machine share, and that also runs
@@ -85,17 +85,17 @@
 	if err := json.Unmarshal(lines.Bytes(), &spec); err != nil {
 		return fmt.Errorf("order from the agent: %w", err)
 	}
-	say := func(w Word) {
+	say := func(w Status) {
 		if b, err := json.Marshal(&w); err == nil {
 			_, _ = out.Write(append(b, '\n')) // an agent that is gone hears nothing
 		}
 	}
-	cmd, err := start(&spec)
+	cmd, err := startCommand(&spec)
 	if err != nil {
-		say(Word{Over: true, Code: -1, Error: err.Error()})
+		say(Status{Exited: true, ExitCode: -1, Error: err.Error()})
 		return nil
 	}
-	say(Word{Started: cmd.Process.Pid})
+	say(Status{PID: cmd.Process.Pid})
 	orders := make(chan Order)
 	go func() {
 		defer close(orders)
@@ -111,12 +111,12 @@
 		defer close(exited)
 		_ = cmd.Wait() // the process state says how it ended
 	}()
-	until := time.Duration(spec.Until)
+	until := time.Duration(spec.LeaseUntil)
 	// The kernel counts timers without the time asleep, so the clock is looked at again
 	// at least every quarter of a second.
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
-	over := Word{Over: true, Code: -1}
+	over := Status{Exited: true, ExitCode: -1}
 	killed := false
 	kill := func() {
 		killed = true
@@ -135,42 +135,42 @@
 				kill()
 			case o.Kill:
 				kill()
-			case o.Term:
+			case o.Terminate:
 				_ = unix.Kill(-cmd.Process.Pid, unix.SIGTERM)
-			case o.Until != 0:
-				until = time.Duration(o.Until)
+			case o.LeaseUntil != 0:
+				until = time.Duration(o.LeaseUntil)
 			}
 		case <-tick.C:
 			if Clock() > until {
-				over.Lease = true
+				over.LeaseExpired = true
 				kill()
 			} else if killed {
 				kill()
 			}
 		case <-time.After(max(until-Clock(), 0)):
-			over.Lease = true
+			over.LeaseExpired = true
 			kill()
 			until += time.Hour // said once; the ticks repeat the killing
 		case <-exited:
-			over.Code = cmd.ProcessState.ExitCode()
-			clean()
+			over.ExitCode = cmd.ProcessState.ExitCode()
+			reapDescendants()
 			say(over)
 			return nil
 		}
 	}
 }
 
-func start(s *Spec) (*exec.Cmd, error) {
+func startCommand(s *Spec) (*exec.Cmd, error) {
 	if len(s.Command) == 0 {
 		return nil, errors.New("there is no command")
 	}
-	f, err := os.OpenFile(s.Output, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	f, err := os.OpenFile(s.OutputPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // the command has a copy
 	cmd := exec.Command(s.Command[0], s.Command[1:]...)
-	cmd.Env, cmd.Dir, cmd.Stdout, cmd.Stderr = s.Env, s.Folder, f, f
+	cmd.Env, cmd.Dir, cmd.Stdout, cmd.Stderr = s.Env, s.Dir, f, f
 	// The command dies with the thread that started it; that one is this process's main
 	// thread for good.
 	runtime.LockOSThread()
@@ -178,8 +178,8 @@
 	return cmd, cmd.Start()
 }
 
-// clean ends what the command left behind and waits until it is gone.
-func clean() {
+// reapDescendants ends what the command left behind and waits until it is gone.
+func reapDescendants() {
 	for {
 		left := descendants()
 		if len(left) == 0 {
@@ -204,7 +204,7 @@
 	for next := []int{os.Getpid()}; len(next) > 0; next = next[1:] {
 		kids, err := children(next[0])
 		if err != nil {
-			return byParents()
+			return descendantsByParent()
 		}
 		out = append(out, kids...)
 		next = append(next, kids...)
@@ -236,8 +236,8 @@
 	return out, nil
 }
 
-// byParents finds the descendants by the parents of all processes.
-func byParents() []int {
+// descendantsByParent finds the descendants by the parents of all processes.
+func descendantsByParent() []int {
 	children := map[int][]int{}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // a bad pattern is the only error
 	for _, p := range stats {
--- a/internal/shim/shim_test.go
+++ b/internal/shim/shim_test.go
@@ -27,17 +27,17 @@
 	}
 }
 
-type running struct {
-	t    *testing.T
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	out  *bufio.Scanner
-	file string
+type shimProcess struct {
+	t          *testing.T
+	cmd        *exec.Cmd
+	in         io.WriteCloser
+	out        *bufio.Scanner
+	outputPath string
 }
 
-func begin(t *testing.T, script string, until time.Duration) *running {
+func startShim(t *testing.T, script string, until time.Duration) *shimProcess {
 	t.Helper()
-	r := &running{t: t, cmd: exec.Command(os.Args[0]), file: filepath.Join(t.TempDir(), "output")}
+	r := &shimProcess{t: t, cmd: exec.Command(os.Args[0]), outputPath: filepath.Join(t.TempDir(), "output")}
 	r.cmd.Env = append(os.Environ(), "CHALK_TEST_SHIM=1")
 	r.cmd.Stderr = os.Stderr
 	var err error
@@ -53,14 +53,14 @@
 	}
 	t.Cleanup(func() { _, _ = r.cmd.Process.Kill(), r.cmd.Wait() }) // it may have ended
 	r.out = bufio.NewScanner(out)
-	r.say(Spec{Command: []string{"sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH")}, Folder: filepath.Dir(r.file), Output: r.file, Until: int64(Clock() + until)})
-	if w := r.word(); w.Started == 0 {
+	r.send(Spec{Command: []string{"sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH")}, Dir: filepath.Dir(r.outputPath), OutputPath: r.outputPath, LeaseUntil: int64(Clock() + until)})
+	if w := r.status(); w.PID == 0 {
 		t.Fatalf("it does not start: %+v", w)
 	}
 	return r
 }
 
-func (r *running) say(v any) {
+func (r *shimProcess) send(v any) {
 	r.t.Helper()
 	b, err := json.Marshal(v)
 	if err == nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *running) word() (w Word) {
+func (r *shimProcess) status() (w Status) {
 	r.t.Helper()
 	if !r.out.Scan() {
 		r.t.Fatal("the shim is silent")
@@ -82,11 +82,11 @@
 	return w
 }
 
-// pids waits until the command has written so many process numbers.
-func (r *running) pids(n int) (out []int) {
+// waitForPIDs waits until the command has written so many process numbers.
+func (r *shimProcess) waitForPIDs(n int) (out []int) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		b, _ := os.ReadFile(r.file)
+		b, _ := os.ReadFile(r.outputPath)
 		if f := strings.Fields(string(b)); len(f) >= n {
 			for _, s := range f {
 				p, err := strconv.Atoi(s)
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (r *running) allGone(pids []int) {
+func (r *shimProcess) wantGone(pids []int) {
 	r.t.Helper()
 	for _, p := range pids {
 		if err := syscall.Kill(p, 0); err != syscall.ESRCH {
@@ -111,28 +111,28 @@
 	}
 }
 
-// fleeing starts a child and a grandchild that leave the command's group and its session
+// escapingScript starts a child and a grandchild that leave the command's group and its session
 // and stop listening to anybody, then stays.
-const fleeing = `trap '' TERM; echo $$; setsid sh -c 'trap "" TERM HUP INT; echo $$; (setsid sh -c "echo \$\$; sleep 300") & sleep 300' & sleep 300`
+const escapingScript = `trap '' TERM; echo $$; setsid sh -c 'trap "" TERM HUP INT; echo $$; (setsid sh -c "echo \$\$; sleep 300") & sleep 300' & sleep 300`
 
 // Whoever tells the shim to end the command, nothing of it is left once that is said,
 // descendants that ran away included.
-func TestNothingIsLeft(t *testing.T) {
-	for name, end := range map[string]func(*running){
-		"an order":                        func(r *running) { r.say(Order{Kill: true}) },
-		"the agent is gone":               func(r *running) { _ = r.in.Close() },
-		"the lease ends, no agent awake":  func(r *running) { r.say(Order{Until: int64(Clock() + 300*time.Millisecond)}) },
-		"the lease ended before an order": func(r *running) { r.say(Order{Until: int64(Clock() - time.Second)}) },
+func TestNoDescendantSurvives(t *testing.T) {
+	for name, end := range map[string]func(*shimProcess){
+		"an order":                        func(r *shimProcess) { r.send(Order{Kill: true}) },
+		"the agent is gone":               func(r *shimProcess) { _ = r.in.Close() },
+		"the lease ends, no agent awake":  func(r *shimProcess) { r.send(Order{LeaseUntil: int64(Clock() + 300*time.Millisecond)}) },
+		"the lease ended before an order": func(r *shimProcess) { r.send(Order{LeaseUntil: int64(Clock() - time.Second)}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := begin(t, fleeing, time.Hour)
-			pids := r.pids(3)
+			r := startShim(t, escapingScript, time.Hour)
+			pids := r.waitForPIDs(3)
 			end(r)
-			w := r.word()
-			if !w.Over || w.Code != -1 || w.Lease != strings.Contains(name, "lease") {
+			w := r.status()
+			if !w.Exited || w.ExitCode != -1 || w.LeaseExpired != strings.Contains(name, "lease") {
 				t.Fatalf("%+v", w)
 			}
-			r.allGone(pids)
+			r.wantGone(pids)
 			if err := r.cmd.Wait(); err != nil {
 				t.Fatal(err)
 			}
@@ -142,25 +142,25 @@
 
 // A command that was asked to save ends with its own code; one that ends by itself takes
 // what it left behind with it.
-func TestEndsByItself(t *testing.T) {
-	r := begin(t, `trap 'exit 75' TERM; echo $$; while :; do sleep 0.05; done`, time.Hour)
-	r.pids(1)
-	r.say(Order{Term: true})
-	if w := r.word(); !w.Over || w.Code != 75 {
+func TestCommandThatExitsTakesDescendantsAlong(t *testing.T) {
+	r := startShim(t, `trap 'exit 75' TERM; echo $$; while :; do sleep 0.05; done`, time.Hour)
+	r.waitForPIDs(1)
+	r.send(Order{Terminate: true})
+	if w := r.status(); !w.Exited || w.ExitCode != 75 {
 		t.Fatalf("%+v", w)
 	}
-	r = begin(t, `setsid sh -c 'echo $$; sleep 300' & while [ ! -s output ]; do sleep 0.01; done; exit 0`, time.Hour)
-	pids := r.pids(1)
-	if w := r.word(); !w.Over || w.Code != 0 {
+	r = startShim(t, `setsid sh -c 'echo $$; sleep 300' & while [ ! -s output ]; do sleep 0.01; done; exit 0`, time.Hour)
+	pids := r.waitForPIDs(1)
+	if w := r.status(); !w.Exited || w.ExitCode != 0 {
 		t.Fatalf("%+v", w)
 	}
-	r.allGone(pids)
+	r.wantGone(pids)
 }
 
 // A shim that was stopped beyond the lease ends the command as soon as it goes on.
-func TestStoppedBeyondTheLease(t *testing.T) {
-	r := begin(t, fleeing, 400*time.Millisecond)
-	pids := r.pids(3)
+func TestPausedShimKillsAfterLeaseExpiry(t *testing.T) {
+	r := startShim(t, escapingScript, 400*time.Millisecond)
+	pids := r.waitForPIDs(3)
 	if err := r.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
@@ -168,8 +168,8 @@
 	if err := r.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if w := r.word(); !w.Over || !w.Lease {
+	if w := r.status(); !w.Exited || !w.LeaseExpired {
 		t.Fatalf("%+v", w)
 	}
-	r.allGone(pids)
+	r.wantGone(pids)
 }
