--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -33,13 +33,13 @@
 	os.Exit(m.Run())
 }
 
-// testMachine is an agent with a controller that answers its reports and a depot.
+// testMachine is an agent with a controller that answers its heartbeats and an artifact server.
 type testMachine struct {
 	t              *testing.T
 	addr           string
 	store          *artifacts.Store
-	controllerDown atomic.Bool // the controller answers 503
-	resultsRefused atomic.Bool // the depot keeps no results
+	controllerDown atomic.Bool // the controller responds with 503
+	resultsRefused atomic.Bool // the artifact server responds to uploads with 503
 	client         *rpc.Client
 	settings       Settings
 	stop           func()
@@ -47,60 +47,84 @@
 
 func serveHTTP(t *testing.T, h fasthttp.RequestHandler) string {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := listen(t)
 	srv := &fasthttp.Server{Handler: h}
 	go func() { _ = srv.Serve(l) }() // it ends with the cleanup
 	t.Cleanup(func() { _ = srv.Shutdown() })
 	return l.Addr().String()
 }
 
-func startMachine(t *testing.T, leaseS float64) *testMachine {
+func listen(t *testing.T) net.Listener {
 	t.Helper()
-	m := &testMachine{t: t, client: rpc.New(4, time.Second)}
-	folder, err := artifacts.Open(t.TempDir())
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.store = folder
-	dl, err := net.Listen("tcp4", "127.0.0.1:0")
+	return l
+}
+
+func startMachine(t *testing.T, leaseS float64) *testMachine {
+	t.Helper()
+	m := &testMachine{t: t, client: rpc.New(4, time.Second)}
+	m.settings = Settings{
+		ArtifactsAddr:   m.startArtifacts(),
+		ControllerAddrs: []string{m.startController()},
+		Dir:             t.TempDir(),
+		CheckpointDir:   t.TempDir(),
+		ShimCommand:     []string{os.Args[0], "shim"},
+		Logger:          slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Agent: agent.Settings{
+			Machine: "n-1", CPUs: 4, MemoryGB: 4,
+			Controllers: []protocol.Redirect{{ReportTo: "ctl-0"}},
+			Workers:     config.Workers{ReportS: 0.3, LeaseS: leaseS},
+		},
+	}
+	m.start()
+	return m
+}
+
+// startArtifacts starts an artifact server behind a proxy that can refuse results, and
+// returns the proxy's address.
+func (m *testMachine) startArtifacts() string {
+	m.t.Helper()
+	store, err := artifacts.Open(m.t.TempDir())
 	if err != nil {
-		t.Fatal(err)
+		m.t.Fatal(err)
 	}
-	inner := &fasthttp.HostClient{Addr: dl.Addr().String()}
-	front := serveHTTP(t, func(ctx *fasthttp.RequestCtx) {
+	m.store = store
+	l := listen(m.t)
+	server := &fasthttp.HostClient{Addr: l.Addr().String()}
+	proxy := serveHTTP(m.t, func(ctx *fasthttp.RequestCtx) {
 		if m.resultsRefused.Load() && ctx.IsPut() {
 			ctx.SetStatusCode(503)
 			return
 		}
-		if err := inner.Do(&ctx.Request, &ctx.Response); err != nil {
+		if err := server.Do(&ctx.Request, &ctx.Response); err != nil {
 			ctx.SetStatusCode(502)
 		}
 	})
-	controller := serveHTTP(t, func(ctx *fasthttp.RequestCtx) {
+	ctx, cancel := context.WithCancel(context.Background())
+	served := make(chan error, 1)
+	go func() { served <- store.Serve(ctx, l) }()
+	m.t.Cleanup(func() {
+		cancel()
+		if err := <-served; !errors.Is(err, context.Canceled) {
+			m.t.Errorf("the artifact server ended: %v", err)
+		}
+	})
+	return proxy
+}
+
+// startController starts a controller that answers heartbeats, and returns its address.
+func (m *testMachine) startController() string {
+	m.t.Helper()
+	return serveHTTP(m.t, func(ctx *fasthttp.RequestCtx) {
 		if m.controllerDown.Load() {
 			ctx.SetStatusCode(503)
 			return
 		}
 		ctx.SetBody(protocol.Encode(protocol.HeartbeatResponse{Token: 5}))
 	})
-	dctx, dstop := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	go func() { over <- folder.Serve(dctx, dl) }()
-	t.Cleanup(func() {
-		dstop()
-		if err := <-over; !errors.Is(err, context.Canceled) {
-			t.Errorf("the depot ended: %v", err)
-		}
-	})
-	m.settings = Settings{ArtifactsAddr: front, Dir: t.TempDir(), CheckpointDir: t.TempDir(), ShimCommand: []string{os.Args[0], "shim"}, ControllerAddrs: []string{controller},
-		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Agent: agent.Settings{Machine: "n-1", CPUs: 4, MemoryGB: 4, Controllers: []protocol.Redirect{{ReportTo: "ctl-0"}},
-			Workers: config.Workers{ReportS: 0.3, LeaseS: leaseS}}}
-	m.start()
-	return m
 }
 
 // start starts an agent on the machine; stop ends it.
@@ -110,10 +134,7 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		m.t.Fatal(err)
-	}
+	l := listen(m.t)
 	m.addr = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
@@ -187,7 +208,7 @@
 }
 
 // A result that is not durable is not told: the task goes on being reported as running
-// until the depot keeps it.
+// until it is stored.
 func TestResultIsDurableBeforeItIsReported(t *testing.T) {
 	m := startMachine(t, 30)
 	m.describe(0, "true")
