--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -1,8 +1,15 @@
-// Package shim is the small process between an agent and one task's command. It ends
+// Package shim is the small process between an agent and one attempt's command. It ends
 // the command and all its descendants when the agent says so, when the agent is gone,
 // and when the worker's lease is over, whether or not the agent is able to notice that.
 //
-// Agent and shim speak JSON lines over the shim's standard input and output.
+// It owns the command's process, its group, and all descendants, whose reaper it is. It may
+// not know of jobs, tokens, controllers or the network: agent and shim speak JSON lines
+// over the shim's standard input and output.
+//
+// Invariants:
+//   - When Run returns, no process of the command is left.
+//   - The command doesn't outlive the lease as the shim knows it, the agent stopped or not.
+//   - Status.Exited is written once, as the last line.
 package shim
 
 import (
@@ -13,10 +20,7 @@
 	"os"
 	"os/exec"
 	"os/signal"
-	"path/filepath"
 	"runtime"
-	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
@@ -24,28 +28,51 @@
 	"golang.org/x/sys/unix"
 )
 
+const (
+	// checkInterval is how often the clock is looked at, and how often killing is repeated.
+	// The kernel counts timers without the time asleep, so no timer alone ends the lease.
+	checkInterval = 250 * time.Millisecond
+
+	// Bounds of a line from the agent: a spec holds the command and its environment.
+	initialLine = 64 << 10
+	maxLine     = 4 << 20
+
+	// Descriptors that the agent may hand down, beside standard input, output and error.
+	firstInheritedFD = 3
+	lastInheritedFD  = 9
+
+	// exitUnstarted stands for the exit code of a command that did not start.
+	exitUnstarted = -1
+)
+
+// errNoCommand and errNoSpec are mistakes of the agent.
+var (
+	errNoCommand = errors.New("there is no command")
+	errNoSpec    = errors.New("no order from the agent")
+)
+
 // Spec is the first line that a shim reads.
 type Spec struct {
 	Command    []string `json:"command"`
 	Env        []string `json:"env"`
 	Dir        string   `json:"folder"`
-	OutputPath string   `json:"output"` // file that takes standard output and error
+	OutputPath string   `json:"output"` // takes standard output and error
 	LeaseUntil int64    `json:"until"`  // when the lease ends, as Clock counts
 }
 
-// Order is a later line.
+// Order is a later line that a shim reads. One field is set.
 type Order struct {
 	LeaseUntil int64 `json:"until,omitempty"` // the lease now ends then
-	Terminate  bool  `json:"term,omitempty"`  // ask the command to save and end
+	Terminate  bool  `json:"term,omitempty"`  // ask the command to save and exit
 	Kill       bool  `json:"kill,omitempty"`  // end it at once
 }
 
 // Status is a line that the shim writes.
 type Status struct {
-	PID          int    `json:"started,omitempty"` // the command's process
+	PID          int    `json:"started,omitempty"` // the command's process, once it has started
 	Exited       bool   `json:"over,omitempty"`    // nothing of the command is left
-	ExitCode     int    `json:"code"`              // its exit code, -1 if a signal ended it
-	LeaseExpired bool   `json:"lease,omitempty"`   // it was ended because the lease was over
+	ExitCode     int    `json:"code"`              // -1 if a signal ended it
+	LeaseExpired bool   `json:"lease,omitempty"`   // it was killed because the lease was over
 	Error        string `json:"error,omitempty"`   // it could not be started
 }
 
@@ -62,204 +89,93 @@
 // Run is the whole life of a shim process. It returns once nothing of the command is
 // left.
 func Run(in io.Reader, out io.Writer) error {
+	if err := isolate(); err != nil {
+		return err
+	}
+	lines := bufio.NewScanner(in)
+	lines.Buffer(make([]byte, initialLine), maxLine)
+	spec, err := readSpec(lines)
+	if err != nil {
+		return err
+	}
+	cmd, err := startCommand(spec)
+	if err != nil {
+		writeStatus(out, Status{Exited: true, ExitCode: exitUnstarted, Error: err.Error()})
+		return nil
+	}
+	writeStatus(out, Status{PID: cmd.Process.Pid})
+	s := &supervisor{cmd: cmd, leaseUntil: time.Duration(spec.LeaseUntil)}
+	writeStatus(out, s.run(readOrders(lines)))
+	return nil
+}
+
+// isolate makes this process the reaper of its descendants and keeps the agent's signals
+// and descriptors from the command.
+func isolate() error {
 	// Signals to the agent's terminal are the agent's to pass on. They are taken and
 	// dropped: ignored ones would be ignored by the command too, which then could not be
 	// asked to save.
 	signal.Notify(make(chan os.Signal, 1), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGPIPE)
-	// A descendant whose parent ends becomes ours, so that none can slip away by
-	// starting a session of its own.
+	// A descendant whose parent exits becomes ours, so that none can escape by starting a
+	// session of its own.
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("become the command's reaper: %w", err)
 	}
 	// What the agent hands down is for this process: as long as it is open, something of
 	// the machine is left.
-	for fd := 3; fd < 10; fd++ {
+	for fd := firstInheritedFD; fd <= lastInheritedFD; fd++ {
 		unix.CloseOnExec(fd)
 	}
-	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 64<<10), 4<<20)
+	return nil
+}
+
+func readSpec(lines *bufio.Scanner) (*Spec, error) {
 	if !lines.Scan() {
-		return errors.New("no order from the agent")
+		return nil, errNoSpec
 	}
 	var spec Spec
 	if err := json.Unmarshal(lines.Bytes(), &spec); err != nil {
-		return fmt.Errorf("order from the agent: %w", err)
-	}
-	say := func(w Status) {
-		if b, err := json.Marshal(&w); err == nil {
-			_, _ = out.Write(append(b, '\n')) // an agent that is gone hears nothing
-		}
-	}
-	cmd, err := startCommand(&spec)
-	if err != nil {
-		say(Status{Exited: true, ExitCode: -1, Error: err.Error()})
-		return nil
+		return nil, fmt.Errorf("order from the agent: %w", err)
 	}
-	say(Status{PID: cmd.Process.Pid})
+	return &spec, nil
+}
+
+// readOrders reads orders until the agent is gone, which closes the channel. Its goroutine
+// ends with the agent's end of the pipe, at the latest with this process.
+func readOrders(lines *bufio.Scanner) <-chan Order {
 	orders := make(chan Order)
 	go func() {
 		defer close(orders)
 		for lines.Scan() {
-			var o Order
-			if json.Unmarshal(lines.Bytes(), &o) == nil {
-				orders <- o
+			var order Order
+			if json.Unmarshal(lines.Bytes(), &order) == nil {
+				orders <- order
 			}
 		}
 	}()
-	exited := make(chan struct{})
-	go func() {
-		defer close(exited)
-		_ = cmd.Wait() // the process state says how it ended
-	}()
-	until := time.Duration(spec.LeaseUntil)
-	// The kernel counts timers without the time asleep, so the clock is looked at again
-	// at least every quarter of a second.
-	tick := time.NewTicker(250 * time.Millisecond)
-	defer tick.Stop()
-	over := Status{Exited: true, ExitCode: -1}
-	killed := false
-	kill := func() {
-		killed = true
-		// The group, and whoever left it; repeated, since they may fork meanwhile.
-		_ = unix.Kill(-cmd.Process.Pid, unix.SIGKILL)
-		for _, p := range descendants() {
-			_ = unix.Kill(p, unix.SIGKILL) // it may have ended by itself
-		}
-	}
-	for {
-		select {
-		case o, ok := <-orders:
-			switch {
-			case !ok: // the agent is gone
-				orders = nil
-				kill()
-			case o.Kill:
-				kill()
-			case o.Terminate:
-				_ = unix.Kill(-cmd.Process.Pid, unix.SIGTERM)
-			case o.LeaseUntil != 0:
-				until = time.Duration(o.LeaseUntil)
-			}
-		case <-tick.C:
-			if Clock() > until {
-				over.LeaseExpired = true
-				kill()
-			} else if killed {
-				kill()
-			}
-		case <-time.After(max(until-Clock(), 0)):
-			over.LeaseExpired = true
-			kill()
-			until += time.Hour // said once; the ticks repeat the killing
-		case <-exited:
-			over.ExitCode = cmd.ProcessState.ExitCode()
-			reapDescendants()
-			say(over)
-			return nil
-		}
+	return orders
+}
+
+func writeStatus(out io.Writer, status Status) {
+	if b, err := json.Marshal(&status); err == nil {
+		_, _ = out.Write(append(b, '\n')) // an agent that is gone reads nothing
 	}
 }
 
-func startCommand(s *Spec) (*exec.Cmd, error) {
-	if len(s.Command) == 0 {
-		return nil, errors.New("there is no command")
+func startCommand(spec *Spec) (*exec.Cmd, error) {
+	if len(spec.Command) == 0 {
+		return nil, errNoCommand
 	}
-	f, err := os.OpenFile(s.OutputPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	output, err := os.OpenFile(spec.OutputPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // the command has a copy
-	cmd := exec.Command(s.Command[0], s.Command[1:]...)
-	cmd.Env, cmd.Dir, cmd.Stdout, cmd.Stderr = s.Env, s.Dir, f, f
+	defer func() { _ = output.Close() }() // the command has a copy
+	cmd := exec.Command(spec.Command[0], spec.Command[1:]...)
+	cmd.Env, cmd.Dir, cmd.Stdout, cmd.Stderr = spec.Env, spec.Dir, output, output
 	// The command dies with the thread that started it; that one is this process's main
 	// thread for good.
 	runtime.LockOSThread()
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return cmd, cmd.Start()
 }
-
-// reapDescendants ends what the command left behind and waits until it is gone.
-func reapDescendants() {
-	for {
-		left := descendants()
-		if len(left) == 0 {
-			return
-		}
-		for _, p := range left {
-			_ = unix.Kill(p, unix.SIGKILL) // it may have ended by itself
-		}
-		var ws unix.WaitStatus
-		for {
-			if pid, err := unix.Wait4(-1, &ws, unix.WNOHANG, nil); pid <= 0 || err != nil {
-				break
-			}
-		}
-		time.Sleep(2 * time.Millisecond)
-	}
-}
-
-// descendants are all processes below this one.
-func descendants() []int {
-	var out []int
-	for next := []int{os.Getpid()}; len(next) > 0; next = next[1:] {
-		kids, err := children(next[0])
-		if err != nil {
-			return descendantsByParent()
-		}
-		out = append(out, kids...)
-		next = append(next, kids...)
-	}
-	return out
-}
-
-// children asks the kernel for a process's children. The error says that this kernel
-// does not tell; a process that has ended has none.
-func children(pid int) (out []int, err error) {
-	tasks, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
-	if err != nil {
-		return nil, nil
-	}
-	for _, t := range tasks {
-		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%s/children", pid, t.Name()))
-		if err != nil {
-			if pid == os.Getpid() {
-				return nil, err
-			}
-			continue
-		}
-		for _, f := range strings.Fields(string(b)) {
-			if p, err := strconv.Atoi(f); err == nil {
-				out = append(out, p)
-			}
-		}
-	}
-	return out, nil
-}
-
-// descendantsByParent finds the descendants by the parents of all processes.
-func descendantsByParent() []int {
-	children := map[int][]int{}
-	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // a bad pattern is the only error
-	for _, p := range stats {
-		b, err := os.ReadFile(p)
-		if err != nil {
-			continue // it has ended meanwhile
-		}
-		// pid (name) state parent ...; the name may hold spaces and brackets.
-		f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
-		pid, err := strconv.Atoi(strings.Split(p, "/")[2])
-		if err != nil || len(f) < 2 {
-			continue
-		}
-		if parent, err := strconv.Atoi(f[1]); err == nil {
-			children[parent] = append(children[parent], pid)
-		}
-	}
-	var out []int
-	for next := []int{os.Getpid()}; len(next) > 0; {
-		kids := children[next[0]]
-		next = append(next[1:], kids...)
-		out = append(out, kids...)
-	}
-	return out
-}
