--- a/internal/artifacts/store.go
+++ b/internal/artifacts/store.go
@@ -1,36 +1,52 @@
-// Package artifacts keeps what lies beside a job: its description, which users upload, its
-// tasks' results and their output, which agents upload. It is a folder with HTTP round
-// it; every answered upload is durable.
+// Package artifacts stores what lies beside a job: its description, which users upload, its
+// tasks' results and their output, which agents upload.
+//
+// It owns a directory and the HTTP server round it. It may not know of controllers, leases
+// or attempts that run: it stores what it is given under the name it is given.
+//
+// Invariants:
+//   - Every upload that was answered is durable, and a file is there whole or not at all.
+//   - A job's id belongs to one description for good; a result never goes away.
+//   - No request reads or writes outside the directory.
 package artifacts
 
 import (
 	"bytes"
-	"context"
+	"cmp"
 	"errors"
 	"fmt"
 	"io/fs"
-	"net"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
-	"github.com/valyala/fasthttp"
-
-	"github.com/chalkhub/chalkhub/internal/httpserver"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// MaxOutput is how much of an attempt's output is kept, the end of it, in bytes.
-const MaxOutput = 1 << 20
+const (
+	// MaxOutput is how much of an attempt's output is stored, the end of it, in bytes: what
+	// a person reads of it, times the attempts of large jobs, must fit a disk.
+	MaxOutput = 1 << 20
 
-// maxJobsPerPage is the most jobs that one answer lists.
-const maxJobsPerPage = 200
+	// maxJobsPerPage keeps a list of jobs to a few dozen kilobytes.
+	maxJobsPerPage = 200
+)
 
-// Store is a depot's folder. Its methods may be called from any goroutine.
+// Files are synced together with the directories above that their first upload makes.
+const (
+	jobParents    = 1 // the directory of all jobs
+	resultParents = 2 // and the job's
+	outputParents = 2
+)
+
+// ErrConflict is returned when a job's id is taken by another description.
+var ErrConflict = errors.New("this job id belongs to another description")
+
+// Store is an artifact directory. Its methods may be called from any goroutine.
 type Store struct {
 	root string
 
@@ -38,135 +54,116 @@
 	jobs []protocol.UploadedJob // in the order of their uploads
 }
 
-// Open opens a depot's folder, or makes it.
+// Open opens an artifact directory, or makes it.
 func Open(root string) (*Store, error) {
-	if err := os.MkdirAll(filepath.Join(root, "jobs"), 0o700); err != nil {
+	jobsDir := filepath.Join(root, "jobs")
+	if err := os.MkdirAll(jobsDir, 0o700); err != nil {
 		return nil, err
 	}
-	f := &Store{root: root}
-	entries, err := os.ReadDir(filepath.Join(root, "jobs"))
+	entries, err := os.ReadDir(jobsDir)
 	if err != nil {
 		return nil, err
 	}
-	for _, e := range entries {
-		path := filepath.Join(root, "jobs", e.Name(), "job")
-		b, err := os.ReadFile(path)
+	s := &Store{root: root}
+	for _, entry := range entries {
+		job, err := s.readUploadedJob(entry.Name())
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // its upload was never answered
 		}
-		var d protocol.JobDescription
-		if err == nil {
-			err = protocol.Decode(b, &d)
-		}
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", path, err)
-		}
-		st, err := os.Stat(path)
 		if err != nil {
 			return nil, err
 		}
-		f.jobs = append(f.jobs, uploadedJob(&d, st.ModTime()))
+		s.jobs = append(s.jobs, job)
 	}
-	slices.SortStableFunc(f.jobs, func(a, b protocol.UploadedJob) int {
-		switch {
-		case a.UploadedAt < b.UploadedAt:
-			return -1
-		case a.UploadedAt > b.UploadedAt:
-			return 1
-		}
-		return strings.Compare(a.ID, b.ID)
+	slices.SortStableFunc(s.jobs, func(a, b protocol.UploadedJob) int {
+		return cmp.Or(cmp.Compare(a.UploadedAt, b.UploadedAt), cmp.Compare(a.ID, b.ID))
 	})
-	return f, nil
-}
-
-func uploadedJob(d *protocol.JobDescription, at time.Time) protocol.UploadedJob {
-	return protocol.UploadedJob{ID: d.Job.ID, Team: d.Job.Team, Tasks: d.Job.Tasks, UploadedAt: float64(at.UnixMilli()) / 1000}
-}
-
-func (f *Store) path(id string, more ...string) string {
-	return filepath.Join(append([]string{f.root, "jobs", id}, more...)...)
+	return s, nil
 }
 
-// WriteFile makes a file durable under its name, whole or not at all; so many folders above
-// it may be new.
-func WriteFile(path string, b []byte, above int) error {
-	dir := filepath.Dir(path)
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return err
+// readUploadedJob reads a job's entry in the list; its upload is as old as its file.
+func (s *Store) readUploadedJob(id string) (protocol.UploadedJob, error) {
+	path := s.descriptionPath(id)
+	b, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return protocol.UploadedJob{}, err
 	}
-	t, err := os.CreateTemp(dir, ".new-*")
-	if err != nil {
-		return err
+	var description protocol.JobDescription
+	if err == nil {
+		err = protocol.Decode(b, &description)
 	}
-	defer func() { _ = os.Remove(t.Name()) }() // it is gone once it has its name
-	_, err = t.Write(b)
-	if err = errors.Join(err, t.Sync(), t.Close()); err != nil {
-		return err
+	if err != nil {
+		return protocol.UploadedJob{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := os.Rename(t.Name(), path); err != nil {
-		return err
+	stat, err := os.Stat(path)
+	if err != nil {
+		return protocol.UploadedJob{}, err
 	}
-	// The name, and those of the folders above it that may be new, must survive too.
-	for i := range above + 1 {
-		d, err := os.Open(dir)
-		if i > 0 && errors.Is(err, fs.ErrPermission) {
-			return nil // not ours, and so not new
-		}
-		if err != nil {
-			return err
-		}
-		if err := errors.Join(d.Sync(), d.Close()); err != nil {
-			return err
-		}
-		dir = filepath.Dir(dir)
+	return uploadedJob(&description, stat.ModTime()), nil
+}
+
+func uploadedJob(d *protocol.JobDescription, at time.Time) protocol.UploadedJob {
+	return protocol.UploadedJob{
+		ID:         d.Job.ID,
+		Team:       d.Job.Team,
+		Tasks:      d.Job.Tasks,
+		UploadedAt: float64(at.UnixMilli()) / 1000, // seconds
 	}
-	return nil
 }
 
-// ErrConflict is returned when a job's id is taken by another description.
-var ErrConflict = errors.New("this job id belongs to another description")
+func (s *Store) path(job string, below ...string) string {
+	return filepath.Join(append([]string{s.root, "jobs", job}, below...)...)
+}
+
+func (s *Store) descriptionPath(job string) string { return s.path(job, "job") }
+
+func (s *Store) resultPath(job string, task int) string {
+	return s.path(job, "results", strconv.Itoa(task))
+}
+
+// outputName is the format of an output file's name: task and attempt.
+const outputName = "%d.%d"
+
+func (s *Store) outputPath(job string, task int, attempt uint64) string {
+	return s.path(job, "output", fmt.Sprintf(outputName, task, attempt))
+}
 
-// PutJob keeps a description. The same one may be put again.
-func (f *Store) PutJob(d *protocol.JobDescription) error {
-	b := protocol.Encode(d)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	path := f.path(d.Job.ID, "job")
-	if old, err := os.ReadFile(path); err == nil {
-		var o protocol.JobDescription
-		if err := protocol.Decode(old, &o); err != nil {
+// PutJob stores a description. The same one may be put again; another one with its id is
+// an ErrConflict.
+func (s *Store) PutJob(d *protocol.JobDescription) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	path := s.descriptionPath(d.Job.ID)
+	if b, err := os.ReadFile(path); err == nil {
+		var stored protocol.JobDescription
+		if err := protocol.Decode(b, &stored); err != nil {
 			return err
 		}
-		// Maps have no order, so descriptions are compared by what they say.
-		if !sameDescription(&o, d) {
+		if !sameDescription(&stored, d) {
 			return ErrConflict
 		}
 		return nil
 	}
-	if err := WriteFile(path, b, 1); err != nil {
+	if err := WriteFile(path, protocol.Encode(d), jobParents); err != nil {
 		return err
 	}
-	f.jobs = append(f.jobs, uploadedJob(d, time.Now()))
+	s.jobs = append(s.jobs, uploadedJob(d, time.Now()))
 	return nil
 }
 
+// sameDescription compares descriptions by what they say: encoded maps have no order.
 func sameDescription(a, b *protocol.JobDescription) bool {
-	if len(a.Env) != len(b.Env) {
+	if !maps.Equal(a.Env, b.Env) {
 		return false
 	}
-	for k, v := range a.Env {
-		if w, ok := b.Env[k]; !ok || v != w {
-			return false
-		}
-	}
 	x, y := *a, *b
 	x.Env, y.Env = nil, nil
 	return bytes.Equal(protocol.Encode(x), protocol.Encode(y))
 }
 
 // Job is a description; fs.ErrNotExist if nobody uploaded it.
-func (f *Store) Job(id string) (*protocol.JobDescription, error) {
-	b, err := os.ReadFile(f.path(id, "job"))
+func (s *Store) Job(id string) (*protocol.JobDescription, error) {
+	b, err := os.ReadFile(s.descriptionPath(id))
 	if err != nil {
 		return nil, err
 	}
@@ -174,155 +171,61 @@
 	return &d, protocol.Decode(b, &d)
 }
 
-// Jobs is a page of the newest jobs, after those that were uploaded since.
-func (f *Store) Jobs(skip int) protocol.UploadedJobs {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := protocol.UploadedJobs{Jobs: []protocol.UploadedJob{}}
-	for i := len(f.jobs) - 1 - skip; i >= 0; i-- {
-		if len(out.Jobs) == maxJobsPerPage {
-			out.More = true
+// Jobs is a page of the newest jobs without the first skip of them.
+func (s *Store) Jobs(skip int) protocol.UploadedJobs {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	page := protocol.UploadedJobs{Jobs: []protocol.UploadedJob{}}
+	for i := len(s.jobs) - 1 - skip; i >= 0; i-- {
+		if len(page.Jobs) == maxJobsPerPage {
+			page.More = true
 			break
 		}
-		out.Jobs = append(out.Jobs, f.jobs[i])
+		page.Jobs = append(page.Jobs, s.jobs[i])
 	}
-	return out
+	return page
 }
 
-// PutResult keeps that a task is done.
-func (f *Store) PutResult(job string, task int) error {
-	path := f.path(job, "results", strconv.Itoa(task))
-	if _, err := os.Stat(path); err == nil {
+// PutResult stores that a task is done.
+func (s *Store) PutResult(job string, task int) error {
+	if s.Done(job, task) {
 		return nil
 	}
-	return WriteFile(path, nil, 2)
+	return WriteFile(s.resultPath(job, task), nil, resultParents)
 }
 
-// Done reports whether a task's result is kept.
-func (f *Store) Done(job string, task int) bool {
-	_, err := os.Stat(f.path(job, "results", strconv.Itoa(task)))
+// Done reports whether a task's result is stored.
+func (s *Store) Done(job string, task int) bool {
+	_, err := os.Stat(s.resultPath(job, task))
 	return err == nil
 }
 
-// PutOutput keeps an attempt's output, which an agent sends anew as it grows.
-func (f *Store) PutOutput(job string, task int, try uint64, b []byte) error {
-	return WriteFile(f.path(job, "output", fmt.Sprintf("%d.%d", task, try)), b, 2)
+// PutOutput replaces an attempt's output, which an agent sends anew as it grows.
+func (s *Store) PutOutput(job string, task int, attempt uint64, output []byte) error {
+	return WriteFile(s.outputPath(job, task, attempt), output, outputParents)
 }
 
-// Output is an attempt's output.
-func (f *Store) Output(job string, task int, try uint64) ([]byte, error) {
-	return os.ReadFile(f.path(job, "output", fmt.Sprintf("%d.%d", task, try)))
+// Output is an attempt's output; fs.ErrNotExist if there is none.
+func (s *Store) Output(job string, task int, attempt uint64) ([]byte, error) {
+	return os.ReadFile(s.outputPath(job, task, attempt))
 }
 
 // Outputs lists a job's attempts that have output, by task and attempt.
-func (f *Store) Outputs(job string) protocol.OutputList {
-	out := protocol.OutputList{Attempts: []protocol.OutputFile{}}
-	entries, _ := os.ReadDir(f.path(job, "output")) // no folder: no output yet
-	for _, e := range entries {
-		var o protocol.OutputFile
-		if n, err := fmt.Sscanf(e.Name(), "%d.%d", &o.Task, &o.Attempt); n != 2 || err != nil {
-			continue
+func (s *Store) Outputs(job string) protocol.OutputList {
+	list := protocol.OutputList{Attempts: []protocol.OutputFile{}}
+	entries, _ := os.ReadDir(s.path(job, "output")) // no directory: no output yet
+	for _, entry := range entries {
+		var file protocol.OutputFile
+		if n, err := fmt.Sscanf(entry.Name(), outputName, &file.Task, &file.Attempt); n != 2 || err != nil {
+			continue // a file that is being written
 		}
-		if st, err := e.Info(); err == nil {
-			o.Bytes = st.Size()
+		if stat, err := entry.Info(); err == nil {
+			file.Bytes = stat.Size()
 		}
-		out.Attempts = append(out.Attempts, o)
+		list.Attempts = append(list.Attempts, file)
 	}
-	slices.SortFunc(out.Attempts, func(a, b protocol.OutputFile) int {
-		if a.Task != b.Task {
-			return a.Task - b.Task
-		}
-		if a.Attempt < b.Attempt {
-			return -1
-		}
-		return 1
+	slices.SortFunc(list.Attempts, func(a, b protocol.OutputFile) int {
+		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
-	return out
-}
-
-// Serve answers until ctx ends.
-func (f *Store) Serve(ctx context.Context, l net.Listener) error {
-	srv := &fasthttp.Server{Handler: f.handleRequest, Name: "chalk-depot", MaxRequestBodySize: MaxOutput + 4096,
-		IdleTimeout: 2 * time.Minute, ReadTimeout: 2 * time.Minute, WriteTimeout: 10 * time.Second, NoDefaultServerHeader: true, NoDefaultDate: true}
-	return httpserver.Serve(ctx, srv, l)
-}
-
-func (f *Store) handleRequest(ctx *fasthttp.RequestCtx) {
-	reply := func(status int, body any) { httpserver.Reply(ctx, status, body) }
-	fail := func(err error) {
-		switch {
-		case errors.Is(err, fs.ErrNotExist):
-			reply(404, protocol.ErrorResponse{Error: "not there"})
-		case errors.Is(err, ErrConflict):
-			reply(409, protocol.ErrorResponse{Error: err.Error()})
-		default:
-			reply(503, protocol.ErrorResponse{Error: err.Error()})
-		}
-	}
-	finish := func(body any, err error) {
-		if err != nil {
-			fail(err)
-			return
-		}
-		reply(200, body)
-	}
-	parts := strings.Split(strings.Trim(string(ctx.Path()), "/"), "/")
-	// Names become paths, so nothing but a job's id and numbers may pass.
-	if parts[0] != "jobs" || len(parts) > 1 && !protocol.ValidJobID(parts[1]) {
-		reply(404, protocol.ErrorResponse{Error: "no such page"})
-		return
-	}
-	nums := make([]uint64, 0, 2)
-	for _, p := range parts[min(3, len(parts)):] {
-		n, err := strconv.ParseUint(p, 10, 63)
-		if err != nil || len(nums) == 2 {
-			reply(404, protocol.ErrorResponse{Error: "no such page"})
-			return
-		}
-		nums = append(nums, n)
-	}
-	what := string(ctx.Method())
-	if len(parts) > 2 {
-		what += " " + parts[2]
-	}
-	switch what = fmt.Sprintf("%s %d", what, len(parts)); what {
-	case "GET 1":
-		skip, _ := strconv.Atoi(string(ctx.QueryArgs().Peek("Skip"))) // none: from the newest on
-		reply(200, f.Jobs(max(skip, 0)))
-	case "PUT 2":
-		var d protocol.JobDescription
-		err := protocol.Decode(ctx.PostBody(), &d)
-		if err == nil {
-			err = d.Validate()
-		}
-		if err == nil && d.Job.ID != parts[1] {
-			err = errors.New("the description is of another job")
-		}
-		if err != nil {
-			reply(400, protocol.ErrorResponse{Error: err.Error()})
-			return
-		}
-		finish(struct{}{}, f.PutJob(&d))
-	case "GET 2":
-		d, err := f.Job(parts[1])
-		finish(d, err)
-	case "PUT results 4":
-		finish(struct{}{}, f.PutResult(parts[1], int(nums[0])))
-	case "GET results 4":
-		reply(200, protocol.ResultStatus{Done: f.Done(parts[1], int(nums[0]))})
-	case "GET output 3":
-		reply(200, f.Outputs(parts[1]))
-	case "PUT output 5":
-		finish(struct{}{}, f.PutOutput(parts[1], int(nums[0]), nums[1], ctx.PostBody()))
-	case "GET output 5":
-		b, err := f.Output(parts[1], int(nums[0]), nums[1])
-		if err != nil {
-			fail(err)
-			return
-		}
-		ctx.SetContentType("text/plain; charset=utf-8")
-		ctx.Response.SetBodyRaw(b)
-	default:
-		reply(404, protocol.ErrorResponse{Error: "no such page"})
-	}
+	return list
 }
--- a/internal/artifacts/store_test.go
+++ b/internal/artifacts/store_test.go
@@ -22,38 +22,38 @@
 // upload that was never answered is no trouble.
 func TestArtifactsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
-	f, err := Open(dir)
+	store, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"job-2", "job-1"} {
-		if err := f.PutJob(testJob(id, "true")); err != nil {
+		if err := store.PutJob(testJob(id, "true")); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	if err := errors.Join(f.PutJob(testJob("job-1", "true")), f.PutResult("job-1", 2), f.PutOutput("job-1", 2, 9, []byte("x")), f.PutOutput("job-1", 2, 9, []byte("xy"))); err != nil {
+	if err := errors.Join(store.PutJob(testJob("job-1", "true")), store.PutResult("job-1", 2), store.PutOutput("job-1", 2, 9, []byte("x")), store.PutOutput("job-1", 2, 9, []byte("xy"))); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.PutJob(testJob("job-1", "false")); !errors.Is(err, ErrConflict) {
+	if err := store.PutJob(testJob("job-1", "false")); !errors.Is(err, ErrConflict) {
 		t.Fatalf("another description with the same id: %v", err)
 	}
 	if err := os.MkdirAll(filepath.Join(dir, "jobs", "job-3"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if f, err = Open(dir); err != nil {
+	if store, err = Open(dir); err != nil {
 		t.Fatal(err)
 	}
-	if l := f.Jobs(0); len(l.Jobs) != 2 || l.Jobs[0].ID != "job-1" || l.More {
+	if l := store.Jobs(0); len(l.Jobs) != 2 || l.Jobs[0].ID != "job-1" || l.More {
 		t.Fatalf("%+v", l)
 	}
-	if o := f.Outputs("job-1"); len(o.Attempts) != 1 || o.Attempts[0] != (protocol.OutputFile{Task: 2, Attempt: 9, Bytes: 2}) {
+	if o := store.Outputs("job-1"); len(o.Attempts) != 1 || o.Attempts[0] != (protocol.OutputFile{Task: 2, Attempt: 9, Bytes: 2}) {
 		t.Fatalf("%+v", o)
 	}
-	if !f.Done("job-1", 2) || f.Done("job-1", 1) || f.Done("job-2", 2) {
+	if !store.Done("job-1", 2) || store.Done("job-1", 1) || store.Done("job-2", 2) {
 		t.Fatal("the results are not those that were kept")
 	}
-	if _, err := f.Job("job-3"); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := store.Job("job-3"); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("a job that nobody described: %v", err)
 	}
 }
@@ -64,7 +64,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "secret"), []byte("s"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Open(filepath.Join(dir, "depot"))
+	store, err := Open(filepath.Join(dir, "depot"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,12 +73,12 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	go func() { over <- f.Serve(ctx, l) }()
+	served := make(chan error, 1)
+	go func() { served <- store.Serve(ctx, l) }()
 	defer func() {
 		stop()
-		if err := <-over; !errors.Is(err, context.Canceled) {
-			t.Errorf("the depot ended: %v", err)
+		if err := <-served; !errors.Is(err, context.Canceled) {
+			t.Errorf("the artifact server ended: %v", err)
 		}
 	}()
 	call := rpc.New(1, time.Second)
