--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,4 +1,8 @@
-// Package httpserver is what the HTTP servers beside the controller have in common.
+// Package httpserver is what the HTTP servers beside the controller have in common: their
+// life and the encoding of their responses.
+//
+// It owns no server and may not know what is served: listeners, timeouts and handlers are
+// its callers'.
 package httpserver
 
 import (
@@ -10,9 +14,10 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Serve answers on a listener until ctx ends, and then returns ctx's error.
+// Serve serves requests on a listener until ctx ends, and then returns ctx's error. It
+// closes the listener; requests that are being handled are not waited for.
 func Serve(ctx context.Context, srv *fasthttp.Server, l net.Listener) error {
-	defer context.AfterFunc(ctx, func() { _ = l.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = l.Close() })() // srv.Serve returns then
 	err := srv.Serve(l)
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -20,7 +25,7 @@
 	return err
 }
 
-// Reply answers a request in MessagePack.
+// Reply responds to a request with a status and a body in MessagePack.
 func Reply(ctx *fasthttp.RequestCtx, status int, body any) {
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(status)
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,5 +1,11 @@
-// Package schema reads what people write: YAML (so JSON too) that is held against a JSON
-// schema, with the line of each mistake.
+// Package schema reads the files that people write, YAML (so JSON too), checks them against a
+// JSON schema and gives the line of each mistake.
+//
+// It owns the way from text to a decoded value. It may not know what the files mean, and
+// reads no file itself.
+//
+// Invariants: all mistakes of a file are reported at once, in the order of their lines;
+// nothing that the schema refuses is decoded into the caller's value.
 package schema
 
 import (
@@ -17,159 +23,190 @@
 )
 
 // Schema is a compiled schema.
-type Schema struct{ s *jsonschema.Schema }
+type Schema struct{ compiled *jsonschema.Schema }
 
 // Compile compiles a schema that is part of the program; it panics if that is wrong.
 func Compile(name string, text []byte) *Schema {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		panic(fmt.Sprintf("form: %s: %v", name, err))
+		panic(fmt.Sprintf("schema: %s: %v", name, err))
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource(name, doc); err != nil {
-		panic(fmt.Sprintf("form: %s: %v", name, err))
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(name, document); err != nil {
+		panic(fmt.Sprintf("schema: %s: %v", name, err))
 	}
-	return &Schema{c.MustCompile(name)}
+	return &Schema{compiler.MustCompile(name)}
 }
 
-// Violation is one thing that is wrong, with its line, counted from 1.
+// Violation is one mistake in a file, with its line, counted from 1.
 type Violation struct {
 	Line int
 	Text string
 }
 
-// Violations are all that is wrong with a file.
+// Violations is the error that names all mistakes of a file.
 type Violations struct {
 	File string
 	List []Violation
 }
 
 // Error gives a line for each mistake.
-func (m *Violations) Error() string {
+func (v *Violations) Error() string {
 	var lines []string
-	for _, x := range m.List {
-		lines = append(lines, fmt.Sprintf("%s:%d: %s", m.File, x.Line, x.Text))
+	for _, violation := range v.List {
+		lines = append(lines, fmt.Sprintf("%s:%d: %s", v.File, violation.Line, violation.Text))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Read decodes a file's text into out, which may hold defaults. The error is *Mistakes.
+// Read decodes a file's text into out, which may hold defaults. The error is *Violations.
 func (s *Schema) Read(file string, text []byte, out any) error {
-	bad := func(line int, what string) error { return &Violations{file, []Violation{{line, what}}} }
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
-		return &Violations{file, numbered(err)}
+		return &Violations{file, parseYAMLError(err)}
 	}
 	if len(root.Content) == 0 {
-		return bad(1, "the file is empty")
+		return &Violations{file, []Violation{{1, "the file is empty"}}}
 	}
+	if err := s.validate(file, &root); err != nil {
+		return err
+	}
+	if err := root.Decode(out); err != nil {
+		return &Violations{file, parseYAMLError(err)}
+	}
+	return nil
+}
+
+// validate checks a parsed file against the schema.
+func (s *Schema) validate(file string, root *yaml.Node) error {
 	var value any
 	if err := root.Decode(&value); err != nil {
-		return &Violations{file, numbered(err)}
+		return &Violations{file, parseYAMLError(err)}
 	}
-	err := s.s.Validate(plain(value))
-	var v *jsonschema.ValidationError
-	if errors.As(err, &v) {
-		m := &Violations{File: file}
-		m.collect(root.Content[0], v)
-		slices.SortStableFunc(m.List, func(a, b Violation) int { return a.Line - b.Line })
-		return m
+	err := s.compiled.Validate(jsonValue(value))
+	if err == nil {
+		return nil
 	}
-	if err != nil {
-		return bad(1, err.Error())
+	var invalid *jsonschema.ValidationError
+	if !errors.As(err, &invalid) {
+		return &Violations{file, []Violation{{1, err.Error()}}}
 	}
-	if err := root.Decode(out); err != nil {
-		return &Violations{file, numbered(err)}
-	}
-	return nil
+	violations := &Violations{File: file}
+	violations.collect(root.Content[0], invalid)
+	slices.SortStableFunc(violations.List, func(a, b Violation) int { return a.Line - b.Line })
+	return violations
 }
 
-// numbered takes the lines out of the YAML library's error, which is one sentence or a
-// list of them.
-func numbered(err error) (out []Violation) {
-	for _, l := range strings.Split(strings.TrimPrefix(err.Error(), "yaml: "), "\n") {
-		l = strings.TrimSpace(l)
-		if l == "unmarshal errors:" || l == "" {
+// parseYAMLError takes the lines out of the YAML library's error, which is one sentence or
+// a list of them.
+func parseYAMLError(err error) []Violation {
+	var violations []Violation
+	for _, text := range strings.Split(strings.TrimPrefix(err.Error(), "yaml: "), "\n") {
+		text = strings.TrimSpace(text)
+		if text == "unmarshal errors:" || text == "" {
 			continue
 		}
-		m := Violation{1, l}
-		if rest, ok := strings.CutPrefix(l, "line "); ok {
-			if n, more, ok := strings.Cut(rest, ": "); ok {
-				if k, err := strconv.Atoi(n); err == nil {
-					m = Violation{k, more}
-				}
-			}
-		}
-		out = append(out, m)
+		violations = append(violations, parseYAMLSentence(text))
+	}
+	return violations
+}
+
+// parseYAMLSentence reads "line N: text"; a sentence without a line is about the first.
+func parseYAMLSentence(sentence string) Violation {
+	whole := Violation{1, sentence}
+	rest, ok := strings.CutPrefix(sentence, "line ")
+	if !ok {
+		return whole
 	}
-	return out
+	number, text, ok := strings.Cut(rest, ": ")
+	if !ok {
+		return whole
+	}
+	line, err := strconv.Atoi(number)
+	if err != nil {
+		return whole
+	}
+	return Violation{line, text}
 }
 
-// plain turns what the YAML library gives into what a JSON library would.
-func plain(v any) any {
-	switch x := v.(type) {
+// jsonValue turns what the YAML library decodes into what a JSON library would.
+func jsonValue(value any) any {
+	switch v := value.(type) {
 	case map[string]any:
-		for k, e := range x {
-			x[k] = plain(e)
+		for k, element := range v {
+			v[k] = jsonValue(element)
 		}
-		return x
+		return v
 	case map[any]any:
-		m := map[string]any{}
-		for k, e := range x {
-			m[fmt.Sprint(k)] = plain(e)
+		object := map[string]any{}
+		for k, element := range v {
+			object[fmt.Sprint(k)] = jsonValue(element)
 		}
-		return m
+		return object
 	case []any:
-		for i, e := range x {
-			x[i] = plain(e)
+		for i, element := range v {
+			v[i] = jsonValue(element)
 		}
-		return x
+		return v
 	case int:
-		return float64(x)
+		return float64(v)
 	}
-	return v
+	return value
 }
 
+// printer words the schema library's errors.
 var printer = message.NewPrinter(language.English)
 
 // collect gathers the innermost causes: the outer ones only say that there are some.
-func (m *Violations) collect(root *yaml.Node, v *jsonschema.ValidationError) {
-	if len(v.Causes) > 0 {
-		for _, c := range v.Causes {
-			m.collect(root, c)
+func (v *Violations) collect(root *yaml.Node, invalid *jsonschema.ValidationError) {
+	if len(invalid.Causes) > 0 {
+		for _, cause := range invalid.Causes {
+			v.collect(root, cause)
 		}
 		return
 	}
-	text := v.ErrorKind.LocalizedString(printer)
-	if len(v.InstanceLocation) > 0 {
-		text = strings.Join(v.InstanceLocation, ".") + ": " + text
+	text := invalid.ErrorKind.LocalizedString(printer)
+	if len(invalid.InstanceLocation) > 0 {
+		text = strings.Join(invalid.InstanceLocation, ".") + ": " + text
 	}
-	m.List = append(m.List, Violation{line(root, v.InstanceLocation), text})
+	v.List = append(v.List, Violation{lineOf(root, invalid.InstanceLocation), text})
 }
 
-// line finds where a value stands; for one that is missing, its map.
-func line(n *yaml.Node, path []string) int {
-	for _, p := range path {
-		var next *yaml.Node
-		switch n.Kind {
-		case yaml.MappingNode:
-			for i := 0; i+1 < len(n.Content); i += 2 {
-				if n.Content[i].Value == p {
-					next = n.Content[i+1]
-					if next.Kind == yaml.ScalarNode {
-						next = &yaml.Node{Kind: next.Kind, Line: n.Content[i].Line}
-					}
-				}
+// lineOf finds the line of the value at a path; of one that is missing, its map's.
+func lineOf(node *yaml.Node, path []string) int {
+	line := node.Line
+	for _, step := range path {
+		next, nextLine := child(node, step)
+		if next == nil {
+			break
+		}
+		node, line = next, nextLine
+	}
+	return line
+}
+
+// child finds a map's value by its key or a list's by its index, and its line: a scalar
+// counts by its key's line, where a person looks for it.
+func child(node *yaml.Node, step string) (*yaml.Node, int) {
+	var found *yaml.Node
+	line := 0
+	switch node.Kind {
+	case yaml.MappingNode:
+		// Content holds keys and values in turn. Of a repeated key the last one counts.
+		for i := 0; i+1 < len(node.Content); i += 2 {
+			key, value := node.Content[i], node.Content[i+1]
+			if key.Value != step {
+				continue
 			}
-		case yaml.SequenceNode:
-			if i, err := strconv.Atoi(p); err == nil && i < len(n.Content) {
-				next = n.Content[i]
+			found, line = value, value.Line
+			if value.Kind == yaml.ScalarNode {
+				line = key.Line
 			}
 		}
-		if next == nil {
-			break
+	case yaml.SequenceNode:
+		if i, err := strconv.Atoi(step); err == nil && i < len(node.Content) {
+			found, line = node.Content[i], node.Content[i].Line
 		}
-		n = next
 	}
-	return n.Line
+	return found, line
 }
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-var schema = Compile("t.json", []byte(`{"type":"object","additionalProperties":false,"required":["a"],
+var testSchema = Compile("t.json", []byte(`{"type":"object","additionalProperties":false,"required":["a"],
 "properties":{"a":{"type":"integer","minimum":1},"b":{"type":"array","items":{"type":"object","required":["c"],"properties":{"c":{"type":"string"}}}},"d":{"type":"object","additionalProperties":{"type":"string"}}}}`))
 
 // Each mistake has its line, all are told at once, and what is not YAML is told too.
-func TestLines(t *testing.T) {
+func TestViolationsHaveLines(t *testing.T) {
 	for text, want := range map[string][]string{
 		"a: 1\nb:\n  - c: x\n":                 nil,
 		"# a comment\n\na: 0\n":                {"f:3: a: minimum"},
@@ -21,7 +21,7 @@
 		"- 1\n":                                {"f:1: got array, want object"},
 	} {
 		out := map[string]any{}
-		err := schema.Read("f", []byte(text), &out)
+		err := testSchema.Read("f", []byte(text), &out)
 		if want == nil {
 			if err != nil || out["a"] != 1 {
 				t.Errorf("%q: %v, %v", text, out, err)
