--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -273,7 +273,7 @@
 		ctx, cancel = context.WithCancel(ctx)
 		go func() {
 			for s := bufio.NewScanner(os.Stdin); s.Scan(); {
-				var line localcloud.Line
+				var line localcloud.AgentMessage
 				if json.Unmarshal(s.Bytes(), &line) == nil && line.NoticeS > 0 {
 					d.NotifyPreemption(config.Seconds(line.NoticeS))
 				}
@@ -303,7 +303,7 @@
 	if err != nil {
 		return err
 	}
-	start := func(m protocol.Instance, t localcloud.Type, listener, alive *os.File) (*exec.Cmd, error) {
+	start := func(m protocol.Instance, t localcloud.MachineType, listener, alive *os.File) (*exec.Cmd, error) {
 		dir := filepath.Join(f.Folder, "machines", m.Name)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -26,7 +26,7 @@
 		b.Run(name, func(b *testing.B) {
 			s := site()
 			s.State.RPS, s.State.WriteRPS, s.State.TxnOps = 1e6, 1e6, 64
-			s.Cloud.Types[0].Most = 1
+			s.Cloud.Types[0].MaxPerZone = 1
 			c := start(b, Options{Folder: b.TempDir(), Settings: s, Batch: batch})
 			defer func() { _ = c.Close() }()
 			var mu sync.Mutex
@@ -83,7 +83,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := site()
 			s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 1, 6, 14
-			s.Cloud.Types[0].Most = n
+			s.Cloud.Types[0].MaxPerZone = n
 			s.Teams[0].CPUs = float64(n)
 			c := start(b, Options{Folder: b.TempDir(), Settings: s})
 			defer func() { _ = c.Close() }()
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -68,7 +68,7 @@
 	s := Defaults()
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 0.5, 3, 7
 	s.Cloud.RPS = 40
-	s.Cloud.Types = []Type{{Name: "one", CPUs: 1, MemoryGB: 2, CacheGB: 20, Price: 0.2, BootS: 0.2, Most: 10}}
+	s.Cloud.Types = []Type{{Name: "one", CPUs: 1, MemoryGB: 2, CacheGB: 20, Price: 0.2, BootS: 0.2, MaxPerZone: 10}}
 	return s
 }
 
@@ -248,7 +248,7 @@
 func TestMachinesAreTakenBack(t *testing.T) {
 	s := site()
 	s.Cloud.SpotLifeS, s.Cloud.NoticeS = 5, 1.5
-	s.Cloud.Types[0].SpotPrice, s.Cloud.Types[0].Most = 0.01, 4
+	s.Cloud.Types[0].SpotPrice, s.Cloud.Types[0].MaxPerZone = 0.01, 4
 	c := up(t, t.TempDir(), s)
 	defer func() { _ = c.Close() }()
 	cl, err := c.Client()
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -53,17 +53,17 @@
 // Type is a machine type. What it holds is the scheduler's count: tasks of real commands
 // share this machine's processors.
 type Type struct {
-	Name      string   `yaml:"name"`
-	CPUs      float64  `yaml:"cpus"`
-	GPUs      float64  `yaml:"gpus"`
-	MemoryGB  float64  `yaml:"memory_gb"`
-	CacheGB   float64  `yaml:"cache_gb"`
-	FetchGBps float64  `yaml:"fetch_gb_per_s"`
-	Price     float64  `yaml:"price"`
-	SpotPrice float64  `yaml:"spot_price"`
-	BootS     float64  `yaml:"boot_s"`
-	Zones     []string `yaml:"zones"`
-	Most      int      `yaml:"most"`
+	Name       string   `yaml:"name"`
+	CPUs       float64  `yaml:"cpus"`
+	GPUs       float64  `yaml:"gpus"`
+	MemoryGB   float64  `yaml:"memory_gb"`
+	CacheGB    float64  `yaml:"cache_gb"`
+	FetchGBps  float64  `yaml:"fetch_gb_per_s"`
+	Price      float64  `yaml:"price"`
+	SpotPrice  float64  `yaml:"spot_price"`
+	BootS      float64  `yaml:"boot_s"`
+	Zones      []string `yaml:"zones"`
+	MaxPerZone int      `yaml:"most"`
 }
 
 // Defaults are the settings of `chalkhubctl local` without a file: three controllers, two
@@ -76,7 +76,7 @@
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 1, 6, 14
 	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 400, 200, 16, 16
 	s.Cloud.RPS, s.Cloud.ListLagS = 10, 1
-	s.Cloud.Types = []Type{{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 20, Price: 0.2, BootS: 0.5, Most: 8}}
+	s.Cloud.Types = []Type{{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 20, Price: 0.2, BootS: 0.5, MaxPerZone: 8}}
 	return s
 }
 
@@ -145,7 +145,7 @@
 func (s *Settings) rent() localcloud.Settings {
 	r := localcloud.Settings{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS, SpotLifeS: s.Cloud.SpotLifeS, NoticeS: s.Cloud.NoticeS}
 	for _, t := range s.Cloud.Types {
-		r.Types = append(r.Types, localcloud.Type(t))
+		r.Types = append(r.Types, localcloud.MachineType(t))
 	}
 	return r
 }
--- a/internal/localcloud/rent.go
+++ b/internal/localcloud/cloud.go
@@ -32,126 +32,126 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Type is a machine type with how many there are.
-type Type struct {
-	Name      string   `json:"name"`
-	CPUs      float64  `json:"cpus"`
-	GPUs      float64  `json:"gpus"`
-	MemoryGB  float64  `json:"memory_gb"`
-	CacheGB   float64  `json:"cache_gb"`
-	FetchGBps float64  `json:"fetch_gb_per_s"`
-	Price     float64  `json:"price"`
-	SpotPrice float64  `json:"spot_price"`
-	BootS     float64  `json:"boot_s"`
-	Zones     []string `json:"zones"`
-	Most      int      `json:"most"` // in each zone, 0: any number
+// MachineType is a machine type with how many there are.
+type MachineType struct {
+	Name       string   `json:"name"`
+	CPUs       float64  `json:"cpus"`
+	GPUs       float64  `json:"gpus"`
+	MemoryGB   float64  `json:"memory_gb"`
+	CacheGB    float64  `json:"cache_gb"`
+	FetchGBps  float64  `json:"fetch_gb_per_s"`
+	Price      float64  `json:"price"`
+	SpotPrice  float64  `json:"spot_price"`
+	BootS      float64  `json:"boot_s"`
+	Zones      []string `json:"zones"`
+	MaxPerZone int      `json:"most"` // in each zone, 0: any number
 }
 
 // Settings of a cloud.
 type Settings struct {
-	Types    []Type  `json:"types"`
-	RPS      float64 `json:"rps"`
-	ListLagS float64 `json:"list_lag_s"`
+	Types    []MachineType `json:"types"`
+	RPS      float64       `json:"rps"`
+	ListLagS float64       `json:"list_lag_s"`
 	// SpotLifeS is the mean time after which a spot machine is taken back, 0: never.
 	SpotLifeS float64 `json:"spot_life_s"`
 	NoticeS   float64 `json:"notice_s"` // given before, 0: none
 }
 
-// Start starts the agent of a machine. Its standard input stays open for as long as the
+// StartAgent starts the agent of a machine. Its standard input stays open for as long as the
 // cloud lives and takes Lines; extra files are its listener and the end of a pipe that
 // it and all its tasks hold open.
-type Start func(m protocol.Instance, t Type, listener, alive *os.File) (*exec.Cmd, error)
+type StartAgent func(m protocol.Instance, t MachineType, listener, alive *os.File) (*exec.Cmd, error)
 
-// Line is what the cloud tells an agent, as a JSON line.
-type Line struct {
+// AgentMessage is what the cloud tells an agent, as a JSON line.
+type AgentMessage struct {
 	NoticeS float64 `json:"notice_s"`
 }
 
 // Cloud rents machines.
 type Cloud struct {
-	set   Settings
-	start Start
-	log   *slog.Logger
-	file  *os.File
+	settings   Settings
+	startAgent StartAgent
+	logger     *slog.Logger
+	journal    *os.File
 
-	mu       sync.Mutex
-	next     int
-	machines map[string]*machine
-	answers  map[string][]string
-	used     float64 // requests of the last moment
-	at       time.Time
-	began    time.Time
+	mu           sync.Mutex
+	lastNumber   int
+	machines     map[string]*instance
+	created      map[string][]string
+	requestsUsed float64 // requests of the last moment
+	requestsAt   time.Time
+	startedAt    time.Time
 }
 
-type machine struct {
+type instance struct {
 	protocol.Instance
-	hired time.Time
-	gone  time.Time // zero: there
-	stop  context.CancelFunc
-	over  chan struct{} // closed when nothing of it is left
-	in    io.WriteCloser
-	pid   int
+	createdAt time.Time
+	deletedAt time.Time // zero: there
+	cancel    context.CancelFunc
+	exited    chan struct{} // closed when nothing of it is left
+	in        io.WriteCloser
+	pid       int
 }
 
-// record is a line of the cloud's file.
-type record struct {
-	Request string   `json:"request,omitempty"`
-	Names   []string `json:"names,omitempty"`
-	Type    string   `json:"type,omitempty"`
-	Zone    string   `json:"zone,omitempty"`
-	Spot    bool     `json:"spot,omitempty"`
-	Gone    []string `json:"gone,omitempty"`
-	Pid     int      `json:"pid,omitempty"` // of the agent of the one machine that is named
-	Next    int      `json:"next"`
+// journalRecord is a line of the cloud's file.
+type journalRecord struct {
+	Request    string   `json:"request,omitempty"`
+	Machines   []string `json:"names,omitempty"`
+	Type       string   `json:"type,omitempty"`
+	Zone       string   `json:"zone,omitempty"`
+	Spot       bool     `json:"spot,omitempty"`
+	Deleted    []string `json:"gone,omitempty"`
+	PID        int      `json:"pid,omitempty"` // of the agent of the one machine that is named
+	LastNumber int      `json:"next"`
 }
 
 // Open opens the cloud that keeps its books in a file. Machines of an earlier process end
 // with it and are listed as failed; each has a folder below the given one.
-func Open(set Settings, path, folders string, start Start, log *slog.Logger) (*Cloud, error) {
-	c := &Cloud{set: set, start: start, log: log, machines: map[string]*machine{}, answers: map[string][]string{}, at: time.Now(), began: time.Now()}
+func Open(set Settings, path, folders string, start StartAgent, log *slog.Logger) (*Cloud, error) {
+	c := &Cloud{settings: set, startAgent: start, logger: log, machines: map[string]*instance{}, created: map[string][]string{}, requestsAt: time.Now(), startedAt: time.Now()}
 	if f, err := os.Open(path); err == nil {
 		for s := bufio.NewScanner(f); s.Scan(); {
-			var r record
+			var r journalRecord
 			if json.Unmarshal(s.Bytes(), &r) != nil {
 				break // the last line, cut short: it was never answered
 			}
-			c.next = max(c.next, r.Next)
-			if r.Pid != 0 {
-				if m := c.machines[r.Names[0]]; m != nil {
-					m.pid = r.Pid
+			c.lastNumber = max(c.lastNumber, r.LastNumber)
+			if r.PID != 0 {
+				if m := c.machines[r.Machines[0]]; m != nil {
+					m.pid = r.PID
 				}
 				continue
 			}
 			if r.Request != "" {
-				c.answers[r.Request] = r.Names
+				c.created[r.Request] = r.Machines
 			}
-			for _, n := range r.Names {
-				c.machines[n] = &machine{Instance: protocol.Instance{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: "127.0.0.1:1", State: protocol.MachineFailed}, over: make(chan struct{}), stop: func() {}}
+			for _, n := range r.Machines {
+				c.machines[n] = &instance{Instance: protocol.Instance{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: "127.0.0.1:1", State: protocol.MachineFailed}, exited: make(chan struct{}), cancel: func() {}}
 			}
-			for _, n := range r.Gone {
+			for _, n := range r.Deleted {
 				delete(c.machines, n)
 			}
 		}
 		_ = f.Close() // it was only read
 	}
 	for _, m := range c.machines {
-		go bury(m, filepath.Join(folders, m.Name))
+		go awaitOrphan(m, filepath.Join(folders, m.Name))
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	c.file = f
+	c.journal = f
 	return c, nil
 }
 
-// bury waits until nothing is left of a machine that an earlier cloud rented, by the lock
+// awaitOrphan waits until nothing is left of a machine that an earlier cloud rented, by the lock
 // that its agent and all its shims hold.
 //
 // Guards against a machine that is said to be deleted while its tasks go on: an agent
 // ends with its cloud, but not while it is stopped, and its shims wait for it.
-func bury(m *machine, folder string) {
-	defer close(m.over)
+func awaitOrphan(m *instance, folder string) {
+	defer close(m.exited)
 	for {
 		f, err := os.OpenFile(filepath.Join(folder, "lock"), os.O_RDWR, 0)
 		if err != nil {
@@ -172,81 +172,81 @@
 	_ = os.RemoveAll(folder) // it is of no more use
 }
 
-func (c *Cloud) write(r record) error {
-	r.Next = c.next
+func (c *Cloud) appendRecord(r journalRecord) error {
+	r.LastNumber = c.lastNumber
 	b, err := json.Marshal(&r)
 	if err != nil {
 		return err
 	}
-	if _, err = c.file.Write(append(b, '\n')); err != nil {
+	if _, err = c.journal.Write(append(b, '\n')); err != nil {
 		return err
 	}
-	return c.file.Sync()
+	return c.journal.Sync()
 }
 
-func (c *Cloud) typ(name string) *Type {
-	for i := range c.set.Types {
-		if c.set.Types[i].Name == name {
-			return &c.set.Types[i]
+func (c *Cloud) machineType(name string) *MachineType {
+	for i := range c.settings.Types {
+		if c.settings.Types[i].Name == name {
+			return &c.settings.Types[i]
 		}
 	}
 	return nil
 }
 
-// hire rents up to the number of machines that are left.
-func (c *Cloud) hire(h protocol.CreateMachinesRequest) (int, any) {
-	t := c.typ(h.Type)
+// create rents up to the number of machines that are left.
+func (c *Cloud) create(h protocol.CreateMachinesRequest) (int, any) {
+	t := c.machineType(h.Type)
 	if t == nil || !slices.Contains(t.Zones, h.Zone) || h.Count < 1 || h.Count > protocol.MaxCreate || h.Request == "" {
 		return 400, protocol.ErrorResponse{Error: "no such type or zone, or a wrong number"}
 	}
-	if names, ok := c.answers[h.Request]; ok {
+	if names, ok := c.created[h.Request]; ok {
 		return 200, protocol.MachineNames{Machines: names}
 	}
 	n := h.Count
-	if t.Most > 0 {
+	if t.MaxPerZone > 0 {
 		have := 0
 		for _, m := range c.machines {
-			if m.gone.IsZero() && m.Type == h.Type && m.Zone == h.Zone && m.State != protocol.MachineFailed {
+			if m.deletedAt.IsZero() && m.Type == h.Type && m.Zone == h.Zone && m.State != protocol.MachineFailed {
 				have++
 			}
 		}
-		n = min(n, t.Most-have)
+		n = min(n, t.MaxPerZone-have)
 	}
 	if n <= 0 {
 		return 503, protocol.ErrorResponse{Error: "no capacity"}
 	}
 	var names []string
 	for range n {
-		c.next++
-		names = append(names, fmt.Sprintf("n-%06d", c.next))
+		c.lastNumber++
+		names = append(names, fmt.Sprintf("n-%06d", c.lastNumber))
 	}
-	if err := c.write(record{Request: h.Request, Names: names, Type: h.Type, Zone: h.Zone, Spot: h.Spot}); err != nil {
+	if err := c.appendRecord(journalRecord{Request: h.Request, Machines: names, Type: h.Type, Zone: h.Zone, Spot: h.Spot}); err != nil {
 		return 503, protocol.ErrorResponse{Error: err.Error()}
 	}
-	c.answers[h.Request] = names
+	c.created[h.Request] = names
 	for _, name := range names {
-		m := &machine{Instance: protocol.Instance{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}, hired: time.Now(), over: make(chan struct{})}
+		m := &instance{Instance: protocol.Instance{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}, createdAt: time.Now(), exited: make(chan struct{})}
 		ctx, stop := context.WithCancel(context.Background())
-		m.stop = stop
+		m.cancel = stop
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			m.State = protocol.MachineFailed
-			close(m.over)
+			close(m.exited)
 		} else {
 			m.Addr = l.Addr().String()
-			go c.live(ctx, m, *t, l)
+			go c.runMachine(ctx, m, *t, l)
 		}
 		c.machines[name] = m
 	}
 	return 200, protocol.MachineNames{Machines: names}
 }
 
-// live is a machine's whole life.
-func (c *Cloud) live(ctx context.Context, m *machine, t Type, l net.Listener) {
-	defer close(m.over)
+// runMachine is a machine's whole life.
+func (c *Cloud) runMachine(ctx context.Context, m *instance, t MachineType, l net.Listener) {
+	defer close(m.exited)
 	defer func() { _ = l.Close() }() // the agent has a copy
 	fail := func(err error) {
-		c.log.Error("machine failed", "machine", m.Name, "error", err)
+		c.logger.Error("machine failed", "machine", m.Name, "error", err)
 		c.mu.Lock()
 		m.State = protocol.MachineFailed
 		c.mu.Unlock()
@@ -268,7 +268,7 @@
 		return
 	}
 	defer func() { _ = read.Close() }()
-	cmd, err := c.start(m.Instance, t, file, write)
+	cmd, err := c.startAgent(m.Instance, t, file, write)
 	if err == nil {
 		m.in, err = cmd.StdinPipe()
 	}
@@ -285,13 +285,13 @@
 	}
 	c.mu.Lock()
 	m.State, m.pid = protocol.MachineRunning, cmd.Process.Pid
-	err = c.write(record{Names: []string{m.Name}, Pid: m.pid})
+	err = c.appendRecord(journalRecord{Machines: []string{m.Name}, PID: m.pid})
 	c.mu.Unlock()
 	if err != nil {
-		c.log.Error("a later cloud will not know this agent", "machine", m.Name, "error", err)
+		c.logger.Error("a later cloud will not know this agent", "machine", m.Name, "error", err)
 	}
-	if m.Spot && c.set.SpotLifeS > 0 {
-		go c.takeBack(ctx, m)
+	if m.Spot && c.settings.SpotLifeS > 0 {
+		go c.preemptSpot(ctx, m)
 	}
 	defer func() { _ = os.RemoveAll(cmd.Dir) }() // the machine's own folder
 	defer context.AfterFunc(ctx, func() { _ = cmd.Process.Kill() })()
@@ -303,8 +303,8 @@
 	}
 }
 
-// takeBack takes a spot machine after a while, with a notice if there is one.
-func (c *Cloud) takeBack(ctx context.Context, m *machine) {
+// preemptSpot takes a spot machine after a while, with a notice if there is one.
+func (c *Cloud) preemptSpot(ctx context.Context, m *instance) {
 	sleep := func(s float64) bool {
 		select {
 		case <-ctx.Done():
@@ -313,64 +313,64 @@
 			return true
 		}
 	}
-	if !sleep(rand.ExpFloat64() * c.set.SpotLifeS) {
+	if !sleep(rand.ExpFloat64() * c.settings.SpotLifeS) {
 		return
 	}
-	if c.set.NoticeS > 0 {
-		notice := c.set.NoticeS * (0.5 + rand.Float64())
-		b, _ := json.Marshal(Line{NoticeS: notice}) // a number always encodes
-		_, _ = m.in.Write(append(b, '\n'))          // an agent that has ended needs none
+	if c.settings.NoticeS > 0 {
+		notice := c.settings.NoticeS * (0.5 + rand.Float64())
+		b, _ := json.Marshal(AgentMessage{NoticeS: notice}) // a number always encodes
+		_, _ = m.in.Write(append(b, '\n'))                  // an agent that has ended needs none
 		if !sleep(notice) {
 			return
 		}
 	}
-	if err := c.remove([]string{m.Name}); err != nil {
-		c.log.Error("machine could not be taken back", "machine", m.Name, "error", err)
+	if err := c.delete([]string{m.Name}); err != nil {
+		c.logger.Error("machine could not be taken back", "machine", m.Name, "error", err)
 	}
 }
 
-// remove ends machines and waits until nothing of them is left.
-func (c *Cloud) remove(names []string) error {
+// delete ends machines and waits until nothing of them is left.
+func (c *Cloud) delete(names []string) error {
 	c.mu.Lock()
-	var gone []*machine
+	var gone []*instance
 	var known []string
 	for _, n := range names {
-		if m := c.machines[n]; m != nil && m.gone.IsZero() {
+		if m := c.machines[n]; m != nil && m.deletedAt.IsZero() {
 			gone = append(gone, m)
 			known = append(known, n)
-			m.stop()
+			m.cancel()
 		}
 	}
 	c.mu.Unlock()
 	for _, m := range gone {
-		<-m.over
+		<-m.exited
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range gone {
-		m.gone = time.Now()
+		m.deletedAt = time.Now()
 	}
 	if known == nil {
 		return nil
 	}
-	return c.write(record{Gone: known})
+	return c.appendRecord(journalRecord{Deleted: known})
 }
 
 // list shows a page of the machines as they were a while ago.
 func (c *Cloud) list(since string, page int) protocol.InstanceList {
-	lag := config.Seconds(c.set.ListLagS)
+	lag := config.Seconds(c.settings.ListLagS)
 	then := time.Now().Add(-lag)
 	out := protocol.InstanceList{Machines: []protocol.Instance{}}
 	for n, m := range c.machines {
-		if n <= since || m.hired.After(then) || !m.gone.IsZero() && m.gone.Before(then) {
+		if n <= since || m.createdAt.After(then) || !m.deletedAt.IsZero() && m.deletedAt.Before(then) {
 			continue
 		}
 		x := m.Instance
-		x.AgeS = max(then.Sub(m.hired).Seconds(), 0)
+		x.AgeS = max(then.Sub(m.createdAt).Seconds(), 0)
 		out.Machines = append(out.Machines, x)
 	}
 	for n, m := range c.machines {
-		if !m.gone.IsZero() && m.gone.Before(then.Add(-time.Minute)) {
+		if !m.deletedAt.IsZero() && m.deletedAt.Before(then.Add(-time.Minute)) {
 			delete(c.machines, n)
 		}
 	}
@@ -387,10 +387,10 @@
 }
 
 // price moves by up to a third in half an hour, each type by its own wave.
-func (c *Cloud) types() protocol.MachineTypes {
+func (c *Cloud) machineTypes() protocol.MachineTypes {
 	var out protocol.MachineTypes
-	for i, t := range c.set.Types {
-		phase := time.Since(c.began).Seconds()/1800 + float64(i)/7
+	for i, t := range c.settings.Types {
+		phase := time.Since(c.startedAt).Seconds()/1800 + float64(i)/7
 		wave := 2*(phase-float64(int(phase))) - 1 // from -1 to 1
 		out.Types = append(out.Types, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
 			FetchGBps: t.FetchGBps, Price: t.Price, SpotPrice: t.SpotPrice * (1 + wave/3), BootS: t.BootS, Zones: t.Zones})
@@ -400,7 +400,7 @@
 
 // Serve answers until ctx ends; then all machines are ended.
 func (c *Cloud) Serve(ctx context.Context, l net.Listener) error {
-	srv := &fasthttp.Server{Handler: c.handle, Name: "chalk-cloud", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: time.Minute,
+	srv := &fasthttp.Server{Handler: c.handleRequest, Name: "chalk-cloud", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: time.Minute,
 		NoDefaultServerHeader: true, NoDefaultDate: true}
 	err := httpserver.Serve(ctx, srv, l)
 	c.mu.Lock()
@@ -409,21 +409,21 @@
 		names = append(names, n)
 	}
 	c.mu.Unlock()
-	return errors.Join(err, c.remove(names), c.file.Close())
+	return errors.Join(err, c.delete(names), c.journal.Close())
 }
 
-func (c *Cloud) handle(ctx *fasthttp.RequestCtx) {
+func (c *Cloud) handleRequest(ctx *fasthttp.RequestCtx) {
 	reply := func(status int, body any) { httpserver.Reply(ctx, status, body) }
 	c.mu.Lock()
 	now := time.Now()
-	c.used = max(c.used-now.Sub(c.at).Seconds()*c.set.RPS, 0)
-	c.at = now
-	if c.used+1 > 2*c.set.RPS {
+	c.requestsUsed = max(c.requestsUsed-now.Sub(c.requestsAt).Seconds()*c.settings.RPS, 0)
+	c.requestsAt = now
+	if c.requestsUsed+1 > 2*c.settings.RPS {
 		c.mu.Unlock()
 		reply(429, protocol.ErrorResponse{Error: "above the limit of requests a second"})
 		return
 	}
-	c.used++
+	c.requestsUsed++
 	locked := true
 	unlock := func() {
 		if locked {
@@ -434,14 +434,14 @@
 	defer unlock()
 	switch path, args := string(ctx.Path()), ctx.QueryArgs(); {
 	case path == "/machine_types" && ctx.IsGet():
-		reply(200, c.types())
+		reply(200, c.machineTypes())
 	case path == "/machines" && ctx.IsPost():
 		var h protocol.CreateMachinesRequest
 		if err := protocol.Decode(ctx.PostBody(), &h); err != nil {
 			reply(400, protocol.ErrorResponse{Error: err.Error()})
 			return
 		}
-		reply(c.hire(h))
+		reply(c.create(h))
 	case path == "/machines" && ctx.IsGet():
 		page, err := strconv.Atoi(string(args.Peek("Page")))
 		if err != nil || page < 1 || page > 500 {
@@ -455,7 +455,7 @@
 			reply(400, protocol.ErrorResponse{Error: "malformed list of machines"})
 			return
 		}
-		if err := c.remove(n.Machines); err != nil {
+		if err := c.delete(n.Machines); err != nil {
 			reply(503, protocol.ErrorResponse{Error: err.Error()})
 			return
 		}
@@ -464,7 +464,7 @@
 		// For `chalkhubctl local` and its tests: which process is which machine's agent.
 		pids := map[string]int{}
 		for n, m := range c.machines {
-			if m.State == protocol.MachineRunning && m.gone.IsZero() {
+			if m.State == protocol.MachineRunning && m.deletedAt.IsZero() {
 				pids[n] = m.pid
 			}
 		}
