--- a/cmd/chalkhubctl/local.go
+++ b/cmd/chalkhubctl/local.go
@@ -90,7 +90,7 @@
 	if c.Demo {
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	cluster, err := local.Start(ctx, local.Options{Folder: c.Folder, Settings: set, Chalkhubctl: []string{self}, Chalkhub: hub, Policy: c.Policy, Log: log})
+	cluster, err := local.Start(ctx, local.Options{Dir: c.Folder, Settings: set, CtlCommand: []string{self}, ControllerProgram: hub, PolicyFile: c.Policy, Logger: log})
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 	if err := output(ctx, cl, first.ID, say); err != nil {
 		return err
 	}
-	file := filepath.Join(cluster.Folder(), "lines")
+	file := filepath.Join(cluster.Dir(), "lines")
 	const tasks = 12
 	array := client.Job{Team: "main", Tasks: tasks, CPUs: 1, MemoryGB: 1, Estimate: 3 * time.Second, Env: map[string]string{"LINES": file},
 		Command: []string{"sh", "-c", `sleep 3; echo "$CHALK_TASK" >> "$LINES"`}}
--- a/cmd/chalkhubctl/main.go
+++ b/cmd/chalkhubctl/main.go
@@ -84,7 +84,7 @@
 	if len(c.Controllers) == 0 {
 		return local.ReadAddresses(c.Cluster)
 	}
-	a := &local.Addresses{Depot: c.Depot}
+	a := &local.Addresses{Artifacts: c.Depot}
 	for _, h := range c.Controllers {
 		a.Controllers = append(a.Controllers, local.Controller{Label: h, Serve: h})
 	}
--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -86,7 +86,7 @@
 		}, append([]string{c.Label}, labels...)...)
 	}
 	var s core.Status
-	err := local.Page(c.Status, &s)
+	err := local.ReadStatus(c.Status, &s)
 	flag(upDesc, err == nil)
 	if err != nil {
 		return
--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -64,9 +64,9 @@
 		return fmt.Errorf("%s: listen and file must be set", c.Config)
 	case !(f.Limits.RPS > 0 && f.Limits.WriteRPS > 0 && f.Limits.ValueKB > 0 && f.Limits.TxnOps > 0):
 		return fmt.Errorf("%s: all limits must be above 0", c.Config)
-	case f.Depot != "" && f.Folder == "":
+	case f.ArtifactsListen != "" && f.ArtifactsDir == "":
 		return fmt.Errorf("%s: depot_folder must be set with depot_listen", c.Config)
-	case (f.EveryS > 0) != (f.Keep > 0) || f.EveryS > 0 && f.Snapshots == "":
+	case (f.SnapshotEveryS > 0) != (f.SnapshotsKept > 0) || f.SnapshotEveryS > 0 && f.Snapshots == "":
 		return fmt.Errorf("%s: snapshot_every_s, snapshots_kept and snapshots must be set together", c.Config)
 	}
 	return nil
@@ -101,15 +101,15 @@
 	}
 	log.Info("state loaded", "file", f.File, "revision", s.Revision, "keys", s.Len(), "took", time.Since(began))
 	srv := kvserver.New(kvserver.Settings{Limits: kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.TxnOps},
-		RequestsPerSecond: f.Limits.RPS, WritesPerSecond: f.Limits.WriteRPS, MaxBatch: f.Batch}, s, v)
+		RequestsPerSecond: f.Limits.RPS, WritesPerSecond: f.Limits.WriteRPS, MaxBatch: f.MaxBatch}, s, v)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return srv.Serve(ctx, l) })
-	if f.Depot != "" {
-		d, err := artifacts.Open(f.Folder)
+	if f.ArtifactsListen != "" {
+		d, err := artifacts.Open(f.ArtifactsDir)
 		if err != nil {
 			return err
 		}
-		dl, err := listen(f.Depot)
+		dl, err := listen(f.ArtifactsListen)
 		if err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 		}
 		_, err := os.Stat(wish(f.Snapshots))
 		asked := err == nil
-		due := f.EveryS > 0 && time.Since(at) > config.Seconds(f.EveryS) && srv.State().Revision != last
+		due := f.SnapshotEveryS > 0 && time.Since(at) > config.Seconds(f.SnapshotEveryS) && srv.State().Revision != last
 		if !asked && !due {
 			continue
 		}
@@ -147,8 +147,8 @@
 			continue
 		}
 		last = s.Revision
-		if f.Keep > 0 {
-			if err := kvfile.PruneSnapshots(f.Snapshots, f.Keep); err != nil {
+		if f.SnapshotsKept > 0 {
+			if err := kvfile.PruneSnapshots(f.Snapshots, f.SnapshotsKept); err != nil {
 				log.Error("pruning snapshots failed", "error", err)
 			}
 		}
@@ -227,7 +227,7 @@
 }
 
 func (c *agentCmd) check(f *local.AgentFile) error {
-	if f.Machine == "" || f.Depot == "" || f.Folder == "" || f.Saves == "" || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.ReportS > 0 && f.Workers.LeaseS > 0) {
+	if f.Machine == "" || f.Artifacts == "" || f.Dir == "" || f.CheckpointDir == "" || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.ReportS > 0 && f.Workers.LeaseS > 0) {
 		return fmt.Errorf("%s: machine, cpus, controllers, depot, folder, saves, report_s and lease_s must be set", c.Config)
 	}
 	return nil
@@ -246,7 +246,7 @@
 	if err != nil {
 		return err
 	}
-	set := agentd.Settings{ArtifactsAddr: f.Depot, Dir: f.Folder, CheckpointDir: f.Saves, ShimCommand: []string{self, "shim"}, Logger: logger().With("machine", f.Machine)}
+	set := agentd.Settings{ArtifactsAddr: f.Artifacts, Dir: f.Dir, CheckpointDir: f.CheckpointDir, ShimCommand: []string{self, "shim"}, Logger: logger().With("machine", f.Machine)}
 	set.Agent = agent.Settings{Machine: f.Machine, Type: f.Type, Zone: f.Zone, Spot: f.Spot, CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB,
 		CacheGB: f.CacheGB, FetchGBps: f.FetchGBps, Workers: f.Workers}
 	for _, x := range f.Controllers {
@@ -304,21 +304,21 @@
 		return err
 	}
 	start := func(m protocol.Instance, t localcloud.MachineType, listener, alive *os.File) (*exec.Cmd, error) {
-		dir := filepath.Join(f.Folder, "machines", m.Name)
+		dir := filepath.Join(f.Dir, "machines", m.Name)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
 		}
 		path := filepath.Join(dir, "agent.json")
 		b, err := json.Marshal(&local.AgentFile{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, CPUs: t.CPUs, GPUs: t.GPUs,
-			MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBps: t.FetchGBps, Controllers: f.Cluster.Controllers, Depot: f.Cluster.Depot,
-			Folder: dir, Saves: filepath.Join(f.Folder, "saves"), Workers: f.Workers})
+			MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBps: t.FetchGBps, Controllers: f.Cluster.Controllers, Artifacts: f.Cluster.Artifacts,
+			Dir: dir, CheckpointDir: filepath.Join(f.Dir, "saves"), Workers: f.Workers})
 		if err == nil {
 			err = os.WriteFile(path, b, 0o600)
 		}
 		if err != nil {
 			return nil, err
 		}
-		log, err := os.OpenFile(filepath.Join(f.Folder, "logs", "agents.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+		log, err := os.OpenFile(filepath.Join(f.Dir, "logs", "agents.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 		if err != nil {
 			return nil, err
 		}
@@ -331,7 +331,7 @@
 	if err != nil {
 		return err
 	}
-	cloud, err := localcloud.Open(f.Rent, filepath.Join(f.Folder, "cloud.jsonl"), filepath.Join(f.Folder, "machines"), start, logger())
+	cloud, err := localcloud.Open(f.Cloud, filepath.Join(f.Dir, "cloud.jsonl"), filepath.Join(f.Dir, "machines"), start, logger())
 	if err != nil {
 		return err
 	}
--- a/cmd/chalkhubctl/top.go
+++ b/cmd/chalkhubctl/top.go
@@ -55,7 +55,7 @@
 				l.pages[i].err = errors.New("its status page's address is not known: use --cluster")
 				return
 			}
-			l.pages[i].err = local.Page(c.Status, &l.pages[i].page)
+			l.pages[i].err = local.ReadStatus(c.Status, &l.pages[i].page)
 			l.pages[i].at = time.Now()
 		}()
 	}
--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -24,10 +24,10 @@
 func BenchmarkSubmissions(b *testing.B) {
 	for name, batch := range map[string]int{"batched": 256, "one by one": 1} {
 		b.Run(name, func(b *testing.B) {
-			s := site()
+			s := testSettings()
 			s.State.RPS, s.State.WriteRPS, s.State.TxnOps = 1e6, 1e6, 64
 			s.Cloud.Types[0].MaxPerZone = 1
-			c := start(b, Options{Folder: b.TempDir(), Settings: s, Batch: batch})
+			c := start(b, Options{Dir: b.TempDir(), Settings: s, MaxBatch: batch})
 			defer func() { _ = c.Close() }()
 			var mu sync.Mutex
 			took := hdrhistogram.New(1, 60_000_000, 3)
@@ -81,11 +81,11 @@
 func BenchmarkAgents(b *testing.B) {
 	for _, n := range []int{50, 100, 200, 400, 800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := site()
+			s := testSettings()
 			s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 1, 6, 14
 			s.Cloud.Types[0].MaxPerZone = n
 			s.Teams[0].CPUs = float64(n)
-			c := start(b, Options{Folder: b.TempDir(), Settings: s})
+			c := start(b, Options{Dir: b.TempDir(), Settings: s})
 			defer func() { _ = c.Close() }()
 			cl, err := c.Client()
 			if err != nil {
@@ -110,7 +110,7 @@
 			p99, silent, seen := int64(0), 0, 0
 			for _, x := range c.Controllers {
 				var s core.Status
-				if Page(x.Status, &s) != nil {
+				if ReadStatus(x.Status, &s) != nil {
 					continue
 				}
 				p99 = max(p99, s.ResponseTimes.P99)
@@ -126,13 +126,13 @@
 			b.ReportMetric(float64(p99), "answer-p99-ms")
 			b.ReportMetric(float64(seen), "machines")
 			b.ReportMetric(float64(silent), "silent")
-			b.ReportMetric(float64(rss(c.Agents()))/float64(max(len(c.Agents()), 1)), "MB/agent")
+			b.ReportMetric(float64(residentMB(c.AgentPIDs()))/float64(max(len(c.AgentPIDs()), 1)), "MB/agent")
 		})
 	}
 }
 
-// rss is how much memory processes hold together, in MB.
-func rss(pids map[string]int) (mb int) {
+// residentMB is how much memory processes hold together, in MB.
+func residentMB(pids map[string]int) (mb int) {
 	for _, pid := range pids {
 		b, err := os.ReadFile(filepath.Join("/proc", fmt.Sprint(pid), "statm"))
 		if err != nil {
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -54,7 +54,7 @@
 	os.Exit(rc)
 }
 
-func built(t testing.TB) string {
+func buildPrograms(t testing.TB) string {
 	t.Helper()
 	dir, err := programs()
 	if err != nil {
@@ -63,24 +63,24 @@
 	return dir
 }
 
-// site is a cluster with short spans, so that what takes a lease takes three seconds.
-func site() Settings {
+// testSettings is a cluster with short spans, so that what takes a lease takes three seconds.
+func testSettings() Settings {
 	s := Defaults()
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 0.5, 3, 7
 	s.Cloud.RPS = 40
-	s.Cloud.Types = []Type{{Name: "one", CPUs: 1, MemoryGB: 2, CacheGB: 20, Price: 0.2, BootS: 0.2, MaxPerZone: 10}}
+	s.Cloud.Types = []MachineType{{Name: "one", CPUs: 1, MemoryGB: 2, CacheGB: 20, Price: 0.2, BootS: 0.2, MaxPerZone: 10}}
 	return s
 }
 
 // start starts a cluster of the programs that were built.
 func start(t testing.TB, opt Options) *Cluster {
 	t.Helper()
-	dir := built(t)
+	dir := buildPrograms(t)
 	if err := opt.Settings.check(""); err != nil {
 		t.Fatal(err)
 	}
-	opt.Chalkhubctl, opt.Chalkhub = []string{filepath.Join(dir, "chalkhubctl")}, filepath.Join(dir, "chalkhub")
-	opt.Log, opt.StartWait = slog.New(slog.NewTextHandler(io.Discard, nil)), 60*time.Second
+	opt.CtlCommand, opt.ControllerProgram = []string{filepath.Join(dir, "chalkhubctl")}, filepath.Join(dir, "chalkhub")
+	opt.Logger, opt.ReadyTimeout = slog.New(slog.NewTextHandler(io.Discard, nil)), 60*time.Second
 	c, err := Start(context.Background(), opt)
 	if err != nil {
 		t.Fatal(err)
@@ -88,14 +88,14 @@
 	return c
 }
 
-func up(t *testing.T, folder string, s Settings) *Cluster {
+func startCluster(t *testing.T, folder string, s Settings) *Cluster {
 	t.Helper()
-	return start(t, Options{Folder: folder, Settings: s})
+	return start(t, Options{Dir: folder, Settings: s})
 }
 
-// locking is an array whose tasks hold a lock for two seconds, which a second start of
+// lockingJob is an array whose tasks hold a lock for two seconds, which a second start of
 // theirs would notice, and append to a file as their last act.
-func locking(t *testing.T, tasks int) (client.Job, string) {
+func lockingJob(t *testing.T, tasks int) (client.Job, string) {
 	dir := t.TempDir()
 	return client.Job{Team: "main", Tasks: tasks, CPUs: 1, MemoryGB: 1, Estimate: 2 * time.Second, Env: map[string]string{"DIR": dir},
 		Command: []string{"sh", "-c", `exec 9>>"$DIR/lock.$CHALK_TASK"
@@ -104,9 +104,9 @@
 echo "done $CHALK_TASK $CHALK_ATTEMPT" >> "$DIR/lines"`}}, dir
 }
 
-// lines checks what the tasks of locking wrote and counts the attempts that came to their
+// checkLines checks what the tasks of locking wrote and counts the attempts that came to their
 // end.
-func lines(t *testing.T, dir string, tasks int) int {
+func checkLines(t *testing.T, dir string, tasks int) int {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(dir, "lines"))
 	if err != nil {
@@ -134,9 +134,9 @@
 // service, an agent, the cloud with all its agents; another agent is stopped beyond its lease. Every task comes to its
 // end, none runs on two machines at once, an attempt writes one line at most, and whatever
 // waits says why. What was done is still done when the cluster is started again.
-func TestKillsInTheMiddleOfAnArray(t *testing.T) {
+func TestArraySurvivesKilledProcesses(t *testing.T) {
 	folder := t.TempDir()
-	c := up(t, folder, site())
+	c := startCluster(t, folder, testSettings())
 	closed := false
 	defer func() {
 		if !closed {
@@ -150,7 +150,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 150*time.Second)
 	defer stop()
 	const tasks = 130
-	j, work := locking(t, tasks)
+	j, work := lockingJob(t, tasks)
 	if _, err := cl.Submit(ctx, &j); err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 	agent := func(sig syscall.Signal) int {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			for _, pid := range c.Agents() {
+			for _, pid := range c.AgentPIDs() {
 				if syscall.Kill(pid, sig) == nil {
 					return pid
 				}
@@ -200,7 +200,7 @@
 		return 0
 	}
 	until(15)
-	agents := len(c.Agents())
+	agents := len(c.AgentPIDs())
 	kill(c.Leader())
 	until(30)
 	kill("ctl-0", "ctl-1", "ctl-2")
@@ -220,7 +220,7 @@
 	if err != nil || s.State != "done" || s.Done != tasks {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	attempts := lines(t, work, tasks)
+	attempts := checkLines(t, work, tasks)
 	if len(silent) > 0 {
 		t.Errorf("waits without a reason: %v", silent)
 	}
@@ -230,7 +230,7 @@
 		t.Fatal(err)
 	}
 	closed = true
-	c = up(t, folder, site())
+	c = startCluster(t, folder, testSettings())
 	defer func() { _ = c.Close() }()
 	if cl, err = c.Client(); err != nil {
 		t.Fatal(err)
@@ -245,11 +245,11 @@
 
 // Spot machines are taken back every few seconds, after a notice that is too short for the
 // longer half of the tasks: all are done in the end, none runs twice at once.
-func TestMachinesAreTakenBack(t *testing.T) {
-	s := site()
+func TestArraySurvivesSpotPreemption(t *testing.T) {
+	s := testSettings()
 	s.Cloud.SpotLifeS, s.Cloud.NoticeS = 5, 1.5
 	s.Cloud.Types[0].SpotPrice, s.Cloud.Types[0].MaxPerZone = 0.01, 4
-	c := up(t, t.TempDir(), s)
+	c := startCluster(t, t.TempDir(), s)
 	defer func() { _ = c.Close() }()
 	cl, err := c.Client()
 	if err != nil {
@@ -258,7 +258,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Second)
 	defer stop()
 	const tasks = 30
-	j, work := locking(t, tasks)
+	j, work := lockingJob(t, tasks)
 	j.Spot = true
 	if _, err := cl.Submit(ctx, &j); err != nil {
 		t.Fatal(err)
@@ -266,8 +266,8 @@
 	if s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, nil); err != nil || s.State != "done" {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	attempts := lines(t, work, tasks)
-	b, err := os.ReadFile(filepath.Join(c.Folder(), "logs", "agents.log"))
+	attempts := checkLines(t, work, tasks)
+	b, err := os.ReadFile(filepath.Join(c.Dir(), "logs", "agents.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,12 +276,12 @@
 }
 
 // Two clusters on one machine do not meet, and one folder takes one cluster.
-func TestTwoClusters(t *testing.T) {
-	s := site()
+func TestClustersAreIsolated(t *testing.T) {
+	s := testSettings()
 	s.Controllers = 1
-	a, b := up(t, t.TempDir(), s), up(t, t.TempDir(), s)
+	a, b := startCluster(t, t.TempDir(), s), startCluster(t, t.TempDir(), s)
 	defer func() { _ = b.Close() }()
-	if _, err := Start(context.Background(), a.opt); err == nil || !strings.Contains(err.Error(), "another cluster is running in") {
+	if _, err := Start(context.Background(), a.options); err == nil || !strings.Contains(err.Error(), "another cluster is running in") {
 		t.Errorf("one folder for two: %v", err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
@@ -298,7 +298,7 @@
 	if s, err := cb.Query(ctx, j.ID); err == nil {
 		t.Fatalf("the other cluster knows it: %+v", s)
 	}
-	agents := a.Agents()
+	agents := a.AgentPIDs()
 	if len(agents) == 0 {
 		t.Fatal("no agent ran")
 	}
@@ -313,8 +313,8 @@
 }
 
 // Whatever keeps a cluster from starting is said in one sentence.
-func TestPlainErrors(t *testing.T) {
-	dir := built(t)
+func TestStartupErrorsAreOneSentence(t *testing.T) {
+	dir := buildPrograms(t)
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -344,7 +344,7 @@
 		"is not a job id":                             {"--controllers", "127.0.0.1:1", "status", "job-x"},
 		"no controller takes the request now":         {"--controllers", "127.0.0.1:1", "status", "job-1"},
 		"no snapshot came within":                     {"state", "snapshot", t.TempDir(), "--timeout", "200ms"},
-		"s.db: the file is damaged: it is empty":      {"state", "verify", empty(t)},
+		"s.db: the file is damaged: it is empty":      {"state", "verify", emptyFile(t)},
 		"the request is malformed: \"job-1x\" is not": {"--controllers", "127.0.0.1:1", "abort", "job-1x"},
 	} {
 		cmd := exec.Command(alone, args...)
@@ -358,7 +358,7 @@
 	}
 }
 
-func empty(t *testing.T) string {
+func emptyFile(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "s.db")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -39,7 +39,7 @@
 type Addresses struct {
 	Controllers []Controller  `json:"controllers"`
 	State       string        `json:"state"`
-	Depot       string        `json:"depot"`
+	Artifacts   string        `json:"depot"`
 	Cloud       string        `json:"cloud,omitempty"`
 	Teams       []config.Team `json:"teams,omitempty"`
 }
@@ -58,7 +58,7 @@
 	for _, c := range a.Controllers {
 		hosts = append(hosts, c.Serve)
 	}
-	return client.New(hosts, a.Depot)
+	return client.New(hosts, a.Artifacts)
 }
 
 // ReadAddresses reads a cluster's file, given its folder or the file.
@@ -82,42 +82,42 @@
 
 // Options of a cluster.
 type Options struct {
-	Folder      string
-	Settings    Settings
-	Chalkhubctl []string // program and arguments before the subcommand
-	Chalkhub    string   // the controller's program
-	Policy      string   // the operators' script for the controllers, empty: none
-	Log         *slog.Logger
-	StartWait   time.Duration // 0: 30 s
-	Batch       int           // most commands that share a write of the state file, 0: 256
+	Dir               string
+	Settings          Settings
+	CtlCommand        []string // program and arguments before the subcommand
+	ControllerProgram string   // the controller's program
+	PolicyFile        string   // the operators' script for the controllers, empty: none
+	Logger            *slog.Logger
+	ReadyTimeout      time.Duration // 0: 30 s
+	MaxBatch          int           // most commands that share a write of the state file, 0: 256
 }
 
 // Cluster is a cluster that runs.
 type Cluster struct {
 	Addresses
-	opt    Options
-	lock   *os.File
-	cancel context.CancelFunc
-	group  *errgroup.Group
-	ctx    context.Context
-
-	mu       sync.Mutex
-	children map[string]*child
+	options Options
+	lock    *os.File
+	cancel  context.CancelFunc
+	group   *errgroup.Group
+	ctx     context.Context
+
+	mu        sync.Mutex
+	processes map[string]*supervisedProcess
 }
 
-type child struct {
-	name string
-	args []string
-	pid  int
-	ends int // how often it has ended
+type supervisedProcess struct {
+	name  string
+	args  []string
+	pid   int
+	exits int // how often it has ended
 }
 
 // Start starts a cluster and waits until its controllers take requests. Its processes
 // end with this one, however that ends.
 func Start(ctx context.Context, opt Options) (*Cluster, error) {
-	c := &Cluster{opt: opt, children: map[string]*child{}}
+	c := &Cluster{options: opt, processes: map[string]*supervisedProcess{}}
 	for _, dir := range []string{"", "logs", "settings", "depot", "machines", "saves", "snapshots"} {
-		if err := os.MkdirAll(filepath.Join(opt.Folder, dir), 0o700); err != nil {
+		if err := os.MkdirAll(filepath.Join(opt.Dir, dir), 0o700); err != nil {
 			return nil, fmt.Errorf("the folder cannot be used: %w", err)
 		}
 	}
@@ -127,7 +127,7 @@
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, fmt.Errorf("another cluster is running in %s: stop it, or choose another --folder", opt.Folder)
+		return nil, fmt.Errorf("another cluster is running in %s: stop it, or choose another --folder", opt.Dir)
 	}
 	c.lock = lock
 	if err := c.configure(); err != nil {
@@ -137,26 +137,26 @@
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.group, c.ctx = errgroup.WithContext(c.ctx)
 	begin := func(name string, args ...string) {
-		ch := &child{name: name, args: args}
-		c.children[name] = ch
-		c.group.Go(func() error { return c.keep(ch) })
+		ch := &supervisedProcess{name: name, args: args}
+		c.processes[name] = ch
+		c.group.Go(func() error { return c.supervise(ch) })
 	}
 	c.mu.Lock()
-	begin("state", append(append([]string{}, opt.Chalkhubctl...), "state", "run", "--config", c.path("settings", "state.json"))...)
-	begin("cloud", append(append([]string{}, opt.Chalkhubctl...), "cloud", "--config", c.path("settings", "cloud.json"))...)
+	begin("state", append(append([]string{}, opt.CtlCommand...), "state", "run", "--config", c.path("settings", "state.json"))...)
+	begin("cloud", append(append([]string{}, opt.CtlCommand...), "cloud", "--config", c.path("settings", "cloud.json"))...)
 	for _, x := range c.Controllers {
-		args := []string{opt.Chalkhub, "--config", c.path("settings", x.Label+".json")}
-		if opt.Policy != "" {
-			args = append(args, "--policy", opt.Policy)
+		args := []string{opt.ControllerProgram, "--config", c.path("settings", x.Label+".json")}
+		if opt.PolicyFile != "" {
+			args = append(args, "--policy", opt.PolicyFile)
 		}
 		begin(x.Label, args...)
 	}
 	c.mu.Unlock()
-	wait := opt.StartWait
+	wait := opt.ReadyTimeout
 	if wait == 0 {
 		wait = 30 * time.Second
 	}
-	if err := c.Ready(c.ctx, wait); err != nil {
+	if err := c.WaitReady(c.ctx, wait); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
 	if err := writeJSON(c.path(ClusterFile), &c.Addresses); err != nil {
@@ -166,7 +166,7 @@
 }
 
 func (c *Cluster) path(parts ...string) string {
-	return filepath.Join(append([]string{c.opt.Folder}, parts...)...)
+	return filepath.Join(append([]string{c.options.Dir}, parts...)...)
 }
 
 func writeJSON(path string, v any) error {
@@ -177,9 +177,9 @@
 	return os.WriteFile(path, append(b, '\n'), 0o600)
 }
 
-// free finds ports that nobody listens on. All are held until the last is found, so that
+// freeAddrs finds ports that nobody listens on. All are held until the last is found, so that
 // no two are the same.
-func free(n int) ([]string, error) {
+func freeAddrs(n int) ([]string, error) {
 	var out []string
 	for range n {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -194,62 +194,62 @@
 
 // StateFile is the settings of `chalkhubctl state run`.
 type StateFile struct {
-	Listen    string       `json:"listen"`
-	Depot     string       `json:"depot_listen"` // empty: no depot
-	File      string       `json:"file"`
-	Folder    string       `json:"depot_folder"`
-	Snapshots string       `json:"snapshots"`
-	EveryS    float64      `json:"snapshot_every_s"` // 0: none by itself
-	Keep      int          `json:"snapshots_kept"`
-	Limits    config.State `json:"limits"`
-	Batch     int          `json:"batch"`
+	Listen          string       `json:"listen"`
+	ArtifactsListen string       `json:"depot_listen"` // empty: no depot
+	File            string       `json:"file"`
+	ArtifactsDir    string       `json:"depot_folder"`
+	Snapshots       string       `json:"snapshots"`
+	SnapshotEveryS  float64      `json:"snapshot_every_s"` // 0: none by itself
+	SnapshotsKept   int          `json:"snapshots_kept"`
+	Limits          config.State `json:"limits"`
+	MaxBatch        int          `json:"batch"`
 }
 
 // CloudFile is the settings of `chalkhubctl cloud`.
 type CloudFile struct {
 	Listen  string              `json:"listen"`
-	Folder  string              `json:"folder"`
-	Rent    localcloud.Settings `json:"rent"`
+	Dir     string              `json:"folder"`
+	Cloud   localcloud.Settings `json:"rent"`
 	Cluster Addresses           `json:"cluster"`
 	Workers config.Workers      `json:"workers"`
 }
 
 // AgentFile is the settings of `chalkhubctl agent`.
 type AgentFile struct {
-	Machine     string         `json:"machine"`
-	Listen      string         `json:"listen"`
-	Type        string         `json:"type"`
-	Zone        string         `json:"zone"`
-	Spot        bool           `json:"spot"`
-	CPUs        float64        `json:"cpus"`
-	GPUs        float64        `json:"gpus"`
-	MemoryGB    float64        `json:"memory_gb"`
-	CacheGB     float64        `json:"cache_gb"`
-	FetchGBps   float64        `json:"fetch_gb_per_s"`
-	Controllers []Controller   `json:"controllers"`
-	Depot       string         `json:"depot"`
-	Folder      string         `json:"folder"`
-	Saves       string         `json:"saves"`
-	Workers     config.Workers `json:"workers"`
+	Machine       string         `json:"machine"`
+	Listen        string         `json:"listen"`
+	Type          string         `json:"type"`
+	Zone          string         `json:"zone"`
+	Spot          bool           `json:"spot"`
+	CPUs          float64        `json:"cpus"`
+	GPUs          float64        `json:"gpus"`
+	MemoryGB      float64        `json:"memory_gb"`
+	CacheGB       float64        `json:"cache_gb"`
+	FetchGBps     float64        `json:"fetch_gb_per_s"`
+	Controllers   []Controller   `json:"controllers"`
+	Artifacts     string         `json:"depot"`
+	Dir           string         `json:"folder"`
+	CheckpointDir string         `json:"saves"`
+	Workers       config.Workers `json:"workers"`
 }
 
 // configure chooses ports and writes everybody's settings.
 func (c *Cluster) configure() error {
-	s := &c.opt.Settings
-	ports, err := free(3 + 2*s.Controllers)
+	s := &c.options.Settings
+	ports, err := freeAddrs(3 + 2*s.Controllers)
 	if err != nil {
 		return fmt.Errorf("no port is free: %w", err)
 	}
-	c.State, c.Depot, c.Cloud = ports[0], ports[1], ports[2]
+	c.State, c.Artifacts, c.Cloud = ports[0], ports[1], ports[2]
 	for i := range s.Controllers {
 		c.Controllers = append(c.Controllers, Controller{Label: fmt.Sprintf("ctl-%d", i), Zone: s.Zones[i%len(s.Zones)], Serve: ports[3+2*i], Status: ports[4+2*i]})
 	}
-	site := s.site()
+	site := s.siteSettings()
 	c.Teams = site.Teams
 	errs := []error{
-		writeJSON(c.path("settings", "state.json"), &StateFile{Listen: c.State, Depot: c.Depot, File: c.path("state.db"), Folder: c.path("depot"),
-			Snapshots: c.path("snapshots"), EveryS: 600, Keep: 6, Limits: site.State, Batch: cmp.Or(c.opt.Batch, 256)}),
-		writeJSON(c.path("settings", "cloud.json"), &CloudFile{Listen: c.Cloud, Folder: c.opt.Folder, Rent: s.rent(), Cluster: c.Addresses, Workers: site.Workers}),
+		writeJSON(c.path("settings", "state.json"), &StateFile{Listen: c.State, ArtifactsListen: c.Artifacts, File: c.path("state.db"), ArtifactsDir: c.path("depot"),
+			Snapshots: c.path("snapshots"), SnapshotEveryS: 600, SnapshotsKept: 6, Limits: site.State, MaxBatch: cmp.Or(c.options.MaxBatch, 256)}),
+		writeJSON(c.path("settings", "cloud.json"), &CloudFile{Listen: c.Cloud, Dir: c.options.Dir, Cloud: s.cloudSettings(), Cluster: c.Addresses, Workers: site.Workers}),
 	}
 	for i, x := range c.Controllers {
 		set := config.Settings{Label: x.Label, Zone: x.Zone, Listen: x.Serve, PeerListen: x.Status,
@@ -268,9 +268,9 @@
 	return errors.Join(errs...)
 }
 
-// keep runs a child again and again until the cluster ends, each time after a longer
+// supervise runs a child again and again until the cluster ends, each time after a longer
 // pause; one that was up for a while starts from the shortest again.
-func (c *Cluster) keep(ch *child) error {
+func (c *Cluster) supervise(ch *supervisedProcess) error {
 	// The child is killed when the thread that started it ends, so this goroutine has
 	// one of its own.
 	runtime.LockOSThread()
@@ -278,14 +278,14 @@
 	pause := 250 * time.Millisecond
 	for {
 		began := time.Now()
-		err := c.run(ch)
+		err := c.runOnce(ch)
 		if c.ctx.Err() != nil {
 			return c.ctx.Err()
 		}
 		if time.Since(began) > 10*time.Second {
 			pause = 250 * time.Millisecond
 		}
-		c.opt.Log.Warn("process ended, starting it again", "name", ch.name, "how", err, "in", pause)
+		c.options.Logger.Warn("process ended, starting it again", "name", ch.name, "how", err, "in", pause)
 		select {
 		case <-c.ctx.Done():
 			return c.ctx.Err()
@@ -295,7 +295,7 @@
 	}
 }
 
-func (c *Cluster) run(ch *child) error {
+func (c *Cluster) runOnce(ch *supervisedProcess) error {
 	f, err := os.OpenFile(c.path("logs", ch.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
@@ -321,16 +321,16 @@
 	hard()
 	c.mu.Lock()
 	ch.pid = 0
-	ch.ends++
+	ch.exits++
 	c.mu.Unlock()
 	return err
 }
 
-// Pid is the process of a child now, 0: none.
-func (c *Cluster) Pid(name string) int {
+// PID is the process of a child now, 0: none.
+func (c *Cluster) PID(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ch := c.children[name]; ch != nil {
+	if ch := c.processes[name]; ch != nil {
 		return ch.pid
 	}
 	return 0
@@ -338,34 +338,34 @@
 
 // Kill kills a child without a word. It starts again by itself, unless held back.
 func (c *Cluster) Kill(name string) error {
-	pid := c.Pid(name)
+	pid := c.PID(name)
 	if pid == 0 {
 		return fmt.Errorf("%s does not run", name)
 	}
 	return syscall.Kill(pid, syscall.SIGKILL)
 }
 
-// Agents are the processes of the agents by machine.
-func (c *Cluster) Agents() map[string]int {
+// AgentPIDs are the processes of the agents by machine.
+func (c *Cluster) AgentPIDs() map[string]int {
 	out := map[string]int{}
 	rpc.New(1, time.Second).Call("GET", c.Cloud, "/processes", nil, &out, time.Second, 200) // none if the cloud is away
 	return out
 }
 
-// Ready waits until every controller takes requests.
-func (c *Cluster) Ready(ctx context.Context, wait time.Duration) error {
+// WaitReady waits until every controller takes requests.
+func (c *Cluster) WaitReady(ctx context.Context, wait time.Duration) error {
 	call := rpc.New(1, time.Second)
 	end := time.Now().Add(wait)
 	for _, x := range c.Controllers {
 		for call.Call("GET", x.Serve, "/ready", nil, nil, time.Second) != 200 {
 			if time.Now().After(end) {
-				return c.late(x.Label)
+				return c.startFailure(x.Label)
 			}
 			c.mu.Lock()
-			for name, ch := range c.children {
-				if ch.ends >= 4 && time.Now().After(end.Add(-wait+3*time.Second)) {
+			for name, ch := range c.processes {
+				if ch.exits >= 4 && time.Now().After(end.Add(-wait+3*time.Second)) {
 					c.mu.Unlock()
-					return c.late(name)
+					return c.startFailure(name)
 				}
 			}
 			c.mu.Unlock()
@@ -379,8 +379,8 @@
 	return nil
 }
 
-// late says in a sentence why a child is not there.
-func (c *Cluster) late(name string) error {
+// startFailure says in a sentence why a child is not there.
+func (c *Cluster) startFailure(name string) error {
 	path := c.path("logs", name+".log")
 	f, err := os.Open(path)
 	if err != nil {
@@ -415,8 +415,8 @@
 // Wait returns when the cluster's context ends.
 func (c *Cluster) Wait() { <-c.ctx.Done() }
 
-// Page reads a controller's status page.
-func Page(addr string, out any) error {
+// ReadStatus reads a controller's status page.
+func ReadStatus(addr string, out any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -430,14 +430,14 @@
 	return json.Unmarshal(resp.Body(), out)
 }
 
-// Folder is where the cluster writes.
-func (c *Cluster) Folder() string { return c.opt.Folder }
+// Dir is where the cluster writes.
+func (c *Cluster) Dir() string { return c.options.Dir }
 
 // Leader is the controller that leads, as any of them has it; empty if none knows.
 func (c *Cluster) Leader() string {
 	for _, x := range c.Controllers {
 		var s core.Status
-		if Page(x.Status, &s) == nil && s.Leader != "" {
+		if ReadStatus(x.Status, &s) == nil && s.Leader != "" {
 			return s.Leader
 		}
 	}
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -33,11 +33,11 @@
 		TxnOps   int     `yaml:"txn_ops"`
 	} `yaml:"state"`
 	Cloud struct {
-		RPS       float64 `yaml:"rps"`
-		ListLagS  float64 `yaml:"list_lag_s"`
-		SpotLifeS float64 `yaml:"spot_life_s"`
-		NoticeS   float64 `yaml:"notice_s"`
-		Types     []Type  `yaml:"types"`
+		RPS       float64       `yaml:"rps"`
+		ListLagS  float64       `yaml:"list_lag_s"`
+		SpotLifeS float64       `yaml:"spot_life_s"`
+		NoticeS   float64       `yaml:"notice_s"`
+		Types     []MachineType `yaml:"types"`
 	} `yaml:"cloud"`
 }
 
@@ -50,9 +50,9 @@
 	GPUsMax float64 `yaml:"gpus_max"`
 }
 
-// Type is a machine type. What it holds is the scheduler's count: tasks of real commands
+// MachineType is a machine type. What it holds is the scheduler's count: tasks of real commands
 // share this machine's processors.
-type Type struct {
+type MachineType struct {
 	Name       string   `yaml:"name"`
 	CPUs       float64  `yaml:"cpus"`
 	GPUs       float64  `yaml:"gpus"`
@@ -76,7 +76,7 @@
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 1, 6, 14
 	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 400, 200, 16, 16
 	s.Cloud.RPS, s.Cloud.ListLagS = 10, 1
-	s.Cloud.Types = []Type{{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 20, Price: 0.2, BootS: 0.5, MaxPerZone: 8}}
+	s.Cloud.Types = []MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 20, Price: 0.2, BootS: 0.5, MaxPerZone: 8}}
 	return s
 }
 
@@ -123,13 +123,13 @@
 	return nil
 }
 
-// site is what the controllers are told.
-func (s *Settings) site() config.Site {
+// siteSettings is what the controllers are told.
+func (s *Settings) siteSettings() config.Site {
 	x := config.Site{InitialSize: s.Controllers, Zones: s.Zones}
 	for _, t := range s.Teams {
 		x.Teams = append(x.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
 	}
-	x.Workers = s.workers()
+	x.Workers = s.workerSettings()
 	x.State = config.State{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps}
 	x.Cloud = config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS}
 	x.Resources = config.Resources{Cores: 1, RAMMB: 512, MaxSockets: 4000}
@@ -137,12 +137,12 @@
 	return x
 }
 
-func (s *Settings) workers() config.Workers {
+func (s *Settings) workerSettings() config.Workers {
 	return config.Workers{ReportS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS}
 }
 
-// rent is what the cloud is told.
-func (s *Settings) rent() localcloud.Settings {
+// cloudSettings is what the cloud is told.
+func (s *Settings) cloudSettings() localcloud.Settings {
 	r := localcloud.Settings{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS, SpotLifeS: s.Cloud.SpotLifeS, NoticeS: s.Cloud.NoticeS}
 	for _, t := range s.Cloud.Types {
 		r.Types = append(r.Types, localcloud.MachineType(t))
