--- a/client/client.go
+++ b/client/client.go
@@ -19,12 +19,12 @@
 
 // Spans of the PROTOCOL, "POST /v2/runs" and "GET /v2/runs/{id}".
 const (
-	tryWait   = 5 * time.Second
-	pollWait  = 2 * time.Second
-	leastGap  = time.Second
-	mostGap   = 30 * time.Second
-	patience  = 60 * time.Second
-	pollEvery = 5 * time.Second
+	submitTimeout       = 5 * time.Second
+	queryTimeout        = 2 * time.Second
+	minRetryDelay       = time.Second
+	maxRetryAfter       = 30 * time.Second
+	retryBudget         = 60 * time.Second
+	defaultPollInterval = 5 * time.Second
 )
 
 // Kinds of failure, for errors.Is.
@@ -117,7 +117,7 @@
 	Simulate time.Duration
 }
 
-func (j *Job) wire() protocol.Job {
+func (j *Job) protocolJob() protocol.Job {
 	w := protocol.Job{ID: j.ID, Class: j.Class, Team: j.Team, Kind: string(j.Kind), Urgency: string(j.Urgency), Tasks: j.Tasks,
 		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Image: j.Image, ImageGB: j.ImageGB, MachineTypes: j.Types, Zone: j.Zone,
 		OneZone: j.OneZone, Spread: j.Spread, AllowSpot: j.Spot, EstimateS: j.Estimate.Seconds(), CheckpointS: j.Checkpoint.Seconds(),
@@ -164,14 +164,14 @@
 
 // Client talks to a cluster. Its methods may be called from any goroutine.
 type Client struct {
-	addrs []string
-	depot string
-	http  *fasthttp.Client
-	gap   time.Duration // leastGap, shorter in tests
-	give  time.Duration // patience
-
-	mu sync.Mutex
-	at int // the controller that answered last
+	controllers []string
+	artifacts   string
+	http        *fasthttp.Client
+	retryDelay  time.Duration // leastGap, shorter in tests
+	retryBudget time.Duration // patience
+
+	mu      sync.Mutex
+	current int // the controller that answered last
 }
 
 // New makes a client of the controllers' addresses and the depot's, which may be empty
@@ -180,7 +180,7 @@
 	if len(controllers) == 0 {
 		return nil, errors.New("a client needs the address of at least one controller")
 	}
-	return &Client{addrs: controllers, depot: depot, gap: leastGap, give: patience,
+	return &Client{controllers: controllers, artifacts: depot, retryDelay: minRetryDelay, retryBudget: retryBudget,
 		http: &fasthttp.Client{MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 			NoDefaultUserAgentHeader: true, MaxIdleConnDuration: 20 * time.Second}}, nil
 }
@@ -204,7 +204,7 @@
 	}
 	var s int
 	if n, err := fmt.Sscan(string(resp.Header.Peek("Retry-After")), &s); n == 1 && err == nil && s > 0 {
-		retry = min(time.Duration(s)*time.Second, mostGap)
+		retry = min(time.Duration(s)*time.Second, maxRetryAfter)
 	}
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), retry
 }
@@ -214,9 +214,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if next {
-		c.at++
+		c.current++
 	}
-	return c.addrs[c.at%len(c.addrs)]
+	return c.controllers[c.current%len(c.controllers)]
 }
 
 func text(b []byte) string {
@@ -252,7 +252,7 @@
 		if !errors.Is(last.Kind, ErrNotNow) {
 			return nil, last
 		}
-		gap := max(c.gap, retry)
+		gap := max(c.retryDelay, retry)
 		if time.Now().Add(gap).After(end) {
 			return nil, last
 		}
@@ -274,21 +274,21 @@
 		}
 		j.ID = id
 	}
-	w := j.wire()
-	if c.depot != "" {
+	w := j.protocolJob()
+	if c.artifacts != "" {
 		d := protocol.JobDescription{Job: w, Command: j.Command, Env: j.Env, Folder: j.Folder, SimulatedS: j.Simulate.Seconds()}
 		if err := d.Validate(); err != nil {
 			return nil, &Error{Kind: ErrMalformed, Text: err.Error()}
 		}
-		if err := c.upload(ctx, &d); err != nil {
+		if err := c.uploadDescription(ctx, &d); err != nil {
 			return nil, err
 		}
 	}
-	b, err := c.request(ctx, "POST", "/v2/runs", submission(&w), tryWait, c.give, 200, 201)
+	b, err := c.request(ctx, "POST", "/v2/runs", submission(&w), submitTimeout, c.retryBudget, 200, 201)
 	if err != nil {
 		return nil, err
 	}
-	s, err := status(b)
+	s, err := decodeStatus(b)
 	if s != nil {
 		s.Tasks = w.Tasks
 	}
@@ -309,28 +309,28 @@
 	return m
 }
 
-func (c *Client) upload(ctx context.Context, d *protocol.JobDescription) error {
-	end := time.Now().Add(c.give)
+func (c *Client) uploadDescription(ctx context.Context, d *protocol.JobDescription) error {
+	end := time.Now().Add(c.retryBudget)
 	for {
-		s, b, _ := c.call(ctx, "PUT", c.depot, "/jobs/"+d.Job.ID, d, tryWait)
+		s, b, _ := c.call(ctx, "PUT", c.artifacts, "/jobs/"+d.Job.ID, d, submitTimeout)
 		switch s {
 		case 200:
 			return nil
 		case 400, 409:
 			return &Error{Kind: ErrMalformed, Status: s, Text: text(b)}
 		}
-		if time.Now().Add(c.gap).After(end) {
-			return &Error{Kind: ErrNotNow, Status: s, Text: "the depot at " + c.depot + " does not take the job's description"}
+		if time.Now().Add(c.retryDelay).After(end) {
+			return &Error{Kind: ErrNotNow, Status: s, Text: "the depot at " + c.artifacts + " does not take the job's description"}
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(c.gap):
+		case <-time.After(c.retryDelay):
 		}
 	}
 }
 
-func status(b []byte) (*Status, error) {
+func decodeStatus(b []byte) (*Status, error) {
 	var a protocol.JobResponse
 	if err := protocol.Decode(b, &a); err != nil {
 		return nil, &Error{Kind: ErrNotNow, Status: 200, Text: err.Error()}
@@ -344,11 +344,11 @@
 	if !protocol.ValidJobID(id) {
 		return nil, &Error{Kind: ErrMalformed, Text: fmt.Sprintf("%q is not a job id", id)}
 	}
-	b, err := c.request(ctx, "GET", "/v2/runs/"+id, nil, pollWait, time.Duration(2*len(c.addrs))*(pollWait+c.gap), 200)
+	b, err := c.request(ctx, "GET", "/v2/runs/"+id, nil, queryTimeout, time.Duration(2*len(c.controllers))*(queryTimeout+c.retryDelay), 200)
 	if err != nil {
 		return nil, err
 	}
-	return status(b)
+	return decodeStatus(b)
 }
 
 // Abort cancels a job. The state may be done: then it was over already.
@@ -356,18 +356,18 @@
 	if !protocol.ValidJobID(id) {
 		return nil, &Error{Kind: ErrMalformed, Text: fmt.Sprintf("%q is not a job id", id)}
 	}
-	b, err := c.request(ctx, "POST", "/v2/runs/"+id+"/abort", nil, tryWait, c.give, 200)
+	b, err := c.request(ctx, "POST", "/v2/runs/"+id+"/abort", nil, submitTimeout, c.retryBudget, 200)
 	if err != nil {
 		return nil, err
 	}
-	return status(b)
+	return decodeStatus(b)
 }
 
 // Wait polls until a job is over or ctx ends. see, if there is one, is told each answer,
 // and each failure to get one; failures do not end the waiting, but an unknown job does.
 func (c *Client) Wait(ctx context.Context, id string, every time.Duration, see func(*Status, error)) (*Status, error) {
 	if every <= 0 {
-		every = pollEvery
+		every = defaultPollInterval
 	}
 	for {
 		s, err := c.Query(ctx, id)
@@ -388,8 +388,8 @@
 	}
 }
 
-// Listed is a job in the depot's list.
-type Listed struct {
+// ListedJob is a job in the depot's list.
+type ListedJob struct {
 	ID    string    `json:"id"`
 	Team  string    `json:"team"`
 	Tasks int       `json:"tasks"`
@@ -398,14 +398,14 @@
 
 // Jobs lists the jobs whose descriptions were uploaded, the newest first; more says that
 // there are others beyond skip.
-func (c *Client) Jobs(ctx context.Context, skip int) (jobs []Listed, more bool, err error) {
-	s, b, _ := c.call(ctx, "GET", c.depot, fmt.Sprintf("/jobs?Skip=%d", skip), nil, tryWait)
+func (c *Client) Jobs(ctx context.Context, skip int) (jobs []ListedJob, more bool, err error) {
+	s, b, _ := c.call(ctx, "GET", c.artifacts, fmt.Sprintf("/jobs?Skip=%d", skip), nil, submitTimeout)
 	var l protocol.UploadedJobs
 	if s != 200 || protocol.Decode(b, &l) != nil {
 		return nil, false, &Error{Kind: ErrNotNow, Status: s, Text: "the depot does not answer"}
 	}
 	for _, j := range l.Jobs {
-		jobs = append(jobs, Listed{ID: j.ID, Team: j.Team, Tasks: j.Tasks, At: time.UnixMilli(int64(j.UploadedAt * 1000))})
+		jobs = append(jobs, ListedJob{ID: j.ID, Team: j.Team, Tasks: j.Tasks, At: time.UnixMilli(int64(j.UploadedAt * 1000))})
 	}
 	return jobs, l.More, nil
 }
@@ -419,7 +419,7 @@
 
 // Outputs lists a job's attempts that have output.
 func (c *Client) Outputs(ctx context.Context, id string) ([]Output, error) {
-	s, b, _ := c.call(ctx, "GET", c.depot, "/jobs/"+id+"/output", nil, tryWait)
+	s, b, _ := c.call(ctx, "GET", c.artifacts, "/jobs/"+id+"/output", nil, submitTimeout)
 	var l protocol.OutputList
 	if s != 200 || protocol.Decode(b, &l) != nil {
 		return nil, &Error{Kind: ErrNotNow, Status: s, Text: "the depot does not answer"}
@@ -431,9 +431,9 @@
 	return out, nil
 }
 
-// Read is the end of an attempt's output, at most 1 MiB.
-func (c *Client) Read(ctx context.Context, id string, o Output) ([]byte, error) {
-	s, b, _ := c.call(ctx, "GET", c.depot, fmt.Sprintf("/jobs/%s/output/%d/%d", id, o.Task, o.Attempt), nil, tryWait)
+// ReadOutput is the end of an attempt's output, at most 1 MiB.
+func (c *Client) ReadOutput(ctx context.Context, id string, o Output) ([]byte, error) {
+	s, b, _ := c.call(ctx, "GET", c.artifacts, fmt.Sprintf("/jobs/%s/output/%d/%d", id, o.Task, o.Attempt), nil, submitTimeout)
 	if s != 200 {
 		return nil, &Error{Kind: ErrNotNow, Status: s, Text: text(b)}
 	}
--- a/cmd/chalkhubctl/jobs.go
+++ b/cmd/chalkhubctl/jobs.go
@@ -347,7 +347,7 @@
 		return top.show(chosen, nil)
 	}
 	for _, o := range chosen {
-		b, err := cl.Read(ctx, c.Job, o)
+		b, err := cl.ReadOutput(ctx, c.Job, o)
 		if err != nil {
 			return err
 		}
@@ -376,7 +376,7 @@
 	var rows []map[string]any
 	t := columns("job", "team", "submitted", "state", "done", "running", "tasks", "why it waits")
 	for skip, more := 0, true; more && len(rows) < c.Most; {
-		var list []client.Listed
+		var list []client.ListedJob
 		if list, more, err = cl.Jobs(ctx, skip); err != nil {
 			return err
 		}
--- a/cmd/chalkhubctl/local.go
+++ b/cmd/chalkhubctl/local.go
@@ -205,7 +205,7 @@
 		return err
 	}
 	for _, o := range list {
-		b, err := cl.Read(ctx, id, o)
+		b, err := cl.ReadOutput(ctx, id, o)
 		if err != nil {
 			return err
 		}
