--- a/cmd/chalkhubctl/chalkhubctl_test.go
+++ b/cmd/chalkhubctl/chalkhubctl_test.go
@@ -20,12 +20,12 @@
 
 // The picture fits 80 columns and the screen's height, leads with who leads, and keeps
 // the last good page of a controller that is away, with its age.
-func TestPictureKeepsWhatWasSeen(t *testing.T) {
-	p := picture{pages: make([]seen, 3), width: 80, height: 24, teams: map[string]config.Team{"main": {CPUs: 16, CPUsMax: 40}}}
+func TestTopKeepsLastStatusPages(t *testing.T) {
+	p := clusterView{views: make([]controllerView, 3), width: 80, height: 24, teams: map[string]config.Team{"main": {CPUs: 16, CPUsMax: 40}}}
 	for i := range 3 {
 		p.controllers = append(p.controllers, local.Controller{Label: fmt.Sprintf("ctl-%d", i)})
 	}
-	if v := p.view(time.Now()); !strings.Contains(v, "no controller has said that it leads") {
+	if v := p.render(time.Now()); !strings.Contains(v, "no controller has said that it leads") {
 		t.Errorf("before anything is known:\n%s", v)
 	}
 	now := time.Now()
@@ -35,9 +35,9 @@
 		lead.Queue = append(lead.Queue, core.QueuedJobStatus{JobID: fmt.Sprintf("job-%017d", i), Waiting: i, Reason: strings.Repeat("waits for room ", 9)})
 	}
 	away := errors.New("connection refused")
-	p.add(looked{[]seen{{page: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, Entitled: true}, at: now}, {page: lead, at: now}, {err: away}}})
-	p.add(looked{[]seen{{err: away}, {err: away}, {err: away}}})
-	v := p.view(now.Add(7 * time.Second))
+	p.update(controllersRead{[]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, Entitled: true}, at: now}, {status: lead, at: now}, {err: away}}})
+	p.update(controllersRead{[]controllerView{{err: away}, {err: away}, {err: away}}})
+	v := p.render(now.Add(7 * time.Second))
 	for _, want := range []string{"away, seen 7 s ago", "the leader is away; below is what it said 7 s ago", "ctl-2     not seen yet", "main                12.0      16.0      40.0", "job-00000000000000039", "more"} {
 		if !strings.Contains(v, want) {
 			t.Errorf("%q is missing:\n%s", want, v)
@@ -53,14 +53,14 @@
 		}
 	}
 	// A new leader's page takes over from the old one's.
-	p.add(looked{[]seen{{page: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, Entitled: true, UnseenMachines: 2}, at: now}, {err: away}, {err: away}}})
-	if v := p.view(now); !strings.Contains(v, "a take-over waits for 2 machines") || strings.Contains(v, "the leader is away") {
+	p.update(controllersRead{[]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, Entitled: true, UnseenMachines: 2}, at: now}, {err: away}, {err: away}}})
+	if v := p.render(now); !strings.Contains(v, "a take-over waits for 2 machines") || strings.Contains(v, "the leader is away") {
 		t.Errorf("after a take-over:\n%s", v)
 	}
 }
 
 // A job file is read with all its mistakes, and a sound one is the job that it says.
-func TestJobFiles(t *testing.T) {
+func TestJobFileViolations(t *testing.T) {
 	dir := t.TempDir()
 	path := dir + "/job.yaml"
 	for text, want := range map[string]string{
@@ -71,13 +71,13 @@
 		"command: [sh]\nkind: gang\n":     ":2: kind",
 		"command: [sh]\nafter: [job-x]\n": ":2: after",
 	} {
-		write(t, path, text)
-		if _, err := readJob(path, jobFile{}); err == nil || !strings.Contains(err.Error(), want) || code(err) != exitMalformed {
+		writeFile(t, path, text)
+		if _, err := readJob(path, jobFields{}); err == nil || !strings.Contains(err.Error(), want) || exitCode(err) != exitMalformed {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	write(t, path, "tasks: 3\nurgency: high\nestimate: 1m30s\nafter: [job-1, job-22]\ncommand: [sh, -c, 'echo $X']\nenv: {X: '1'}\n")
-	f, err := readJob(path, jobFile{Team: "main", CPUs: 2})
+	writeFile(t, path, "tasks: 3\nurgency: high\nestimate: 1m30s\nafter: [job-1, job-22]\ncommand: [sh, -c, 'echo $X']\nenv: {X: '1'}\n")
+	f, err := readJob(path, jobFields{Team: "main", CPUs: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -94,18 +94,18 @@
 }
 
 // The files under deploy are settings that the commands take.
-func TestDeployFiles(t *testing.T) {
+func TestDeployFilesAreValidSettings(t *testing.T) {
 	if s, err := local.Read("../../deploy/local.yaml"); err != nil || len(s.Cloud.Types) != 2 || s.State.TxnOps != local.Defaults().State.TxnOps {
 		t.Errorf("%+v, %v", s, err)
 	}
 	var st local.StateFile
-	if err := read("../../deploy/state.json", &st); err != nil {
+	if err := readJSON("../../deploy/state.json", &st); err != nil {
 		t.Error(err)
 	} else if err := (&stateRunCmd{Config: "state.json"}).check(&st); err != nil {
 		t.Error(err)
 	}
 	var a local.AgentFile
-	if err := read("../../deploy/agent.json", &a); err != nil {
+	if err := readJSON("../../deploy/agent.json", &a); err != nil {
 		t.Error(err)
 	} else if err := (&agentCmd{Config: "agent.json"}).check(&a); err != nil {
 		t.Error(err)
@@ -114,7 +114,7 @@
 
 // The figures of a controller that answers are there under the usual names, and one that
 // does not answer is said to be down.
-func TestFigures(t *testing.T) {
+func TestMetricsOfControllers(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -127,8 +127,8 @@
 	srv := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBody(page) }}
 	go func() { _ = srv.Serve(l) }() // it ends with the test
 	defer func() { _ = srv.Shutdown() }()
-	f := &figures{controllers: []local.Controller{{Label: "ctl-0", Status: l.Addr().String()}, {Label: "ctl-1", Status: "127.0.0.1:1"}}}
-	b, err := f.text()
+	f := &statusCollector{controllers: []local.Controller{{Label: "ctl-0", Status: l.Addr().String()}, {Label: "ctl-1", Status: "127.0.0.1:1"}}}
+	b, err := f.metricsText()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/chalkhubctl/jobs.go
+++ b/cmd/chalkhubctl/jobs.go
@@ -21,8 +21,8 @@
 //go:embed job.schema.json
 var jobSchema []byte
 
-// jobFile is a job as a file has it.
-type jobFile struct {
+// jobFields is a job as a file has it.
+type jobFields struct {
 	ID         string            `yaml:"id"`
 	Class      string            `yaml:"class"`
 	Team       string            `yaml:"team"`
@@ -54,7 +54,7 @@
 
 var urgencies = map[string]client.Urgency{"production": client.Production, "high": client.High, "normal": client.Normal, "low": client.Low}
 
-func (f *jobFile) job() *client.Job {
+func (f *jobFields) job() *client.Job {
 	return &client.Job{ID: f.ID, Class: f.Class, Team: f.Team, Kind: kinds[f.Kind], Urgency: urgencies[f.Urgency], Tasks: f.Tasks, CPUs: f.CPUs,
 		GPUs: f.GPUs, MemoryGB: f.MemoryGB, Image: f.Image, ImageGB: f.ImageGB, Types: f.Types, Zone: f.Zone, OneZone: f.OneZone, Spread: f.Spread,
 		Spot: f.Spot, Estimate: f.Estimate, Checkpoint: f.Checkpoint, Save: f.Save, Deadline: f.Deadline, After: f.After, Command: f.Command, Env: f.Env,
@@ -62,7 +62,7 @@
 }
 
 // readJob reads a job file; - is standard input.
-func readJob(path string, defaults jobFile) (*jobFile, error) {
+func readJob(path string, defaults jobFields) (*jobFields, error) {
 	var b []byte
 	var err error
 	if path == "-" {
@@ -76,7 +76,7 @@
 	}
 	f := defaults
 	if err := schema.Compile("job.schema.json", jobSchema).Read(path, b, &f); err != nil {
-		return nil, exit{exitMalformed, err}
+		return nil, exitError{exitMalformed, err}
 	}
 	return &f, nil
 }
@@ -111,7 +111,7 @@
 
 func (c *submitCmd) job() (*client.Job, error) {
 	if c.File != "" {
-		f, err := readJob(c.File, jobFile{Team: c.Team, CPUs: 1, MemoryGB: 1, Estimate: time.Minute})
+		f, err := readJob(c.File, jobFields{Team: c.Team, CPUs: 1, MemoryGB: 1, Estimate: time.Minute})
 		if err != nil {
 			return nil, err
 		}
@@ -122,7 +122,7 @@
 		command = command[1:]
 	}
 	if len(command) == 0 && c.Simulate == 0 {
-		return nil, exit{exitMalformed, errors.New("name a command to run, for example: chalkhubctl submit -- echo hello")}
+		return nil, exitError{exitMalformed, errors.New("name a command to run, for example: chalkhubctl submit -- echo hello")}
 	}
 	kind := client.Array
 	if c.Service {
@@ -151,13 +151,13 @@
 		return err
 	}
 	if !c.Wait {
-		return top.show(s, func() { fmt.Println(s.ID) })
+		return top.print(s, func() { fmt.Println(s.ID) })
 	}
-	return waitFor(ctx, top, cl, []string{s.ID}, 0, time.Second)
+	return waitForJobs(ctx, top, cl, []string{s.ID}, 0, time.Second)
 }
 
-// show prints a value as JSON, or as f does for people.
-func (c *cli) show(v any, f func()) error {
+// print prints a value as JSON, or as f does for people.
+func (c *cli) print(v any, f func()) error {
 	if c.Output != "json" {
 		f()
 		return nil
@@ -169,8 +169,8 @@
 	return err
 }
 
-// columns begins a table in the project's look.
-func columns(names ...any) table.Writer {
+// newTable begins a table in the project's look.
+func newTable(names ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(os.Stdout)
 	t.SetStyle(table.StyleLight)
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	return top.show(s, func() {
+	return top.print(s, func() {
 		if s.Reason != "" {
 			fmt.Println(s.Reason)
 		}
@@ -214,24 +214,24 @@
 	if err != nil {
 		return err
 	}
-	return waitFor(ctx, top, cl, c.Jobs, c.Timeout, c.Every)
+	return waitForJobs(ctx, top, cl, c.Jobs, c.Timeout, c.Every)
 }
 
-func terminal(f *os.File) bool {
+func isTerminal(f *os.File) bool {
 	st, err := f.Stat()
 	return err == nil && st.Mode()&os.ModeCharDevice != 0
 }
 
-// waitFor waits for jobs one after another; progress goes to standard error where a
+// waitForJobs waits for jobs one after another; progress goes to standard error where a
 // person looks.
-func waitFor(ctx context.Context, top *cli, cl *client.Client, ids []string, timeout, every time.Duration) error {
+func waitForJobs(ctx context.Context, top *cli, cl *client.Client, ids []string, timeout, every time.Duration) error {
 	if timeout > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, timeout)
 		defer stop()
 	}
 	var bars progress.Writer
-	if terminal(os.Stderr) && top.Output != "json" {
+	if isTerminal(os.Stderr) && top.Output != "json" {
 		bars = progress.NewWriter()
 		bars.SetOutputWriter(os.Stderr)
 		bars.SetUpdateFrequency(200 * time.Millisecond)
@@ -266,7 +266,7 @@
 		})
 		if err != nil {
 			if errors.Is(err, context.DeadlineExceeded) {
-				return exit{exitNotNow, fmt.Errorf("%s is not over within %v", id, timeout)}
+				return exitError{exitNotNow, fmt.Errorf("%s is not over within %v", id, timeout)}
 			}
 			return err
 		}
@@ -278,7 +278,7 @@
 		}
 		all = append(all, s)
 	}
-	if err := top.show(all, func() {
+	if err := top.print(all, func() {
 		for _, s := range all {
 			fmt.Printf("%s %s, %d tasks done\n", s.ID, s.State, s.Done)
 		}
@@ -286,7 +286,7 @@
 		return err
 	}
 	if cancelled > 0 {
-		return exit{exitCancelled, errors.New("")}
+		return exitError{exitCancelled, errors.New("")}
 	}
 	return nil
 }
@@ -309,7 +309,7 @@
 		}
 		all = append(all, s)
 	}
-	return top.show(all, func() {
+	return top.print(all, func() {
 		for _, s := range all {
 			fmt.Println(s.ID, s.State)
 		}
@@ -341,10 +341,10 @@
 		}
 	}
 	if len(chosen) == 0 {
-		return exit{exitUnknown, fmt.Errorf("%s has written nothing yet", c.Job)}
+		return exitError{exitUnknown, fmt.Errorf("%s has written nothing yet", c.Job)}
 	}
 	if top.Output == "json" {
-		return top.show(chosen, nil)
+		return top.print(chosen, nil)
 	}
 	for _, o := range chosen {
 		b, err := cl.ReadOutput(ctx, c.Job, o)
@@ -374,7 +374,7 @@
 		return err
 	}
 	var rows []map[string]any
-	t := columns("job", "team", "submitted", "state", "done", "running", "tasks", "why it waits")
+	t := newTable("job", "team", "submitted", "state", "done", "running", "tasks", "why it waits")
 	for skip, more := 0, true; more && len(rows) < c.Most; {
 		var list []client.ListedJob
 		if list, more, err = cl.Jobs(ctx, skip); err != nil {
@@ -400,5 +400,5 @@
 			t.AppendRow(table.Row{l.ID, l.Team, l.At.Format("01-02 15:04:05"), s.State, s.Done, s.Running, l.Tasks, reason})
 		}
 	}
-	return top.show(rows, func() { t.Render() })
+	return top.print(rows, func() { t.Render() })
 }
--- a/cmd/chalkhubctl/local.go
+++ b/cmd/chalkhubctl/local.go
@@ -25,8 +25,8 @@
 	Demo     bool   `help:"Run a small array of real commands, end the leader in the middle of it, then leave nothing behind."`
 }
 
-// controller finds the controller's program, or builds it in a tree of the sources.
-func (c *localCmd) controller(ctx context.Context) (string, error) {
+// findController finds the controller's program, or builds it in a tree of the sources.
+func (c *localCmd) findController(ctx context.Context) (string, error) {
 	if c.Chalkhub != "" {
 		return filepath.Abs(c.Chalkhub)
 	}
@@ -78,7 +78,7 @@
 	if c.Folder, err = filepath.Abs(c.Folder); err != nil {
 		return err
 	}
-	hub, err := c.controller(ctx)
+	hub, err := c.findController(ctx)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 		}
 	}()
 	if c.Demo {
-		return demo(ctx, cluster, began)
+		return runDemo(ctx, cluster, began)
 	}
 	fmt.Printf("%d controllers are ready, in %s\n", len(cluster.Controllers), c.Folder)
 	fmt.Printf("  chalkhubctl --cluster %s submit -- echo hello\n  chalkhubctl --cluster %s top\nInterrupt to end it.\n", c.Folder, c.Folder)
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// demo runs a small array of real commands and ends the leader in the middle.
-func demo(ctx context.Context, cluster *local.Cluster, began time.Time) error {
+// runDemo runs a small array of real commands and ends the leader in the middle.
+func runDemo(ctx context.Context, cluster *local.Cluster, began time.Time) error {
 	say := func(format string, args ...any) {
 		fmt.Printf("%5.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	}
@@ -124,10 +124,10 @@
 		return err
 	}
 	say("%s: one task that says hello", first.ID)
-	if err := follow(ctx, cl, first.ID, say); err != nil {
+	if err := followJob(ctx, cl, first.ID, say); err != nil {
 		return err
 	}
-	if err := output(ctx, cl, first.ID, say); err != nil {
+	if err := printOutput(ctx, cl, first.ID, say); err != nil {
 		return err
 	}
 	file := filepath.Join(cluster.Dir(), "lines")
@@ -157,7 +157,7 @@
 		return err
 	}
 	say("%s, the leader, was killed in the middle of it", leader)
-	if err := follow(ctx, cl, array.ID, say); err != nil {
+	if err := followJob(ctx, cl, array.ID, say); err != nil {
 		return err
 	}
 	b, err := os.ReadFile(file)
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// follow says what becomes of a job until it is done.
-func follow(ctx context.Context, cl *client.Client, id string, say func(string, ...any)) error {
+// followJob says what becomes of a job until it is done.
+func followJob(ctx context.Context, cl *client.Client, id string, say func(string, ...any)) error {
 	last := ""
 	s, err := cl.Wait(ctx, id, 200*time.Millisecond, func(s *client.Status, err error) {
 		now := ""
@@ -199,7 +199,7 @@
 	return err
 }
 
-func output(ctx context.Context, cl *client.Client, id string, say func(string, ...any)) error {
+func printOutput(ctx context.Context, cl *client.Client, id string, say func(string, ...any)) error {
 	list, err := cl.Outputs(ctx, id)
 	if err != nil {
 		return err
--- a/cmd/chalkhubctl/main.go
+++ b/cmd/chalkhubctl/main.go
@@ -56,14 +56,14 @@
 	exitUnknown    = 6
 )
 
-// exit is an error with its own exit code.
-type exit struct {
+// exitError is an error with its own exit code.
+type exitError struct {
 	code int
 	error
 }
 
-func code(err error) int {
-	var e exit
+func exitCode(err error) int {
+	var e exitError
 	switch {
 	case errors.As(err, &e):
 		return e.code
@@ -127,5 +127,5 @@
 	if text := err.Error(); text != "" {
 		fmt.Fprintln(os.Stderr, "chalkhubctl: "+text)
 	}
-	os.Exit(code(err))
+	os.Exit(exitCode(err))
 }
--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -26,9 +26,9 @@
 	Listen string `default:"127.0.0.1:9477" help:"Address that serves them."`
 }
 
-// figures collects the controllers' status pages when it is asked, so that the
+// statusCollector collects the controllers' status pages when it is asked, so that the
 // controllers themselves need no metrics library and keep no second set of counters.
-type figures struct {
+type statusCollector struct {
 	controllers []local.Controller
 }
 
@@ -54,22 +54,22 @@
 )
 
 // Describe lists nothing: what there is depends on the pages.
-func (f *figures) Describe(chan<- *prometheus.Desc) {}
+func (f *statusCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect reads all pages at once.
-func (f *figures) Collect(out chan<- prometheus.Metric) {
+func (f *statusCollector) Collect(out chan<- prometheus.Metric) {
 	var wg sync.WaitGroup
 	for _, c := range f.controllers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f.one(c, out)
+			f.collectController(c, out)
 		}()
 	}
 	wg.Wait()
 }
 
-func (f *figures) one(c local.Controller, out chan<- prometheus.Metric) {
+func (f *statusCollector) collectController(c local.Controller, out chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, append([]string{c.Label}, labels...)...)
 	}
@@ -128,8 +128,8 @@
 	}
 }
 
-// text is all figures in the usual text format.
-func (f *figures) text() ([]byte, error) {
+// metricsText is all figures in the usual text format.
+func (f *statusCollector) metricsText() ([]byte, error) {
 	r := prometheus.NewRegistry()
 	if err := r.Register(f); err != nil {
 		return nil, err
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	f := &figures{controllers: a.Controllers}
+	f := &statusCollector{controllers: a.Controllers}
 	var l net.Listener
 	if l, err = listen(c.Listen); err != nil {
 		return err
@@ -163,7 +163,7 @@
 			ctx.Error("the figures are at /metrics", 404)
 			return
 		}
-		b, err := f.text()
+		b, err := f.metricsText()
 		if err != nil {
 			ctx.Error(err.Error(), 500)
 			return
--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -28,7 +28,7 @@
 	"github.com/chalkhub/chalkhub/internal/shim"
 )
 
-func read(path string, out any) error {
+func readJSON(path string, out any) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 // Run runs the state service, and the depot beside it if it has an address.
 func (c *stateRunCmd) Run(ctx context.Context) error {
 	var f local.StateFile
-	if err := read(c.Config, &f); err != nil {
+	if err := readJSON(c.Config, &f); err != nil {
 		return err
 	}
 	if err := c.check(&f); err != nil {
@@ -116,17 +116,17 @@
 		g.Go(func() error { return d.Serve(ctx, dl) })
 	}
 	if f.Snapshots != "" {
-		g.Go(func() error { return snapshots(ctx, &f, v, srv, log) })
+		g.Go(func() error { return takeSnapshots(ctx, &f, v, srv, log) })
 	}
 	return g.Wait()
 }
 
-// wish is a file whose appearance asks for a snapshot. A file needs no port and no
+// snapshotRequestPath is a file whose appearance asks for a snapshot. A file needs no port and no
 // rights but those of the folder.
-func wish(dir string) string { return filepath.Join(dir, ".wanted") }
+func snapshotRequestPath(dir string) string { return filepath.Join(dir, ".wanted") }
 
-// snapshots takes a snapshot now and then, and whenever one is asked for.
-func snapshots(ctx context.Context, f *local.StateFile, v *kvfile.File, srv *kvserver.Server, log *slog.Logger) error {
+// takeSnapshots takes a snapshot now and then, and whenever one is asked for.
+func takeSnapshots(ctx context.Context, f *local.StateFile, v *kvfile.File, srv *kvserver.Server, log *slog.Logger) error {
 	last, at := uint64(0), time.Now()
 	for {
 		select {
@@ -134,7 +134,7 @@
 			return ctx.Err()
 		case <-time.After(500 * time.Millisecond):
 		}
-		_, err := os.Stat(wish(f.Snapshots))
+		_, err := os.Stat(snapshotRequestPath(f.Snapshots))
 		asked := err == nil
 		due := f.SnapshotEveryS > 0 && time.Since(at) > config.Seconds(f.SnapshotEveryS) && srv.State().Revision != last
 		if !asked && !due {
@@ -153,7 +153,7 @@
 			}
 		}
 		if asked {
-			_ = os.Remove(wish(f.Snapshots)) // one that stays asks for another snapshot
+			_ = os.Remove(snapshotRequestPath(f.Snapshots)) // one that stays asks for another snapshot
 		}
 		log.Info("snapshot taken", "file", path, "revision", s.Revision, "keys", s.Len(), "took", time.Since(at), "metrics", srv.Metrics())
 	}
@@ -166,7 +166,7 @@
 
 // Run asks the service for a snapshot and waits for it.
 func (c *stateSnapshotCmd) Run(ctx context.Context) error {
-	if err := os.WriteFile(wish(c.Folder), nil, 0o600); err != nil {
+	if err := os.WriteFile(snapshotRequestPath(c.Folder), nil, 0o600); err != nil {
 		return err
 	}
 	for end := time.Now().Add(c.Timeout); time.Now().Before(end); {
@@ -175,15 +175,15 @@
 			return ctx.Err()
 		case <-time.After(100 * time.Millisecond):
 		}
-		if _, err := os.Stat(wish(c.Folder)); os.IsNotExist(err) {
+		if _, err := os.Stat(snapshotRequestPath(c.Folder)); os.IsNotExist(err) {
 			if list := kvfile.ListSnapshots(c.Folder); len(list) > 0 {
 				fmt.Println(list[0])
 				return nil
 			}
 		}
 	}
-	_ = os.Remove(wish(c.Folder)) // whether it was there or not
-	return exit{exitNotNow, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
+	_ = os.Remove(snapshotRequestPath(c.Folder)) // whether it was there or not
+	return exitError{exitNotNow, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
 }
 
 type stateRestoreCmd struct {
@@ -236,7 +236,7 @@
 // Run runs an agent.
 func (c *agentCmd) Run(ctx context.Context) error {
 	var f local.AgentFile
-	if err := read(c.Config, &f); err != nil {
+	if err := readJSON(c.Config, &f); err != nil {
 		return err
 	}
 	if err := c.check(&f); err != nil {
@@ -296,7 +296,7 @@
 // Run runs the local cloud.
 func (c *cloudCmd) Run(ctx context.Context) error {
 	var f local.CloudFile
-	if err := read(c.Config, &f); err != nil {
+	if err := readJSON(c.Config, &f); err != nil {
 		return err
 	}
 	self, err := os.Executable()
--- a/cmd/chalkhubctl/top.go
+++ b/cmd/chalkhubctl/top.go
@@ -24,28 +24,28 @@
 	Once  bool          `help:"Print one picture and end."`
 }
 
-// seen is the last good page of a controller.
-type seen struct {
-	page core.Status
-	at   time.Time // zero: never
-	err  error     // of the last try, nil: it answered
+// controllerView is the last good page of a controller.
+type controllerView struct {
+	status core.Status
+	at     time.Time // zero: never
+	err    error     // of the last try, nil: it answered
 }
 
-// picture is all that is known of a cluster, without any input or output.
-type picture struct {
+// clusterView is all that is known of a cluster, without any input or output.
+type clusterView struct {
 	controllers []local.Controller
 	teams       map[string]config.Team // what they are promised, by name
-	pages       []seen
+	views       []controllerView
 	width       int
 	height      int
 }
 
-type looked struct {
-	pages []seen // only err, or page and at
+type controllersRead struct {
+	pages []controllerView // only err, or page and at
 }
 
-func look(cs []local.Controller) looked {
-	l := looked{make([]seen, len(cs))}
+func readControllers(cs []local.Controller) controllersRead {
+	l := controllersRead{make([]controllerView, len(cs))}
 	var wg sync.WaitGroup
 	for i, c := range cs {
 		wg.Add(1)
@@ -55,7 +55,7 @@
 				l.pages[i].err = errors.New("its status page's address is not known: use --cluster")
 				return
 			}
-			l.pages[i].err = local.ReadStatus(c.Status, &l.pages[i].page)
+			l.pages[i].err = local.ReadStatus(c.Status, &l.pages[i].status)
 			l.pages[i].at = time.Now()
 		}()
 	}
@@ -63,25 +63,25 @@
 	return l
 }
 
-// add takes what was seen; a controller that did not answer keeps its last good page.
-func (p *picture) add(l looked) {
+// update takes what was seen; a controller that did not answer keeps its last good page.
+func (p *clusterView) update(l controllersRead) {
 	for i, s := range l.pages {
-		p.pages[i].err = s.err
+		p.views[i].err = s.err
 		if s.err == nil {
-			p.pages[i] = s
+			p.views[i] = s
 		}
 	}
 }
 
 // leader is the newest page of whoever leads, as the newest epoch has it.
-func (p *picture) leader() *seen {
-	var best *seen
-	for i := range p.pages {
-		s := &p.pages[i]
-		if s.at.IsZero() || s.page.Leader != s.page.Label {
+func (p *clusterView) leader() *controllerView {
+	var best *controllerView
+	for i := range p.views {
+		s := &p.views[i]
+		if s.at.IsZero() || s.status.Leader != s.status.Label {
 			continue
 		}
-		if best == nil || s.page.Epoch > best.page.Epoch {
+		if best == nil || s.status.Epoch > best.status.Epoch {
 			best = s
 		}
 	}
@@ -89,15 +89,15 @@
 }
 
 var (
-	headStyle = lipgloss.NewStyle().Bold(true)
-	badStyle  = lipgloss.NewStyle().Foreground(lipgloss.Color("9"))
-	dimStyle  = lipgloss.NewStyle().Faint(true)
+	headerStyle = lipgloss.NewStyle().Bold(true)
+	alertStyle  = lipgloss.NewStyle().Foreground(lipgloss.Color("9"))
+	faintStyle  = lipgloss.NewStyle().Faint(true)
 )
 
 func age(now, at time.Time) string { return fmt.Sprintf("%.0f s ago", now.Sub(at).Seconds()) }
 
-// view draws the picture for the width of the terminal.
-func (p *picture) view(now time.Time) string {
+// render draws the picture for the width of the terminal.
+func (p *clusterView) render(now time.Time) string {
 	width := p.width
 	if width <= 0 {
 		width = 80
@@ -108,86 +108,86 @@
 		b.WriteString(style.Render(text) + "\n")
 	}
 	plain := lipgloss.NewStyle()
-	line(headStyle, "%-9s %-7s %5s %5s %5s %5s %6s %6s", "node", "role", "epoch", "mach", "tasks", "jobs", "p50 ms", "p99 ms")
+	line(headerStyle, "%-9s %-7s %5s %5s %5s %5s %6s %6s", "node", "role", "epoch", "mach", "tasks", "jobs", "p50 ms", "p99 ms")
 	machines, tasks := map[string]int{}, map[string]int{}
 	for i, c := range p.controllers {
-		s := &p.pages[i]
+		s := &p.views[i]
 		if s.at.IsZero() {
-			line(badStyle, "%-9s not seen yet: %v", c.Label, s.err)
+			line(alertStyle, "%-9s not seen yet: %v", c.Label, s.err)
 			continue
 		}
 		n, open := 0, 0
-		for _, m := range s.page.Machines {
+		for _, m := range s.status.Machines {
 			machines[m.Zone]++
 			tasks[m.Zone] += m.Tasks
 			n += m.Tasks
 		}
-		for state, k := range s.page.Jobs {
+		for state, k := range s.status.Jobs {
 			if state == "queued" || state == "running" {
 				open += k
 			}
 		}
 		role := "member"
 		switch {
-		case s.page.Leader == s.page.Label:
+		case s.status.Leader == s.status.Label:
 			role = "leader"
-		case !s.page.Entitled:
+		case !s.status.Entitled:
 			role = "outside"
 		}
 		style, note := plain, ""
 		if s.err != nil {
-			style, note = badStyle, "away, seen "+age(now, s.at)
+			style, note = alertStyle, "away, seen "+age(now, s.at)
 		}
-		line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", c.Label, role, s.page.Epoch, len(s.page.Machines), n, open, s.page.ResponseTimes.P50, s.page.ResponseTimes.P99, note)
+		line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", c.Label, role, s.status.Epoch, len(s.status.Machines), n, open, s.status.ResponseTimes.P50, s.status.ResponseTimes.P99, note)
 	}
 	b.WriteString("\n")
-	line(headStyle, "%-10s %5s %6s", "zone", "mach", "tasks")
+	line(headerStyle, "%-10s %5s %6s", "zone", "mach", "tasks")
 	for _, z := range sorted(machines) {
 		line(plain, "%-10s %5d %6d", z, machines[z], tasks[z])
 	}
 	b.WriteString("\n")
 	lead := p.leader()
 	if lead == nil {
-		line(badStyle, "no controller has said that it leads")
+		line(alertStyle, "no controller has said that it leads")
 		return b.String()
 	}
 	if lead.err != nil {
-		line(badStyle, "the leader is away; below is what it said %s", age(now, lead.at))
+		line(alertStyle, "the leader is away; below is what it said %s", age(now, lead.at))
 	}
-	if lead.page.UnseenMachines > 0 {
-		line(badStyle, "a take-over waits for %d machines", lead.page.UnseenMachines)
+	if lead.status.UnseenMachines > 0 {
+		line(alertStyle, "a take-over waits for %d machines", lead.status.UnseenMachines)
 	}
-	line(headStyle, "%-14s %9s %9s %9s   (%.0f CPUs wanted)", "team", "CPUs", "promised", "limit", lead.page.DesiredCPUs)
-	for _, t := range sorted(lead.page.TeamCPUs) {
+	line(headerStyle, "%-14s %9s %9s %9s   (%.0f CPUs wanted)", "team", "CPUs", "promised", "limit", lead.status.DesiredCPUs)
+	for _, t := range sorted(lead.status.TeamCPUs) {
 		style := plain
 		promised, limit := "-", "-"
 		if x, ok := p.teams[t]; ok {
 			promised = fmt.Sprintf("%.1f", x.CPUs)
 			if x.CPUsMax > 0 {
 				limit = fmt.Sprintf("%.1f", x.CPUsMax)
-				if lead.page.TeamCPUs[t] > 0.99*x.CPUsMax {
-					style = badStyle
+				if lead.status.TeamCPUs[t] > 0.99*x.CPUsMax {
+					style = alertStyle
 				}
 			}
 		}
-		line(style, "%-14s %9.1f %9s %9s", t, lead.page.TeamCPUs[t], promised, limit)
+		line(style, "%-14s %9.1f %9s %9s", t, lead.status.TeamCPUs[t], promised, limit)
 	}
 	b.WriteString("\n")
-	queue := append([]core.QueuedJobStatus(nil), lead.page.Queue...)
+	queue := append([]core.QueuedJobStatus(nil), lead.status.Queue...)
 	sort.Slice(queue, func(i, j int) bool {
 		if queue[i].Waiting != queue[j].Waiting {
 			return queue[i].Waiting > queue[j].Waiting
 		}
 		return queue[i].JobID < queue[j].JobID
 	})
-	line(headStyle, "%-22s %7s %7s  %s", fmt.Sprintf("job (%d open)", len(queue)), "waiting", "placed", "why it waits")
+	line(headerStyle, "%-22s %7s %7s  %s", fmt.Sprintf("job (%d open)", len(queue)), "waiting", "placed", "why it waits")
 	room := len(queue)
 	if p.height > 0 {
 		room = max(p.height-strings.Count(b.String(), "\n")-2, 1)
 	}
 	for i, q := range queue {
 		if i == room {
-			line(dimStyle, "and %d more", len(queue)-room)
+			line(faintStyle, "and %d more", len(queue)-room)
 			break
 		}
 		line(plain, "%-22s %7d %7d  %s", q.JobID, q.Waiting, q.InFlight, q.Reason)
@@ -206,14 +206,14 @@
 
 // screen is the picture on a terminal.
 type screen struct {
-	picture
-	every time.Duration
+	clusterView
+	interval time.Duration
 }
 
-type again struct{}
+type readDue struct{}
 
 // Init begins with a look.
-func (s *screen) Init() tea.Cmd { return func() tea.Msg { return look(s.controllers) } }
+func (s *screen) Init() tea.Cmd { return func() tea.Msg { return readControllers(s.controllers) } }
 
 // Update takes a key, a size or a look.
 func (s *screen) Update(m tea.Msg) (tea.Model, tea.Cmd) {
@@ -225,17 +225,17 @@
 		}
 	case tea.WindowSizeMsg:
 		s.width, s.height = m.Width, m.Height
-	case looked:
-		s.add(m)
-		return s, tea.Tick(s.every, func(time.Time) tea.Msg { return again{} })
-	case again:
+	case controllersRead:
+		s.update(m)
+		return s, tea.Tick(s.interval, func(time.Time) tea.Msg { return readDue{} })
+	case readDue:
 		return s, s.Init()
 	}
 	return s, nil
 }
 
 // View draws the picture.
-func (s *screen) View() string { return s.view(time.Now()) + dimStyle.Render("q ends") }
+func (s *screen) View() string { return s.render(time.Now()) + faintStyle.Render("q ends") }
 
 // Run watches the cluster.
 func (c *topCmd) Run(ctx context.Context, top *cli) error {
@@ -243,13 +243,13 @@
 	if err != nil {
 		return err
 	}
-	p := picture{controllers: a.Controllers, pages: make([]seen, len(a.Controllers)), teams: map[string]config.Team{}}
+	p := clusterView{controllers: a.Controllers, views: make([]controllerView, len(a.Controllers)), teams: map[string]config.Team{}}
 	for _, t := range a.Teams {
 		p.teams[t.Name] = t
 	}
-	if c.Once || !terminal(os.Stdout) {
-		p.add(look(p.controllers))
-		fmt.Print(p.view(time.Now()))
+	if c.Once || !isTerminal(os.Stdout) {
+		p.update(readControllers(p.controllers))
+		fmt.Print(p.render(time.Now()))
 		return nil
 	}
 	_, err = tea.NewProgram(&screen{p, max(c.Every, 100*time.Millisecond)}, tea.WithAltScreen(), tea.WithContext(ctx)).Run()
