--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -129,14 +129,96 @@
 	return len(attempts)
 }
 
+// arrayRun is an array that runs on a cluster whose processes are killed meanwhile.
+type arrayRun struct {
+	t       *testing.T
+	ctx     context.Context
+	cluster *Cluster
+	client  *client.Client
+	job     client.Job
+	done    int
+	silent  []string // statuses of an array that waits without a reason
+}
+
+func (a *arrayRun) observe(s *client.Status, err error) {
+	if err != nil || s.Final() {
+		return
+	}
+	a.done = s.Done
+	if s.Running == 0 && s.Reason == "" {
+		a.silent = append(a.silent, fmt.Sprintf("%+v", *s))
+	}
+}
+
+// waitDone waits until so many tasks are done, or the job is.
+func (a *arrayRun) waitDone(tasks int) {
+	a.t.Helper()
+	for a.done < tasks {
+		s, err := a.client.Query(a.ctx, a.job.ID)
+		a.observe(s, err)
+		if err == nil && s.Final() {
+			return
+		}
+		if a.ctx.Err() != nil {
+			a.t.Fatalf("only %d tasks are done", a.done)
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+func (a *arrayRun) kill(names ...string) {
+	a.t.Helper()
+	for _, name := range names {
+		if err := a.cluster.Kill(name); err != nil {
+			a.t.Error(err)
+		}
+	}
+}
+
+// signalAgent sends a signal to any agent and returns its process ID.
+func (a *arrayRun) signalAgent(signal syscall.Signal) int {
+	a.t.Helper()
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		for _, pid := range a.cluster.AgentPIDs() {
+			if syscall.Kill(pid, signal) == nil {
+				return pid
+			}
+		}
+	}
+	a.t.Fatal("no agent runs")
+	return 0
+}
+
+// disturb kills the leader, then all controllers, the state service, an agent, and the cloud
+// with all its agents; it stops one agent while the cloud dies, another beyond its lease.
+func (a *arrayRun) disturb() {
+	a.t.Helper()
+	a.waitDone(15)
+	a.t.Logf("%d agents", len(a.cluster.AgentPIDs()))
+	a.kill(a.cluster.Leader())
+	a.waitDone(30)
+	a.kill("ctl-0", "ctl-1", "ctl-2")
+	a.waitDone(45)
+	a.kill("state")
+	a.waitDone(60)
+	a.signalAgent(syscall.SIGKILL)
+	a.waitDone(75)
+	// An agent that is stopped when its cloud ends does not see that.
+	a.signalAgent(syscall.SIGSTOP)
+	a.kill("cloud")
+	a.waitDone(95)
+	pid := a.signalAgent(syscall.SIGSTOP)
+	time.Sleep(4 * time.Second)
+	_ = syscall.Kill(pid, syscall.SIGCONT) // its machine may have been deleted meanwhile
+}
+
 // Each task of an array holds a lock while anything of it runs, and appends to a file as
-// its last act. The leader is killed in the middle of it, then all controllers, the state
-// service, an agent, the cloud with all its agents; another agent is stopped beyond its lease. Every task comes to its
-// end, none runs on two machines at once, an attempt writes one line at most, and whatever
-// waits says why. What was done is still done when the cluster is started again.
+// its last act. Processes of the cluster are killed and stopped meanwhile. Every task comes
+// to its end, none runs on two machines at once, an attempt writes one line at most, and
+// whatever waits says why. What was done is still done when the cluster is started again.
 func TestArraySurvivesKilledProcesses(t *testing.T) {
-	folder := t.TempDir()
-	c := startCluster(t, folder, testSettings())
+	dir := t.TempDir()
+	c := startCluster(t, dir, testSettings())
 	closed := false
 	defer func() {
 		if !closed {
@@ -147,98 +229,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), 150*time.Second)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), 150*time.Second)
+	defer cancel()
 	const tasks = 130
-	j, work := lockingJob(t, tasks)
-	if _, err := cl.Submit(ctx, &j); err != nil {
+	job, work := lockingJob(t, tasks)
+	run := &arrayRun{t: t, ctx: ctx, cluster: c, client: cl, job: job}
+	if _, err := cl.Submit(ctx, &run.job); err != nil {
 		t.Fatal(err)
 	}
-	var silent []string
-	done := 0
-	see := func(s *client.Status, err error) {
-		if err != nil || s.Final() {
-			return
-		}
-		done = s.Done
-		if s.Running == 0 && s.Reason == "" {
-			silent = append(silent, fmt.Sprintf("%+v", *s))
-		}
-	}
-	until := func(n int) {
-		t.Helper()
-		for done < n {
-			s, err := cl.Query(ctx, j.ID)
-			see(s, err)
-			if err == nil && s.Final() {
-				return
-			}
-			if ctx.Err() != nil {
-				t.Fatalf("only %d tasks are done", done)
-			}
-			time.Sleep(100 * time.Millisecond)
-		}
-	}
-	kill := func(names ...string) {
-		t.Helper()
-		for _, n := range names {
-			if err := c.Kill(n); err != nil {
-				t.Error(err)
-			}
-		}
-	}
-	agent := func(sig syscall.Signal) int {
-		t.Helper()
-		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			for _, pid := range c.AgentPIDs() {
-				if syscall.Kill(pid, sig) == nil {
-					return pid
-				}
-			}
-		}
-		t.Fatal("no agent runs")
-		return 0
-	}
-	until(15)
-	agents := len(c.AgentPIDs())
-	kill(c.Leader())
-	until(30)
-	kill("ctl-0", "ctl-1", "ctl-2")
-	until(45)
-	kill("state")
-	until(60)
-	agent(syscall.SIGKILL)
-	until(75)
-	// An agent that is stopped when its cloud ends does not see that.
-	agent(syscall.SIGSTOP)
-	kill("cloud")
-	until(95)
-	pid := agent(syscall.SIGSTOP)
-	time.Sleep(4 * time.Second)
-	_ = syscall.Kill(pid, syscall.SIGCONT) // its machine may have been deleted meanwhile
-	s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, see)
+	run.disturb()
+	s, err := cl.Wait(ctx, run.job.ID, 200*time.Millisecond, run.observe)
 	if err != nil || s.State != "done" || s.Done != tasks {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	attempts := checkLines(t, work, tasks)
-	if len(silent) > 0 {
-		t.Errorf("waits without a reason: %v", silent)
+	if len(run.silent) > 0 {
+		t.Errorf("waits without a reason: %v", run.silent)
 	}
-	t.Logf("%d agents, %d attempts for %d tasks", agents, attempts, tasks)
-	// Start it all again on the same data.
+	t.Logf("%d attempts for %d tasks", attempts, tasks)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
 	closed = true
-	c = startCluster(t, folder, testSettings())
+	checkDoneAfterRestart(ctx, t, dir, &run.job)
+}
+
+// checkDoneAfterRestart starts a cluster on the data of an earlier one, which has done the
+// job.
+func checkDoneAfterRestart(ctx context.Context, t *testing.T, dir string, job *client.Job) {
+	t.Helper()
+	c := startCluster(t, dir, testSettings())
 	defer func() { _ = c.Close() }()
-	if cl, err = c.Client(); err != nil {
+	cl, err := c.Client()
+	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := cl.Query(ctx, j.ID); err != nil || s.State != "done" {
-		t.Fatalf("after a start: %+v, %v", s, err)
+	if s, err := cl.Query(ctx, job.ID); err != nil || s.State != "done" {
+		t.Fatalf("after a restart: %+v, %v", s, err)
 	}
-	if s, err := cl.Submit(ctx, &j); err != nil || s.State != "done" {
+	if s, err := cl.Submit(ctx, job); err != nil || s.State != "done" {
 		t.Fatalf("submitted again: %+v, %v", s, err)
 	}
 }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -1,21 +1,25 @@
-// Package local runs a whole cluster on one machine: the state service with the depot,
-// the cloud with its agents, and the controllers, as processes that are started again
-// when they end. Everything it writes is in one folder.
+// Package local runs a whole cluster on one machine: the state service with the artifact
+// server, the cloud with its agents, and the controllers, as processes that are restarted
+// when they exit.
+//
+// It owns the processes, their settings and one directory with everything that they write.
+// It may not know what the processes say to each other: it reads only their readiness,
+// status pages and logs.
+//
+// Invariants:
+//   - One cluster runs in a directory: it holds the directory's lock.
+//   - The cluster's processes end with this one, however that ends.
+//   - ClusterFile is there as long as the cluster takes requests.
 package local
 
 import (
-	"bufio"
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
 	"log/slog"
-	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"runtime"
-	"strings"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -25,71 +29,39 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
-	"github.com/chalkhub/chalkhub/client"
-	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/core"
-	"github.com/chalkhub/chalkhub/internal/localcloud"
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// ClusterFile is the file in a cluster's folder that tells where it listens.
-const ClusterFile = "cluster.json"
+const (
+	// defaultReadyTimeout is many times what a cluster takes on a busy machine.
+	defaultReadyTimeout = 30 * time.Second
 
-// Addresses is where a cluster listens.
-type Addresses struct {
-	Controllers []Controller  `json:"controllers"`
-	State       string        `json:"state"`
-	Artifacts   string        `json:"depot"`
-	Cloud       string        `json:"cloud,omitempty"`
-	Teams       []config.Team `json:"teams,omitempty"`
-}
+	// readyPollInterval is how often a controller is asked whether it is ready.
+	readyPollInterval = 20 * time.Millisecond
 
-// Controller is one controller.
-type Controller struct {
-	Label  string `json:"label"`
-	Zone   string `json:"zone"`
-	Serve  string `json:"serve_on"`
-	Status string `json:"status"` // its status page, the address that other controllers use
-}
+	// A process that has exited so often, so long after the start, won't get ready; the
+	// first exits may come from ports or files of a cluster that is just ending.
+	hopelessExits = 4
+	hopelessAfter = 3 * time.Second
 
-// Client is a client of the cluster.
-func (a *Addresses) Client() (*client.Client, error) {
-	var hosts []string
-	for _, c := range a.Controllers {
-		hosts = append(hosts, c.Serve)
-	}
-	return client.New(hosts, a.Artifacts)
-}
+	// callTimeout bounds a call to a process of the cluster for its state.
+	callTimeout = time.Second
 
-// ReadAddresses reads a cluster's file, given its folder or the file.
-func ReadAddresses(path string) (*Addresses, error) {
-	if st, err := os.Stat(path); err == nil && st.IsDir() {
-		path = filepath.Join(path, ClusterFile)
-	}
-	b, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("no cluster runs in %s: start one with `chalkhubctl local --folder %s`, or name another folder with --cluster", filepath.Dir(path), filepath.Dir(path))
-	}
-	if err != nil {
-		return nil, err
-	}
-	var a Addresses
-	if err := json.Unmarshal(b, &a); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	return &a, nil
-}
+	// statusTimeout bounds the reading of a status page, which is larger.
+	statusTimeout = 2 * time.Second
+)
 
 // Options of a cluster.
 type Options struct {
 	Dir               string
 	Settings          Settings
-	CtlCommand        []string // program and arguments before the subcommand
-	ControllerProgram string   // the controller's program
-	PolicyFile        string   // the operators' script for the controllers, empty: none
+	CtlCommand        []string // chalkhubctl, with the arguments before its subcommand
+	ControllerProgram string
+	PolicyFile        string // the operators' script for the controllers, empty: none
 	Logger            *slog.Logger
-	ReadyTimeout      time.Duration // 0: 30 s
-	MaxBatch          int           // most commands that share a write of the state file, 0: 256
+	ReadyTimeout      time.Duration // 0: defaultReadyTimeout
+	MaxBatch          int           // most commands that share a write of the state file, 0: defaultMaxBatch
 }
 
 // Cluster is a cluster that runs.
@@ -99,64 +71,33 @@
 	lock    *os.File
 	cancel  context.CancelFunc
 	group   *errgroup.Group
-	ctx     context.Context
+	ctx     context.Context // of the processes
 
 	mu        sync.Mutex
 	processes map[string]*supervisedProcess
 }
 
-type supervisedProcess struct {
-	name  string
-	args  []string
-	pid   int
-	exits int // how often it has ended
-}
-
 // Start starts a cluster and waits until its controllers take requests. Its processes
 // end with this one, however that ends.
-func Start(ctx context.Context, opt Options) (*Cluster, error) {
-	c := &Cluster{options: opt, processes: map[string]*supervisedProcess{}}
-	for _, dir := range []string{"", "logs", "settings", "depot", "machines", "saves", "snapshots"} {
-		if err := os.MkdirAll(filepath.Join(opt.Dir, dir), 0o700); err != nil {
-			return nil, fmt.Errorf("the folder cannot be used: %w", err)
-		}
+func Start(ctx context.Context, options Options) (*Cluster, error) {
+	if options.ReadyTimeout == 0 {
+		options.ReadyTimeout = defaultReadyTimeout
 	}
-	lock, err := os.OpenFile(c.path("lock"), os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("the folder cannot be used: %w", err)
+	c := &Cluster{options: options, processes: map[string]*supervisedProcess{}}
+	if err := c.makeDirs(); err != nil {
+		return nil, err
 	}
-	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		_ = lock.Close()
-		return nil, fmt.Errorf("another cluster is running in %s: stop it, or choose another --folder", opt.Dir)
+	if err := c.acquireLock(); err != nil {
+		return nil, err
 	}
-	c.lock = lock
 	if err := c.configure(); err != nil {
-		_ = lock.Close()
+		_ = c.lock.Close() // nothing was written
 		return nil, err
 	}
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.group, c.ctx = errgroup.WithContext(c.ctx)
-	begin := func(name string, args ...string) {
-		ch := &supervisedProcess{name: name, args: args}
-		c.processes[name] = ch
-		c.group.Go(func() error { return c.supervise(ch) })
-	}
-	c.mu.Lock()
-	begin("state", append(append([]string{}, opt.CtlCommand...), "state", "run", "--config", c.path("settings", "state.json"))...)
-	begin("cloud", append(append([]string{}, opt.CtlCommand...), "cloud", "--config", c.path("settings", "cloud.json"))...)
-	for _, x := range c.Controllers {
-		args := []string{opt.ControllerProgram, "--config", c.path("settings", x.Label+".json")}
-		if opt.PolicyFile != "" {
-			args = append(args, "--policy", opt.PolicyFile)
-		}
-		begin(x.Label, args...)
-	}
-	c.mu.Unlock()
-	wait := opt.ReadyTimeout
-	if wait == 0 {
-		wait = 30 * time.Second
-	}
-	if err := c.WaitReady(c.ctx, wait); err != nil {
+	c.startProcesses()
+	if err := c.WaitReady(c.ctx, options.ReadyTimeout); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
 	if err := writeJSON(c.path(ClusterFile), &c.Addresses); err != nil {
@@ -169,174 +110,61 @@
 	return filepath.Join(append([]string{c.options.Dir}, parts...)...)
 }
 
-func writeJSON(path string, v any) error {
-	b, err := json.MarshalIndent(v, "", "  ")
-	if err != nil {
-		return err
-	}
-	return os.WriteFile(path, append(b, '\n'), 0o600)
-}
-
-// freeAddrs finds ports that nobody listens on. All are held until the last is found, so that
-// no two are the same.
-func freeAddrs(n int) ([]string, error) {
-	var out []string
-	for range n {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			return nil, err
+func (c *Cluster) makeDirs() error {
+	for _, dir := range []string{"", "logs", "settings", "depot", "machines", "saves", "snapshots"} {
+		if err := os.MkdirAll(c.path(dir), 0o700); err != nil {
+			return fmt.Errorf("the folder cannot be used: %w", err)
 		}
-		defer func() { _ = l.Close() }()
-		out = append(out, l.Addr().String())
 	}
-	return out, nil
-}
-
-// StateFile is the settings of `chalkhubctl state run`.
-type StateFile struct {
-	Listen          string       `json:"listen"`
-	ArtifactsListen string       `json:"depot_listen"` // empty: no depot
-	File            string       `json:"file"`
-	ArtifactsDir    string       `json:"depot_folder"`
-	Snapshots       string       `json:"snapshots"`
-	SnapshotEveryS  float64      `json:"snapshot_every_s"` // 0: none by itself
-	SnapshotsKept   int          `json:"snapshots_kept"`
-	Limits          config.State `json:"limits"`
-	MaxBatch        int          `json:"batch"`
-}
-
-// CloudFile is the settings of `chalkhubctl cloud`.
-type CloudFile struct {
-	Listen  string              `json:"listen"`
-	Dir     string              `json:"folder"`
-	Cloud   localcloud.Settings `json:"rent"`
-	Cluster Addresses           `json:"cluster"`
-	Workers config.Workers      `json:"workers"`
-}
-
-// AgentFile is the settings of `chalkhubctl agent`.
-type AgentFile struct {
-	Machine       string         `json:"machine"`
-	Listen        string         `json:"listen"`
-	Type          string         `json:"type"`
-	Zone          string         `json:"zone"`
-	Spot          bool           `json:"spot"`
-	CPUs          float64        `json:"cpus"`
-	GPUs          float64        `json:"gpus"`
-	MemoryGB      float64        `json:"memory_gb"`
-	CacheGB       float64        `json:"cache_gb"`
-	FetchGBps     float64        `json:"fetch_gb_per_s"`
-	Controllers   []Controller   `json:"controllers"`
-	Artifacts     string         `json:"depot"`
-	Dir           string         `json:"folder"`
-	CheckpointDir string         `json:"saves"`
-	Workers       config.Workers `json:"workers"`
+	return nil
 }
 
-// configure chooses ports and writes everybody's settings.
-func (c *Cluster) configure() error {
-	s := &c.options.Settings
-	ports, err := freeAddrs(3 + 2*s.Controllers)
+func (c *Cluster) acquireLock() error {
+	lock, err := os.OpenFile(c.path("lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return fmt.Errorf("no port is free: %w", err)
-	}
-	c.State, c.Artifacts, c.Cloud = ports[0], ports[1], ports[2]
-	for i := range s.Controllers {
-		c.Controllers = append(c.Controllers, Controller{Label: fmt.Sprintf("ctl-%d", i), Zone: s.Zones[i%len(s.Zones)], Serve: ports[3+2*i], Status: ports[4+2*i]})
+		return fmt.Errorf("the folder cannot be used: %w", err)
 	}
-	site := s.siteSettings()
-	c.Teams = site.Teams
-	errs := []error{
-		writeJSON(c.path("settings", "state.json"), &StateFile{Listen: c.State, ArtifactsListen: c.Artifacts, File: c.path("state.db"), ArtifactsDir: c.path("depot"),
-			Snapshots: c.path("snapshots"), SnapshotEveryS: 600, SnapshotsKept: 6, Limits: site.State, MaxBatch: cmp.Or(c.options.MaxBatch, 256)}),
-		writeJSON(c.path("settings", "cloud.json"), &CloudFile{Listen: c.Cloud, Dir: c.options.Dir, Cloud: s.cloudSettings(), Cluster: c.Addresses, Workers: site.Workers}),
-	}
-	for i, x := range c.Controllers {
-		set := config.Settings{Label: x.Label, Zone: x.Zone, Listen: x.Serve, PeerListen: x.Status,
-			External: config.External{Cloud: c.Cloud, State: c.State}, Site: site}
-		for k, y := range c.Controllers {
-			if k != i {
-				set.Siblings = append(set.Siblings, config.Sibling{Label: y.Label, Zone: y.Zone, Address: y.Status})
-			}
-		}
-		b, err := json.Marshal(&set)
-		if err == nil {
-			_, err = config.Parse(b)
-		}
-		errs = append(errs, err, writeJSON(c.path("settings", x.Label+".json"), &set))
+	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+		_ = lock.Close() // nothing was written
+		return fmt.Errorf("another cluster is running in %s: stop it, or choose another --folder", c.options.Dir)
 	}
-	return errors.Join(errs...)
+	c.lock = lock
+	return nil
 }
 
-// supervise runs a child again and again until the cluster ends, each time after a longer
-// pause; one that was up for a while starts from the shortest again.
-func (c *Cluster) supervise(ch *supervisedProcess) error {
-	// The child is killed when the thread that started it ends, so this goroutine has
-	// one of its own.
-	runtime.LockOSThread()
-	defer runtime.UnlockOSThread()
-	pause := 250 * time.Millisecond
-	for {
-		began := time.Now()
-		err := c.runOnce(ch)
-		if c.ctx.Err() != nil {
-			return c.ctx.Err()
-		}
-		if time.Since(began) > 10*time.Second {
-			pause = 250 * time.Millisecond
-		}
-		c.options.Logger.Warn("process ended, starting it again", "name", ch.name, "how", err, "in", pause)
-		select {
-		case <-c.ctx.Done():
-			return c.ctx.Err()
-		case <-time.After(pause):
+// startProcesses starts the services and the controllers. Close waits for them.
+func (c *Cluster) startProcesses() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	ctl := slices.Clip(c.options.CtlCommand) // so that each append makes a copy
+	c.startProcess("state", append(ctl, "state", "run", "--config", c.settingsPath("state")))
+	c.startProcess("cloud", append(ctl, "cloud", "--config", c.settingsPath("cloud")))
+	for _, controller := range c.Controllers {
+		args := []string{c.options.ControllerProgram, "--config", c.settingsPath(controller.Label)}
+		if c.options.PolicyFile != "" {
+			args = append(args, "--policy", c.options.PolicyFile)
 		}
-		pause = min(2*pause, 5*time.Second)
+		c.startProcess(controller.Label, args)
 	}
 }
 
-func (c *Cluster) runOnce(ch *supervisedProcess) error {
-	f, err := os.OpenFile(c.path("logs", ch.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = f.Close() }() // the child writes by itself
-	cmd := exec.Command(ch.args[0], ch.args[1:]...)
-	cmd.Stdout, cmd.Stderr = f, f
-	// Out of reach of the terminal's interrupt: the cluster is taken down in order.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	if err := cmd.Start(); err != nil {
-		return err
-	}
-	c.mu.Lock()
-	ch.pid = cmd.Process.Pid
-	c.mu.Unlock()
-	stop := context.AfterFunc(c.ctx, func() { _ = cmd.Process.Signal(syscall.SIGTERM) })
-	hard := context.AfterFunc(c.ctx, func() {
-		time.Sleep(10 * time.Second)
-		_ = cmd.Process.Kill() // it may have ended meanwhile
-	})
-	err = cmd.Wait()
-	stop()
-	hard()
-	c.mu.Lock()
-	ch.pid = 0
-	ch.exits++
-	c.mu.Unlock()
-	return err
+func (c *Cluster) startProcess(name string, args []string) {
+	p := &supervisedProcess{name: name, args: args}
+	c.processes[name] = p
+	c.group.Go(func() error { return c.supervise(p) })
 }
 
-// PID is the process of a child now, 0: none.
+// PID is the process ID of a process of the cluster, 0 if it does not run now.
 func (c *Cluster) PID(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ch := c.processes[name]; ch != nil {
-		return ch.pid
+	if p := c.processes[name]; p != nil {
+		return p.pid
 	}
 	return 0
 }
 
-// Kill kills a child without a word. It starts again by itself, unless held back.
+// Kill kills a process of the cluster with SIGKILL. It is restarted.
 func (c *Cluster) Kill(name string) error {
 	pid := c.PID(name)
 	if pid == 0 {
@@ -345,58 +173,46 @@
 	return syscall.Kill(pid, syscall.SIGKILL)
 }
 
-// AgentPIDs are the processes of the agents by machine.
+// AgentPIDs are the process IDs of the agents by machine; none if the cloud is down.
 func (c *Cluster) AgentPIDs() map[string]int {
-	out := map[string]int{}
-	rpc.New(1, time.Second).Call("GET", c.Cloud, "/processes", nil, &out, time.Second, 200) // none if the cloud is away
-	return out
+	pids := map[string]int{}
+	rpc.New(1, callTimeout).Call(fasthttp.MethodGet, c.Cloud, "/processes", nil, &pids, callTimeout, fasthttp.StatusOK)
+	return pids
 }
 
 // WaitReady waits until every controller takes requests.
-func (c *Cluster) WaitReady(ctx context.Context, wait time.Duration) error {
-	call := rpc.New(1, time.Second)
-	end := time.Now().Add(wait)
-	for _, x := range c.Controllers {
-		for call.Call("GET", x.Serve, "/ready", nil, nil, time.Second) != 200 {
-			if time.Now().After(end) {
-				return c.startFailure(x.Label)
+func (c *Cluster) WaitReady(ctx context.Context, timeout time.Duration) error {
+	client := rpc.New(1, callTimeout)
+	start := time.Now()
+	for _, controller := range c.Controllers {
+		for client.Call(fasthttp.MethodGet, controller.Serve, "/ready", nil, nil, callTimeout) != fasthttp.StatusOK {
+			waited := time.Since(start)
+			if waited > timeout {
+				return c.startFailure(controller.Label)
 			}
-			c.mu.Lock()
-			for name, ch := range c.processes {
-				if ch.exits >= 4 && time.Now().After(end.Add(-wait+3*time.Second)) {
-					c.mu.Unlock()
-					return c.startFailure(name)
-				}
+			if name := c.hopelessProcess(); name != "" && waited > hopelessAfter {
+				return c.startFailure(name)
 			}
-			c.mu.Unlock()
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(20 * time.Millisecond):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// startFailure says in a sentence why a child is not there.
-func (c *Cluster) startFailure(name string) error {
-	path := c.path("logs", name+".log")
-	f, err := os.Open(path)
-	if err != nil {
-		return fmt.Errorf("%s does not start: %w", name, err)
-	}
-	defer func() { _ = f.Close() }()
-	last := ""
-	for s := bufio.NewScanner(f); s.Scan(); {
-		if line := strings.TrimSpace(s.Text()); line != "" {
-			last = line
+// hopelessProcess is one that exits again and again, empty if there is none.
+func (c *Cluster) hopelessProcess() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for name, p := range c.processes {
+		if p.exits >= hopelessExits {
+			return name
 		}
 	}
-	if last == "" {
-		last = "it says nothing"
-	}
-	return fmt.Errorf("%s does not get ready: %s (more in %s)", name, last, path)
+	return ""
 }
 
 // Close takes the cluster down: controllers, machines and services, in any order, and
@@ -405,7 +221,7 @@
 	c.cancel()
 	err := c.group.Wait()
 	_ = os.Remove(c.path(ClusterFile)) // a command that finds none says how to start one
-	_ = c.lock.Close()
+	_ = c.lock.Close()                 // nothing was written
 	if errors.Is(err, context.Canceled) {
 		err = nil
 	}
@@ -415,31 +231,31 @@
 // Wait returns when the cluster's context ends.
 func (c *Cluster) Wait() { <-c.ctx.Done() }
 
+// Dir is where the cluster writes.
+func (c *Cluster) Dir() string { return c.options.Dir }
+
+// Leader is the controller that leads, as any of them has it; empty if none knows.
+func (c *Cluster) Leader() string {
+	for _, controller := range c.Controllers {
+		var status core.Status
+		if ReadStatus(controller.Status, &status) == nil && status.Leader != "" {
+			return status.Leader
+		}
+	}
+	return ""
+}
+
 // ReadStatus reads a controller's status page.
-func ReadStatus(addr string, out any) error {
+func ReadStatus(addr string, out *core.Status) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + addr + "/status")
-	if err := fasthttp.DoTimeout(req, resp, 2*time.Second); err != nil {
+	if err := fasthttp.DoTimeout(req, resp, statusTimeout); err != nil {
 		return err
 	}
-	if resp.StatusCode() != 200 {
+	if resp.StatusCode() != fasthttp.StatusOK {
 		return fmt.Errorf("the status page answers %d", resp.StatusCode())
 	}
 	return json.Unmarshal(resp.Body(), out)
 }
-
-// Dir is where the cluster writes.
-func (c *Cluster) Dir() string { return c.options.Dir }
-
-// Leader is the controller that leads, as any of them has it; empty if none knows.
-func (c *Cluster) Leader() string {
-	for _, x := range c.Controllers {
-		var s core.Status
-		if ReadStatus(x.Status, &s) == nil && s.Leader != "" {
-			return s.Leader
-		}
-	}
-	return ""
-}
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -11,6 +11,22 @@
 	"github.com/chalkhub/chalkhub/internal/schema"
 )
 
+// Defaults of a machine type: a spot machine costs less than half, as at most providers, and
+// an image comes at about the speed of a fast network.
+const (
+	defaultSpotFactor = 0.4
+	defaultFetchGBps  = 1
+)
+
+// What a controller of a local cluster is told of its machine: resources that a few dozen
+// agents need, and a clock that all processes share.
+const (
+	controllerCores      = 1
+	controllerRAMMB      = 512
+	controllerMaxSockets = 4000
+	clockErrorMS         = 100
+)
+
 //go:embed settings.schema.json
 var schemaText []byte
 
@@ -96,7 +112,7 @@
 	return s, s.check(path)
 }
 
-// check finds what the schema cannot see.
+// check finds what the schema cannot see, and fills in the types' defaults.
 func (s *Settings) check(path string) error {
 	seen := map[string]bool{}
 	for i := range s.Cloud.Types {
@@ -105,36 +121,43 @@
 			return fmt.Errorf("%s: the type %s is there twice", path, t.Name)
 		}
 		seen[t.Name] = true
-		if t.Zones == nil {
-			t.Zones = s.Zones
-		}
-		for _, z := range t.Zones {
-			if !slices.Contains(s.Zones, z) {
-				return fmt.Errorf("%s: type %s is in zone %s, which is not among zones", path, t.Name, z)
+		t.setDefaults(s.Zones)
+		for _, zone := range t.Zones {
+			if !slices.Contains(s.Zones, zone) {
+				return fmt.Errorf("%s: type %s is in zone %s, which is not among zones", path, t.Name, zone)
 			}
 		}
-		if t.SpotPrice == 0 {
-			t.SpotPrice = 0.4 * t.Price
-		}
-		if t.FetchGBps == 0 {
-			t.FetchGBps = 1
-		}
 	}
 	return nil
 }
 
+func (t *MachineType) setDefaults(zones []string) {
+	if t.Zones == nil {
+		t.Zones = zones
+	}
+	if t.SpotPrice == 0 {
+		t.SpotPrice = defaultSpotFactor * t.Price
+	}
+	if t.FetchGBps == 0 {
+		t.FetchGBps = defaultFetchGBps
+	}
+}
+
 // siteSettings is what the controllers are told.
 func (s *Settings) siteSettings() config.Site {
-	x := config.Site{InitialSize: s.Controllers, Zones: s.Zones}
+	site := config.Site{
+		InitialSize:  s.Controllers,
+		Zones:        s.Zones,
+		Workers:      s.workerSettings(),
+		State:        config.State{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps},
+		Cloud:        config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
+		Resources:    config.Resources{Cores: controllerCores, RAMMB: controllerRAMMB, MaxSockets: controllerMaxSockets},
+		ClockErrorMS: clockErrorMS,
+	}
 	for _, t := range s.Teams {
-		x.Teams = append(x.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
+		site.Teams = append(site.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
 	}
-	x.Workers = s.workerSettings()
-	x.State = config.State{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps}
-	x.Cloud = config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS}
-	x.Resources = config.Resources{Cores: 1, RAMMB: 512, MaxSockets: 4000}
-	x.ClockErrorMS = 100
-	return x
+	return site
 }
 
 func (s *Settings) workerSettings() config.Workers {
@@ -143,9 +166,9 @@
 
 // cloudSettings is what the cloud is told.
 func (s *Settings) cloudSettings() localcloud.Settings {
-	r := localcloud.Settings{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS, SpotLifeS: s.Cloud.SpotLifeS, NoticeS: s.Cloud.NoticeS}
+	settings := localcloud.Settings{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS, SpotLifeS: s.Cloud.SpotLifeS, NoticeS: s.Cloud.NoticeS}
 	for _, t := range s.Cloud.Types {
-		r.Types = append(r.Types, localcloud.MachineType(t))
+		settings.Types = append(settings.Types, localcloud.MachineType(t))
 	}
-	return r
+	return settings
 }
