--- a/cmd/chalkhubctl/chalkhubctl_test.go
+++ b/cmd/chalkhubctl/chalkhubctl_test.go
@@ -18,15 +18,15 @@
 	"github.com/chalkhub/chalkhub/internal/local"
 )
 
-// The picture fits 80 columns and the screen's height, leads with who leads, and keeps
+// The view fits 80 columns and the screen's height, leads with who leads, and keeps
 // the last good page of a controller that is away, with its age.
 func TestTopKeepsLastStatusPages(t *testing.T) {
-	p := clusterView{views: make([]controllerView, 3), width: 80, height: 24, teams: map[string]config.Team{"main": {CPUs: 16, CPUsMax: 40}}}
+	view := clusterView{views: make([]controllerView, 3), width: 80, height: 24, teams: map[string]config.Team{"main": {CPUs: 16, CPUsMax: 40}}}
 	for i := range 3 {
-		p.controllers = append(p.controllers, local.Controller{Label: fmt.Sprintf("ctl-%d", i)})
+		view.controllers = append(view.controllers, local.Controller{Label: fmt.Sprintf("ctl-%d", i)})
 	}
-	if v := p.render(time.Now()); !strings.Contains(v, "no controller has said that it leads") {
-		t.Errorf("before anything is known:\n%s", v)
+	if text := view.render(time.Now()); !strings.Contains(text, "no controller has said that it leads") {
+		t.Errorf("before anything is known:\n%s", text)
 	}
 	now := time.Now()
 	lead := core.Status{Label: "ctl-1", Leader: "ctl-1", Epoch: 4, Entitled: true, TeamCPUs: map[string]float64{"main": 12},
@@ -35,15 +35,15 @@
 		lead.Queue = append(lead.Queue, core.QueuedJobStatus{JobID: fmt.Sprintf("job-%017d", i), Waiting: i, Reason: strings.Repeat("waits for room ", 9)})
 	}
 	away := errors.New("connection refused")
-	p.update(controllersRead{[]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, Entitled: true}, at: now}, {status: lead, at: now}, {err: away}}})
-	p.update(controllersRead{[]controllerView{{err: away}, {err: away}, {err: away}}})
-	v := p.render(now.Add(7 * time.Second))
+	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, Entitled: true}, at: now}, {status: lead, at: now}, {err: away}})
+	view.update([]controllerView{{err: away}, {err: away}, {err: away}})
+	text := view.render(now.Add(7 * time.Second))
 	for _, want := range []string{"away, seen 7 s ago", "the leader is away; below is what it said 7 s ago", "ctl-2     not seen yet", "main                12.0      16.0      40.0", "job-00000000000000039", "more"} {
-		if !strings.Contains(v, want) {
-			t.Errorf("%q is missing:\n%s", want, v)
+		if !strings.Contains(text, want) {
+			t.Errorf("%q is missing:\n%s", want, text)
 		}
 	}
-	lines := strings.Split(strings.TrimRight(v, "\n"), "\n")
+	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	if len(lines) > 24 {
 		t.Errorf("%d lines on a screen of 24", len(lines))
 	}
@@ -53,9 +53,9 @@
 		}
 	}
 	// A new leader's page takes over from the old one's.
-	p.update(controllersRead{[]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, Entitled: true, UnseenMachines: 2}, at: now}, {err: away}, {err: away}}})
-	if v := p.render(now); !strings.Contains(v, "a take-over waits for 2 machines") || strings.Contains(v, "the leader is away") {
-		t.Errorf("after a take-over:\n%s", v)
+	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, Entitled: true, UnseenMachines: 2}, at: now}, {err: away}, {err: away}})
+	if text := view.render(now); !strings.Contains(text, "a take-over waits for 2 machines") || strings.Contains(text, "the leader is away") {
+		t.Errorf("after a take-over:\n%s", text)
 	}
 }
 
--- a/cmd/chalkhubctl/jobs.go
+++ b/cmd/chalkhubctl/jobs.go
@@ -2,199 +2,38 @@
 
 import (
 	"context"
-	_ "embed"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"strings"
 	"time"
 
-	"github.com/goccy/go-json"
-	"github.com/jedib0t/go-pretty/v6/progress"
 	"github.com/jedib0t/go-pretty/v6/table"
 
 	"github.com/chalkhub/chalkhub/client"
-	"github.com/chalkhub/chalkhub/internal/schema"
 )
 
-//go:embed job.schema.json
-var jobSchema []byte
+// maxReason is how much of a reason fits the list of jobs, in bytes.
+const maxReason = 50
 
-// jobFields is a job as a file has it.
-type jobFields struct {
-	ID         string            `yaml:"id"`
-	Class      string            `yaml:"class"`
-	Team       string            `yaml:"team"`
-	Kind       string            `yaml:"kind"`
-	Urgency    string            `yaml:"urgency"`
-	Tasks      int               `yaml:"tasks"`
-	CPUs       float64           `yaml:"cpus"`
-	GPUs       float64           `yaml:"gpus"`
-	MemoryGB   float64           `yaml:"memory_gb"`
-	Image      string            `yaml:"image"`
-	ImageGB    float64           `yaml:"image_gb"`
-	Types      []string          `yaml:"types"`
-	Zone       string            `yaml:"zone"`
-	OneZone    bool              `yaml:"one_zone"`
-	Spread     bool              `yaml:"spread"`
-	Spot       bool              `yaml:"spot"`
-	Estimate   time.Duration     `yaml:"estimate"`
-	Checkpoint time.Duration     `yaml:"checkpoint"`
-	Save       time.Duration     `yaml:"save"`
-	Deadline   time.Duration     `yaml:"deadline"`
-	After      []string          `yaml:"after"`
-	Command    []string          `yaml:"command"`
-	Env        map[string]string `yaml:"env"`
-	Folder     string            `yaml:"folder"`
-	Simulate   time.Duration     `yaml:"simulate"`
-}
-
-var kinds = map[string]client.Kind{"array": client.Array, "service": client.Service}
-
-var urgencies = map[string]client.Urgency{"production": client.Production, "high": client.High, "normal": client.Normal, "low": client.Low}
-
-func (f *jobFields) job() *client.Job {
-	return &client.Job{ID: f.ID, Class: f.Class, Team: f.Team, Kind: kinds[f.Kind], Urgency: urgencies[f.Urgency], Tasks: f.Tasks, CPUs: f.CPUs,
-		GPUs: f.GPUs, MemoryGB: f.MemoryGB, Image: f.Image, ImageGB: f.ImageGB, Types: f.Types, Zone: f.Zone, OneZone: f.OneZone, Spread: f.Spread,
-		Spot: f.Spot, Estimate: f.Estimate, Checkpoint: f.Checkpoint, Save: f.Save, Deadline: f.Deadline, After: f.After, Command: f.Command, Env: f.Env,
-		Folder: f.Folder, Simulate: f.Simulate}
-}
-
-// readJob reads a job file; - is standard input.
-func readJob(path string, defaults jobFields) (*jobFields, error) {
-	var b []byte
-	var err error
-	if path == "-" {
-		path = "standard input"
-		b, err = io.ReadAll(io.LimitReader(os.Stdin, 1<<20))
-	} else {
-		b, err = os.ReadFile(path)
-	}
-	if err != nil {
-		return nil, err
-	}
-	f := defaults
-	if err := schema.Compile("job.schema.json", jobSchema).Read(path, b, &f); err != nil {
-		return nil, exitError{exitMalformed, err}
-	}
-	return &f, nil
-}
-
-type submitCmd struct {
-	File       string            `short:"f" placeholder:"FILE" help:"Job file (YAML or JSON); - reads standard input. Other flags are not used then."`
-	ID         string            `help:"Job id, job- and up to 18 digits; chosen if empty. The same id is the same job."`
-	Class      string            `default:"default" help:"Class of jobs that it belongs to; run times are predicted from it."`
-	Team       string            `default:"main" help:"Team whose guarantee and limit apply."`
-	Service    bool              `help:"Tasks run until the job is cancelled."`
-	Urgency    string            `enum:"production,high,normal,low" default:"normal" help:"production, high, normal or low."`
-	Tasks      int               `short:"n" default:"1" help:"Number of tasks; $CHALK_TASK tells them apart."`
-	CPUs       float64           `name:"cpus" default:"1" help:"CPUs of each task."`
-	GPUs       float64           `name:"gpus" help:"GPUs of each task."`
-	Memory     float64           `default:"1" help:"Memory of each task in GB."`
-	Types      []string          `help:"Allowed machine types."`
-	Zone       string            `help:"The only allowed zone."`
-	OneZone    bool              `help:"All tasks in one zone."`
-	Spread     bool              `help:"At most half of the tasks in one zone."`
-	Spot       bool              `help:"Allow machines that may be taken back."`
-	Estimate   time.Duration     `default:"1m" help:"Guess of a task's run time."`
-	Checkpoint time.Duration     `help:"Span of progress after which a task saves."`
-	Save       time.Duration     `help:"Time that a task needs to save when it is stopped."`
-	Deadline   time.Duration     `help:"When the job should be done, from now on."`
-	After      []string          `placeholder:"JOB" help:"Jobs that must be done before this one starts; if one of them is cancelled, so is this."`
-	Env        map[string]string `help:"Environment of the command."`
-	Folder     string            `help:"Working folder; a new one for each attempt if empty."`
-	Simulate   time.Duration     `help:"Run nothing for so long, in place of a command."`
-	Wait       bool              `short:"w" help:"Wait until the job is over, with the exit code of chalkhubctl wait."`
-	Command    []string          `arg:"" optional:"" passthrough:"" help:"Program and arguments."`
-}
-
-func (c *submitCmd) job() (*client.Job, error) {
-	if c.File != "" {
-		f, err := readJob(c.File, jobFields{Team: c.Team, CPUs: 1, MemoryGB: 1, Estimate: time.Minute})
-		if err != nil {
-			return nil, err
-		}
-		return f.job(), nil
-	}
-	command := c.Command
-	if len(command) > 0 && command[0] == "--" {
-		command = command[1:]
-	}
-	if len(command) == 0 && c.Simulate == 0 {
-		return nil, exitError{exitMalformed, errors.New("name a command to run, for example: chalkhubctl submit -- echo hello")}
-	}
-	kind := client.Array
-	if c.Service {
-		kind = client.Service
-	}
-	return &client.Job{ID: c.ID, Class: c.Class, Team: c.Team, Kind: kind, Urgency: urgencies[c.Urgency], Tasks: c.Tasks, CPUs: c.CPUs, GPUs: c.GPUs,
-		MemoryGB: c.Memory, Types: c.Types, Zone: c.Zone, OneZone: c.OneZone, Spread: c.Spread, Spot: c.Spot, Estimate: c.Estimate,
-		Checkpoint: c.Checkpoint, Save: c.Save, Deadline: c.Deadline, After: c.After, Env: c.Env, Folder: c.Folder, Simulate: c.Simulate, Command: command}, nil
-}
-
-// Run submits the job.
-func (c *submitCmd) Run(ctx context.Context, top *cli) error {
-	j, err := c.job()
-	if err != nil {
-		return err
-	}
-	cl, err := top.client()
-	if err != nil {
-		return err
-	}
-	s, err := cl.Submit(ctx, j)
-	if err != nil {
-		if errors.Is(err, client.ErrNotNow) {
-			return fmt.Errorf("%w; it may have been taken: submit it again as --id %s", err, j.ID)
-		}
-		return err
-	}
-	if !c.Wait {
-		return top.print(s, func() { fmt.Println(s.ID) })
-	}
-	return waitForJobs(ctx, top, cl, []string{s.ID}, 0, time.Second)
-}
-
-// print prints a value as JSON, or as f does for people.
-func (c *cli) print(v any, f func()) error {
-	if c.Output != "json" {
-		f()
-		return nil
-	}
-	b, err := json.MarshalIndent(v, "", "  ")
-	if err == nil {
-		_, err = fmt.Println(string(b))
-	}
-	return err
-}
-
-// newTable begins a table in the project's look.
-func newTable(names ...any) table.Writer {
-	t := table.NewWriter()
-	t.SetOutputMirror(os.Stdout)
-	t.SetStyle(table.StyleLight)
-	t.Style().Options.SeparateColumns = false
-	t.Style().Options.DrawBorder = false
-	t.AppendHeader(table.Row(names))
-	return t
-}
+// stateNotAccepted is the state of a job that was described and that no controller has.
+const stateNotAccepted = "not accepted"
 
 type statusCmd struct {
 	Job string `arg:"" help:"Job id."`
 }
 
 // Run shows a job.
-func (c *statusCmd) Run(ctx context.Context, top *cli) error {
-	cl, err := top.client()
+func (c *statusCmd) Run(ctx context.Context, root *cli) error {
+	cluster, err := root.client()
 	if err != nil {
 		return err
 	}
-	s, err := cl.Query(ctx, c.Job)
+	s, err := cluster.Query(ctx, c.Job)
 	if err != nil {
 		return err
 	}
-	return top.print(s, func() {
+	return root.print(s, func() {
 		if s.Reason != "" {
 			fmt.Println(s.Reason)
 		}
@@ -202,115 +41,26 @@
 	})
 }
 
-type waitCmd struct {
-	Jobs    []string      `arg:"" help:"Job ids."`
-	Timeout time.Duration `help:"Give up after this long; 0: never."`
-	Every   time.Duration `default:"1s" help:"How often to ask."`
-}
-
-// Run waits for jobs.
-func (c *waitCmd) Run(ctx context.Context, top *cli) error {
-	cl, err := top.client()
-	if err != nil {
-		return err
-	}
-	return waitForJobs(ctx, top, cl, c.Jobs, c.Timeout, c.Every)
-}
-
-func isTerminal(f *os.File) bool {
-	st, err := f.Stat()
-	return err == nil && st.Mode()&os.ModeCharDevice != 0
-}
-
-// waitForJobs waits for jobs one after another; progress goes to standard error where a
-// person looks.
-func waitForJobs(ctx context.Context, top *cli, cl *client.Client, ids []string, timeout, every time.Duration) error {
-	if timeout > 0 {
-		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, timeout)
-		defer stop()
-	}
-	var bars progress.Writer
-	if isTerminal(os.Stderr) && top.Output != "json" {
-		bars = progress.NewWriter()
-		bars.SetOutputWriter(os.Stderr)
-		bars.SetUpdateFrequency(200 * time.Millisecond)
-		bars.SetAutoStop(false)
-		go bars.Render()
-		defer func() { time.Sleep(250 * time.Millisecond); bars.Stop() }()
-	}
-	var all []*client.Status
-	cancelled := 0
-	for _, id := range ids {
-		var bar *progress.Tracker
-		if bars != nil {
-			bar = &progress.Tracker{Message: id}
-			bars.AppendTracker(bar)
-		}
-		s, err := cl.Wait(ctx, id, every, func(s *client.Status, err error) {
-			if bar == nil {
-				return
-			}
-			switch {
-			case err != nil:
-				bar.UpdateMessage(id + ": " + err.Error())
-			case s.Reason != "" && !s.Final():
-				bar.UpdateMessage(id + ": " + s.Reason)
-			default:
-				bar.UpdateMessage(id + ": " + s.State)
-			}
-			if s != nil {
-				bar.UpdateTotal(int64(max(s.Done+s.Running, 1)))
-				bar.SetValue(int64(s.Done))
-			}
-		})
-		if err != nil {
-			if errors.Is(err, context.DeadlineExceeded) {
-				return exitError{exitNotNow, fmt.Errorf("%s is not over within %v", id, timeout)}
-			}
-			return err
-		}
-		if bar != nil {
-			bar.MarkAsDone()
-		}
-		if s.State == "aborted" {
-			cancelled++
-		}
-		all = append(all, s)
-	}
-	if err := top.print(all, func() {
-		for _, s := range all {
-			fmt.Printf("%s %s, %d tasks done\n", s.ID, s.State, s.Done)
-		}
-	}); err != nil {
-		return err
-	}
-	if cancelled > 0 {
-		return exitError{exitCancelled, errors.New("")}
-	}
-	return nil
-}
-
 type abortCmd struct {
 	Jobs []string `arg:"" help:"Job ids."`
 }
 
 // Run cancels jobs.
-func (c *abortCmd) Run(ctx context.Context, top *cli) error {
-	cl, err := top.client()
+func (c *abortCmd) Run(ctx context.Context, root *cli) error {
+	cluster, err := root.client()
 	if err != nil {
 		return err
 	}
-	var all []*client.Status
+	var statuses []*client.Status
 	for _, id := range c.Jobs {
-		s, err := cl.Abort(ctx, id)
+		s, err := cluster.Abort(ctx, id)
 		if err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
-		all = append(all, s)
+		statuses = append(statuses, s)
 	}
-	return top.print(all, func() {
-		for _, s := range all {
+	return root.print(statuses, func() {
+		for _, s := range statuses {
 			fmt.Println(s.ID, s.State)
 		}
 	})
@@ -323,39 +73,47 @@
 	All     bool   `short:"a" help:"Every attempt, not only the newest of each task."`
 }
 
+// choose picks the attempts to show from those of a job, by task and attempt.
+func (c *logsCmd) choose(outputs []client.Output) []client.Output {
+	var chosen []client.Output
+	for i, o := range outputs {
+		newest := i+1 == len(outputs) || outputs[i+1].Task != o.Task
+		taskFits := c.Task < 0 || o.Task == c.Task
+		attemptFits := c.Attempt == 0 || o.Attempt == c.Attempt
+		if taskFits && attemptFits && (c.All || c.Attempt != 0 || newest) {
+			chosen = append(chosen, o)
+		}
+	}
+	return chosen
+}
+
 // Run prints output, with a heading for each attempt if there are several.
-func (c *logsCmd) Run(ctx context.Context, top *cli) error {
-	cl, err := top.client()
+func (c *logsCmd) Run(ctx context.Context, root *cli) error {
+	cluster, err := root.client()
 	if err != nil {
 		return err
 	}
-	list, err := cl.Outputs(ctx, c.Job)
+	outputs, err := cluster.Outputs(ctx, c.Job)
 	if err != nil {
 		return err
 	}
-	var chosen []client.Output
-	for i, o := range list {
-		newest := i+1 == len(list) || list[i+1].Task != o.Task
-		if (c.Task < 0 || o.Task == c.Task) && (c.Attempt == 0 || o.Attempt == c.Attempt) && (c.All || c.Attempt != 0 || newest) {
-			chosen = append(chosen, o)
-		}
-	}
+	chosen := c.choose(outputs)
 	if len(chosen) == 0 {
 		return exitError{exitUnknown, fmt.Errorf("%s has written nothing yet", c.Job)}
 	}
-	if top.Output == "json" {
-		return top.print(chosen, nil)
+	if root.Output == "json" {
+		return root.print(chosen, nil)
 	}
 	for _, o := range chosen {
-		b, err := cl.ReadOutput(ctx, c.Job, o)
+		text, err := cluster.ReadOutput(ctx, c.Job, o)
 		if err != nil {
 			return err
 		}
 		if len(chosen) > 1 {
 			fmt.Printf("== task %d, attempt %d\n", o.Task, o.Attempt)
 		}
-		_, _ = os.Stdout.Write(b) // as fmt.Print
-		if len(b) > 0 && b[len(b)-1] != '\n' {
+		_, _ = os.Stdout.Write(text) // as fmt.Print
+		if len(text) > 0 && text[len(text)-1] != '\n' {
 			fmt.Println()
 		}
 	}
@@ -367,38 +125,83 @@
 	Team string `help:"Only this team's."`
 }
 
+// jobRow is a job in the list. Programs read it: its fields are in the order of their keys.
+type jobRow struct {
+	Done      int       `json:"done"`
+	ID        string    `json:"id"`
+	Reason    string    `json:"reason"`
+	Running   int       `json:"running"`
+	State     string    `json:"state"`
+	Submitted time.Time `json:"submitted"`
+	Tasks     int       `json:"tasks"`
+	Team      string    `json:"team"`
+}
+
 // Run lists jobs with their states.
-func (c *jobsCmd) Run(ctx context.Context, top *cli) error {
-	cl, err := top.client()
+func (c *jobsCmd) Run(ctx context.Context, root *cli) error {
+	cluster, err := root.client()
 	if err != nil {
 		return err
 	}
-	var rows []map[string]any
-	t := newTable("job", "team", "submitted", "state", "done", "running", "tasks", "why it waits")
+	rows, err := c.list(ctx, cluster)
+	if err != nil {
+		return err
+	}
+	return root.print(rows, func() { printJobs(rows) })
+}
+
+// list reads pages of jobs until there are enough of them.
+func (c *jobsCmd) list(ctx context.Context, cluster *client.Client) ([]jobRow, error) {
+	var rows []jobRow
 	for skip, more := 0, true; more && len(rows) < c.Most; {
-		var list []client.ListedJob
-		if list, more, err = cl.Jobs(ctx, skip); err != nil {
-			return err
+		var page []client.ListedJob
+		var err error
+		if page, more, err = cluster.Jobs(ctx, skip); err != nil {
+			return nil, err
 		}
-		skip += len(list)
-		for _, l := range list {
-			if c.Team != "" && l.Team != c.Team || len(rows) == c.Most {
+		skip += len(page)
+		for _, job := range page {
+			if c.Team != "" && job.Team != c.Team || len(rows) == c.Most {
 				continue
 			}
-			s, err := cl.Query(ctx, l.ID)
-			switch {
-			case errors.Is(err, client.ErrUnknown):
-				s = &client.Status{State: "not accepted"} // described, then never submitted
-			case err != nil:
-				return err
-			}
-			rows = append(rows, map[string]any{"id": l.ID, "team": l.Team, "submitted": l.At, "tasks": l.Tasks, "state": s.State, "done": s.Done, "running": s.Running, "reason": s.Reason})
-			reason := s.Reason
-			if len(reason) > 50 {
-				reason = strings.TrimSpace(reason[:49]) + "…"
+			row, err := newJobRow(ctx, cluster, job)
+			if err != nil {
+				return nil, err
 			}
-			t.AppendRow(table.Row{l.ID, l.Team, l.At.Format("01-02 15:04:05"), s.State, s.Done, s.Running, l.Tasks, reason})
+			rows = append(rows, row)
+		}
+	}
+	return rows, nil
+}
+
+func newJobRow(ctx context.Context, cluster *client.Client, job client.ListedJob) (jobRow, error) {
+	status, err := cluster.Query(ctx, job.ID)
+	if errors.Is(err, client.ErrUnknown) {
+		status, err = &client.Status{State: stateNotAccepted}, nil
+	}
+	if err != nil {
+		return jobRow{}, err
+	}
+	return jobRow{
+		Done:      status.Done,
+		ID:        job.ID,
+		Reason:    status.Reason,
+		Running:   status.Running,
+		State:     status.State,
+		Submitted: job.At,
+		Tasks:     job.Tasks,
+		Team:      job.Team,
+	}, nil
+}
+
+func printJobs(rows []jobRow) {
+	t := newTable("job", "team", "submitted", "state", "done", "running", "tasks", "why it waits")
+	for _, r := range rows {
+		reason := r.Reason
+		if len(reason) > maxReason {
+			reason = strings.TrimSpace(reason[:maxReason-1]) + "…"
 		}
+		t.AppendRow(table.Row{r.ID, r.Team, r.Submitted.Format("01-02 15:04:05"), r.State, r.Done, r.Running, r.Tasks, reason})
 	}
-	return top.print(rows, func() { t.Render() })
+	t.Render()
 }
--- /dev/null
+++ b/cmd/chalkhubctl/top_view.go
@@ -0,0 +1,218 @@
+package main
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/charmbracelet/lipgloss"
+	"github.com/mattn/go-runewidth"
+
+	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/core"
+	"github.com/chalkhub/chalkhub/internal/local"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+)
+
+const (
+	// defaultWidth is used where the terminal's is not known.
+	defaultWidth = 80
+
+	// nearLimit is the part of a team's limit from which the team is shown as at it.
+	nearLimit = 0.99
+
+	// footerLines are kept free below the queue: for the number of jobs that aren't shown
+	// and the screen's own last line.
+	footerLines = 2
+)
+
+var (
+	plainStyle  = lipgloss.NewStyle()
+	headerStyle = lipgloss.NewStyle().Bold(true)
+	alertStyle  = lipgloss.NewStyle().Foreground(lipgloss.Color("9"))
+	faintStyle  = lipgloss.NewStyle().Faint(true)
+)
+
+// controllerView is the last status page of a controller.
+type controllerView struct {
+	status core.Status
+	at     time.Time // zero: never read
+	err    error     // of the last try, nil: it answered
+}
+
+// clusterView is all that is known of a cluster, without any input or output.
+type clusterView struct {
+	controllers []local.Controller
+	teams       map[string]config.Team // by name
+	views       []controllerView       // in the order of controllers
+	width       int
+	height      int // 0: any
+}
+
+// update takes what was read; a controller that did not answer keeps its last page.
+func (c *clusterView) update(read []controllerView) {
+	for i, v := range read {
+		c.views[i].err = v.err
+		if v.err == nil {
+			c.views[i] = v
+		}
+	}
+}
+
+// leader is the page of the leader with the newest epoch, nil if no page is a leader's.
+func (c *clusterView) leader() *controllerView {
+	var newest *controllerView
+	for i := range c.views {
+		v := &c.views[i]
+		if v.at.IsZero() || !v.leads() {
+			continue
+		}
+		if newest == nil || v.status.Epoch > newest.status.Epoch {
+			newest = v
+		}
+	}
+	return newest
+}
+
+func (v *controllerView) leads() bool { return v.status.Leader == v.status.Label }
+
+func (v *controllerView) role() string {
+	switch {
+	case v.leads():
+		return "leader"
+	case !v.status.Entitled:
+		return "outside"
+	}
+	return "member"
+}
+
+// tasks is how many tasks are on the controller's machines.
+func (v *controllerView) tasks() int {
+	count := 0
+	for _, m := range v.status.Machines {
+		count += m.Tasks
+	}
+	return count
+}
+
+// openJobs is how many jobs are neither done nor cancelled.
+func (v *controllerView) openJobs() int {
+	return v.status.Jobs[protocol.JobQueued] + v.status.Jobs[protocol.JobRunning]
+}
+
+// textView is lines of text, cut to the width of a terminal.
+type textView struct {
+	text  strings.Builder
+	width int
+}
+
+func (t *textView) line(style lipgloss.Style, format string, args ...any) {
+	text := runewidth.Truncate(fmt.Sprintf(format, args...), t.width, "…")
+	t.text.WriteString(style.Render(text) + "\n")
+}
+
+func (t *textView) blankLine() { t.text.WriteString("\n") }
+
+func (t *textView) lineCount() int { return strings.Count(t.text.String(), "\n") }
+
+func age(now, at time.Time) string { return fmt.Sprintf("%.0f s ago", now.Sub(at).Seconds()) }
+
+// render draws the view for the width and height of the terminal.
+func (c *clusterView) render(now time.Time) string {
+	t := &textView{width: c.width}
+	if t.width <= 0 {
+		t.width = defaultWidth
+	}
+	c.renderControllers(t, now)
+	t.blankLine()
+	c.renderZones(t)
+	t.blankLine()
+	leader := c.leader()
+	if leader == nil {
+		t.line(alertStyle, "no controller has said that it leads")
+		return t.text.String()
+	}
+	if leader.err != nil {
+		t.line(alertStyle, "the leader is away; below is what it said %s", age(now, leader.at))
+	}
+	if leader.status.UnseenMachines > 0 {
+		t.line(alertStyle, "a take-over waits for %d machines", leader.status.UnseenMachines)
+	}
+	c.renderTeams(t, &leader.status)
+	t.blankLine()
+	c.renderQueue(t, &leader.status)
+	return t.text.String()
+}
+
+func (c *clusterView) renderControllers(t *textView, now time.Time) {
+	t.line(headerStyle, "%-9s %-7s %5s %5s %5s %5s %6s %6s", "node", "role", "epoch", "mach", "tasks", "jobs", "p50 ms", "p99 ms")
+	for i, controller := range c.controllers {
+		v := &c.views[i]
+		if v.at.IsZero() {
+			t.line(alertStyle, "%-9s not seen yet: %v", controller.Label, v.err)
+			continue
+		}
+		style, note := plainStyle, ""
+		if v.err != nil {
+			style, note = alertStyle, "away, seen "+age(now, v.at)
+		}
+		t.line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", controller.Label, v.role(), v.status.Epoch, len(v.status.Machines),
+			v.tasks(), v.openJobs(), v.status.ResponseTimes.P50, v.status.ResponseTimes.P99, note)
+	}
+}
+
+func (c *clusterView) renderZones(t *textView) {
+	machines, tasks := map[string]int{}, map[string]int{}
+	for i := range c.views {
+		for _, m := range c.views[i].status.Machines {
+			machines[m.Zone]++
+			tasks[m.Zone] += m.Tasks
+		}
+	}
+	t.line(headerStyle, "%-10s %5s %6s", "zone", "mach", "tasks")
+	for _, zone := range slices.Sorted(maps.Keys(machines)) {
+		t.line(plainStyle, "%-10s %5d %6d", zone, machines[zone], tasks[zone])
+	}
+}
+
+func (c *clusterView) renderTeams(t *textView, leader *core.Status) {
+	t.line(headerStyle, "%-14s %9s %9s %9s   (%.0f CPUs wanted)", "team", "CPUs", "promised", "limit", leader.DesiredCPUs)
+	for _, name := range slices.Sorted(maps.Keys(leader.TeamCPUs)) {
+		used := leader.TeamCPUs[name]
+		style, promised, limit := plainStyle, "-", "-"
+		if team, ok := c.teams[name]; ok {
+			promised = fmt.Sprintf("%.1f", team.CPUs)
+			if team.CPUsMax > 0 {
+				limit = fmt.Sprintf("%.1f", team.CPUsMax)
+				if used > nearLimit*team.CPUsMax {
+					style = alertStyle
+				}
+			}
+		}
+		t.line(style, "%-14s %9.1f %9s %9s", name, used, promised, limit)
+	}
+}
+
+// renderQueue shows as many jobs as the height has room for, those with the most waiting
+// tasks first.
+func (c *clusterView) renderQueue(t *textView, leader *core.Status) {
+	queue := slices.Clone(leader.Queue)
+	slices.SortFunc(queue, func(a, b core.QueuedJobStatus) int {
+		return cmp.Or(cmp.Compare(b.Waiting, a.Waiting), cmp.Compare(a.JobID, b.JobID))
+	})
+	t.line(headerStyle, "%-22s %7s %7s  %s", fmt.Sprintf("job (%d open)", len(queue)), "waiting", "placed", "why it waits")
+	room := len(queue)
+	if c.height > 0 {
+		room = max(c.height-t.lineCount()-footerLines, 1)
+	}
+	for i, job := range queue {
+		if i == room {
+			t.line(faintStyle, "and %d more", len(queue)-room)
+			break
+		}
+		t.line(plainStyle, "%-22s %7d %7d  %s", job.JobID, job.Waiting, job.InFlight, job.Reason)
+	}
+}
