--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"net"
 	"strings"
 	"sync"
 	"time"
@@ -54,123 +53,160 @@
 )
 
 // Describe lists nothing: what there is depends on the pages.
-func (f *statusCollector) Describe(chan<- *prometheus.Desc) {}
+func (c *statusCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect reads all pages at once.
-func (f *statusCollector) Collect(out chan<- prometheus.Metric) {
+func (c *statusCollector) Collect(out chan<- prometheus.Metric) {
 	var wg sync.WaitGroup
-	for _, c := range f.controllers {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			f.collectController(c, out)
-		}()
+	for _, controller := range c.controllers {
+		wg.Go(func() { collectController(controller, out) })
 	}
 	wg.Wait()
 }
 
-func (f *statusCollector) collectController(c local.Controller, out chan<- prometheus.Metric) {
-	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, append([]string{c.Label}, labels...)...)
-	}
-	flag := func(d *prometheus.Desc, b bool) {
-		if b {
-			gauge(d, 1)
-		} else {
-			gauge(d, 0)
-		}
-	}
-	spread := func(d *prometheus.Desc, s core.LatencySummary, labels ...string) {
-		out <- prometheus.MustNewConstSummary(d, uint64(s.Count), 0, map[float64]float64{
-			0.5: float64(s.P50) / 1000, 0.9: float64(s.P90) / 1000, 0.99: float64(s.P99) / 1000, 1: float64(s.Max) / 1000,
-		}, append([]string{c.Label}, labels...)...)
-	}
-	var s core.Status
-	err := local.ReadStatus(c.Status, &s)
-	flag(upDesc, err == nil)
+// collectController reads a controller's page and sends what it says. Of what only the
+// leader knows, only the leader's page counts.
+func collectController(controller local.Controller, out chan<- prometheus.Metric) {
+	m := controllerMetrics{label: controller.Label, out: out}
+	var status core.Status
+	err := local.ReadStatus(controller.Status, &status)
+	m.flag(upDesc, err == nil)
 	if err != nil {
 		return
 	}
-	gauge(epochDesc, float64(s.Epoch))
-	flag(leadsDesc, s.Leader == s.Label)
-	flag(entitledDesc, s.Entitled)
-	for state, n := range s.Jobs {
-		gauge(jobsDesc, float64(n), state)
+	m.sendOwn(&status)
+	if status.Leader == status.Label {
+		m.sendLeaders(&status)
 	}
-	machines, tasks := map[string]int{}, map[string]int{}
-	for _, m := range s.Machines {
-		machines[m.Zone]++
-		tasks[m.Zone] += m.Tasks
+}
+
+// controllerMetrics sends metrics with a controller's label.
+type controllerMetrics struct {
+	label string
+	out   chan<- prometheus.Metric
+}
+
+func (m *controllerMetrics) labels(more []string) []string {
+	return append([]string{m.label}, more...)
+}
+
+func (m *controllerMetrics) gauge(desc *prometheus.Desc, value float64, labels ...string) {
+	m.out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, m.labels(labels)...)
+}
+
+func (m *controllerMetrics) counter(desc *prometheus.Desc, value float64, labels ...string) {
+	m.out <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, value, m.labels(labels)...)
+}
+
+func (m *controllerMetrics) flag(desc *prometheus.Desc, set bool) {
+	value := 0.0
+	if set {
+		value = 1
 	}
-	for zone, n := range machines {
-		gauge(machinesDesc, float64(n), zone)
-		gauge(tasksDesc, float64(tasks[zone]), zone)
+	m.gauge(desc, value)
+}
+
+// summary sends latencies, which pages give in milliseconds, in seconds.
+func (m *controllerMetrics) summary(desc *prometheus.Desc, s core.LatencySummary, labels ...string) {
+	quantiles := map[float64]float64{
+		0.5:  float64(s.P50) / 1000,
+		0.9:  float64(s.P90) / 1000,
+		0.99: float64(s.P99) / 1000,
+		1:    float64(s.Max) / 1000,
+	}
+	m.out <- prometheus.MustNewConstSummary(desc, uint64(s.Count), 0, quantiles, m.labels(labels)...)
+}
+
+// sendOwn sends what every controller knows of itself and of its own machines.
+func (m *controllerMetrics) sendOwn(s *core.Status) {
+	m.gauge(epochDesc, float64(s.Epoch))
+	m.flag(leadsDesc, s.Leader == s.Label)
+	m.flag(entitledDesc, s.Entitled)
+	for state, count := range s.Jobs {
+		m.gauge(jobsDesc, float64(count), state)
 	}
-	for kind, n := range s.RejectedRequests {
-		out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(n), c.Label, kind)
+	machines, tasks := map[string]int{}, map[string]int{}
+	for _, machine := range s.Machines {
+		machines[machine.Zone]++
+		tasks[machine.Zone] += machine.Tasks
 	}
-	spread(answersDesc, s.ResponseTimes)
-	if s.Leader != s.Label {
-		return
+	for zone, count := range machines {
+		m.gauge(machinesDesc, float64(count), zone)
+		m.gauge(tasksDesc, float64(tasks[zone]), zone)
 	}
+	for kind, count := range s.RejectedRequests {
+		m.counter(refusedDesc, float64(count), kind)
+	}
+	m.summary(answersDesc, s.ResponseTimes)
+}
+
+// sendLeaders sends what the leader knows of the whole cluster.
+func (m *controllerMetrics) sendLeaders(s *core.Status) {
 	waiting := 0
-	for _, q := range s.Queue {
-		waiting += q.Waiting
+	for _, job := range s.Queue {
+		waiting += job.Waiting
 	}
-	gauge(waitingDesc, float64(waiting))
-	gauge(desiredDesc, s.DesiredCPUs)
-	gauge(unseenDesc, float64(s.UnseenMachines))
+	m.gauge(waitingDesc, float64(waiting))
+	m.gauge(desiredDesc, s.DesiredCPUs)
+	m.gauge(unseenDesc, float64(s.UnseenMachines))
 	for team, cpus := range s.TeamCPUs {
-		gauge(teamDesc, cpus, team)
+		m.gauge(teamDesc, cpus, team)
 	}
-	for urgency, w := range s.StartLatencies {
-		spread(waitsDesc, w, urgency)
+	for urgency, latencies := range s.StartLatencies {
+		m.summary(waitsDesc, latencies, urgency)
 	}
 }
 
-// metricsText is all figures in the usual text format.
-func (f *statusCollector) metricsText() ([]byte, error) {
-	r := prometheus.NewRegistry()
-	if err := r.Register(f); err != nil {
+// metricsText is all metrics in the usual text format.
+func (c *statusCollector) metricsText() ([]byte, error) {
+	registry := prometheus.NewRegistry()
+	if err := registry.Register(c); err != nil {
 		return nil, err
 	}
-	families, err := r.Gather()
+	families, err := registry.Gather()
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
-	for _, m := range families {
-		if _, err := expfmt.MetricFamilyToText(&b, m); err != nil {
+	for _, family := range families {
+		if _, err := expfmt.MetricFamilyToText(&b, family); err != nil {
 			return nil, err
 		}
 	}
 	return b.Bytes(), nil
 }
 
-// Run serves the figures.
-func (c *metricsCmd) Run(ctx context.Context, top *cli) error {
-	a, err := top.addresses()
+func (c *statusCollector) handleRequest(ctx *fasthttp.RequestCtx) {
+	if !strings.HasPrefix(string(ctx.Path()), "/metrics") {
+		ctx.Error("the figures are at /metrics", fasthttp.StatusNotFound)
+		return
+	}
+	text, err := c.metricsText()
+	if err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
+		return
+	}
+	ctx.SetContentType("text/plain; version=0.0.4; charset=utf-8")
+	ctx.Response.SetBodyRaw(text)
+}
+
+// Run serves the metrics.
+func (c *metricsCmd) Run(ctx context.Context, root *cli) error {
+	addresses, err := root.addresses()
 	if err != nil {
 		return err
 	}
-	f := &statusCollector{controllers: a.Controllers}
-	var l net.Listener
-	if l, err = listen(c.Listen); err != nil {
+	l, err := listen(c.Listen)
+	if err != nil {
 		return err
 	}
-	srv := &fasthttp.Server{Name: "chalk-metrics", ReadTimeout: time.Minute, WriteTimeout: time.Minute, Handler: func(ctx *fasthttp.RequestCtx) {
-		if !strings.HasPrefix(string(ctx.Path()), "/metrics") {
-			ctx.Error("the figures are at /metrics", 404)
-			return
-		}
-		b, err := f.metricsText()
-		if err != nil {
-			ctx.Error(err.Error(), 500)
-			return
-		}
-		ctx.SetContentType("text/plain; version=0.0.4; charset=utf-8")
-		ctx.Response.SetBodyRaw(b)
-	}}
-	logger().Info("serving figures", "at", "http://"+c.Listen+"/metrics")
+	collector := &statusCollector{controllers: addresses.Controllers}
+	srv := &fasthttp.Server{
+		Name:         "chalk-metrics",
+		Handler:      collector.handleRequest,
+		ReadTimeout:  time.Minute,
+		WriteTimeout: time.Minute,
+	}
+	logger().Info("serving metrics", "at", "http://"+c.Listen+"/metrics")
 	return httpserver.Serve(ctx, srv, l)
 }
--- /dev/null
+++ b/cmd/chalkhubctl/state.go
@@ -0,0 +1,239 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/chalkhub/chalkhub/internal/artifacts"
+	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/kvfile"
+	"github.com/chalkhub/chalkhub/internal/kvserver"
+	"github.com/chalkhub/chalkhub/internal/kvstore"
+	"github.com/chalkhub/chalkhub/internal/local"
+)
+
+const (
+	// snapshotCheckInterval is how often the service looks whether a snapshot is asked for.
+	snapshotCheckInterval = 500 * time.Millisecond
+
+	// snapshotPollInterval is how often the command that asks looks whether it was taken.
+	snapshotPollInterval = 100 * time.Millisecond
+)
+
+type stateCmd struct {
+	Run      stateRunCmd      `cmd:"" help:"Run the service."`
+	Snapshot stateSnapshotCmd `cmd:"" help:"Ask a running service for a snapshot."`
+	Restore  stateRestoreCmd  `cmd:"" help:"Put a snapshot in the place of the state file; the service must not run."`
+	Verify   stateVerifyCmd   `cmd:"" help:"Read a state file or snapshot and check every record."`
+}
+
+type stateRunCmd struct {
+	Config string `required:"" placeholder:"FILE" help:"Settings (JSON), see docs/state.md."`
+}
+
+func (c *stateRunCmd) check(f *local.StateFile) error {
+	switch {
+	case f.Listen == "" || f.File == "":
+		return fmt.Errorf("%s: listen and file must be set", c.Config)
+	case !(f.Limits.RPS > 0 && f.Limits.WriteRPS > 0 && f.Limits.ValueKB > 0 && f.Limits.TxnOps > 0):
+		return fmt.Errorf("%s: all limits must be above 0", c.Config)
+	case f.ArtifactsListen != "" && f.ArtifactsDir == "":
+		return fmt.Errorf("%s: depot_folder must be set with depot_listen", c.Config)
+	case (f.SnapshotEveryS > 0) != (f.SnapshotsKept > 0) || f.SnapshotEveryS > 0 && f.Snapshots == "":
+		return fmt.Errorf("%s: snapshot_every_s, snapshots_kept and snapshots must be set together", c.Config)
+	}
+	return nil
+}
+
+// Run runs the state service, and the artifact server beside it if it has an address.
+func (c *stateRunCmd) Run(ctx context.Context) error {
+	var f local.StateFile
+	if err := readJSON(c.Config, &f); err != nil {
+		return err
+	}
+	if err := c.check(&f); err != nil {
+		return err
+	}
+	log := logger()
+	startedAt := time.Now()
+	file, state, err := openStateFile(&f)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = file.Close() }() // each write was durable when it was answered
+	l, err := listen(f.Listen)
+	if err != nil {
+		return err
+	}
+	log.Info("state loaded", "file", f.File, "revision", state.Revision, "keys", state.Len(), "took", time.Since(startedAt))
+	srv := kvserver.New(kvserver.Settings{
+		Limits:            kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.TxnOps},
+		RequestsPerSecond: f.Limits.RPS,
+		WritesPerSecond:   f.Limits.WriteRPS,
+		MaxBatch:          f.MaxBatch,
+	}, state, file)
+	g, ctx := errgroup.WithContext(ctx)
+	g.Go(func() error { return srv.Serve(ctx, l) })
+	if f.ArtifactsListen != "" {
+		if err := serveArtifacts(ctx, g, &f); err != nil {
+			return err
+		}
+	}
+	if f.Snapshots != "" {
+		s := &snapshotter{settings: &f, file: file, server: srv, log: log, lastAt: time.Now()}
+		g.Go(func() error { return s.run(ctx) })
+	}
+	return g.Wait()
+}
+
+// openStateFile opens the state file; the error of a damaged one names the last good
+// snapshot.
+func openStateFile(f *local.StateFile) (*kvfile.File, *kvstore.State, error) {
+	file, state, err := kvfile.Open(f.File)
+	if errors.Is(err, kvfile.ErrCorrupt) {
+		hint := "there is no snapshot that can be read"
+		if path, last := kvfile.NewestValidSnapshot(f.Snapshots); path != "" {
+			hint = fmt.Sprintf("the last good snapshot is %s (revision %d): see `chalkhubctl state restore`, docs/state.md", path, last.Revision)
+		}
+		return nil, nil, fmt.Errorf("%w; %s", err, hint)
+	}
+	return file, state, err
+}
+
+func serveArtifacts(ctx context.Context, g *errgroup.Group, f *local.StateFile) error {
+	store, err := artifacts.Open(f.ArtifactsDir)
+	if err != nil {
+		return err
+	}
+	l, err := listen(f.ArtifactsListen)
+	if err != nil {
+		return err
+	}
+	g.Go(func() error { return store.Serve(ctx, l) })
+	return nil
+}
+
+// snapshotRequestPath is a file whose appearance asks for a snapshot. A file needs no port
+// and no rights but those of the directory.
+func snapshotRequestPath(dir string) string { return filepath.Join(dir, ".wanted") }
+
+// snapshotter takes snapshots at the settings' interval, and whenever one is asked for.
+type snapshotter struct {
+	settings     *local.StateFile
+	file         *kvfile.File
+	server       *kvserver.Server
+	log          *slog.Logger
+	lastAt       time.Time // of the last try
+	lastRevision uint64    // of the last snapshot
+}
+
+func (s *snapshotter) run(ctx context.Context) error {
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(snapshotCheckInterval):
+		}
+		requested := s.requested()
+		if requested || s.due() {
+			s.take(requested)
+		}
+	}
+}
+
+func (s *snapshotter) requested() bool {
+	_, err := os.Stat(snapshotRequestPath(s.settings.Snapshots))
+	return err == nil
+}
+
+// due reports whether the interval is over and something has changed since.
+func (s *snapshotter) due() bool {
+	interval := config.Seconds(s.settings.SnapshotEveryS)
+	return interval > 0 && time.Since(s.lastAt) > interval && s.server.State().Revision != s.lastRevision
+}
+
+// take takes a snapshot. One that fails is tried again when it is due or still requested.
+func (s *snapshotter) take(requested bool) {
+	s.lastAt = time.Now()
+	path, state, err := s.file.TakeSnapshot(s.settings.Snapshots)
+	if err != nil {
+		s.log.Error("snapshot failed", "error", err)
+		return
+	}
+	s.lastRevision = state.Revision
+	if s.settings.SnapshotsKept > 0 {
+		if err := kvfile.PruneSnapshots(s.settings.Snapshots, s.settings.SnapshotsKept); err != nil {
+			s.log.Error("pruning snapshots failed", "error", err)
+		}
+	}
+	if requested {
+		_ = os.Remove(snapshotRequestPath(s.settings.Snapshots)) // one that stays asks for another snapshot
+	}
+	s.log.Info("snapshot taken", "file", path, "revision", state.Revision, "keys", state.Len(), "took", time.Since(s.lastAt), "metrics", s.server.Metrics())
+}
+
+type stateSnapshotCmd struct {
+	Folder  string        `arg:"" help:"The service's folder of snapshots."`
+	Timeout time.Duration `default:"30s" help:"How long to wait for it."`
+}
+
+// Run asks the service for a snapshot and waits for it.
+func (c *stateSnapshotCmd) Run(ctx context.Context) error {
+	if err := os.WriteFile(snapshotRequestPath(c.Folder), nil, 0o600); err != nil {
+		return err
+	}
+	for end := time.Now().Add(c.Timeout); time.Now().Before(end); {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(snapshotPollInterval):
+		}
+		if _, err := os.Stat(snapshotRequestPath(c.Folder)); os.IsNotExist(err) {
+			if list := kvfile.ListSnapshots(c.Folder); len(list) > 0 {
+				fmt.Println(list[0])
+				return nil
+			}
+		}
+	}
+	_ = os.Remove(snapshotRequestPath(c.Folder)) // whether it was there or not
+	return exitError{exitNotNow, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
+}
+
+type stateRestoreCmd struct {
+	Snapshot string `arg:"" help:"The snapshot."`
+	File     string `arg:"" help:"The state file."`
+}
+
+// Run restores a snapshot.
+func (c *stateRestoreCmd) Run() error {
+	kept, s, err := kvfile.RestoreSnapshot(c.Snapshot, c.File)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("%s is at revision %d with %d keys\n", c.File, s.Revision, s.Len())
+	if kept != "" {
+		fmt.Println("the file that was there is now", kept)
+	}
+	return nil
+}
+
+type stateVerifyCmd struct {
+	File string `arg:"" help:"A state file that no service uses, or a snapshot."`
+}
+
+// Run verifies a file.
+func (c *stateVerifyCmd) Run() error {
+	s, err := kvfile.Verify(c.File)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("sound: revision %d, %d keys, %d leases, %d changes kept\n", s.Revision, s.Len(), len(s.LeaseTTLs()), len(s.Events()))
+	return nil
+}
