--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -1,231 +1,157 @@
 package core
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/records"
+	"github.com/chalkhub/chalkhub/internal/registry"
 )
 
-// machineRegistry is the leader's list, in the state service, of the machines that may
-// have been given tasks: only those are given work, so a take-over knows which
-// machines it must see.
-//
-// One key holds many machines. With a key for each, a wave of machines that came
-// up took the write budget of several seconds, and submissions waited behind it.
+const (
+	// maxPageBytes bounds a page where values may be large: the whole of it is written
+	// whenever one of its machines comes or goes.
+	maxPageBytes = 8 << 10
+
+	// maxTransactionBytes bounds what one transaction writes: three quarters of the 64 KiB
+	// that it may have.
+	maxTransactionBytes = 48 << 10
+)
+
+// machineRegistry is the leader's list, in the state service, of the machines that may have
+// been given tasks: only those are given work, so that a failover knows which machines it must
+// see. Package registry lays it out on pages.
 type machineRegistry struct {
 	core             *Core
 	writeInFlight    bool
-	nextCollectionAt time.Duration // when what is gone may be taken out again
-}
-
-// maxPageBytes bounds a shelf where values may be large: the whole of it is written whenever
-// one of its machines comes or goes.
-const maxPageBytes = 8 << 10
-
-// pageLimit is how many bytes of machines' records one key holds, by recordSize.
-func (g *machineRegistry) pageLimit() int { return min(g.core.maxValueBytes()*3/4, maxPageBytes) }
-
-// recordSize is how many bytes a machine takes on its shelf, in the form in which limits
-// are counted, or a few more.
-func recordSize(name string, m *records.Machine) int {
-	return 64 + len(name) + len(m.Addr) + len(m.Type) + len(m.Zone)
-}
-
-// pageBytes is how many bytes a shelf of the mirror takes.
-func (g *machineRegistry) pageBytes(shelf string) (n int) {
-	l := g.core.mirror
-	for _, name := range l.registryPages.get(shelf) {
-		n += recordSize(name, l.machineRecords.get(name))
-	}
-	return n
-}
-
-// maxPagesPerWrite is how many keys one transaction may change: what the settings allow, and
-// three quarters of the 64 KiB that a transaction may have.
-func (g *machineRegistry) maxPagesPerWrite() int {
-	return max(min(g.core.maxTxnOps(), 48<<10/g.pageLimit()), 1)
+	nextCollectionAt time.Duration // when machines that are gone may be taken out again
 }
 
-// pageUpdate is a shelf as it is to be written.
-type pageUpdate struct {
-	machines map[string]records.Machine
-	bytes    int
-}
-
-// reconcile writes what has come up since, and takes out what is gone.
-//
-// A shelf that is larger than a value may be by now can't be written any more. Its machines
-// are put on others, where they stand twice for a while, and then it is deleted whole.
-func (g *machineRegistry) reconcile() {
-	c := g.core
-	if g.writeInFlight {
+// reconcile writes the machines that have come up since, and takes out those that are gone.
+func (r *machineRegistry) reconcile() {
+	c := r.core
+	if r.writeInFlight {
 		return
 	}
-	var come []string
-	for name, v := range c.scheduler.machines.all() {
-		if v.state.AcceptsTasks && !v.registered && !v.leaving {
-			come = append(come, name)
-		}
-	}
-	sweep := c.now.Monotonic >= g.nextCollectionAt
-	if len(come) == 0 && !sweep {
+	added := r.unregistered()
+	if len(added) == 0 && c.now.Monotonic < r.nextCollectionAt {
 		return
 	}
-	g.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
-	record := func(name string) records.Machine {
-		if m := c.mirror.machineRecords.get(name); m != nil {
-			return *m
-		}
-		s := c.scheduler.machines.get(name).state
-		return records.Machine{Addr: s.Addr, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
-	}
-	goes := func(name string) bool { return c.fleet.wasDeleted(name) || c.fleet.mayDeregister(name) }
-	filled, large := map[string]int{}, map[string]bool{}
-	for shelf := range c.mirror.registryPages.all() {
-		filled[shelf] = g.pageBytes(shelf)
-		large[shelf] = filled[shelf] > c.maxValueBytes()
-	}
-	changed := map[string]*pageUpdate{}
-	edit := func(shelf string) *pageUpdate {
-		if changed[shelf] == nil {
-			changed[shelf] = &pageUpdate{machines: map[string]records.Machine{}, bytes: filled[shelf]}
-			for _, name := range c.mirror.registryPages.get(shelf) {
-				changed[shelf].machines[name] = record(name)
-			}
-		}
-		return changed[shelf]
-	}
-	elsewhere := g.onOtherPages(large)
-	for shelf, names := range c.mirror.registryPages.all() {
-		left := 0
-		for _, name := range names {
-			switch {
-			case large[shelf] && !goes(name) && !elsewhere[name]:
-				left++
-				come = append(come, name)
-			case large[shelf]:
-			case goes(name) && (changed[shelf] != nil || len(changed) < g.maxPagesPerWrite()):
-				e, m := edit(shelf), record(name)
-				e.bytes -= recordSize(name, &m)
-				delete(e.machines, name)
-			}
-		}
-		if large[shelf] && left == 0 && len(changed) < g.maxPagesPerWrite() {
-			changed[shelf] = &pageUpdate{}
-		}
-	}
-	for n := 0; len(come) > 0; n++ {
-		shelf, next := pageKey(n), record(come[0])
-		full := filled[shelf] > 0 && filled[shelf]+recordSize(come[0], &next) > g.pageLimit()
-		if changed[shelf] == nil && (len(changed) >= g.maxPagesPerWrite() || full) {
-			if len(changed) >= g.maxPagesPerWrite() && n > c.mirror.registryPages.len()+len(changed) {
-				break // the rest goes with the next transaction
-			}
-			continue
-		}
-		if large[shelf] {
-			continue
-		}
-		for e := edit(shelf); len(come) > 0; come = come[1:] {
-			m := record(come[0])
-			size := recordSize(come[0], &m)
-			if e.bytes+size > g.pageLimit() && len(e.machines) > 0 {
-				break
-			}
-			e.machines[come[0]] = m
-			e.bytes += size
-		}
-	}
+	r.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
+	pages := c.mirror.registryPages
+	changed := registry.Plan(registry.Registry{
+		Pages: pages.all(), Page: pages.get, PageCount: pages.len(),
+		Record: r.record, Removed: r.isRemoved,
+	}, added, r.limits())
 	if len(changed) > 0 {
-		g.commitPages(changed)
+		r.commitPages(changed)
 	}
 }
 
-// onOtherPages names the machines of large shelves that stand on another one as well.
-func (g *machineRegistry) onOtherPages(large map[string]bool) map[string]bool {
-	out := map[string]bool{}
-	for shelf, names := range g.core.mirror.registryPages.all() {
-		if large[shelf] {
-			for _, name := range names {
-				out[name] = false
-			}
+// unregistered lists the machines that are up and not in the registry.
+func (r *machineRegistry) unregistered() (names []string) {
+	for name, view := range r.core.scheduler.machines.all() {
+		if view.state.AcceptsTasks && !view.registered && !view.leaving {
+			names = append(names, name)
 		}
 	}
-	if len(out) > 0 {
-		for shelf, names := range g.core.mirror.registryPages.all() {
-			for _, name := range names {
-				if _, on := out[name]; on && !large[shelf] {
-					out[name] = true
-				}
-			}
-		}
+	return names
+}
+
+// isRemoved reports whether a machine is to be taken out of the registry.
+func (r *machineRegistry) isRemoved(name string) bool {
+	return r.core.fleet.wasDeleted(name) || r.core.fleet.mayDeregister(name)
+}
+
+// record is a machine's record: the one in the registry, or that of a machine to be added.
+func (r *machineRegistry) record(name string) records.Machine {
+	if record := r.core.mirror.machineRecords.get(name); record != nil {
+		return *record
 	}
-	return out
+	state := &r.core.scheduler.machines.get(name).state
+	return records.Machine{Addr: state.Addr, Type: state.Type, Zone: state.Zone, Spot: state.Spot}
+}
+
+// limits are what the settings allow now.
+func (r *machineRegistry) limits() registry.Limits {
+	return registry.Limits{ValueBytes: r.core.maxValueBytes(), PageBytes: r.pageLimit(), PagesPerPlan: r.maxPagesPerWrite()}
+}
+
+// pageLimit is up to how many bytes a page is filled.
+func (r *machineRegistry) pageLimit() int { return min(r.core.maxValueBytes()*3/4, maxPageBytes) }
+
+// maxPagesPerWrite is how many pages one transaction may change.
+func (r *machineRegistry) maxPagesPerWrite() int {
+	return max(min(r.core.maxTxnOps(), maxTransactionBytes/r.pageLimit()), 1)
 }
 
-// commitPages guards each key by its version: a transaction that is applied late must
-// not take a machine out that was written since.
-func (g *machineRegistry) commitPages(changed map[string]*pageUpdate) {
-	c := g.core
-	// The map's version too: its part keeps a machine that is withdrawn empty in this
-	// epoch, and whoever owns it in a later one has seen that it is out.
+// commitPages writes pages. Each key is guarded by its version: a transaction that is applied
+// late must not take a machine out that was written since. The shard map's version guards too:
+// the shard keeps a machine that is taken out empty in this epoch, and whoever owns it in a
+// later one has seen that it is out.
+func (r *machineRegistry) commitPages(changed map[string]*registry.Page) {
+	c := r.core
 	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyShardMap)}
 	var ops []protocol.Operation
-	for _, shelf := range sortedKeys(changed) {
-		guards = append(guards, c.mirror.guard(keyRegistryPage+shelf))
-		op := protocol.Operation{Put: keyRegistryPage + shelf, Value: records.RegistryPage{Machines: changed[shelf].machines}}
-		if len(changed[shelf].machines) == 0 {
-			op = protocol.Operation{Delete: keyRegistryPage + shelf}
+	for _, page := range sortedKeys(changed) {
+		key, machines := keyRegistryPage+page, changed[page].Machines
+		guards = append(guards, c.mirror.guard(key))
+		if len(machines) == 0 {
+			ops = append(ops, protocol.Operation{Delete: key})
+		} else {
+			ops = append(ops, protocol.Operation{Put: key, Value: records.RegistryPage{Machines: machines}})
 		}
-		ops = append(ops, op)
 	}
-	g.writeInFlight = true
+	r.writeInFlight = true
 	c.mirror.commit(guards, ops, func(d CommitResult) {
-		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maintenance/4, func() { g.writeInFlight = false })
+		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maintenance/4, func() { r.writeInFlight = false })
 	})
 }
 
-func pageKey(n int) string { return fmt.Sprintf("%04d", n) }
-
-// putRegistryPage takes a key of the register into the mirror.
-func (l *storeMirror) putRegistryPage(shelf string, rec *records.RegistryPage) {
-	was := l.registryPages.get(shelf)
-	names := sortedKeys(rec.Machines)
-	l.registryPages.set(shelf, names)
+// putRegistryPage takes a page of the registry into the mirror.
+func (l *storeMirror) putRegistryPage(page string, record *records.RegistryPage) {
+	before := l.registryPages.get(page)
+	names := sortedKeys(record.Machines)
+	l.registryPages.set(page, names)
 	for _, name := range names {
-		m := rec.Machines[name]
-		l.machineRecords.set(name, &m)
-		l.core.shard.adoptRegistered(name, &m)
+		machine := record.Machines[name]
+		l.machineRecords.set(name, &machine)
+		l.core.shard.adoptRegistered(name, &machine)
 		l.core.scheduler.setRegistered(name, true)
 	}
-	// Most of a key's machines stay on it: only the others are looked for elsewhere.
-	l.removeUnlisted(slices.DeleteFunc(slices.Clone(was), func(name string) bool {
+	// Most of a page's machines stay on it: only the others are looked for elsewhere.
+	l.removeUnlisted(slices.DeleteFunc(slices.Clone(before), func(name string) bool {
 		_, stays := slices.BinarySearch(names, name)
 		return stays
 	}))
 }
 
-func (l *storeMirror) removeRegistryPage(shelf string) {
-	was := l.registryPages.get(shelf)
-	l.registryPages.delete(shelf)
-	l.removeUnlisted(was)
+// removeRegistryPage takes a page that was deleted out of the mirror.
+func (l *storeMirror) removeRegistryPage(page string) {
+	before := l.registryPages.get(page)
+	l.registryPages.delete(page)
+	l.removeUnlisted(before)
 }
 
-// removeUnlisted drops those machines that no key of the register holds any more.
+// removeUnlisted drops those machines that no page of the registry holds any more.
 func (l *storeMirror) removeUnlisted(names []string) {
 	for _, name := range names {
-		held := false
-		for _, list := range l.registryPages.all() {
-			_, there := slices.BinarySearch(list, name)
-			held = held || there
+		if l.isListed(name) {
+			continue
 		}
-		if !held {
-			l.machineRecords.delete(name)
-			l.core.shard.nextCheckAt = 0
-			l.core.scheduler.setRegistered(name, false)
+		l.machineRecords.delete(name)
+		l.core.shard.nextCheckAt = 0
+		l.core.scheduler.setRegistered(name, false)
+	}
+}
+
+// isListed reports whether any page of the registry holds a machine.
+func (l *storeMirror) isListed(name string) bool {
+	for _, names := range l.registryPages.all() {
+		if _, listed := slices.BinarySearch(names, name); listed {
+			return true
 		}
 	}
+	return false
 }
