--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -1,176 +1,239 @@
 package core
 
 import (
+	"time"
+
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// checkMachine looks after a machine's clock: fencing, silence, machines that are gone.
-func (p *shard) checkMachine(r *machine) {
-	c := p.core
-	if r.registered && c.mirror.machineRecords.get(r.name) == nil {
-		// Deleted: it and its tasks are gone. What the leader has not been told of
-		// yet it would wait for for ever: seed 51759.
-		for _, t := range r.attempts {
-			p.returnTask(t)
-		}
-		p.releaseMachine(r)
-		return
-	}
-	if !r.registered && c.now.Monotonic-r.lastHeardAt > c.intervals.machineLeaseExpiry {
-		p.releaseMachine(r) // it was never given anything, or was withdrawn and deleted
+// How a shard fences its machines, calls them, and expires their leases.
+
+const (
+	// fencingShare and minFencingCalls bound the calls without commands that are under way
+	// at once: one for so many machines of the shard, but so many at least.
+	fencingShare    = 16
+	minFencingCalls = 4
+
+	// maxUnansweredCalls is how many calls in a row an unconfirmed machine may leave
+	// unanswered before it counts as silent: it is most likely dead, and holds up all that
+	// may be running on it.
+	maxUnansweredCalls = 2
+)
+
+// checkMachine does what is due for a machine as time passes: it drops one that is gone,
+// expires the lease of one that was not answered for too long, and calls one that has to be
+// fenced or was not heard.
+func (s *shard) checkMachine(m *machine) {
+	c := s.core
+	if s.dropIfGone(m) {
 		return
 	}
-	if r.machineType == nil {
-		if r.machineType = c.machineTypes()[r.typeName]; r.machineType != nil {
-			p.markChanged(r)
+	if m.machineType == nil {
+		if m.machineType = c.machineTypes()[m.typeName]; m.machineType != nil {
+			s.markChanged(m)
 		}
 	}
-	if !r.leaseExpired && c.now.Monotonic-r.lastAnsweredAt > c.intervals.machineLeaseExpiry {
-		p.expireLease(r)
-	}
-	// One that has let two questions pass after a change of the map most likely is
-	// dead, and holds up all that may be running on it.
-	mute := !r.trusted && r.unansweredCalls >= 2
-	if silent := mute || c.now.Monotonic-r.lastHeardAt > c.intervals.workerLease/2; silent != r.silent {
-		r.silent = silent
-		p.markChanged(r)
-	}
-	// An empty /do fences a machine, or finds out that it only has trouble
-	// reaching us. After a change of the map hundreds are due at once: asking all
-	// of them took the processor for seconds in which their reports, which do as
-	// well, were not answered.
-	due := r.trusted && c.now.Monotonic-r.lastHeardAt > 2*c.intervals.heartbeat || !r.trusted && r.addr != "" && !r.leaseExpired
+	if !m.leaseExpired() && c.now.Monotonic-m.lastAnsweredAt > c.intervals.machineLeaseExpiry {
+		s.expireLease(m)
+	}
+	unresponsive := !m.isTrusted() && m.unansweredCalls >= maxUnansweredCalls
+	if silent := unresponsive || c.now.Monotonic-m.lastHeardAt > c.intervals.workerLease/2; silent != m.silent {
+		m.silent = silent
+		s.markChanged(m)
+	}
+	s.fenceIfDue(m)
+}
+
+// dropIfGone releases a machine that has left the registry, or that was never in it and is
+// no longer heard.
+func (s *shard) dropIfGone(m *machine) bool {
+	c := s.core
 	switch {
-	case !due || r.callInFlight != 0 || c.now.Monotonic < r.nextCallAt:
-	case p.mayFence():
-		p.callMachine(r, nil)
-	case !r.queuedForFencing:
-		r.queuedForFencing = true
-		p.fencingQueue = append(p.fencingQueue, r)
+	case m.registered && c.mirror.machineRecords.get(m.name) == nil:
+		// Deleted with its tasks. The leader would wait for ever for those that it has not
+		// been told of yet.
+		for _, a := range m.attempts {
+			s.returnTask(a)
+		}
+	case !m.registered && c.now.Monotonic-m.lastHeardAt > c.intervals.machineLeaseExpiry:
+		// It was never given anything, or was taken out of the registry and deleted.
+	default:
+		return false
 	}
+	s.releaseMachine(m)
+	return true
 }
 
-// expireLease takes a machine for empty. Nobody entitled has answered its worker for longer than its
-// lease, so it has dropped its tasks, and a start still under way carries an earlier session.
-// An answer with our token that its next report does not show was not accepted, and renewed
-// nothing: of a machine that has shown none in this epoch only the answers from before count.
+// expireLease takes a machine for empty. Nobody has validly answered its worker for longer
+// than the worker's lease, so the worker has dropped its tasks, and a start that is still
+// under way carries an earlier session. An answer with our token that the machine's next
+// heartbeat does not show was not accepted, and renewed nothing: of a machine that has shown
+// no token of this epoch only the answers from before the epoch count.
 //
-// Guards against machines that are heard and hear nothing: each report was answered anew, so
-// that a take-over waited for them for as long as they were deaf.
-func (p *shard) expireLease(r *machine) {
-	r.leaseExpired, r.trusted, r.fullStateDue = true, false, true
+// Guards against one-way partitions: a machine that is heard and hears nothing would have
+// each heartbeat answered anew, and a failover would wait for it as long as that lasts.
+func (s *shard) expireLease(m *machine) {
 	lost := 0
-	for _, t := range r.attempts {
-		if t.live() {
+	for _, a := range m.attempts {
+		if a.live() {
 			lost++
 		}
 	}
+	m.expireLease()
+	m.fullStateDue = true
 	if lost > 0 {
-		p.core.logInfo("machine is silent, its tasks are lost", "machine", r.name, "tasks", lost)
+		s.core.logInfo("machine is silent, its tasks are lost", "machine", m.name, "tasks", lost)
 	}
-	r.attempts = nil
-	p.markChanged(r)
+	s.markChanged(m)
 }
 
-// mayFence reports whether one more machine may be asked by /do without commands.
-func (p *shard) mayFence() bool {
-	return len(p.fencingCalls) < max(p.machines.len()/fencingShare, minFencingCalls)
+// fenceIfDue calls a machine without commands if its list has to be confirmed, or to find
+// out whether one that was not heard only has trouble reaching us.
+//
+// Guards against calling hundreds of machines at once after a change of the shard map: that
+// took the processor for seconds in which their heartbeats, which serve as well, were not
+// answered.
+func (s *shard) fenceIfDue(m *machine) {
+	if m.callInFlight != 0 || s.core.now.Monotonic < m.nextCallAt || !s.needsFencing(m) {
+		return
+	}
+	switch {
+	case s.mayFence():
+		s.callMachine(m, nil)
+	case !m.queuedForFencing:
+		m.queuedForFencing = true
+		s.fencingQueue = append(s.fencingQueue, m)
+	}
 }
 
-// fenceNext asks the machines that had to wait, as one has answered.
+// needsFencing reports whether a machine should be called without commands.
+func (s *shard) needsFencing(m *machine) bool {
+	switch m.trust {
+	case listConfirmed:
+		return s.core.now.Monotonic-m.lastHeardAt > 2*s.core.intervals.heartbeat
+	case listUnconfirmed:
+		return m.addr != ""
+	default:
+		return false
+	}
+}
+
+// mayFence reports whether one more call without commands may be under way.
+func (s *shard) mayFence() bool {
+	return len(s.fencingCalls) < max(s.machines.len()/fencingShare, minFencingCalls)
+}
+
+// fenceNext calls the machines that had to wait, as one has answered.
 //
-// Guards against a second for each round of asking, which a wait for the regular look
-// at the clocks would take, and against looking at every machine for every answer: at
-// ten thousand machines that took a third of a take-over.
-func (p *shard) fenceNext() {
-	for len(p.fencingQueue) > 0 && p.mayFence() {
-		r := p.fencingQueue[0]
-		p.fencingQueue = p.fencingQueue[1:]
-		r.queuedForFencing = false
-		if p.machines.get(r.name) == r {
-			p.checkMachine(r)
+// Guards against waiting for the next regular check in each round of calls, and against
+// checking every machine for every answer: with ten thousand machines that took a third of
+// a failover.
+func (s *shard) fenceNext() {
+	for len(s.fencingQueue) > 0 && s.mayFence() {
+		m := s.fencingQueue[0]
+		s.fencingQueue = s.fencingQueue[1:]
+		m.queuedForFencing = false
+		if s.owns(m) {
+			s.checkMachine(m)
 		}
 	}
 }
 
-// So many machines of a part are asked at once by /do without commands.
-const (
-	fencingShare    = 16 // one in so many
-	minFencingCalls = 4
-)
-
-// callMachine sends commands straight to a worker; without commands it only fences.
-func (p *shard) callMachine(r *machine, cmds []protocol.Command) {
-	p.lastCallID++
-	r.callInFlight = p.lastCallID
-	r.expedited = false
-	if len(cmds) == 0 {
-		p.fencingCalls[r.callInFlight] = true
+// callMachine sends commands straight to a worker; without commands the call only fences.
+func (s *shard) callMachine(m *machine, commands []protocol.Command) {
+	s.lastCallID++
+	m.callInFlight = s.lastCallID
+	m.expedited = false
+	if len(commands) == 0 {
+		s.fencingCalls[m.callInFlight] = true
 	}
-	p.core.emit(CallWorker{Machine: r.name, CallID: p.lastCallID, Addr: r.addr, Body: protocol.DirectCommands{Token: r.token, Session: max(r.session, 1), Commands: cmds}})
+	s.core.emit(CallWorker{
+		Machine: m.name, CallID: s.lastCallID, Addr: m.addr,
+		Body: protocol.DirectCommands{Token: m.token, Session: max(m.session, 1), Commands: commands},
+	})
 }
 
-func (p *shard) handleCallResult(d *CallWorkerResult) {
-	p.recordCall(d.Outcome != DirectUnknown)
-	if p.fencingCalls[d.CallID] {
-		delete(p.fencingCalls, d.CallID)
-		defer p.fenceNext()
+// handleCallResult takes the outcome of a call to a machine.
+func (s *shard) handleCallResult(d *CallWorkerResult) {
+	s.recordCall(d.Outcome != DirectUnknown)
+	if s.fencingCalls[d.CallID] {
+		delete(s.fencingCalls, d.CallID)
+		defer s.fenceNext()
 	}
-	r := p.machines.get(d.Machine)
-	if r == nil || r.callInFlight != d.CallID {
+	m := s.machines.get(d.Machine)
+	if m == nil || m.callInFlight != d.CallID {
 		return
 	}
-	c := p.core
-	r.callInFlight = 0
-	defer p.checkMachine(r)
+	m.callInFlight = 0
 	switch d.Outcome {
 	case DirectExecuted:
-		r.lastHeardAt, r.unansweredCalls = c.now.Monotonic, 0
-		p.applyReport(r, &d.Report, d.CallID, false)
+		s.callExecuted(m, d)
 	case DirectFenced:
-		// Nothing was executed. A higher token than ours means that a newer map
-		// is on its way to us.
-		r.lastHeardAt, r.unansweredCalls = c.now.Monotonic, 0
-		again := d.Report.Session != r.session && d.Report.Token <= r.token
-		p.dropRefusedStarts(r, d.CallID)
-		p.applyReport(r, &d.Report, d.CallID, false)
-		if again {
-			r.nextCallAt = 0
-		} else {
-			r.nextCallAt = c.now.Monotonic + c.intervals.heartbeat
-		}
+		s.callRefused(m, d)
 	default:
-		// A start without an answer may be executed at any time while token and
-		// session match: it stays pinned here until the machine has shown a
-		// raised token.
-		for _, t := range r.attempts {
-			if t.phase == phaseSentDirectly && t.callID == d.CallID {
-				p.raiseToken(r)
-				break
-			}
-		}
-		r.unansweredCalls++
-		r.nextCallAt = c.now.Monotonic + c.intervals.heartbeat
-		if !r.trusted {
-			r.nextCallAt = c.now.Monotonic + c.intervals.heartbeat/8
+		s.callUnanswered(m, d.CallID)
+	}
+	s.checkMachine(m)
+}
+
+// callExecuted takes the report of a worker that has executed a call.
+func (s *shard) callExecuted(m *machine, d *CallWorkerResult) {
+	m.lastHeardAt, m.unansweredCalls = s.core.now.Monotonic, 0
+	s.applyReport(m, &d.Report, d.CallID, false)
+}
+
+// callRefused takes the report of a worker that has executed nothing of a call, since its
+// session or its token is another one. A higher token than ours means that a newer shard
+// map is on its way to us.
+func (s *shard) callRefused(m *machine, d *CallWorkerResult) {
+	now := s.core.now.Monotonic
+	m.lastHeardAt, m.unansweredCalls = now, 0
+	sessionChanged := d.Report.Session != m.session && d.Report.Token <= m.token
+	s.dropRefusedStarts(m, d.CallID)
+	s.applyReport(m, &d.Report, d.CallID, false)
+	m.nextCallAt = now + s.core.intervals.heartbeat
+	if sessionChanged {
+		m.nextCallAt = 0
+	}
+}
+
+// callUnanswered notes that the outcome of a call is unknown. A start that it carried may be
+// executed at any time while token and session match: it stays on the machine here until
+// the machine has shown a raised token.
+func (s *shard) callUnanswered(m *machine, callID uint64) {
+	for _, a := range m.attempts {
+		if a.phase == phaseSentDirectly && a.callID == callID {
+			s.raiseToken(m)
+			break
 		}
 	}
+	m.unansweredCalls++
+	m.nextCallAt = s.core.now.Monotonic + s.callRetryAfter(m)
+}
+
+// callRetryAfter is how long an unanswered machine is left alone. One that has yet to be
+// fenced holds up what may be running on it, and is called again sooner.
+func (s *shard) callRetryAfter(m *machine) time.Duration {
+	if m.isTrusted() {
+		return s.core.intervals.heartbeat
+	}
+	return s.core.intervals.heartbeat / 8
 }
 
-func (p *shard) raiseToken(r *machine) {
-	r.token++
-	r.minToken = r.token
-	r.trusted, r.fullStateDue = false, true
-	p.markChanged(r)
+// raiseToken fences a machine anew.
+func (s *shard) raiseToken(m *machine) {
+	m.raiseToken()
+	m.fullStateDue = true
+	s.markChanged(m)
 }
 
-// dropRefusedStarts forgets starts that a refused /do carried.
-func (p *shard) dropRefusedStarts(r *machine, id uint64) {
-	p.retainAttempts(r, func(t *taskAttempt) bool {
-		if t.phase != phaseSentDirectly || t.callID != id {
+// dropRefusedStarts returns the tasks whose starts a refused call carried.
+func (s *shard) dropRefusedStarts(m *machine, callID uint64) {
+	s.retainAttempts(m, func(a *taskAttempt) bool {
+		if a.phase != phaseSentDirectly || a.callID != callID {
 			return true
 		}
-		p.returnTask(t)
+		s.returnTask(a)
 		return false
 	})
 }
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -8,184 +8,251 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// The link of a part to its leader.
+// The link of a shard to the leader: what the leader orders, and what the shard publishes.
 
+// loopbackLink is the session of the link between the shard and the scheduler of one node.
 const loopbackLink = ^uint64(0)
 
-// leaderLinkUp and linkDown follow the link to the leader. A new link starts with the
-// whole picture; nothing that was sent over an earlier one is read any more.
-func (p *shard) leaderLinkUp(session uint64) {
-	p.leaderLink, p.fullSnapshotDue, p.lastLeaderSeq = session, true, 0
-	for _, r := range p.machines.all() {
-		if r.cordoned {
-			r.cordoned = false // until the leader says so again
-			p.markCapacityChanged(r)
+// leaderLinkUp begins a link to the leader. It starts with a full snapshot; nothing that was
+// sent over an earlier one is read any more.
+func (s *shard) leaderLinkUp(session uint64) {
+	s.leaderLink, s.fullSnapshotDue, s.lastLeaderSeq = session, true, 0
+	for _, m := range s.machines.all() {
+		if m.cordoned {
+			m.cordoned = false // until the leader says so again
+			s.markCapacityChanged(m)
 		}
 	}
-	p.leaderHeardAt = p.core.now.Monotonic
-	p.core.emit(SendToPeer{Session: session, Message: peerproto.Message{Hello: &peerproto.Hello{Label: p.core.settings.Label, BootID: p.core.bootID}, Unreachable: p.reachability.unreachable}})
+	s.leaderHeardAt = s.core.now.Monotonic
+	hello := peerproto.Hello{Label: s.core.settings.Label, BootID: s.core.bootID}
+	s.core.emit(SendToPeer{Session: session, Message: peerproto.Message{Hello: &hello, Unreachable: s.reachability.unreachable}})
 }
 
-func (p *shard) leaderLinkDown(session uint64) {
-	if p.leaderLink == session {
-		p.leaderLink = 0
+// leaderLinkDown ends a link, if it is the one to the leader.
+func (s *shard) leaderLinkDown(session uint64) {
+	if s.leaderLink == session {
+		s.leaderLink = 0
 	}
 }
 
 // handleLeaderMessage takes the leader's orders; those of another epoch are void.
-func (p *shard) handleLeaderMessage(m *peerproto.Message) {
-	c := p.core
-	p.leaderHeardAt, p.lastLeaderSeq = c.now.Monotonic, m.Seq
-	for _, v := range m.Views {
-		if j := c.mirror.acceptedJob(v.Job); j != nil {
-			j.leaderView = v
+func (s *shard) handleLeaderMessage(message *peerproto.Message) {
+	c := s.core
+	s.leaderHeardAt, s.lastLeaderSeq = c.now.Monotonic, message.Seq
+	for _, view := range message.Views {
+		if job := c.mirror.acceptedJob(view.Job); job != nil {
+			job.leaderView = view
 		}
 	}
-	c.degraded.cancelJobs(m.Cancelled)
-	if m.Epoch != p.epoch || !p.isMember {
+	c.degraded.cancelJobs(message.Cancelled)
+	if message.Epoch != s.epoch || !s.isMember {
 		return
 	}
-	p.fullSnapshotDue = p.fullSnapshotDue || m.Resync
-	for _, d := range m.Dispatch {
-		ref, index, err := protocol.ParseTaskName(d.Task)
-		j := c.mirror.acceptedJob(ref)
-		if err != nil || p.mustNotRun(ref, j) || j.isTaskDone(index) {
-			p.returned = append(p.returned, peerproto.TaskAttempt{Task: d.Task, Attempt: d.Attempt})
-			continue
-		}
-		t := &taskAttempt{task: d.Task, jobID: ref, taskIndex: index, number: d.Attempt, recordVersion: d.Version, spec: &j.record.Spec}
-		if d.Machine == "" {
-			t.runningSince = c.now.Monotonic
-			p.unplaced = append(p.unplaced, t)
-			p.placementDue = true
-		} else if !p.holdForGang(d.Machine, t, j) {
-			p.returnTask(t)
-		}
+	s.fullSnapshotDue = s.fullSnapshotDue || message.Resync
+	for i := range message.Dispatch {
+		s.handleDispatch(&message.Dispatch[i])
 	}
-	p.resolveHeld(m.StartHeld, func(r *machine, t *taskAttempt) bool {
-		t.phase, t.state, t.published = phaseQueued, "", false
-		p.expedite(r)
+	s.resolveHeld(message.StartHeld, func(m *machine, a *taskAttempt) bool {
+		a.phase, a.state, a.published = phaseQueued, "", false
+		s.expedite(m)
 		return true
 	})
-	p.resolveHeld(m.ReleaseHeld, func(r *machine, t *taskAttempt) bool { return false })
-	for _, s := range m.Stop {
-		r := p.machines.get(s.Machine)
-		if r == nil {
-			continue
-		}
-		for _, t := range r.attempts {
-			if t.task == s.Task && t.live() {
-				t.stopRequested, t.stopNow = true, s.Immediately
-				p.expedite(r)
-				c.logDebug("stopping", "task", t.task, "machine", r.name, "why", s.Reason)
-			}
-		}
+	s.resolveHeld(message.ReleaseHeld, func(*machine, *taskAttempt) bool { return false })
+	for i := range message.Stop {
+		s.handleStop(&message.Stop[i])
+	}
+	s.setCordoned(message.Cordon, true)
+	s.setCordoned(message.Uncordon, false)
+	s.drain(message.Drain)
+}
+
+// handleDispatch takes a task that the leader dispatches, for any machine or, of a gang, for
+// the one that is named.
+func (s *shard) handleDispatch(dispatch *peerproto.TaskAttempt) {
+	c := s.core
+	jobID, taskIndex, err := protocol.ParseTaskName(dispatch.Task)
+	job := c.mirror.acceptedJob(jobID)
+	if err != nil || s.mustNotRun(jobID, job) || job.isTaskDone(taskIndex) {
+		s.returned = append(s.returned, peerproto.TaskAttempt{Task: dispatch.Task, Attempt: dispatch.Attempt})
+		return
+	}
+	a := &taskAttempt{
+		task: dispatch.Task, jobID: jobID, taskIndex: taskIndex, number: dispatch.Attempt,
+		recordVersion: dispatch.Version, spec: &job.record.Spec,
+	}
+	switch {
+	case dispatch.Machine == "":
+		a.unplacedSince = c.now.Monotonic
+		s.unplaced = append(s.unplaced, a)
+		s.placementDue = true
+	case !s.holdForGang(dispatch.Machine, a, job):
+		s.returnTask(a)
 	}
-	p.setCordoned(m.Cordon, true)
-	p.setCordoned(m.Uncordon, false)
-	for _, name := range m.Drain {
-		if r := p.machines.get(name); r != nil && !r.draining {
-			r.draining = true
-			p.markChanged(r)
+}
+
+// handleStop has a task stopped that the leader preempts.
+func (s *shard) handleStop(stop *peerproto.StopTask) {
+	m := s.machines.get(stop.Machine)
+	if m == nil {
+		return
+	}
+	for _, a := range m.attempts {
+		if a.task == stop.Task && a.live() {
+			a.stopRequested, a.stopNow = true, stop.Immediately
+			s.expedite(m)
+			s.core.logDebug("stopping", "task", a.task, "machine", m.name, "why", stop.Reason)
 		}
 	}
 }
 
 // setCordoned has machines kept from new tasks, or lets them have some again.
-func (p *shard) setCordoned(names []string, closing bool) {
+func (s *shard) setCordoned(names []string, cordoned bool) {
+	for _, name := range names {
+		if m := s.machines.get(name); m != nil {
+			m.cordoned = cordoned
+			s.markCapacityChanged(m)
+		}
+	}
+}
+
+// drain has machines get no new tasks in this epoch any more.
+func (s *shard) drain(names []string) {
 	for _, name := range names {
-		if r := p.machines.get(name); r != nil {
-			r.cordoned = closing
-			p.markCapacityChanged(r)
+		if m := s.machines.get(name); m != nil && !m.draining {
+			m.draining = true
+			s.markChanged(m)
 		}
 	}
 }
 
-// publish tells the leader what has changed.
-func (p *shard) publish() {
-	c := p.core
-	if p.leaderLink == 0 {
-		p.confirmedCancellations = nil // nobody is there to pass it on
+// publish tells the leader what has changed, and from time to time that this member lives.
+func (s *shard) publish() {
+	c := s.core
+	if s.leaderLink == 0 {
+		s.confirmedCancellations = nil // nobody is there to relay them
 		return
 	}
-	if p.leaderLink != loopbackLink && c.now.Monotonic-p.leaderHeardAt > 2*c.intervals.heartbeat+c.intervals.maintenance {
-		c.logInfo("the leader is silent, calling again")
-		c.emit(ClosePeer{Session: p.leaderLink})
-		p.leaderLink = 0
+	if s.closeSilentLink() {
 		return
 	}
-	m := peerproto.Message{Epoch: p.epoch, Unreachable: p.reachability.unreachable}
-	// An older leader takes any whole picture of this label for the member's.
-	full := p.fullSnapshotDue && !c.membership.labelHeldByOther(c.settings.Label, c.bootID)
-	if full {
-		m.Snapshot, m.ReadSeq = true, p.lastLeaderSeq
-		for _, t := range p.unplaced {
-			m.Assigned = append(m.Assigned, peerproto.TaskAttempt{Task: t.task, Attempt: t.number})
-		}
+	// A leader of an older version takes any full snapshot of this label for the member's.
+	full := s.fullSnapshotDue && !c.membership.labelHeldByOther(c.settings.Label, c.bootID)
+	message := s.nextMessage(full)
+	if !full && !hasNews(&message) && c.now.Monotonic-s.lastPublishedAt < c.intervals.maintenance {
+		return
 	}
-	told := p.unpublished
+	s.fullSnapshotDue = s.fullSnapshotDue && !full
+	s.returned, s.confirmedCancellations = nil, nil
+	s.lastPublishedAt = c.now.Monotonic
+	if s.leaderLink == loopbackLink {
+		c.loopback = append(c.loopback, func() { c.scheduler.handleShardMessage(loopbackLink, &message) })
+		return
+	}
+	for _, chunk := range message.MemberChunks() {
+		c.emit(SendToPeer{Session: s.leaderLink, Message: chunk})
+	}
+}
+
+// closeSilentLink closes the link to a leader that has not been heard for too long.
+func (s *shard) closeSilentLink() bool {
+	c := s.core
+	if s.leaderLink == loopbackLink || c.now.Monotonic-s.leaderHeardAt <= 2*c.intervals.heartbeat+c.intervals.maintenance {
+		return false
+	}
+	c.logInfo("the leader is silent, calling again")
+	c.emit(ClosePeer{Session: s.leaderLink})
+	s.leaderLink = 0
+	return true
+}
+
+// nextMessage is what the leader is to be told: the changes, or a full snapshot.
+func (s *shard) nextMessage(full bool) peerproto.Message {
+	message := peerproto.Message{
+		Epoch: s.epoch, Unreachable: s.reachability.unreachable,
+		Returned: s.returned, Cancelled: s.confirmedCancellations,
+	}
+	machines := s.unpublished
 	if full {
-		told = told[:0]
-		for _, r := range p.machines.all() {
-			told = append(told, r)
+		message.Snapshot, message.ReadSeq = true, s.lastLeaderSeq
+		for _, a := range s.unplaced {
+			message.Assigned = append(message.Assigned, peerproto.TaskAttempt{Task: a.task, Attempt: a.number})
+		}
+		machines = machines[:0]
+		for _, m := range s.machines.all() {
+			machines = append(machines, m)
 		}
 	} else {
-		m.Released = p.releasedMachines
-		slices.SortFunc(told, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
-	}
-	m.Machines = make([]peerproto.MachineState, 0, len(told))
-	for _, r := range told {
-		r.unpublished = false
-		r.fullStateDue = r.fullStateDue || full
-		if p.machines.get(r.name) == r {
-			m.Machines = append(m.Machines, p.machineState(r))
+		message.Released = s.releasedMachines
+		slices.SortFunc(machines, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+	}
+	message.Machines = make([]peerproto.MachineState, 0, len(machines))
+	for _, m := range machines {
+		m.unpublished = false
+		m.fullStateDue = m.fullStateDue || full
+		if s.owns(m) {
+			message.Machines = append(message.Machines, s.machineState(m))
 		}
 	}
-	p.unpublished, p.releasedMachines = p.unpublished[:0], nil
-	m.Returned, m.Cancelled = p.returned, p.confirmedCancellations
-	idle := !full && len(m.Cancelled) == 0 && len(m.Machines) == 0 && len(m.Returned) == 0 && len(m.Released) == 0
-	if idle && c.now.Monotonic-p.lastPublishedAt < c.intervals.maintenance {
-		return
+	s.unpublished, s.releasedMachines = s.unpublished[:0], nil
+	return message
+}
+
+// hasNews reports whether a message holds anything but that its sender lives.
+func hasNews(message *peerproto.Message) bool {
+	return len(message.Cancelled) > 0 || len(message.Machines) > 0 || len(message.Returned) > 0 || len(message.Released) > 0
+}
+
+// machineState is what the leader is told of a machine: all of it, or what has changed.
+func (s *shard) machineState(m *machine) peerproto.MachineState {
+	state := peerproto.MachineState{
+		Name:               m.name,
+		TasksComplete:      m.trust != listUnconfirmed,
+		TasksBounded:       m.keptFromLastEpoch,
+		AcceptsTasks:       m.isTrusted() && m.machineType != nil,
+		InterruptionNotice: m.interruptionNotice,
+		Draining:           m.draining,
+		Silent:             m.silent,
+		Partial:            !m.fullStateDue,
 	}
-	p.fullSnapshotDue, p.returned, p.confirmedCancellations = p.fullSnapshotDue && !full, nil, nil
-	p.lastPublishedAt = c.now.Monotonic
-	if p.leaderLink == loopbackLink {
-		c.loopback = append(c.loopback, func() { c.scheduler.handleShardMessage(loopbackLink, &m) })
-		return
+	if m.fullStateDue {
+		state.Addr, state.Type, state.Zone, state.Spot = m.addr, m.typeName, m.zone, m.spot
 	}
-	for _, piece := range m.MemberChunks() {
-		c.emit(SendToPeer{Session: p.leaderLink, Message: piece})
+	if m.fullStateDue || m.imagesChanged {
+		state.Images = slices.Clone(m.images.recency)
 	}
+	state.Tasks = m.publishTasks()
+	if !m.fullStateDue {
+		state.RemovedTasks = m.tasksLeft()
+	}
+	m.fullStateDue, m.imagesChanged, m.droppedTasks = false, false, nil
+	return state
 }
 
-// machineState is what the leader is told of a machine: all of it, or what has changed.
-func (p *shard) machineState(r *machine) peerproto.MachineState {
-	s := peerproto.MachineState{
-		Name: r.name, TasksComplete: r.trusted || r.leaseExpired, TasksBounded: r.keptFromLastEpoch, AcceptsTasks: r.trusted && !r.leaseExpired && r.machineType != nil,
-		InterruptionNotice: r.interruptionNotice, Draining: r.draining, Silent: r.silent, Partial: !r.fullStateDue,
-	}
-	if r.fullStateDue {
-		s.Addr, s.Type, s.Zone, s.Spot = r.addr, r.typeName, r.zone, r.spot
-	}
-	if r.fullStateDue || r.imagesChanged {
-		s.Images = slices.Clone(r.images.recency)
-	}
-	for _, t := range r.attempts {
-		if r.fullStateDue || !t.published {
-			t.published = true
-			s.Tasks = append(s.Tasks, peerproto.TaskState{Task: t.task, Attempt: t.number, State: t.state, ExitReason: t.exitReason, RanSeconds: t.ranSeconds})
-			if !t.live() {
-				r.droppedTasks = append(r.droppedTasks, t.task)
-			}
+// publishTasks lists the machine's attempts, or only those that have changed, and notes that
+// the leader knows them. An attempt that has ended counts as dropped: it may run elsewhere.
+func (m *machine) publishTasks() []peerproto.TaskState {
+	var tasks []peerproto.TaskState
+	for _, a := range m.attempts {
+		if a.published && !m.fullStateDue {
+			continue
+		}
+		a.published = true
+		tasks = append(tasks, peerproto.TaskState{Task: a.task, Attempt: a.number, State: a.state, ExitReason: a.exitReason, RanSeconds: a.ranSeconds})
+		if !a.live() {
+			m.droppedTasks = append(m.droppedTasks, a.task)
 		}
 	}
-	if !r.fullStateDue {
-		for _, task := range r.droppedTasks {
-			if !slices.ContainsFunc(r.attempts, func(t *taskAttempt) bool { return t.task == task && t.live() }) {
-				s.RemovedTasks = append(s.RemovedTasks, task)
-			}
+	return tasks
+}
+
+// tasksLeft lists the dropped tasks of which the machine has no other live attempt.
+func (m *machine) tasksLeft() []string {
+	var left []string
+	for _, task := range m.droppedTasks {
+		isLive := func(a *taskAttempt) bool { return a.task == task && a.live() }
+		if !slices.ContainsFunc(m.attempts, isLive) {
+			left = append(left, task)
 		}
 	}
-	r.fullStateDue, r.imagesChanged, r.droppedTasks = false, false, nil
-	return s
+	return left
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -6,100 +6,150 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// startPhase is how sure the part is that a start has reached its machine.
-type startPhase int
+// listTrust is what the task list of a machine is worth to its owner.
+//
+// Its transitions are the methods resetForEpoch, observeToken, raiseToken and expireLease
+// of a machine, and nothing else changes it.
+type listTrust int
 
 const (
-	phaseHeld         startPhase = iota // has room, waits for the rest of its gang
-	phaseQueued                         // not sent yet
-	phaseSentInReply                    // sent in the response to a report
-	phaseSentDirectly                   // sent by /do, outcome open
-	phaseListed                         // the machine lists it
+	// listUnconfirmed: the machine has not shown its current fencing token yet. Its list
+	// is a hint only, since a start that was sent under an earlier token may still arrive.
+	listUnconfirmed listTrust = iota
+	// listConfirmed: its newest message carried the current token. Nothing but what it
+	// lists, and what this owner has sent since, can be on it.
+	listConfirmed
+	// listExpired: nobody has answered its worker for longer than the worker's lease, so
+	// it runs nothing.
+	listExpired
 )
 
-// taskAttempt is one attempt of a task on a machine, or on its way there.
-type taskAttempt struct {
-	task          string
-	jobID         string
-	taskIndex     int
-	number        uint64
-	recordVersion uint64 // of the job's record that its dispatch rests on, 0: it rests on none
-	phase         startPhase
-	callID        uint64 // of the /do that carried the start
-	startToken    uint64 // that the start was sent with
-	state         string
-	exitReason    string
-	runningSince  time.Duration // when it was seen running
-	foundRunning  bool          // this owner found it running: when it began is not known
-	ranSeconds    float64
-	stopRequested bool // asked to stop
-	stopNow       bool // without time to save
-	spec          *protocol.Job
-	lastListed    uint64        // of the list it was last seen in
-	endedAt       time.Duration // when it was first seen to have ended
-	published     bool          // the leader knows of it as it is
-}
-
-// live reports whether the attempt takes room.
-func (p *taskAttempt) live() bool { return p.state != protocol.TaskExited }
+// messageID orders the messages of a worker: by its session, and within it by a sequence
+// number.
+type messageID struct{ session, seq uint64 }
 
 // machine is a machine that this member owns.
 type machine struct {
 	name, addr, typeName, zone string
 	spot                       bool
-	machineType                *protocol.MachineType
-
-	session, seq       uint64                        // newest message seen
-	lastHeartbeat      struct{ session, seq uint64 } // newest of them that was a report
-	token              uint64                        // ours for this machine
-	minToken           uint64                        // the first that is: what it lists with this or a later one is believed
-	trusted            bool                          // the newest message carried one of them
-	keptFromLastEpoch  bool                          // it was trusted in the last epoch, and ours then too
-	lastAnsweredAt     time.Duration
-	maybeAnsweredUntil time.Duration // until when it may have been answered before this epoch was ours
-	fenced             bool          // it has shown a token of this epoch
-	lastHeardAt        time.Duration
-	unansweredCalls    int  // calls in a row that it let pass
-	silent             bool // not heard for half a lease, or mute after a change of the map
-	leaseExpired       bool // silent for so long that its worker has dropped everything
-	interruptionNotice bool
-	draining           bool
-	cordoned           bool   // gets no new tasks for now
-	callInFlight       uint64 // the /do under way
+	machineType                *protocol.MachineType // nil while the mirror does not hold the type
+	registered                 bool                  // in the machine registry
+
+	session, seq  uint64    // of the newest message of any kind
+	lastHeartbeat messageID // the newest message that was a heartbeat
+
+	trust    listTrust
+	token    uint64 // the fencing token that commands to it carry
+	minToken uint64 // the least token that confirms its list
+	fenced   bool   // it has shown a token of this epoch
+	// keptFromLastEpoch says that its list was confirmed in the last epoch, in which this
+	// member owned it too: no other controller has started anything on it since.
+	keptFromLastEpoch bool
+
+	lastHeardAt    time.Duration
+	lastAnsweredAt time.Duration // when its worker's lease was last renewed, at the latest
+	// maybeAnsweredUntil is until when a former owner may have renewed the worker's lease.
+	maybeAnsweredUntil time.Duration
+	silent             bool // not heard for a while, as published to the leader
+	unansweredCalls    int  // in a row
+	callInFlight       uint64
 	nextCallAt         time.Duration
-	queuedForFencing   bool // to be asked
-	expedited          bool // send commands without waiting for the next report
-	registered         bool
-	attempts           []*taskAttempt
-	images             imageCache
-	backoffUntil       map[string]time.Duration // jobs whose tasks failed here
-	listsRead          uint64
-
-	fullStateDue    bool         // the leader needs the whole picture of it
-	imagesChanged   bool         // its images have changed
-	droppedTasks    []string     // tasks that were dropped since the leader was told
-	unpublished     bool         // its picture has changed since it was last told
-	cachedCapacity  freeCapacity // what room found, while counted is set
+	queuedForFencing   bool
+
+	interruptionNotice bool // the cloud will reclaim it soon
+	draining           bool
+	cordoned           bool // gets no new tasks for now, by the leader's order
+	expedited          bool // its commands do not wait for its next heartbeat
+
+	attempts     []*taskAttempt
+	listsRead    uint64 // how many confirmed lists were read
+	images       imageCache
+	backoffUntil map[string]time.Duration // by job: no task of it is placed here before
+
+	unpublished   bool     // something of it has changed since it was last published
+	fullStateDue  bool     // the leader needs all of its state, not only what has changed
+	imagesChanged bool     // since it was last published
+	droppedTasks  []string // tasks that have left it since it was last published
+
+	cachedCapacity  freeCapacity // what freeCapacity returns while capacityValid
 	capacityValid   bool
-	capacityChanged bool // its room may have changed since tasks were last placed
+	capacityChanged bool // since tasks were last placed
 }
 
-// freeCapacity is what is free on a machine, starts under way counted. It is counted
-// anew only once something has changed.
-func (r *machine) freeCapacity() *freeCapacity {
-	if r.capacityValid {
-		return &r.cachedCapacity
+// isTrusted reports whether the machine's task list is confirmed.
+func (m *machine) isTrusted() bool { return m.trust == listConfirmed }
+
+// leaseExpired reports whether the worker's lease has surely run out.
+func (m *machine) leaseExpired() bool { return m.trust == listExpired }
+
+// resetForEpoch gives the machine the first token of an epoch, so that its list has to be
+// confirmed anew. ownedBefore says that this member owned it in the epoch before as well.
+//
+// While it is ours nobody else starts anything on it: what can be there is what we know of,
+// whether it answers or not. Guards against a failover that waits for dead machines whose
+// owner has never changed.
+func (m *machine) resetForEpoch(epoch uint64, ownedBefore bool) {
+	m.keptFromLastEpoch = ownedBefore && (m.isTrusted() || m.keptFromLastEpoch)
+	m.token = epoch << tokenBits
+	m.minToken = m.token
+	m.fenced = false
+	if !(ownedBefore && m.leaseExpired()) {
+		m.trust = listUnconfirmed
+	}
+	m.callInFlight, m.nextCallAt, m.unansweredCalls = 0, 0, 0
+	m.draining, m.cordoned = false, false
+}
+
+// observeToken takes the token of the machine's newest message and reports whether its list
+// has become confirmed by it, or ceased to be.
+func (m *machine) observeToken(token uint64) (changed bool) {
+	was := m.trust
+	switch {
+	case token >= m.minToken && token <= m.token:
+		m.trust, m.fenced = listConfirmed, true
+	case m.isTrusted():
+		m.trust = listUnconfirmed
+	}
+	return m.trust != was
+}
+
+// raiseToken invalidates every start that was sent to the machine so far. Its list is
+// unconfirmed until it has shown the new token.
+func (m *machine) raiseToken() {
+	m.token++
+	m.minToken = m.token
+	if m.isTrusted() {
+		m.trust = listUnconfirmed
+	}
+}
+
+// expireLease notes that the worker's lease has run out: the machine runs nothing.
+func (m *machine) expireLease() {
+	m.trust = listExpired
+	m.attempts = nil
+}
+
+// freeCapacity is what is free on the machine, starts under way counted. It is computed
+// anew only once something has changed. The machine's type must be known.
+func (m *machine) freeCapacity() *freeCapacity {
+	if m.capacityValid {
+		return &m.cachedCapacity
+	}
+	free := freeCapacity{
+		cpus: m.machineType.CPUs, gpus: m.machineType.GPUs, memoryGB: m.machineType.MemoryGB,
+		typeName: m.typeName, zone: m.zone, spot: m.spot, cachedImages: m.images.cached,
 	}
-	m := freeCapacity{cpus: r.machineType.CPUs, gpus: r.machineType.GPUs, memoryGB: r.machineType.MemoryGB, typeName: r.typeName, zone: r.zone, spot: r.spot, cachedImages: r.images.cached}
-	for _, t := range r.attempts {
-		if t.live() && t.spec != nil {
-			m.allocate(t.spec)
+	for _, a := range m.attempts {
+		if a.live() && a.spec != nil {
+			free.allocate(a.spec)
 		}
 	}
-	r.cachedCapacity, r.capacityValid = m, true
-	return &r.cachedCapacity
+	m.cachedCapacity, m.capacityValid = free, true
+	return &m.cachedCapacity
 }
 
-func (r *machine) acceptsTasks() bool {
-	return r.trusted && r.registered && !r.leaseExpired && !r.interruptionNotice && !r.draining && !r.cordoned && r.machineType != nil
+// acceptsTasks reports whether new tasks may be placed on the machine.
+func (m *machine) acceptsTasks() bool {
+	return m.isTrusted() && m.registered && m.machineType != nil &&
+		!m.interruptionNotice && !m.draining && !m.cordoned
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -143,7 +143,7 @@
 		if best == nil {
 			full[t.jobID] = !t.spec.Spread
 			// Unplaced for one round: back to the shared queue.
-			if c.now.Monotonic-t.runningSince >= c.intervals.maintenance {
+			if c.now.Monotonic-t.unplacedSince >= c.intervals.maintenance {
 				p.returnTask(t)
 				continue
 			}
@@ -153,7 +153,7 @@
 		if !best.freeCapacity().hasImage(t.spec.Image) {
 			p.recordImage(best, t.spec)
 		}
-		t.phase, t.runningSince = phaseQueued, 0
+		t.phase = phaseQueued
 		c.logDebug("placed", "task", t.task, "machine", best.name)
 		p.addAttempt(best, t)
 		if best.lastHeardAt+c.intervals.heartbeat-c.now.Monotonic > c.intervals.heartbeat/6 {
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -70,14 +70,14 @@
 	if c.now.Monotonic-p.epochSince < c.intervals.workerLease/3 {
 		return
 	}
-	if r := f.lastHeardMachine; r != nil && r.trusted && p.machines.get(r.name) == r && c.now.Monotonic-r.lastHeardAt < c.intervals.workerLease/3 {
+	if r := f.lastHeardMachine; r != nil && r.isTrusted() && p.machines.get(r.name) == r && c.now.Monotonic-r.lastHeardAt < c.intervals.workerLease/3 {
 		f.consecutiveLeaves = 0
 		return
 	}
 	for _, r := range p.machines.all() {
 		// One that is not registered may be gone: nobody is told of those withdrawn.
 		if r.registered && c.now.Monotonic-r.lastHeardAt < c.intervals.workerLease/3 {
-			if r.trusted {
+			if r.isTrusted() {
 				f.consecutiveLeaves = 0
 			}
 			f.lastHeardMachine = r
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -103,7 +103,7 @@
 		}
 	}
 	for name, r := range c.shard.machines.all() {
-		s.Machines[name] = MachineStatus{Type: r.typeName, Zone: r.zone, Spot: r.spot, Trusted: r.trusted, Silent: r.leaseExpired, Draining: r.draining, Tasks: len(r.attempts)}
+		s.Machines[name] = MachineStatus{Type: r.typeName, Zone: r.zone, Spot: r.spot, Trusted: r.isTrusted(), Silent: r.leaseExpired(), Draining: r.draining, Tasks: len(r.attempts)}
 	}
 	if c.membership.leading {
 		s.TeamCPUs = map[string]float64{}
