--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -72,7 +72,7 @@
 	c := m.core
 	others, vacant := len(c.mirror.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
 	return m.stepdown.ShouldAbstain(c.now.Monotonic, others, vacant, c.intervals.memberLease) ||
-		c.shard.reachability.unreachable && others && vacant < c.intervals.maintenance
+		c.shard.reachability.Unreachable() && others && vacant < c.intervals.maintenance
 }
 
 // stepDownIfIdle gives the leader key up once this leader has been able to serve nobody for a
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -155,7 +155,7 @@
 
 // handleCallResult takes the outcome of a call to a machine.
 func (s *shard) handleCallResult(d *CallWorkerResult) {
-	s.recordCall(d.Outcome != DirectUnknown)
+	s.reachability.CallEnded(s.core.now.Monotonic, d.Outcome != DirectUnknown)
 	if s.fencingCalls[d.CallID] {
 		delete(s.fencingCalls, d.CallID)
 		defer s.fenceNext()
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -19,7 +19,7 @@
 	m := s.machines.get(report.Machine)
 	current := m == nil || report.Newer(m.lastHeartbeat.session, m.lastHeartbeat.seq)
 	if current {
-		s.reachability.lastContactAt = c.now.Monotonic
+		s.reachability.Contact(c.now.Monotonic)
 	}
 	if c.mirror.ready {
 		s.followEpoch()
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -25,7 +25,7 @@
 	}
 	s.leaderHeardAt = s.core.now.Monotonic
 	hello := peerproto.Hello{Label: s.core.settings.Label, BootID: s.core.bootID}
-	s.core.emit(SendToPeer{Session: session, Message: peerproto.Message{Hello: &hello, Unreachable: s.reachability.unreachable}})
+	s.core.emit(SendToPeer{Session: session, Message: peerproto.Message{Hello: &hello, Unreachable: s.reachability.Unreachable()}})
 }
 
 // leaderLinkDown ends a link, if it is the one to the leader.
@@ -168,7 +168,7 @@
 // nextMessage is what the leader is to be told: the changes, or a full snapshot.
 func (s *shard) nextMessage(full bool) peerproto.Message {
 	message := peerproto.Message{
-		Epoch: s.epoch, Unreachable: s.reachability.unreachable,
+		Epoch: s.epoch, Unreachable: s.reachability.Unreachable(),
 		Returned: s.returned, Cancelled: s.confirmedCancellations,
 	}
 	machines := s.unpublished
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"github.com/chalkhub/chalkhub/internal/reachability"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/peerproto"
@@ -40,10 +41,11 @@
 	expedited            []*machine // have commands that do not wait for a heartbeat
 
 	// Calls to machines.
-	lastCallID       uint64
-	fencingCalls     map[uint64]bool // calls without commands that are under way
-	fencingQueue     []*machine      // wait for one of these to end
-	reachability     reachability
+	lastCallID   uint64
+	fencingCalls map[uint64]bool // calls without commands that are under way
+	fencingQueue []*machine      // wait for one of these to end
+	reachability reachability.Tracker
+	// lastHeardMachine is one that was heard when that was last asked.
 	lastHeardMachine *machine
 
 	// The link to the leader.
@@ -65,6 +67,7 @@
 		machinesByJob:        map[string]*orderedMap[*machine]{},
 		machinesWithCapacity: newOrderedMap[*machine](),
 		fencingCalls:         map[uint64]bool{},
+		reachability:         reachability.Tracker{Lease: c.intervals.workerLease, Heartbeat: c.intervals.heartbeat},
 	}
 }
 
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -24,7 +24,7 @@
 	ownedBefore := s.isMember && epoch == s.epoch+1
 	s.epoch, s.isMember = epoch, c.membership.isMember()
 	s.unplaced, s.returned, s.fullSnapshotDue = nil, nil, true
-	s.reachability.callsLost, s.reachability.doubtfulSince = 0, 0 // what was lost under an earlier map says nothing of this one
+	s.reachability.EnterEpoch()
 	s.epochSince, s.nextCheckAt = c.now.Monotonic, 0
 	for name, record := range c.mirror.machineRecords.all() {
 		s.adoptRegistered(name, record)
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -29,7 +29,7 @@
 	}
 	// A map of this node alone would take the machines from those who may well serve them,
 	// just before another leads, or before this node knows that it reaches none.
-	if idle || unheard && c.shard.machinesSilent() && !c.shard.reachability.unreachable {
+	if idle || unheard && c.shard.machinesSilent() && !c.shard.reachability.Unreachable() {
 		return
 	}
 	if len(desired) == 0 {
@@ -57,7 +57,7 @@
 	for label, node := range c.mirror.nodes {
 		switch {
 		case label == c.settings.Label:
-			if !c.shard.reachability.unreachable || len(c.mirror.nodes) == 1 {
+			if !c.shard.reachability.Unreachable() || len(c.mirror.nodes) == 1 {
 				m.desiredMembers[label] = node.BootID
 			}
 		case c.scheduler.hearsMember(label, node.BootID):
