--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -40,7 +40,7 @@
 	guessed := map[string][]*inflightAttempt{}
 	made := map[string]int{} // machine -> the urgency that room is made for
 	for name, f := range o.unplacedAttempts {
-		if f.awaitingPlacement {
+		if f.location == locationDispatched {
 			guessed[f.plannedMachine] = append(guessed[f.plannedMachine], f)
 		} else {
 			delete(o.unplacedAttempts, name)
@@ -314,7 +314,7 @@
 		p.bestEffortCPUs += s.CPUs
 	}
 	f := &inflightAttempt{job: q, taskIndex: i, number: attempt, plannedMachine: m.name, shard: m.shard.label,
-		dispatchSession: m.shard.session, dispatchSeq: m.shard.messagesSent + 1, awaitingPlacement: true, claimants: map[string]bool{}}
+		dispatchSession: m.shard.session, dispatchSeq: m.shard.messagesSent + 1, location: locationDispatched, claimants: map[string]bool{}}
 	name := protocol.TaskName(q.id, i)
 	o.trackAttempt(name, f)
 	o.unplacedAttempts[name] = f
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -93,7 +93,7 @@
 		held := 0
 		for _, f := range q.inflight {
 			switch {
-			case f.unlocated || f.awaitingPlacement || f.machine == "":
+			case f.location != locationClaimed || f.machine == "":
 			case f.taskState == peerproto.StateHeld:
 				held++
 			default:
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -214,14 +214,7 @@
 	for name := range o.core.mirror.machineRecords.all() {
 		o.ensureMachine(name)
 	}
-	// What was dispatched but not yet seen on a machine may be on any machine
-	// of a part that is gone; it counts as running until all are seen.
-	for _, f := range o.unplacedAttempts {
-		if f.awaitingPlacement {
-			f.awaitingPlacement, f.unlocated, o.hasUnlocated = false, true, true
-		}
-	}
-	clear(o.unplacedAttempts)
+	o.markDispatchedUnlocated()
 	for _, p := range o.shards {
 		// A part may have entered this epoch, and told all, before we did.
 		p.syncedEpoch, p.snapshotTasks = 0, nil
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -8,367 +8,448 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// What the parts tell the leader of their machines, and what it lets them know.
+// What the shards publish to the leader of their machines, and what it lets them know.
 
-// shardView is a member as the leader hears it.
+// shardView is a member and its shard as the leader hears them.
 type shardView struct {
-	label, boot     string
-	session         uint64
-	lastHeardAt     time.Duration
-	syncedEpoch     uint64          // epoch of the last whole picture
-	snapshotTasks   map[string]bool // tasks that the pieces of one have named so far, nil: none is under way
+	label, boot string
+	session     uint64 // of the link, 0: none
+	lastHeardAt time.Duration
+	unreachable bool // it reports that it reaches no machine
+
+	syncedEpoch     uint64          // the epoch of the last full snapshot
+	snapshotTasks   map[string]bool // named by the chunks of a snapshot so far, nil: none is under way
 	snapshotChunk   int             // the last of them
-	snapshotReadSeq uint64          // the last of our messages that it takes account of
-	unreachable     bool
-	messagesSent    uint64 // messages sent over the session
-	outbox          peerproto.Message
-	outboxDue       bool
+	snapshotReadSeq uint64          // the last of our messages that the snapshot takes account of
+
+	messagesSent uint64 // over the session
+	outbox       peerproto.Message
+	outboxDue    bool
 }
 
-func (o *scheduler) memberLinkUp(session uint64) {
-	o.shardLabels[session] = ""
+// memberLinkUp begins a link that a member has made; its hello will name the member.
+func (s *scheduler) memberLinkUp(session uint64) {
+	s.shardLabels[session] = ""
 	if session == loopbackLink {
-		o.handleHello(session, &peerproto.Hello{Label: o.core.settings.Label, BootID: o.core.bootID})
+		s.handleHello(session, &peerproto.Hello{Label: s.core.settings.Label, BootID: s.core.bootID})
 	}
 }
 
-func (o *scheduler) memberLinkDown(session uint64) {
-	label, ok := o.shardLabels[session]
+// memberLinkDown ends a member's link.
+func (s *scheduler) memberLinkDown(session uint64) {
+	label, ok := s.shardLabels[session]
 	if !ok {
 		return
 	}
-	delete(o.shardLabels, session)
-	if p := o.shards[label]; p != nil && p.session == session {
-		p.session = 0
-		p.syncedEpoch, p.snapshotTasks = 0, nil
+	delete(s.shardLabels, session)
+	if member := s.shards[label]; member != nil && member.session == session {
+		member.session = 0
+		member.syncedEpoch, member.snapshotTasks = 0, nil
 	}
 }
 
-func (o *scheduler) handleHello(session uint64, h *peerproto.Hello) {
-	o.shardLabels[session] = h.Label
-	p := o.shards[h.Label]
-	if p == nil {
-		p = &shardView{label: h.Label}
-		o.shards[h.Label] = p
-	}
-	if p.session != 0 && p.session != session && p.session != loopbackLink {
-		o.core.emit(ClosePeer{Session: p.session})
-		delete(o.shardLabels, p.session)
-	}
-	p.boot, p.session, p.lastHeardAt, p.syncedEpoch, p.messagesSent, p.snapshotTasks = h.BootID, session, o.core.now.Monotonic, 0, 0, nil
-	p.outbox, p.outboxDue = peerproto.Message{}, false
-	for _, v := range o.machines.all() {
-		v.cordoned = v.cordoned && v.shard != p.label
-	}
-	for _, q := range o.queue.all() {
-		q.publishedView = peerproto.JobView{} // a new listener knows nothing yet
+// handleHello takes a member's first message over a link, which replaces any earlier link.
+func (s *scheduler) handleHello(session uint64, hello *peerproto.Hello) {
+	s.shardLabels[session] = hello.Label
+	member := s.shards[hello.Label]
+	if member == nil {
+		member = &shardView{label: hello.Label}
+		s.shards[hello.Label] = member
+	}
+	if member.session != 0 && member.session != session && member.session != loopbackLink {
+		s.core.emit(ClosePeer{Session: member.session})
+		delete(s.shardLabels, member.session)
+	}
+	member.boot, member.session, member.lastHeardAt = hello.BootID, session, s.core.now.Monotonic
+	member.syncedEpoch, member.snapshotTasks = 0, nil
+	member.messagesSent, member.outbox, member.outboxDue = 0, peerproto.Message{}, false
+	for _, view := range s.machines.all() {
+		view.cordoned = view.cordoned && view.shard != member.label
+	}
+	for _, job := range s.queue.all() {
+		job.publishedView = peerproto.JobView{} // a new listener knows nothing yet
 	}
 }
 
-// hearsMember reports whether a member's link stands and is alive.
-func (o *scheduler) hearsMember(label, boot string) bool {
-	p := o.shards[label]
-	return p.alive(o.core, boot) && !p.unreachable
+// hearsMember reports whether a member's link is alive and the member reaches its machines.
+func (s *scheduler) hearsMember(label, boot string) bool {
+	member := s.shards[label]
+	return member.alive(s.core, boot) && !member.unreachable
 }
 
 // reportsUnreachable reports whether a controller is heard and says that it reaches no machine.
-func (o *scheduler) reportsUnreachable(label, boot string) bool {
-	p := o.shards[label]
-	return p.alive(o.core, boot) && p.unreachable
+func (s *scheduler) reportsUnreachable(label, boot string) bool {
+	member := s.shards[label]
+	return member.alive(s.core, boot) && member.unreachable
 }
 
+// alive reports whether the link of this very process of a member was heard lately.
 func (p *shardView) alive(c *Core, boot string) bool {
 	return p != nil && p.session != 0 && p.boot == boot && c.now.Monotonic-p.lastHeardAt < 2*c.intervals.heartbeat+c.intervals.maintenance
 }
 
-// handleVote takes what a controller says in a round of the vigil.
-func (o *scheduler) handleVote(session uint64, w *degraded.Vote) {
-	label := o.shardLabels[session]
-	p := o.shards[label]
-	if p == nil || p.session != session || !o.leading {
+// handleVote takes a controller's vote in a round of the degraded mode.
+func (s *scheduler) handleVote(session uint64, vote *degraded.Vote) {
+	label := s.shardLabels[session]
+	member := s.shards[label]
+	if member == nil || member.session != session || !s.leading {
 		return
 	}
-	p.lastHeardAt = o.core.now.Monotonic
-	o.core.degraded.handleVote(label, *w)
+	member.lastHeardAt = s.core.now.Monotonic
+	s.core.degraded.handleVote(label, *vote)
 }
 
-func (o *scheduler) handleShardMessage(session uint64, m *peerproto.Message) {
-	label, ok := o.shardLabels[session]
+// handleShardMessage takes a message of a member.
+func (s *scheduler) handleShardMessage(session uint64, message *peerproto.Message) {
+	label, ok := s.shardLabels[session]
 	if !ok {
 		return
 	}
-	if m.Hello != nil {
-		o.handleHello(session, m.Hello)
-		o.shards[m.Hello.Label].unreachable = m.Unreachable
+	if message.Hello != nil {
+		s.handleHello(session, message.Hello)
+		s.shards[message.Hello.Label].unreachable = message.Unreachable
 		return
 	}
-	p := o.shards[label]
-	if p == nil || p.session != session {
+	member := s.shards[label]
+	if member == nil || member.session != session {
 		return
 	}
-	p.lastHeardAt = o.core.now.Monotonic
-	p.unreachable = m.Unreachable
-	if !o.leading {
+	member.lastHeardAt = s.core.now.Monotonic
+	member.unreachable = message.Unreachable
+	if !s.leading {
 		return
 	}
-	if len(m.Cancelled) > 0 {
-		o.core.degraded.cancelJobs(m.Cancelled)
-		o.relayCancellations(m.Cancelled, label)
+	if len(message.Cancelled) > 0 {
+		s.core.degraded.cancelJobs(message.Cancelled)
+		s.relayCancellations(message.Cancelled, label)
 	}
-	o.enterEpoch()
-	if o.epoch == 0 || m.Epoch != o.epoch || o.core.membership.labelHeldByOther(label, p.boot) {
+	s.enterEpoch()
+	if s.epoch == 0 || message.Epoch != s.epoch || s.core.membership.labelHeldByOther(label, member.boot) {
 		return
 	}
-	switch {
-	case m.Snapshot:
-		if m.Chunk > 0 && (p.snapshotTasks == nil || m.Chunk != p.snapshotChunk+1) {
-			return // its first pieces came before we were in this epoch: it is asked again
-		}
-		o.applySnapshot(p, m)
-	case p.syncedEpoch != o.epoch:
-		return // its whole picture is still to come
-	}
-	for _, name := range m.Released {
-		if v := o.machines.get(name); v != nil && v.shard == p.label {
-			v.listedEpoch = 0
-		}
-	}
-	for i := range m.Machines {
-		o.applyMachineState(p, &m.Machines[i])
+	if message.Snapshot && !s.applySnapshot(member, message) || member.syncedEpoch != s.epoch && !message.Snapshot {
+		return // the full snapshot is still to come
 	}
-	for _, t := range m.Returned {
-		if f := o.attempts[t.Task]; f != nil && f.number == t.Attempt && f.awaitingPlacement {
-			f.awaitingPlacement = false
-			o.retireIfGone(t.Task, f)
-		}
-	}
-	o.resolveUnlocated()
+	s.applyChanges(member, message)
 }
 
 // relayCancellations lets all members but one know of jobs that are cancelled.
-func (o *scheduler) relayCancellations(jobs []string, but string) {
-	for label, p := range o.shards {
-		if label != but && label != o.core.settings.Label && p.session != 0 {
-			p.outbox.Cancelled, p.outboxDue = append(p.outbox.Cancelled, jobs...), true
+func (s *scheduler) relayCancellations(jobs []string, except string) {
+	for label, member := range s.shards {
+		if label != except && label != s.core.settings.Label && member.session != 0 {
+			member.outbox.Cancelled, member.outboxDue = append(member.outbox.Cancelled, jobs...), true
 		}
 	}
 }
 
-// applySnapshot takes a piece of a part's whole picture. Once it has all of them it compares
-// the picture with what was dispatched to the part: what is neither on one of its
-// machines nor assigned there was lost with an earlier link and will never be read.
+// applySnapshot takes a chunk of a shard's full snapshot, and reports whether it is the first
+// or follows the chunk before. Once it has all chunks it compares the snapshot with what was
+// dispatched to the shard: what is neither on one of its machines nor waits there for
+// capacity was lost with an earlier link and will never be read.
 //
-// Guards against taking a dispatch for lost that is still on its way: a picture
-// made before the part had read it once had hundreds of tasks started twice.
-func (o *scheduler) applySnapshot(p *shardView, m *peerproto.Message) {
-	p.snapshotChunk = m.Chunk
-	if m.Chunk == 0 {
-		p.snapshotTasks, p.snapshotReadSeq = map[string]bool{}, m.ReadSeq
-		for _, v := range o.machines.all() {
-			if v.shard == p.label {
-				v.listedEpoch = 0
-			}
+// Guards against taking a dispatch for lost that is still on its way: a snapshot made before
+// the shard had read it once had hundreds of tasks started twice.
+func (s *scheduler) applySnapshot(member *shardView, message *peerproto.Message) bool {
+	if message.Chunk > 0 && (member.snapshotTasks == nil || message.Chunk != member.snapshotChunk+1) {
+		return false // its first chunks came before we were in this epoch: it is asked again
+	}
+	member.snapshotChunk = message.Chunk
+	if message.Chunk == 0 {
+		s.beginSnapshot(member, message)
+	}
+	for _, dispatched := range message.Assigned {
+		member.snapshotTasks[dispatched.Task] = true
+	}
+	for i := range message.Machines {
+		for _, task := range message.Machines[i].Tasks {
+			member.snapshotTasks[task.Task] = true
 		}
 	}
-	for _, t := range m.Assigned {
-		p.snapshotTasks[t.Task] = true
+	if !message.More {
+		s.endSnapshot(member)
 	}
-	for i := range m.Machines {
-		for _, t := range m.Machines[i].Tasks {
-			p.snapshotTasks[t.Task] = true
+	return true
+}
+
+// beginSnapshot prepares for the chunks of a full snapshot.
+func (s *scheduler) beginSnapshot(member *shardView, message *peerproto.Message) {
+	member.snapshotTasks, member.snapshotReadSeq = map[string]bool{}, message.ReadSeq
+	for _, view := range s.machines.all() {
+		if view.shard == member.label {
+			view.listedEpoch = 0
 		}
 	}
-	if m.More {
-		return
-	}
-	for _, name := range sortedKeys(o.unplacedAttempts) {
-		if f := o.unplacedAttempts[name]; f.shard == p.label && f.awaitingPlacement && !p.snapshotTasks[name] && (f.dispatchSession != p.session || f.dispatchSeq <= p.snapshotReadSeq) {
-			f.awaitingPlacement = false
-			o.retireIfGone(name, f)
+}
+
+// endSnapshot drops the dispatches that a full snapshot shows to be lost.
+func (s *scheduler) endSnapshot(member *shardView) {
+	for _, task := range sortedKeys(s.unplacedAttempts) {
+		attempt := s.unplacedAttempts[task]
+		if attempt.shard != member.label || attempt.location != locationDispatched || member.snapshotTasks[task] {
+			continue
+		}
+		if attempt.dispatchSession != member.session || attempt.dispatchSeq <= member.snapshotReadSeq {
+			s.notPlaced(task, attempt)
 		}
 	}
-	p.snapshotTasks = nil
-	p.syncedEpoch = o.epoch
-	o.lastScheduling = 0 // its machines are waiting for work
+	member.snapshotTasks = nil
+	member.syncedEpoch = s.epoch
+	s.lastScheduling = 0 // its machines are waiting for work
 }
 
-// applyMachineState takes a part's picture of one machine.
-func (o *scheduler) applyMachineState(p *shardView, s *peerproto.MachineState) {
-	if o.core.fleet.wasDeleted(s.Name) {
-		return // the part has yet to hear of it
-	}
-	v := o.ensureMachine(s.Name)
-	v.listedEpoch = o.epoch
-	wasUp := v.state.AcceptsTasks
-	if s.Partial {
-		old := &v.state
-		s.Addr, s.Type, s.Zone, s.Spot = old.Addr, old.Type, old.Zone, old.Spot
-		if s.Type == "" {
-			// We have no whole picture of it, and it would never be told again: the
-			// machine was up and got no work for ever.
-			p.outbox.Resync, p.outboxDue = true, true
+// applyChanges takes what a message says of a shard's machines, full snapshot or not.
+func (s *scheduler) applyChanges(member *shardView, message *peerproto.Message) {
+	for _, name := range message.Released {
+		if view := s.machines.get(name); view != nil && view.shard == member.label {
+			view.listedEpoch = 0
 		}
 	}
-	// Only now: a partial picture names no type, and a machine that was first told of
-	// before the types were known got no work for ever.
-	if v.machineType == nil {
-		v.machineType = o.core.machineTypes()[s.Type]
+	for i := range message.Machines {
+		s.applyMachineState(member, &message.Machines[i])
 	}
-	if s.Images != nil || !s.Partial {
-		v.images = map[string]bool{}
-		for _, image := range s.Images {
-			v.images[image] = true
+	for _, returned := range message.Returned {
+		attempt := s.attempts[returned.Task]
+		if attempt != nil && attempt.number == returned.Attempt && attempt.location == locationDispatched {
+			s.notPlaced(returned.Task, attempt)
 		}
 	}
-	if v.state.TasksComplete && !s.TasksComplete {
-		v.unsureSince = o.core.now.Monotonic
-	}
-	tasks := s.Tasks
-	v.state, v.shard = *s, p.label
-	v.state.Tasks, v.state.RemovedTasks, v.state.Images = nil, nil, nil
-	if s.AcceptsTasks && !wasUp && v.upSince < 0 {
-		v.upSince = o.core.now.Monotonic
-		delete(o.core.fleet.failedBoots, s.Type)
-		v.emptySince = o.core.now.Monotonic
+	s.resolveUnlocated()
+}
+
+// applyMachineState takes a shard's state of one machine.
+func (s *scheduler) applyMachineState(member *shardView, state *peerproto.MachineState) {
+	if s.core.fleet.wasDeleted(state.Name) {
+		return // the shard has yet to hear of it
+	}
+	view := s.ensureMachine(state.Name)
+	view.listedEpoch = s.epoch
+	if state.Partial {
+		s.completePartial(member, view, state)
+	}
+	// Only now: a partial state names no type, and a machine that was first published before
+	// the types were known got no work for ever.
+	if view.machineType == nil {
+		view.machineType = s.core.machineTypes()[state.Type]
+	}
+	s.applyImages(view, state)
+	if view.state.TasksComplete && !state.TasksComplete {
+		view.unsureSince = s.core.now.Monotonic
+	}
+	wasUp, tasks := view.state.AcceptsTasks, state.Tasks
+	view.state, view.shard = *state, member.label
+	view.state.Tasks, view.state.RemovedTasks, view.state.Images = nil, nil, nil
+	if state.AcceptsTasks && !wasUp && view.upSince < 0 {
+		s.machineCameUp(view, state.Type)
 	}
 	for i := range tasks {
-		o.applyTaskState(p, v, s, &tasks[i])
-	}
-	switch {
-	case !v.listComplete():
-	case s.Partial:
-		for _, name := range s.RemovedTasks {
-			if f := v.attempts[name]; f != nil {
-				o.releaseClaim(name, f, v)
-			}
-		}
-	default:
-		listed := map[string]bool{}
-		for i := range tasks {
-			if tasks[i].State != protocol.TaskExited {
-				listed[tasks[i].Task] = true
+		s.applyTaskState(member, view, state, &tasks[i])
+	}
+	if view.listComplete() {
+		s.releaseUnlisted(view, state)
+	}
+	if len(view.attempts) > 0 {
+		view.emptySince = s.core.now.Monotonic
+	}
+}
+
+// completePartial fills in what a partial state leaves out because it never changes.
+func (s *scheduler) completePartial(member *shardView, view *machineView, state *peerproto.MachineState) {
+	known := &view.state
+	state.Addr, state.Type, state.Zone, state.Spot = known.Addr, known.Type, known.Zone, known.Spot
+	if state.Type == "" {
+		// We have no full state of the machine, and would never be sent one again: it would
+		// be up and get no work for ever.
+		member.outbox.Resync, member.outboxDue = true, true
+	}
+}
+
+// applyImages takes which images a machine has, if the state tells.
+func (s *scheduler) applyImages(view *machineView, state *peerproto.MachineState) {
+	if state.Images == nil && state.Partial {
+		return
+	}
+	view.images = map[string]bool{}
+	for _, image := range state.Images {
+		view.images[image] = true
+	}
+}
+
+// machineCameUp notes that a machine is up for the first time.
+func (s *scheduler) machineCameUp(view *machineView, typeName string) {
+	view.upSince = s.core.now.Monotonic
+	delete(s.core.fleet.failedBoots, typeName)
+	view.emptySince = s.core.now.Monotonic
+}
+
+// releaseUnlisted takes back the claims of a machine, whose list is complete, on tasks that
+// it no longer has.
+func (s *scheduler) releaseUnlisted(view *machineView, state *peerproto.MachineState) {
+	if state.Partial {
+		for _, task := range state.RemovedTasks {
+			if attempt := view.attempts[task]; attempt != nil {
+				s.releaseClaim(task, attempt, view)
 			}
 		}
-		for _, name := range sortedKeys(v.attempts) {
-			if !listed[name] {
-				o.releaseClaim(name, v.attempts[name], v)
-			}
+		return
+	}
+	listed := map[string]bool{}
+	for i := range state.Tasks {
+		if state.Tasks[i].State != protocol.TaskExited {
+			listed[state.Tasks[i].Task] = true
 		}
 	}
-	if len(v.attempts) > 0 {
-		v.emptySince = o.core.now.Monotonic
+	for _, task := range sortedKeys(view.attempts) {
+		if !listed[task] {
+			s.releaseClaim(task, view.attempts[task], view)
+		}
 	}
 }
 
-func (o *scheduler) applyTaskState(p *shardView, v *machineView, s *peerproto.MachineState, t *peerproto.TaskState) {
-	ref, index, err := protocol.ParseTaskName(t.Task)
+// applyTaskState takes the state of one task on a machine.
+func (s *scheduler) applyTaskState(member *shardView, view *machineView, machine *peerproto.MachineState, task *peerproto.TaskState) {
+	jobID, taskIndex, err := protocol.ParseTaskName(task.Task)
 	if err != nil {
 		return
 	}
-	j := o.core.mirror.acceptedJob(ref)
-	if j == nil {
-		// The part's mirror is ahead of ours. It tells a task once, so it must
-		// be asked again.
-		p.outbox.Resync, p.outboxDue = true, true
+	job := s.core.mirror.acceptedJob(jobID)
+	if job == nil {
+		// The shard's mirror is ahead of ours. It publishes a task once, so it must be
+		// asked again.
+		member.outbox.Resync, member.outboxDue = true, true
 		return
 	}
-	f := o.attempts[t.Task]
-	if t.State == protocol.TaskExited {
-		if f != nil && f.number != t.Attempt && f.machine != "" {
-			f = nil // the remains of an earlier attempt
+	attempt := s.attempts[task.Task]
+	if task.State == protocol.TaskExited {
+		if attempt != nil && attempt.number != task.Attempt && attempt.machine != "" {
+			attempt = nil // the remains of an earlier attempt
 		}
-		if v.listComplete() {
-			o.taskExited(v, j, index, t, f)
+		if view.listComplete() {
+			s.taskExited(view, job, taskIndex, task, attempt)
 		}
 		return
 	}
-	if f == nil {
-		q := o.queue.get(ref)
-		if q == nil {
-			if j.isFinal() {
-				q = newQueuedJob(j)
-				o.queue.set(ref, q)
-			} else {
-				return
-			}
-		}
-		f = &inflightAttempt{job: q, taskIndex: index, number: t.Attempt, claimants: map[string]bool{}}
-		o.trackAttempt(t.Task, f)
-	}
-	// Whatever lists a task holds it, even if another machine is thought to have
-	// it: an old list of a dead machine once hid the machine that really ran it,
-	// and the task was started again when the dead one was deleted.
-	f.claimants[s.Name] = true
-	v.claim(t.Task, f, o.core.now.Monotonic)
-	if f.number != t.Attempt {
-		if other := o.machines.get(f.machine); f.awaitingPlacement || !s.TasksComplete || other != nil && other.state.TasksComplete && f.machine != s.Name {
+	if attempt == nil {
+		if attempt = s.discoverAttempt(job, taskIndex, task); attempt == nil {
 			return
 		}
 	}
-	f.machine, f.shard, f.unlocated, f.awaitingPlacement, f.number, f.taskState = s.Name, p.label, false, false, t.Attempt, t.State
-	if t.State == protocol.TaskRunning && f.runningSince == 0 {
-		f.runningSince = o.core.now.Monotonic
-		wait := (o.core.now.Wall - j.waitingSince()) * 1000
-		_ = o.startLatencies[urgencyLevel(j.record.Spec.Urgency)].RecordValue(min(max(int64(wait), 1), maxStartLatencyMillis)) // within bounds
+	// Whatever lists a task holds it, even if another machine is thought to have it: an old
+	// list of a dead machine once hid the machine that really ran it, and the task was
+	// started again when the dead one was deleted.
+	attempt.claimants[machine.Name] = true
+	view.claim(task.Task, attempt, s.core.now.Monotonic)
+	if attempt.number != task.Attempt && !s.supersedes(machine, attempt) {
+		return
+	}
+	attempt.machine, attempt.shard, attempt.location = machine.Name, member.label, locationClaimed
+	attempt.number, attempt.taskState = task.Attempt, task.State
+	if task.State == protocol.TaskRunning && attempt.runningSince == 0 {
+		attempt.runningSince = s.core.now.Monotonic
+		s.recordStartLatency(job)
+	}
+}
+
+// discoverAttempt begins to keep an attempt that a machine lists and this leader did not know.
+// It returns nil for a job that is neither queued nor over.
+func (s *scheduler) discoverAttempt(job *jobEntry, taskIndex int, task *peerproto.TaskState) *inflightAttempt {
+	jobID := job.record.Spec.ID
+	queued := s.queue.get(jobID)
+	if queued == nil {
+		if !job.isFinal() {
+			return nil
+		}
+		queued = newQueuedJob(job)
+		s.queue.set(jobID, queued)
 	}
+	attempt := &inflightAttempt{job: queued, taskIndex: taskIndex, number: task.Attempt, claimants: map[string]bool{}}
+	s.trackAttempt(task.Task, attempt)
+	return attempt
+}
+
+// supersedes reports whether a machine's list counts for more than what is known of an attempt,
+// although it names another number of it.
+func (s *scheduler) supersedes(machine *peerproto.MachineState, attempt *inflightAttempt) bool {
+	if attempt.location == locationDispatched || !machine.TasksComplete {
+		return false
+	}
+	other := s.machines.get(attempt.machine)
+	return other == nil || !other.state.TasksComplete || attempt.machine == machine.Name
+}
+
+// recordStartLatency notes how long a job has waited for a task that is now running.
+func (s *scheduler) recordStartLatency(job *jobEntry) {
+	millis := int64((s.core.now.Wall - job.waitingSince()) * 1000)
+	latencies := s.startLatencies[urgencyLevel(job.record.Spec.Urgency)]
+	_ = latencies.RecordValue(min(max(millis, 1), maxStartLatencyMillis)) // within bounds
 }
 
 // taskExited takes a task that has ended on its machine.
-func (o *scheduler) taskExited(v *machineView, j *jobEntry, index int, t *peerproto.TaskState, f *inflightAttempt) {
-	q := o.queue.get(j.record.Spec.ID)
-	if q == nil || j.isFinal() {
+func (s *scheduler) taskExited(view *machineView, job *jobEntry, taskIndex int, task *peerproto.TaskState, attempt *inflightAttempt) {
+	queued := s.queue.get(job.record.Spec.ID)
+	if queued == nil || job.isFinal() {
 		return
 	}
-	switch t.ExitReason {
+	switch task.ExitReason {
 	case protocol.ExitDone:
-		if j.record.Spec.Kind == protocol.KindService || q.taskDone(index) {
+		if job.record.Spec.Kind == protocol.KindService || queued.taskDone(taskIndex) {
 			return
 		}
-		q.unsavedTasks[index] = true
-		o.unsavedJobs[q.id] = q
-		o.progressSaveDue = o.progressSaveDue || q.complete()
-		if q.saveDueAt == 0 {
-			q.saveDueAt = o.core.now.Monotonic + o.core.intervals.workerLease/4
-		}
-		if t.RanSeconds > 0 && !q.stoppedTasks[index] {
-			o.core.estimator.taskCompleted(q, t.RanSeconds)
-		}
-		v.failedJobs = map[string]bool{}
+		s.taskCompleted(view, queued, taskIndex, task)
 	case protocol.ExitStopped:
-		q.stoppedTasks[index] = true
+		queued.stoppedTasks[taskIndex] = true
 	case protocol.ExitFailed:
-		if f != nil && f.number == t.Attempt {
-			o.taskFailed(v, q, index)
+		if attempt != nil && attempt.number == task.Attempt {
+			s.taskFailed(view, queued, taskIndex)
 		}
 	}
-	if causesBackoff(t.ExitReason) {
-		v.backoffUntil[q.id] = o.core.now.Monotonic + o.core.intervals.machineBackoff
+	if causesBackoff(task.ExitReason) {
+		view.backoffUntil[queued.id] = s.core.now.Monotonic + s.core.intervals.machineBackoff
 	}
 }
 
-// publishJobViews lets every node know what to say about the jobs.
-func (o *scheduler) publishJobViews() {
+// taskCompleted takes a task that has completed and has yet to be made durable.
+func (s *scheduler) taskCompleted(view *machineView, job *queuedJob, taskIndex int, task *peerproto.TaskState) {
+	job.unsavedTasks[taskIndex] = true
+	s.unsavedJobs[job.id] = job
+	s.progressSaveDue = s.progressSaveDue || job.complete()
+	if job.saveDueAt == 0 {
+		job.saveDueAt = s.core.now.Monotonic + s.core.intervals.workerLease/4
+	}
+	if task.RanSeconds > 0 && !job.stoppedTasks[taskIndex] {
+		s.core.estimator.taskCompleted(job, task.RanSeconds)
+	}
+	view.failedJobs = map[string]bool{}
+}
+
+// publishJobViews lets every node know what to tell users of the jobs that have changed.
+func (s *scheduler) publishJobViews() {
 	var views []peerproto.JobView
-	for id, q := range o.queue.all() {
-		v := peerproto.JobView{Job: id, Reason: q.reason}
-		q.longestRunning = 0
-		for _, f := range q.inflight {
-			if f.runningSince > 0 {
-				q.longestRunning = max(q.longestRunning, o.core.now.Monotonic-f.runningSince)
-			}
-			if f.taskState == protocol.TaskRunning || f.taskState == protocol.TaskSaving {
-				v.Running++
-			}
+	for _, job := range s.queue.all() {
+		view := s.jobView(job)
+		if view != job.publishedView {
+			job.publishedView = view
+			views = append(views, view)
 		}
-		if v != q.publishedView {
-			q.publishedView = v
-			views = append(views, v)
+	}
+	for _, member := range s.shards {
+		if member.session != 0 {
+			member.outbox.Views = append(member.outbox.Views, views...)
+			member.outboxDue = true // also tells the shard that its leader lives
 		}
 	}
-	for _, p := range o.shards {
-		if p.session != 0 {
-			p.outbox.Views = append(p.outbox.Views, views...)
-			p.outboxDue = true // also tells the part that its leader lives
+}
+
+// jobView is what users are told of a job. It notes how long its longest task has run.
+func (s *scheduler) jobView(job *queuedJob) peerproto.JobView {
+	view := peerproto.JobView{Job: job.id, Reason: job.reason}
+	job.longestRunning = 0
+	for _, attempt := range job.inflight {
+		if attempt.runningSince > 0 {
+			job.longestRunning = max(job.longestRunning, s.core.now.Monotonic-attempt.runningSince)
+		}
+		if attempt.taskState == protocol.TaskRunning || attempt.taskState == protocol.TaskSaving {
+			view.Running++
 		}
 	}
+	return view
 }
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -89,7 +89,7 @@
 		return true
 	}
 	for _, f := range q.inflight {
-		if f.awaitingPlacement && f.recordVersion != q.entry.recordVersion {
+		if f.location == locationDispatched && f.recordVersion != q.entry.recordVersion {
 			return false
 		}
 		for m := range f.claimants {
@@ -187,7 +187,7 @@
 		if zoneIndex(q, i) == n {
 			continue
 		}
-		if f.awaitingPlacement || f.unlocated {
+		if f.location != locationClaimed {
 			return false
 		}
 		for m := range f.claimants {
