--- a/internal/core/compound_faults_test.go
+++ b/internal/core/compound_faults_test.go
@@ -935,7 +935,7 @@
 		s.Cloud.Remove(s.Workers[j.On(0)].Info.Name)
 		s.Copies = 0
 		s.eventually(config.Seconds(s.Set.Site.Workers.LeaseS+2*s.Set.Site.Workers.ReportS), "its tasks are known to be lost", func() bool {
-			return s.logged("machine is silent, its tasks are lost")
+			return s.logged("machine lease expired, its tasks are lost")
 		})
 	}
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -19,9 +19,9 @@
 		m.leaderSince = c.now.Monotonic
 		clear(m.absentSince)
 		m.observedMap = nil
-		c.logInfo("this node leads", "revision", c.mirror.versions[keyLeader])
+		c.logInfo("became leader", "revision", c.mirror.versions[keyLeader])
 	} else {
-		c.logInfo("this node no longer leads")
+		c.logInfo("lost leadership")
 	}
 	c.scheduler.leadershipChanged(leading)
 }
@@ -82,7 +82,7 @@
 	if !m.stepdown.ShouldStepDown(c.now.Monotonic, idle, c.intervals.maintenance) || m.keyWriteInFlight {
 		return false
 	}
-	c.logInfo("no machine can be heard here or by any member, another that is not heard may lead")
+	c.logInfo("leader reaches no machine and no member that does, stepping down")
 	m.stepdown.SteppedDown(c.now.Monotonic)
 	m.writeKey(m.leaderGuard(), protocol.Operation{Delete: keyLeader})
 	return true
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -82,7 +82,7 @@
 	m.expireLease()
 	m.fullStateDue = true
 	if lost > 0 {
-		s.core.logInfo("machine is silent, its tasks are lost", "machine", m.name, "tasks", lost)
+		s.core.logInfo("machine lease expired, its tasks are lost", "machine", m.name, "tasks", lost)
 	}
 	s.markChanged(m)
 }
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -142,7 +142,7 @@
 	m.interruptionNotice = notice
 	s.markChanged(m)
 	if notice {
-		s.core.logInfo("machine will be taken back", "machine", m.name, "seconds", *report.NoticeS)
+		s.core.logInfo("interruption notice: machine will be reclaimed", "machine", m.name, "seconds", *report.NoticeS)
 	}
 }
 
@@ -204,7 +204,7 @@
 func (s *shard) discoverAttempt(m *machine, report *protocol.TaskStatus) *taskAttempt {
 	jobID, taskIndex, err := protocol.ParseTaskName(report.Task)
 	if err != nil {
-		s.core.emit(Log{Level: LevelError, Text: "worker lists a task with a strange name", Args: []any{"machine", m.name, "task", report.Task}})
+		s.core.emit(Log{Level: LevelError, Text: "worker reported a malformed task name", Args: []any{"machine", m.name, "task", report.Task}})
 		return nil
 	}
 	a := &taskAttempt{
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -102,10 +102,10 @@
 		})
 		s.State.LateShare = 0
 		n.Crash(second / 5)
-		s.eventually(5*second, "the next process is in the map", func() bool { return s.logged("a controller is back in the map") })
+		s.eventually(5*second, "the next process is in the map", func() bool { return s.logged("controller rejoined the shard map") })
 		s.Logs = nil
 		s.Run(s.Now + 12*second)
-		if s.logged("a controller is outside the map") {
+		if s.logged("controller left the shard map") {
 			t.Fatalf("it lost its place\n%s", s.lastLogs(*logLines))
 		}
 		s.eventually(120*second, "the work is done", s.Users.AllTold)
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -159,7 +159,7 @@
 	if s.leaderLink == loopbackLink || c.now.Monotonic-s.leaderHeardAt <= 2*c.intervals.heartbeat+c.intervals.maintenance {
 		return false
 	}
-	c.logInfo("the leader is silent, calling again")
+	c.logInfo("leader heartbeat timed out, reconnecting")
 	c.emit(ClosePeer{Session: s.leaderLink})
 	s.leaderLink = 0
 	return true
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -36,7 +36,7 @@
 		m.leaseID = d.LeaseID
 		m.renewedAt = max(m.renewedAt, d.SentAt)
 	case LeaseExpired:
-		c.logInfo("the lease has ended")
+		c.logInfo("store lease expired")
 		m.leaseID = 0
 	default:
 		m.renewing = true
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -302,7 +302,7 @@
 		n := s.leader()
 		s.Cut(n.Label, "workers", false)
 		if s.Run(s.Now + 2*second); knows {
-			s.eventually(15*second, "it leaves the map", func() bool { return s.logged("leaving the map") })
+			s.eventually(15*second, "it leaves the map", func() bool { return s.logged("leaving the shard map") })
 			s.Run(s.Now + 5*second)
 		}
 		for _, x := range s.Nodes {
@@ -336,11 +336,11 @@
 		s.Mend(n.Label, end)
 	}
 	s.Run(s.Now + 20*second)
-	if s.logged("controller is back in the map") {
+	if s.logged("controller rejoined the shard map") {
 		t.Fatal("it is given machines that it does not reach")
 	}
 	s.Mend(n.Label, "workers")
-	s.eventually(12*second, "it takes part again", func() bool { return s.logged("controller is back in the map") })
+	s.eventually(12*second, "it takes part again", func() bool { return s.logged("controller rejoined the shard map") })
 	s.eventually(200*second, "the work ends", s.Users.AllTold)
 }
 
@@ -351,11 +351,11 @@
 	n := s.follower()
 	n.StandStill(5 * second) // less than its lease
 	s.Run(s.Now + 15*second)
-	if s.logged("leaving the map") {
+	if s.logged("leaving the shard map") {
 		t.Fatal("it leaves the map for having stood still")
 	}
 	s.Cut(n.Label, "workers", false)
-	s.eventually(4*second, "it leaves the map", func() bool { return s.logged("leaving the map") })
+	s.eventually(4*second, "it leaves the map", func() bool { return s.logged("leaving the shard map") })
 }
 
 // A member whose machines are heard and hear nothing gives them up before their leases end,
@@ -371,10 +371,10 @@
 	s.Run(30 * second)
 	n := s.follower()
 	s.Link(n.Label, "workers", simulation.Dropped)
-	s.eventually(13*second, "it leaves the map", func() bool { return s.logged("leaving the map") })
+	s.eventually(13*second, "it leaves the map", func() bool { return s.logged("leaving the shard map") })
 	s.Run(s.Now + 40*second)
 	s.Link(n.Label, "workers", simulation.Link{})
-	s.eventually(60*second, "it takes part again", func() bool { return s.logged("joining again") })
+	s.eventually(60*second, "it takes part again", func() bool { return s.logged("rejoining the shard map") })
 	s.eventually(200*second, "the work ends", s.Users.AllTold)
 }
 
@@ -418,9 +418,9 @@
 	s.Run(s.Now + 60*second)
 	s.Logs = nil
 	s.MendZone("b", "")
-	s.eventually(10*second, "it takes part again", func() bool { return s.logged("controller is back in the map") })
+	s.eventually(10*second, "it takes part again", func() bool { return s.logged("controller rejoined the shard map") })
 	s.Run(s.Now + 30*second)
-	if s.logged("leaving the map") {
+	if s.logged("leaving the shard map") {
 		t.Fatal("it leaves at once, for what was lost during the cut")
 	}
 }
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -18,9 +18,9 @@
 	}
 	switch {
 	case verdict.Left:
-		c.logInfo("none of this node's machines can be heard, leaving the map", "machines", s.machines.len())
+		c.logInfo("no machine reachable, leaving the shard map", "machines", s.machines.len())
 	case verdict.Rejoined:
-		c.logInfo("machines can be reached, joining again")
+		c.logInfo("machines reachable again, rejoining the shard map")
 	}
 }
 
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -27,7 +27,7 @@
 			n := s.leader()
 			n.Crash(soon)
 			s.Logs = nil
-			s.eventually(30*second, "there is a new map", func() bool { return s.logged(n.Label + " new map") })
+			s.eventually(30*second, "there is a new map", func() bool { return s.logged(n.Label + " new shard map") })
 			n.Crash(soon)
 		},
 		"a member is back while its former life's words are held": func(s *scenario) {
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -672,15 +672,15 @@
 			return func() bool { return s.logged(what) }
 		}
 		s.Cut(n.Label, "workers", false)
-		s.eventually(15*second, "it leaves the map", said("leaving the map"))
+		s.eventually(15*second, "it leaves the map", said("leaving the shard map"))
 		s.Logs = nil
 		s.Run(s.Now + 40*second)
-		if said("joining again")() {
+		if said("rejoining the shard map")() {
 			t.Fatal("it joins again while it reaches no machine")
 		}
 		s.Users.Submit(simulation.Array(100), 30)
 		s.Mend(n.Label, "workers")
-		s.eventually(12*second, "it joins again", said("joining again"))
+		s.eventually(12*second, "it joins again", said("rejoining the shard map"))
 		s.eventually(200*second, "every job is done", s.Users.AllTold)
 	}
 }
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -98,10 +98,10 @@
 		switch {
 		case !isMember && !wasAbsent:
 			m.absentSince[label] = c.now.Monotonic
-			c.logInfo("a controller is outside the map", "controller", label)
+			c.logInfo("controller left the shard map", "controller", label)
 		case isMember && wasAbsent:
 			delete(m.absentSince, label)
-			c.logInfo("a controller is back in the map", "controller", label, "away", c.now.Monotonic-since)
+			c.logInfo("controller rejoined the shard map", "controller", label, "away", c.now.Monotonic-since)
 		}
 	}
 }
