--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -7,6 +7,10 @@
 
 // Who leads: the controller whose lease holds the leader key in the state service.
 
+// outcomeChecksPerStaleness paces the looks at the mirror after a write that got no answer: what
+// became of it is known long before this node may no longer serve.
+const outcomeChecksPerStaleness = 16
+
 // followLeader takes note of whether this node leads.
 func (m *membership) followLeader() {
 	c := m.core
@@ -101,6 +105,6 @@
 			m.leaseID, m.keyWriteInFlight = 0, false // the lease has expired
 			return
 		}
-		c.mirror.awaitOutcome(d.Outcome.Decided(), c.intervals.maxStaleness/16, func() { m.keyWriteInFlight = false })
+		c.mirror.awaitOutcome(d.Outcome.Decided(), c.intervals.maxStaleness/outcomeChecksPerStaleness, func() { m.keyWriteInFlight = false })
 	})
 }
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -18,6 +18,13 @@
 	// unanswered before it counts as silent: it is most likely dead, and holds up all that
 	// may be running on it.
 	maxUnansweredCalls = 2
+
+	// maxMissedHeartbeats is after how many heartbeat periods without a message a machine is
+	// called.
+	maxMissedHeartbeats = 2
+
+	// callRetriesPerHeartbeat paces the calls to a machine that has yet to be fenced.
+	callRetriesPerHeartbeat = 8
 )
 
 // checkMachine does what is due for a machine as time passes: it drops one that is gone,
@@ -110,7 +117,7 @@
 func (s *shard) needsFencing(m *machine) bool {
 	switch m.trust {
 	case listConfirmed:
-		return s.core.now.Monotonic-m.lastHeardAt > 2*s.core.intervals.heartbeat
+		return s.core.now.Monotonic-m.lastHeardAt > maxMissedHeartbeats*s.core.intervals.heartbeat
 	case listUnconfirmed:
 		return m.addr != ""
 	default:
@@ -217,7 +224,7 @@
 	if m.isTrusted() {
 		return s.core.intervals.heartbeat
 	}
-	return s.core.intervals.heartbeat / 8
+	return s.core.intervals.heartbeat / callRetriesPerHeartbeat
 }
 
 // raiseToken fences a machine anew.
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -40,6 +40,13 @@
 		s.refuseHeartbeat(id) // somebody has a newer shard map than we do
 		return
 	}
+	s.answerHeartbeat(id, m, report, current, mayServe)
+}
+
+// answerHeartbeat takes what a heartbeat says of a machine of ours, and answers it with what the
+// worker must do.
+func (s *shard) answerHeartbeat(id RequestID, m *machine, report *protocol.Heartbeat, current, mayServe bool) {
+	c := s.core
 	newest := report.Newer(m.session, m.seq)
 	if current {
 		s.recordHeartbeat(m, report)
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 	"github.com/chalkhub/chalkhub/internal/protocol"
@@ -13,6 +14,12 @@
 // loopbackLink is the session of the link between the shard and the scheduler of one node.
 const loopbackLink = ^uint64(0)
 
+// peerTimeout is how long nothing may come over a link between controllers until the other end
+// counts as gone. Both ends send something in every round of maintenance.
+func (c *Core) peerTimeout() time.Duration {
+	return 2*c.intervals.heartbeat + c.intervals.maintenance
+}
+
 // leaderLinkUp begins a link to the leader. It starts with a full snapshot; nothing that was
 // sent over an earlier one is read any more.
 func (s *shard) leaderLinkUp(session uint64) {
@@ -156,7 +163,7 @@
 // closeSilentLink closes the link to a leader that has not been heard for too long.
 func (s *shard) closeSilentLink() bool {
 	c := s.core
-	if s.leaderLink == loopbackLink || c.now.Monotonic-s.leaderHeardAt <= 2*c.intervals.heartbeat+c.intervals.maintenance {
+	if s.leaderLink == loopbackLink || c.now.Monotonic-s.leaderHeardAt <= c.peerTimeout() {
 		return false
 	}
 	c.logInfo("leader heartbeat timed out, reconnecting")
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -2,10 +2,19 @@
 
 // The lease of this node in the state service: it keeps the node's key, and the leader's.
 
+const (
+	// renewalsPerLease is how often the lease is renewed while it lasts, so that several
+	// renewals in a row may be lost.
+	renewalsPerLease = 6
+
+	// renewalRetriesPerLease paces the renewals after one that was not granted.
+	renewalRetriesPerLease = 12
+)
+
 // renewLease renews the lease, or asks for a new one.
 func (m *membership) renewLease() {
 	c := m.core
-	due := m.leaseID == 0 || c.now.Monotonic-m.renewedAt >= c.intervals.memberLease/6
+	due := m.leaseID == 0 || c.now.Monotonic-m.renewedAt >= c.intervals.memberLease/renewalsPerLease
 	if m.renewing || !due || m.letsLeaseExpire() {
 		return
 	}
@@ -22,8 +31,11 @@
 // its keys alive, so that nobody led and its machines stood still for as long as that lasted.
 func (m *membership) letsLeaseExpire() bool {
 	c := m.core
-	return m.leaseID != 0 && m.renewalUnanswered && !c.mirror.isFresh() &&
-		c.now.Monotonic-m.renewedAt >= c.intervals.maxStaleness && c.now.Monotonic-m.renewalSentAt < c.intervals.memberLease*5/4
+	if m.leaseID == 0 || !m.renewalUnanswered || c.mirror.isFresh() {
+		return false
+	}
+	surelyExpired := c.intervals.memberLease * 5 / 4 // the service may have got the renewal late
+	return c.now.Monotonic-m.renewedAt >= c.intervals.maxStaleness && c.now.Monotonic-m.renewalSentAt < surelyExpired
 }
 
 // handleLeaseResult takes the answer to a renewal.
@@ -40,6 +52,6 @@
 		m.leaseID = 0
 	default:
 		m.renewing = true
-		c.afterFunc(c.intervals.memberLease/12, func() { m.renewing = false })
+		c.afterFunc(c.intervals.memberLease/renewalRetriesPerLease, func() { m.renewing = false })
 	}
 }
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -80,7 +80,7 @@
 	m.mapWriteInFlight = true
 	guards := []protocol.Guard{m.leaderGuard(), c.mirror.guard(keyShardMap)}
 	c.mirror.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
-		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/16, func() { m.mapWriteInFlight = false })
+		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/outcomeChecksPerStaleness, func() { m.mapWriteInFlight = false })
 	})
 }
 
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -10,6 +10,9 @@
 
 // What the shards publish to the leader of their machines, and what it lets them know.
 
+// progressSavesPerLease paces the writes of which tasks of a job have completed.
+const progressSavesPerLease = 4
+
 // shardView is a member and its shard as the leader hears them.
 type shardView struct {
 	label, boot string
@@ -85,7 +88,7 @@
 
 // alive reports whether the link of this very process of a member was heard lately.
 func (p *shardView) alive(c *Core, boot string) bool {
-	return p != nil && p.session != 0 && p.boot == boot && c.now.Monotonic-p.lastHeardAt < 2*c.intervals.heartbeat+c.intervals.maintenance
+	return p != nil && p.session != 0 && p.boot == boot && c.now.Monotonic-p.lastHeardAt < c.peerTimeout()
 }
 
 // handleVote takes a controller's vote in a round of the degraded mode.
@@ -320,9 +323,6 @@
 	}
 	attempt := s.attempts[task.Task]
 	if task.State == protocol.TaskExited {
-		if attempt != nil && attempt.number != task.Attempt && attempt.machine != "" {
-			attempt = nil // the remains of an earlier attempt
-		}
 		if view.listComplete() {
 			s.taskExited(view, job, taskIndex, task, attempt)
 		}
@@ -398,6 +398,7 @@
 	case protocol.ExitStopped:
 		queued.stoppedTasks[taskIndex] = true
 	case protocol.ExitFailed:
+		// Not if this is what remains of an earlier attempt.
 		if attempt != nil && attempt.number == task.Attempt {
 			s.taskFailed(view, queued, taskIndex)
 		}
@@ -413,7 +414,7 @@
 	s.unsavedJobs[job.id] = job
 	s.progressSaveDue = s.progressSaveDue || job.complete()
 	if job.saveDueAt == 0 {
-		job.saveDueAt = s.core.now.Monotonic + s.core.intervals.workerLease/4
+		job.saveDueAt = s.core.now.Monotonic + s.core.intervals.workerLease/progressSavesPerLease
 	}
 	if task.RanSeconds > 0 && !job.stoppedTasks[taskIndex] {
 		s.core.estimator.taskCompleted(job, task.RanSeconds)
