--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -17,6 +17,14 @@
 	// probesAtOnce is how many machines are asked at once whether they can be reached.
 	probesAtOnce = 3
 
+	// leaseShare is the share of a worker's lease that a controller may hear no machine: the
+	// rest is for the next owner to reach the machines before their leases run out.
+	leaseShare = 3
+
+	// probeValidity is for how many heartbeat periods the answer to a probe counts, which is
+	// longer than until the next ones are answered.
+	probeValidity = 4
+
 	// maxDoublings is how often the time to stay outside the map doubles.
 	maxDoublings = 6
 
@@ -125,7 +133,7 @@
 // the machines a change of owner and back while the cut lasts, and a longer absence after it.
 func (t *Tracker) checkUnreachable(v View) Verdict {
 	verdict := Verdict{Probe: t.probe(v)}
-	answered := t.probeAnsweredAt > 0 && v.Now-t.probeAnsweredAt < 4*t.Heartbeat
+	answered := t.probeAnsweredAt > 0 && v.Now-t.probeAnsweredAt < probeValidity*t.Heartbeat
 	if v.Now >= t.rejoinNotBefore && (v.Fleet.KnownCount() == 0 || answered) {
 		t.unreachable = false
 		verdict.Rejoined = true
@@ -137,7 +145,7 @@
 // What it has not heard for long it asks first: controllers that came back from a cut took a
 // third of the machines each time, for the seconds in which they found that they reach none.
 func (t *Tracker) checkOutside(v View) Verdict {
-	if v.Fleet.KnownCount() == 0 || v.Now-t.contactAt < t.Lease/3 {
+	if v.Fleet.KnownCount() == 0 || v.Now-t.contactAt < t.Lease/leaseShare {
 		return Verdict{}
 	}
 	t.unreachable, t.probeAnsweredAt, t.rejoinNotBefore = true, 0, v.Now
@@ -165,10 +173,10 @@
 			return t.leave(v, verdict)
 		}
 	}
-	if v.Now-v.MemberSince < t.Lease/3 {
+	if v.Now-v.MemberSince < t.Lease/leaseShare {
 		return verdict
 	}
-	heard, confirmed := v.Fleet.HeardWithin(t.Lease / 3)
+	heard, confirmed := v.Fleet.HeardWithin(t.Lease / leaseShare)
 	if confirmed {
 		t.consecutiveLeaves = 0
 	}
@@ -183,7 +191,7 @@
 // at random is heard but once in three thousand; a third of a lease at most.
 func (t *Tracker) maxSilence(v View) time.Duration {
 	owned := time.Duration(max(v.Fleet.OwnedCount(), 1))
-	return min(t.Lease/3, t.Heartbeat*5/4+8*t.Heartbeat/owned)
+	return min(t.Lease/leaseShare, t.Heartbeat*5/4+8*t.Heartbeat/owned)
 }
 
 // Silent reports whether a member has heard no machine for half of the time that it may. Then
