--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -4,34 +4,36 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// ForceRound has the leader's next batch of commands rank, dispatch and look after
-// the fleet, however little time has passed since it last did.
+// ForceRound has the leader rank, dispatch and do its maintenance with its next batch of
+// commands, however little time has passed since it last did.
 func (c *Core) ForceRound() {
 	c.scheduler.lastScheduling, c.scheduler.lastMaintenance = 0, -c.intervals.maintenance
 }
 
-// FullSnapshot is what this member would tell a leader over a new link.
+// FullSnapshot is what this member would publish to a leader over a new link. What it still has
+// to publish stays due.
 func (c *Core) FullSnapshot() peerproto.Message {
-	m := peerproto.Message{Epoch: c.shard.epoch, Snapshot: true}
-	for _, r := range c.shard.machines.all() {
-		whole, left := r.fullStateDue, r.droppedTasks
-		r.fullStateDue = true
-		m.Machines = append(m.Machines, c.shard.machineState(r))
-		r.fullStateDue, r.droppedTasks = whole, left
+	snapshot := peerproto.Message{Epoch: c.shard.epoch, Snapshot: true}
+	for _, m := range c.shard.machines.all() {
+		fullStateDue, droppedTasks := m.fullStateDue, m.droppedTasks
+		m.fullStateDue = true
+		snapshot.Machines = append(snapshot.Machines, c.shard.machineState(m))
+		m.fullStateDue, m.droppedTasks = fullStateDue, droppedTasks
 	}
-	return m
+	return snapshot
 }
 
-// ApplySnapshot has the leader take a member's whole picture.
-func (c *Core) ApplySnapshot(label string, m peerproto.Message) {
-	if p := c.scheduler.shards[label]; p != nil {
-		c.scheduler.handleShardMessage(p.session, &m)
+// ApplySnapshot has the leader take a member's full snapshot.
+func (c *Core) ApplySnapshot(label string, snapshot peerproto.Message) {
+	if member := c.scheduler.shards[label]; member != nil {
+		c.scheduler.handleShardMessage(member.session, &snapshot)
 	}
 }
 
-// AskOf has the leader dispatch tasks to a member, and ask it to stop some, with its next
-// batch of commands.
+// AskOf has the leader dispatch tasks to a member, and ask it to stop some, with its next batch
+// of commands.
 func (c *Core) AskOf(label string, dispatch []peerproto.TaskAttempt, stop []peerproto.StopTask) {
-	p := c.scheduler.shards[label]
-	p.outbox.Dispatch, p.outbox.Stop, p.outboxDue = append(p.outbox.Dispatch, dispatch...), append(p.outbox.Stop, stop...), true
+	outbox := &c.scheduler.shards[label].outbox
+	outbox.Dispatch, outbox.Stop = append(outbox.Dispatch, dispatch...), append(outbox.Stop, stop...)
+	c.scheduler.shards[label].outboxDue = true
 }
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -12,38 +12,41 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Stories in which two troubles meet; docs/meetings.md says what each goes through.
+// Scenarios in which two faults meet; docs/meetings.md says what each goes through.
 
+// cancelSpan is the time in which the tasks of a cancelled job must have ended.
 func (s *scenario) cancelSpan() time.Duration { return config.Seconds(s.Set.Site.Workers.CancelS) }
 
 // abortUnanswered has a user ask a node to cancel a job, and hear nothing of its answer.
-func (s *scenario) abortUnanswered(n *simulation.Node, j *simulation.Job) {
-	s.Users.Wants(j)
-	n.Ask(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: j.Spec.ID} }, func(core.Reply) {})
+func (s *scenario) abortUnanswered(node *simulation.Node, job *simulation.Job) {
+	s.Users.Wants(job)
+	node.Ask(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: job.Spec.ID} }, func(core.Reply) {})
 }
 
-// otherFollower is the controller that neither leads nor is the follower of this story.
+// otherFollower is the controller that neither leads nor is the follower of this scenario.
 func (s *scenario) otherFollower() *simulation.Node {
-	i := slices.IndexFunc(s.Nodes, func(n *simulation.Node) bool { return !n.Core.IsLeader() && n != s.follower() })
+	i := slices.IndexFunc(s.Nodes, func(node *simulation.Node) bool { return !node.Core.IsLeader() && node != s.follower() })
 	return s.Nodes[i]
 }
 
-// cancellationThenOutage begins a story in which the state service refuses the leader alone, another controller
-// confirms a cancellation as tell has it, and then nobody is served for longer than cancel_s.
-func cancellationThenOutage(t *testing.T, seed uint64, tell func(s *scenario, gone *simulation.Job)) (s *scenario, long, gone *simulation.Job) {
+// cancellationThenOutage begins a scenario in which the state service refuses the leader alone,
+// a user is told that a job is cancelled, in the way that confirm brings about, and then no
+// controller is served for longer than cancel_s.
+func cancellationThenOutage(t *testing.T, seed uint64, confirm func(s *scenario, gone *simulation.Job)) (s *scenario, long, gone *simulation.Job) {
 	s = newScenario(t, seed)
 	long, gone = s.Users.Submit(simulation.Array(12), 200), s.Users.Submit(simulation.Array(6), 300)
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
-	n := s.leader()
-	s.State.Refuses[n.Label] = true
-	tell(s, gone)
+	leader := s.leader()
+	s.State.Refuses[leader.Label] = true
+	confirm(s, gone)
 	s.eventually(5*second, "its user is told", func() bool { return gone.Told == protocol.JobCancelled })
 	s.State.Outage(s.cancelSpan() + 20*second)
 	return s, long, gone
 }
 
-// In the gap every cancellation that any user was told of is stopped in time, whoever wrote
-// it and however the one who told it knew; the other tasks live on.
+// Through an outage of the state service the tasks of every job that any user was told is
+// cancelled are stopped in time, whoever wrote the cancellation and however the one who confirmed
+// it knew; the other tasks run on.
 func TestCancellationSurvivesStoreOutage(t *testing.T) {
 	unanswered := func(s *scenario, f func()) {
 		s.State.LateShare, s.State.LateBy = 1, time.Millisecond
@@ -51,32 +54,32 @@
 		s.Run(s.Now + second/2)
 		s.State.LateShare = 0
 	}
-	for name, tell := range map[string]func(*scenario, *simulation.Job){
-		"by who wrote it": func(s *scenario, j *simulation.Job) { s.Users.Abort(j) },
-		"by who got no answer to its write": func(s *scenario, j *simulation.Job) {
-			unanswered(s, func() { s.Users.Abort(j) })
+	for name, confirm := range map[string]func(*scenario, *simulation.Job){
+		"by who wrote it": func(s *scenario, job *simulation.Job) { s.Users.Abort(job) },
+		"by who got no answer to its write": func(s *scenario, job *simulation.Job) {
+			unanswered(s, func() { s.Users.Abort(job) })
 		},
-		"by another whose mirror has it": func(s *scenario, j *simulation.Job) {
-			unanswered(s, func() { s.abortUnanswered(s.follower(), j) })
+		"by another whose mirror holds it": func(s *scenario, job *simulation.Job) {
+			unanswered(s, func() { s.abortUnanswered(s.follower(), job) })
 			s.Users.Only = s.otherFollower()
-			s.Users.Abort(j)
+			s.Users.Abort(job)
 		},
-		"by a poll": func(s *scenario, j *simulation.Job) {
-			unanswered(s, func() { s.abortUnanswered(s.follower(), j) })
+		"by a poll": func(s *scenario, job *simulation.Job) {
+			unanswered(s, func() { s.abortUnanswered(s.follower(), job) })
 			s.Users.Only = s.otherFollower()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				s, long, gone := cancellationThenOutage(t, 1000+seed, tell)
-				least := 12
+				s, long, gone := cancellationThenOutage(t, 1000+seed, confirm)
+				leastRunning := 12
 				for range 50 {
 					s.Run(s.Now + second)
-					least = min(least, long.Running())
+					leastRunning = min(leastRunning, long.Running())
 				}
 				s.requireInvariants()
-				if gone.Running() > 0 || least < 12 {
-					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", gone.Running(), least)
+				if gone.Running() > 0 || leastRunning < 12 {
+					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", gone.Running(), leastRunning)
 				}
 				s.State.Refuses, s.Users.Only = map[string]bool{}, nil
 				s.eventually(200*second, "the work goes on", func() bool { return long.Told == protocol.JobDone })
@@ -85,23 +88,23 @@
 	}
 }
 
-// A controller's first write gets no answer; its process ends and the next one is back at
-// once. Carried out late, the former one's write does not take the place of the new one.
+// A controller's first write gets no answer; its process crashes and the next one is back at
+// once. Applied late, the former process's write does not displace the new one.
 func TestLateWriteOfAFormerProcessIsVoid(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 1100+seed, 10*second)
-		n := s.follower()
-		n.Crash(second)
+		node := s.follower()
+		node.Crash(second)
 		s.State.LateFrom, s.State.LateBy = 4*second, 5*second
 		s.eventually(5*second, "its key is being written", func() bool {
 			s.State.LateShare = 0
-			if n.Alive() {
+			if node.Alive() {
 				s.State.LateShare = 1
 			}
 			return s.State.Late > 0
 		})
 		s.State.LateShare = 0
-		n.Crash(second / 5)
+		node.Crash(second / 5)
 		s.eventually(5*second, "the next process is in the map", func() bool { return s.logged("controller rejoined the shard map") })
 		s.Logs = nil
 		s.Run(s.Now + 12*second)
@@ -112,16 +115,16 @@
 	}
 }
 
-// Most machines die and all controllers end: the next leader, which has only the register's
-// word for those machines, learns from the cloud that they are gone, and waits for none.
+// Most machines die and all controllers crash: the next leader, which knows of those machines
+// from the registry alone, learns from the cloud that they are gone, and waits for none.
 func TestMachinesThatDiedBeforeFailover(t *testing.T) {
 	for seed := range uint64(4) {
 		s := startWithMachines(t, 1200+seed, 10)
-		for _, k := range s.SomeWorkers(len(s.Workers) - 1) {
-			s.Cloud.Remove(k.Info.Name)
+		for _, worker := range s.SomeWorkers(len(s.Workers) - 1) {
+			s.Cloud.Remove(worker.Info.Name)
 		}
-		for i, n := range s.Nodes {
-			n.Crash(second + time.Duration(i)*3*second)
+		for i, node := range s.Nodes {
+			node.Crash(second + time.Duration(i)*3*second)
 		}
 		s.Logs = nil
 		s.eventually(45*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
@@ -129,28 +132,28 @@
 	}
 }
 
-// addMachines puts up so many machines, and lets them be heard.
-func (s *scenario) addMachines(n int) {
-	for range n {
+// addMachines adds machines, and runs until they are heard.
+func (s *scenario) addMachines(count int) {
+	for range count {
 		s.Cloud.Add("box", "b", true)
 	}
 	s.Run(s.Now + 6*second)
 }
 
-// otherEnds names all ends but one: the state service, and the other controllers.
-func (s *scenario) otherEnds(n *simulation.Node) []string {
+// otherEnds are the labels of the state service and of all controllers but one.
+func (s *scenario) otherEnds(except *simulation.Node) []string {
 	out := []string{"state"}
-	for _, x := range s.Nodes {
-		if x != n {
-			out = append(out, x.Label)
+	for _, node := range s.Nodes {
+		if node != except {
+			out = append(out, node.Label)
 		}
 	}
 	return out
 }
 
-// A leader is cut from the state service and the other controllers, its workers and users
-// reach it, and jobs are cancelled through the new one: the old one answers no worker any
-// more soon enough for every cancelled task to be gone in time.
+// A leader is cut from the state service and the other controllers while its workers and users
+// reach it, and jobs are cancelled through the new leader: the old one ceases to answer workers
+// soon enough for every cancelled task to be gone in time.
 func TestCancellationThroughTheNewLeader(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1300+seed)
@@ -160,18 +163,18 @@
 			jobs = append(jobs, s.Users.Submit(simulation.Array(12), 120))
 		}
 		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 48 })
-		n := s.leader()
-		s.Cloud.Out = true            // or the machines that it answers would be given up and deleted
-		for _, k := range s.Workers { // nor do the others reach its machines, or a raised token would end it
-			for _, x := range s.Nodes {
-				if k.ReportsTo() == n && x != n {
-					s.partition(70*second, x.Label, k.Info.Name)
+		leader := s.leader()
+		s.Cloud.Out = true                 // or the machines that it answers would be given up and deleted
+		for _, worker := range s.Workers { // nor do the others reach its machines, or a raised token would end it
+			for _, other := range s.Nodes {
+				if worker.ReportsTo() == leader && other != leader {
+					s.partition(70*second, other.Label, worker.Info.Name)
 				}
 			}
 		}
-		s.partition(70*second, n.Label, s.otherEnds(n)...)
-		s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(n) })
-		s.Users.Only = s.Nodes[(slices.Index(s.Nodes, n)+1)%3]
+		s.partition(70*second, leader.Label, s.otherEnds(leader)...)
+		s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(leader) })
+		s.Users.Only = s.Nodes[(slices.Index(s.Nodes, leader)+1)%3]
 		s.Users.Abort(jobs[0])
 		s.Users.Abort(jobs[1])
 		s.eventually(10*second, "their users are told", toldState(protocol.JobCancelled, jobs[0], jobs[1]))
@@ -182,8 +185,8 @@
 	}
 }
 
-// A third of all transactions get no answer and are carried out 2 to 12 s later, through two
-// ends of the leader, while users cancel: each write is void or harmless by then.
+// A third of all transactions get no answer and are applied 2 to 12 s later, through two crashes
+// of the leader, while users cancel: each write is void or harmless by then.
 func TestLateWritesDuringFailovers(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1400+seed, 5*second)
@@ -196,8 +199,8 @@
 		s.Users.Abort(jobs[6])
 		s.Users.Abort(jobs[7])
 		for range 2 {
-			if n := s.currentLeader(); n != nil {
-				n.Crash(second / 5)
+			if leader := s.currentLeader(); leader != nil {
+				leader.Crash(second / 5)
 			}
 			s.Run(s.Now + 15*second)
 		}
@@ -210,27 +213,27 @@
 	}
 }
 
-// Jobs of three tasks that end far apart, with an end of the leader between any two of them:
-// done is said after the last of them and soon, and what has completed is not started again.
+// Jobs of three tasks that end far apart, with a crash of the leader between any two of them: a
+// job is done soon after the last of them, and what has completed is not started again.
 func TestTasksEndingAcrossFailovers(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1500+seed)
 		var jobs []*simulation.Job
 		for range 5 {
-			j := s.Users.Submit(simulation.Array(3), 0)
-			j.RunsS = []float64{4, 20 + float64(seed), 45}
-			jobs = append(jobs, j)
+			job := s.Users.Submit(simulation.Array(3), 0)
+			job.RunsS = []float64{4, 20 + float64(seed), 45}
+			jobs = append(jobs, job)
 		}
 		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 15 })
 		ended := 0
-		for ended < 15 { // no write says so before the leader's end
+		for ended < 15 { // no write records it before the leader crashes
 			s.State.LateShare, s.State.LateFrom, s.State.LateBy = 1, 12*second, 12*second
 			s.eventually(60*second, "another task ends", func() bool { return s.Users.Done(jobs...) > ended })
 			s.Run(s.Now + 11*second)
 			s.State.LateShare = 0
 			ended = s.Users.Done(jobs...)
-			if n := s.currentLeader(); n != nil {
-				n.Crash(second / 5)
+			if leader := s.currentLeader(); leader != nil {
+				leader.Crash(second / 5)
 			}
 			s.Run(s.Now + 6*second)
 		}
@@ -241,9 +244,9 @@
 	}
 }
 
-// The leader ends while its machines hear no answer, or are not heard either, and the cloud
-// does not delete them: what they run is not started elsewhere, their team gets no task more at
-// its limit until theirs are surely gone, and what is cancelled meanwhile is gone in time.
+// The leader crashes while its machines hear no answer, or are not heard either, and the cloud
+// does not delete them: what they run is not started elsewhere, their team gets no further task
+// at its limit until theirs are surely gone, and what is cancelled meanwhile is gone in time.
 func TestLeaderCrashDuringOneWayPartition(t *testing.T) {
 	for _, team := range []string{"red", "blue"} { // with a limit, and without
 		for seed := range uint64(6) {
@@ -254,24 +257,24 @@
 			s.Users.Submit(spec, 60)
 			gone := s.Users.Submit(simulation.Array(16), 200)
 			s.eventually(90*second, "all tasks run", func() bool { return s.Users.Running() == 40 })
-			leader, deaf := s.leader(), 0
-			for _, k := range s.Workers {
-				if k.ReportsTo() != leader {
+			leader, unreachable := s.leader(), 0
+			for _, worker := range s.Workers {
+				if worker.ReportsTo() != leader {
 					continue
 				}
-				deaf++
-				for _, n := range s.Nodes {
+				unreachable++
+				for _, node := range s.Nodes {
 					link, back := simulation.Dropped, simulation.Link{}
 					if seed%2 == 1 {
 						link, back = simulation.Held, simulation.Held
 					}
-					s.Link(n.Label, k.Info.Name, link)
-					s.Link(k.Info.Name, n.Label, back)
-					s.After(time.Duration(4+4*seed)*second, func() { s.Mend(n.Label, k.Info.Name) })
+					s.Link(node.Label, worker.Info.Name, link)
+					s.Link(worker.Info.Name, node.Label, back)
+					s.After(time.Duration(4+4*seed)*second, func() { s.Mend(node.Label, worker.Info.Name) })
 				}
 			}
-			if deaf < 2 {
-				t.Fatalf("the leader looks after %d machines", deaf)
+			if unreachable < 2 {
+				t.Fatalf("the leader owns %d machines", unreachable)
 			}
 			s.Cloud.Out = true
 			leader.Crash(second / 5)
@@ -287,15 +290,15 @@
 	}
 }
 
-// Copies of every report arrive once more, up to two leases late, while short tasks come and
-// go: they say nothing of what is there now.
+// A copy of every heartbeat arrives up to two leases late, while short tasks come and go: it
+// tells nothing of the machine's present state.
 func TestStaleHeartbeatsAfterNewerOnes(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1700+seed)
 		s.addMachines(6)
 		s.Copies, s.CopyBy = 1, 32*second
-		for k := range 16 {
-			s.Users.Submit(simulation.Array(8), float64(3+k%3*8))
+		for round := range 16 {
+			s.Users.Submit(simulation.Array(8), float64(3+round%3*8))
 			s.Run(s.Now + 3*second)
 		}
 		s.Copies = 0
@@ -303,8 +306,8 @@
 	}
 }
 
-// All controllers end while some machines can't be reached, and the first that the next ones
-// hear of these is an old report from before they had tasks: what they run is not started
+// All controllers crash while some machines can't be reached, and the first that the next ones
+// hear of these is a stale heartbeat from before they had tasks: what they run is not started
 // elsewhere until it is surely gone.
 func TestStaleHeartbeatIsTheFirstThatAnOwnerHears(t *testing.T) {
 	for seed := range uint64(6) {
@@ -313,48 +316,48 @@
 		s.Copies, s.CopyBy = 1, 40*second
 		s.Run(s.Now + 10*second)
 		s.Copies = 0
-		j := s.Users.Submit(simulation.Array(24), 60)
-		s.eventually(20*second, "all tasks run", func() bool { return j.Running() == 24 })
+		job := s.Users.Submit(simulation.Array(24), 60)
+		s.eventually(20*second, "all tasks run", func() bool { return job.Running() == 24 })
 		for i := range 24 {
-			for _, n := range s.Nodes {
-				s.Cut(n.Label, j.On(i), false)
+			for _, node := range s.Nodes {
+				s.Cut(node.Label, job.On(i), false)
 			}
 		}
-		for _, n := range s.Nodes {
-			n.Crash(second / 5)
+		for _, node := range s.Nodes {
+			node.Crash(second / 5)
 		}
 		s.addMachines(8)
 		s.eventually(200*second, "the work is done", s.Users.AllTold)
 	}
 }
 
-// Every command and every answer to the machines is held up for some seconds, again and
-// again, while jobs are cancelled and others take their room.
+// Every command and every answer to the machines is delayed by some seconds, again and again,
+// while jobs are cancelled and others take their capacity.
 func TestDelayedCommands(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1800+seed, 8*second)
-		for _, n := range s.Nodes {
-			s.Link(n.Label, "workers", simulation.Link{Hold: true, Period: time.Duration(2+seed) * second})
+		for _, node := range s.Nodes {
+			s.Link(node.Label, "workers", simulation.Link{Hold: true, Period: time.Duration(2+seed) * second})
 		}
 		var jobs []*simulation.Job
-		for k := range 8 {
+		for round := range 8 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(5), 30))
 			s.Run(s.Now + 3*second)
-			if k%2 == 1 {
-				s.Users.Abort(jobs[k-1])
+			if round%2 == 1 {
+				s.Users.Abort(jobs[round-1])
 			}
 		}
 		s.leader().Crash(second)
 		s.Run(s.Now + s.cancelSpan())
-		for _, n := range s.Nodes {
-			s.Link(n.Label, "workers", simulation.Link{})
+		for _, node := range s.Nodes {
+			s.Link(node.Label, "workers", simulation.Link{})
 		}
 		s.eventually(300*second, "the work is done", s.Users.AllTold)
 	}
 }
 
-// The service is slow, refuses the leader and then everybody for longer than cancel_s, while
-// users cancel and ask: they are told in the end, and what they were told holds.
+// The state service is slow, refuses the leader and then everybody for longer than cancel_s,
+// while users cancel and query: they are answered in the end, and what they were told holds.
 func TestStoreSlowThenRefusingThenDown(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 1900+seed, 4*second)
@@ -363,11 +366,11 @@
 			jobs = append(jobs, s.Users.Submit(simulation.Array(5), 90))
 		}
 		s.Run(s.Now + 15*second)
-		n := s.leader()
+		leader := s.leader()
 		s.State.Slow = 400 * time.Millisecond
 		s.Users.Abort(jobs[0])
 		s.Run(s.Now + second)
-		s.State.Refuses[n.Label] = true
+		s.State.Refuses[leader.Label] = true
 		s.Users.Abort(jobs[1])
 		s.Run(s.Now + time.Duration(1+seed)*second)
 		s.Users.Abort(jobs[2])
@@ -375,7 +378,7 @@
 		out := s.cancelSpan() + 20*second
 		s.State.Outage(out)
 		s.Run(s.Now + out)
-		delete(s.State.Refuses, n.Label)
+		delete(s.State.Refuses, leader.Label)
 		s.State.Slow = 0
 		s.Users.Calm = s.Now
 		s.eventually(60*second, "the users are told", toldState(protocol.JobCancelled, jobs[:3]...))
@@ -383,28 +386,28 @@
 	}
 }
 
-// Controllers hand over and back, all end, and one returns, within a second or some, with one
-// of the production version among them or none.
+// Leaders fail over and back, all controllers crash, and one returns, within a second or some,
+// with one of the production version among them or none.
 func TestFailoverAndFailback(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newBusyScenario(t, 2000+seed, 10*second)
 		back := []time.Duration{50 * time.Millisecond, second / 5, second, 4 * second}[seed%4]
 		s.Nodes[seed%3].Old = seed >= 4
 		for range 3 {
-			if n := s.currentLeader(); n != nil {
-				n.Crash(back)
+			if leader := s.currentLeader(); leader != nil {
+				leader.Crash(back)
 			}
 			s.Run(s.Now + back/2)
 		}
-		for _, n := range s.Nodes {
-			n.Crash(20 * second) // the later start is the one that counts
+		for _, node := range s.Nodes {
+			node.Crash(20 * second) // the later start is the one that counts
 		}
 		s.Nodes[(seed+1)%3].Start()
 		s.Users.Submit(simulation.Array(6), 10)
 		s.Run(s.Now + 8*second)
-		for _, n := range s.Nodes {
-			if !n.Alive() {
-				n.Start()
+		for _, node := range s.Nodes {
+			if !node.Alive() {
+				node.Start()
 			}
 		}
 		s.Run(s.Now + second)
@@ -413,34 +416,34 @@
 	}
 }
 
-// awaitLeader is the leader, once there is one.
+// awaitLeader runs until there is a leader, and returns it.
 func (s *scenario) awaitLeader() *simulation.Node {
 	s.eventually(30*second, "somebody leads", func() bool { return s.currentLeader() != nil })
 	return s.leader()
 }
 
-// Machines whose reports arrive and that hear nothing hold up a take-over until their leases
-// must have ended, not for as long as they are deaf.
+// Machines whose heartbeats arrive and that hear nothing delay a failover until their leases must
+// have expired, not for as long as the one-way partition lasts.
 func TestOneWayPartitionDoesNotDelayFailover(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newScenario(t, 2200+seed)
 		s.addMachines(16)
-		j := s.Users.Submit(simulation.Array(64), 90)
-		s.eventually(90*second, "all tasks run", func() bool { return j.Running() == 64 })
+		job := s.Users.Submit(simulation.Array(64), 90)
+		s.eventually(90*second, "all tasks run", func() bool { return job.Running() == 64 })
 		s.Cloud.Out = true
-		for _, k := range s.SomeWorkers(6) {
-			for _, n := range s.Nodes {
-				s.Link(n.Label, k.Info.Name, simulation.Dropped)
+		for _, worker := range s.SomeWorkers(6) {
+			for _, node := range s.Nodes {
+				s.Link(node.Label, worker.Info.Name, simulation.Dropped)
 			}
 		}
-		for _, n := range s.Nodes {
-			n.Crash(second / 5)
+		for _, node := range s.Nodes {
+			node.Crash(second / 5)
 		}
 		s.Logs = nil
 		s.eventually(45*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
-		for _, k := range s.Workers {
-			for _, n := range s.Nodes {
-				s.Mend(n.Label, k.Info.Name)
+		for _, worker := range s.Workers {
+			for _, node := range s.Nodes {
+				s.Mend(node.Label, worker.Info.Name)
 			}
 		}
 		s.Cloud.Out = false
@@ -448,23 +451,23 @@
 	}
 }
 
-// A report that is not believed, here an old one, is answered with stops of what is cancelled,
+// A heartbeat that is not believed, here a stale one, is answered with stops of what is cancelled,
 // and with nothing else: no answer renews the lease of a machine and leaves such a task there.
 func TestEveryHeartbeatResponseStopsCancelledTasks(t *testing.T) {
 	s := newScenario(t, 2300)
 	gone, stays := s.Users.Submit(simulation.Array(4), 100), s.Users.Submit(simulation.Array(4), 100)
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 8 })
-	k := s.Workers[gone.On(0)]
+	worker := s.Workers[gone.On(0)]
 	s.Users.Abort(gone)
 	s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, gone))
-	old := protocol.Heartbeat{Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot, Session: 1,
+	old := protocol.Heartbeat{Machine: worker.Info.Name, Addr: worker.Info.Addr, Type: worker.Info.Type, Zone: worker.Info.Zone, Spot: worker.Info.Spot, Session: 1,
 		Tasks: []protocol.TaskStatus{
 			{Task: protocol.TaskName(gone.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
 			{Task: protocol.TaskName(gone.Spec.ID, 1), Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone},
 			{Task: protocol.TaskName(stays.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
 		}}
 	var answer protocol.HeartbeatResponse
-	k.ReportsTo().Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: old} }, func(r core.Reply) {
+	worker.ReportsTo().Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: old} }, func(r core.Reply) {
 		answer, _ = r.Body.(protocol.HeartbeatResponse)
 	})
 	s.Run(s.Now + second)
@@ -474,47 +477,47 @@
 	}
 }
 
-// What was learnt of others is not forgotten while this node is entitled by a mirror from
-// before: the rounds may end, since a controller does, just when that is over.
+// Cancellations that were learnt in the degraded mode are not forgotten while this node may serve
+// by a mirror from before: the rounds may end, by a crash of a controller, just when that is over.
 func TestLearntCancellationsOutliveAStaleMirror(t *testing.T) {
-	for k := range 24 {
+	for tenths := range 24 {
 		set := simulation.Settings(3)
-		set.Site.Workers.CancelS = 24 // little more than two spans and a lease
+		set.Site.Workers.CancelS = 24 // little more than two times the staleness limit and a lease
 		s := &scenario{World: simulation.Build(2400, set, simulation.Types()), t: t}
 		s.Run(2 * second)
 		s.addMachines(12)
 		gone := s.Users.Submit(simulation.Array(40), 100)
 		s.eventually(60*second, "all tasks run", func() bool { return gone.Running() == 40 })
-		n, third := s.leader(), s.otherFollower()
-		s.State.Refuses[n.Label] = true
+		leader, third := s.leader(), s.otherFollower()
+		s.State.Refuses[leader.Label] = true
 		s.Users.Only = s.follower()
 		s.Users.Abort(gone)
 		s.eventually(5*second, "its user is told", toldState(protocol.JobCancelled, gone))
 		s.State.Outage(60 * second)
-		s.After(3*second+time.Duration(k)*second/10, func() { third.Crash(0) })
+		s.After(3*second+time.Duration(tenths)*second/10, func() { third.Crash(0) })
 		s.Run(s.Now + s.cancelSpan() + second)
 		s.requireInvariants()
 	}
 }
 
-// The checker can fail: each of its rules notices a fault that is seeded.
+// The invariant checker can fail: each of its rules notices a seeded violation.
 func TestCheckerCatchesInterleavingFaults(t *testing.T) {
-	// reopened is a job that was done and that one node, with a slow way to the users, has
-	// queued again; forgets it altogether if that node has lost it.
+	// reopened brings about that one node, with a slow link to the users, holds a job that was
+	// done as queued again, or does not hold it any more.
 	reopened := func(s *scenario, forgets bool) {
-		j := s.Users.Submit(simulation.Array(2), 3)
-		s.eventually(40*second, "it is done", toldState(protocol.JobDone, j))
-		s.Run(s.Now + 4*second) // its lot is gone
+		job := s.Users.Submit(simulation.Array(2), 3)
+		s.eventually(40*second, "it is done", toldState(protocol.JobDone, job))
+		s.Run(s.Now + 4*second) // its admission batch is gone
 		if forgets {
-			s.State.Forget("c/job/" + j.Spec.ID)
+			s.State.Forget("c/job/" + job.Spec.ID)
 		} else {
-			s.State.Reopen(j.Spec)
+			s.State.Reopen(job.Spec)
 		}
-		n := s.follower()
-		n.Crash(second / 5)
+		node := s.follower()
+		node.Crash(second / 5)
 		s.Run(s.Now + 5*second)
-		s.Link(n.Label, "users", simulation.Link{Delay: second})
-		s.Users.Look(j) // the others' answers come first
+		s.Link(node.Label, "users", simulation.Link{Delay: second})
+		s.Users.Look(job) // the others' answers come first
 		s.Run(s.Now + 3*second)
 	}
 	for name, fault := range map[string]struct {
@@ -523,8 +526,8 @@
 	}{
 		"nobody answers": {"forgotten", func(s *scenario, red *simulation.Job) {
 			s.Users.Calm = s.Now
-			for _, n := range s.Nodes {
-				s.Cut(n.Label, "users", false)
+			for _, node := range s.Nodes {
+				s.Cut(node.Label, "users", false)
 			}
 			s.Run(s.Now + 90*second)
 		}},
@@ -537,12 +540,12 @@
 		"a task goes on as its machine does": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Abort(red)
 			s.Run(s.Now + s.cancelSpan() - 5*second)
-			k := s.Workers[s.Cloud.Add("box", "b", true)]
-			k.Force(protocol.TaskName(red.Spec.ID, 3), 99)
+			worker := s.Workers[s.Cloud.Add("box", "b", true)]
+			worker.Force(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 2*second/10)
-			k.Hung = true // before it could be stopped, and beyond cancel_s
+			worker.Hung = true // before it could be stopped, and beyond cancel_s
 			s.Run(s.Now + 10*second)
-			k.Hung = false
+			worker.Hung = false
 			s.Run(s.Now + second)
 		}},
 		"a start after the word": {"late starts", func(s *scenario, red *simulation.Job) {
@@ -557,9 +560,9 @@
 			s.addMachines(8)
 			more := simulation.Array(12)
 			more.Team = "red"
-			j := s.Users.Submit(more, 60)
-			for i, k := range s.SomeWorkers(8) {
-				k.Force(protocol.TaskName(j.Spec.ID, i), 99)
+			job := s.Users.Submit(more, 60)
+			for i, worker := range s.SomeWorkers(8) {
+				worker.Force(protocol.TaskName(job.Spec.ID, i), 99)
 			}
 			s.Run(s.Now + 5*second)
 		}},
@@ -597,21 +600,21 @@
 	}
 }
 
-// A task that an owner first sees under way says nothing of its duration when it ends.
+// The duration of a task that its owner found running is not known when it ends.
 func TestTasksFoundRunningAreNotTimed(t *testing.T) {
 	s := newScenario(t, 2600)
 	s.addMachines(8)
-	j := s.Users.Submit(simulation.Array(24), 40)
-	s.eventually(60*second, "all tasks run", func() bool { return j.Running() == 24 })
+	job := s.Users.Submit(simulation.Array(24), 40)
+	s.eventually(60*second, "all tasks run", func() bool { return job.Running() == 24 })
 	s.Run(s.Now + 30*second)
-	for _, n := range s.Nodes {
-		n.Crash(second / 5)
+	for _, node := range s.Nodes {
+		node.Crash(second / 5)
 	}
 	ended := 0
 	for range 100 {
 		s.Run(s.Now + second/5)
-		for _, n := range s.Nodes {
-			for _, m := range n.Core.FullSnapshot().Machines {
+		for _, node := range s.Nodes {
+			for _, m := range node.Core.FullSnapshot().Machines {
 				for _, task := range m.Tasks {
 					if task.State == protocol.TaskExited {
 						ended++
