--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -14,7 +14,7 @@
 // followLeader takes note of whether this node leads.
 func (m *membership) followLeader() {
 	c := m.core
-	leading := c.mirror.leader != nil && c.mirror.leader.BootID == c.bootID
+	leading := c.records.leader != nil && c.records.leader.BootID == c.bootID
 	if leading == m.leading {
 		return
 	}
@@ -23,7 +23,7 @@
 		m.leaderSince = c.now.Monotonic
 		clear(m.absentSince)
 		m.observedMap = nil
-		c.logInfo("became leader", "revision", c.mirror.versions[keyLeader])
+		c.logInfo("became leader", "revision", c.mirror.Version(keyLeader))
 	} else {
 		c.logInfo("lost leadership")
 	}
@@ -38,12 +38,12 @@
 // wrote again.
 func (m *membership) registerNode() bool {
 	c := m.core
-	if c.mirror.nodes[c.settings.Label].BootID == c.bootID {
+	if c.records.nodes[c.settings.Label].BootID == c.bootID {
 		return false
 	}
 	key := keyNode + c.settings.Label
 	node := records.Node{BootID: c.bootID, Level: records.FormatLevel}
-	m.writeKey(c.mirror.guard(key), protocol.Operation{Put: key, Value: node, Lease: m.leaseID})
+	m.writeKey(c.mirror.Guard(key), protocol.Operation{Put: key, Value: node, Lease: m.leaseID})
 	return true
 }
 
@@ -55,7 +55,7 @@
 // ends.
 func (m *membership) standForElection() bool {
 	c := m.core
-	leader := c.mirror.leader
+	leader := c.records.leader
 	if leader != nil {
 		m.leaderSeenAt = c.now.Monotonic
 	}
@@ -66,7 +66,7 @@
 		return false
 	}
 	record := records.Leader{Label: c.settings.Label, BootID: c.bootID}
-	m.writeKey(c.mirror.guard(keyLeader), protocol.Operation{Put: keyLeader, Value: record, Lease: m.leaseID})
+	m.writeKey(c.mirror.Guard(keyLeader), protocol.Operation{Put: keyLeader, Value: record, Lease: m.leaseID})
 	return true
 }
 
@@ -74,7 +74,7 @@
 // just stepped down, or one who reaches machines should lead.
 func (m *membership) staysBack() bool {
 	c := m.core
-	others, vacant := len(c.mirror.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
+	others, vacant := len(c.records.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
 	return m.stepdown.ShouldAbstain(c.now.Monotonic, others, vacant, c.intervals.memberLease) ||
 		c.shard.reachability.Unreachable() && others && vacant < c.intervals.maintenance
 }
@@ -93,18 +93,18 @@
 }
 
 // leaderGuard ties a write to our leadership.
-func (m *membership) leaderGuard() protocol.Guard { return m.core.mirror.guard(keyLeader) }
+func (m *membership) leaderGuard() protocol.Guard { return m.core.mirror.Guard(keyLeader) }
 
 // writeKey writes the node key or the leader key. The next write waits until the mirror shows
 // what became of this one.
 func (m *membership) writeKey(guard protocol.Guard, op protocol.Operation) {
 	c := m.core
 	m.keyWriteInFlight = true
-	c.mirror.commit([]protocol.Guard{guard}, []protocol.Operation{op}, func(d CommitResult) {
+	c.commit([]protocol.Guard{guard}, []protocol.Operation{op}, func(d CommitResult) {
 		if d.Outcome == CommitRejected {
 			m.leaseID, m.keyWriteInFlight = 0, false // the lease has expired
 			return
 		}
-		c.mirror.awaitOutcome(d.Outcome.Decided(), c.intervals.maxStaleness/outcomeChecksPerStaleness, func() { m.keyWriteInFlight = false })
+		c.mirror.AwaitOutcome(d.Outcome.Decided(), c.intervals.maxStaleness/outcomeChecksPerStaleness, func() { m.keyWriteInFlight = false })
 	})
 }
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -56,7 +56,7 @@
 func (s *shard) dropIfGone(m *machine) bool {
 	c := s.core
 	switch {
-	case m.registered && c.mirror.machineRecords.get(m.name) == nil:
+	case m.registered && c.records.machineRecords.get(m.name) == nil:
 		// Deleted with its tasks. The leader would wait for ever for those that it has not
 		// been told of yet.
 		for _, a := range m.attempts {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -21,11 +21,11 @@
 	if current {
 		s.reachability.Contact(c.now.Monotonic)
 	}
-	if c.mirror.ready {
+	if c.mirror.IsReady() {
 		s.followEpoch()
 	}
 	mayServe := c.membership.mayServe()
-	if !mayServe && !c.degraded.isActive() || c.mirror.shardMap == nil {
+	if !mayServe && !c.degraded.isActive() || c.records.shardMap == nil {
 		s.refuseHeartbeat(id)
 		return
 	}
@@ -75,7 +75,7 @@
 	m := s.addMachine(report.Machine)
 	m.addr, m.typeName, m.zone, m.spot = report.Addr, report.Type, report.Zone, report.Spot
 	m.machineType = s.core.machineTypes()[m.typeName]
-	m.registered = s.core.mirror.machineRecords.get(m.name) != nil
+	m.registered = s.core.records.machineRecords.get(m.name) != nil
 	return m
 }
 
@@ -218,7 +218,7 @@
 		task: report.Task, jobID: jobID, taskIndex: taskIndex, number: report.Attempt,
 		foundRunning: report.State == protocol.TaskRunning,
 	}
-	if job := s.core.mirror.acceptedJob(jobID); job != nil {
+	if job := s.core.records.acceptedJob(jobID); job != nil {
 		a.spec = &job.record.Spec
 	}
 	s.addAttempt(m, a)
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -12,7 +12,7 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Scenarios in which two faults meet; docs/meetings.md says what each goes through.
+// Scenarios in which two faults meet; docs/fault-interleavings.md says what each goes through.
 
 // cancelSpan is the time in which the tasks of a cancelled job must have ended.
 func (s *scenario) cancelSpan() time.Duration { return config.Seconds(s.Set.Site.Workers.CancelS) }
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -47,7 +47,7 @@
 	c := s.core
 	s.leaderHeardAt, s.lastLeaderSeq = c.now.Monotonic, message.Seq
 	for _, view := range message.Views {
-		if job := c.mirror.acceptedJob(view.Job); job != nil {
+		if job := c.records.acceptedJob(view.Job); job != nil {
 			job.leaderView = view
 		}
 	}
@@ -78,7 +78,7 @@
 func (s *shard) handleDispatch(dispatch *peerproto.TaskAttempt) {
 	c := s.core
 	jobID, taskIndex, err := protocol.ParseTaskName(dispatch.Task)
-	job := c.mirror.acceptedJob(jobID)
+	job := c.records.acceptedJob(jobID)
 	if err != nil || s.mustNotRun(jobID, job) || job.isTaskDone(taskIndex) {
 		s.returned = append(s.returned, peerproto.TaskAttempt{Task: dispatch.Task, Attempt: dispatch.Attempt})
 		return
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -31,7 +31,7 @@
 // its keys alive, so that nobody led and its machines stood still for as long as that lasted.
 func (m *membership) letsLeaseExpire() bool {
 	c := m.core
-	if m.leaseID == 0 || !m.renewalUnanswered || c.mirror.isFresh() {
+	if m.leaseID == 0 || !m.renewalUnanswered || c.mirror.IsFresh() {
 		return false
 	}
 	surelyExpired := c.intervals.memberLease * 5 / 4 // the service may have got the renewal late
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -93,7 +93,7 @@
 		unsureSince:   now,
 		leaving:       s.core.fleet.isReturning(name),
 	}
-	if record := s.core.mirror.machineRecords.get(name); record != nil {
+	if record := s.core.records.machineRecords.get(name); record != nil {
 		view.registered = true
 		view.state = peerproto.MachineState{Name: name, Addr: record.Addr, Type: record.Type, Zone: record.Zone, Spot: record.Spot}
 		view.machineType = s.core.machineTypes()[record.Type]
@@ -143,7 +143,7 @@
 // not know of.
 func (s *scheduler) unseenMachines() iter.Seq2[string, *records.Machine] {
 	return func(yield func(string, *records.Machine) bool) {
-		for name, record := range s.core.mirror.machineRecords.all() {
+		for name, record := range s.core.records.machineRecords.all() {
 			if s.isUnseen(name) && !yield(name, record) {
 				return
 			}
@@ -161,7 +161,7 @@
 // found last: looking at all of them for each message of a shard took most of a failover's
 // processor time, and grew with the square of the fleet.
 func (s *scheduler) anyUnseen() bool {
-	names := s.core.mirror.machineRecords.sortedNames()
+	names := s.core.records.machineRecords.sortedNames()
 	first, _ := slices.BinarySearch(names, s.lastUnseen)
 	for n := range names {
 		if name := names[(first+n)%len(names)]; s.isUnseen(name) {
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -61,15 +61,15 @@
 // reconcile keeps the lease and this node's key, follows who leads, and does the leader's
 // part for the shard map.
 func (m *membership) reconcile() {
-	m.core.mirror.maintain()
+	m.core.mirror.Maintain()
 	m.renewLease()
 	m.publishReadiness()
-	if !m.core.mirror.ready {
+	if !m.core.mirror.IsReady() {
 		return
 	}
 	m.publishPeerTarget()
 	m.followLeader()
-	if m.leaseID == 0 || m.keyWriteInFlight || !m.core.mirror.isFresh() {
+	if m.leaseID == 0 || m.keyWriteInFlight || !m.core.mirror.IsFresh() {
 		return
 	}
 	if m.registerNode() || m.standForElection() {
@@ -95,7 +95,7 @@
 // publishPeerTarget says which sibling this node keeps a link to: the leader.
 func (m *membership) publishPeerTarget() {
 	target := ""
-	if leader := m.core.mirror.leader; leader != nil && leader.BootID != m.core.bootID {
+	if leader := m.core.records.leader; leader != nil && leader.BootID != m.core.bootID {
 		target = leader.Label
 	}
 	if target != m.peerTarget {
@@ -110,12 +110,12 @@
 // Guards against two owners of a machine: a node that is cut off must fall silent before the
 // others count its lease as over.
 func (m *membership) mayServe() bool {
-	return m.leaseID != 0 && m.core.now.Monotonic-m.renewedAt < m.core.intervals.maxStaleness && m.core.mirror.isFresh()
+	return m.leaseID != 0 && m.core.now.Monotonic-m.renewedAt < m.core.intervals.maxStaleness && m.core.mirror.IsFresh()
 }
 
 // isMember reports whether the shard map in force names this very process.
 func (m *membership) isMember() bool {
-	shardMap := m.core.mirror.shardMap
+	shardMap := m.core.records.shardMap
 	return shardMap != nil && shardMap.Members[m.core.settings.Label] == m.core.bootID
 }
 
@@ -126,13 +126,13 @@
 // before the map changed said that it has no machines, and all that had just been given to
 // the former one was started a second time.
 func (m *membership) labelHeldByOther(label, boot string) bool {
-	shardMap := m.core.mirror.shardMap
+	shardMap := m.core.records.shardMap
 	return shardMap != nil && shardMap.Members[label] != "" && shardMap.Members[label] != boot
 }
 
 // epoch is the one of the shard map in force, 0 without a map.
 func (m *membership) epoch() uint64 {
-	if shardMap := m.core.mirror.shardMap; shardMap != nil {
+	if shardMap := m.core.records.shardMap; shardMap != nil {
 		return shardMap.Epoch
 	}
 	return 0
@@ -140,7 +140,7 @@
 
 // ownerOf is the member that a machine belongs to, by rendezvous hashing.
 func (m *membership) ownerOf(machine string) string {
-	shardMap := m.core.mirror.shardMap
+	shardMap := m.core.records.shardMap
 	if shardMap == nil {
 		return ""
 	}
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -14,7 +14,7 @@
 	c := s.core
 	verdict := s.reachability.Check(s.reachabilityView())
 	for _, name := range verdict.Probe {
-		c.emit(ProbeWorker{Machine: name, Addr: c.mirror.machineRecords.get(name).Addr})
+		c.emit(ProbeWorker{Machine: name, Addr: c.records.machineRecords.get(name).Addr})
 	}
 	switch {
 	case verdict.Left:
@@ -41,9 +41,9 @@
 // shardFleet is what package reachability may ask about the machines of a shard.
 type shardFleet struct{ shard *shard }
 
-func (f shardFleet) KnownCount() int { return f.shard.core.mirror.machineRecords.len() }
+func (f shardFleet) KnownCount() int { return f.shard.core.records.machineRecords.len() }
 
-func (f shardFleet) KnownNames() []string { return f.shard.core.mirror.machineRecords.sortedNames() }
+func (f shardFleet) KnownNames() []string { return f.shard.core.records.machineRecords.sortedNames() }
 
 func (f shardFleet) OwnedCount() int { return f.shard.machines.len() }
 
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -39,7 +39,7 @@
 		return
 	}
 	r.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
-	pages := c.mirror.registryPages
+	pages := c.records.registryPages
 	changed := registry.Plan(registry.Registry{
 		Pages: pages.all(), Page: pages.get, PageCount: pages.len(),
 		Record: r.record, Removed: r.isRemoved,
@@ -66,7 +66,7 @@
 
 // record is a machine's record: the one in the registry, or that of a machine to be added.
 func (r *machineRegistry) record(name string) records.Machine {
-	if record := r.core.mirror.machineRecords.get(name); record != nil {
+	if record := r.core.records.machineRecords.get(name); record != nil {
 		return *record
 	}
 	state := &r.core.scheduler.machines.get(name).state
@@ -92,11 +92,11 @@
 // later one has seen that it is out.
 func (r *machineRegistry) commitPages(changed map[string]*registry.Page) {
 	c := r.core
-	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.guard(keyShardMap)}
+	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyShardMap)}
 	var ops []protocol.Operation
 	for _, page := range sortedKeys(changed) {
 		key, machines := keyRegistryPage+page, changed[page].Machines
-		guards = append(guards, c.mirror.guard(key))
+		guards = append(guards, c.mirror.Guard(key))
 		if len(machines) == 0 {
 			ops = append(ops, protocol.Operation{Delete: key})
 		} else {
@@ -104,13 +104,13 @@
 		}
 	}
 	r.writeInFlight = true
-	c.mirror.commit(guards, ops, func(d CommitResult) {
-		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maintenance/4, func() { r.writeInFlight = false })
+	c.commit(guards, ops, func(d CommitResult) {
+		c.mirror.AwaitOutcome(d.Outcome == Committed, c.intervals.maintenance/4, func() { r.writeInFlight = false })
 	})
 }
 
 // putRegistryPage takes a page of the registry into the mirror.
-func (l *storeMirror) putRegistryPage(page string, record *records.RegistryPage) {
+func (l *storedRecords) putRegistryPage(page string, record *records.RegistryPage) {
 	before := l.registryPages.get(page)
 	names := sortedKeys(record.Machines)
 	l.registryPages.set(page, names)
@@ -128,14 +128,14 @@
 }
 
 // removeRegistryPage takes a page that was deleted out of the mirror.
-func (l *storeMirror) removeRegistryPage(page string) {
+func (l *storedRecords) removeRegistryPage(page string) {
 	before := l.registryPages.get(page)
 	l.registryPages.delete(page)
 	l.removeUnlisted(before)
 }
 
 // removeUnlisted drops those machines that no page of the registry holds any more.
-func (l *storeMirror) removeUnlisted(names []string) {
+func (l *storedRecords) removeUnlisted(names []string) {
 	for _, name := range names {
 		if l.isListed(name) {
 			continue
@@ -147,7 +147,7 @@
 }
 
 // isListed reports whether any page of the registry holds a machine.
-func (l *storeMirror) isListed(name string) bool {
+func (l *storedRecords) isListed(name string) bool {
 	for _, names := range l.registryPages.all() {
 		if _, listed := slices.BinarySearch(names, name); listed {
 			return true
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -75,7 +75,7 @@
 // publishes what has changed.
 func (s *shard) reconcile() {
 	c := s.core
-	if !c.mirror.ready {
+	if !c.mirror.IsReady() {
 		return
 	}
 	s.followEpoch()
--- a/internal/core/shard_attempts.go
+++ b/internal/core/shard_attempts.go
@@ -12,7 +12,7 @@
 func (s *shard) addAttempt(m *machine, a *taskAttempt) {
 	m.attempts = append(m.attempts, a)
 	s.markChanged(m)
-	if job := s.core.mirror.acceptedJob(a.jobID); job != nil && job.isFinal() {
+	if job := s.core.records.acceptedJob(a.jobID); job != nil && job.isFinal() {
 		return // nobody will look for the machines of a job that is over
 	}
 	if s.machinesByJob[a.jobID] == nil {
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -26,7 +26,7 @@
 	s.unplaced, s.returned, s.fullSnapshotDue = nil, nil, true
 	s.reachability.EnterEpoch()
 	s.epochSince, s.nextCheckAt = c.now.Monotonic, 0
-	for name, record := range c.mirror.machineRecords.all() {
+	for name, record := range c.records.machineRecords.all() {
 		s.adoptRegistered(name, record)
 	}
 	for name, m := range s.machines.all() {
@@ -36,7 +36,7 @@
 		}
 		s.resetMachine(m, ownedBefore)
 	}
-	if shardMap := c.mirror.shardMap; shardMap != nil {
+	if shardMap := c.records.shardMap; shardMap != nil {
 		c.logInfo("new shard map", "epoch", epoch, "leader", shardMap.Leader, "members", sortedKeys(shardMap.Members), "machines", s.machines.len())
 	}
 }
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -35,7 +35,7 @@
 	if len(desired) == 0 {
 		desired[c.settings.Label] = c.bootID
 	}
-	shardMap := c.mirror.shardMap
+	shardMap := c.records.shardMap
 	// A new leader gives the others a moment to call, so that a change of leader is one new
 	// map and not several.
 	settled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
@@ -54,10 +54,10 @@
 func (m *membership) surveyMembers() (missing, unheard bool) {
 	c := m.core
 	clear(m.desiredMembers) // not made anew, as this runs with every batch of commands
-	for label, node := range c.mirror.nodes {
+	for label, node := range c.records.nodes {
 		switch {
 		case label == c.settings.Label:
-			if !c.shard.reachability.Unreachable() || len(c.mirror.nodes) == 1 {
+			if !c.shard.reachability.Unreachable() || len(c.records.nodes) == 1 {
 				m.desiredMembers[label] = node.BootID
 			}
 		case c.scheduler.hearsMember(label, node.BootID):
@@ -78,16 +78,16 @@
 		next.Epoch = inForce.Epoch + 1
 	}
 	m.mapWriteInFlight = true
-	guards := []protocol.Guard{m.leaderGuard(), c.mirror.guard(keyShardMap)}
-	c.mirror.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
-		c.mirror.awaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/outcomeChecksPerStaleness, func() { m.mapWriteInFlight = false })
+	guards := []protocol.Guard{m.leaderGuard(), c.mirror.Guard(keyShardMap)}
+	c.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
+		c.mirror.AwaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/outcomeChecksPerStaleness, func() { m.mapWriteInFlight = false })
 	})
 }
 
 // logAbsentMembers notes which controllers are outside the shard map, for those on call.
 func (m *membership) logAbsentMembers() {
 	c := m.core
-	shardMap := c.mirror.shardMap
+	shardMap := c.records.shardMap
 	if shardMap == nil || shardMap == m.observedMap {
 		return
 	}
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -314,7 +314,7 @@
 	if err != nil {
 		return
 	}
-	job := s.core.mirror.acceptedJob(jobID)
+	job := s.core.records.acceptedJob(jobID)
 	if job == nil {
 		// The shard's mirror is ahead of ours. It publishes a task once, so it must be
 		// asked again.
