--- a/internal/protocol/validate.go
+++ b/internal/protocol/validate.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/binary"
 	"errors"
+
+	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
 // maxDepth is how deep values may nest; the protocol's nest four deep.
@@ -14,10 +16,20 @@
 	errFormat  = errors.New("not MessagePack")
 )
 
-// skipValue walks over one value and returns what follows it. The library reserves
-// memory by the lengths a message claims, so a few bytes from outside could
-// take more than the process may have; here every claim is held against the
-// bytes that are there.
+// validate checks that b is exactly one value, without reserving memory for it.
+//
+// Guards against a few bytes from outside that take more memory than the process may have: the
+// decoder reserves memory by the lengths that a message claims. Here every claim is held against
+// the bytes that are there.
+func validate(b []byte) error {
+	rest, err := skipValue(b, 0)
+	if err == nil && len(rest) > 0 {
+		err = ErrTrailing
+	}
+	return err
+}
+
+// skipValue walks over one value, which is nested so deep, and returns what follows it.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 {
 		return nil, errShort
@@ -25,88 +37,110 @@
 	if depth > maxDepth {
 		return nil, errTooDeep
 	}
-	c := b[0]
-	b = b[1:]
-	size := func(width int) (int, error) {
-		if len(b) < width {
-			return 0, errShort
-		}
-		var n uint64
-		switch width {
-		case 1:
-			n = uint64(b[0])
-		case 2:
-			n = uint64(binary.BigEndian.Uint16(b))
-		default:
-			n = uint64(binary.BigEndian.Uint32(b))
-		}
-		b = b[width:]
-		if n > uint64(len(b)) {
-			return 0, errShort
-		}
-		return int(n), nil
+	code, b := b[0], b[1:]
+	switch {
+	case msgpcode.IsFixedNum(code):
+		return b, nil
+	case msgpcode.IsFixedMap(code):
+		return skipItems(b, 2*int(code&msgpcode.FixedMapMask), depth)
+	case msgpcode.IsFixedArray(code):
+		return skipItems(b, int(code&msgpcode.FixedArrayMask), depth)
+	case msgpcode.IsFixedString(code):
+		return skipBytes(b, int(code&msgpcode.FixedStrMask))
 	}
-	skip := func(n int, err error) ([]byte, error) {
-		if err != nil {
-			return nil, err
-		}
-		if n > len(b) {
-			return nil, errShort
-		}
-		return b[n:], nil
+	switch code {
+	case msgpcode.Nil, msgpcode.False, msgpcode.True:
+		return b, nil
+	case msgpcode.Uint8, msgpcode.Int8:
+		return skipBytes(b, 1)
+	case msgpcode.Uint16, msgpcode.Int16:
+		return skipBytes(b, 2)
+	case msgpcode.Uint32, msgpcode.Int32, msgpcode.Float:
+		return skipBytes(b, 4)
+	case msgpcode.Uint64, msgpcode.Int64, msgpcode.Double:
+		return skipBytes(b, 8)
 	}
-	items := func(n int, err error) ([]byte, error) {
-		if err == nil && n > len(b) {
-			err = errShort
-		}
-		for i := 0; i < n && err == nil; i++ {
-			b, err = skipValue(b, depth+1)
-		}
-		return b, err
+	return skipSized(code, b, depth)
+}
+
+// skipSized walks over a value whose length stands before it.
+func skipSized(code byte, b []byte, depth int) ([]byte, error) {
+	width := lengthWidth(code)
+	if width == 0 {
+		return nil, errFormat // extensions are no part of the protocol
 	}
-	pairs := func(n int, err error) ([]byte, error) { return items(2*n, err) }
-	switch {
-	case c <= 0x7f, c >= 0xe0, c == 0xc0, c == 0xc2, c == 0xc3:
-		return b, nil
-	case c <= 0x8f:
-		return pairs(int(c&0x0f), nil)
-	case c <= 0x9f:
-		return items(int(c&0x0f), nil)
-	case c <= 0xbf:
-		return skip(int(c&0x1f), nil)
+	length, b, err := readLength(b, width)
+	if err != nil {
+		return nil, err
 	}
-	switch c {
-	case 0xc4, 0xd9:
-		return skip(size(1))
-	case 0xc5, 0xda:
-		return skip(size(2))
-	case 0xc6, 0xdb:
-		return skip(size(4))
-	case 0xcc, 0xd0:
-		return skip(1, nil)
-	case 0xcd, 0xd1:
-		return skip(2, nil)
-	case 0xca, 0xce, 0xd2:
-		return skip(4, nil)
-	case 0xcb, 0xcf, 0xd3:
-		return skip(8, nil)
-	case 0xdc:
-		return items(size(2))
-	case 0xdd:
-		return items(size(4))
-	case 0xde:
-		return pairs(size(2))
-	case 0xdf:
-		return pairs(size(4))
+	switch code {
+	case msgpcode.Map16, msgpcode.Map32:
+		return skipItems(b, 2*length, depth)
+	case msgpcode.Array16, msgpcode.Array32:
+		return skipItems(b, length, depth)
+	default:
+		return skipBytes(b, length)
 	}
-	return nil, errFormat // extensions are no part of the protocol
 }
 
-// validate checks that b is exactly one value.
-func validate(b []byte) error {
-	rest, err := skipValue(b, 0)
-	if err == nil && len(rest) > 0 {
-		err = ErrTrailing
+// lengthWidth is how many bytes the length of a value takes, 0 if the code is none of a value
+// with a length.
+func lengthWidth(code byte) int {
+	switch code {
+	case msgpcode.Bin8, msgpcode.Str8:
+		return 1
+	case msgpcode.Bin16, msgpcode.Str16, msgpcode.Array16, msgpcode.Map16:
+		return 2
+	case msgpcode.Bin32, msgpcode.Str32, msgpcode.Array32, msgpcode.Map32:
+		return 4
+	default:
+		return 0
 	}
-	return err
+}
+
+// readLength reads a length of so many bytes, which may not be above what follows it: each item
+// and each byte of a text takes one at the least.
+func readLength(b []byte, width int) (int, []byte, error) {
+	if len(b) < width {
+		return 0, nil, errShort
+	}
+	length, rest := bigEndian(b[:width]), b[width:]
+	if length > uint64(len(rest)) {
+		return 0, nil, errShort
+	}
+	return int(length), rest, nil
+}
+
+// bigEndian is an unsigned number of one, two, four or eight bytes.
+func bigEndian(b []byte) uint64 {
+	switch len(b) {
+	case 1:
+		return uint64(b[0])
+	case 2:
+		return uint64(binary.BigEndian.Uint16(b))
+	case 4:
+		return uint64(binary.BigEndian.Uint32(b))
+	default:
+		return binary.BigEndian.Uint64(b)
+	}
+}
+
+func skipBytes(b []byte, count int) ([]byte, error) {
+	if count > len(b) {
+		return nil, errShort
+	}
+	return b[count:], nil
+}
+
+func skipItems(b []byte, count, depth int) ([]byte, error) {
+	if count > len(b) {
+		return nil, errShort
+	}
+	var err error
+	for range count {
+		if b, err = skipValue(b, depth+1); err != nil {
+			return nil, err
+		}
+	}
+	return b, nil
 }
