--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -13,7 +13,6 @@
 	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"strings"
 	"syscall"
 	"time"
 
@@ -27,6 +26,7 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/engine"
 	"github.com/chalkhub/chalkhub/internal/kvclient"
+	"github.com/chalkhub/chalkhub/internal/logging"
 	"github.com/chalkhub/chalkhub/internal/peer"
 	"github.com/chalkhub/chalkhub/internal/worker"
 )
@@ -85,76 +85,121 @@
 	k.FatalIfErrorf(k.Run())
 }
 
-func logger() (*slog.Logger, slog.Level) {
-	level := slog.LevelInfo
-	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
-	case "error":
-		level = slog.LevelError
-	case "debug":
-		level = slog.LevelDebug
-	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), level
-}
+// Shares of what the process may use.
+const (
+	// memoryLimitShare of its memory may be taken before the collector works harder: over all of
+	// it the process is killed.
+	memoryLimitShare = 0.7
+	// gcPercent lets the collector run seldom, since the heap is small beside that limit: at its
+	// usual pace it took a tenth of the share of the processor.
+	gcPercent = 400
+	// userSocketShare of its sockets are for users and workers, workerSocketShare for calls to
+	// workers; the rest is for the outside systems and other controllers.
+	userSocketShare   = 3.0 / 5
+	workerSocketShare = 1.0 / 4
+)
 
-func run(set *config.Settings, policy config.Policy) error {
-	// One core at a time is ours, and memory over the limit ends the process.
-	runtime.GOMAXPROCS(1)
-	// The heap is small beside that limit, so the collector may run seldom: at its
-	// usual pace it took a tenth of our share of the processor.
-	debug.SetMemoryLimit(int64(set.Site.Resources.RAMMB * 0.7 * (1 << 20)))
-	debug.SetGCPercent(400)
-	log, level := logger()
-	log = log.With("node", set.Label)
+// Bounds of calls.
+const (
+	storeTimeout  = time.Second
+	statusTimeout = time.Second
+	// linkRetries is how often a lost link is dialled again within a heartbeat interval.
+	linkRetries = 10
+)
+
+// limitResources keeps the process to what the settings give it.
+func limitResources(resources config.Resources) {
+	runtime.GOMAXPROCS(1) // one core at a time is ours
+	debug.SetMemoryLimit(int64(resources.RAMMB * memoryLimitShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+}
 
+// newBootID names this process: it differs in every one.
+func newBootID() (string, error) {
 	var id [8]byte
 	if _, err := rand.Read(id[:]); err != nil {
-		return err
+		return "", err
 	}
-	c := core.New(set, policy, hex.EncodeToString(id[:]), level <= slog.LevelDebug)
-	e := engine.New(c, log)
-
-	span := func(s float64) time.Duration { return config.Seconds(s) }
-	report := span(set.Site.Workers.ReportS)
-	siblings := map[string]string{}
-	for _, s := range set.Siblings {
-		siblings[s.Label] = s.Address
+	return hex.EncodeToString(id[:]), nil
+}
+
+// controller is the engine with the servers that bring its commands.
+type controller struct {
+	engine *engine.Engine
+	api    *api.Server
+	links  *peer.Links
+}
+
+// newController connects a core to its servers and clients.
+func newController(settings *config.Settings, policy config.Policy, bootID string, log *slog.Logger) *controller {
+	site, sockets := &settings.Site, settings.Site.Resources.MaxSockets
+	c := &controller{engine: engine.New(core.New(settings, policy, bootID, logging.Level() <= slog.LevelDebug), log)}
+	c.api = api.New(c.engine, int(float64(sockets)*userSocketShare))
+	heartbeat := config.Seconds(site.Workers.ReportS)
+	c.links = peer.New(peer.Settings{
+		Siblings: siblingAddresses(settings), RetryInterval: heartbeat / linkRetries, Timeout: heartbeat,
+		MaxQueuedBytes: int(site.Resources.RAMMB * peerQueueShare * (1 << 20)),
+	}, c.engine.Post, c.statusPage)
+	c.engine.Connect(engine.Clients{
+		Store:   kvclient.New(settings.External.State, storeTimeout, sockets, c.engine.Clock),
+		Cloud:   cloud.New(settings.External.Cloud),
+		Workers: worker.New(int(float64(sockets)*workerSocketShare), heartbeat),
+		Peers:   c.links,
+	})
+	return c
+}
+
+func siblingAddresses(settings *config.Settings) map[string]string {
+	addresses := map[string]string{}
+	for _, sibling := range settings.Siblings {
+		addresses[sibling.Label] = sibling.Address
 	}
-	server := api.New(e, set.Site.Resources.MaxSockets*3/5)
-	status := func() ([]byte, bool) {
-		s, ok := e.Status(time.Second)
-		if !ok {
-			return nil, false
-		}
-		s.RejectedRequests = server.Rejected()
-		b, err := json.Marshal(s)
-		return b, err == nil
+	return addresses
+}
+
+// statusPage is the operators' page as JSON; ok is false if the core does not answer in time.
+func (c *controller) statusPage() (page []byte, ok bool) {
+	status, ok := c.engine.Status(statusTimeout)
+	if !ok {
+		return nil, false
 	}
-	maxQueued := int(set.Site.Resources.RAMMB * peerQueueShare * (1 << 20))
-	links := peer.New(peer.Settings{Siblings: siblings, RetryInterval: report / 10, Timeout: report, MaxQueuedBytes: maxQueued}, e.Post, status)
-	out := engine.Clients{
-		Store:   kvclient.New(set.External.State, time.Second, set.Site.Resources.MaxSockets, e.Clock),
-		Cloud:   cloud.New(set.External.Cloud),
-		Workers: worker.New(set.Site.Resources.MaxSockets/4, report),
-		Peers:   links,
+	status.RejectedRequests = c.api.Rejected()
+	page, err := json.Marshal(status)
+	return page, err == nil
+}
+
+// serve works until ctx ends or a part fails.
+func (c *controller) serve(ctx context.Context, users, peers net.Listener) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return c.engine.Run(ctx) })
+	group.Go(func() error { return c.api.Serve(ctx, users) })
+	group.Go(func() error { return c.links.Serve(ctx, peers) })
+	if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
+		return err
 	}
-	e.Connect(out)
+	return nil
+}
 
-	users, err := net.Listen("tcp4", set.Listen)
+func run(settings *config.Settings, policy config.Policy) error {
+	limitResources(settings.Site.Resources)
+	log := logging.New(os.Stderr).With("node", settings.Label)
+	bootID, err := newBootID()
+	if err != nil {
+		return err
+	}
+	controller := newController(settings, policy, bootID, log)
+	users, err := net.Listen("tcp4", settings.Listen)
 	if err != nil {
 		return err
 	}
-	peers, err := net.Listen("tcp4", set.PeerListen)
+	peers, err := net.Listen("tcp4", settings.PeerListen)
 	if err != nil {
 		return err
 	}
-	log.Info("started", "version", version, "serve_on", set.Listen, "peer_listen", set.PeerListen)
+	log.Info("started", "version", version, "serve_on", settings.Listen, "peer_listen", settings.PeerListen)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return e.Run(ctx) })
-	g.Go(func() error { return server.Serve(ctx, users) })
-	g.Go(func() error { return links.Serve(ctx, peers) })
-	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
+	if err := controller.serve(ctx, users, peers); err != nil {
 		return err
 	}
 	log.Info("stopped")
