--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -48,7 +48,9 @@
 	}
 	d.run()
 	if s.core.debug && (d.sent > 0 || q.reason != "") {
-		s.core.logDebug("ranked", "job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee, "dispatched", d.sent, "waiting", q.waitingTasks(), "reason", q.reason)
+		s.core.logDebug("ranked",
+			"job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee,
+			"dispatched", d.sent, "waiting", q.waitingTasks(), "reason", q.reason)
 	}
 }
 
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -54,10 +54,11 @@
 // is durable, or a crash of every controller would lose the only trace of it.
 func (s *shard) clearIfDurable(clears *pendingClears, m *machine, attempt *taskAttempt, entry *jobEntry) {
 	failed := attempt.exitReason != protocol.ExitDone
-	if !failed && !s.mustNotRun(attempt.jobID, entry) && !entry.isTaskDone(attempt.taskIndex) && entry.record.Spec.Kind != protocol.KindService {
+	if !failed && !s.mustNotRun(attempt.jobID, entry) && !isDurablyDone(attempt, entry) {
 		return
 	}
-	clears.commands = append(clears.commands, protocol.Command{Kind: protocol.CommandForget, Task: attempt.task, Attempt: attempt.number})
+	forget := protocol.Command{Kind: protocol.CommandForget, Task: attempt.task, Attempt: attempt.number}
+	clears.commands = append(clears.commands, forget)
 	if attempt.callID != 0 && attempt.startToken == m.token {
 		clears.sentDirectly = true
 	}
@@ -66,6 +67,12 @@
 	}
 }
 
+// isDurablyDone reports whether nothing is lost with the trace of a completed attempt. Replicas of a
+// service are never recorded as done.
+func isDurablyDone(attempt *taskAttempt, entry *jobEntry) bool {
+	return entry.isTaskDone(attempt.taskIndex) || entry.record.Spec.Kind == protocol.KindService
+}
+
 // stopCommand is the command to stop an attempt that runs, if it is due.
 func (s *shard) stopCommand(attempt *taskAttempt, entry *jobEntry) (stop protocol.Command, due bool) {
 	stop = protocol.Command{Kind: protocol.CommandStop, Task: attempt.task, Attempt: attempt.number}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -122,7 +122,9 @@
 // isUsable reports whether the job could use a victim's room and may have it.
 func (p *preemption) isUsable(v *victim) bool {
 	m := v.machine
-	return p.mayUse(m.TypeName, m.Zone, m.Spot) && !p.scheduler.isAvoided(m, p.job) && p.scheduler.isPreemptible(v.attempt.job, p.job)
+	return p.mayUse(m.TypeName, m.Zone, m.Spot) &&
+		!p.scheduler.isAvoided(m, p.job) &&
+		p.scheduler.isPreemptible(v.attempt.job, p.job)
 }
 
 // setOf is the set that is being gathered on a victim's machine.
@@ -205,7 +207,10 @@
 
 // isPreemptible reports whether the tasks of one job may be preempted for another.
 func (s *scheduler) isPreemptible(victim, preemptor *queuedJob) bool {
-	if victim == preemptor || victim.spec().Kind == protocol.KindService || victim.protected || !preemptor.ranksBefore(victim) {
+	if victim == preemptor || victim.spec().Kind == protocol.KindService || victim.protected {
+		return false
+	}
+	if !preemptor.ranksBefore(victim) {
 		return false
 	}
 	if victim.effectiveUrgency > preemptor.effectiveUrgency {
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -151,5 +151,6 @@
 	if reservedFor == nil {
 		return ""
 	}
-	return fmt.Sprintf("team %s is at its limit, and what is free next is for %s, of which too little was served", spec.Team, reservedFor.spec().Class)
+	return fmt.Sprintf("team %s is at its limit, and what is free next is for %s, of which too little was served",
+		spec.Team, reservedFor.spec().Class)
 }
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -143,7 +143,9 @@
 	spec := q.spec()
 	s.core.estimator.JobArrived(spec)
 	if s.core.debug {
-		s.core.logDebug("queued", "job", id, "at", entry.record.SubmittedAt, "team", spec.Team, "class", spec.Class, "tasks", spec.Tasks, "cpus", spec.CPUs, "guess_s", spec.EstimateS)
+		s.core.logDebug("queued",
+			"job", id, "at", entry.record.SubmittedAt, "team", spec.Team, "class", spec.Class,
+			"tasks", spec.Tasks, "cpus", spec.CPUs, "guess_s", spec.EstimateS)
 	}
 	if !q.unlocated {
 		s.core.fleet.jobArrived(q)
@@ -169,7 +171,10 @@
 // enterEpoch enters the epoch of the shard map in force if this leader wrote it.
 func (s *scheduler) enterEpoch() {
 	shardMap := s.core.records.shardMap
-	if shardMap == nil || shardMap.Leader != s.core.settings.Label || shardMap.Epoch <= s.epochAtElection || shardMap.Epoch == s.epoch {
+	if shardMap == nil || shardMap.Leader != s.core.settings.Label {
+		return
+	}
+	if shardMap.Epoch <= s.epochAtElection || shardMap.Epoch == s.epoch {
 		return
 	}
 	first := s.epoch == 0
@@ -191,7 +196,8 @@
 // owner now. Those of the registry that no shard has told of count as not seen yet.
 func (s *scheduler) distrustMachines() {
 	for _, view := range s.machines.all() {
-		view.state.TasksComplete, view.state.TasksBounded, view.state.AcceptsTasks, view.unsureSince = false, false, false, s.core.now.Monotonic
+		view.state.TasksComplete, view.state.TasksBounded, view.state.AcceptsTasks = false, false, false
+		view.unsureSince = s.core.now.Monotonic
 		view.cordoned = false
 	}
 	for name := range s.core.records.machineRecords.all() {
