--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -177,6 +177,18 @@
 	requireEqual(t, "load revision", h.LoadRevision(), 50)
 }
 
+// The watch and a barrier both come too late; one load makes up for it.
+func TestOneLoadFollowsSeveralCompactedAnswers(t *testing.T) {
+	h := newHarness()
+	h.load(5)
+	h.pages = nil
+	h.HandleChanges(mirror.Changes{Outcome: mirror.Compacted})
+	h.Maintain()
+	h.HandleChanges(mirror.Changes{Barrier: true, Outcome: mirror.Compacted})
+	h.Maintain()
+	requireEqual(t, "pages asked for", len(h.pages), 1)
+}
+
 func TestFreshnessEndsWithoutAnswers(t *testing.T) {
 	h := newHarness()
 	h.load(5)
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -34,7 +34,9 @@
 	case Served:
 		m.applyChanges(&changes)
 	case Compacted:
-		m.phase = needsLoad
+		if m.phase == following { // else a load is under way already
+			m.phase = needsLoad
+		}
 	default:
 		m.changesFailed(&changes)
 	}
