--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -9,7 +9,7 @@
 )
 
 // degradedMode keeps the workers' leases alive through an outage of the state service that all
-// controllers see; package vigil says when that is safe. While it lasts nothing is
+// controllers see; package degraded says when that is safe. While it lasts nothing is
 // started, hired or returned, and no user is told anything new: workers are answered, and
 // tasks that may not run any more are stopped.
 //
@@ -84,9 +84,9 @@
 	}
 	d.loggedActive = active
 	if active {
-		c.logInfo("the state service serves no controller, workers are kept alive", "epoch", d.epoch)
+		c.logInfo("degraded mode: the state service serves no controller, workers are kept alive", "epoch", d.epoch)
 	} else {
-		c.logInfo("workers are no longer kept alive without the state service", "entitled", c.membership.mayServe())
+		c.logInfo("degraded mode has ended", "entitled", c.membership.mayServe())
 	}
 }
 
@@ -146,7 +146,7 @@
 func (d *degradedMode) cancelJobs(jobIDs []string) {
 	for _, jobID := range jobIDs {
 		if !d.isCancelled(jobID) {
-			d.core.logDebug("cancelled, as was told", "job", jobID)
+			d.core.logDebug("job cancelled, as another controller reported", "job", jobID)
 			d.core.shard.expediteJob(jobID)
 		}
 		d.cancelledJobs[jobID] = d.core.now.Monotonic
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -6,12 +6,13 @@
 	"slices"
 	"strings"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/dag"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Jobs that need others: how they are accepted, and what the graph of package pipeline
+// Jobs that need others: how they are accepted, and what the graph of package dag
 // says of them to the stored records and the leader.
 
 // submitDependent accepts a job that names others. afterBarrier: the mirror holds all that was
@@ -140,7 +141,7 @@
 	c := r.core
 	j.readyAt, j.readyThisTerm = since, c.membership.leading
 	if c.membership.leading {
-		c.logDebug("ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "needed", j.record.Spec.Dependencies)
+		c.logDebug("job ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
 	}
 	c.scheduler.jobChanged(j)
 	c.scheduler.lastScheduling = 0 // its first tasks start at once
@@ -179,7 +180,7 @@
 	if spec.DeadlineS > 0 {
 		weight.LatestFinish = j.record.SubmittedAt + spec.DeadlineS
 	}
-	weight.Duration = s.core.estimator.predict(spec) + s.core.fleet.imagePullSeconds(spec)
+	weight.Duration = s.core.estimator.Predict(spec) + s.core.fleet.imagePullSeconds(spec)
 	if q := s.queue.get(id); q != nil && q.waitingTasks() == 0 {
 		weight.Duration /= 2 // all that is left of it is under way
 	}
@@ -194,7 +195,7 @@
 func (f *fleet) imagePullSeconds(spec *protocol.Job) float64 {
 	rate := 0.0
 	for _, machineType := range f.core.machineTypes() {
-		if allowsType(spec, machineType.Name) && fitsEmptyMachine(machineType, spec) {
+		if binpacking.AllowsType(spec, machineType.Name) && binpacking.FitsMachineType(machineType, spec) {
 			rate = max(rate, machineType.FetchGBps)
 		}
 	}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -268,7 +268,7 @@
 	if m.machineType != nil {
 		cacheGB = m.machineType.CacheGB
 	}
-	if m.images.use(job.Image, job.ImageGB, cacheGB) {
+	if m.images.Use(job.Image, job.ImageGB, cacheGB) {
 		m.imagesChanged = true
 		s.markChanged(m)
 	}
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -225,7 +225,7 @@
 		state.Addr, state.Type, state.Zone, state.Spot = m.addr, m.typeName, m.zone, m.spot
 	}
 	if m.fullStateDue || m.imagesChanged {
-		state.Images = slices.Clone(m.images.recency)
+		state.Images = slices.Clone(m.images.Images())
 	}
 	state.Tasks = m.publishTasks()
 	if !m.fullStateDue {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
@@ -63,7 +64,7 @@
 
 	attempts     []*taskAttempt
 	listsRead    uint64 // how many confirmed lists were read
-	images       imageCache
+	images       binpacking.ImageCache
 	backoffUntil map[string]time.Duration // by job: no task of it is placed here before
 
 	unpublished   bool     // something of it has changed since it was last published
@@ -71,7 +72,7 @@
 	imagesChanged bool     // since it was last published
 	droppedTasks  []string // tasks that have left it since it was last published
 
-	cachedCapacity  freeCapacity // what freeCapacity returns while capacityValid
+	cachedCapacity  binpacking.Capacity // what freeCapacity returns while capacityValid
 	capacityValid   bool
 	capacityChanged bool // since tasks were last placed
 }
@@ -131,17 +132,17 @@
 
 // freeCapacity is what is free on the machine, starts under way counted. It is computed
 // anew only once something has changed. The machine's type must be known.
-func (m *machine) freeCapacity() *freeCapacity {
+func (m *machine) freeCapacity() *binpacking.Capacity {
 	if m.capacityValid {
 		return &m.cachedCapacity
 	}
-	free := freeCapacity{
-		cpus: m.machineType.CPUs, gpus: m.machineType.GPUs, memoryGB: m.machineType.MemoryGB,
-		typeName: m.typeName, zone: m.zone, spot: m.spot, cachedImages: m.images.cached,
+	free := binpacking.Capacity{
+		CPUs: m.machineType.CPUs, GPUs: m.machineType.GPUs, MemoryGB: m.machineType.MemoryGB,
+		TypeName: m.typeName, Zone: m.zone, Spot: m.spot, CachedImages: m.images.Set(),
 	}
 	for _, a := range m.attempts {
 		if a.live() && a.spec != nil {
-			free.allocate(a.spec)
+			free.Allocate(a.spec)
 		}
 	}
 	m.cachedCapacity, m.capacityValid = free, true
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -13,7 +13,7 @@
 	CommitUnknown     CommitOutcome = iota // no answer: it may have been applied, or may be later
 	Committed                              // all guards held, all changes are durable
 	CommitConflict                         // a guard failed; nothing was changed
-	CommitRejected                         // malformed, or it names a lease that has expired; nothing was changed
+	CommitRejected                         // malformed, or a lease that it names has expired; nothing was changed
 	CommitThrottled                        // above the rate limit; nothing was changed
 	CommitUnavailable                      // refused for any other reason
 )
@@ -22,10 +22,10 @@
 // what became of it; otherwise it is better to pause before looking.
 func (o CommitOutcome) Decided() bool { return o == Committed || o == CommitConflict }
 
-// LeaseOutcome is what became of a Lease request.
+// LeaseOutcome is what became of a RenewLease.
 type LeaseOutcome int
 
-// Outcomes of a Lease request.
+// Outcomes of a RenewLease.
 const (
 	LeaseUnknown LeaseOutcome = iota // no answer: it may have been renewed
 	LeaseGranted                     // granted or renewed
@@ -33,10 +33,10 @@
 	LeaseRefused                     // refused for any other reason
 )
 
-// WatchOutcome is what became of a Follow request.
+// WatchOutcome is what became of a Watch, a barrier or not.
 type WatchOutcome int
 
-// Outcomes of a Follow request.
+// Outcomes of a Watch.
 const (
 	WatchUnknown     WatchOutcome = iota // no answer
 	WatchServed                          // the events are complete up to the answer's revision
@@ -61,15 +61,15 @@
 	}
 }
 
-// DirectOutcome is what became of direct commands to a worker.
+// DirectOutcome is what became of a CallWorker.
 type DirectOutcome int
 
-// Outcomes of direct commands.
+// Outcomes of a CallWorker.
 const (
 	DirectUnknown  DirectOutcome = iota // no answer: they may have been executed, or may be later
-	DirectExecuted                      // executed; the worker's report comes along
-	DirectFenced                        // the token or the session did not match: nothing was executed, the report comes along
-	DirectRefused                       // any other answer: there is something, but not a worker that took them
+	DirectExecuted                      // executed; a report comes along
+	DirectFenced                        // token or session did not match: nothing was executed; a report comes along
+	DirectRefused                       // any other answer: not from a worker that took them
 )
 
 // CloudOutcome is what became of a call to the cloud.
@@ -81,7 +81,7 @@
 	CloudDone                            // carried out
 	CloudRejected                        // the call is malformed
 	CloudUnavailable                     // no capacity, or an outage
-	CloudThrottled                       // above the rate limit, or any other answer: it may be tried again
+	CloudThrottled                       // above the rate limit, or any other answer: try again
 )
 
 // ReplyStatus says how a request of a user or a worker ended. The values are the status codes
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/binpacking"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/records"
 )
@@ -19,14 +20,14 @@
 // before the first of them starts, so that every later leader keeps to it: the zones with the most
 // free CPUs that the job may use.
 func (s *scheduler) chooseZones(q *queuedJob, machines []*candidateMachine) {
-	if q.choosingZones || q.finalizing || q.savingProgress {
+	if q.pendingWrite != noPendingWrite {
 		return
 	}
 	spec := &q.entry.record.Spec
 	freeCPUs := s.possibleZones(spec)
 	for _, m := range machines {
-		if _, ok := freeCPUs[m.zone]; ok && allowsType(spec, m.typeName) && m.fits(spec) {
-			freeCPUs[m.zone] += m.cpus
+		if _, ok := freeCPUs[m.Zone]; ok && binpacking.AllowsType(spec, m.TypeName) && m.Fits(spec) {
+			freeCPUs[m.Zone] += m.CPUs
 		}
 	}
 	zones := zonesByFreeCPUs(freeCPUs)
@@ -45,7 +46,7 @@
 func (s *scheduler) possibleZones(spec *protocol.Job) map[string]float64 {
 	zones := map[string]float64{}
 	for _, machineType := range s.core.machineTypes() {
-		if !allowsType(spec, machineType.Name) || !fitsEmptyMachine(machineType, spec) {
+		if !binpacking.AllowsType(spec, machineType.Name) || !binpacking.FitsMachineType(machineType, spec) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
@@ -69,7 +70,7 @@
 func (s *scheduler) writeZones(q *queuedJob, zones []string) {
 	c, record := s.core, q.entry.record
 	record.Zones = zones
-	q.choosingZones = true
+	q.beginWrite(pendingZones)
 	guards := []protocol.Guard{c.membership.leaderGuard(), q.entry.recordGuard()}
 	op := protocol.Operation{Put: q.entry.recordKey(), Value: record}
 	if protocol.JSONSize(record) > c.maxValueBytes() {
@@ -78,7 +79,7 @@
 		guards = append(guards, c.mirror.Guard(op.Put))
 	}
 	c.commit(guards, []protocol.Operation{op}, func(CommitResult) {
-		c.mirror.Barrier(func(bool) { q.choosingZones = false })
+		c.mirror.Barrier(func(bool) { q.endWrite() })
 	})
 }
 
@@ -93,14 +94,16 @@
 func (q *queuedJob) machineFilter() func(typeName, zone string, spot bool) bool {
 	spec := &q.entry.record.Spec
 	if !spec.OneZone && !spec.Spread {
-		return func(typeName, zone string, spot bool) bool { return allowsMachine(spec, typeName, zone, spot) }
+		return func(typeName, zone string, spot bool) bool {
+			return binpacking.AllowsMachine(spec, typeName, zone, spot)
+		}
 	}
 	zones := map[string]bool{}
 	for task := q.nextWaiting(q.firstWaiting); task < spec.Tasks && len(zones) < len(q.entry.record.Zones); task = q.nextWaiting(task + 1) {
 		zones[q.entry.record.Zones[zoneIndex(q, task)]] = true
 	}
 	return func(typeName, zone string, spot bool) bool {
-		return zones[zone] && allowsMachine(spec, typeName, zone, spot)
+		return zones[zone] && binpacking.AllowsMachine(spec, typeName, zone, spot)
 	}
 }
 
@@ -137,7 +140,7 @@
 // write may be carried out late, when tasks run in the former zone again: see isWithinItsZone.
 func (s *scheduler) reassignZone(q *queuedJob, task int) {
 	c, index := s.core, zoneIndex(q, task)
-	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.choosingZones || q.finalizing || q.savingProgress || s.hasUnlocated {
+	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.pendingWrite != noPendingWrite || s.hasUnlocated {
 		return
 	}
 	if !s.isZoneFullForLong(q, index) {
@@ -151,7 +154,7 @@
 		if zone != former && s.mayReassignZone(q, index, zone) {
 			zones := slices.Clone(q.entry.record.Zones)
 			zones[index] = zone
-			c.logInfo("a job's tasks move to another zone, theirs has no room", "job", q.id, "from", former, "to", zone)
+			c.logInfo("job reassigned to another zone: its zone has no room", "job", q.id, "from", former, "to", zone)
 			delete(q.zoneFullSince, index)
 			s.writeZones(q, zones)
 			return
@@ -199,11 +202,11 @@
 	freeCPUs, freeSlots = map[string]float64{}, map[string]float64{}
 	for _, v := range s.machines.all() {
 		state := &v.state
-		if !v.acceptsTasks() || !allowsMachine(spec, state.Type, state.Zone, state.Spot) {
+		if !v.acceptsTasks() || !binpacking.AllowsMachine(spec, state.Type, state.Zone, state.Spot) {
 			continue
 		}
 		free := v.free()
-		if fitsEmptyMachine(&free, spec) {
+		if binpacking.FitsMachineType(&free, spec) {
 			freeCPUs[state.Zone] += free.CPUs
 			freeSlots[state.Zone] += tasksPerMachine(&free, spec)
 		}
--- a/internal/kvserver/server.go
+++ b/internal/kvserver/server.go
@@ -1,3 +1,17 @@
+// Package kvserver is the service round a key-value store: it orders changes, makes each
+// durable before it answers, expires leases, and speaks the PROTOCOL's HTTP.
+//
+// It owns the current state, the clock of the leases, and the limits of requests a second.
+// It does not know what the keys mean, how a state is laid out on disk (package kvfile),
+// or what makes a transaction hold (package kvstore).
+//
+// Invariants:
+//   - One goroutine, Server.applyLoop, changes the state. All others read published ones.
+//   - A state is published only when it is durable, and before the commands that led to it
+//     are answered: whoever has an answer reads at least what that says.
+//   - When nobody knows whether a change is durable, its client gets no answer at all.
+//   - No lease expires before its full time since the last moment at which it could not be
+//     renewed: a start, an outage of the storage, or a stall of this process.
 package kvserver
 
 import (
@@ -5,14 +19,9 @@
 	"errors"
 	"fmt"
 	"net"
-	"net/url"
-	"strconv"
-	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
@@ -21,351 +30,185 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
+const (
+	// stallThreshold is how long the owner of the state must stand still for that to count
+	// as an outage: far more than a slow write takes, less than the leases that are used.
+	stallThreshold = time.Second
+	// leaseCheckInterval is how often leases are looked at; they may expire 100 ms late.
+	leaseCheckInterval = 50 * time.Millisecond
+	// queueBatches is how many batches may wait in the queue, so that one is full whenever
+	// a write ends.
+	queueBatches = 4
+	// minQueueBatch is what a batch counts for the queue at least: with small batches, it
+	// still takes a burst of requests.
+	minQueueBatch = 256
+
+	serverName = "chalk-state"
+	// connectionTimeout ends connections of clients that are gone. Watches are held for a
+	// minute at most.
+	connectionTimeout = 2 * time.Minute
+	// writeTimeout ends a watch whose client does not read its answer.
+	writeTimeout = 10 * time.Second
+)
+
 // Settings of a service.
 type Settings struct {
 	kvstore.Limits
-	RPS      float64 // requests a second
-	WriteRPS float64 // puts and deletes a second
-	Batch    int     // most commands that share a write to the disk; 1: no batches
+	RequestsPerSecond float64
+	WritesPerSecond   float64 // puts and deletes
+	MaxBatch          int     // most commands that share a write to the storage, 1: no batches
 }
 
-// Server serves a Keeper.
+// Server serves a store. It is made by New.
 type Server struct {
-	set   Settings
-	keep  *Keeper
-	queue chan asked
-	begin time.Time
-	shown atomic.Pointer[shown]
-	http  *fasthttp.Server
-	done  chan struct{}
-
-	mu       sync.Mutex
-	requests bucket
-	writes   bucket
-	batches  *hdrhistogram.Histogram // commands per write
-	syncs    *hdrhistogram.Histogram // µs per turn
-	refused  int64
+	settings  Settings
+	applier   *applier // belongs to applyLoop
+	queue     chan pendingCommand
+	startedAt time.Time
+	published atomic.Pointer[publishedState]
+	http      *fasthttp.Server
+	limiter   limiter
+	writes    *writeRecorder
+	stopped   chan struct{} // is closed when applyLoop has ended
 }
 
-type asked struct {
-	Command
-	answer chan Answer
+// pendingCommand is a command in the queue. Its channel takes one reply without waiting.
+type pendingCommand struct {
+	command command
+	replyTo chan reply
 }
 
-// shown is the durable state, which anybody may read, and a channel that is closed when
-// there is a newer one.
-type shown struct {
+// publishedState is a durable state, which anybody may read.
+type publishedState struct {
 	*kvstore.State
-	newer chan struct{}
+	superseded chan struct{} // is closed when there is a newer one
 }
 
-// bucket is a limit by the second that allows bursts of one second's worth.
-type bucket struct {
-	used float64
-	at   time.Duration
+func newPublishedState(state *kvstore.State) *publishedState {
+	return &publishedState{State: state, superseded: make(chan struct{})}
 }
 
-func (b *bucket) fits(now time.Duration, n, rate float64) bool {
-	b.used = max(b.used-(now-b.at).Seconds()*rate, 0)
-	b.at = now
-	return b.used+n <= rate
-}
-
-// standStill is how long a silence of our own must last to count as an outage; leases
-// are looked at with every tick, since they may end 100 ms late.
-const (
-	standStill = time.Second
-	tick       = 50 * time.Millisecond // leases may end 100 ms late
-)
-
-// New makes a server of a state that was just read from its disk.
-func New(set Settings, s *kvstore.State, disk Disk) *Server {
-	v := &Server{set: set, queue: make(chan asked, 4*max(set.Batch, 256)), begin: time.Now(), done: make(chan struct{}),
-		batches: hdrhistogram.New(1, 1<<20, 2), syncs: hdrhistogram.New(1, 60_000_000, 2)}
-	v.keep = NewKeeper(s, disk, 0, standStill)
-	v.shown.Store(&shown{State: s, newer: make(chan struct{})})
-	v.http = &fasthttp.Server{
-		Handler: v.handle,
-		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			httpserver.Reply(ctx, 400, protocol.ErrorResponse{Error: "malformed request"})
+// New makes a server of a state that was just read from its storage. It owns both from
+// then on, but for the storage's snapshots.
+func New(settings Settings, state *kvstore.State, storage Storage) *Server {
+	s := &Server{
+		settings:  settings,
+		applier:   newApplier(state, storage, 0, stallThreshold),
+		queue:     make(chan pendingCommand, queueBatches*max(settings.MaxBatch, minQueueBatch)),
+		startedAt: time.Now(),
+		limiter:   limiter{requestsPerSecond: settings.RequestsPerSecond, writesPerSecond: settings.WritesPerSecond},
+		writes:    newWriteRecorder(),
+		stopped:   make(chan struct{}),
+	}
+	s.published.Store(newPublishedState(state))
+	s.http = &fasthttp.Server{
+		Handler: s.handle,
+		ErrorHandler: func(ctx *fasthttp.RequestCtx, _ error) {
+			replyError(ctx, fasthttp.StatusBadRequest, "malformed request")
 		},
-		Name: "chalk-state", MaxRequestBodySize: protocol.MaxBody, IdleTimeout: 2 * time.Minute, ReadTimeout: 2 * time.Minute,
-		// A follower that does not read its answer holds a connection, not the store.
-		WriteTimeout: 10 * time.Second, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true,
+		Name:                  serverName,
+		MaxRequestBodySize:    protocol.MaxBody,
+		IdleTimeout:           connectionTimeout,
+		ReadTimeout:           connectionTimeout,
+		WriteTimeout:          writeTimeout,
+		NoDefaultServerHeader: true,
+		NoDefaultDate:         true,
+		CloseOnShutdown:       true,
 	}
-	return v
+	return s
 }
 
-func (v *Server) clock() time.Duration { return time.Since(v.begin) }
+// clock is the steady clock of leases and limits.
+func (s *Server) clock() time.Duration { return time.Since(s.startedAt) }
 
-// State is what is durable.
-func (v *Server) State() *kvstore.State { return v.shown.Load().State }
+// State is what is durable. Any goroutine may call it.
+func (s *Server) State() *kvstore.State { return s.published.Load().State }
 
-// Serve answers until ctx ends or the disk is in doubt.
-func (v *Server) Serve(ctx context.Context, l net.Listener) error {
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error {
-		defer close(v.done)
-		return v.own(ctx)
+// Serve answers on a listener, which it closes, until ctx ends or the storage is in doubt.
+// It may be called once.
+func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error {
+		defer close(s.stopped)
+		return s.applyLoop(ctx)
 	})
-	g.Go(func() error { return httpserver.Until(ctx, v.http, l) })
-	return g.Wait()
+	group.Go(func() error { return httpserver.Until(ctx, s.http, listener) })
+	return group.Wait()
 }
 
-// own is the goroutine that owns the store.
-func (v *Server) own(ctx context.Context) error {
-	t := time.NewTicker(tick)
-	defer t.Stop()
-	var cmds []Command
-	var to []chan Answer
+// applyLoop applies what is in the queue, and expires leases, until ctx ends or the
+// storage is in doubt. It alone changes the state.
+func (s *Server) applyLoop(ctx context.Context) error {
+	ticker := time.NewTicker(leaseCheckInterval)
+	defer ticker.Stop()
+	var pending []pendingCommand
 	for {
-		cmds, to = cmds[:0], to[:0]
-		add := func(a asked) { cmds, to = append(cmds, a.Command), append(to, a.answer) }
+		pending = pending[:0]
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.C:
-		case a := <-v.queue:
-			add(a)
-		fill:
-			for len(cmds) < max(v.set.Batch, 1) {
-				select {
-				case a := <-v.queue:
-					add(a)
-				default:
-					break fill
-				}
-			}
-		}
-		before := v.keep.State()
-		began := time.Now()
-		answers, err := v.keep.Turn(v.clock(), cmds)
-		if after := v.keep.State(); after != before {
-			old := v.shown.Swap(&shown{State: after, newer: make(chan struct{})})
-			close(old.newer)
-			v.mu.Lock()
-			_ = v.batches.RecordValue(int64(max(len(cmds), 1)))
-			_ = v.syncs.RecordValue(min(max(time.Since(began).Microseconds(), 1), 60_000_000))
-			v.mu.Unlock()
-		}
-		for i, a := range answers {
-			to[i] <- a
+		case <-ticker.C:
+		case first := <-s.queue:
+			pending = s.fillBatch(append(pending, first))
 		}
-		if err != nil {
+		if err := s.applyBatch(pending); err != nil {
 			return fmt.Errorf("the state file may not hold the last write, start again to read it anew: %w", err)
 		}
 	}
 }
 
-func refuse(ctx *fasthttp.RequestCtx, status int, why string) {
-	httpserver.Reply(ctx, status, protocol.ErrorResponse{Error: why})
-}
-
-// limited answers 429 if a request with so many writes is above the limits. Counted is
-// what is served: a refused request takes nothing of the second's worth.
-func (v *Server) limited(ctx *fasthttp.RequestCtx, writes int) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	now := v.clock()
-	if v.requests.fits(now, 1, v.set.RPS) && v.writes.fits(now, float64(writes), v.set.WriteRPS) {
-		v.requests.used++
-		v.writes.used += float64(writes)
-		return false
-	}
-	v.refused++
-	refuse(ctx, 429, "above the limit of requests or writes a second")
-	return true
-}
-
-func (v *Server) ask(ctx *fasthttp.RequestCtx, c Command) (Answer, bool) {
-	a := asked{Command: c, answer: make(chan Answer, 1)}
-	select {
-	case v.queue <- a:
-	default:
-		refuse(ctx, 503, "the queue is full")
-		return Answer{}, false
-	}
-	select {
-	case r := <-a.answer:
-		if r.Status == 0 {
-			hangUp(ctx)
-			return Answer{}, false
-		}
-		if r.Status != 200 && r.Status != 409 {
-			refuse(ctx, r.Status, r.Why)
-			return Answer{}, false
-		}
-		return r, true
-	case <-v.done:
-		hangUp(ctx)
-		return Answer{}, false
-	}
-}
-
-// hangUp closes the connection without an answer: whether the request was executed is
-// open, and any status would say something about it.
-func hangUp(ctx *fasthttp.RequestCtx) {
-	ctx.HijackSetNoResponse(true)
-	ctx.Hijack(func(c net.Conn) { c.Close() })
-}
-
-func (v *Server) handle(ctx *fasthttp.RequestCtx) {
-	path := string(ctx.Path())
-	switch {
-	case path == "/commit" && ctx.IsPost():
-		v.commit(ctx)
-	case path == "/store" && ctx.IsGet():
-		args := ctx.QueryArgs()
-		page, err := count(args.Peek("Page"))
-		if err != nil {
-			refuse(ctx, 400, "Page "+err.Error())
-			return
-		}
-		if !v.limited(ctx, 0) {
-			httpserver.Reply(ctx, 200, v.State().Range(string(args.Peek("Starts")), string(args.Peek("Since")), int(min(page, 1<<20))))
-		}
-	case strings.HasPrefix(path, "/store/") && ctx.IsGet():
-		if v.limited(ctx, 0) {
-			return
-		}
-		// Slashes are not escaped, so the key is the path as it was sent; Path would
-		// make "a//b" into "a/b".
-		key, err := url.PathUnescape(strings.TrimPrefix(string(ctx.URI().PathOriginal()), "/store/"))
-		if err != nil {
-			refuse(ctx, 400, "the key is not well escaped")
-			return
-		}
-		s := v.State()
-		if e, ok := s.Get(key); ok {
-			httpserver.Reply(ctx, 200, struct {
-				Key     string       `msgpack:"Key"`
-				Value   protocol.Raw `msgpack:"Data"`
-				Version uint64       `msgpack:"Stamp"`
-				Lease   uint64       `msgpack:"Permit,omitempty"`
-			}{key, e.Value, e.Version, e.Lease})
-			return
-		}
-		httpserver.Reply(ctx, 404, protocol.TransactionResult{Revision: s.Revision})
-	case path == "/holds" && ctx.IsPost():
-		var q protocol.LeaseRequest
-		if err := protocol.Decode(ctx.PostBody(), &q); err != nil || q.TTLMillis == 0 {
-			refuse(ctx, 400, "malformed lease")
-			return
-		}
-		if v.limited(ctx, 0) {
-			return
-		}
-		if a, ok := v.ask(ctx, Command{Grant: q.TTLMillis}); ok {
-			httpserver.Reply(ctx, 200, protocol.LeaseResponse{Lease: a.Lease})
-		}
-	case strings.HasPrefix(path, "/holds/"):
-		rest, extend := strings.CutSuffix(strings.TrimPrefix(path, "/holds/"), "/extend")
-		id, err := strconv.ParseUint(rest, 10, 64)
-		if err != nil || id == 0 || !(extend && ctx.IsPost() || !extend && ctx.IsDelete()) {
-			refuse(ctx, 400, "malformed lease")
-			return
-		}
-		if v.limited(ctx, 0) {
-			return
-		}
-		c := Command{Drop: id}
-		if extend {
-			c = Command{Extend: id}
-		}
-		if _, ok := v.ask(ctx, c); ok {
-			httpserver.Reply(ctx, 200, struct{}{})
+// fillBatch adds what waits in the queue to a batch, up to the most that it may have.
+func (s *Server) fillBatch(batch []pendingCommand) []pendingCommand {
+	for len(batch) < s.settings.MaxBatch {
+		select {
+		case next := <-s.queue:
+			batch = append(batch, next)
+		default:
+			return batch
 		}
-	case path == "/follow" && ctx.IsGet():
-		v.follow(ctx)
-	default:
-		refuse(ctx, 404, "no such page")
 	}
+	return batch
 }
 
-func (v *Server) commit(ctx *fasthttp.RequestCtx) {
-	var t kvstore.Txn
-	if err := protocol.Decode(ctx.PostBody(), &t); err != nil {
-		refuse(ctx, 400, err.Error())
-		return
+// applyBatch applies commands, publishes the state that they lead to, and answers them.
+func (s *Server) applyBatch(batch []pendingCommand) error {
+	commands := make([]command, len(batch))
+	for i := range batch {
+		commands[i] = batch[i].command
 	}
-	if why := t.Check(v.set.Limits); why != "" {
-		refuse(ctx, 400, why)
-		return
+	before, begin := s.applier.committedState(), time.Now()
+	replies, err := s.applier.apply(s.clock(), commands)
+	if after := s.applier.committedState(); after != before {
+		s.publish(after)
+		s.writes.record(len(commands), time.Since(begin))
 	}
-	if v.limited(ctx, len(t.Then)) {
-		return
-	}
-	if a, ok := v.ask(ctx, Command{Commit: &t}); ok {
-		httpserver.Reply(ctx, a.Status, a.Txn)
+	for i := range batch {
+		batch[i].replyTo <- replies[i]
 	}
+	return err
 }
 
-func (v *Server) follow(ctx *fasthttp.RequestCtx) {
-	args := ctx.QueryArgs()
-	since, err := count(args.Peek("Since"))
-	hold, err2 := count(args.Peek("HoldMs"))
-	if err = errors.Join(err, err2); err != nil || hold > 60_000 {
-		refuse(ctx, 400, "Since and HoldMs must be whole numbers, HoldMs at most 60000")
-		return
-	}
-	if v.limited(ctx, 0) {
-		return
-	}
-	prefix := string(args.Peek("Starts"))
-	until := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer until.Stop()
-	over := hold == 0
-	for {
-		s := v.shown.Load()
-		e, ok := s.Since(prefix, since)
-		if !ok {
-			refuse(ctx, 410, "Since is too old")
-			return
-		}
-		if len(e.Events) > 0 || over {
-			httpserver.Reply(ctx, 200, e)
-			return
-		}
-		select {
-		case <-s.newer:
-		case <-until.C:
-			over = true
-		case <-v.done:
-			hangUp(ctx)
-			return
-		}
-	}
+// publish shows a state to readers and wakes the watches.
+func (s *Server) publish(state *kvstore.State) {
+	old := s.published.Swap(newPublishedState(state))
+	close(old.superseded)
 }
 
-func count(b []byte) (uint64, error) {
-	if len(b) == 0 {
-		return 0, nil
+// errQueueFull refuses a command that finds no room in the queue.
+var errQueueFull = errors.New("the queue is full")
+
+// submit puts a command into the queue and waits for its reply.
+func (s *Server) submit(c command) reply {
+	pending := pendingCommand{command: c, replyTo: make(chan reply, 1)}
+	select {
+	case s.queue <- pending:
+	default:
+		return reply{outcome: outcomeUnavailable, err: errQueueFull}
 	}
-	n, err := strconv.ParseUint(string(b), 10, 63)
-	if err != nil {
-		return 0, errors.New("must be a whole number")
+	select {
+	case r := <-pending.replyTo:
+		return r
+	case <-s.stopped:
+		return reply{outcome: outcomeUnknown}
 	}
-	return n, nil
-}
-
-// Figures are what the service counts.
-type Figures struct {
-	Revision  uint64 `json:"revision"`
-	Keys      int    `json:"keys"`
-	Refused   int64  `json:"refused"`
-	Writes    int64  `json:"disk_writes"`
-	BatchP50  int64  `json:"batch_p50"`
-	BatchMax  int64  `json:"batch_max"`
-	SyncP50us int64  `json:"sync_p50_us"`
-	SyncP99us int64  `json:"sync_p99_us"`
-}
-
-// Figures sums up what was served since the start.
-func (v *Server) Figures() Figures {
-	s := v.State()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return Figures{Revision: s.Revision, Keys: s.Len(), Refused: v.refused, Writes: v.syncs.TotalCount(),
-		BatchP50: v.batches.ValueAtQuantile(50), BatchMax: v.batches.Max(),
-		SyncP50us: v.syncs.ValueAtQuantile(50), SyncP99us: v.syncs.ValueAtQuantile(99)}
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -177,6 +177,18 @@
 	requireEqual(t, "load revision", h.LoadRevision(), 50)
 }
 
+// The watch and a barrier both come too late; one load makes up for it.
+func TestOneLoadFollowsSeveralCompactedAnswers(t *testing.T) {
+	h := newHarness()
+	h.load(5)
+	h.pages = nil
+	h.HandleChanges(mirror.Changes{Outcome: mirror.Compacted})
+	h.Maintain()
+	h.HandleChanges(mirror.Changes{Barrier: true, Outcome: mirror.Compacted})
+	h.Maintain()
+	requireEqual(t, "pages asked for", len(h.pages), 1)
+}
+
 func TestFreshnessEndsWithoutAnswers(t *testing.T) {
 	h := newHarness()
 	h.load(5)
@@ -275,3 +287,27 @@
 	h.AwaitOutcome(true, time.Second, func() {})
 	requireEqual(t, "barriers", len(h.changes), 2)
 }
+
+// Callbacks of a barrier that ask for another one, while a third waits. Each is served, by one
+// barrier at a time, however long the answers take.
+func TestBarrierAskedForByACallbackIsServed(t *testing.T) {
+	h := newHarness()
+	h.load(5)
+	h.changes = nil
+	served := 0
+	for range 3 {
+		h.Barrier(func(bool) { h.Barrier(func(bool) { served++ }) })
+	}
+	for range 4 {
+		h.pass(3 * readInterval)
+		asked := len(h.changes)
+		if asked > 1 {
+			t.Fatalf("%d barriers are under way", asked)
+		}
+		h.changes = nil
+		if asked == 1 {
+			h.answer(true, 6)
+		}
+	}
+	requireEqual(t, "served", served, 3)
+}
