--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -105,6 +105,7 @@
 			m.leaseID, m.keyWriteInFlight = 0, false // the lease has expired
 			return
 		}
-		c.mirror.AwaitOutcome(d.Outcome.Decided(), c.intervals.maxStaleness/outcomeChecksPerStaleness, func() { m.keyWriteInFlight = false })
+		pause := c.intervals.maxStaleness / outcomeChecksPerStaleness
+		c.mirror.AwaitOutcome(d.Outcome.Decided(), pause, func() { m.keyWriteInFlight = false })
 	})
 }
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -57,8 +57,8 @@
 	c := s.core
 	switch {
 	case m.registered && c.records.machineRecords.get(m.name) == nil:
-		// Deleted with its tasks. The leader would wait for ever for those that it has not
-		// been told of yet.
+		// Deleted with its tasks. The leader would wait for ever for those that were not
+		// published to it yet.
 		for _, a := range m.attempts {
 			s.returnTask(a)
 		}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -211,7 +211,8 @@
 func (s *shard) discoverAttempt(m *machine, report *protocol.TaskStatus) *taskAttempt {
 	jobID, taskIndex, err := protocol.ParseTaskName(report.Task)
 	if err != nil {
-		s.core.emit(Log{Level: LevelError, Text: "worker reported a malformed task name", Args: []any{"machine", m.name, "task", report.Task}})
+		args := []any{"machine", m.name, "task", report.Task}
+		s.core.emit(Log{Level: LevelError, Text: "worker reported a malformed task name", Args: args})
 		return nil
 	}
 	a := &taskAttempt{
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// publish tells the leader what has changed, and from time to time that this member lives.
+// publish sends the leader what has changed, and from time to time that this member lives.
 func (s *shard) publish() {
 	c := s.core
 	if s.leaderLink == 0 {
@@ -244,7 +244,9 @@
 			continue
 		}
 		a.published = true
-		tasks = append(tasks, peerproto.TaskState{Task: a.task, Attempt: a.number, State: a.state, ExitReason: a.exitReason, RanSeconds: a.ranSeconds})
+		tasks = append(tasks, peerproto.TaskState{
+			Task: a.task, Attempt: a.number, State: a.state, ExitReason: a.exitReason, RanSeconds: a.ranSeconds,
+		})
 		if !a.live() {
 			m.droppedTasks = append(m.droppedTasks, a.task)
 		}
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -30,7 +30,7 @@
 
 	leaving       bool // being scaled in, or gone
 	unschedulable bool // not counted on for new tasks
-	cordoned      bool // its shard was told to place nothing there
+	cordoned      bool // its shard was ordered to place nothing there
 	cordonedAt    time.Duration
 	unhealthy     bool                     // tasks of several jobs failed on it
 	failedJobs    map[string]bool          // that failed here since the last success
@@ -48,12 +48,17 @@
 // acceptsTasks reports whether the machine may be given tasks, unschedulable or not.
 func (v *machineView) acceptsTasks() bool {
 	state := &v.state
-	return state.AcceptsTasks && state.TasksComplete && !state.InterruptionNotice && !state.Draining && !v.unhealthy && v.machineType != nil && v.registered && !v.leaving
+	return state.AcceptsTasks && state.TasksComplete && !state.InterruptionNotice && !state.Draining &&
+		v.machineType != nil && v.registered && !v.unhealthy && !v.leaving
 }
 
 // free is what the attempts on the machine leave of it.
 func (v *machineView) free() protocol.MachineType {
-	return protocol.MachineType{CPUs: v.machineType.CPUs - v.used.cpus, GPUs: v.machineType.GPUs - v.used.gpus, MemoryGB: v.machineType.MemoryGB - v.used.memoryGB}
+	return protocol.MachineType{
+		CPUs:     v.machineType.CPUs - v.used.cpus,
+		GPUs:     v.machineType.GPUs - v.used.gpus,
+		MemoryGB: v.machineType.MemoryGB - v.used.memoryGB,
+	}
 }
 
 // claim notes that the machine may have an attempt, in place of any other of the same task.
@@ -107,7 +112,7 @@
 	if view := s.machines.get(name); view != nil {
 		view.registered = registered
 	} else if registered && s.epoch > 0 {
-		s.ensureMachine(name) // until its shard has told of it, it may run anything
+		s.ensureMachine(name) // until its shard has published it, it may run anything
 	}
 }
 
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -80,7 +80,8 @@
 	m.mapWriteInFlight = true
 	guards := []protocol.Guard{m.leaderGuard(), c.mirror.Guard(keyShardMap)}
 	c.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
-		c.mirror.AwaitOutcome(d.Outcome == Committed, c.intervals.maxStaleness/outcomeChecksPerStaleness, func() { m.mapWriteInFlight = false })
+		pause := c.intervals.maxStaleness / outcomeChecksPerStaleness
+		c.mirror.AwaitOutcome(d.Outcome == Committed, pause, func() { m.mapWriteInFlight = false })
 	})
 }
 
