--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -256,15 +256,15 @@
 	q, member := d.job, d.machine.shard
 	round.addUsage(q.spec(), s.core.bestEffortTeams[q.spec().Team])
 	attempt := &inflightAttempt{
-		job:               q,
-		taskIndex:         d.index,
-		number:            d.attempt,
-		plannedMachine:    d.machine.name,
-		shard:             member.label,
-		dispatchSession:   member.session,
-		dispatchSeq:       member.messagesSent + 1,
-		awaitingPlacement: true,
-		claimants:         map[string]bool{},
+		job:             q,
+		taskIndex:       d.index,
+		number:          d.attempt,
+		plannedMachine:  d.machine.name,
+		shard:           member.label,
+		dispatchSession: member.session,
+		dispatchSeq:     member.messagesSent + 1,
+		location:        locationDispatched,
+		claimants:       map[string]bool{},
 	}
 	task := protocol.TaskName(q.id, d.index)
 	s.trackAttempt(task, attempt)
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -144,7 +144,7 @@
 func (q *queuedJob) gangProgress() (held int, started bool) {
 	for _, attempt := range q.inflight {
 		switch {
-		case attempt.unlocated || attempt.awaitingPlacement || attempt.machine == "":
+		case attempt.location != locationClaimed || attempt.machine == "":
 		case attempt.taskState == peerproto.StateHeld:
 			held++
 		default:
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -171,7 +171,7 @@
 		s.Copies = 0
 		workers := s.Set.Site.Workers
 		s.eventually(config.Seconds(workers.LeaseS+2*workers.ReportS), "its tasks are known to be lost", func() bool {
-			return s.logged("machine is silent, its tasks are lost")
+			return s.logged("machine lease expired, its tasks are lost")
 		})
 	}
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -191,8 +191,7 @@
 	}
 	if best == nil {
 		full[attempt.jobID] = !attempt.spec.Spread
-		// Until it is placed, runningSince is when it was dispatched.
-		if now-attempt.runningSince < intervals.maintenance {
+		if now-attempt.unplacedSince < intervals.maintenance {
 			return false
 		}
 		s.returnTask(attempt)
@@ -201,7 +200,7 @@
 	if !best.freeCapacity().HasImage(attempt.spec.Image) {
 		s.recordImage(best, attempt.spec)
 	}
-	attempt.phase, attempt.runningSince = phaseQueued, 0
+	attempt.phase = phaseQueued
 	s.core.logDebug("placed", "task", attempt.task, "machine", best.name)
 	s.addAttempt(best, attempt)
 	if nextHeartbeat := best.lastHeardAt + intervals.heartbeat; nextHeartbeat-now > intervals.heartbeat/6 {
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -98,7 +98,7 @@
 func (s *scheduler) plannedAttempts() map[string][]*inflightAttempt {
 	planned := map[string][]*inflightAttempt{}
 	for task, attempt := range s.unplacedAttempts {
-		if attempt.awaitingPlacement {
+		if attempt.location == locationDispatched {
 			planned[attempt.plannedMachine] = append(planned[attempt.plannedMachine], attempt)
 		} else {
 			delete(s.unplacedAttempts, task)
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -181,7 +181,7 @@
 	s.epoch, s.epochEnteredAt = shardMap.Epoch, s.core.now.Monotonic
 	s.attemptCounter = 0
 	s.distrustMachines()
-	s.markUnlocated()
+	s.markDispatchedUnlocated()
 	for _, member := range s.shards {
 		// It may have entered this epoch, and sent its snapshot, before we did.
 		member.syncedEpoch, member.snapshotTasks = 0, nil
@@ -205,17 +205,6 @@
 	}
 }
 
-// markUnlocated notes that a task which was dispatched but not yet seen on a machine may be on any
-// machine of a shard that is gone; it counts as running until all machines are seen.
-func (s *scheduler) markUnlocated() {
-	for _, attempt := range s.unplacedAttempts {
-		if attempt.awaitingPlacement {
-			attempt.awaitingPlacement, attempt.unlocated, s.hasUnlocated = false, true, true
-		}
-	}
-	clear(s.unplacedAttempts)
-}
-
 // reconcile does what is due for a leader whose epoch is in force, and sends the members what has
 // gathered for them.
 func (s *scheduler) reconcile() {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -97,8 +97,8 @@
 	}
 	c.addJobCounts(s)
 	for name, m := range c.shard.machines.all() {
-		s.Machines[name] = MachineStatus{Type: m.typeName, Zone: m.zone, Spot: m.spot, Trusted: m.trusted,
-			Silent: m.leaseExpired, Draining: m.draining, Tasks: len(m.attempts)}
+		s.Machines[name] = MachineStatus{Type: m.typeName, Zone: m.zone, Spot: m.spot, Trusted: m.isTrusted(),
+			Silent: m.leaseExpired(), Draining: m.draining, Tasks: len(m.attempts)}
 	}
 	if c.membership.leading {
 		c.addSchedulerStatus(s)
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -117,7 +117,7 @@
 		return true
 	}
 	for _, attempt := range q.inflight {
-		if attempt.awaitingPlacement && attempt.recordVersion != q.entry.recordVersion {
+		if attempt.location == locationDispatched && attempt.recordVersion != q.entry.recordVersion {
 			return false
 		}
 		for machine := range attempt.claimants {
@@ -227,7 +227,7 @@
 		if zoneIndex(q, task) == index {
 			continue
 		}
-		if attempt.awaitingPlacement || attempt.unlocated {
+		if attempt.location != locationClaimed {
 			return false
 		}
 		for machine := range attempt.claimants {
