--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -149,7 +149,7 @@
 	if waits && view != nil && len(view.attempts) > 0 {
 		return false
 	}
-	return !(f.mayDeregister(inst.name) && registered) // out of the registry first
+	return !f.mayDeregister(inst.name) || !registered // out of the registry first
 }
 
 func (f *fleet) requestDrain(view *machineView, name string) {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -94,7 +94,7 @@
 	m.token = epoch << tokenBits
 	m.minToken = m.token
 	m.fenced = false
-	if !(ownedBefore && m.leaseExpired()) {
+	if !ownedBefore || !m.leaseExpired() {
 		m.trust = listUnconfirmed
 	}
 	m.callInFlight, m.nextCallAt, m.unansweredCalls = 0, 0, 0
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -24,11 +24,11 @@
 		{name: "raised token leaves an expired lease", from: listExpired, transition: (*machine).raiseToken, want: listExpired},
 		{name: "expiry of a confirmed list", from: listConfirmed, transition: (*machine).expireLease, want: listExpired},
 		{name: "expiry of an unconfirmed list", from: listUnconfirmed, transition: (*machine).expireLease, want: listExpired},
-		{name: "epoch of the same owner keeps a confirmed list", from: listConfirmed, transition: reset(epoch+1, true), want: listUnconfirmed, wantKept: true},
-		{name: "epoch of the same owner keeps what was kept", from: listUnconfirmed, keptBefore: true, transition: reset(epoch+1, true), want: listUnconfirmed, wantKept: true},
-		{name: "epoch of the same owner leaves an expired lease", from: listExpired, transition: reset(epoch+1, true), want: listExpired},
-		{name: "epoch of another owner keeps nothing", from: listConfirmed, keptBefore: true, transition: reset(epoch+1, false), want: listUnconfirmed},
-		{name: "epoch of another owner renews an expired lease", from: listExpired, transition: reset(epoch+1, false), want: listUnconfirmed},
+		{name: "epoch of the same owner keeps a confirmed list", from: listConfirmed, transition: reset(true), want: listUnconfirmed, wantKept: true},
+		{name: "epoch of the same owner keeps what was kept", from: listUnconfirmed, keptBefore: true, transition: reset(true), want: listUnconfirmed, wantKept: true},
+		{name: "epoch of the same owner leaves an expired lease", from: listExpired, transition: reset(true), want: listExpired},
+		{name: "epoch of another owner keeps nothing", from: listConfirmed, keptBefore: true, transition: reset(false), want: listUnconfirmed},
+		{name: "epoch of another owner renews an expired lease", from: listExpired, transition: reset(false), want: listUnconfirmed},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			m := &machine{trust: tt.from, token: token, minToken: token, keptFromLastEpoch: tt.keptBefore}
@@ -44,6 +44,7 @@
 	return func(m *machine) { m.observeToken(token) }
 }
 
-func reset(epoch uint64, ownedBefore bool) func(*machine) {
-	return func(m *machine) { m.resetForEpoch(epoch, ownedBefore) }
+// reset enters the epoch after that of the machine's token.
+func reset(ownedBefore bool) func(*machine) {
+	return func(m *machine) { m.resetForEpoch(m.token>>tokenBits+1, ownedBefore) }
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"github.com/chalkhub/chalkhub/internal/reachability"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/peerproto"
+	"github.com/chalkhub/chalkhub/internal/reachability"
 )
 
 // Numbers that must never repeat hold the epoch in their high bits and a count in the low
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -117,7 +117,7 @@
 		var r protocol.Heartbeat
 		if protocol.Decode(b, &r) == nil {
 			for _, x := range r.Tasks {
-				protocol.ParseTaskName(x.Task)
+				_, _, _ = protocol.ParseTaskName(x.Task) // it is only not to crash
 			}
 		}
 		var e protocol.WatchResponse
