--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -17,7 +17,7 @@
 // were needed stayed, each with a few tasks.
 func (f *fleet) publishCordons() {
 	c := f.core
-	for name, view := range c.scheduler.machines.all() {
+	for name, view := range c.scheduler.machines.All() {
 		cordoned := f.cordoned[name]
 		shard := c.scheduler.shards[view.shard]
 		if view.cordoned == cordoned || shard == nil || shard.session == 0 || shard.syncedEpoch != c.scheduler.epoch {
@@ -40,7 +40,7 @@
 	c := f.core
 	room := f.freeCPUs(running)
 	for _, inst := range running {
-		view := c.scheduler.machines.get(inst.name)
+		view := c.scheduler.machines.Get(inst.name)
 		shard := c.scheduler.shards[view.shard]
 		// The wait lets short tasks end by themselves, and a load that comes back finds the
 		// machine as it was.
@@ -57,7 +57,7 @@
 func (f *fleet) freeCPUs(running []*instance) float64 {
 	free := 0.0
 	for _, inst := range running {
-		view := f.core.scheduler.machines.get(inst.name)
+		view := f.core.scheduler.machines.Get(inst.name)
 		if !view.cordoned && !view.unschedulable && inst.returnReason == "" && !view.state.InterruptionNotice && !view.unhealthy {
 			free += f.core.machineTypes()[inst.typeName].CPUs - view.used.cpus
 		}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -181,7 +181,7 @@
 		weight.LatestFinish = j.record.SubmittedAt + spec.DeadlineS
 	}
 	weight.Duration = s.core.estimator.Predict(spec) + s.core.fleet.imagePullSeconds(spec)
-	if q := s.queue.get(id); q != nil && q.waitingTasks() == 0 {
+	if q := s.queue.Get(id); q != nil && q.waitingTasks() == 0 {
 		weight.Duration /= 2 // all that is left of it is under way
 	}
 	return weight
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -14,7 +14,7 @@
 // to publish stays due.
 func (c *Core) FullSnapshot() peerproto.Message {
 	snapshot := peerproto.Message{Epoch: c.shard.epoch, Snapshot: true}
-	for _, m := range c.shard.machines.all() {
+	for _, m := range c.shard.machines.All() {
 		fullStateDue, droppedTasks := m.fullStateDue, m.droppedTasks
 		m.fullStateDue = true
 		snapshot.Machines = append(snapshot.Machines, c.shard.machineState(m))
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -73,7 +73,7 @@
 	}
 	jobs := 0
 	for id := range view.failedJobs {
-		if q := s.queue.get(id); q != nil && s.blamesMachine(q) {
+		if q := s.queue.Get(id); q != nil && s.blamesMachine(q) {
 			jobs++
 		}
 	}
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -182,7 +182,7 @@
 	}
 	var needed usage
 	needed.add(spec, float64(tasks))
-	for _, other := range s.queue.all() { // what endless services use never gets free
+	for _, other := range s.queue.All() { // what endless services use never gets free
 		if other.spec().Kind == protocol.KindService && other.spec().Team == spec.Team {
 			needed.add(other.spec(), float64(len(other.inflight)))
 		}
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -56,7 +56,7 @@
 func (s *shard) dropIfGone(m *machine) bool {
 	c := s.core
 	switch {
-	case m.registered && c.records.machineRecords.get(m.name) == nil:
+	case m.registered && c.records.machineRecords.Get(m.name) == nil:
 		// Deleted with its tasks. The leader would wait for ever for those that it has not
 		// been told of yet.
 		for _, a := range m.attempts {
@@ -127,7 +127,7 @@
 
 // mayFence reports whether one more call without commands may be under way.
 func (s *shard) mayFence() bool {
-	return len(s.fencingCalls) < max(s.machines.len()/fencingShare, minFencingCalls)
+	return len(s.fencingCalls) < max(s.machines.Len()/fencingShare, minFencingCalls)
 }
 
 // fenceNext calls the machines that had to wait, as one has answered.
@@ -167,7 +167,7 @@
 		delete(s.fencingCalls, d.CallID)
 		defer s.fenceNext()
 	}
-	m := s.machines.get(d.Machine)
+	m := s.machines.Get(d.Machine)
 	if m == nil || m.callInFlight != d.CallID {
 		return
 	}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -4,6 +4,7 @@
 	"iter"
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/orderedmap"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
@@ -16,7 +17,7 @@
 	core *Core
 
 	// What is rented.
-	instances      *orderedMap[*instance]
+	instances      *orderedmap.Map[*instance]
 	deletedNames   map[string]bool // deleted, by the cloud's word
 	listing        instanceListing
 	budget         cloudBudget
@@ -61,7 +62,7 @@
 // reset begins a leader's term without any memory of an earlier one. Calls to the cloud that are
 // under way, and its call budget, outlast the term.
 func (f *fleet) reset() {
-	f.instances = newOrderedMap[*instance]()
+	f.instances = orderedmap.New[*instance]()
 	f.createRequests = map[string]*createRequest{}
 	f.deletedNames = map[string]bool{}
 	f.silentZones, f.recoveredZones = map[string]time.Duration{}, map[string]time.Duration{}
@@ -127,9 +128,9 @@
 // that an earlier leader has registered.
 func (f *fleet) adoptSeenMachines() {
 	c := f.core
-	for name, view := range c.scheduler.machines.all() {
-		unknown := f.instances.get(name) == nil && !f.deletedNames[name]
-		if unknown && (view.state.AcceptsTasks || c.records.machineRecords.get(name) != nil) {
+	for name, view := range c.scheduler.machines.All() {
+		unknown := f.instances.Get(name) == nil && !f.deletedNames[name]
+		if unknown && (view.state.AcceptsTasks || c.records.machineRecords.Get(name) != nil) {
 			inst := f.adopt(name, pool{view.state.Type, view.state.Zone, view.state.Spot})
 			inst.cloudState = protocol.MachineRunning
 		}
@@ -138,7 +139,7 @@
 
 func (f *fleet) countUsable() {
 	f.usableByPool = map[pool]int{}
-	for _, inst := range f.instances.all() {
+	for _, inst := range f.instances.All() {
 		if f.isUsable(inst) {
 			f.usableByPool[inst.pool]++
 		}
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -122,7 +122,7 @@
 func (s *scheduler) releaseGangs() {
 	// Well before the workers give up waiting for one another.
 	timeout := config.Seconds(s.core.settings.Site.Workers.GangWaitS) / 4
-	for _, q := range s.queue.all() {
+	for _, q := range s.queue.All() {
 		if q.spec().Kind != protocol.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
 			continue
 		}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -16,7 +16,7 @@
 // for for another lease.
 func (s *shard) handleHeartbeat(id RequestID, report *protocol.Heartbeat) {
 	c := s.core
-	m := s.machines.get(report.Machine)
+	m := s.machines.Get(report.Machine)
 	current := m == nil || report.Newer(m.lastHeartbeat.session, m.lastHeartbeat.seq)
 	if current {
 		s.reachability.Contact(c.now.Monotonic)
@@ -33,7 +33,7 @@
 		c.emit(Reply{ID: id, Status: ReplyMisdirected, Body: protocol.Redirect{ReportTo: owner}})
 		return
 	}
-	if m = s.machines.get(report.Machine); m == nil {
+	if m = s.machines.Get(report.Machine); m == nil {
 		m = s.addReported(report)
 	}
 	if report.Token > m.token {
@@ -75,7 +75,7 @@
 	m := s.addMachine(report.Machine)
 	m.addr, m.typeName, m.zone, m.spot = report.Addr, report.Type, report.Zone, report.Spot
 	m.machineType = s.core.machineTypes()[m.typeName]
-	m.registered = s.core.records.machineRecords.get(m.name) != nil
+	m.registered = s.core.records.machineRecords.Get(m.name) != nil
 	return m
 }
 
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -94,7 +94,7 @@
 		job.firstWaiting = min(job.firstWaiting, attempt.taskIndex)
 	}
 	if job.entry.isFinal() && len(job.inflight) == 0 {
-		s.queue.delete(job.id)
+		s.queue.Delete(job.id)
 	}
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	s.hasUnlocated = false
-	for _, job := range s.queue.all() {
+	for _, job := range s.queue.All() {
 		job.unlocated = false
 	}
 	for _, task := range sortedKeys(s.attempts) {
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -28,7 +28,7 @@
 		return
 	}
 	inst.returnReason = why
-	if view := f.core.scheduler.machines.get(inst.name); view != nil {
+	if view := f.core.scheduler.machines.Get(inst.name); view != nil {
 		view.leaving = true
 	}
 	f.core.logInfo("draining instance", "machine", inst.name, "type", inst.typeName, "zone", inst.zone,
@@ -39,7 +39,7 @@
 // drained.
 func (f *fleet) returnInstances() {
 	var names []string
-	for name, inst := range f.instances.all() {
+	for name, inst := range f.instances.All() {
 		f.giveUp(inst)
 		if inst.returnReason == "" || inst.deleteInFlight {
 			continue
@@ -52,7 +52,7 @@
 		return
 	}
 	for _, name := range names {
-		f.instances.get(name).deleteInFlight = true
+		f.instances.Get(name).deleteInFlight = true
 	}
 	f.core.emit(DeleteInstances{Names: names})
 }
@@ -77,7 +77,7 @@
 // without waiting for its tasks to end.
 func (f *fleet) uselessReason(inst *instance) (why returnReason, forced bool) {
 	c := f.core
-	view, machineType := c.scheduler.machines.get(inst.name), c.machineTypes()[inst.typeName]
+	view, machineType := c.scheduler.machines.Get(inst.name), c.machineTypes()[inst.typeName]
 	up := view != nil && view.state.AcceptsTasks
 	age := c.now.Monotonic - inst.createdAt
 	switch {
@@ -138,7 +138,7 @@
 // not been told to drain it, it is told.
 func (f *fleet) isDrained(inst *instance) bool {
 	c := f.core
-	view, registered := c.scheduler.machines.get(inst.name), c.records.machineRecords.get(inst.name) != nil
+	view, registered := c.scheduler.machines.Get(inst.name), c.records.machineRecords.Get(inst.name) != nil
 	if view != nil && view.state.AcceptsTasks && !view.state.Draining && registered {
 		f.requestDrain(view, inst.name)
 		if !inst.forced && !view.unhealthy {
@@ -165,7 +165,7 @@
 // Guards against a new leader that waited 13 s for 35 machines which the last one had returned
 // just before it ended.
 func (f *fleet) mayDeregister(name string) bool {
-	inst, view := f.instances.get(name), f.core.scheduler.machines.get(name)
+	inst, view := f.instances.Get(name), f.core.scheduler.machines.Get(name)
 	return inst != nil && inst.returnReason != "" && !inst.forced &&
 		view != nil && view.listedEpoch == f.core.scheduler.epoch &&
 		view.state.TasksComplete && view.state.AcceptsTasks && view.state.Draining && len(view.attempts) == 0
@@ -176,14 +176,14 @@
 func (f *fleet) handleDelete(result DeleteInstancesResult) {
 	for _, name := range result.Names {
 		if result.Outcome != CloudDone {
-			if inst := f.instances.get(name); inst != nil {
+			if inst := f.instances.Get(name); inst != nil {
 				inst.deleteInFlight = false
 			}
 			continue
 		}
-		f.instances.delete(name)
+		f.instances.Delete(name)
 		f.deletedNames[name] = true
-		if view := f.core.scheduler.machines.get(name); view != nil {
+		if view := f.core.scheduler.machines.Get(name); view != nil {
 			view.leaving = true
 		}
 	}
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -49,7 +49,7 @@
 
 // isReturning reports whether a machine is being drained and returned, or is gone.
 func (f *fleet) isReturning(name string) bool {
-	inst := f.instances.get(name)
+	inst := f.instances.Get(name)
 	return f.deletedNames[name] || inst != nil && inst.returnReason != ""
 }
 
@@ -58,7 +58,7 @@
 	if inst.returnReason != "" || inst.cloudState == protocol.MachineFailed || inst.missedLists >= missedListsUntilLost {
 		return false
 	}
-	view := f.core.scheduler.machines.get(inst.name)
+	view := f.core.scheduler.machines.Get(inst.name)
 	if view == nil {
 		return true
 	}
@@ -71,7 +71,7 @@
 // adopt takes a machine among the rented ones.
 func (f *fleet) adopt(name string, p pool) *instance {
 	inst := &instance{pool: p, name: name, createdAt: f.core.now.Monotonic}
-	f.instances.set(name, inst)
+	f.instances.Set(name, inst)
 	return inst
 }
 
@@ -119,7 +119,7 @@
 	if f.deletedNames[machine.Name] {
 		return
 	}
-	inst := f.instances.get(machine.Name)
+	inst := f.instances.Get(machine.Name)
 	if inst == nil {
 		inst = f.adopt(machine.Name, pool{machine.Type, machine.Zone, machine.Spot})
 		inst.createdAt = f.core.now.Monotonic - config.Seconds(machine.AgeS) - f.listLag()
@@ -133,7 +133,7 @@
 // heard none of them, and left the shard map in turn before any lease could expire. One that is
 // known from the registry alone would be listed by now if it were there.
 func (f *fleet) countMissed() {
-	for name, inst := range f.instances.all() {
+	for name, inst := range f.instances.All() {
 		if !f.listing.names[name] && (inst.wasListed || f.core.now.Monotonic-inst.createdAt > 4*f.listLag()) {
 			inst.missedLists++
 		}
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -24,7 +24,7 @@
 // sent over an earlier one is read any more.
 func (s *shard) leaderLinkUp(session uint64) {
 	s.leaderLink, s.fullSnapshotDue, s.lastLeaderSeq = session, true, 0
-	for _, m := range s.machines.all() {
+	for _, m := range s.machines.All() {
 		if m.cordoned {
 			m.cordoned = false // until the leader says so again
 			s.markCapacityChanged(m)
@@ -99,7 +99,7 @@
 
 // handleStop has a task stopped that the leader preempts.
 func (s *shard) handleStop(stop *peerproto.StopTask) {
-	m := s.machines.get(stop.Machine)
+	m := s.machines.Get(stop.Machine)
 	if m == nil {
 		return
 	}
@@ -115,7 +115,7 @@
 // setCordoned has machines kept from new tasks, or lets them have some again.
 func (s *shard) setCordoned(names []string, cordoned bool) {
 	for _, name := range names {
-		if m := s.machines.get(name); m != nil {
+		if m := s.machines.Get(name); m != nil {
 			m.cordoned = cordoned
 			s.markCapacityChanged(m)
 		}
@@ -125,7 +125,7 @@
 // drain has machines get no new tasks in this epoch any more.
 func (s *shard) drain(names []string) {
 	for _, name := range names {
-		if m := s.machines.get(name); m != nil && !m.draining {
+		if m := s.machines.Get(name); m != nil && !m.draining {
 			m.draining = true
 			s.markChanged(m)
 		}
@@ -185,7 +185,7 @@
 			message.Assigned = append(message.Assigned, peerproto.TaskAttempt{Task: a.task, Attempt: a.number})
 		}
 		machines = machines[:0]
-		for _, m := range s.machines.all() {
+		for _, m := range s.machines.All() {
 			machines = append(machines, m)
 		}
 	} else {
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -79,7 +79,7 @@
 
 // ensureMachine is the view of a machine, made from the registry if there is none yet.
 func (s *scheduler) ensureMachine(name string) *machineView {
-	if view := s.machines.get(name); view != nil {
+	if view := s.machines.Get(name); view != nil {
 		return view
 	}
 	now := s.core.now.Monotonic
@@ -93,18 +93,18 @@
 		unsureSince:   now,
 		leaving:       s.core.fleet.isReturning(name),
 	}
-	if record := s.core.records.machineRecords.get(name); record != nil {
+	if record := s.core.records.machineRecords.Get(name); record != nil {
 		view.registered = true
 		view.state = peerproto.MachineState{Name: name, Addr: record.Addr, Type: record.Type, Zone: record.Zone, Spot: record.Spot}
 		view.machineType = s.core.machineTypes()[record.Type]
 	}
-	s.machines.set(name, view)
+	s.machines.Set(name, view)
 	return view
 }
 
 // setRegistered follows the registry: whether a machine may be given work.
 func (s *scheduler) setRegistered(name string, registered bool) {
-	if view := s.machines.get(name); view != nil {
+	if view := s.machines.Get(name); view != nil {
 		view.registered = registered
 	} else if registered && s.epoch > 0 {
 		s.ensureMachine(name) // until its shard has told of it, it may run anything
@@ -115,7 +115,7 @@
 // the others. A machine that was published before its type was known, and had no news since,
 // would get no work for ever.
 func (s *scheduler) removeGoneMachines() {
-	for name, view := range s.machines.all() {
+	for name, view := range s.machines.All() {
 		if view.machineType == nil {
 			view.machineType = s.core.machineTypes()[view.state.Type]
 		}
@@ -124,7 +124,7 @@
 			for _, task := range sortedKeys(view.attempts) {
 				s.releaseClaim(task, view.attempts[task], view)
 			}
-			s.machines.delete(name)
+			s.machines.Delete(name)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // not know of.
 func (s *scheduler) unseenMachines() iter.Seq2[string, *records.Machine] {
 	return func(yield func(string, *records.Machine) bool) {
-		for name, record := range s.core.records.machineRecords.all() {
+		for name, record := range s.core.records.machineRecords.All() {
 			if s.isUnseen(name) && !yield(name, record) {
 				return
 			}
@@ -153,7 +153,7 @@
 
 // isUnseen reports whether a machine may hold tasks that this leader does not know of.
 func (s *scheduler) isUnseen(name string) bool {
-	view := s.machines.get(name)
+	view := s.machines.Get(name)
 	return (view == nil || !view.listComplete()) && !s.core.fleet.wasDeleted(name)
 }
 
@@ -161,7 +161,7 @@
 // found last: looking at all of them for each message of a shard took most of a failover's
 // processor time, and grew with the square of the fleet.
 func (s *scheduler) anyUnseen() bool {
-	names := s.core.records.machineRecords.sortedNames()
+	names := s.core.records.machineRecords.Keys()
 	first, _ := slices.BinarySearch(names, s.lastUnseen)
 	for n := range names {
 		if name := names[(first+n)%len(names)]; s.isUnseen(name) {
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -143,8 +143,8 @@
 	}
 	s.placementDue, s.nextPlacementAt = false, now+s.core.intervals.scheduling
 	s.updateMachinesWithCapacity()
-	open := make([]*machine, 0, s.machinesWithCapacity.len())
-	for _, m := range s.machinesWithCapacity.all() {
+	open := make([]*machine, 0, s.machinesWithCapacity.Len())
+	for _, m := range s.machinesWithCapacity.All() {
 		open = append(open, m)
 	}
 	full := map[string]bool{} // jobs of which a task found no room: their others won't either
@@ -164,10 +164,10 @@
 func (s *shard) updateMachinesWithCapacity() {
 	for _, m := range s.capacityChanged {
 		m.capacityChanged = false
-		if s.machines.get(m.name) == m && m.acceptsTasks() && m.freeCapacity().CPUs > binpacking.RoundingSlack {
-			s.machinesWithCapacity.set(m.name, m)
-		} else if s.machinesWithCapacity.get(m.name) == m {
-			s.machinesWithCapacity.delete(m.name)
+		if s.machines.Get(m.name) == m && m.acceptsTasks() && m.freeCapacity().CPUs > binpacking.RoundingSlack {
+			s.machinesWithCapacity.Set(m.name, m)
+		} else if s.machinesWithCapacity.Get(m.name) == m {
+			s.machinesWithCapacity.Delete(m.name)
 		}
 	}
 	s.capacityChanged = s.capacityChanged[:0]
@@ -231,7 +231,7 @@
 
 // holdForGang holds room on a machine for a task of a gang, and reports whether there is room.
 func (s *shard) holdForGang(name string, attempt *taskAttempt, entry *jobEntry) bool {
-	m := s.machines.get(name)
+	m := s.machines.Get(name)
 	if m == nil || !m.acceptsTasks() || attempt.recordVersion != 0 && entry.recordVersion != attempt.recordVersion {
 		return false
 	}
@@ -246,7 +246,7 @@
 // resolveHeld lets keep decide which of the listed tasks that room is held for stay.
 func (s *shard) resolveHeld(list []peerproto.TaskAttempt, keep func(*machine, *taskAttempt) bool) {
 	for _, try := range list {
-		m := s.machines.get(try.Machine)
+		m := s.machines.Get(try.Machine)
 		if m == nil {
 			continue
 		}
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -37,7 +37,7 @@
 	for _, id := range sortedKeys(s.unsavedJobs) {
 		q := s.unsavedJobs[id]
 		switch {
-		case q.entry.isFinal() || s.queue.get(id) != q || len(q.unsavedTasks) == 0 && !q.complete():
+		case q.entry.isFinal() || s.queue.Get(id) != q || len(q.unsavedTasks) == 0 && !q.complete():
 			delete(s.unsavedJobs, id)
 		case q.pendingWrite != noPendingWrite:
 		case q.complete():
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -58,7 +58,7 @@
 // not seen.
 func (s *scheduler) unseenCapacity() usage {
 	var unseen usage
-	for name, view := range s.machines.all() { // every machine of the registry has a view
+	for name, view := range s.machines.All() { // every machine of the registry has a view
 		switch {
 		case !view.registered || view.listComplete() || view.leaving && s.core.fleet.wasDeleted(name):
 		case view.machineType == nil:
@@ -76,7 +76,7 @@
 // team's guarantee.
 func (s *scheduler) markWithinGuarantee() {
 	byTeam := map[string][]*queuedJob{}
-	for _, q := range s.queue.all() {
+	for _, q := range s.queue.All() {
 		q.withinGuarantee = false
 		if !q.entry.isFinal() {
 			byTeam[q.spec().Team] = append(byTeam[q.spec().Team], q)
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -50,7 +50,7 @@
 	s.core.estimator.BeginRound()
 	s.updateDependencyWeights()
 	var jobs []*queuedJob
-	for _, q := range s.queue.all() {
+	for _, q := range s.queue.All() {
 		if q.entry.isFinal() || q.pendingWrite == pendingCompletion {
 			continue
 		}
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -14,11 +14,11 @@
 	c := s.core
 	verdict := s.reachability.Check(s.reachabilityView())
 	for _, name := range verdict.Probe {
-		c.emit(ProbeWorker{Machine: name, Addr: c.records.machineRecords.get(name).Addr})
+		c.emit(ProbeWorker{Machine: name, Addr: c.records.machineRecords.Get(name).Addr})
 	}
 	switch {
 	case verdict.Left:
-		c.logInfo("no machine reachable, leaving the shard map", "machines", s.machines.len())
+		c.logInfo("no machine reachable, leaving the shard map", "machines", s.machines.Len())
 	case verdict.Rejoined:
 		c.logInfo("machines reachable again, rejoining the shard map")
 	}
@@ -41,14 +41,14 @@
 // shardFleet is what package reachability may ask about the machines of a shard.
 type shardFleet struct{ shard *shard }
 
-func (f shardFleet) KnownCount() int { return f.shard.core.records.machineRecords.len() }
+func (f shardFleet) KnownCount() int { return f.shard.core.records.machineRecords.Len() }
 
-func (f shardFleet) KnownNames() []string { return f.shard.core.records.machineRecords.sortedNames() }
+func (f shardFleet) KnownNames() []string { return f.shard.core.records.machineRecords.Keys() }
 
-func (f shardFleet) OwnedCount() int { return f.shard.machines.len() }
+func (f shardFleet) OwnedCount() int { return f.shard.machines.Len() }
 
 func (f shardFleet) RegisteredCount() (n int) {
-	for _, m := range f.shard.machines.all() {
+	for _, m := range f.shard.machines.All() {
 		if m.registered {
 			n++
 		}
@@ -64,7 +64,7 @@
 	if m := s.lastHeardMachine; m != nil && m.isTrusted() && s.owns(m) && now-m.lastHeardAt < span {
 		return true, true
 	}
-	for _, m := range s.machines.all() {
+	for _, m := range s.machines.All() {
 		if m.registered && now-m.lastHeardAt < span {
 			s.lastHeardMachine = m
 			return true, m.isTrusted()
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"github.com/chalkhub/chalkhub/internal/dag"
+	"github.com/chalkhub/chalkhub/internal/orderedmap"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/records"
 )
@@ -28,8 +29,8 @@
 	nodes          map[string]records.Node // controllers, by label
 	leader         *records.Leader
 	shardMap       *records.ShardMap
-	machineRecords *orderedMap[*records.Machine]
-	registryPages  *orderedMap[[]string]            // the registry's keys, and the machines that each holds
+	machineRecords *orderedmap.Map[*records.Machine]
+	registryPages  *orderedmap.Map[[]string]        // the registry's keys, and the machines that each holds
 	machineTypes   map[string]*protocol.MachineType // empty until all are known
 	partialTypes   map[string]*protocol.MachineType // those that have been read so far
 	estimates      *records.Estimates
@@ -50,7 +51,7 @@
 	r.core.garbage.reset()
 	r.nodes = map[string]records.Node{}
 	r.leader, r.shardMap, r.estimates = nil, nil, nil
-	r.machineRecords, r.registryPages = newOrderedMap[*records.Machine](), newOrderedMap[[]string]()
+	r.machineRecords, r.registryPages = orderedmap.New[*records.Machine](), orderedmap.New[[]string]()
 	r.machineTypes, r.partialTypes = map[string]*protocol.MachineType{}, map[string]*protocol.MachineType{}
 }
 
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -41,7 +41,7 @@
 	r.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
 	pages := c.records.registryPages
 	changed := registry.Plan(registry.Registry{
-		Pages: pages.all(), Page: pages.get, PageCount: pages.len(),
+		Pages: pages.All(), Page: pages.Get, PageCount: pages.Len(),
 		Record: r.record, Removed: r.isRemoved,
 	}, added, r.limits())
 	if len(changed) > 0 {
@@ -51,7 +51,7 @@
 
 // unregistered lists the machines that are up and not in the registry.
 func (r *machineRegistry) unregistered() (names []string) {
-	for name, view := range r.core.scheduler.machines.all() {
+	for name, view := range r.core.scheduler.machines.All() {
 		if view.state.AcceptsTasks && !view.registered && !view.leaving {
 			names = append(names, name)
 		}
@@ -66,10 +66,10 @@
 
 // record is a machine's record: the one in the registry, or that of a machine to be added.
 func (r *machineRegistry) record(name string) records.Machine {
-	if record := r.core.records.machineRecords.get(name); record != nil {
+	if record := r.core.records.machineRecords.Get(name); record != nil {
 		return *record
 	}
-	state := &r.core.scheduler.machines.get(name).state
+	state := &r.core.scheduler.machines.Get(name).state
 	return records.Machine{Addr: state.Addr, Type: state.Type, Zone: state.Zone, Spot: state.Spot}
 }
 
@@ -111,12 +111,12 @@
 
 // putRegistryPage takes a page of the registry into the mirror.
 func (l *storedRecords) putRegistryPage(page string, record *records.RegistryPage) {
-	before := l.registryPages.get(page)
+	before := l.registryPages.Get(page)
 	names := sortedKeys(record.Machines)
-	l.registryPages.set(page, names)
+	l.registryPages.Set(page, names)
 	for _, name := range names {
 		machine := record.Machines[name]
-		l.machineRecords.set(name, &machine)
+		l.machineRecords.Set(name, &machine)
 		l.core.shard.adoptRegistered(name, &machine)
 		l.core.scheduler.setRegistered(name, true)
 	}
@@ -129,8 +129,8 @@
 
 // removeRegistryPage takes a page that was deleted out of the mirror.
 func (l *storedRecords) removeRegistryPage(page string) {
-	before := l.registryPages.get(page)
-	l.registryPages.delete(page)
+	before := l.registryPages.Get(page)
+	l.registryPages.Delete(page)
 	l.removeUnlisted(before)
 }
 
@@ -140,7 +140,7 @@
 		if l.isListed(name) {
 			continue
 		}
-		l.machineRecords.delete(name)
+		l.machineRecords.Delete(name)
 		l.core.shard.nextCheckAt = 0
 		l.core.scheduler.setRegistered(name, false)
 	}
@@ -148,7 +148,7 @@
 
 // isListed reports whether any page of the registry holds a machine.
 func (l *storedRecords) isListed(name string) bool {
-	for _, names := range l.registryPages.all() {
+	for _, names := range l.registryPages.All() {
 		if _, listed := slices.BinarySearch(names, name); listed {
 			return true
 		}
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -68,8 +68,8 @@
 	planned := s.plannedAttempts()
 	preemptors := s.preemptorUrgencies()
 	round := &schedulingRound{teamUsage: s.computeTeamUsage(), infeasible: map[taskShape]bool{}}
-	round.machines = make([]*candidateMachine, 0, s.machines.len())
-	for name, view := range s.machines.all() {
+	round.machines = make([]*candidateMachine, 0, s.machines.Len())
+	for name, view := range s.machines.All() {
 		if !view.acceptsTasks() || view.unschedulable {
 			continue
 		}
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -26,7 +26,7 @@
 // left a full queue and empty machines: only machines that are up count.
 func (f *fleet) scaleIn(demand capacityDemand, waiting []*queuedJob) {
 	f.cordoned = map[string]bool{}
-	for _, view := range f.core.scheduler.machines.all() {
+	for _, view := range f.core.scheduler.machines.All() {
 		view.unschedulable = false
 	}
 	running, capacity := f.runningInstances()
@@ -49,8 +49,8 @@
 func (f *fleet) runningInstances() ([]*instance, cpuCapacity) {
 	var running []*instance
 	var capacity cpuCapacity
-	for name, inst := range f.instances.all() {
-		view, machineType := f.core.scheduler.machines.get(name), f.core.machineTypes()[inst.typeName]
+	for name, inst := range f.instances.All() {
+		view, machineType := f.core.scheduler.machines.Get(name), f.core.machineTypes()[inst.typeName]
 		if inst.returnReason != "" || view == nil || !view.state.AcceptsTasks || view.upSince < 0 || machineType == nil {
 			continue
 		}
@@ -66,7 +66,7 @@
 // emptiest first.
 func (f *fleet) sortForReturn(running []*instance) {
 	for _, inst := range running {
-		inst.cpuShare = f.core.scheduler.machines.get(inst.name).used.cpus / f.core.machineTypes()[inst.typeName].CPUs
+		inst.cpuShare = f.core.scheduler.machines.Get(inst.name).used.cpus / f.core.machineTypes()[inst.typeName].CPUs
 	}
 	sort.SliceStable(running, func(a, b int) bool {
 		if running[a].spot != running[b].spot {
@@ -91,7 +91,7 @@
 // work that may come.
 func (f *fleet) takeOut(inst *instance, surplus bool) {
 	c := f.core
-	view := c.scheduler.machines.get(inst.name)
+	view := c.scheduler.machines.Get(inst.name)
 	idle := len(view.attempts) == 0
 	if inst.spot {
 		keep := config.Seconds(c.machineTypes()[inst.typeName].BootS * c.policy.IdleBoots)
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -215,7 +215,7 @@
 func (f *fleet) adoptCreated(request *createRequest, names []string) {
 	p := request.pool()
 	for _, name := range names {
-		if f.instances.get(name) == nil && !f.deletedNames[name] {
+		if f.instances.Get(name) == nil && !f.deletedNames[name] {
 			f.adopt(name, p).cloudState = protocol.MachineBooting
 		}
 	}
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -6,6 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"github.com/chalkhub/chalkhub/internal/fairshare"
+	"github.com/chalkhub/chalkhub/internal/orderedmap"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
@@ -26,10 +27,10 @@
 	// What the members tell of their shards.
 	shards      map[string]*shardView // by label
 	shardLabels map[uint64]string     // by session, "" before its hello
-	machines    *orderedMap[*machineView]
+	machines    *orderedmap.Map[*machineView]
 
 	// The queue, and the attempts that may be on a machine.
-	queue            *orderedMap[*queuedJob]
+	queue            *orderedmap.Map[*queuedJob]
 	attempts         map[string]*inflightAttempt // by task name
 	unplacedAttempts map[string]*inflightAttempt // all that await placement, and a few that no longer do
 	stopRequests     map[string]*inflightAttempt // all that are asked to stop, and a few that have stopped
@@ -75,7 +76,7 @@
 
 // reset drops all that an earlier term as leader knew of jobs and machines.
 func (s *scheduler) reset() {
-	s.machines, s.queue = newOrderedMap[*machineView](), newOrderedMap[*queuedJob]()
+	s.machines, s.queue = orderedmap.New[*machineView](), orderedmap.New[*queuedJob]()
 	s.attempts = map[string]*inflightAttempt{}
 	s.unplacedAttempts, s.stopRequests = map[string]*inflightAttempt{}, map[string]*inflightAttempt{}
 	s.teamUsage, s.unsavedJobs = map[string]*usage{}, map[string]*queuedJob{}
@@ -121,13 +122,13 @@
 	if s.core.records.dependencies.IsWaiting(id) {
 		return // it holds nothing, and comes again once it is ready
 	}
-	q := s.queue.get(id)
+	q := s.queue.Get(id)
 	switch {
 	case entry.isFinal():
 		delete(s.unsavedJobs, id)
 		// Attempts stay until their tasks are surely gone: they count against the quota.
 		if q != nil && len(q.inflight) == 0 {
-			s.queue.delete(id)
+			s.queue.Delete(id)
 		}
 	case q == nil:
 		s.enqueue(id, entry)
@@ -139,7 +140,7 @@
 	q := newQueuedJob(entry)
 	q.unlocated = entry.version <= s.electionRevision && !entry.readyThisTerm
 	s.hasUnlocated = s.hasUnlocated || q.unlocated
-	s.queue.set(id, q)
+	s.queue.Set(id, q)
 	spec := q.spec()
 	s.core.estimator.JobArrived(spec)
 	if s.core.debug {
@@ -157,7 +158,7 @@
 
 // progressSaved follows the mirror: completed tasks that are durable need not be saved.
 func (s *scheduler) progressSaved(id string) {
-	q := s.queue.get(id)
+	q := s.queue.Get(id)
 	if q == nil {
 		return
 	}
@@ -188,19 +189,19 @@
 		member.outbox, member.outboxDue = peerproto.Message{Resync: true}, true
 	}
 	if first {
-		s.core.logDebug("entered first epoch as leader", "machines", s.machines.len(), "jobs", s.queue.len())
+		s.core.logDebug("entered first epoch as leader", "machines", s.machines.Len(), "jobs", s.queue.Len())
 	}
 }
 
 // distrustMachines forgets what the shards of the last epoch told: a machine may have another
 // owner now. Those of the registry that no shard has told of count as not seen yet.
 func (s *scheduler) distrustMachines() {
-	for _, view := range s.machines.all() {
+	for _, view := range s.machines.All() {
 		view.state.TasksComplete, view.state.TasksBounded, view.state.AcceptsTasks = false, false, false
 		view.unsureSince = s.core.now.Monotonic
 		view.cordoned = false
 	}
-	for name := range s.core.records.machineRecords.all() {
+	for name := range s.core.records.machineRecords.All() {
 		s.ensureMachine(name)
 	}
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/chalkhub/chalkhub/internal/orderedmap"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 	"github.com/chalkhub/chalkhub/internal/reachability"
 )
@@ -27,15 +28,15 @@
 	epoch      uint64
 	epochSince time.Duration
 	isMember   bool // in this epoch
-	machines   *orderedMap[*machine]
+	machines   *orderedmap.Map[*machine]
 	// machinesByJob holds the machines that have or had tasks of a job that is not over.
-	machinesByJob map[string]*orderedMap[*machine]
+	machinesByJob map[string]*orderedmap.Map[*machine]
 	nextCheckAt   time.Duration // when all machines are checked again
 
 	// Placement.
 	unplaced             []*taskAttempt // dispatched, no capacity found yet
 	capacityChanged      []*machine     // since tasks were last placed
-	machinesWithCapacity *orderedMap[*machine]
+	machinesWithCapacity *orderedmap.Map[*machine]
 	placementDue         bool // something may fit that did not fit before
 	nextPlacementAt      time.Duration
 	expedited            []*machine // have commands that do not wait for a heartbeat
@@ -63,9 +64,9 @@
 func newShard(c *Core) *shard {
 	return &shard{
 		core:                 c,
-		machines:             newOrderedMap[*machine](),
-		machinesByJob:        map[string]*orderedMap[*machine]{},
-		machinesWithCapacity: newOrderedMap[*machine](),
+		machines:             orderedmap.New[*machine](),
+		machinesByJob:        map[string]*orderedmap.Map[*machine]{},
+		machinesWithCapacity: orderedmap.New[*machine](),
 		fencingCalls:         map[uint64]bool{},
 		reachability:         reachability.Tracker{Lease: c.intervals.workerLease, Heartbeat: c.intervals.heartbeat},
 	}
@@ -114,7 +115,7 @@
 		return
 	}
 	s.nextCheckAt = c.now.Monotonic + min(c.intervals.maintenance/4, c.intervals.scheduling)
-	for _, m := range s.machines.all() {
+	for _, m := range s.machines.All() {
 		s.checkMachine(m)
 	}
 }
@@ -140,7 +141,7 @@
 }
 
 // owns reports whether a machine that was noted earlier still is this shard's.
-func (s *shard) owns(m *machine) bool { return s.machines.get(m.name) == m }
+func (s *shard) owns(m *machine) bool { return s.machines.Get(m.name) == m }
 
 // expedite has a machine's commands sent without waiting for its next heartbeat.
 func (s *shard) expedite(m *machine) {
@@ -156,7 +157,7 @@
 	if machines == nil {
 		return
 	}
-	for _, m := range machines.all() {
+	for _, m := range machines.All() {
 		if s.owns(m) {
 			s.expedite(m)
 		}
--- a/internal/core/shard_attempts.go
+++ b/internal/core/shard_attempts.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"github.com/chalkhub/chalkhub/internal/orderedmap"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
@@ -16,9 +17,9 @@
 		return // nobody will look for the machines of a job that is over
 	}
 	if s.machinesByJob[a.jobID] == nil {
-		s.machinesByJob[a.jobID] = newOrderedMap[*machine]()
+		s.machinesByJob[a.jobID] = orderedmap.New[*machine]()
 	}
-	s.machinesByJob[a.jobID].set(m.name, m)
+	s.machinesByJob[a.jobID].Set(m.name, m)
 }
 
 // retainAttempts drops those attempts of a machine for which keep is false.
@@ -49,7 +50,7 @@
 	machines := s.machinesByJob[jobID]
 	delete(s.machinesByJob, jobID)
 	if machines != nil {
-		for _, m := range machines.all() {
+		for _, m := range machines.All() {
 			if s.owns(m) {
 				s.stopJobOn(m, jobID)
 			}
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -26,10 +26,10 @@
 	s.unplaced, s.returned, s.fullSnapshotDue = nil, nil, true
 	s.reachability.EnterEpoch()
 	s.epochSince, s.nextCheckAt = c.now.Monotonic, 0
-	for name, record := range c.records.machineRecords.all() {
+	for name, record := range c.records.machineRecords.All() {
 		s.adoptRegistered(name, record)
 	}
-	for name, m := range s.machines.all() {
+	for name, m := range s.machines.All() {
 		if !s.isMember || c.membership.ownerOf(name) != c.settings.Label {
 			s.releaseMachine(m)
 			continue
@@ -37,7 +37,7 @@
 		s.resetMachine(m, ownedBefore)
 	}
 	if shardMap := c.records.shardMap; shardMap != nil {
-		c.logInfo("new shard map", "epoch", epoch, "leader", shardMap.Leader, "members", sortedKeys(shardMap.Members), "machines", s.machines.len())
+		c.logInfo("new shard map", "epoch", epoch, "leader", shardMap.Leader, "members", sortedKeys(shardMap.Members), "machines", s.machines.Len())
 	}
 }
 
@@ -58,7 +58,7 @@
 // adoptRegistered takes note of a machine of the registry, and owns it if the shard map
 // gives it to this member.
 func (s *shard) adoptRegistered(name string, record *records.Machine) {
-	if m := s.machines.get(name); m != nil {
+	if m := s.machines.Get(name); m != nil {
 		m.registered = true
 		s.markCapacityChanged(m)
 		return
@@ -86,14 +86,14 @@
 		maybeAnsweredUntil: now + s.core.intervals.maxStaleness,
 		backoffUntil:       map[string]time.Duration{},
 	}
-	s.machines.set(name, m)
+	s.machines.Set(name, m)
 	s.markChanged(m)
 	return m
 }
 
 // releaseMachine ceases to own a machine.
 func (s *shard) releaseMachine(m *machine) {
-	s.machines.delete(m.name)
-	s.machinesWithCapacity.delete(m.name)
+	s.machines.Delete(m.name)
+	s.machinesWithCapacity.Delete(m.name)
 	s.releasedMachines = append(s.releasedMachines, m.name)
 }
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -66,10 +66,10 @@
 	member.boot, member.session, member.lastHeardAt = hello.BootID, session, s.core.now.Monotonic
 	member.syncedEpoch, member.snapshotTasks = 0, nil
 	member.messagesSent, member.outbox, member.outboxDue = 0, peerproto.Message{}, false
-	for _, view := range s.machines.all() {
+	for _, view := range s.machines.All() {
 		view.cordoned = view.cordoned && view.shard != member.label
 	}
-	for _, job := range s.queue.all() {
+	for _, job := range s.queue.All() {
 		job.publishedView = peerproto.JobView{} // a new listener knows nothing yet
 	}
 }
@@ -177,7 +177,7 @@
 // beginSnapshot prepares for the chunks of a full snapshot.
 func (s *scheduler) beginSnapshot(member *shardView, message *peerproto.Message) {
 	member.snapshotTasks, member.snapshotReadSeq = map[string]bool{}, message.ReadSeq
-	for _, view := range s.machines.all() {
+	for _, view := range s.machines.All() {
 		if view.shard == member.label {
 			view.listedEpoch = 0
 		}
@@ -203,7 +203,7 @@
 // applyChanges takes what a message says of a shard's machines, full snapshot or not.
 func (s *scheduler) applyChanges(member *shardView, message *peerproto.Message) {
 	for _, name := range message.Released {
-		if view := s.machines.get(name); view != nil && view.shard == member.label {
+		if view := s.machines.Get(name); view != nil && view.shard == member.label {
 			view.listedEpoch = 0
 		}
 	}
@@ -353,13 +353,13 @@
 // It returns nil for a job that is neither queued nor over.
 func (s *scheduler) discoverAttempt(job *jobEntry, taskIndex int, task *peerproto.TaskState) *inflightAttempt {
 	jobID := job.record.Spec.ID
-	queued := s.queue.get(jobID)
+	queued := s.queue.Get(jobID)
 	if queued == nil {
 		if !job.isFinal() {
 			return nil
 		}
 		queued = newQueuedJob(job)
-		s.queue.set(jobID, queued)
+		s.queue.Set(jobID, queued)
 	}
 	attempt := &inflightAttempt{job: queued, taskIndex: taskIndex, number: task.Attempt, claimants: map[string]bool{}}
 	s.trackAttempt(task.Task, attempt)
@@ -372,7 +372,7 @@
 	if attempt.location == locationDispatched || !machine.TasksComplete {
 		return false
 	}
-	other := s.machines.get(attempt.machine)
+	other := s.machines.Get(attempt.machine)
 	return other == nil || !other.state.TasksComplete || attempt.machine == machine.Name
 }
 
@@ -385,7 +385,7 @@
 
 // taskExited takes a task that has ended on its machine.
 func (s *scheduler) taskExited(view *machineView, job *jobEntry, taskIndex int, task *peerproto.TaskState, attempt *inflightAttempt) {
-	queued := s.queue.get(job.record.Spec.ID)
+	queued := s.queue.Get(job.record.Spec.ID)
 	if queued == nil || job.isFinal() {
 		return
 	}
@@ -425,7 +425,7 @@
 // publishJobViews lets every node know what to tell users of the jobs that have changed.
 func (s *scheduler) publishJobViews() {
 	var views []peerproto.JobView
-	for _, job := range s.queue.all() {
+	for _, job := range s.queue.All() {
 		view := s.jobView(job)
 		if view != job.publishedView {
 			job.publishedView = view
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -96,7 +96,7 @@
 		s.Members = sortedKeys(c.records.shardMap.Members)
 	}
 	c.addJobCounts(s)
-	for name, m := range c.shard.machines.all() {
+	for name, m := range c.shard.machines.All() {
 		s.Machines[name] = MachineStatus{Type: m.typeName, Zone: m.zone, Spot: m.spot, Trusted: m.isTrusted(),
 			Silent: m.leaseExpired(), Draining: m.draining, Tasks: len(m.attempts)}
 	}
@@ -141,7 +141,7 @@
 			s.StartLatencies[urgency] = Summarize(latencies)
 		}
 	}
-	for id, job := range c.scheduler.queue.all() {
+	for id, job := range c.scheduler.queue.All() {
 		s.Queue = append(s.Queue, QueuedJobStatus{
 			JobID: id, Waiting: max(job.waitingTasks(), 0), InFlight: len(job.inflight), Reason: job.reason,
 		})
@@ -152,7 +152,7 @@
 // little.
 func (c *Core) addJobProblems(s *Status) {
 	s.CrashLoopingJobs = map[string]string{}
-	for id, job := range c.scheduler.queue.all() {
+	for id, job := range c.scheduler.queue.All() {
 		if c.scheduler.isCrashLooping(job) {
 			s.CrashLoopingJobs[id] = c.scheduler.failureReason(job)
 		}
@@ -173,7 +173,7 @@
 	for label, since := range c.membership.absentSince {
 		s.AbsentControllers[label] = (c.now.Monotonic - since).Seconds()
 	}
-	for name, view := range c.scheduler.machines.all() {
+	for name, view := range c.scheduler.machines.All() {
 		if view.unhealthy {
 			s.UnhealthyMachines[name] = fmt.Sprintf("tasks of %d jobs failed here", len(view.failedJobs))
 		}
@@ -184,7 +184,7 @@
 	for zone, since := range c.fleet.silentZones {
 		s.SilentZones[zone] = (c.now.Monotonic - since).Seconds()
 	}
-	for name, inst := range c.fleet.instances.all() {
+	for name, inst := range c.fleet.instances.All() {
 		if inst.returnReason != "" {
 			s.DrainingMachines = append(s.DrainingMachines, name)
 		}
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -121,7 +121,7 @@
 			return false
 		}
 		for machine := range attempt.claimants {
-			if v := s.machines.get(machine); v == nil || v.state.Zone != q.entry.record.Zones[0] {
+			if v := s.machines.Get(machine); v == nil || v.state.Zone != q.entry.record.Zones[0] {
 				return false
 			}
 		}
@@ -200,7 +200,7 @@
 // it was.
 func (s *scheduler) freeByZone(spec *protocol.Job) (freeCPUs, freeSlots map[string]float64) {
 	freeCPUs, freeSlots = map[string]float64{}, map[string]float64{}
-	for _, v := range s.machines.all() {
+	for _, v := range s.machines.All() {
 		state := &v.state
 		if !v.acceptsTasks() || !binpacking.AllowsMachine(spec, state.Type, state.Zone, state.Spot) {
 			continue
@@ -231,7 +231,7 @@
 			return false
 		}
 		for machine := range attempt.claimants {
-			if v := s.machines.get(machine); v == nil || v.state.Zone == zone || v.state.Zone == "" {
+			if v := s.machines.Get(machine); v == nil || v.state.Zone == zone || v.state.Zone == "" {
 				return false
 			}
 		}
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -49,7 +49,7 @@
 func (f *fleet) countByZone() (lost, all map[string]int) {
 	lost, all = map[string]int{}, map[string]int{}
 	f.reachableByZone, f.machinesByZone = map[string]int{}, map[string]int{}
-	for _, v := range f.core.scheduler.machines.all() {
+	for _, v := range f.core.scheduler.machines.All() {
 		f.machinesByZone[v.state.Zone]++
 		if isHeardAndUp(v) {
 			f.reachableByZone[v.state.Zone]++
