--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -28,7 +28,7 @@
 	"github.com/chalkhub/chalkhub/internal/shim"
 )
 
-func read(path string, out any) error {
+func readJSON(path string, out any) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -64,9 +64,9 @@
 		return fmt.Errorf("%s: listen and file must be set", c.Config)
 	case !(f.Limits.RPS > 0 && f.Limits.WriteRPS > 0 && f.Limits.ValueKB > 0 && f.Limits.TxnOps > 0):
 		return fmt.Errorf("%s: all limits must be above 0", c.Config)
-	case f.Depot != "" && f.Folder == "":
+	case f.ArtifactsListen != "" && f.ArtifactsDir == "":
 		return fmt.Errorf("%s: depot_folder must be set with depot_listen", c.Config)
-	case (f.EveryS > 0) != (f.Keep > 0) || f.EveryS > 0 && f.Snapshots == "":
+	case (f.SnapshotEveryS > 0) != (f.SnapshotsKept > 0) || f.SnapshotEveryS > 0 && f.Snapshots == "":
 		return fmt.Errorf("%s: snapshot_every_s, snapshots_kept and snapshots must be set together", c.Config)
 	}
 	return nil
@@ -75,7 +75,7 @@
 // Run runs the state service, and the depot beside it if it has an address.
 func (c *stateRunCmd) Run(ctx context.Context) error {
 	var f local.StateFile
-	if err := read(c.Config, &f); err != nil {
+	if err := readJSON(c.Config, &f); err != nil {
 		return err
 	}
 	if err := c.check(&f); err != nil {
@@ -101,32 +101,32 @@
 	}
 	log.Info("state loaded", "file", f.File, "revision", s.Revision, "keys", s.Len(), "took", time.Since(began))
 	srv := kvserver.New(kvserver.Settings{Limits: kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.TxnOps},
-		RequestsPerSecond: f.Limits.RPS, WritesPerSecond: f.Limits.WriteRPS, MaxBatch: f.Batch}, s, v)
+		RequestsPerSecond: f.Limits.RPS, WritesPerSecond: f.Limits.WriteRPS, MaxBatch: f.MaxBatch}, s, v)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return srv.Serve(ctx, l) })
-	if f.Depot != "" {
-		d, err := artifacts.Open(f.Folder)
+	if f.ArtifactsListen != "" {
+		d, err := artifacts.Open(f.ArtifactsDir)
 		if err != nil {
 			return err
 		}
-		dl, err := listen(f.Depot)
+		dl, err := listen(f.ArtifactsListen)
 		if err != nil {
 			return err
 		}
 		g.Go(func() error { return d.Serve(ctx, dl) })
 	}
 	if f.Snapshots != "" {
-		g.Go(func() error { return snapshots(ctx, &f, v, srv, log) })
+		g.Go(func() error { return takeSnapshots(ctx, &f, v, srv, log) })
 	}
 	return g.Wait()
 }
 
-// wish is a file whose appearance asks for a snapshot. A file needs no port and no
+// snapshotRequestPath is a file whose appearance asks for a snapshot. A file needs no port and no
 // rights but those of the folder.
-func wish(dir string) string { return filepath.Join(dir, ".wanted") }
+func snapshotRequestPath(dir string) string { return filepath.Join(dir, ".wanted") }
 
-// snapshots takes a snapshot now and then, and whenever one is asked for.
-func snapshots(ctx context.Context, f *local.StateFile, v *kvfile.File, srv *kvserver.Server, log *slog.Logger) error {
+// takeSnapshots takes a snapshot now and then, and whenever one is asked for.
+func takeSnapshots(ctx context.Context, f *local.StateFile, v *kvfile.File, srv *kvserver.Server, log *slog.Logger) error {
 	last, at := uint64(0), time.Now()
 	for {
 		select {
@@ -134,9 +134,9 @@
 			return ctx.Err()
 		case <-time.After(500 * time.Millisecond):
 		}
-		_, err := os.Stat(wish(f.Snapshots))
+		_, err := os.Stat(snapshotRequestPath(f.Snapshots))
 		asked := err == nil
-		due := f.EveryS > 0 && time.Since(at) > config.Seconds(f.EveryS) && srv.State().Revision != last
+		due := f.SnapshotEveryS > 0 && time.Since(at) > config.Seconds(f.SnapshotEveryS) && srv.State().Revision != last
 		if !asked && !due {
 			continue
 		}
@@ -147,13 +147,13 @@
 			continue
 		}
 		last = s.Revision
-		if f.Keep > 0 {
-			if err := kvfile.PruneSnapshots(f.Snapshots, f.Keep); err != nil {
+		if f.SnapshotsKept > 0 {
+			if err := kvfile.PruneSnapshots(f.Snapshots, f.SnapshotsKept); err != nil {
 				log.Error("pruning snapshots failed", "error", err)
 			}
 		}
 		if asked {
-			_ = os.Remove(wish(f.Snapshots)) // one that stays asks for another snapshot
+			_ = os.Remove(snapshotRequestPath(f.Snapshots)) // one that stays asks for another snapshot
 		}
 		log.Info("snapshot taken", "file", path, "revision", s.Revision, "keys", s.Len(), "took", time.Since(at), "metrics", srv.Metrics())
 	}
@@ -166,7 +166,7 @@
 
 // Run asks the service for a snapshot and waits for it.
 func (c *stateSnapshotCmd) Run(ctx context.Context) error {
-	if err := os.WriteFile(wish(c.Folder), nil, 0o600); err != nil {
+	if err := os.WriteFile(snapshotRequestPath(c.Folder), nil, 0o600); err != nil {
 		return err
 	}
 	for end := time.Now().Add(c.Timeout); time.Now().Before(end); {
@@ -175,15 +175,15 @@
 			return ctx.Err()
 		case <-time.After(100 * time.Millisecond):
 		}
-		if _, err := os.Stat(wish(c.Folder)); os.IsNotExist(err) {
+		if _, err := os.Stat(snapshotRequestPath(c.Folder)); os.IsNotExist(err) {
 			if list := kvfile.ListSnapshots(c.Folder); len(list) > 0 {
 				fmt.Println(list[0])
 				return nil
 			}
 		}
 	}
-	_ = os.Remove(wish(c.Folder)) // whether it was there or not
-	return exit{exitNotNow, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
+	_ = os.Remove(snapshotRequestPath(c.Folder)) // whether it was there or not
+	return exitError{exitNotNow, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
 }
 
 type stateRestoreCmd struct {
@@ -227,7 +227,7 @@
 }
 
 func (c *agentCmd) check(f *local.AgentFile) error {
-	if f.Machine == "" || f.Depot == "" || f.Folder == "" || f.Saves == "" || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.ReportS > 0 && f.Workers.LeaseS > 0) {
+	if f.Machine == "" || f.Artifacts == "" || f.Dir == "" || f.CheckpointDir == "" || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.ReportS > 0 && f.Workers.LeaseS > 0) {
 		return fmt.Errorf("%s: machine, cpus, controllers, depot, folder, saves, report_s and lease_s must be set", c.Config)
 	}
 	return nil
@@ -236,7 +236,7 @@
 // Run runs an agent.
 func (c *agentCmd) Run(ctx context.Context) error {
 	var f local.AgentFile
-	if err := read(c.Config, &f); err != nil {
+	if err := readJSON(c.Config, &f); err != nil {
 		return err
 	}
 	if err := c.check(&f); err != nil {
@@ -246,7 +246,7 @@
 	if err != nil {
 		return err
 	}
-	set := agentd.Settings{ArtifactsAddr: f.Depot, Dir: f.Folder, CheckpointDir: f.Saves, ShimCommand: []string{self, "shim"}, Logger: logger().With("machine", f.Machine)}
+	set := agentd.Settings{ArtifactsAddr: f.Artifacts, Dir: f.Dir, CheckpointDir: f.CheckpointDir, ShimCommand: []string{self, "shim"}, Logger: logger().With("machine", f.Machine)}
 	set.Agent = agent.Settings{Machine: f.Machine, Type: f.Type, Zone: f.Zone, Spot: f.Spot, CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB,
 		CacheGB: f.CacheGB, FetchGBps: f.FetchGBps, Workers: f.Workers}
 	for _, x := range f.Controllers {
@@ -296,7 +296,7 @@
 // Run runs the local cloud.
 func (c *cloudCmd) Run(ctx context.Context) error {
 	var f local.CloudFile
-	if err := read(c.Config, &f); err != nil {
+	if err := readJSON(c.Config, &f); err != nil {
 		return err
 	}
 	self, err := os.Executable()
@@ -304,21 +304,21 @@
 		return err
 	}
 	start := func(m protocol.Instance, t localcloud.MachineType, listener, alive *os.File) (*exec.Cmd, error) {
-		dir := filepath.Join(f.Folder, "machines", m.Name)
+		dir := filepath.Join(f.Dir, "machines", m.Name)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
 		}
 		path := filepath.Join(dir, "agent.json")
 		b, err := json.Marshal(&local.AgentFile{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, CPUs: t.CPUs, GPUs: t.GPUs,
-			MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBps: t.FetchGBps, Controllers: f.Cluster.Controllers, Depot: f.Cluster.Depot,
-			Folder: dir, Saves: filepath.Join(f.Folder, "saves"), Workers: f.Workers})
+			MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBps: t.FetchGBps, Controllers: f.Cluster.Controllers, Artifacts: f.Cluster.Artifacts,
+			Dir: dir, CheckpointDir: filepath.Join(f.Dir, "saves"), Workers: f.Workers})
 		if err == nil {
 			err = os.WriteFile(path, b, 0o600)
 		}
 		if err != nil {
 			return nil, err
 		}
-		log, err := os.OpenFile(filepath.Join(f.Folder, "logs", "agents.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+		log, err := os.OpenFile(filepath.Join(f.Dir, "logs", "agents.log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 		if err != nil {
 			return nil, err
 		}
@@ -331,7 +331,7 @@
 	if err != nil {
 		return err
 	}
-	cloud, err := localcloud.Open(f.Rent, filepath.Join(f.Folder, "cloud.jsonl"), filepath.Join(f.Folder, "machines"), start, logger())
+	cloud, err := localcloud.Open(f.Cloud, filepath.Join(f.Dir, "cloud.jsonl"), filepath.Join(f.Dir, "machines"), start, logger())
 	if err != nil {
 		return err
 	}
--- a/cmd/chalkhubctl/top.go
+++ b/cmd/chalkhubctl/top.go
@@ -5,219 +5,64 @@
 	"errors"
 	"fmt"
 	"os"
-	"sort"
-	"strings"
 	"sync"
 	"time"
 
 	tea "github.com/charmbracelet/bubbletea"
-	"github.com/charmbracelet/lipgloss"
-	"github.com/mattn/go-runewidth"
 
 	"github.com/chalkhub/chalkhub/internal/config"
-	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/local"
 )
 
+// minTopInterval keeps --every from loading the controllers.
+const minTopInterval = 100 * time.Millisecond
+
+var errNoStatusAddress = errors.New("its status page's address is not known: use --cluster")
+
 type topCmd struct {
 	Every time.Duration `default:"1s" help:"How often to look."`
 	Once  bool          `help:"Print one picture and end."`
 }
 
-// seen is the last good page of a controller.
-type seen struct {
-	page core.Status
-	at   time.Time // zero: never
-	err  error     // of the last try, nil: it answered
-}
-
-// picture is all that is known of a cluster, without any input or output.
-type picture struct {
-	controllers []local.Controller
-	teams       map[string]config.Team // what they are promised, by name
-	pages       []seen
-	width       int
-	height      int
-}
-
-type looked struct {
-	pages []seen // only err, or page and at
-}
-
-func look(cs []local.Controller) looked {
-	l := looked{make([]seen, len(cs))}
+// readControllers reads all controllers' status pages at once. Of each view, either err or
+// the rest is set.
+func readControllers(controllers []local.Controller) []controllerView {
+	views := make([]controllerView, len(controllers))
 	var wg sync.WaitGroup
-	for i, c := range cs {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+	for i, c := range controllers {
+		wg.Go(func() {
 			if c.Status == "" {
-				l.pages[i].err = errors.New("its status page's address is not known: use --cluster")
+				views[i].err = errNoStatusAddress
 				return
 			}
-			l.pages[i].err = local.Page(c.Status, &l.pages[i].page)
-			l.pages[i].at = time.Now()
-		}()
+			views[i].err = local.ReadStatus(c.Status, &views[i].status)
+			views[i].at = time.Now()
+		})
 	}
 	wg.Wait()
-	return l
-}
-
-// add takes what was seen; a controller that did not answer keeps its last good page.
-func (p *picture) add(l looked) {
-	for i, s := range l.pages {
-		p.pages[i].err = s.err
-		if s.err == nil {
-			p.pages[i] = s
-		}
-	}
+	return views
 }
 
-// leader is the newest page of whoever leads, as the newest epoch has it.
-func (p *picture) leader() *seen {
-	var best *seen
-	for i := range p.pages {
-		s := &p.pages[i]
-		if s.at.IsZero() || s.page.Leader != s.page.Label {
-			continue
-		}
-		if best == nil || s.page.Epoch > best.page.Epoch {
-			best = s
-		}
-	}
-	return best
+// screen is a cluster's view on a terminal.
+type screen struct {
+	clusterView
+	interval time.Duration
 }
 
-var (
-	headStyle = lipgloss.NewStyle().Bold(true)
-	badStyle  = lipgloss.NewStyle().Foreground(lipgloss.Color("9"))
-	dimStyle  = lipgloss.NewStyle().Faint(true)
+// Messages of the screen's loop.
+type (
+	controllersRead []controllerView
+	readDue         struct{}
 )
 
-func age(now, at time.Time) string { return fmt.Sprintf("%.0f s ago", now.Sub(at).Seconds()) }
-
-// view draws the picture for the width of the terminal.
-func (p *picture) view(now time.Time) string {
-	width := p.width
-	if width <= 0 {
-		width = 80
-	}
-	var b strings.Builder
-	line := func(style lipgloss.Style, format string, args ...any) {
-		text := runewidth.Truncate(fmt.Sprintf(format, args...), width, "…")
-		b.WriteString(style.Render(text) + "\n")
-	}
-	plain := lipgloss.NewStyle()
-	line(headStyle, "%-9s %-7s %5s %5s %5s %5s %6s %6s", "node", "role", "epoch", "mach", "tasks", "jobs", "p50 ms", "p99 ms")
-	machines, tasks := map[string]int{}, map[string]int{}
-	for i, c := range p.controllers {
-		s := &p.pages[i]
-		if s.at.IsZero() {
-			line(badStyle, "%-9s not seen yet: %v", c.Label, s.err)
-			continue
-		}
-		n, open := 0, 0
-		for _, m := range s.page.Machines {
-			machines[m.Zone]++
-			tasks[m.Zone] += m.Tasks
-			n += m.Tasks
-		}
-		for state, k := range s.page.Jobs {
-			if state == "queued" || state == "running" {
-				open += k
-			}
-		}
-		role := "member"
-		switch {
-		case s.page.Leader == s.page.Label:
-			role = "leader"
-		case !s.page.Entitled:
-			role = "outside"
-		}
-		style, note := plain, ""
-		if s.err != nil {
-			style, note = badStyle, "away, seen "+age(now, s.at)
-		}
-		line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", c.Label, role, s.page.Epoch, len(s.page.Machines), n, open, s.page.ResponseTimes.P50, s.page.ResponseTimes.P99, note)
-	}
-	b.WriteString("\n")
-	line(headStyle, "%-10s %5s %6s", "zone", "mach", "tasks")
-	for _, z := range sorted(machines) {
-		line(plain, "%-10s %5d %6d", z, machines[z], tasks[z])
-	}
-	b.WriteString("\n")
-	lead := p.leader()
-	if lead == nil {
-		line(badStyle, "no controller has said that it leads")
-		return b.String()
-	}
-	if lead.err != nil {
-		line(badStyle, "the leader is away; below is what it said %s", age(now, lead.at))
-	}
-	if lead.page.UnseenMachines > 0 {
-		line(badStyle, "a take-over waits for %d machines", lead.page.UnseenMachines)
-	}
-	line(headStyle, "%-14s %9s %9s %9s   (%.0f CPUs wanted)", "team", "CPUs", "promised", "limit", lead.page.DesiredCPUs)
-	for _, t := range sorted(lead.page.TeamCPUs) {
-		style := plain
-		promised, limit := "-", "-"
-		if x, ok := p.teams[t]; ok {
-			promised = fmt.Sprintf("%.1f", x.CPUs)
-			if x.CPUsMax > 0 {
-				limit = fmt.Sprintf("%.1f", x.CPUsMax)
-				if lead.page.TeamCPUs[t] > 0.99*x.CPUsMax {
-					style = badStyle
-				}
-			}
-		}
-		line(style, "%-14s %9.1f %9s %9s", t, lead.page.TeamCPUs[t], promised, limit)
-	}
-	b.WriteString("\n")
-	queue := append([]core.QueuedJobStatus(nil), lead.page.Queue...)
-	sort.Slice(queue, func(i, j int) bool {
-		if queue[i].Waiting != queue[j].Waiting {
-			return queue[i].Waiting > queue[j].Waiting
-		}
-		return queue[i].JobID < queue[j].JobID
-	})
-	line(headStyle, "%-22s %7s %7s  %s", fmt.Sprintf("job (%d open)", len(queue)), "waiting", "placed", "why it waits")
-	room := len(queue)
-	if p.height > 0 {
-		room = max(p.height-strings.Count(b.String(), "\n")-2, 1)
-	}
-	for i, q := range queue {
-		if i == room {
-			line(dimStyle, "and %d more", len(queue)-room)
-			break
-		}
-		line(plain, "%-22s %7d %7d  %s", q.JobID, q.Waiting, q.InFlight, q.Reason)
-	}
-	return b.String()
-}
-
-func sorted[V any](m map[string]V) []string {
-	var out []string
-	for k := range m {
-		out = append(out, k)
-	}
-	sort.Strings(out)
-	return out
+// Init begins with reading the controllers.
+func (s *screen) Init() tea.Cmd {
+	return func() tea.Msg { return controllersRead(readControllers(s.controllers)) }
 }
 
-// screen is the picture on a terminal.
-type screen struct {
-	picture
-	every time.Duration
-}
-
-type again struct{}
-
-// Init begins with a look.
-func (s *screen) Init() tea.Cmd { return func() tea.Msg { return look(s.controllers) } }
-
-// Update takes a key, a size or a look.
-func (s *screen) Update(m tea.Msg) (tea.Model, tea.Cmd) {
-	switch m := m.(type) {
+// Update takes a key, a size or what was read.
+func (s *screen) Update(message tea.Msg) (tea.Model, tea.Cmd) {
+	switch m := message.(type) {
 	case tea.KeyMsg:
 		switch m.String() {
 		case "q", "ctrl+c", "esc":
@@ -225,36 +70,41 @@
 		}
 	case tea.WindowSizeMsg:
 		s.width, s.height = m.Width, m.Height
-	case looked:
-		s.add(m)
-		return s, tea.Tick(s.every, func(time.Time) tea.Msg { return again{} })
-	case again:
+	case controllersRead:
+		s.update(m)
+		return s, tea.Tick(s.interval, func(time.Time) tea.Msg { return readDue{} })
+	case readDue:
 		return s, s.Init()
 	}
 	return s, nil
 }
 
-// View draws the picture.
-func (s *screen) View() string { return s.view(time.Now()) + dimStyle.Render("q ends") }
+// View draws the screen.
+func (s *screen) View() string { return s.render(time.Now()) + faintStyle.Render("q ends") }
 
 // Run watches the cluster.
-func (c *topCmd) Run(ctx context.Context, top *cli) error {
-	a, err := top.addresses()
+func (c *topCmd) Run(ctx context.Context, root *cli) error {
+	addresses, err := root.addresses()
 	if err != nil {
 		return err
 	}
-	p := picture{controllers: a.Controllers, pages: make([]seen, len(a.Controllers)), teams: map[string]config.Team{}}
-	for _, t := range a.Teams {
-		p.teams[t.Name] = t
+	view := clusterView{
+		controllers: addresses.Controllers,
+		views:       make([]controllerView, len(addresses.Controllers)),
+		teams:       map[string]config.Team{},
 	}
-	if c.Once || !terminal(os.Stdout) {
-		p.add(look(p.controllers))
-		fmt.Print(p.view(time.Now()))
+	for _, team := range addresses.Teams {
+		view.teams[team.Name] = team
+	}
+	if c.Once || !isTerminal(os.Stdout) {
+		view.update(readControllers(view.controllers))
+		fmt.Print(view.render(time.Now()))
 		return nil
 	}
-	_, err = tea.NewProgram(&screen{p, max(c.Every, 100*time.Millisecond)}, tea.WithAltScreen(), tea.WithContext(ctx)).Run()
+	program := tea.NewProgram(&screen{view, max(c.Every, minTopInterval)}, tea.WithAltScreen(), tea.WithContext(ctx))
+	_, err = program.Run()
 	if errors.Is(err, tea.ErrProgramKilled) {
-		return nil
+		return nil // the context ended
 	}
 	return err
 }
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -54,7 +54,7 @@
 	os.Exit(rc)
 }
 
-func built(t testing.TB) string {
+func buildPrograms(t testing.TB) string {
 	t.Helper()
 	dir, err := programs()
 	if err != nil {
@@ -63,24 +63,24 @@
 	return dir
 }
 
-// site is a cluster with short spans, so that what takes a lease takes three seconds.
-func site() Settings {
+// testSettings is a cluster with short spans, so that what takes a lease takes three seconds.
+func testSettings() Settings {
 	s := Defaults()
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 0.5, 3, 7
 	s.Cloud.RPS = 40
-	s.Cloud.Types = []Type{{Name: "one", CPUs: 1, MemoryGB: 2, CacheGB: 20, Price: 0.2, BootS: 0.2, MaxPerZone: 10}}
+	s.Cloud.Types = []MachineType{{Name: "one", CPUs: 1, MemoryGB: 2, CacheGB: 20, Price: 0.2, BootS: 0.2, MaxPerZone: 10}}
 	return s
 }
 
 // start starts a cluster of the programs that were built.
 func start(t testing.TB, opt Options) *Cluster {
 	t.Helper()
-	dir := built(t)
+	dir := buildPrograms(t)
 	if err := opt.Settings.check(""); err != nil {
 		t.Fatal(err)
 	}
-	opt.Chalkhubctl, opt.Chalkhub = []string{filepath.Join(dir, "chalkhubctl")}, filepath.Join(dir, "chalkhub")
-	opt.Log, opt.StartWait = slog.New(slog.NewTextHandler(io.Discard, nil)), 60*time.Second
+	opt.CtlCommand, opt.ControllerProgram = []string{filepath.Join(dir, "chalkhubctl")}, filepath.Join(dir, "chalkhub")
+	opt.Logger, opt.ReadyTimeout = slog.New(slog.NewTextHandler(io.Discard, nil)), 60*time.Second
 	c, err := Start(context.Background(), opt)
 	if err != nil {
 		t.Fatal(err)
@@ -88,14 +88,14 @@
 	return c
 }
 
-func up(t *testing.T, folder string, s Settings) *Cluster {
+func startCluster(t *testing.T, folder string, s Settings) *Cluster {
 	t.Helper()
-	return start(t, Options{Folder: folder, Settings: s})
+	return start(t, Options{Dir: folder, Settings: s})
 }
 
-// locking is an array whose tasks hold a lock for two seconds, which a second start of
+// lockingJob is an array whose tasks hold a lock for two seconds, which a second start of
 // theirs would notice, and append to a file as their last act.
-func locking(t *testing.T, tasks int) (client.Job, string) {
+func lockingJob(t *testing.T, tasks int) (client.Job, string) {
 	dir := t.TempDir()
 	return client.Job{Team: "main", Tasks: tasks, CPUs: 1, MemoryGB: 1, Estimate: 2 * time.Second, Env: map[string]string{"DIR": dir},
 		Command: []string{"sh", "-c", `exec 9>>"$DIR/lock.$CHALK_TASK"
@@ -104,9 +104,9 @@
 echo "done $CHALK_TASK $CHALK_ATTEMPT" >> "$DIR/lines"`}}, dir
 }
 
-// lines checks what the tasks of locking wrote and counts the attempts that came to their
+// checkLines checks what the tasks of locking wrote and counts the attempts that came to their
 // end.
-func lines(t *testing.T, dir string, tasks int) int {
+func checkLines(t *testing.T, dir string, tasks int) int {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(dir, "lines"))
 	if err != nil {
@@ -129,127 +129,156 @@
 	return len(attempts)
 }
 
-// Each task of an array holds a lock while anything of it runs, and appends to a file as
-// its last act. The leader is killed in the middle of it, then all controllers, the state
-// service, an agent, the cloud with all its agents; another agent is stopped beyond its lease. Every task comes to its
-// end, none runs on two machines at once, an attempt writes one line at most, and whatever
-// waits says why. What was done is still done when the cluster is started again.
-func TestKillsInTheMiddleOfAnArray(t *testing.T) {
-	folder := t.TempDir()
-	c := up(t, folder, site())
-	closed := false
-	defer func() {
-		if !closed {
-			_ = c.Close()
-		}
-	}()
-	cl, err := c.Client()
-	if err != nil {
-		t.Fatal(err)
+// arrayRun is an array that runs on a cluster whose processes are killed meanwhile.
+type arrayRun struct {
+	t       *testing.T
+	ctx     context.Context
+	cluster *Cluster
+	client  *client.Client
+	job     client.Job
+	done    int
+	silent  []string // statuses of an array that waits without a reason
+}
+
+func (a *arrayRun) observe(s *client.Status, err error) {
+	if err != nil || s.Final() {
+		return
 	}
-	ctx, stop := context.WithTimeout(context.Background(), 150*time.Second)
-	defer stop()
-	const tasks = 130
-	j, work := locking(t, tasks)
-	if _, err := cl.Submit(ctx, &j); err != nil {
-		t.Fatal(err)
+	a.done = s.Done
+	if s.Running == 0 && s.Reason == "" {
+		a.silent = append(a.silent, fmt.Sprintf("%+v", *s))
 	}
-	var silent []string
-	done := 0
-	see := func(s *client.Status, err error) {
-		if err != nil || s.Final() {
+}
+
+// waitDone waits until so many tasks are done, or the job is.
+func (a *arrayRun) waitDone(tasks int) {
+	a.t.Helper()
+	for a.done < tasks {
+		s, err := a.client.Query(a.ctx, a.job.ID)
+		a.observe(s, err)
+		if err == nil && s.Final() {
 			return
 		}
-		done = s.Done
-		if s.Running == 0 && s.Reason == "" {
-			silent = append(silent, fmt.Sprintf("%+v", *s))
+		if a.ctx.Err() != nil {
+			a.t.Fatalf("only %d tasks are done", a.done)
 		}
+		time.Sleep(100 * time.Millisecond)
 	}
-	until := func(n int) {
-		t.Helper()
-		for done < n {
-			s, err := cl.Query(ctx, j.ID)
-			see(s, err)
-			if err == nil && s.Final() {
-				return
-			}
-			if ctx.Err() != nil {
-				t.Fatalf("only %d tasks are done", done)
-			}
-			time.Sleep(100 * time.Millisecond)
+}
+
+func (a *arrayRun) kill(names ...string) {
+	a.t.Helper()
+	for _, name := range names {
+		if err := a.cluster.Kill(name); err != nil {
+			a.t.Error(err)
 		}
 	}
-	kill := func(names ...string) {
-		t.Helper()
-		for _, n := range names {
-			if err := c.Kill(n); err != nil {
-				t.Error(err)
+}
+
+// signalAgent sends a signal to any agent and returns its process ID.
+func (a *arrayRun) signalAgent(signal syscall.Signal) int {
+	a.t.Helper()
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		for _, pid := range a.cluster.AgentPIDs() {
+			if syscall.Kill(pid, signal) == nil {
+				return pid
 			}
 		}
 	}
-	agent := func(sig syscall.Signal) int {
-		t.Helper()
-		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			for _, pid := range c.Agents() {
-				if syscall.Kill(pid, sig) == nil {
-					return pid
-				}
-			}
-		}
-		t.Fatal("no agent runs")
-		return 0
-	}
-	until(15)
-	agents := len(c.Agents())
-	kill(c.Leader())
-	until(30)
-	kill("ctl-0", "ctl-1", "ctl-2")
-	until(45)
-	kill("state")
-	until(60)
-	agent(syscall.SIGKILL)
-	until(75)
+	a.t.Fatal("no agent runs")
+	return 0
+}
+
+// disturb kills the leader, then all controllers, the state service, an agent, and the cloud
+// with all its agents; it stops one agent while the cloud dies, another beyond its lease.
+func (a *arrayRun) disturb() {
+	a.t.Helper()
+	a.waitDone(15)
+	a.t.Logf("%d agents", len(a.cluster.AgentPIDs()))
+	a.kill(a.cluster.Leader())
+	a.waitDone(30)
+	a.kill("ctl-0", "ctl-1", "ctl-2")
+	a.waitDone(45)
+	a.kill("state")
+	a.waitDone(60)
+	a.signalAgent(syscall.SIGKILL)
+	a.waitDone(75)
 	// An agent that is stopped when its cloud ends does not see that.
-	agent(syscall.SIGSTOP)
-	kill("cloud")
-	until(95)
-	pid := agent(syscall.SIGSTOP)
+	a.signalAgent(syscall.SIGSTOP)
+	a.kill("cloud")
+	a.waitDone(95)
+	pid := a.signalAgent(syscall.SIGSTOP)
 	time.Sleep(4 * time.Second)
 	_ = syscall.Kill(pid, syscall.SIGCONT) // its machine may have been deleted meanwhile
-	s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, see)
+}
+
+// Each task of an array holds a lock while anything of it runs, and appends to a file as
+// its last act. Processes of the cluster are killed and stopped meanwhile. Every task comes
+// to its end, none runs on two machines at once, an attempt writes one line at most, and
+// whatever waits says why. What was done is still done when the cluster is started again.
+func TestArraySurvivesKilledProcesses(t *testing.T) {
+	dir := t.TempDir()
+	c := startCluster(t, dir, testSettings())
+	closed := false
+	defer func() {
+		if !closed {
+			_ = c.Close()
+		}
+	}()
+	cl, err := c.Client()
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 150*time.Second)
+	defer cancel()
+	const tasks = 130
+	job, work := lockingJob(t, tasks)
+	run := &arrayRun{t: t, ctx: ctx, cluster: c, client: cl, job: job}
+	if _, err := cl.Submit(ctx, &run.job); err != nil {
+		t.Fatal(err)
+	}
+	run.disturb()
+	s, err := cl.Wait(ctx, run.job.ID, 200*time.Millisecond, run.observe)
 	if err != nil || s.State != "done" || s.Done != tasks {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	attempts := lines(t, work, tasks)
-	if len(silent) > 0 {
-		t.Errorf("waits without a reason: %v", silent)
+	attempts := checkLines(t, work, tasks)
+	if len(run.silent) > 0 {
+		t.Errorf("waits without a reason: %v", run.silent)
 	}
-	t.Logf("%d agents, %d attempts for %d tasks", agents, attempts, tasks)
-	// Start it all again on the same data.
+	t.Logf("%d attempts for %d tasks", attempts, tasks)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
 	closed = true
-	c = up(t, folder, site())
+	checkDoneAfterRestart(ctx, t, dir, &run.job)
+}
+
+// checkDoneAfterRestart starts a cluster on the data of an earlier one, which has done the
+// job.
+func checkDoneAfterRestart(ctx context.Context, t *testing.T, dir string, job *client.Job) {
+	t.Helper()
+	c := startCluster(t, dir, testSettings())
 	defer func() { _ = c.Close() }()
-	if cl, err = c.Client(); err != nil {
+	cl, err := c.Client()
+	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := cl.Query(ctx, j.ID); err != nil || s.State != "done" {
-		t.Fatalf("after a start: %+v, %v", s, err)
+	if s, err := cl.Query(ctx, job.ID); err != nil || s.State != "done" {
+		t.Fatalf("after a restart: %+v, %v", s, err)
 	}
-	if s, err := cl.Submit(ctx, &j); err != nil || s.State != "done" {
+	if s, err := cl.Submit(ctx, job); err != nil || s.State != "done" {
 		t.Fatalf("submitted again: %+v, %v", s, err)
 	}
 }
 
 // Spot machines are taken back every few seconds, after a notice that is too short for the
 // longer half of the tasks: all are done in the end, none runs twice at once.
-func TestMachinesAreTakenBack(t *testing.T) {
-	s := site()
+func TestArraySurvivesSpotPreemption(t *testing.T) {
+	s := testSettings()
 	s.Cloud.SpotLifeS, s.Cloud.NoticeS = 5, 1.5
 	s.Cloud.Types[0].SpotPrice, s.Cloud.Types[0].MaxPerZone = 0.01, 4
-	c := up(t, t.TempDir(), s)
+	c := startCluster(t, t.TempDir(), s)
 	defer func() { _ = c.Close() }()
 	cl, err := c.Client()
 	if err != nil {
@@ -258,7 +287,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Second)
 	defer stop()
 	const tasks = 30
-	j, work := locking(t, tasks)
+	j, work := lockingJob(t, tasks)
 	j.Spot = true
 	if _, err := cl.Submit(ctx, &j); err != nil {
 		t.Fatal(err)
@@ -266,8 +295,8 @@
 	if s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, nil); err != nil || s.State != "done" {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	attempts := lines(t, work, tasks)
-	b, err := os.ReadFile(filepath.Join(c.Folder(), "logs", "agents.log"))
+	attempts := checkLines(t, work, tasks)
+	b, err := os.ReadFile(filepath.Join(c.Dir(), "logs", "agents.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,12 +305,12 @@
 }
 
 // Two clusters on one machine do not meet, and one folder takes one cluster.
-func TestTwoClusters(t *testing.T) {
-	s := site()
+func TestClustersAreIsolated(t *testing.T) {
+	s := testSettings()
 	s.Controllers = 1
-	a, b := up(t, t.TempDir(), s), up(t, t.TempDir(), s)
+	a, b := startCluster(t, t.TempDir(), s), startCluster(t, t.TempDir(), s)
 	defer func() { _ = b.Close() }()
-	if _, err := Start(context.Background(), a.opt); err == nil || !strings.Contains(err.Error(), "another cluster is running in") {
+	if _, err := Start(context.Background(), a.options); err == nil || !strings.Contains(err.Error(), "another cluster is running in") {
 		t.Errorf("one folder for two: %v", err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
@@ -298,7 +327,7 @@
 	if s, err := cb.Query(ctx, j.ID); err == nil {
 		t.Fatalf("the other cluster knows it: %+v", s)
 	}
-	agents := a.Agents()
+	agents := a.AgentPIDs()
 	if len(agents) == 0 {
 		t.Fatal("no agent ran")
 	}
@@ -313,8 +342,8 @@
 }
 
 // Whatever keeps a cluster from starting is said in one sentence.
-func TestPlainErrors(t *testing.T) {
-	dir := built(t)
+func TestStartupErrorsAreOneSentence(t *testing.T) {
+	dir := buildPrograms(t)
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -344,7 +373,7 @@
 		"is not a job id":                             {"--controllers", "127.0.0.1:1", "status", "job-x"},
 		"no controller takes the request now":         {"--controllers", "127.0.0.1:1", "status", "job-1"},
 		"no snapshot came within":                     {"state", "snapshot", t.TempDir(), "--timeout", "200ms"},
-		"s.db: the file is damaged: it is empty":      {"state", "verify", empty(t)},
+		"s.db: the file is damaged: it is empty":      {"state", "verify", emptyFile(t)},
 		"the request is malformed: \"job-1x\" is not": {"--controllers", "127.0.0.1:1", "abort", "job-1x"},
 	} {
 		cmd := exec.Command(alone, args...)
@@ -358,7 +387,7 @@
 	}
 }
 
-func empty(t *testing.T) string {
+func emptyFile(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "s.db")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
