--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -12,33 +12,33 @@
 
 // Cloud rents machines.
 type Cloud struct {
-	w        *World
-	types    []protocol.MachineType
-	machines map[string]*machine
-	answers  map[string][]string
-	next     int
+	cluster      *World
+	types        []protocol.MachineType
+	machines     map[string]*machine
+	responses    map[string][]string
+	lastInstance int
 	// Capacity is how many machines there are of a type, or of a type in a zone
 	// ("box a"); absent: any.
 	Capacity map[string]int
 	// NeverUp makes the next machines that are rented stay booting.
-	NeverUp int
-	Hired   int
-	Deleted int
-	Refused int     // calls above the limit
-	Out     bool    // an outage
-	Boots   float64 // boots take so many times as long, 0: once
-	AtOnce  bool    // machines are up within two seconds
-	calls   bucket
+	NeverUp    int
+	Hired      int
+	Deleted    int
+	Refused    int     // calls above the limit
+	Out        bool    // an outage
+	Boots      float64 // boots take so many times as long, 0: once
+	AtOnce     bool    // machines are up within two seconds
+	callBucket tokenBucket
 }
 
 type machine struct {
 	protocol.Instance
-	since time.Duration
-	gone  time.Duration // 0: there
+	createdAt time.Duration
+	deletedAt time.Duration // 0: there
 }
 
 func newCloud(w *World, types []protocol.MachineType) *Cloud {
-	return &Cloud{w: w, types: types, machines: map[string]*machine{}, answers: map[string][]string{}, Capacity: map[string]int{}}
+	return &Cloud{cluster: w, types: types, machines: map[string]*machine{}, responses: map[string][]string{}, Capacity: map[string]int{}}
 }
 
 // Type is one of the types.
@@ -53,30 +53,30 @@
 
 // Add puts up a running machine that nobody asked for.
 func (c *Cloud) Add(typ, zone string, spot bool) string {
-	name := c.add(typ, zone, spot)
-	c.up(name)
+	name := c.addBooting(typ, zone, spot)
+	c.finishBoot(name)
 	return name
 }
 
-func (c *Cloud) add(typ, zone string, spot bool) string {
-	c.next++
-	name := fmt.Sprintf("n-%06d", c.next)
-	c.machines[name] = &machine{since: c.w.Now, Instance: protocol.Instance{
+func (c *Cloud) addBooting(typ, zone string, spot bool) string {
+	c.lastInstance++
+	name := fmt.Sprintf("n-%06d", c.lastInstance)
+	c.machines[name] = &machine{createdAt: c.cluster.Now, Instance: protocol.Instance{
 		Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: protocol.MachineBooting}}
 	return name
 }
 
-func (c *Cloud) up(name string) {
+func (c *Cloud) finishBoot(name string) {
 	m := c.machines[name]
-	if m == nil || m.gone > 0 {
+	if m == nil || m.deletedAt > 0 {
 		return
 	}
 	m.State = protocol.MachineRunning
-	c.w.Workers[name] = newWorker(c.w, m.Instance)
+	c.cluster.Workers[name] = newWorker(c.cluster, m.Instance)
 }
 
-func (c *Cloud) hire(h protocol.CreateMachinesRequest) ([]string, core.CloudOutcome) {
-	if names := c.answers[h.Request]; names != nil {
+func (c *Cloud) createInstances(h protocol.CreateMachinesRequest) ([]string, core.CloudOutcome) {
+	if names := c.responses[h.Request]; names != nil {
 		return names, core.CloudDone
 	}
 	if outcome := c.refuses(); outcome != core.CloudDone {
@@ -90,7 +90,7 @@
 		}
 		have := 0
 		for _, m := range c.machines {
-			if m.gone == 0 && (pool == m.Type || pool == m.Type+" "+m.Zone) {
+			if m.deletedAt == 0 && (pool == m.Type || pool == m.Type+" "+m.Zone) {
 				have++
 			}
 		}
@@ -101,31 +101,31 @@
 	}
 	var names []string
 	for range n {
-		name := c.add(h.Type, h.Zone, h.Spot)
+		name := c.addBooting(h.Type, h.Zone, h.Spot)
 		names = append(names, name)
 		c.Hired++
 		if c.NeverUp > 0 {
 			c.NeverUp--
 			continue
 		}
-		boot := config.Seconds(c.Type(h.Type).BootS * (0.6 + 0.9*c.w.Rand.Float64()) * max(c.Boots, 1))
+		boot := config.Seconds(c.Type(h.Type).BootS * (0.6 + 0.9*c.cluster.Rand.Float64()) * max(c.Boots, 1))
 		if c.AtOnce {
-			boot = time.Duration(c.w.Rand.Int64N(int64(2 * time.Second)))
+			boot = time.Duration(c.cluster.Rand.Int64N(int64(2 * time.Second)))
 		}
-		c.w.After(boot, func() { c.up(name) })
+		c.cluster.After(boot, func() { c.finishBoot(name) })
 	}
-	c.answers[h.Request] = names
+	c.responses[h.Request] = names
 	return names, core.CloudDone
 }
 
 // Remove takes machines away, by deletion or without a word.
 func (c *Cloud) Remove(names ...string) {
 	for _, n := range names {
-		if m := c.machines[n]; m != nil && m.gone == 0 {
-			m.gone = c.w.Now
+		if m := c.machines[n]; m != nil && m.deletedAt == 0 {
+			m.deletedAt = c.cluster.Now
 			c.Deleted++
-			if k := c.w.Workers[n]; k != nil {
-				k.die()
+			if k := c.cluster.Workers[n]; k != nil {
+				k.remove()
 			}
 		}
 	}
@@ -137,14 +137,14 @@
 	if c.Out {
 		return core.CloudUnavailable
 	}
-	rps := c.w.Set.Site.Cloud.RPS
-	c.calls.used = max(c.calls.used-(c.w.Now-c.calls.at).Seconds()*rps, 0)
-	c.calls.at = c.w.Now
-	if c.calls.used+1 > 2*rps {
+	rps := c.cluster.Set.Site.Cloud.RPS
+	c.callBucket.used = max(c.callBucket.used-(c.cluster.Now-c.callBucket.updatedAt).Seconds()*rps, 0)
+	c.callBucket.updatedAt = c.cluster.Now
+	if c.callBucket.used+1 > 2*rps {
 		c.Refused++
 		return core.CloudThrottled
 	}
-	c.calls.used++
+	c.callBucket.used++
 	return core.CloudDone
 }
 
@@ -153,14 +153,14 @@
 	if outcome := c.refuses(); outcome != core.CloudDone {
 		return core.ListInstancesResult{Outcome: outcome}
 	}
-	lag := config.Seconds(c.w.Set.Site.Cloud.ListLagS)
+	lag := config.Seconds(c.cluster.Set.Site.Cloud.ListLagS)
 	var out []protocol.Instance
 	for _, m := range c.machines {
-		if m.Name <= since || m.since+lag > c.w.Now || m.gone > 0 && m.gone+lag <= c.w.Now {
+		if m.Name <= since || m.createdAt+lag > c.cluster.Now || m.deletedAt > 0 && m.deletedAt+lag <= c.cluster.Now {
 			continue
 		}
 		x := m.Instance
-		x.AgeS = (c.w.Now - lag - m.since).Seconds()
+		x.AgeS = (c.cluster.Now - lag - m.createdAt).Seconds()
 		out = append(out, x)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -48,16 +48,16 @@
 
 	// KeepReports has a copy kept of a report of each machine, the first from then on, for
 	// the moment at which somebody else begins to lead: all controllers get it then.
-	KeepReports bool
-	kept        map[string]protocol.Heartbeat
-	leader      string // the process that led when that was looked at last
+	KeepReports        bool
+	retainedHeartbeats map[string]protocol.Heartbeat
+	lastLeader         string // the process that led when that was looked at last
 
-	links  map[ends]*Link
-	held   []packet
-	events eventHeap
-	seq    uint64
-	peers  map[uint64]*peerLink
-	linkID uint64
+	links       map[endpoints]*Link
+	heldPackets []heldPacket
+	events      eventHeap
+	eventSeq    uint64
+	peerLinks   map[uint64]*peerLink
+	lastLinkID  uint64
 }
 
 // Settings describes a small deployment with n controllers.
@@ -96,13 +96,13 @@
 	w := &World{
 		Rand: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), Set: set, Policy: config.DefaultPolicy(),
 		Workers: map[string]*Worker{}, Latency: 2 * time.Millisecond,
-		kept: map[string]protocol.Heartbeat{}, links: map[ends]*Link{}, peers: map[uint64]*peerLink{},
+		retainedHeartbeats: map[string]protocol.Heartbeat{}, links: map[endpoints]*Link{}, peerLinks: map[uint64]*peerLink{},
 	}
-	w.State = newState(w)
+	w.State = newStore(w)
 	w.Cloud = newCloud(w, types)
 	w.Users = newUsers(w)
 	for _, s := range set.Siblings {
-		nd := &Node{w: w, Label: s.Label, Zone: s.Zone, rate: 1 + (w.Rand.Float64()*2-1)*0.00025}
+		nd := &Node{cluster: w, Label: s.Label, Zone: s.Zone, clockRate: 1 + (w.Rand.Float64()*2-1)*0.00025}
 		w.Nodes = append(w.Nodes, nd)
 		nd.Start()
 	}
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -7,8 +7,8 @@
 
 // At runs f at a moment of simulated time.
 func (w *World) At(t time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.events, event{at: max(t, w.Now), seq: w.seq, f: f})
+	w.eventSeq++
+	heap.Push(&w.events, event{at: max(t, w.Now), seq: w.eventSeq, run: f})
 }
 
 // After runs f after a span of simulated time.
@@ -19,7 +19,7 @@
 	for len(w.events) > 0 && w.events[0].at <= t {
 		e := heap.Pop(&w.events).(event)
 		w.Now = e.at
-		e.f()
+		e.run()
 	}
 	w.Now = t
 }
@@ -32,7 +32,7 @@
 		}
 		e := heap.Pop(&w.events).(event)
 		w.Now = e.at
-		e.f()
+		e.run()
 	}
 	return true
 }
@@ -40,7 +40,7 @@
 type event struct {
 	at  time.Duration
 	seq uint64
-	f   func()
+	run func()
 }
 
 type eventHeap []event
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -13,41 +13,41 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// keep takes a copy of a report for the next leader.
-func (w *World) keep(r protocol.Heartbeat) {
-	if _, ok := w.kept[r.Machine]; !ok && w.KeepReports {
-		if len(w.kept) == 0 {
-			w.leader = w.leads()
-			w.watchLeader()
+// retain takes a copy of a report for the next leader.
+func (w *World) retain(r protocol.Heartbeat) {
+	if _, ok := w.retainedHeartbeats[r.Machine]; !ok && w.KeepReports {
+		if len(w.retainedHeartbeats) == 0 {
+			w.lastLeader = w.currentLeader()
+			w.releaseAtFailover()
 		}
-		w.kept[r.Machine] = r
+		w.retainedHeartbeats[r.Machine] = r
 	}
 }
 
-// leads names the process that leads, empty: none does.
-func (w *World) leads() string {
+// currentLeader names the process that leads, empty: none does.
+func (w *World) currentLeader() string {
 	for _, n := range w.Nodes {
 		if n.Alive() && n.Core.IsLeader() {
-			return fmt.Sprintf("%s.%d", n.Label, n.life)
+			return fmt.Sprintf("%s.%d", n.Label, n.incarnation)
 		}
 	}
 	return ""
 }
 
-// watchLeader hands the kept reports out, in any order, once another process leads, and again
+// releaseAtFailover hands the kept reports out, in any order, once another process leads, and again
 // and again while it takes over: until a map is its own nobody reads a report.
-func (w *World) watchLeader() {
-	now := w.leads()
-	if now == "" || now == w.leader {
-		w.After(5*time.Millisecond, w.watchLeader)
+func (w *World) releaseAtFailover() {
+	now := w.currentLeader()
+	if now == "" || now == w.lastLeader {
+		w.After(5*time.Millisecond, w.releaseAtFailover)
 		return
 	}
-	kept := w.kept
-	w.kept = map[string]protocol.Heartbeat{}
+	kept := w.retainedHeartbeats
+	w.retainedHeartbeats = map[string]protocol.Heartbeat{}
 	for _, name := range slices.Sorted(maps.Keys(kept)) {
 		for _, n := range w.Nodes {
 			for _, after := range []time.Duration{0, 60, 130, 250, 500, 1000, 2000} {
-				w.After(after*time.Millisecond+w.delay(), func() {
+				w.After(after*time.Millisecond+w.networkDelay(), func() {
 					n.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: kept[name]} }, func(core.Reply) {})
 				})
 			}
@@ -101,21 +101,21 @@
 	if notice > 0 {
 		s := notice.Seconds()
 		k.NoticeS = &s
-		k.changed()
+		k.statusChanged()
 	}
-	k.w.After(notice, func() { k.w.Cloud.Remove(k.Info.Name) })
+	k.cluster.After(notice, func() { k.cluster.Cloud.Remove(k.Info.Name) })
 }
 
 // Outage makes the service refuse everybody for a while; leases are frozen and
 // have their full time afterwards.
 func (s *State) Outage(d time.Duration) {
 	s.Out = true
-	s.w.After(d, func() {
+	s.cluster.After(d, func() {
 		s.Out = false
-		for _, id := range slices.Sorted(maps.Keys(s.now.LeaseTTLs())) {
-			s.arm(id)
+		for _, id := range slices.Sorted(maps.Keys(s.state.LeaseTTLs())) {
+			s.armLease(id)
 		}
-		s.wake()
+		s.wakeWatches()
 	})
 }
 
@@ -133,29 +133,29 @@
 // StandStill stops the process where it is, without ending it: what it was about
 // to say is said when it wakes, and what comes meanwhile piles up.
 func (n *Node) StandStill(d time.Duration) {
-	n.still = true
-	n.w.After(d, n.inLife(func() {
-		n.still = false
-		said := n.tongue
-		n.tongue = nil
+	n.paused = true
+	n.cluster.After(d, n.ifSameProcess(func() {
+		n.paused = false
+		said := n.pendingEffects
+		n.pendingEffects = nil
 		for _, e := range said {
 			n.perform(e)
 		}
-		n.woken = false
+		n.wakeScheduled = false
 		n.wake(0)
 	}))
 }
 
 // Crash ends the process, and starts it again after a while if that is above 0.
 func (n *Node) Crash(back time.Duration) {
-	n.life++
+	n.incarnation++
 	n.Core, n.Ready = nil, false
-	for _, l := range n.w.siblings() {
-		if l.a == n || l.b == n {
+	for _, l := range n.cluster.sortedPeerLinks() {
+		if l.dialer == n || l.acceptor == n {
 			l.close()
 		}
 	}
 	if back > 0 {
-		n.w.After(back, n.Start)
+		n.cluster.After(back, n.Start)
 	}
 }
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -7,15 +7,15 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// gang lets a gang run once all of its tasks are on machines, and ends the task
+// runGangTask lets a gang run once all of its tasks are on machines, and ends the task
 // if that takes too long or a peer is lost.
-func (u *Users) gang(k *Worker, t *Task) {
+func (u *Users) runGangTask(k *Worker, t *Task) {
 	j := t.job
-	w := u.w
+	w := u.cluster
 	all := func() bool { // of this very start
-		n := len(j.done)
-		for name, m := range j.on {
-			if other := w.Workers[m]; other != nil && other.attempt(name) == t.Attempt {
+		n := len(j.completed)
+		for name, m := range j.machines {
+			if other := w.Workers[m]; other != nil && other.currentAttempt(name) == t.Attempt {
 				n++
 			}
 		}
@@ -25,13 +25,13 @@
 	var watch func()
 	started, missing := time.Duration(0), time.Duration(0)
 	watch = func() {
-		if !t.on() || j.on[t.Name] != k.Info.Name {
+		if !t.occupiesMachine() || j.machines[t.Name] != k.Info.Name {
 			return
 		}
 		switch {
 		case t.State == protocol.TaskWaiting && all():
 			t.State, started = protocol.TaskRunning, w.Now
-			k.changed()
+			k.statusChanged()
 		case t.State == protocol.TaskWaiting && w.Now > wait:
 			k.exit(t, protocol.ExitGangIncomplete)
 			return
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -6,9 +6,9 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// leftAfter is how long a job may wait, once all troubles are over, while one and the same
+// maxIdleWait is how long a job may wait, once all troubles are over, while one and the same
 // machine could take its next task all the time and its team is under its limit.
-const leftAfter = 90 * time.Second
+const maxIdleWait = 90 * time.Second
 
 // checkWaiting looks whether a job waits for nothing; its user's polls call it. How what is
 // not a plain array is judged:
@@ -22,41 +22,41 @@
 //     takes nothing, and a job that fails everywhere waits for its next try: none of these
 //     count. A machine that is in quarantine for such a job's sake does.
 func (u *Users) checkWaiting(j *Job) {
-	if u.Calm == 0 || u.w.Now < u.Calm || !u.couldStart(j) {
-		j.waits = nil
+	if u.Calm == 0 || u.cluster.Now < u.Calm || !u.couldStart(j) {
+		j.idleSince = nil
 		return
 	}
 	since := map[string]time.Duration{}
 	room := map[string]int{} // tasks, by zone
-	for name, k := range u.w.Workers {
-		n := k.takes(&j.Spec)
+	for name, k := range u.cluster.Workers {
+		n := k.fittingTasks(&j.Spec)
 		if n == 0 || !u.placeAllows(j, k.Info.Zone) {
 			continue
 		}
 		room[k.Info.Zone] += n
-		if at, ok := j.waits[name]; ok && k.tookAt < at {
+		if at, ok := j.idleSince[name]; ok && k.lastTaskAt < at {
 			since[name] = at
 		} else {
-			since[name] = u.w.Now
+			since[name] = u.cluster.Now
 		}
 	}
-	if j.Spec.Kind == protocol.KindGang && !holdsAll(&j.Spec, room) {
+	if j.Spec.Kind == protocol.KindGang && !allCapacityCovers(&j.Spec, room) {
 		since = nil
 	}
-	j.waits = since
+	j.idleSince = since
 	for name, at := range since {
-		if u.w.Now-max(at, j.startedAt) > leftAfter {
-			s, m := &j.Spec, u.w.Workers[name].Info
-			u.w.broke("left_waiting", "%s (%s, %d tasks of %g CPUs, zone %q, one zone %v, spread %v, spot %v) is %s (%s); %s (%s in %s, spot %v) has had room for it since %.3f",
+		if u.cluster.Now-max(at, j.lastStartAt) > maxIdleWait {
+			s, m := &j.Spec, u.cluster.Workers[name].Info
+			u.cluster.recordViolation("left_waiting", "%s (%s, %d tasks of %g CPUs, zone %q, one zone %v, spread %v, spot %v) is %s (%s); %s (%s in %s, spot %v) has had room for it since %.3f",
 				s.ID, s.Kind, s.Tasks, s.CPUs, s.Zone, s.OneZone, s.Spread, s.AllowSpot, j.Told, j.Answer.Reason, name, m.Type, m.Zone, m.Spot, at.Seconds())
-			j.startedAt = u.w.Now // said once
+			j.lastStartAt = u.cluster.Now // said once
 			return
 		}
 	}
 }
 
-// holdsAll reports whether all tasks of a gang find room at once, so many in each zone.
-func holdsAll(s *protocol.Job, room map[string]int) bool {
+// allCapacityCovers reports whether all tasks of a gang find room at once, so many in each zone.
+func allCapacityCovers(s *protocol.Job, room map[string]int) bool {
 	most, all := 0, 0
 	for _, n := range room {
 		if s.Spread {
@@ -71,18 +71,18 @@
 // jobs that it needs go.
 func (u *Users) couldStart(j *Job) bool {
 	s := &j.Spec
-	if !j.Accepted || j.Mistaken || j.aborting || u.cancelledBefore(j) != nil || j.Told == protocol.JobDone || j.Told == protocol.JobCancelled {
+	if !j.Accepted || j.Mistaken || j.cancelRequested || u.cancelledDependency(j) != nil || j.Told == protocol.JobDone || j.Told == protocol.JobCancelled {
 		return false
 	}
 	for _, id := range s.Dependencies {
-		if x := u.jobs[id]; x != nil && len(x.done) < x.Spec.Tasks {
+		if x := u.jobs[id]; x != nil && len(x.completed) < x.Spec.Tasks {
 			return false
 		}
 	}
-	taken := len(j.done)
-	for _, k := range u.w.Workers {
+	taken := len(j.completed)
+	for _, k := range u.cluster.Workers {
 		for _, t := range k.Tasks {
-			if t.job == j && !j.done[t.index] && t.takesRoom() {
+			if t.job == j && !j.completed[t.index] && t.usesCapacity() {
 				taken++
 			}
 		}
@@ -94,7 +94,7 @@
 	if s.Kind == protocol.KindGang {
 		n = float64(s.Tasks)
 	}
-	for _, t := range u.w.Set.Site.Teams {
+	for _, t := range u.cluster.Set.Site.Teams {
 		if t.Name == s.Team && (t.CPUsMax > 0 && u.cpus[s.Team]+n*s.CPUs > t.CPUsMax || t.GPUsMax > 0 && u.gpus[s.Team]+n*s.GPUs > t.GPUsMax) {
 			return false
 		}
@@ -109,8 +109,8 @@
 		return false
 	}
 	here, all := 0, 0
-	for _, m := range j.on {
-		if k := u.w.Workers[m]; k != nil {
+	for _, m := range j.machines {
+		if k := u.cluster.Workers[m]; k != nil {
 			all++
 			if k.Info.Zone == zone {
 				here++
@@ -120,13 +120,13 @@
 	return (!s.OneZone || here == all) && (!s.Spread || here < (s.Tasks+1)/2)
 }
 
-// takes is how many tasks of a job the machine could take now, by its type, kind and room.
-func (k *Worker) takes(s *protocol.Job) int {
+// fittingTasks is how many tasks of a job the machine could take now, by its type, kind and room.
+func (k *Worker) fittingTasks(s *protocol.Job) int {
 	ok := len(s.MachineTypes) == 0
 	for _, t := range s.MachineTypes {
 		ok = ok || t == k.Info.Type
 	}
-	if !ok || k.Info.Spot && !s.AllowSpot || k.Hung || k.Faulty || k.failed || k.Mute || k.NoticeS != nil {
+	if !ok || k.Info.Spot && !s.AllowSpot || k.Hung || k.Faulty || k.hardwareFailed || k.Mute || k.NoticeS != nil {
 		return 0
 	}
 	free := k.free()
@@ -135,7 +135,7 @@
 		n = min(n, int((free.gpus+1e-9)/s.GPUs))
 	}
 	if s.MemoryGB > 0 {
-		n = min(n, int((free.mem+1e-9)/s.MemoryGB))
+		n = min(n, int((free.memoryGB+1e-9)/s.MemoryGB))
 	}
 	return n
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -29,23 +29,23 @@
 	Unread  = Link{Largest: 1}
 )
 
-// bars reports whether no connection is made over it.
-func (l *Link) bars() bool { return l.Drop || l.Hold || l.Refuse || l.Reset }
+// blocksConnections reports whether no connection is made over it.
+func (l *Link) blocksConnections() bool { return l.Drop || l.Hold || l.Refuse || l.Reset }
 
-// up is how long it takes until a flapping link lets packets pass.
-func (l *Link) up(now time.Duration) time.Duration {
+// untilUp is how long it takes until a flapping link lets packets pass.
+func (l *Link) untilUp(now time.Duration) time.Duration {
 	if l.Period == 0 || (now-l.since)/l.Period%2 == 1 {
 		return 0
 	}
 	return l.Period - (now-l.since)%l.Period
 }
 
-// ends are two ends, from the first to the second.
-type ends [2]string
+// endpoints are two ends, from the first to the second.
+type endpoints [2]string
 
-// packet is one that a link holds.
-type packet struct {
-	path ends
+// heldPacket is one that a link holds.
+type heldPacket struct {
+	path endpoints
 	send func()
 }
 
@@ -54,14 +54,14 @@
 // those of zone a, "workers/even" and "workers/odd" for about half of them, and "zone a"
 // for whatever is in that zone.
 func (w *World) Link(from, to string, l Link) {
-	path := ends{from, to}
+	path := endpoints{from, to}
 	if l == (Link{}) {
 		delete(w.links, path)
 	} else {
 		l.since = w.Now
 		w.links[path] = &l
 	}
-	w.release(path)
+	w.releaseHeld(path)
 }
 
 // Between does so in both directions.
@@ -70,34 +70,34 @@
 	w.Link(b, a, l)
 }
 
-// release sends again what a path held, and breaks the links between controllers that have
+// releaseHeld sends again what a path held, and breaks the links between controllers that have
 // lost something and could now be made anew.
-func (w *World) release(path ends) {
-	kept := w.held
-	w.held = nil
+func (w *World) releaseHeld(path endpoints) {
+	kept := w.heldPackets
+	w.heldPackets = nil
 	for _, p := range kept {
 		if p.path == path {
 			p.send()
 		} else {
-			w.held = append(w.held, p)
+			w.heldPackets = append(w.heldPackets, p)
 		}
 	}
-	for _, l := range w.siblings() {
-		if (l.gap[0] || l.gap[1]) && !w.barred(l.a.Label, l.b.Label) {
+	for _, l := range w.sortedPeerLinks() {
+		if (l.lossy[0] || l.lossy[1]) && !w.connectionBlocked(l.dialer.Label, l.acceptor.Label) {
 			l.close()
 		}
 	}
 }
 
-// barred reports whether no connection is made between two ends.
-func (w *World) barred(a, b string) bool {
-	to, _ := w.way(a, b)
-	back, _ := w.way(b, a)
-	return to.bars() || back.bars()
+// connectionBlocked reports whether no connection is made between two ends.
+func (w *World) connectionBlocked(a, b string) bool {
+	to, _ := w.linkBetween(a, b)
+	back, _ := w.linkBetween(b, a)
+	return to.blocksConnections() || back.blocksConnections()
 }
 
-// names are those that an end answers to, its zone's not among them.
-func (w *World) names(end string) []string {
+// endpointNames are those that an end answers to, its zone's not among them.
+func (w *World) endpointNames(end string) []string {
 	if !strings.HasPrefix(end, "n-") {
 		return []string{end}
 	}
@@ -105,11 +105,11 @@
 	if (end[len(end)-1]-'0')%2 == 1 {
 		half = "workers/odd"
 	}
-	return []string{end, "workers", "workers/" + w.zone(end), half}
+	return []string{end, "workers", "workers/" + w.zoneOf(end), half}
 }
 
-// zone is where an end is, empty for what is regional.
-func (w *World) zone(end string) string {
+// zoneOf is where an end is, empty for what is regional.
+func (w *World) zoneOf(end string) string {
 	if k := w.Workers[end]; k != nil {
 		return k.Info.Zone
 	}
@@ -121,25 +121,25 @@
 	return ""
 }
 
-// way is what becomes of a packet from one end to another now: all that was said of that
+// linkBetween is what becomes of a packet from one end to another now: all that was said of that
 // path together, and the path that would hold it.
-func (w *World) way(from, to string) (sum Link, path ends) {
+func (w *World) linkBetween(from, to string) (sum Link, path endpoints) {
 	if len(w.links) == 0 {
 		return
 	}
 	take := func(a, b string) {
-		l := w.links[ends{a, b}]
+		l := w.links[endpoints{a, b}]
 		if l == nil {
 			return
 		}
-		wait := l.up(w.Now)
+		wait := l.untilUp(w.Now)
 		if l.Period > 0 && wait == 0 {
 			return
 		}
 		if l.Hold && wait > 0 { // nobody mends a flapping link, it comes up of itself
 			sum.Delay = max(sum.Delay, wait)
 		} else if l.Hold {
-			sum.Hold, path = true, ends{a, b}
+			sum.Hold, path = true, endpoints{a, b}
 		}
 		sum.Drop, sum.Refuse, sum.Reset = sum.Drop || l.Drop, sum.Refuse || l.Refuse, sum.Reset || l.Reset
 		sum.Delay += l.Delay
@@ -148,12 +148,12 @@
 			sum.Largest = l.Largest
 		}
 	}
-	for _, a := range w.names(from) {
-		for _, b := range w.names(to) {
+	for _, a := range w.endpointNames(from) {
+		for _, b := range w.endpointNames(to) {
 			take(a, b)
 		}
 	}
-	if a, b := w.zone(from), w.zone(to); a != b {
+	if a, b := w.zoneOf(from), w.zoneOf(to); a != b {
 		take("zone "+a, "zone "+b)
 		take("zone "+a, "zone ")
 		take("zone ", "zone "+b)
@@ -161,27 +161,27 @@
 	return sum, path
 }
 
-// carry takes a packet of a call from one end to the other; torn is told if the connection
+// deliver takes a packet of a call from one end to the other; torn is told if the connection
 // breaks, which the caller sees at once.
-func (w *World) carry(from, to string, f, torn func()) {
-	l, path := w.way(from, to)
+func (w *World) deliver(from, to string, f, torn func()) {
+	l, path := w.linkBetween(from, to)
 	switch {
 	case l.Drop || l.Largest == 1 || l.Loss > 0 && w.Rand.Float64() < l.Loss || w.Loss > 0 && w.Rand.Float64() < w.Loss:
 	case l.Refuse:
-		w.After(w.delay(), torn)
+		w.After(w.networkDelay(), torn)
 	case l.Reset:
 		if w.Rand.IntN(2) == 0 {
-			w.After(w.delay(), f)
+			w.After(w.networkDelay(), f)
 		}
-		w.After(w.delay(), torn)
+		w.After(w.networkDelay(), torn)
 	case l.Hold:
-		w.held = append(w.held, packet{path, func() { w.carry(from, to, f, torn) }})
+		w.heldPackets = append(w.heldPackets, heldPacket{path, func() { w.deliver(from, to, f, torn) }})
 	default:
-		w.After(l.Delay+w.delay(), f)
+		w.After(l.Delay+w.networkDelay(), f)
 	}
 }
 
-func (w *World) delay() time.Duration {
+func (w *World) networkDelay() time.Duration {
 	return w.Latency/2 + time.Duration(w.Rand.Int64N(int64(w.Latency)+1))
 }
 
@@ -203,9 +203,9 @@
 	if w.Copies > 0 && w.Rand.Float64() < w.Copies {
 		w.After(w.Latency*2+time.Duration(w.Rand.Int64N(int64(w.CopyBy)+1)), func() { serve(func(T) {}) })
 	}
-	w.carry(from, to, func() {
+	w.deliver(from, to, func() {
 		serve(func(t T) {
-			w.carry(to, from, func() {
+			w.deliver(to, from, func() {
 				if !over {
 					over = true
 					got(t)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -11,45 +11,45 @@
 
 // Node is a controller: a real core whose effects the world carries out.
 type Node struct {
-	w       *World
-	Label   string
-	Zone    string
-	Core    *core.Core
-	Ready   bool
-	Old     bool    // runs the version before level 1, from its next start on
-	old     bool    // does so now
-	rate    float64 // of its steady clock
-	life    int
-	started time.Duration
-	queue   []core.Command
-	woken   bool
-	wakeAt  time.Duration
-	nextReq core.RequestID
-	waiting map[core.RequestID]func(core.Reply)
-	target  string
-	still   bool
-	tongue  []core.Effect // what it was about to do when it stood still
+	cluster             *World
+	Label               string
+	Zone                string
+	Core                *core.Core
+	Ready               bool
+	Old                 bool    // runs the version before level 1, from its next start on
+	runsPreviousVersion bool    // does so now
+	clockRate           float64 // of its steady clock
+	incarnation         int
+	startedAt           time.Duration
+	commands            []core.Command
+	wakeScheduled       bool
+	wakeAt              time.Duration
+	lastRequestID       core.RequestID
+	pendingRequests     map[core.RequestID]func(core.Reply)
+	peerTarget          string
+	paused              bool
+	pendingEffects      []core.Effect // what it was about to do when it stood still
 }
 
 // Start starts the process.
 func (n *Node) Start() {
-	n.life++
-	set := n.w.Set
+	n.incarnation++
+	set := n.cluster.Set
 	set.Label = n.Label
 	set.Siblings = nil
-	for _, s := range n.w.Set.Siblings {
+	for _, s := range n.cluster.Set.Siblings {
 		if s.Label != n.Label {
 			set.Siblings = append(set.Siblings, s)
 		}
 	}
-	if n.old = n.Old; n.old {
+	if n.runsPreviousVersion = n.Old; n.runsPreviousVersion {
 		set.Site.State.Next = nil
 	}
-	n.Core = core.New(&set, n.w.Policy, fmt.Sprintf("%s.%d", n.Label, n.life), Debug)
-	n.started = n.w.Now
-	n.waiting = map[core.RequestID]func(core.Reply){}
-	n.queue, n.woken, n.target = nil, false, ""
-	n.still, n.tongue = false, nil
+	n.Core = core.New(&set, n.cluster.Policy, fmt.Sprintf("%s.%d", n.Label, n.incarnation), Debug)
+	n.startedAt = n.cluster.Now
+	n.pendingRequests = map[core.RequestID]func(core.Reply){}
+	n.commands, n.wakeScheduled, n.peerTarget = nil, false, ""
+	n.paused, n.pendingEffects = false, nil
 	n.wake(0)
 }
 
@@ -57,14 +57,14 @@
 func (n *Node) Alive() bool { return n.Core != nil }
 
 func (n *Node) clock() time.Duration {
-	return time.Duration(float64(n.w.Now-n.started) * n.rate)
+	return time.Duration(float64(n.cluster.Now-n.startedAt) * n.clockRate)
 }
 
-// inLife wraps f so that it is lost if the process has ended meanwhile.
-func (n *Node) inLife(f func()) func() {
-	life := n.life
+// ifSameProcess wraps f so that it is lost if the process has ended meanwhile.
+func (n *Node) ifSameProcess(f func()) func() {
+	life := n.incarnation
 	return func() {
-		if n.life == life && n.Core != nil {
+		if n.incarnation == life && n.Core != nil {
 			f()
 		}
 	}
@@ -75,19 +75,19 @@
 	if n.Core == nil {
 		return
 	}
-	if n.old {
-		c = oldTakes(c)
+	if n.runsPreviousVersion {
+		c = previousVersionReceives(c)
 	}
-	n.queue = append(n.queue, c)
+	n.commands = append(n.commands, c)
 	n.wake(0)
 }
 
 // wake calls the core after d; an earlier call replaces a later one.
 func (n *Node) wake(d time.Duration) {
-	if at := n.w.Now + d; !n.woken || at < n.wakeAt {
-		n.woken, n.wakeAt = true, at
-		n.w.At(at, n.inLife(func() {
-			if n.woken && n.wakeAt == at {
+	if at := n.cluster.Now + d; !n.wakeScheduled || at < n.wakeAt {
+		n.wakeScheduled, n.wakeAt = true, at
+		n.cluster.At(at, n.ifSameProcess(func() {
+			if n.wakeScheduled && n.wakeAt == at {
 				n.step()
 			}
 		}))
@@ -95,20 +95,20 @@
 }
 
 func (n *Node) step() {
-	n.woken = false
-	if n.still && n.tongue != nil {
+	n.wakeScheduled = false
+	if n.paused && n.pendingEffects != nil {
 		return
 	}
-	cmds := n.queue
-	n.queue = nil
-	now := core.Instant{Monotonic: n.clock(), Wall: 1e9 + n.w.Now.Seconds()}
+	cmds := n.commands
+	n.commands = nil
+	now := core.Instant{Monotonic: n.clock(), Wall: 1e9 + n.cluster.Now.Seconds()}
 	begin := time.Now()
 	effects := append([]core.Effect(nil), n.Core.Apply(now, cmds)...)
-	if n.w.Applied != nil {
-		n.w.Applied(n, cmds, time.Since(begin))
+	if n.cluster.Applied != nil {
+		n.cluster.Applied(n, cmds, time.Since(begin))
 	}
-	if n.still {
-		n.tongue = effects // decided, and not done before it wakes
+	if n.paused {
+		n.pendingEffects = effects // decided, and not done before it wakes
 		return
 	}
 	for _, e := range effects {
@@ -122,19 +122,19 @@
 	if n.Core == nil {
 		return
 	}
-	n.nextReq++
-	n.waiting[n.nextReq] = got
-	n.Post(build(n.nextReq))
+	n.lastRequestID++
+	n.pendingRequests[n.lastRequestID] = got
+	n.Post(build(n.lastRequestID))
 }
 
 func (n *Node) perform(e core.Effect) {
-	w := n.w
+	w := n.cluster
 	post := func(c core.Command) { n.Post(c) }
 	sent := n.clock()
-	life := n.life
+	life := n.incarnation
 	mine := func(f func()) func() {
 		return func() {
-			if n.life == life && n.Core != nil {
+			if n.incarnation == life && n.Core != nil {
 				f()
 			}
 		}
@@ -142,8 +142,8 @@
 	const timeout = time.Second
 	switch e := e.(type) {
 	case core.Reply:
-		if f := n.waiting[e.ID]; f != nil {
-			delete(n.waiting, e.ID)
+		if f := n.pendingRequests[e.ID]; f != nil {
+			delete(n.pendingRequests, e.ID)
 			f(e)
 		}
 	case core.Log:
@@ -151,9 +151,9 @@
 	case core.SetReady:
 		n.Ready = e.Ready
 	case core.Commit:
-		old := n.old
+		old := n.runsPreviousVersion
 		if old {
-			e.Txn = oldWrites(e.Txn)
+			e.Txn = previousVersionWrites(e.Txn)
 		}
 		call(w, n.Label, "state", timeout, func(reply func(core.CommitResult)) {
 			if outcome, ans := w.State.Commit(n.Label, old, e.Txn); outcome != core.CommitUnknown {
@@ -162,17 +162,17 @@
 		}, func(d core.CommitResult) { mine(func() { post(d) })() }, mine(func() { post(core.CommitResult{ID: e.ID}) }))
 	case core.LoadPage:
 		call(w, n.Label, "state", timeout, func(reply func(core.LoadResult)) {
-			reply(w.State.load(n.Label, e.After, sent))
+			reply(w.State.loadPage(n.Label, e.After, sent))
 		}, func(d core.LoadResult) { mine(func() { post(d) })() }, mine(func() { post(core.LoadResult{}) }))
 	case core.Watch:
 		call(w, n.Label, "state", timeout+e.Hold, func(reply func(core.WatchResult)) {
-			w.State.follow(n.Label, e, func(outcome core.WatchOutcome, ev protocol.WatchResponse) {
+			w.State.handleWatch(n.Label, e, func(outcome core.WatchOutcome, ev protocol.WatchResponse) {
 				reply(core.WatchResult{Barrier: e.Barrier, SentAt: sent, Outcome: outcome, Answer: ev})
 			})
 		}, func(d core.WatchResult) { mine(func() { post(d) })() }, mine(func() { post(core.WatchResult{Barrier: e.Barrier, SentAt: sent}) }))
 	case core.RenewLease:
 		call(w, n.Label, "state", timeout, func(reply func(core.LeaseResult)) {
-			id, outcome := w.State.lease(n.Label, e)
+			id, outcome := w.State.handleLease(n.Label, e)
 			reply(core.LeaseResult{SentAt: sent, LeaseID: id, Outcome: outcome})
 		}, func(d core.LeaseResult) { mine(func() { post(d) })() }, mine(func() { post(core.LeaseResult{SentAt: sent}) }))
 	case core.CallWorker:
@@ -182,7 +182,7 @@
 		}
 		call(w, n.Label, e.Machine, patience, func(reply func(core.CallWorkerResult)) {
 			if k := w.Workers[e.Machine]; k != nil {
-				k.do(e.Body, func(outcome core.DirectOutcome, r protocol.Heartbeat) {
+				k.handleDirect(e.Body, func(outcome core.DirectOutcome, r protocol.Heartbeat) {
 					reply(core.CallWorkerResult{Machine: e.Machine, CallID: e.CallID, Outcome: outcome, Report: r})
 				})
 			}
@@ -207,7 +207,7 @@
 		}, func(d core.ListInstancesResult) { mine(func() { post(d) })() }, mine(func() { post(core.ListInstancesResult{}) }))
 	case core.CreateInstances:
 		call(w, n.Label, "cloud", timeout, func(reply func(core.CreateInstancesResult)) {
-			names, outcome := w.Cloud.hire(e.Request)
+			names, outcome := w.Cloud.createInstances(e.Request)
 			reply(core.CreateInstancesResult{Request: e.Request.Request, Outcome: outcome, Names: names})
 		}, func(d core.CreateInstancesResult) { mine(func() { post(d) })() }, mine(func() { post(core.CreateInstancesResult{Request: e.Request.Request}) }))
 	case core.DeleteInstances:
@@ -220,22 +220,22 @@
 			reply(core.DeleteInstancesResult{Names: e.Names, Outcome: core.CloudDone})
 		}, func(d core.DeleteInstancesResult) { mine(func() { post(d) })() }, mine(func() { post(core.DeleteInstancesResult{Names: e.Names}) }))
 	case core.ConnectPeer:
-		n.target = e.Label
-		for _, l := range w.siblings() {
-			if l.a == n && l.b.Label != e.Label {
+		n.peerTarget = e.Label
+		for _, l := range w.sortedPeerLinks() {
+			if l.dialer == n && l.acceptor.Label != e.Label {
 				l.close()
 			}
 		}
-		n.dial()
+		n.dialPeer()
 	case core.SendToPeer:
-		if n.old {
-			e.Message = oldSays(e.Message)
+		if n.runsPreviousVersion {
+			e.Message = previousVersionSends(e.Message)
 		}
-		if l := w.peers[e.Session]; l != nil {
+		if l := w.peerLinks[e.Session]; l != nil {
 			l.send(n, e.Message)
 		}
 	case core.ClosePeer:
-		if l := w.peers[e.Session]; l != nil {
+		if l := w.peerLinks[e.Session]; l != nil {
 			l.close()
 		}
 	default:
--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -13,11 +13,11 @@
 // passes keys over that it does not know, drops fields that it does not know, and knows no
 // limits but those in force.
 
-// newKeys are the prefixes that it passes over.
-var newKeys = []string{"c/run/", "c/admitted/", "c/fine/", "c/long/", "c/zones/"}
+// keysOfNewVersion are the prefixes that it passes over.
+var keysOfNewVersion = []string{"c/run/", "c/admitted/", "c/fine/", "c/long/", "c/zones/"}
 
-func knownToOld(key string) bool {
-	for _, p := range newKeys {
+func knownToPreviousVersion(key string) bool {
+	for _, p := range keysOfNewVersion {
 		if strings.HasPrefix(key, p) {
 			return false
 		}
@@ -25,8 +25,8 @@
 	return true
 }
 
-// oldTakes is what of a command an old controller understands.
-func oldTakes(c core.Command) core.Command {
+// previousVersionReceives is what of a command an old controller understands.
+func previousVersionReceives(c core.Command) core.Command {
 	switch c := c.(type) {
 	case core.SubmitJob:
 		c.Spec.Dependencies = nil
@@ -34,7 +34,7 @@
 	case core.LoadResult:
 		var items []protocol.KeyValue
 		for _, it := range c.Items {
-			if knownToOld(it.Key) {
+			if knownToPreviousVersion(it.Key) {
 				items = append(items, it)
 			}
 		}
@@ -46,7 +46,7 @@
 	case core.WatchResult:
 		var events []protocol.WatchEvent
 		for _, e := range c.Answer.Events {
-			if knownToOld(e.Put + e.Delete) {
+			if knownToPreviousVersion(e.Put + e.Delete) {
 				events = append(events, e)
 			}
 		}
@@ -56,8 +56,8 @@
 	return c
 }
 
-// oldWrites is what an old controller writes of a transaction.
-func oldWrites(t protocol.Transaction) protocol.Transaction {
+// previousVersionWrites is what an old controller writes of a transaction.
+func previousVersionWrites(t protocol.Transaction) protocol.Transaction {
 	then := make([]protocol.Operation, len(t.Then))
 	for i, op := range t.Then {
 		switch v := op.Value.(type) {
@@ -74,8 +74,8 @@
 	return t
 }
 
-// oldSays is what an old controller says to another of a message.
-func oldSays(m peerproto.Message) peerproto.Message {
+// previousVersionSends is what an old controller says to another of a message.
+func previousVersionSends(m peerproto.Message) peerproto.Message {
 	if m.Vote != nil {
 		w := *m.Vote
 		w.IncludesMirror = false
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -20,7 +20,7 @@
 	out := map[fairshare.Account]*Share{}
 	work := map[fairshare.Account][]float64{}
 	for _, j := range u.jobs {
-		if !j.Accepted || j.aborting || j.Mistaken || j.sentAt > until {
+		if !j.Accepted || j.cancelRequested || j.Mistaken || j.submittedAt > until {
 			continue
 		}
 		s := &j.Spec
@@ -31,10 +31,10 @@
 			out[a] = x
 		}
 		x.Jobs++
-		if len(j.done) > 0 || len(j.on) > 0 {
+		if len(j.completed) > 0 || len(j.machines) > 0 {
 			x.Started++
 		}
-		if len(j.done) == s.Tasks {
+		if len(j.completed) == s.Tasks {
 			x.Done++
 		}
 		work[a] = append(work[a], float64(s.Tasks)*s.CPUs*j.RunS)
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -15,37 +15,37 @@
 
 // State is the state service.
 type State struct {
-	w       *World
-	now     *kvstore.State           // the store itself is the product's
-	ends    map[uint64]time.Duration // by lease
-	Out     bool                     // an outage: every node gets 503
-	Refuses map[string]bool          // nodes that alone get 503
-	Forgot  map[string]bool          // nodes whose next watch is told that its revision is too old
+	cluster     *World
+	state       *kvstore.State           // the store itself is the product's
+	leaseExpiry map[uint64]time.Duration // by lease
+	Out         bool                     // an outage: every node gets 503
+	Refuses     map[string]bool          // nodes that alone get 503
+	Forgot      map[string]bool          // nodes whose next watch is told that its revision is too old
 	// LateShare is the share of transactions that get no answer and are applied
 	// from LateFrom up to LateBy afterwards.
-	LateShare float64
-	LateFrom  time.Duration
-	LateBy    time.Duration
-	LateOnly  string        // only of those that change a key with this prefix, empty: of all
-	Late      int           // transactions that were
-	Slow      time.Duration // is added to every answer
-	Lowered   bool          // the limits that were announced hold
-	Writes    int
-	Refused   int // requests above the limits
-	watches   []*watch
-	requests  bucket
-	writes    bucket
+	LateShare     float64
+	LateFrom      time.Duration
+	LateBy        time.Duration
+	LateOnly      string        // only of those that change a key with this prefix, empty: of all
+	Late          int           // transactions that were
+	Slow          time.Duration // is added to every answer
+	Lowered       bool          // the limits that were announced hold
+	Writes        int
+	Refused       int // requests above the limits
+	watches       []*watch
+	requestBucket tokenBucket
+	writeBucket   tokenBucket
 }
 
-// bucket is a limit by the second that allows bursts of one second's worth.
-type bucket struct {
-	used float64
-	at   time.Duration
+// tokenBucket is a limit by the second that allows bursts of one second's worth.
+type tokenBucket struct {
+	used      float64
+	updatedAt time.Duration
 }
 
-func (b *bucket) take(now time.Duration, n, rate float64) bool {
-	b.used = max(b.used-(now-b.at).Seconds()*rate, 0)
-	b.at = now
+func (b *tokenBucket) take(now time.Duration, n, rate float64) bool {
+	b.used = max(b.used-(now-b.updatedAt).Seconds()*rate, 0)
+	b.updatedAt = now
 	if b.used+n > rate {
 		return false
 	}
@@ -56,7 +56,7 @@
 // limited reports whether a request with so many writes is above the limits.
 func (s *State) limited(writes int) bool {
 	set := s.limits()
-	if s.requests.take(s.w.Now, 1, set.RPS) && s.writes.take(s.w.Now, float64(writes), set.WriteRPS) {
+	if s.requestBucket.take(s.cluster.Now, 1, set.RPS) && s.writeBucket.take(s.cluster.Now, float64(writes), set.WriteRPS) {
 		return false
 	}
 	s.Refused++
@@ -66,30 +66,30 @@
 // limits are those in force.
 func (s *State) limits() config.State {
 	if s.Lowered {
-		return s.w.Set.Site.State.Least()
+		return s.cluster.Set.Site.State.Least()
 	}
-	return s.w.Set.Site.State
+	return s.cluster.Set.Site.State
 }
 
 type watch struct {
-	node  string
-	since uint64
-	done  func(core.WatchOutcome, protocol.WatchResponse)
-	over  bool
+	node          string
+	sinceRevision uint64
+	respond       func(core.WatchOutcome, protocol.WatchResponse)
+	closed        bool
 }
 
-func newState(w *World) *State {
-	return &State{w: w, now: kvstore.NewState(), ends: map[uint64]time.Duration{}, Refuses: map[string]bool{}, Forgot: map[string]bool{}}
+func newStore(w *World) *State {
+	return &State{cluster: w, state: kvstore.NewState(), leaseExpiry: map[uint64]time.Duration{}, Refuses: map[string]bool{}, Forgot: map[string]bool{}}
 }
 
 func (s *State) refuses(node string) bool { return s.Out || s.Refuses[node] }
 
-func (s *State) arm(id uint64) {
-	life, _ := s.now.LeaseTTL(id)
-	ends := s.w.Now + time.Duration(life)*time.Millisecond
-	s.ends[id] = ends
-	s.w.At(ends, func() {
-		if s.ends[id] != ends || s.Out {
+func (s *State) armLease(id uint64) {
+	life, _ := s.state.LeaseTTL(id)
+	ends := s.cluster.Now + time.Duration(life)*time.Millisecond
+	s.leaseExpiry[id] = ends
+	s.cluster.At(ends, func() {
+		if s.leaseExpiry[id] != ends || s.Out {
 			return
 		}
 		s.change(func(b *kvstore.Batch) { _ = b.RevokeLease(id) }) // it may have ended
@@ -98,10 +98,10 @@
 
 // change makes the next state and wakes those who wait for one.
 func (s *State) change(f func(*kvstore.Batch)) {
-	b := s.now.Begin()
+	b := s.state.Begin()
 	f(b)
-	s.now = b.Next()
-	s.wake()
+	s.state = b.Next()
+	s.wakeWatches()
 }
 
 // commitUnseen commits a transaction behind everybody's back.
@@ -113,7 +113,7 @@
 	})
 }
 
-func (s *State) lease(node string, e core.RenewLease) (uint64, core.LeaseOutcome) {
+func (s *State) handleLease(node string, e core.RenewLease) (uint64, core.LeaseOutcome) {
 	if s.refuses(node) {
 		return e.LeaseID, core.LeaseRefused
 	}
@@ -121,20 +121,20 @@
 		return e.LeaseID, core.LeaseRefused
 	}
 	if e.LeaseID != 0 {
-		if _, ok := s.now.LeaseTTL(e.LeaseID); !ok {
+		if _, ok := s.state.LeaseTTL(e.LeaseID); !ok {
 			return e.LeaseID, core.LeaseExpired
 		}
-		s.arm(e.LeaseID)
+		s.armLease(e.LeaseID)
 		return e.LeaseID, core.LeaseGranted
 	}
 	var id uint64
 	var err error
 	s.change(func(b *kvstore.Batch) { id, err = b.GrantLease(e.TTL.Milliseconds()) })
 	if err != nil {
-		s.w.broke("malformed", "%s asks for a lease of %v", node, e.TTL)
+		s.cluster.recordViolation("malformed", "%s asks for a lease of %v", node, e.TTL)
 		return 0, core.LeaseRefused
 	}
-	s.arm(id)
+	s.armLease(id)
 	return id, core.LeaseGranted
 }
 
@@ -149,18 +149,18 @@
 	}
 	if why := s.malformed(t); why != "" {
 		if !old { // that one does not know the limits to come
-			s.w.broke("malformed", "%s sends the state service %s", node, why)
+			s.cluster.recordViolation("malformed", "%s sends the state service %s", node, why)
 		}
 		return core.CommitRejected, protocol.TransactionResult{}
 	}
 	if s.LateShare > 0 && slices.ContainsFunc(t.Then, func(op protocol.Operation) bool { return strings.HasPrefix(op.Put+op.Delete, s.LateOnly) }) &&
-		s.w.Rand.Float64() < s.LateShare {
+		s.cluster.Rand.Float64() < s.LateShare {
 		s.Late++
 		if s.LateBy == 0 { // carried out at once: only the answer is lost
 			s.apply(t)
 			return core.CommitUnknown, protocol.TransactionResult{}
 		}
-		s.w.After(s.LateFrom+time.Duration(s.w.Rand.Int64N(int64(s.LateBy-s.LateFrom)+1)), func() { s.apply(t) })
+		s.cluster.After(s.LateFrom+time.Duration(s.cluster.Rand.Int64N(int64(s.LateBy-s.LateFrom)+1)), func() { s.apply(t) })
 		return core.CommitUnknown, protocol.TransactionResult{}
 	}
 	return s.apply(t)
@@ -190,20 +190,20 @@
 	}
 }
 
-// load answers with a page of keys.
-func (s *State) load(node string, since string, sent time.Duration) core.LoadResult {
-	d := core.LoadResult{SentAt: sent, Revision: s.now.Revision}
+// loadPage answers with a page of keys.
+func (s *State) loadPage(node string, since string, sent time.Duration) core.LoadResult {
+	d := core.LoadResult{SentAt: sent, Revision: s.state.Revision}
 	if s.refuses(node) || s.limited(0) {
 		return d
 	}
-	p := s.now.Range(core.KeyPrefix, since, 0)
+	p := s.state.Range(core.KeyPrefix, since, 0)
 	d.OK, d.Items, d.More = true, p.Items, p.More
 	return d
 }
 
-// since answers a watch.
-func (s *State) since(rev uint64, done func(core.WatchOutcome, protocol.WatchResponse)) {
-	e, err := s.now.EventsSince(core.KeyPrefix, rev)
+// answerWatch answers a watch.
+func (s *State) answerWatch(rev uint64, done func(core.WatchOutcome, protocol.WatchResponse)) {
+	e, err := s.state.EventsSince(core.KeyPrefix, rev)
 	if err != nil {
 		done(core.WatchCompacted, e)
 		return
@@ -211,7 +211,7 @@
 	done(core.WatchServed, e)
 }
 
-func (s *State) follow(node string, e core.Watch, done func(core.WatchOutcome, protocol.WatchResponse)) {
+func (s *State) handleWatch(node string, e core.Watch, done func(core.WatchOutcome, protocol.WatchResponse)) {
 	if s.refuses(node) {
 		if e.Hold == 0 {
 			done(core.WatchUnavailable, protocol.WatchResponse{})
@@ -227,30 +227,30 @@
 		done(core.WatchCompacted, protocol.WatchResponse{})
 		return
 	}
-	if e.Hold == 0 || s.now.Revision > e.Since {
-		s.since(e.Since, done)
+	if e.Hold == 0 || s.state.Revision > e.Since {
+		s.answerWatch(e.Since, done)
 		return
 	}
-	x := &watch{node: node, since: e.Since, done: done}
+	x := &watch{node: node, sinceRevision: e.Since, respond: done}
 	s.watches = append(s.watches, x)
-	s.w.After(e.Hold, func() { s.finish(x) })
+	s.cluster.After(e.Hold, func() { s.finishWatch(x) })
 }
 
-func (s *State) finish(x *watch) {
-	if !x.over && !s.refuses(x.node) {
-		x.over = true
-		s.since(x.since, x.done)
+func (s *State) finishWatch(x *watch) {
+	if !x.closed && !s.refuses(x.node) {
+		x.closed = true
+		s.answerWatch(x.sinceRevision, x.respond)
 	}
 }
 
-func (s *State) wake() {
+func (s *State) wakeWatches() {
 	open := s.watches
 	s.watches = nil
 	for _, x := range open {
-		if !x.over && s.now.Revision > x.since {
-			s.finish(x)
+		if !x.closed && s.state.Revision > x.sinceRevision {
+			s.finishWatch(x)
 		}
-		if !x.over {
+		if !x.closed {
 			s.watches = append(s.watches, x)
 		}
 	}
@@ -315,7 +315,7 @@
 
 // Count counts the keys with a prefix.
 func (s *State) Count(prefix string) (n int) {
-	for key := range s.now.All() {
+	for key := range s.state.All() {
 		if strings.HasPrefix(key, prefix) {
 			n++
 		}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -11,19 +11,19 @@
 // Users submit, poll and cancel, and keep the rules' checker: whatever happens
 // on a machine or is told to a user passes through here.
 type Users struct {
-	w       *World
-	jobs    map[string]*Job
-	next    int
-	running int                // tasks that are on machines
-	cpus    map[string]float64 // that they take, by team
-	gpus    map[string]float64
-	Starts  int           // tasks that started on a machine
-	Again   int           // and those of them that had been completed before
-	Asked   int           // requests,
-	Served  int           // and those that got another answer than to come again later,
-	Late    int           // or none at all in time
-	Only    *Node         // whom all requests go to, nil: to any that is ready
-	Calm    time.Duration // when all troubles are over, 0: not known
+	cluster      *World
+	jobs         map[string]*Job
+	lastJob      int
+	runningTasks int                // tasks that are on machines
+	cpus         map[string]float64 // that they take, by team
+	gpus         map[string]float64
+	Starts       int           // tasks that started on a machine
+	Again        int           // and those of them that had been completed before
+	Asked        int           // requests,
+	Served       int           // and those that got another answer than to come again later,
+	Late         int           // or none at all in time
+	Only         *Node         // whom all requests go to, nil: to any that is ready
+	Calm         time.Duration // when all troubles are over, 0: not known
 	// CloseLooks has users ask at all nodes again and again within milliseconds, and repeat
 	// the submission, right after a job was accepted, ended or called cancelled.
 	CloseLooks bool
@@ -37,29 +37,29 @@
 
 // Job is a job as its user sees it.
 type Job struct {
-	Spec      protocol.Job
-	RunS      float64
-	RunsS     []float64 // by task, if they differ
-	Mistaken  bool      // fails wherever it runs
-	Accepted  bool
-	Refused   core.ReplyStatus // the final refusal's status
-	Never     bool             // can't run or lacks a field: must not be accepted
-	Told      string
-	overAt    time.Duration            // when the first word came that it is done or cancelled
-	knownAt   time.Duration            // when a question about it was answered last
-	waits     map[string]time.Duration // machines that could take it while it waits, and since when
-	startedAt time.Duration            // when a machine took one of its tasks last
-	sentAt    time.Duration            // when it was handed in
-	Answer    protocol.JobResponse
-	aborting  bool
-	Cancelled time.Duration // when its user was told
-	done      map[int]bool
-	saved     map[int]time.Duration // how much of its run a task has saved
-	on        map[string]string     // task -> machine
+	Spec            protocol.Job
+	RunS            float64
+	RunsS           []float64 // by task, if they differ
+	Mistaken        bool      // fails wherever it runs
+	Accepted        bool
+	Refused         core.ReplyStatus // the final refusal's status
+	Never           bool             // can't run or lacks a field: must not be accepted
+	Told            string
+	finalAt         time.Duration            // when the first word came that it is done or cancelled
+	answeredAt      time.Duration            // when a question about it was answered last
+	idleSince       map[string]time.Duration // machines that could take it while it waits, and since when
+	lastStartAt     time.Duration            // when a machine took one of its tasks last
+	submittedAt     time.Duration            // when it was handed in
+	Answer          protocol.JobResponse
+	cancelRequested bool
+	Cancelled       time.Duration // when its user was told
+	completed       map[int]bool
+	savedRun        map[int]time.Duration // how much of its run a task has saved
+	machines        map[string]string     // task -> machine
 }
 
 func newUsers(w *World) *Users {
-	return &Users{w: w, jobs: map[string]*Job{}, cpus: map[string]float64{}, gpus: map[string]float64{}}
+	return &Users{cluster: w, jobs: map[string]*Job{}, cpus: map[string]float64{}, gpus: map[string]float64{}}
 }
 
 // Array describes an array job of n tasks with one CPU each, for team blue.
@@ -71,19 +71,19 @@
 // Submit hands in a job whose tasks run for runS, again and again until it is
 // answered; change may alter it first.
 func (u *Users) Submit(spec protocol.Job, runS float64) *Job {
-	u.next++
+	u.lastJob++
 	if spec.ID == "" {
-		spec.ID = fmt.Sprintf("job-%06d", u.next)
+		spec.ID = fmt.Sprintf("job-%06d", u.lastJob)
 	}
-	j := &Job{Spec: spec, RunS: runS, sentAt: u.w.Now, done: map[int]bool{}, saved: map[int]time.Duration{}, on: map[string]string{}}
+	j := &Job{Spec: spec, RunS: runS, submittedAt: u.cluster.Now, completed: map[int]bool{}, savedRun: map[int]time.Duration{}, machines: map[string]string{}}
 	u.jobs[spec.ID] = j
-	u.send(j)
+	u.submit(j)
 	return j
 }
 
-// ask sends a request to some live node, as a load balancer would.
-func (u *Users) ask(build func(core.RequestID) core.Command, got func(core.Reply)) {
-	w := u.w
+// request sends a request to some live node, as a load balancer would.
+func (u *Users) request(build func(core.RequestID) core.Command, got func(core.Reply)) {
+	w := u.cluster
 	u.Asked++
 	answer := got
 	got = func(r core.Reply) {
@@ -107,37 +107,37 @@
 	w.After(time.Second, func() { got(core.Reply{}) })
 }
 
-func (u *Users) send(j *Job) {
-	sent := u.w.Now
-	u.ask(func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} }, func(r core.Reply) {
+func (u *Users) submit(j *Job) {
+	sent := u.cluster.Now
+	u.request(func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} }, func(r core.Reply) {
 		switch r.Status {
 		case 200, 201:
 			if j.Never {
-				u.w.broke("wrongly_accepted", "%s is answered %d", j.Spec.ID, r.Status)
+				u.cluster.recordViolation("wrongly_accepted", "%s is answered %d", j.Spec.ID, r.Status)
 			}
 			first := !j.Accepted
 			j.Accepted = true
-			u.hear(j, r.Body.(protocol.JobResponse), sent)
+			u.observe(j, r.Body.(protocol.JobResponse), sent)
 			if first {
-				u.w.After(time.Second, func() { u.poll(j) })
-				u.look(j)
+				u.cluster.After(time.Second, func() { u.poll(j) })
+				u.readEverywhereIfEnabled(j)
 			}
 		case 400, 422:
 			if j.Accepted {
-				u.w.broke("forgotten", "%s was accepted and then refused with %d", j.Spec.ID, r.Status)
+				u.cluster.recordViolation("forgotten", "%s was accepted and then refused with %d", j.Spec.ID, r.Status)
 			}
 			j.Refused = r.Status
 		default:
-			u.w.After(time.Second, func() { u.send(j) })
+			u.cluster.After(time.Second, func() { u.submit(j) })
 		}
 	})
 }
 
 // Resubmit hands the same job in once more.
-func (u *Users) Resubmit(j *Job) { u.send(j) }
+func (u *Users) Resubmit(j *Job) { u.submit(j) }
 
-// look is a close look at a job, if users take them.
-func (u *Users) look(j *Job) {
+// readEverywhereIfEnabled is a close look at a job, if users take them.
+func (u *Users) readEverywhereIfEnabled(j *Job) {
 	if u.CloseLooks {
 		u.Look(j)
 	}
@@ -146,16 +146,16 @@
 // Look has a job's user ask at all nodes, and hand it in again at one of them, three times
 // within some milliseconds.
 func (u *Users) Look(j *Job) {
-	w := u.w
+	w := u.cluster
 	at := func(n *Node, build func(core.RequestID) core.Command) {
 		sent, known := w.Now, j.Accepted
 		call(w, "users", n.Label, 5*time.Second, func(reply func(core.Reply)) { n.Ask(build, reply) }, func(r core.Reply) {
 			switch {
 			case r.Status == 200 || r.Status == 201:
 				u.Looks++
-				u.hear(j, r.Body.(protocol.JobResponse), sent)
+				u.observe(j, r.Body.(protocol.JobResponse), sent)
 			case known && (r.Status == 404 || r.Status == 400 || r.Status == 422):
-				w.broke("forgotten", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
+				w.recordViolation("forgotten", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
 			}
 		}, func() {})
 	}
@@ -171,46 +171,46 @@
 	}
 }
 
-// ended is told of the moment at which the last task of a job completes.
-func (u *Users) ended(j *Job) {
-	if u.AtEnd > 0 && u.w.Rand.Float64() < u.AtEnd {
+// jobCompleted is told of the moment at which the last task of a job completes.
+func (u *Users) jobCompleted(j *Job) {
+	if u.AtEnd > 0 && u.cluster.Rand.Float64() < u.AtEnd {
 		u.Abort(j)
 	}
-	u.look(j)
+	u.readEverywhereIfEnabled(j)
 }
 
 func (u *Users) poll(j *Job) {
-	sent := u.w.Now
-	if u.Calm > 0 && u.w.Now-max(j.knownAt, u.Calm) > forgottenAfter {
-		u.w.broke("forgotten", "no question about %s has been answered since %.3f", j.Spec.ID, j.knownAt.Seconds())
-		j.knownAt = u.w.Now // said once
+	sent := u.cluster.Now
+	if u.Calm > 0 && u.cluster.Now-max(j.answeredAt, u.Calm) > maxUnansweredWait {
+		u.cluster.recordViolation("forgotten", "no question about %s has been answered since %.3f", j.Spec.ID, j.answeredAt.Seconds())
+		j.answeredAt = u.cluster.Now // said once
 	}
 	u.checkWaiting(j)
-	u.ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
+	u.request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
 		switch r.Status {
 		case 200:
-			u.hear(j, r.Body.(protocol.JobResponse), sent)
+			u.observe(j, r.Body.(protocol.JobResponse), sent)
 		case 404:
-			u.w.broke("forgotten", "%s is answered 404", j.Spec.ID)
+			u.cluster.recordViolation("forgotten", "%s is answered 404", j.Spec.ID)
 		}
-		u.w.After(3*time.Second, func() { u.poll(j) })
+		u.cluster.After(3*time.Second, func() { u.poll(j) })
 	})
 }
 
 // PollAny asks once about some job that was handed in, or about one that never was.
 func (u *Users) PollAny() {
-	n := u.w.Rand.IntN(u.next + 1)
+	n := u.cluster.Rand.IntN(u.lastJob + 1)
 	id := fmt.Sprintf("job-%06d", n)
-	j, sent := u.jobs[id], u.w.Now
+	j, sent := u.jobs[id], u.cluster.Now
 	known := j != nil && j.Accepted
-	u.ask(func(id2 core.RequestID) core.Command { return core.QueryJob{ID: id2, JobID: id} }, func(r core.Reply) {
+	u.request(func(id2 core.RequestID) core.Command { return core.QueryJob{ID: id2, JobID: id} }, func(r core.Reply) {
 		switch {
 		case r.Status == 200 && j == nil:
-			u.w.broke("invented", "%s is answered 200", id)
+			u.cluster.recordViolation("invented", "%s is answered 200", id)
 		case r.Status == 200 && known:
-			u.hear(j, r.Body.(protocol.JobResponse), sent)
+			u.observe(j, r.Body.(protocol.JobResponse), sent)
 		case r.Status == 404 && known:
-			u.w.broke("forgotten", "%s is answered 404", id)
+			u.cluster.recordViolation("forgotten", "%s is answered 404", id)
 		}
 	})
 }
@@ -220,12 +220,12 @@
 func (u *Users) Never(spec protocol.Job) *Job {
 	j := u.Submit(spec, 1)
 	j.Never = true
-	for _, n := range u.w.Nodes {
-		call(u.w, "users", n.Label, 5*time.Second, func(reply func(core.Reply)) {
+	for _, n := range u.cluster.Nodes {
+		call(u.cluster, "users", n.Label, 5*time.Second, func(reply func(core.Reply)) {
 			n.Ask(func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} }, reply)
 		}, func(r core.Reply) {
 			if r.Status != 422 && r.Status != 400 && r.Status != 503 {
-				u.w.broke("wrongly_accepted", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
+				u.cluster.recordViolation("wrongly_accepted", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
 			}
 		}, func() {})
 	}
@@ -234,19 +234,19 @@
 
 // Abort cancels a job, again and again until that is confirmed.
 func (u *Users) Abort(j *Job) {
-	j.aborting = true
-	sent := u.w.Now
-	u.ask(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
+	j.cancelRequested = true
+	sent := u.cluster.Now
+	u.request(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
 		if r.Status != 200 {
-			u.w.After(time.Second, func() { u.Abort(j) })
+			u.cluster.After(time.Second, func() { u.Abort(j) })
 			return
 		}
-		u.hear(j, r.Body.(protocol.JobResponse), sent)
+		u.observe(j, r.Body.(protocol.JobResponse), sent)
 	})
 }
 
 // Wants notes that a job's user wants it cancelled, whoever is asked and whatever comes of it.
-func (u *Users) Wants(j *Job) { j.aborting = true }
+func (u *Users) Wants(j *Job) { j.cancelRequested = true }
 
 // AllTold reports whether every accepted job's user knows that it is over.
 func (u *Users) AllTold() bool {
@@ -259,18 +259,18 @@
 }
 
 // On is the machine that a task is on, or empty.
-func (j *Job) On(i int) string { return j.on[protocol.TaskName(j.Spec.ID, i)] }
+func (j *Job) On(i int) string { return j.machines[protocol.TaskName(j.Spec.ID, i)] }
 
 // Done is how many tasks of jobs have completed.
 func (u *Users) Done(jobs ...*Job) (n int) {
 	for _, j := range jobs {
-		n += len(j.done)
+		n += len(j.completed)
 	}
 	return n
 }
 
 // Running is how many tasks are on machines.
-func (j *Job) Running() int { return len(j.on) }
+func (j *Job) Running() int { return len(j.machines) }
 
 // Running is how many tasks of all jobs are on machines.
-func (u *Users) Running() int { return u.running }
+func (u *Users) Running() int { return u.runningTasks }
