--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -1,8 +1,9 @@
 package simulation
 
 import (
+	"cmp"
 	"fmt"
-	"sort"
+	"slices"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
@@ -10,38 +11,52 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Cloud rents machines.
+const (
+	// machinePrefix begins the names of all machines.
+	machinePrefix = "n-"
+	// cloudPageSize is the largest number of instances in one page of a list.
+	cloudPageSize = 500
+	// cloudBurstSeconds is how many seconds' worth of calls may come at once.
+	cloudBurstSeconds = 2
+	// minBootFactor and bootFactorSpread bound how long a boot takes, as a share of what the
+	// machine type says.
+	minBootFactor    = 0.6
+	bootFactorSpread = 0.9
+	// maxInstantBoot is how long a boot takes at most if boots are switched to be instant.
+	maxInstantBoot = 2 * time.Second
+)
+
+// Cloud rents machines. What it lists lags behind.
 type Cloud struct {
+	CloudFaults
+
+	Hired   int // machines created on request
+	Deleted int // machines deleted, on request or by the cloud itself
+	Refused int // calls above the limit
+
 	cluster      *World
 	types        []protocol.MachineType
-	machines     map[string]*machine
-	responses    map[string][]string
-	lastInstance int
-	// Capacity is how many machines there are of a type, or of a type in a zone
-	// ("box a"); absent: any.
-	Capacity map[string]int
-	// NeverUp makes the next machines that are rented stay booting.
-	NeverUp    int
-	Hired      int
-	Deleted    int
-	Refused    int     // calls above the limit
-	Out        bool    // an outage
-	Boots      float64 // boots take so many times as long, 0: once
-	AtOnce     bool    // machines are up within two seconds
-	callBucket tokenBucket
+	machines     map[string]*machine // by name, deleted ones too
+	responses    map[string][]string // names of the machines created, by the request's id
+	lastInstance int                 // number of the machine created last
+	callBucket   leakyBucket
 }
 
+// machine is an instance and its lifetime.
 type machine struct {
 	protocol.Instance
 	createdAt time.Duration
-	deletedAt time.Duration // 0: there
+	deletedAt time.Duration // 0: it exists
 }
 
-func newCloud(w *World, types []protocol.MachineType) *Cloud {
-	return &Cloud{cluster: w, types: types, machines: map[string]*machine{}, responses: map[string][]string{}, Capacity: map[string]int{}}
+func newCloud(cluster *World, types []protocol.MachineType) *Cloud {
+	return &Cloud{
+		CloudFaults: CloudFaults{Capacity: map[string]int{}},
+		cluster:     cluster, types: types, machines: map[string]*machine{}, responses: map[string][]string{},
+	}
 }
 
-// Type is one of the types.
+// Type is the machine type of that name, nil: there is none.
 func (c *Cloud) Type(name string) *protocol.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
@@ -51,119 +66,149 @@
 	return nil
 }
 
-// Add puts up a running machine that nobody asked for.
-func (c *Cloud) Add(typ, zone string, spot bool) string {
-	name := c.addBooting(typ, zone, spot)
+// Add creates a running machine that nobody asked for, and returns its name.
+func (c *Cloud) Add(machineType, zone string, spot bool) string {
+	name := c.addBooting(machineType, zone, spot)
 	c.finishBoot(name)
 	return name
 }
 
-func (c *Cloud) addBooting(typ, zone string, spot bool) string {
+func (c *Cloud) addBooting(machineType, zone string, spot bool) string {
 	c.lastInstance++
-	name := fmt.Sprintf("n-%06d", c.lastInstance)
+	name := fmt.Sprintf("%s%06d", machinePrefix, c.lastInstance)
 	c.machines[name] = &machine{createdAt: c.cluster.Now, Instance: protocol.Instance{
-		Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: protocol.MachineBooting}}
+		Name: name, Addr: name + ":9000", Type: machineType, Zone: zone, Spot: spot, State: protocol.MachineBooting}}
 	return name
 }
 
 func (c *Cloud) finishBoot(name string) {
-	m := c.machines[name]
-	if m == nil || m.deletedAt > 0 {
+	booted := c.machines[name]
+	if booted == nil || booted.deletedAt > 0 {
 		return
 	}
-	m.State = protocol.MachineRunning
-	c.cluster.Workers[name] = newWorker(c.cluster, m.Instance)
+	booted.State = protocol.MachineRunning
+	c.cluster.Workers[name] = newWorker(c.cluster, booted.Instance)
 }
 
-func (c *Cloud) createInstances(h protocol.CreateMachinesRequest) ([]string, core.CloudOutcome) {
-	if names := c.responses[h.Request]; names != nil {
+// createInstances creates the machines of a request, fewer if there are not enough. The same
+// request gets the same answer again.
+func (c *Cloud) createInstances(request protocol.CreateMachinesRequest) ([]string, core.CloudOutcome) {
+	if names := c.responses[request.Request]; names != nil {
 		return names, core.CloudDone
 	}
-	if outcome := c.refuses(); outcome != core.CloudDone {
+	if outcome := c.admit(); outcome != core.CloudDone {
 		return nil, outcome
 	}
-	n := h.Count
-	for _, pool := range []string{h.Type, h.Type + " " + h.Zone} {
-		most, ok := c.Capacity[pool]
-		if !ok {
-			continue
-		}
-		have := 0
-		for _, m := range c.machines {
-			if m.deletedAt == 0 && (pool == m.Type || pool == m.Type+" "+m.Zone) {
-				have++
-			}
-		}
-		n = min(n, most-have)
-	}
-	if n <= 0 {
+	count := c.available(request)
+	if count <= 0 {
 		return nil, core.CloudUnavailable
 	}
 	var names []string
-	for range n {
-		name := c.addBooting(h.Type, h.Zone, h.Spot)
+	for range count {
+		name := c.addBooting(request.Type, request.Zone, request.Spot)
 		names = append(names, name)
 		c.Hired++
 		if c.NeverUp > 0 {
 			c.NeverUp--
 			continue
 		}
-		boot := config.Seconds(c.Type(h.Type).BootS * (0.6 + 0.9*c.cluster.Rand.Float64()) * max(c.Boots, 1))
-		if c.AtOnce {
-			boot = time.Duration(c.cluster.Rand.Int64N(int64(2 * time.Second)))
-		}
-		c.cluster.After(boot, func() { c.finishBoot(name) })
+		c.cluster.After(c.drawBoot(request.Type), func() { c.finishBoot(name) })
 	}
-	c.responses[h.Request] = names
+	c.responses[request.Request] = names
 	return names, core.CloudDone
 }
 
-// Remove takes machines away, by deletion or without a word.
-func (c *Cloud) Remove(names ...string) {
-	for _, n := range names {
-		if m := c.machines[n]; m != nil && m.deletedAt == 0 {
-			m.deletedAt = c.cluster.Now
-			c.Deleted++
-			if k := c.cluster.Workers[n]; k != nil {
-				k.remove()
+// available is how many of the machines of a request there are.
+func (c *Cloud) available(request protocol.CreateMachinesRequest) int {
+	count := request.Count
+	for _, pool := range []string{request.Type, request.Type + " " + request.Zone} {
+		limit, limited := c.Capacity[pool]
+		if !limited {
+			continue
+		}
+		used := 0
+		for _, existing := range c.machines {
+			if existing.deletedAt == 0 && (pool == existing.Type || pool == existing.Type+" "+existing.Zone) {
+				used++
 			}
 		}
+		count = min(count, limit-used)
+	}
+	return count
+}
+
+// drawBoot draws how long a machine boots.
+func (c *Cloud) drawBoot(machineType string) time.Duration {
+	factor := minBootFactor + bootFactorSpread*c.cluster.Rand.Float64()
+	boot := config.Seconds(c.Type(machineType).BootS * factor * max(c.Boots, 1))
+	if c.AtOnce {
+		boot = time.Duration(c.cluster.Rand.Int64N(int64(maxInstantBoot)))
+	}
+	return boot
+}
+
+// Remove deletes machines without a notice.
+func (c *Cloud) Remove(names ...string) {
+	for _, name := range names {
+		removed := c.machines[name]
+		if removed == nil || removed.deletedAt > 0 {
+			continue
+		}
+		removed.deletedAt = c.cluster.Now
+		c.Deleted++
+		if worker := c.cluster.Workers[name]; worker != nil {
+			worker.remove()
+		}
+	}
+}
+
+func (c *Cloud) deleteInstances(names []string) core.DeleteInstancesResult {
+	outcome := c.admit()
+	if outcome == core.CloudDone {
+		c.Remove(names...)
 	}
+	return core.DeleteInstancesResult{Names: names, Outcome: outcome}
 }
 
-// refuses gives the outcome of a call that is not served, CloudDone if it is: in an outage, and
-// above the limit, bursts of two seconds' worth allowed.
-func (c *Cloud) refuses() core.CloudOutcome {
+// admit gives the outcome of a call that is not served, in an outage or above the limit, and
+// CloudDone if it is served.
+func (c *Cloud) admit() core.CloudOutcome {
 	if c.Out {
 		return core.CloudUnavailable
 	}
-	rps := c.cluster.Set.Site.Cloud.RPS
-	c.callBucket.used = max(c.callBucket.used-(c.cluster.Now-c.callBucket.updatedAt).Seconds()*rps, 0)
-	c.callBucket.updatedAt = c.cluster.Now
-	if c.callBucket.used+1 > 2*rps {
+	rate := c.cluster.Set.Site.Cloud.RPS
+	if !c.callBucket.take(c.cluster.Now, 1, rate, cloudBurstSeconds) {
 		c.Refused++
 		return core.CloudThrottled
 	}
-	c.callBucket.used++
 	return core.CloudDone
 }
 
-// list shows a page of the machines as they were a while ago.
-func (c *Cloud) list(since string) core.ListInstancesResult {
-	if outcome := c.refuses(); outcome != core.CloudDone {
+func (c *Cloud) listTypes() core.MachineTypesResult {
+	outcome := c.admit()
+	if outcome != core.CloudDone {
+		return core.MachineTypesResult{Outcome: outcome}
+	}
+	return core.MachineTypesResult{Outcome: core.CloudDone, Answer: protocol.MachineTypes{Types: c.types}}
+}
+
+// list gives a page of the machines, those with names after the given one, as they were a
+// while ago.
+func (c *Cloud) list(after string) core.ListInstancesResult {
+	if outcome := c.admit(); outcome != core.CloudDone {
 		return core.ListInstancesResult{Outcome: outcome}
 	}
-	lag := config.Seconds(c.cluster.Set.Site.Cloud.ListLagS)
-	var out []protocol.Instance
-	for _, m := range c.machines {
-		if m.Name <= since || m.createdAt+lag > c.cluster.Now || m.deletedAt > 0 && m.deletedAt+lag <= c.cluster.Now {
+	seenAt := c.cluster.Now - config.Seconds(c.cluster.Set.Site.Cloud.ListLagS)
+	var instances []protocol.Instance
+	for _, listed := range c.machines {
+		if listed.Name <= after || listed.createdAt > seenAt || listed.deletedAt > 0 && listed.deletedAt <= seenAt {
 			continue
 		}
-		x := m.Instance
-		x.AgeS = (c.cluster.Now - lag - m.createdAt).Seconds()
-		out = append(out, x)
+		instance := listed.Instance
+		instance.AgeS = (seenAt - listed.createdAt).Seconds()
+		instances = append(instances, instance)
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
-	n := min(len(out), 500)
-	return core.ListInstancesResult{Outcome: core.CloudDone, Machines: out[:n], More: n < len(out)}
+	slices.SortFunc(instances, func(a, b protocol.Instance) int { return cmp.Compare(a.Name, b.Name) })
+	page := instances[:min(len(instances), cloudPageSize)]
+	return core.ListInstancesResult{Outcome: core.CloudDone, Machines: page, More: len(page) < len(instances)}
 }
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,11 +1,26 @@
-// Package simulation stands in for everything outside a controller: the state
-// service, the cloud, the workers, the network and the clock, all in memory and
-// in simulated time. Given the same seed, a story always goes the same way.
+// Package simulation runs a whole cluster in memory and in simulated time, for tests of the
+// core. It has three concerns:
+//
+//   - The simulation is everything outside a controller: the store and the cloud, the workers
+//     and their tasks, the users, the network and the clocks. Nodes run a real core, whose
+//     effects the simulation carries out.
+//   - Fault injection (faults.go, and the links of network.go) is all that a test switches on
+//     and off: crashes, pauses, partitions, lost messages, late commits, outages.
+//   - The checker (invariants.go, invariant_waiting.go) looks from outside whether the rules
+//     of the protocol hold, and records violations.
+//
+// The package knows the core by its commands, effects and queries only, never its inner state.
+//
+// Its invariants: given the same seed and the same calls a run goes the same way, so whatever
+// draws a random number or schedules an event does so in a fixed order, never in that of a
+// map's iteration; no real clock decides anything; and the checker influences nothing.
 package simulation
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
@@ -13,73 +28,73 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Debug has the nodes of all worlds log at that level.
+const (
+	// defaultLatency is the usual one-way latency of the network.
+	defaultLatency = 2 * time.Millisecond
+	// secondSeedMask makes the generator's second seed differ from the first: the golden
+	// ratio in 64 bits.
+	secondSeedMask = 0x9e3779b97f4a7c15
+)
+
+// Debug has the nodes of all clusters log at debug level.
 var Debug bool
 
-// World is a whole deployment.
+// World is a whole cluster and its surroundings.
 type World struct {
-	Now     time.Duration
+	NetworkFaults
+
+	Now     time.Duration // simulated time since the start
 	Rand    *rand.Rand
 	Set     config.Settings
 	Policy  config.Policy
 	State   *State
 	Cloud   *Cloud
 	Nodes   []*Node
-	Workers map[string]*Worker
+	Workers map[string]*Worker // by machine
 	Users   *Users
-	Broken  []string      // rules that were broken, and how
-	Latency time.Duration // one way
-	// PeerLatency is added to every message between controllers, as by a busy
-	// node that is slow to read.
-	PeerLatency time.Duration
-	// PeersRefuse makes controllers refuse one another's new connections.
-	PeersRefuse bool
-	// Loss is the share of calls whose request or answer is lost.
-	Loss float64
-	// Copies is the share of requests of which a copy arrives once more, up to CopyBy
-	// after the request itself.
-	Copies float64
-	CopyBy time.Duration
-	// Logs keeps the nodes' log lines, for a story that asks for them.
+	// Broken lists the violations of the protocol's rules that the checker has found.
+	Broken []string
+	// Logs are the nodes' log lines, for a test that looks for some.
 	Logs []string
-	// Applied is told what each batch of commands took of a node, in real time, if
-	// it is set.
-	Applied func(n *Node, cmds []core.Command, took time.Duration)
+	// Applied is called, if it is set, with each batch of commands that a node has applied
+	// and the real time that this took.
+	Applied func(node *Node, commands []core.Command, took time.Duration)
+	// KeepReports retains one heartbeat of each machine, the first from now on, and delivers
+	// them late, to all controllers, when another process becomes the leader.
+	KeepReports bool
 
-	// KeepReports has a copy kept of a report of each machine, the first from then on, for
-	// the moment at which somebody else begins to lead: all controllers get it then.
-	KeepReports        bool
-	retainedHeartbeats map[string]protocol.Heartbeat
-	lastLeader         string // the process that led when that was looked at last
+	checker            *checker
+	retainedHeartbeats map[string]protocol.Heartbeat // by machine
+	lastLeader         string                        // the process that led when heartbeats were first retained
 
 	links       map[endpoints]*Link
 	heldPackets []heldPacket
-	events      eventHeap
-	eventSeq    uint64
-	peerLinks   map[uint64]*peerLink
+	peerLinks   map[uint64]*peerLink // by session
 	lastLinkID  uint64
+
+	events   eventHeap
+	eventSeq uint64
 }
 
-// Settings describes a small deployment with n controllers.
-func Settings(n int) config.Settings {
-	var s config.Settings
-	s.Site = config.Site{
-		InitialSize: n, Zones: []string{"a", "b"},
+// Settings describes a small deployment with so many controllers.
+func Settings(nodes int) config.Settings {
+	var settings config.Settings
+	settings.Site = config.Site{
+		InitialSize: nodes, Zones: []string{"a", "b"},
 		Teams:     []config.Team{{Name: "red", CPUs: 8, CPUsMax: 24}, {Name: "blue", CPUs: 8}, {Name: "guest"}},
 		Workers:   config.Workers{ReportS: 2, LeaseS: 16, GangWaitS: 20, GangPeerS: 5, CancelS: 45},
 		State:     config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
 		Cloud:     config.Cloud{RPS: 8, ListLagS: 4},
 		Resources: config.Resources{Cores: 0.2, RAMMB: 128, MaxSockets: 1000},
 	}
-	for i := range n {
-		s.Siblings = append(s.Siblings, config.Sibling{Label: label(i), Address: fmt.Sprintf("10.0.0.%d:1", i+1)})
+	for i := range nodes {
+		settings.Siblings = append(settings.Siblings, config.Sibling{
+			Label: fmt.Sprintf("node-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i+1)})
 	}
-	return s
+	return settings
 }
 
-func label(i int) string { return fmt.Sprintf("node-%d", i) }
-
-// Types is what the fake cloud rents.
+// Types are the machine types that the simulated cloud rents.
 func Types() []protocol.MachineType {
 	return []protocol.MachineType{
 		{Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: []string{"a", "b"}},
@@ -87,24 +102,47 @@
 	}
 }
 
-// New makes a world with n controllers and starts them.
-func New(seed uint64, n int) *World { return Build(seed, Settings(n), Types()) }
+// New makes a cluster with so many controllers and starts them.
+func New(seed uint64, nodes int) *World { return Build(seed, Settings(nodes), Types()) }
 
-// Build makes a world of the given settings, with a controller for each sibling that
-// they name, and starts them.
-func Build(seed uint64, set config.Settings, types []protocol.MachineType) *World {
-	w := &World{
-		Rand: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), Set: set, Policy: config.DefaultPolicy(),
-		Workers: map[string]*Worker{}, Latency: 2 * time.Millisecond,
-		retainedHeartbeats: map[string]protocol.Heartbeat{}, links: map[endpoints]*Link{}, peerLinks: map[uint64]*peerLink{},
+// Build makes a cluster of the given settings, with a controller for each sibling that they
+// name, and starts the controllers.
+func Build(seed uint64, settings config.Settings, types []protocol.MachineType) *World {
+	c := &World{
+		NetworkFaults: NetworkFaults{Latency: defaultLatency},
+		Rand:          rand.New(rand.NewPCG(seed, seed^secondSeedMask)), Set: settings, Policy: config.DefaultPolicy(),
+		Workers: map[string]*Worker{}, retainedHeartbeats: map[string]protocol.Heartbeat{},
+		links: map[endpoints]*Link{}, peerLinks: map[uint64]*peerLink{},
+	}
+	c.checker = &checker{cluster: c}
+	c.State = newState(c)
+	c.Cloud = newCloud(c, types)
+	c.Users = newUsers(c)
+	for _, sibling := range settings.Siblings {
+		node := newNode(c, sibling.Label, sibling.Zone)
+		c.Nodes = append(c.Nodes, node)
+		node.Start()
 	}
-	w.State = newStore(w)
-	w.Cloud = newCloud(w, types)
-	w.Users = newUsers(w)
-	for _, s := range set.Siblings {
-		nd := &Node{cluster: w, Label: s.Label, Zone: s.Zone, clockRate: 1 + (w.Rand.Float64()*2-1)*0.00025}
-		w.Nodes = append(w.Nodes, nd)
-		nd.Start()
+	return c
+}
+
+// SomeWorkers draws workers at random, at most so many.
+func (c *World) SomeWorkers(count int) []*Worker {
+	names := slices.Sorted(maps.Keys(c.Workers))
+	c.Rand.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
+	var workers []*Worker
+	for _, name := range names[:min(count, len(names))] {
+		workers = append(workers, c.Workers[name])
+	}
+	return workers
+}
+
+// currentLeader names the process that leads, empty: none does.
+func (c *World) currentLeader() string {
+	for _, node := range c.Nodes {
+		if node.Alive() && node.Core.IsLeader() {
+			return node.processName()
+		}
 	}
-	return w
+	return ""
 }
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -5,44 +5,54 @@
 	"time"
 )
 
-// At runs f at a moment of simulated time.
-func (w *World) At(t time.Duration, f func()) {
-	w.eventSeq++
-	heap.Push(&w.events, event{at: max(t, w.Now), seq: w.eventSeq, run: f})
+// event is a callback at a moment of simulated time. Events of the same moment run in the
+// order in which they were scheduled.
+type event struct {
+	at  time.Duration
+	seq uint64
+	run func()
+}
+
+// At runs callback at a moment of simulated time, now if that is past.
+func (c *World) At(moment time.Duration, callback func()) {
+	c.eventSeq++
+	heap.Push(&c.events, event{at: max(moment, c.Now), seq: c.eventSeq, run: callback})
 }
 
-// After runs f after a span of simulated time.
-func (w *World) After(d time.Duration, f func()) { w.At(w.Now+d, f) }
+// After runs callback after a span of simulated time.
+func (c *World) After(delay time.Duration, callback func()) { c.At(c.Now+delay, callback) }
 
-// Run lets simulated time pass up to t.
-func (w *World) Run(t time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= t {
-		e := heap.Pop(&w.events).(event)
-		w.Now = e.at
-		e.run()
+// Run lets simulated time pass up to end.
+func (c *World) Run(end time.Duration) {
+	for c.hasEventBy(end) {
+		c.runNextEvent()
 	}
-	w.Now = t
+	c.Now = end
 }
 
-// Until runs until cond holds, at most up to t, and reports whether it does.
-func (w *World) Until(t time.Duration, cond func() bool) bool {
-	for !cond() {
-		if len(w.events) == 0 || w.events[0].at > t {
+// Until lets simulated time pass until condition holds, at most up to end, and reports
+// whether it does.
+func (c *World) Until(end time.Duration, condition func() bool) bool {
+	for !condition() {
+		if !c.hasEventBy(end) {
 			return false
 		}
-		e := heap.Pop(&w.events).(event)
-		w.Now = e.at
-		e.run()
+		c.runNextEvent()
 	}
 	return true
 }
 
-type event struct {
-	at  time.Duration
-	seq uint64
-	run func()
+func (c *World) hasEventBy(end time.Duration) bool {
+	return len(c.events) > 0 && c.events[0].at <= end
+}
+
+func (c *World) runNextEvent() {
+	next := heap.Pop(&c.events).(event)
+	c.Now = next.at
+	next.run()
 }
 
+// eventHeap is a heap.Interface with the next event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -57,7 +67,7 @@
 
 func (h *eventHeap) Pop() any {
 	old := *h
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*h = old[:len(old)-1]
-	return x
+	return last
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,10 +1,8 @@
 package simulation
 
 import (
-	"fmt"
 	"maps"
 	"slices"
-	"sort"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/core"
@@ -13,104 +11,161 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// retain takes a copy of a report for the next leader.
-func (w *World) retain(r protocol.Heartbeat) {
-	if _, ok := w.retainedHeartbeats[r.Machine]; !ok && w.KeepReports {
-		if len(w.retainedHeartbeats) == 0 {
-			w.lastLeader = w.currentLeader()
-			w.releaseAtFailover()
-		}
-		w.retainedHeartbeats[r.Machine] = r
-	}
+// NetworkFaults are the faults of the whole network. Those of single paths are set with
+// World.Link.
+type NetworkFaults struct {
+	// Latency is the usual one-way latency.
+	Latency time.Duration
+	// PeerLatency is added to every message between controllers, as by a busy node that is
+	// slow to read.
+	PeerLatency time.Duration
+	// PeersRefuse makes controllers refuse one another's new connections.
+	PeersRefuse bool
+	// Loss is the share of calls whose request or answer is lost, each by itself.
+	Loss float64
+	// Copies is the share of requests that arrive a second time, up to CopyBy after the
+	// first.
+	Copies float64
+	CopyBy time.Duration
 }
 
-// currentLeader names the process that leads, empty: none does.
-func (w *World) currentLeader() string {
-	for _, n := range w.Nodes {
-		if n.Alive() && n.Core.IsLeader() {
-			return fmt.Sprintf("%s.%d", n.Label, n.incarnation)
-		}
+// StoreFaults are the faults of the state service.
+type StoreFaults struct {
+	// Out is an outage: every request is refused.
+	Out bool
+	// Refuses are nodes whose requests alone are refused.
+	Refuses map[string]bool
+	// Forgot are nodes whose next watch is told that its revision has been compacted.
+	Forgot map[string]bool
+	// LateShare is the share of transactions that get no answer and are applied from
+	// LateFrom up to LateBy afterwards; with a LateBy of 0 they are applied at once.
+	LateShare float64
+	LateFrom  time.Duration
+	LateBy    time.Duration
+	// LateOnly limits that to transactions that change a key with this prefix, empty: all.
+	LateOnly string
+	// Slow is added to the time that every answer takes.
+	Slow time.Duration
+	// Lowered puts the announced lower limits in force.
+	Lowered bool
+}
+
+// CloudFaults are the faults of the cloud.
+type CloudFaults struct {
+	// Out is an outage: every request is refused.
+	Out bool
+	// Capacity is how many machines there are of a type, or of a type in a zone ("box a");
+	// absent: any number.
+	Capacity map[string]int
+	// NeverUp is how many of the next machines that are created stay booting for ever.
+	NeverUp int
+	// Boots is the factor by which boots are slower, 0: none.
+	Boots float64
+	// AtOnce has machines run within two seconds.
+	AtOnce bool
+}
+
+// WorkerFaults are the faults of a machine and its worker.
+type WorkerFaults struct {
+	// Faulty makes every task fail that it starts.
+	Faulty bool
+	// Hung makes it do nothing until it resumes; its lease expires all the same.
+	Hung bool
+	// Mute makes it open no connection to a controller, while it still serves theirs.
+	Mute bool
+	// Slow is the factor by which its tasks take longer, 0: none.
+	Slow float64
+	// NoticeS is the notice, in seconds, of the cloud that takes it back, nil: none.
+	NoticeS *float64
+}
+
+// lateLeaderDelays are the times after a change of the leader at which retained heartbeats
+// arrive, in milliseconds. They arrive again and again while the new leader takes over, for
+// it reads no heartbeat until it knows which machines are its own.
+var lateLeaderDelays = []time.Duration{0, 60, 130, 250, 500, 1000, 2000}
+
+// leaderPollInterval is how often a change of the leader is looked for.
+const leaderPollInterval = 5 * time.Millisecond
+
+// retain keeps a heartbeat for the next leader, if that is switched on.
+func (c *World) retain(report protocol.Heartbeat) {
+	if _, retained := c.retainedHeartbeats[report.Machine]; retained || !c.KeepReports {
+		return
 	}
-	return ""
+	if len(c.retainedHeartbeats) == 0 {
+		c.lastLeader = c.currentLeader()
+		c.releaseAtFailover()
+	}
+	c.retainedHeartbeats[report.Machine] = report
 }
 
-// releaseAtFailover hands the kept reports out, in any order, once another process leads, and again
-// and again while it takes over: until a map is its own nobody reads a report.
-func (w *World) releaseAtFailover() {
-	now := w.currentLeader()
-	if now == "" || now == w.lastLeader {
-		w.After(5*time.Millisecond, w.releaseAtFailover)
+// releaseAtFailover delivers the retained heartbeats to all controllers, with latencies that
+// mix their order, once another process leads.
+func (c *World) releaseAtFailover() {
+	leader := c.currentLeader()
+	if leader == "" || leader == c.lastLeader {
+		c.After(leaderPollInterval, c.releaseAtFailover)
 		return
 	}
-	kept := w.retainedHeartbeats
-	w.retainedHeartbeats = map[string]protocol.Heartbeat{}
-	for _, name := range slices.Sorted(maps.Keys(kept)) {
-		for _, n := range w.Nodes {
-			for _, after := range []time.Duration{0, 60, 130, 250, 500, 1000, 2000} {
-				w.After(after*time.Millisecond+w.networkDelay(), func() {
-					n.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: kept[name]} }, func(core.Reply) {})
-				})
-			}
+	retained := c.retainedHeartbeats
+	c.retainedHeartbeats = map[string]protocol.Heartbeat{}
+	for _, machine := range slices.Sorted(maps.Keys(retained)) {
+		for _, node := range c.Nodes {
+			c.deliverLate(node, retained[machine])
 		}
 	}
 }
 
-// SomeWorkers draws up to n workers.
-func (w *World) SomeWorkers(n int) []*Worker {
-	var names []string
-	for name := range w.Workers {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	w.Rand.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
-	var out []*Worker
-	for _, name := range names[:min(n, len(names))] {
-		out = append(out, w.Workers[name])
+func (c *World) deliverLate(node *Node, report protocol.Heartbeat) {
+	for _, delay := range lateLeaderDelays {
+		c.After(delay*time.Millisecond+c.networkDelay(), func() {
+			node.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, func(core.Reply) {})
+		})
 	}
-	return out
 }
 
-// Cut silences the path between two ends. With keep, packets are held and delivered when
-// the cut is mended.
-func (w *World) Cut(a, b string, keep bool) {
-	if keep {
-		w.Between(a, b, Held)
+// Cut partitions two endpoints from one another. With hold, packets are kept and delivered
+// when the partition is healed.
+func (c *World) Cut(a, b string, hold bool) {
+	if hold {
+		c.Between(a, b, Held)
 	} else {
-		w.Between(a, b, Dropped)
+		c.Between(a, b, Dropped)
 	}
 }
 
-// Mend ends a cut and lets held packets go, in order.
-func (w *World) Mend(a, b string) { w.Between(a, b, Link{}) }
+// Mend heals a partition and lets held packets go, in order.
+func (c *World) Mend(a, b string) { c.Between(a, b, Link{}) }
 
-// CutZone silences all paths between a zone and the rest, or, if other names a zone,
-// those between the two. The regional services are in no zone.
-func (w *World) CutZone(zone, other string, keep bool) { w.Cut("zone "+zone, "zone "+other, keep) }
+// CutZone partitions a zone from the rest or, if other names a zone, from that one. The
+// regional services are in no zone.
+func (c *World) CutZone(zone, other string, hold bool) {
+	c.Cut(zoneEndpoint(zone), zoneEndpoint(other), hold)
+}
 
-// MendZone ends such a cut.
-func (w *World) MendZone(zone, other string) { w.Mend("zone "+zone, "zone "+other) }
+// MendZone heals such a partition.
+func (c *World) MendZone(zone, other string) { c.Mend(zoneEndpoint(zone), zoneEndpoint(other)) }
 
-// Force makes the worker start a task that nobody commanded, for the story that
-// checks the checker.
-func (k *Worker) Force(task string, attempt uint64) {
-	k.execute([]protocol.Command{{Kind: protocol.CommandStart, Task: task, Attempt: attempt}})
+// Force makes the worker start a task that nobody commanded, for tests of the checker.
+func (w *Worker) Force(task string, attempt uint64) {
+	w.execute([]protocol.Command{{Kind: protocol.CommandStart, Task: task, Attempt: attempt}})
 }
 
 // Recall has the cloud take the machine back after a notice, or with none.
-func (k *Worker) Recall(notice time.Duration) {
+func (w *Worker) Recall(notice time.Duration) {
 	if notice > 0 {
-		s := notice.Seconds()
-		k.NoticeS = &s
-		k.statusChanged()
+		seconds := notice.Seconds()
+		w.NoticeS = &seconds
+		w.statusChanged()
 	}
-	k.cluster.After(notice, func() { k.cluster.Cloud.Remove(k.Info.Name) })
+	w.cluster.After(notice, func() { w.cluster.Cloud.Remove(w.Info.Name) })
 }
 
-// Outage makes the service refuse everybody for a while; leases are frozen and
-// have their full time afterwards.
-func (s *State) Outage(d time.Duration) {
+// Outage makes the store refuse everybody for a while; leases are frozen and have their full
+// time afterwards.
+func (s *State) Outage(duration time.Duration) {
 	s.Out = true
-	s.cluster.After(d, func() {
+	s.cluster.After(duration, func() {
 		s.Out = false
 		for _, id := range slices.Sorted(maps.Keys(s.state.LeaseTTLs())) {
 			s.armLease(id)
@@ -119,43 +174,46 @@
 	})
 }
 
-// Forget removes a key behind everybody's back.
+// Forget removes a key without the knowledge of any controller.
 func (s *State) Forget(key string) {
 	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
 }
 
-// Reopen puts a job back to where it was when it was accepted, behind everybody's back.
+// Reopen puts a job back to where it was when it was accepted, without the knowledge of any
+// controller.
 func (s *State) Reopen(spec protocol.Job) {
-	rec := records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: 1e9}
-	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + spec.ID, Value: protocol.Encode(rec)}}})
+	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
+}
+
+// queuedRecord is the record of a job that was just accepted.
+func queuedRecord(spec protocol.Job) records.Job {
+	return records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: wallClockOffset}
 }
 
-// StandStill stops the process where it is, without ending it: what it was about
-// to say is said when it wakes, and what comes meanwhile piles up.
-func (n *Node) StandStill(d time.Duration) {
+// StandStill pauses the process without ending it: the effects that it was about to perform
+// are performed when it resumes, and commands pile up meanwhile.
+func (n *Node) StandStill(duration time.Duration) {
 	n.paused = true
-	n.cluster.After(d, n.ifSameProcess(func() {
+	n.cluster.After(duration, n.ifSameProcess(func() {
 		n.paused = false
-		said := n.pendingEffects
+		effects := n.pendingEffects
 		n.pendingEffects = nil
-		for _, e := range said {
-			n.perform(e)
-		}
+		n.performAll(effects)
 		n.wakeScheduled = false
 		n.wake(0)
 	}))
 }
 
-// Crash ends the process, and starts it again after a while if that is above 0.
-func (n *Node) Crash(back time.Duration) {
+// Crash ends the process, and starts it again after a while if restartAfter is above 0.
+func (n *Node) Crash(restartAfter time.Duration) {
 	n.incarnation++
 	n.Core, n.Ready = nil, false
-	for _, l := range n.cluster.sortedPeerLinks() {
-		if l.dialer == n || l.acceptor == n {
-			l.close()
+	for _, link := range n.cluster.sortedPeerLinks() {
+		if link.dialer == n || link.acceptor == n {
+			link.close()
 		}
 	}
-	if back > 0 {
-		n.cluster.After(back, n.Start)
+	if restartAfter > 0 {
+		n.cluster.After(restartAfter, n.Start)
 	}
 }
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -7,49 +7,74 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// runGangTask lets a gang run once all of its tasks are on machines, and ends the task
-// if that takes too long or a peer is lost.
-func (u *Users) runGangTask(k *Worker, t *Task) {
-	j := t.job
-	w := u.cluster
-	all := func() bool { // of this very start
-		n := len(j.completed)
-		for name, m := range j.machines {
-			if other := w.Workers[m]; other != nil && other.currentAttempt(name) == t.Attempt {
-				n++
-			}
-		}
-		return n >= j.Spec.Tasks
+// gangPollInterval is how often a gang's task looks for its peers.
+const gangPollInterval = 200 * time.Millisecond
+
+// gangTask is a gang's task on its machine: it runs once all tasks of the gang are on
+// machines, and ends if that takes too long or a peer is lost.
+type gangTask struct {
+	worker       *Worker
+	task         *Task
+	waitUntil    time.Duration // for the peers
+	runningSince time.Duration
+	missingSince time.Duration // when a peer was found missing while it ran, 0: none is
+}
+
+func (w *Worker) runGangTask(task *Task) {
+	wait := config.Seconds(w.cluster.Set.Site.Workers.GangWaitS)
+	gang := &gangTask{worker: w, task: task, waitUntil: w.cluster.Now + wait}
+	gang.watch()
+}
+
+// watch looks for the peers again and again, until the task is over.
+func (g *gangTask) watch() {
+	job, cluster := g.task.job, g.worker.cluster
+	if !g.task.occupiesMachine() || job.machines[g.task.Name] != g.worker.Info.Name {
+		return
+	}
+	if reason := g.advance(); reason != "" {
+		g.worker.exit(g.task, reason)
+		return
 	}
-	wait := w.Now + config.Seconds(w.Set.Site.Workers.GangWaitS)
-	var watch func()
-	started, missing := time.Duration(0), time.Duration(0)
-	watch = func() {
-		if !t.occupiesMachine() || j.machines[t.Name] != k.Info.Name {
-			return
+	cluster.After(gangPollInterval, g.watch)
+}
+
+// advance moves the task on as its peers allow, and gives the reason of its exit if it is over.
+func (g *gangTask) advance() (exitReason string) {
+	cluster := g.worker.cluster
+	timing := &cluster.Set.Site.Workers
+	waiting, running := g.task.State == protocol.TaskWaiting, g.task.State == protocol.TaskRunning
+	switch complete := g.complete(); {
+	case waiting && complete:
+		g.task.State, g.runningSince = protocol.TaskRunning, cluster.Now
+		g.worker.statusChanged()
+	case waiting && cluster.Now > g.waitUntil:
+		return protocol.ExitGangIncomplete
+	case running && !complete:
+		if g.missingSince == 0 {
+			g.missingSince = cluster.Now
+		}
+		if cluster.Now-g.missingSince > config.Seconds(timing.GangPeerS) {
+			return protocol.ExitGangPeerLost
 		}
-		switch {
-		case t.State == protocol.TaskWaiting && all():
-			t.State, started = protocol.TaskRunning, w.Now
-			k.statusChanged()
-		case t.State == protocol.TaskWaiting && w.Now > wait:
-			k.exit(t, protocol.ExitGangIncomplete)
-			return
-		case t.State == protocol.TaskRunning && !all():
-			if missing == 0 {
-				missing = w.Now
-			}
-			if w.Now-missing > config.Seconds(w.Set.Site.Workers.GangPeerS) {
-				k.exit(t, protocol.ExitGangPeerLost)
-				return
-			}
-		case t.State == protocol.TaskRunning && w.Now-started >= config.Seconds(j.RunS):
-			k.exit(t, protocol.ExitDone)
-			return
-		default:
-			missing = 0
+	case running && cluster.Now-g.runningSince >= config.Seconds(g.task.job.RunS):
+		return protocol.ExitDone
+	default:
+		g.missingSince = 0
+	}
+	return ""
+}
+
+// complete reports whether all of the gang's tasks are on machines with this very attempt,
+// or have completed.
+func (g *gangTask) complete() bool {
+	job := g.task.job
+	present := len(job.completed)
+	for name, machine := range job.machines {
+		peer := g.worker.cluster.Workers[machine]
+		if peer != nil && peer.currentAttempt(name) == g.task.Attempt {
+			present++
 		}
-		w.After(200*time.Millisecond, watch)
 	}
-	watch()
+	return present >= job.Spec.Tasks
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -2,152 +2,248 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/config"
+	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-func (w *World) recordViolation(rule, format string, args ...any) {
-	w.Broken = append(w.Broken, fmt.Sprintf("%.3f %s: %s", w.Now.Seconds(), rule, fmt.Sprintf(format, args...)))
+// rule names a rule of the protocol in a violation.
+type rule string
+
+const (
+	// ruleWentBack: done and cancelled exclude one another and are final, and only what a
+	// user cancelled, or what depends on it, is called cancelled.
+	ruleWentBack rule = "went_back"
+	// ruleNotDone: a job is called done only once all of its tasks are.
+	ruleNotDone rule = "not_done"
+	// ruleForgotten: an accepted job is known to every node, and questions are answered.
+	ruleForgotten rule = "forgotten"
+	// ruleInvented: no node knows a job that was never handed in.
+	ruleInvented rule = "invented"
+	// ruleWronglyAccepted: a job that can't run is never accepted.
+	ruleWronglyAccepted rule = "wrongly_accepted"
+	// ruleOrphaned: a job that depends on a cancelled one ends soon after it.
+	ruleOrphaned rule = "orphaned"
+	// ruleRanTwice: a task is on one machine at a time.
+	ruleRanTwice rule = "ran_twice"
+	// ruleRanCancelled: no task of a cancelled job runs after the deadline of its stops.
+	ruleRanCancelled rule = "ran_cancelled"
+	// ruleTooEarly: a task starts only when all jobs that its own depends on are done.
+	ruleTooEarly rule = "too_early"
+	// ruleWrongPlace: a task runs where its job's zone, types and kind of machine allow.
+	ruleWrongPlace rule = "wrong_place"
+	// ruleQuota: a team stays under its quota.
+	ruleQuota rule = "quota"
+	// ruleLeftWaiting: see checkWaiting.
+	ruleLeftWaiting rule = "left_waiting"
+	// ruleMalformed: the store is sent nothing that it can never accept.
+	ruleMalformed rule = "malformed"
+)
+
+const (
+	// maxUnansweredWait is how long a job may go without an answer to any question about it
+	// once all faults are over.
+	maxUnansweredWait = 75 * time.Second
+	// quotaEpsilon is the rounding that a team's sum of CPUs or GPUs may have.
+	quotaEpsilon = 1e-6
+)
+
+// checker looks whether the rules of the protocol hold, from outside the controllers: it
+// compares what happens on machines with what users are told. It reads the simulation's
+// state, records violations and changes nothing but its own records of a Job; it draws no
+// random numbers and schedules nothing, so that a run goes the same way without it.
+type checker struct {
+	cluster *World
 }
 
-// maxUnansweredWait is how long a job may go without an answer to any question about it once all
-// troubles are over.
-const maxUnansweredWait = 75 * time.Second
+// recordViolation notes that a rule was broken, and how.
+func (c *checker) recordViolation(broken rule, format string, args ...any) {
+	detail := fmt.Sprintf(format, args...)
+	violation := fmt.Sprintf("%.3f %s: %s", c.cluster.Now.Seconds(), broken, detail)
+	c.cluster.Broken = append(c.cluster.Broken, violation)
+}
 
-// observe takes what a node says of a job in answer to a question that left at that time. It is
-// older than it may be if the question left after a newer word had come, whichever node said
-// that; done and cancelled exclude one another whenever they were asked for.
-func (u *Users) observe(j *Job, a protocol.JobResponse, sent time.Duration) {
-	j.answeredAt = u.cluster.Now
-	final := func(s string) bool { return s == protocol.JobDone || s == protocol.JobCancelled }
-	if final(j.Told) && a.State != j.Told && (final(a.State) || sent > j.finalAt) {
-		u.cluster.recordViolation("went_back", "%s was %s at %.3f and is called %s, asked at %.3f", j.Spec.ID, j.Told, j.finalAt.Seconds(), a.State, sent.Seconds())
-	}
-	before := u.cancelledDependency(j)
-	if over := config.Seconds(u.cluster.Set.Site.Workers.CancelS); before != nil && before.Cancelled > 0 && sent > before.Cancelled+over && !final(a.State) {
-		u.cluster.recordViolation("orphaned", "%s is called %s long after %s was cancelled", j.Spec.ID, a.State, before.Spec.ID)
-	}
-	if a.State == protocol.JobCancelled && !j.cancelRequested && before == nil {
-		u.cluster.recordViolation("went_back", "%s is called cancelled, nobody cancelled it or one that it needs", j.Spec.ID)
+// recordForgotten notes that a node does not know an accepted job.
+func (c *checker) recordForgotten(jobID string, reply core.Reply) {
+	c.recordViolation(ruleForgotten, "%s is answered %d", jobID, reply.Status)
+}
+
+// cancelDeadline is how long a cancelled job's tasks may still run.
+func (c *checker) cancelDeadline() time.Duration {
+	return config.Seconds(c.cluster.Set.Site.Workers.CancelS)
+}
+
+// checkAcceptance is called when a job is accepted.
+func (c *checker) checkAcceptance(job *Job, reply core.Reply) {
+	if job.Never {
+		c.recordViolation(ruleWronglyAccepted, "%s is answered %d", job.Spec.ID, reply.Status)
 	}
-	if a.State == protocol.JobDone && len(j.completed) < j.Spec.Tasks {
-		u.cluster.recordViolation("not_done", "%s is called done with %d of %d tasks", j.Spec.ID, len(j.completed), j.Spec.Tasks)
+}
+
+// checkRejection is called when a job is rejected for good.
+func (c *checker) checkRejection(job *Job, reply core.Reply) {
+	if job.Accepted {
+		c.recordViolation(ruleForgotten, "%s was accepted and then refused with %d", job.Spec.ID, reply.Status)
 	}
-	if final(j.Told) {
-		if a.State == j.Told {
-			j.Answer = a
-		}
-		return // the first such word is the one that counts
+}
+
+// checkRejected is called with a node's answer to a job that can't run.
+func (c *checker) checkRejected(job *Job, node *Node, reply core.Reply) {
+	allowed := []core.ReplyStatus{core.ReplyInvalid, statusBadRequest, core.ReplyUnavailable}
+	if !slices.Contains(allowed, reply.Status) {
+		c.recordViolation(ruleWronglyAccepted, "%s is answered %d by %s", job.Spec.ID, reply.Status, node.Label)
 	}
-	if a.State == protocol.JobCancelled {
-		j.Cancelled = u.cluster.Now
-		u.cluster.After(config.Seconds(u.cluster.Set.Site.Workers.CancelS), func() {
-			for task, m := range j.machines { // hung machines too: they may resume
-				u.cluster.recordViolation("ran_cancelled", "%s is still on %s", task, m)
-			}
-		})
+}
+
+// checkAnswered looks whether a question about a job was answered lately.
+func (c *checker) checkAnswered(job *Job) {
+	now, faultsOverAt := c.cluster.Now, c.cluster.Users.Calm
+	if faultsOverAt == 0 || now-max(job.answeredAt, faultsOverAt) <= maxUnansweredWait {
+		return
+	}
+	c.recordViolation(ruleForgotten, "no question about %s has been answered since %.3f", job.Spec.ID, job.answeredAt.Seconds())
+	job.answeredAt = now // recorded once
+}
+
+// checkAnswer looks at what a node says of a job in answer to a question that left at sentAt,
+// before its user takes it in. Done and cancelled exclude one another whenever they were
+// asked for. Any other state is stale if the question left after the final word had come,
+// whichever node said that.
+func (c *checker) checkAnswer(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
+	id, final := job.Spec.ID, isFinal(answer.State)
+	if isFinal(job.Told) && answer.State != job.Told && (final || sentAt > job.finalAt) {
+		c.recordViolation(ruleWentBack, "%s was %s at %.3f and is called %s, asked at %.3f",
+			id, job.Told, job.finalAt.Seconds(), answer.State, sentAt.Seconds())
+	}
+	dependency := c.cancelledDependency(job)
+	if dependency != nil && dependency.Cancelled > 0 && sentAt > dependency.Cancelled+c.cancelDeadline() && !final {
+		c.recordViolation(ruleOrphaned, "%s is called %s long after %s was cancelled", id, answer.State, dependency.Spec.ID)
+	}
+	if answer.State == protocol.JobCancelled && !job.cancelRequested && dependency == nil {
+		c.recordViolation(ruleWentBack, "%s is called cancelled, nobody cancelled it or one that it needs", id)
+	}
+	if answer.State == protocol.JobDone && len(job.completed) < job.Spec.Tasks {
+		c.recordViolation(ruleNotDone, "%s is called done with %d of %d tasks", id, len(job.completed), job.Spec.Tasks)
 	}
-	j.Told, j.Answer = a.State, a
-	if final(a.State) {
-		j.finalAt = u.cluster.Now
-		u.readEverywhereIfEnabled(j)
+}
+
+// checkNoneRuns is called at the deadline after a job's user was told that it is cancelled.
+// Tasks on hung machines count too: these may resume.
+func (c *checker) checkNoneRuns(job *Job) {
+	for task, machine := range job.machines {
+		c.recordViolation(ruleRanCancelled, "%s is still on %s", task, machine)
 	}
 }
 
-// cancelledDependency is a job that this one needs, directly or through others, and whose user
-// has asked to cancel it: one whose user was told so, if there is one. One that was done
-// all the same does not count.
-func (u *Users) cancelledDependency(j *Job) (found *Job) {
+// cancelledDependency is a job that this one needs, directly or through others, and whose
+// user has asked to cancel it; one whose user was told that it is cancelled, if there is one.
+// A dependency that was done all the same does not count.
+func (c *checker) cancelledDependency(job *Job) (found *Job) {
 	seen := map[string]bool{}
-	for todo := append([]string(nil), j.Spec.Dependencies...); len(todo) > 0; {
-		id := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		x := u.jobs[id]
-		if seen[id] || x == nil || x.Told == protocol.JobDone {
+	for pending := slices.Clone(job.Spec.Dependencies); len(pending) > 0; {
+		id := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		dependency := c.cluster.Users.jobs[id]
+		if seen[id] || dependency == nil || dependency.Told == protocol.JobDone {
 			continue
 		}
 		seen[id] = true
-		todo = append(todo, x.Spec.Dependencies...)
-		if x.cancelRequested && (found == nil || found.Cancelled == 0) {
-			found = x
+		pending = append(pending, dependency.Spec.Dependencies...)
+		if dependency.cancelRequested && (found == nil || found.Cancelled == 0) {
+			found = dependency
 		}
 	}
 	return found
 }
 
-// taskStarted and left follow the tasks on their machines.
-func (u *Users) taskStarted(k *Worker, t *Task) {
-	j := t.job
-	if m, ok := j.machines[t.Name]; ok {
-		u.cluster.recordViolation("ran_twice", "%s starts on %s while it is on %s", t.Name, k.Info.Name, m)
-	}
-	if j.Cancelled > 0 && u.cluster.Now > j.Cancelled+config.Seconds(u.cluster.Set.Site.Workers.CancelS) {
-		u.cluster.recordViolation("ran_cancelled", "%s starts", t.Name)
-	}
-	for _, id := range j.Spec.Dependencies {
-		if x := u.jobs[id]; x != nil && len(x.completed) < x.Spec.Tasks {
-			u.cluster.recordViolation("too_early", "%s starts while %s has %d of %d tasks done", t.Name, id, len(x.completed), x.Spec.Tasks)
+// incompleteDependencies are the jobs that this one needs directly and that have not
+// completed all of their tasks.
+func (c *checker) incompleteDependencies(job *Job) (incomplete []*Job) {
+	for _, id := range job.Spec.Dependencies {
+		dependency := c.cluster.Users.jobs[id]
+		if dependency != nil && len(dependency.completed) < dependency.Spec.Tasks {
+			incomplete = append(incomplete, dependency)
 		}
 	}
-	if _, ok := j.machines[t.Name]; !ok {
-		u.addUsage(j, 1)
+	return incomplete
+}
+
+// checkStart is called just before a task counts as being on its machine.
+func (c *checker) checkStart(worker *Worker, task *Task) {
+	job := task.job
+	if machine, ok := job.machines[task.Name]; ok {
+		c.recordViolation(ruleRanTwice, "%s starts on %s while it is on %s", task.Name, worker.Info.Name, machine)
+	}
+	if job.Cancelled > 0 && c.cluster.Now > job.Cancelled+c.cancelDeadline() {
+		c.recordViolation(ruleRanCancelled, "%s starts", task.Name)
 	}
-	u.Starts++
-	if j.completed[t.index] {
-		u.Again++
+	for _, dependency := range c.incompleteDependencies(job) {
+		c.recordViolation(ruleTooEarly, "%s starts while %s has %d of %d tasks done",
+			task.Name, dependency.Spec.ID, len(dependency.completed), dependency.Spec.Tasks)
 	}
-	j.machines[t.Name] = k.Info.Name
-	u.checkPlace(k, t)
-	u.checkQuota(j.Spec.Team)
 }
 
-func (u *Users) taskLeft(k *Worker, t *Task) {
-	if t.job != nil && t.occupiesMachine() && t.job.machines[t.Name] == k.Info.Name {
-		delete(t.job.machines, t.Name)
-		u.addUsage(t.job, -1)
+// checkPlace looks whether a task may be on its machine.
+func (c *checker) checkPlace(worker *Worker, task *Task) {
+	spec, machine := &task.job.Spec, &worker.Info
+	allowed := machineAllowed(spec, machine) && (spec.Zone == "" || spec.Zone == machine.Zone)
+	tasksInZone := c.tasksByZone(task.job)
+	if spec.OneZone && len(tasksInZone) > 1 || spec.Spread && tasksInZone[machine.Zone] > maxTasksOfSpread(spec) {
+		allowed = false
+	}
+	if !allowed {
+		c.recordViolation(ruleWrongPlace, "%s on %s (%s, %s, spot %v)", task.Name, machine.Name, machine.Type, machine.Zone, machine.Spot)
 	}
 }
 
-func (u *Users) addUsage(j *Job, n int) {
-	u.runningTasks += n
-	u.cpus[j.Spec.Team] += float64(n) * j.Spec.CPUs
-	u.gpus[j.Spec.Team] += float64(n) * j.Spec.GPUs
+// machineAllowed reports whether a job allows a machine, by its type and kind.
+func machineAllowed(spec *protocol.Job, machine *protocol.Instance) bool {
+	typeAllowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, machine.Type)
+	return typeAllowed && (spec.AllowSpot || !machine.Spot)
 }
 
-func (u *Users) checkPlace(k *Worker, t *Task) {
-	s := &t.job.Spec
-	bad := s.Zone != "" && s.Zone != k.Info.Zone || k.Info.Spot && !s.AllowSpot
-	if len(s.MachineTypes) > 0 {
-		ok := false
-		for _, x := range s.MachineTypes {
-			ok = ok || x == k.Info.Type
-		}
-		bad = bad || !ok
-	}
-	zones := map[string]int{}
-	if s.OneZone || s.Spread {
-		for _, m := range t.job.machines {
-			if w := u.cluster.Workers[m]; w != nil {
-				zones[w.Info.Zone]++
-			}
+// maxTasksOfSpread is how many tasks of a job that spreads them may be in one zone.
+func maxTasksOfSpread(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
+
+// tasksByZone counts a job's tasks that are on machines.
+func (c *checker) tasksByZone(job *Job) map[string]int {
+	tasks := map[string]int{}
+	for _, machine := range job.machines {
+		if worker := c.cluster.Workers[machine]; worker != nil {
+			tasks[worker.Info.Zone]++
 		}
 	}
-	bad = bad || s.OneZone && len(zones) > 1 || s.Spread && zones[k.Info.Zone] > (s.Tasks+1)/2
-	if bad {
-		u.cluster.recordViolation("wrong_place", "%s on %s (%s, %s, spot %v)", t.Name, k.Info.Name, k.Info.Type, k.Info.Zone, k.Info.Spot)
-	}
+	return tasks
 }
 
-func (u *Users) checkQuota(team string) {
-	cpus, gpus := u.cpus[team], u.gpus[team]
-	for _, t := range u.cluster.Set.Site.Teams {
-		if t.Name == team && t.CPUsMax > 0 && cpus > t.CPUsMax+1e-6 {
-			u.cluster.recordViolation("quota", "team %s uses %g of %g CPUs", team, cpus, t.CPUsMax)
+// checkQuota looks whether a team is under its quota.
+func (c *checker) checkQuota(teamName string) {
+	cpus, gpus := c.cluster.Users.cpus[teamName], c.cluster.Users.gpus[teamName]
+	for _, team := range c.cluster.Set.Site.Teams {
+		if team.Name != teamName {
+			continue
 		}
-		if t.Name == team && t.GPUsMax > 0 && gpus > t.GPUsMax+1e-6 {
-			u.cluster.recordViolation("quota", "team %s uses %g of %g GPUs", team, gpus, t.GPUsMax)
+		if team.CPUsMax > 0 && cpus > team.CPUsMax+quotaEpsilon {
+			c.recordViolation(ruleQuota, "team %s uses %g of %g CPUs", teamName, cpus, team.CPUsMax)
+		}
+		if team.GPUsMax > 0 && gpus > team.GPUsMax+quotaEpsilon {
+			c.recordViolation(ruleQuota, "team %s uses %g of %g GPUs", teamName, gpus, team.GPUsMax)
 		}
 	}
 }
+
+// recordMalformed notes what is wrong with a transaction that the store rejects.
+// Nodes of the previous version do not know the limits to come and are let off.
+func (c *checker) recordMalformed(node string, previousVersion bool, fault string) {
+	if !previousVersion {
+		c.recordViolation(ruleMalformed, "%s sends the state service %s", node, fault)
+	}
+}
+
+// recordLeaseTTL notes that the store rejects the duration of a lease.
+func (c *checker) recordLeaseTTL(node string, ttl time.Duration) {
+	c.recordViolation(ruleMalformed, "%s asks for a lease of %v", node, ttl)
+}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,34 +5,38 @@
 	"time"
 )
 
-// Link is what the network does to packets from one end to another, in that direction
-// alone. The zero Link is up.
+// Link is what the network does to packets from one endpoint to another, in that direction
+// alone. The zero Link delivers them.
 type Link struct {
 	Drop    bool          // packets vanish
-	Hold    bool          // they are kept and arrive once it is mended
+	Hold    bool          // packets are kept and arrive once the link is healed
 	Refuse  bool          // connections are refused, and those that stand break
 	Reset   bool          // connections break when something is sent, which may have arrived
-	Delay   time.Duration // is added to the way
+	Delay   time.Duration // is added to the latency
 	Loss    float64       // this share of the packets vanishes
-	Largest int           // bytes; larger messages between controllers never get through, 0: all do
-	Period  time.Duration // down and up in turns, each for so long; 0: down all the time
+	Largest int           // in bytes; larger messages between controllers never get through, 0: all do
+	Period  time.Duration // the link is down and up in turns, each for so long; 0: down all the time
 
-	since time.Duration
+	since time.Duration // when it was set
 }
 
-// What a link is most often. An unread one is a connection that is accepted and never read.
+// Links that tests often set.
 var (
 	Dropped = Link{Drop: true}
 	Held    = Link{Hold: true}
 	Refused = Link{Refuse: true}
 	Resets  = Link{Reset: true}
-	Unread  = Link{Largest: 1}
+	Unread  = Link{Largest: unreadBytes} // connections are accepted and never read
 )
 
-// blocksConnections reports whether no connection is made over it.
+// unreadBytes is the limit of a link that no message gets through.
+const unreadBytes = 1
+
+// blocksConnections reports whether no connection is made over the link.
 func (l *Link) blocksConnections() bool { return l.Drop || l.Hold || l.Refuse || l.Reset }
 
-// untilUp is how long it takes until a flapping link lets packets pass.
+// untilUp is how long it takes until a flapping link lets packets pass, 0 if it does now or
+// does not flap.
 func (l *Link) untilUp(now time.Duration) time.Duration {
 	if l.Period == 0 || (now-l.since)/l.Period%2 == 1 {
 		return 0
@@ -40,7 +44,19 @@
 	return l.Period - (now-l.since)%l.Period
 }
 
-// endpoints are two ends, from the first to the second.
+// combine adds what another link does, if both lie on a packet's path.
+func (l *Link) combine(other *Link) {
+	l.Drop = l.Drop || other.Drop
+	l.Refuse = l.Refuse || other.Refuse
+	l.Reset = l.Reset || other.Reset
+	l.Delay += other.Delay
+	l.Loss = max(l.Loss, other.Loss)
+	if other.Largest > 0 && (l.Largest == 0 || other.Largest < l.Largest) {
+		l.Largest = other.Largest
+	}
+}
+
+// endpoints are the sender and the receiver of a direction.
 type endpoints [2]string
 
 // heldPacket is one that a link holds.
@@ -49,168 +65,183 @@
 	send func()
 }
 
-// Link has packets from one end to another go as l says, from now on. Ends are "node-0",
-// "state", "cloud", "users", a machine's name, "workers" for all machines, "workers/a" for
-// those of zone a, "workers/even" and "workers/odd" for about half of them, and "zone a"
-// for whatever is in that zone.
-func (w *World) Link(from, to string, l Link) {
+// Link has packets from one endpoint to another go as link says, from now on. Endpoints are
+// "node-0", "state", "cloud", "users", a machine's name, "workers" for all machines,
+// "workers/a" for those of zone a, "workers/even" and "workers/odd" for about half of them,
+// and "zone a" for whatever is in that zone.
+func (c *World) Link(from, to string, link Link) {
 	path := endpoints{from, to}
-	if l == (Link{}) {
-		delete(w.links, path)
+	if link == (Link{}) {
+		delete(c.links, path)
 	} else {
-		l.since = w.Now
-		w.links[path] = &l
+		link.since = c.Now
+		c.links[path] = &link
 	}
-	w.releaseHeld(path)
+	c.releaseHeld(path)
 }
 
 // Between does so in both directions.
-func (w *World) Between(a, b string, l Link) {
-	w.Link(a, b, l)
-	w.Link(b, a, l)
-}
-
-// releaseHeld sends again what a path held, and breaks the links between controllers that have
-// lost something and could now be made anew.
-func (w *World) releaseHeld(path endpoints) {
-	kept := w.heldPackets
-	w.heldPackets = nil
-	for _, p := range kept {
-		if p.path == path {
-			p.send()
+func (c *World) Between(a, b string, link Link) {
+	c.Link(a, b, link)
+	c.Link(b, a, link)
+}
+
+// releaseHeld sends again what a path held, and breaks the links between controllers that
+// have lost something and could now be made anew.
+func (c *World) releaseHeld(path endpoints) {
+	held := c.heldPackets
+	c.heldPackets = nil
+	for _, packet := range held {
+		if packet.path == path {
+			packet.send()
 		} else {
-			w.heldPackets = append(w.heldPackets, p)
+			c.heldPackets = append(c.heldPackets, packet)
 		}
 	}
-	for _, l := range w.sortedPeerLinks() {
-		if (l.lossy[0] || l.lossy[1]) && !w.connectionBlocked(l.dialer.Label, l.acceptor.Label) {
-			l.close()
+	for _, link := range c.sortedPeerLinks() {
+		lossy := link.lossy[fromDialer] || link.lossy[fromAcceptor]
+		if lossy && !c.connectionBlocked(link.dialer.Label, link.acceptor.Label) {
+			link.close()
 		}
 	}
 }
 
-// connectionBlocked reports whether no connection is made between two ends.
-func (w *World) connectionBlocked(a, b string) bool {
-	to, _ := w.linkBetween(a, b)
-	back, _ := w.linkBetween(b, a)
-	return to.blocksConnections() || back.blocksConnections()
+// connectionBlocked reports whether no connection is made between two endpoints.
+func (c *World) connectionBlocked(a, b string) bool {
+	there, _ := c.linkBetween(a, b)
+	back, _ := c.linkBetween(b, a)
+	return there.blocksConnections() || back.blocksConnections()
 }
 
-// endpointNames are those that an end answers to, its zone's not among them.
-func (w *World) endpointNames(end string) []string {
-	if !strings.HasPrefix(end, "n-") {
-		return []string{end}
+// endpointNames are the names that an endpoint goes by, its zone's not among them.
+func (c *World) endpointNames(endpoint string) []string {
+	if !strings.HasPrefix(endpoint, machinePrefix) {
+		return []string{endpoint}
 	}
 	half := "workers/even"
-	if (end[len(end)-1]-'0')%2 == 1 {
+	if (endpoint[len(endpoint)-1]-'0')%2 == 1 {
 		half = "workers/odd"
 	}
-	return []string{end, "workers", "workers/" + w.zoneOf(end), half}
+	return []string{endpoint, "workers", "workers/" + c.zoneOf(endpoint), half}
 }
 
-// zoneOf is where an end is, empty for what is regional.
-func (w *World) zoneOf(end string) string {
-	if k := w.Workers[end]; k != nil {
-		return k.Info.Zone
+// zoneOf is where an endpoint is, empty for the regional services and the users.
+func (c *World) zoneOf(endpoint string) string {
+	if worker := c.Workers[endpoint]; worker != nil {
+		return worker.Info.Zone
 	}
-	for _, n := range w.Nodes {
-		if n.Label == end {
-			return n.Zone
+	for _, node := range c.Nodes {
+		if node.Label == endpoint {
+			return node.Zone
 		}
 	}
 	return ""
 }
 
-// linkBetween is what becomes of a packet from one end to another now: all that was said of that
-// path together, and the path that would hold it.
-func (w *World) linkBetween(from, to string) (sum Link, path endpoints) {
-	if len(w.links) == 0 {
+// linkBetween is what becomes of a packet from one endpoint to another now: all links of its
+// path combined, and the path that would hold it.
+func (c *World) linkBetween(from, to string) (combined Link, heldBy endpoints) {
+	if len(c.links) == 0 {
 		return
 	}
-	take := func(a, b string) {
-		l := w.links[endpoints{a, b}]
-		if l == nil {
-			return
+	for _, path := range c.pathsBetween(from, to) {
+		link := c.links[path]
+		if link == nil {
+			continue
 		}
-		wait := l.untilUp(w.Now)
-		if l.Period > 0 && wait == 0 {
-			return
+		untilUp := link.untilUp(c.Now)
+		if link.Period > 0 && untilUp == 0 {
+			continue
 		}
-		if l.Hold && wait > 0 { // nobody mends a flapping link, it comes up of itself
-			sum.Delay = max(sum.Delay, wait)
-		} else if l.Hold {
-			sum.Hold, path = true, endpoints{a, b}
-		}
-		sum.Drop, sum.Refuse, sum.Reset = sum.Drop || l.Drop, sum.Refuse || l.Refuse, sum.Reset || l.Reset
-		sum.Delay += l.Delay
-		sum.Loss = max(sum.Loss, l.Loss)
-		if l.Largest > 0 && (sum.Largest == 0 || l.Largest < sum.Largest) {
-			sum.Largest = l.Largest
+		if link.Hold && untilUp > 0 { // a flapping link is never healed, it comes up of itself
+			combined.Delay = max(combined.Delay, untilUp)
+		} else if link.Hold {
+			combined.Hold, heldBy = true, path
 		}
+		combined.combine(link)
 	}
-	for _, a := range w.endpointNames(from) {
-		for _, b := range w.endpointNames(to) {
-			take(a, b)
+	return combined, heldBy
+}
+
+// pathsBetween are the paths whose links concern packets from one endpoint to another.
+func (c *World) pathsBetween(from, to string) []endpoints {
+	var paths []endpoints
+	toNames := c.endpointNames(to)
+	for _, fromName := range c.endpointNames(from) {
+		for _, toName := range toNames {
+			paths = append(paths, endpoints{fromName, toName})
 		}
 	}
-	if a, b := w.zoneOf(from), w.zoneOf(to); a != b {
-		take("zone "+a, "zone "+b)
-		take("zone "+a, "zone ")
-		take("zone ", "zone "+b)
+	if fromZone, toZone := c.zoneOf(from), c.zoneOf(to); fromZone != toZone {
+		paths = append(paths,
+			endpoints{zoneEndpoint(fromZone), zoneEndpoint(toZone)},
+			endpoints{zoneEndpoint(fromZone), zoneEndpoint("")},
+			endpoints{zoneEndpoint(""), zoneEndpoint(toZone)})
 	}
-	return sum, path
+	return paths
 }
 
-// deliver takes a packet of a call from one end to the other; torn is told if the connection
-// breaks, which the caller sees at once.
-func (w *World) deliver(from, to string, f, torn func()) {
-	l, path := w.linkBetween(from, to)
+// zoneEndpoint is the endpoint that stands for all in a zone, or in any if that is empty.
+func zoneEndpoint(zone string) string { return "zone " + zone }
+
+// deliver takes a packet of a call from one endpoint to the other; onReset is called if the
+// connection breaks, which the caller sees at once.
+func (c *World) deliver(from, to string, onArrival, onReset func()) {
+	link, heldBy := c.linkBetween(from, to)
 	switch {
-	case l.Drop || l.Largest == 1 || l.Loss > 0 && w.Rand.Float64() < l.Loss || w.Loss > 0 && w.Rand.Float64() < w.Loss:
-	case l.Refuse:
-		w.After(w.networkDelay(), torn)
-	case l.Reset:
-		if w.Rand.IntN(2) == 0 {
-			w.After(w.networkDelay(), f)
+	case link.Drop || link.Largest == unreadBytes || c.drawWith(link.Loss) || c.drawWith(c.Loss):
+	case link.Refuse:
+		c.After(c.networkDelay(), onReset)
+	case link.Reset:
+		if c.Rand.IntN(2) == 0 {
+			c.After(c.networkDelay(), onArrival)
 		}
-		w.After(w.networkDelay(), torn)
-	case l.Hold:
-		w.heldPackets = append(w.heldPackets, heldPacket{path, func() { w.deliver(from, to, f, torn) }})
+		c.After(c.networkDelay(), onReset)
+	case link.Hold:
+		c.heldPackets = append(c.heldPackets, heldPacket{heldBy, func() { c.deliver(from, to, onArrival, onReset) }})
 	default:
-		w.After(l.Delay+w.networkDelay(), f)
+		c.After(link.Delay+c.networkDelay(), onArrival)
 	}
 }
 
-func (w *World) networkDelay() time.Duration {
-	return w.Latency/2 + time.Duration(w.Rand.Int64N(int64(w.Latency)+1))
+// drawWith reports whether something happens that does so with a probability; if that is 0,
+// nothing is drawn.
+func (c *World) drawWith(probability float64) bool {
+	return probability > 0 && c.Rand.Float64() < probability
+}
+
+// networkDelay draws the latency of a packet: between half of the usual and one and a half.
+func (c *World) networkDelay() time.Duration {
+	return c.Latency/2 + time.Duration(c.Rand.Int64N(int64(c.Latency)+1))
 }
 
-// call carries a request from one end to the other and its answer back. serve
-// runs at the far end and gets a function to answer with; fail runs if no
-// answer came in time.
-func call[T any](w *World, from, to string, timeout time.Duration, serve func(reply func(T)), got func(T), fail func()) {
+// call carries a request from one endpoint to the other and its answer back. serve runs at
+// the far end and gets a function to answer with; onFailure runs if no answer came in time.
+// Exactly one of onAnswer and onFailure runs.
+func call[T any](c *World, from, to string, timeout time.Duration, serve func(reply func(T)), onAnswer func(T), onFailure func()) {
 	over := false
-	torn := func() {
+	fail := func() {
 		if !over {
 			over = true
-			fail()
+			onFailure()
 		}
 	}
-	w.After(timeout, torn)
-	if plain := serve; to == "state" && w.State.Slow > 0 {
-		serve = func(reply func(T)) { w.After(w.State.Slow, func() { plain(reply) }) }
+	c.After(timeout, fail)
+	if serveNow := serve; to == endpointStore && c.State.Slow > 0 {
+		serve = func(reply func(T)) { c.After(c.State.Slow, func() { serveNow(reply) }) }
 	}
-	if w.Copies > 0 && w.Rand.Float64() < w.Copies {
-		w.After(w.Latency*2+time.Duration(w.Rand.Int64N(int64(w.CopyBy)+1)), func() { serve(func(T) {}) })
+	if c.drawWith(c.Copies) {
+		delay := c.Latency*2 + time.Duration(c.Rand.Int64N(int64(c.CopyBy)+1))
+		c.After(delay, func() { serve(func(T) {}) })
 	}
-	w.deliver(from, to, func() {
-		serve(func(t T) {
-			w.deliver(to, from, func() {
+	c.deliver(from, to, func() {
+		serve(func(answer T) {
+			c.deliver(to, from, func() {
 				if !over {
 					over = true
-					got(t)
+					onAnswer(answer)
 				}
-			}, torn)
+			}, fail)
 		})
-	}, torn)
+	}, fail)
 }
--- a/internal/simulation/peerlink.go
+++ b/internal/simulation/peerlink.go
@@ -10,96 +10,120 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// peerLink is a link from a, who dialled, to b.
+const (
+	// redialInterval is the pause before a node dials a peer again.
+	redialInterval = 200 * time.Millisecond
+	// retransmitDelay is what a lost packet of a peer link costs: it is sent once more.
+	retransmitDelay = 200 * time.Millisecond
+)
+
+// The two directions of a peer link, as indices.
+const (
+	fromDialer = iota
+	fromAcceptor
+)
+
+// peerLink is a connection between two controllers. In each direction messages arrive in
+// the order in which they were sent.
 type peerLink struct {
-	cluster          *World
-	id               uint64
-	dialer, acceptor *Node
-	lastArrival      [2]time.Duration // when the newest packet arrives, from a and from b: order is kept
-	lossy            [2]bool          // something that was sent is lost: what follows is never read
+	cluster     *World
+	id          uint64 // the session, for both ends
+	dialer      *Node
+	acceptor    *Node
+	lastArrival [2]time.Duration // of the newest message, by direction
+	lossy       [2]bool          // a message was lost in that direction: none after it is read
 }
 
+// dialPeer connects the node to its peer target, now or once that is possible.
 func (n *Node) dialPeer() {
-	w := n.cluster
-	again := n.ifSameProcess(n.dialPeer)
-	for _, l := range w.peerLinks {
-		if l.dialer == n && l.acceptor.Label == n.peerTarget {
+	cluster := n.cluster
+	retry := n.ifSameProcess(n.dialPeer)
+	for _, link := range cluster.peerLinks {
+		if link.dialer == n && link.acceptor.Label == n.peerTarget {
 			return
 		}
 	}
-	for _, b := range w.Nodes {
-		if b.Label == n.peerTarget && n.peerTarget != "" {
-			if !b.Alive() || w.connectionBlocked(n.Label, b.Label) || w.PeersRefuse {
-				w.After(200*time.Millisecond, again)
-				return
-			}
-			w.lastLinkID++
-			l := &peerLink{cluster: w, id: w.lastLinkID, dialer: n, acceptor: b}
-			w.peerLinks[l.id] = l
-			n.Post(core.PeerConnected{Session: l.id, Label: b.Label})
-			b.Post(core.PeerConnected{Session: l.id})
+	for _, peer := range cluster.Nodes {
+		if n.peerTarget == "" || peer.Label != n.peerTarget {
+			continue
 		}
+		if !peer.Alive() || cluster.connectionBlocked(n.Label, peer.Label) || cluster.PeersRefuse {
+			cluster.After(redialInterval, retry)
+			return
+		}
+		cluster.connectPeers(n, peer)
 	}
 }
 
-func (l *peerLink) send(from *Node, m peerproto.Message) {
-	w, to, side := l.cluster, l.dialer, 1
+func (c *World) connectPeers(dialer, acceptor *Node) {
+	c.lastLinkID++
+	link := &peerLink{cluster: c, id: c.lastLinkID, dialer: dialer, acceptor: acceptor}
+	c.peerLinks[link.id] = link
+	dialer.Post(core.PeerConnected{Session: link.id, Label: acceptor.Label})
+	acceptor.Post(core.PeerConnected{Session: link.id})
+}
+
+// send carries a message from one end to the other, as far as the network lets it.
+func (l *peerLink) send(from *Node, message peerproto.Message) {
+	cluster, to, direction := l.cluster, l.dialer, fromAcceptor
 	if from == l.dialer {
-		to, side = l.acceptor, 0
+		to, direction = l.acceptor, fromDialer
 	}
-	if w.peerLinks[l.id] != l || l.lossy[side] {
+	if cluster.peerLinks[l.id] != l || l.lossy[direction] {
 		return
 	}
-	way, path := w.linkBetween(from.Label, to.Label)
+	path, heldBy := cluster.linkBetween(from.Label, to.Label)
 	switch {
-	case way.Refuse || way.Reset:
+	case path.Refuse || path.Reset:
 		l.close()
 		return
-	case way.Drop || way.Largest > 0 && messageBytes(m) > way.Largest:
-		l.lossy[side] = true
+	case path.Drop || path.Largest > 0 && messageBytes(message) > path.Largest:
+		l.lossy[direction] = true
 		return
-	case way.Hold:
-		w.heldPackets = append(w.heldPackets, heldPacket{path, func() { l.send(from, m) }})
+	case path.Hold:
+		cluster.heldPackets = append(cluster.heldPackets, heldPacket{heldBy, func() { l.send(from, message) }})
 		return
-	case way.Loss > 0 && w.Rand.Float64() < way.Loss:
-		way.Delay += 200 * time.Millisecond // it is sent again
+	case path.Loss > 0 && cluster.Rand.Float64() < path.Loss:
+		path.Delay += retransmitDelay
 	}
-	l.lastArrival[side] = max(l.lastArrival[side], w.Now+w.networkDelay()+way.Delay+w.PeerLatency)
-	w.At(l.lastArrival[side], to.ifSameProcess(func() {
-		if w.peerLinks[l.id] == l {
-			to.Post(core.PeerReceived{Session: l.id, Message: m})
+	arrival := cluster.Now + cluster.networkDelay() + path.Delay + cluster.PeerLatency
+	l.lastArrival[direction] = max(l.lastArrival[direction], arrival)
+	cluster.At(l.lastArrival[direction], to.ifSameProcess(func() {
+		if cluster.peerLinks[l.id] == l {
+			to.Post(core.PeerReceived{Session: l.id, Message: message})
 		}
 	}))
 }
 
-// messageBytes is what a message between controllers takes, in bytes.
-func messageBytes(m peerproto.Message) int {
-	line, err := json.Marshal(m)
+// messageBytes is the size of a message between controllers on the wire.
+func messageBytes(message peerproto.Message) int {
+	line, err := json.Marshal(message)
 	if err != nil {
-		panic("fake: a message between controllers is no JSON: " + err.Error())
+		panic("simulation: a peer message is not valid JSON: " + err.Error())
 	}
 	return len(line)
 }
 
+// close breaks the connection; the dialer tries again after a while.
 func (l *peerLink) close() {
-	w := l.cluster
-	if w.peerLinks[l.id] != l {
+	cluster := l.cluster
+	if cluster.peerLinks[l.id] != l {
 		return
 	}
-	delete(w.peerLinks, l.id)
+	delete(cluster.peerLinks, l.id)
 	l.dialer.Post(core.PeerDisconnected{Session: l.id})
 	l.acceptor.Post(core.PeerDisconnected{Session: l.id})
 	if l.dialer.Alive() {
-		w.After(200*time.Millisecond, l.dialer.ifSameProcess(l.dialer.dialPeer))
+		cluster.After(redialInterval, l.dialer.ifSameProcess(l.dialer.dialPeer))
 	}
 }
 
-// sortedPeerLinks are the links between controllers, in the order in which they were made.
-func (w *World) sortedPeerLinks() []*peerLink {
-	var out []*peerLink
-	for _, l := range w.peerLinks {
-		out = append(out, l)
+// sortedPeerLinks are the links between controllers in the order in which they were made.
+func (c *World) sortedPeerLinks() []*peerLink {
+	var links []*peerLink
+	for _, link := range c.peerLinks {
+		links = append(links, link)
 	}
-	slices.SortFunc(out, func(a, b *peerLink) int { return int(a.id) - int(b.id) })
-	return out
+	slices.SortFunc(links, func(a, b *peerLink) int { return int(a.id) - int(b.id) })
+	return links
 }
--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"slices"
 	"strings"
 
 	"github.com/chalkhub/chalkhub/internal/core"
@@ -9,82 +10,87 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// The version before level 1, as far as it differs in what it stores and understands: it
-// passes keys over that it does not know, drops fields that it does not know, and knows no
-// limits but those in force.
+// The previous version, before level 1, as far as it differs in what it stores and
+// understands: it ignores keys and drops fields that it does not know, and knows no limits
+// but those in force.
 
-// keysOfNewVersion are the prefixes that it passes over.
+// keysOfNewVersion are the prefixes of the keys that it ignores.
 var keysOfNewVersion = []string{"c/run/", "c/admitted/", "c/fine/", "c/long/", "c/zones/"}
 
 func knownToPreviousVersion(key string) bool {
-	for _, p := range keysOfNewVersion {
-		if strings.HasPrefix(key, p) {
-			return false
-		}
-	}
-	return true
+	return !slices.ContainsFunc(keysOfNewVersion, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// previousVersionReceives is what of a command an old controller understands.
-func previousVersionReceives(c core.Command) core.Command {
-	switch c := c.(type) {
+// previousVersionReceives is what of a command the previous version understands.
+func previousVersionReceives(command core.Command) core.Command {
+	switch command := command.(type) {
 	case core.SubmitJob:
-		c.Spec.Dependencies = nil
-		return c
+		command.Spec.Dependencies = nil
+		return command
 	case core.LoadResult:
-		var items []protocol.KeyValue
-		for _, it := range c.Items {
-			if knownToPreviousVersion(it.Key) {
-				items = append(items, it)
-			}
-		}
-		if len(items) == 0 && c.More {
-			items = c.Items[len(c.Items)-1:] // where the next page begins
-		}
-		c.Items = items
-		return c
+		command.Items = previousVersionItems(command)
+		return command
 	case core.WatchResult:
-		var events []protocol.WatchEvent
-		for _, e := range c.Answer.Events {
-			if knownToPreviousVersion(e.Put + e.Delete) {
-				events = append(events, e)
-			}
+		command.Answer.Events = previousVersionEvents(command.Answer.Events)
+		return command
+	}
+	return command
+}
+
+// previousVersionItems are the items of a page that the previous version knows. If it knows
+// none, the last one stays in a page that others follow: it says where the next one begins.
+func previousVersionItems(page core.LoadResult) []protocol.KeyValue {
+	var known []protocol.KeyValue
+	for _, item := range page.Items {
+		if knownToPreviousVersion(item.Key) {
+			known = append(known, item)
+		}
+	}
+	if len(known) == 0 && page.More {
+		known = page.Items[len(page.Items)-1:]
+	}
+	return known
+}
+
+func previousVersionEvents(events []protocol.WatchEvent) []protocol.WatchEvent {
+	var known []protocol.WatchEvent
+	for _, event := range events {
+		if knownToPreviousVersion(event.Put + event.Delete) {
+			known = append(known, event)
 		}
-		c.Answer.Events = events
-		return c
 	}
-	return c
+	return known
 }
 
-// previousVersionWrites is what an old controller writes of a transaction.
-func previousVersionWrites(t protocol.Transaction) protocol.Transaction {
-	then := make([]protocol.Operation, len(t.Then))
-	for i, op := range t.Then {
-		switch v := op.Value.(type) {
+// previousVersionWrites is what the previous version writes of a transaction.
+func previousVersionWrites(txn protocol.Transaction) protocol.Transaction {
+	operations := make([]protocol.Operation, len(txn.Then))
+	for i, operation := range txn.Then {
+		switch value := operation.Value.(type) {
 		case records.Job:
-			v.DoneAt = 0
-			op.Value = v
+			value.DoneAt = 0
+			operation.Value = value
 		case records.Node:
-			v.Level = 0
-			op.Value = v
+			value.Level = 0
+			operation.Value = value
 		}
-		then[i] = op
+		operations[i] = operation
 	}
-	t.Then = then
-	return t
+	txn.Then = operations
+	return txn
 }
 
-// previousVersionSends is what an old controller says to another of a message.
-func previousVersionSends(m peerproto.Message) peerproto.Message {
-	if m.Vote != nil {
-		w := *m.Vote
-		w.IncludesMirror = false
-		m.Vote = &w
+// previousVersionSends is what the previous version sends of a message to a peer.
+func previousVersionSends(message peerproto.Message) peerproto.Message {
+	if message.Vote != nil {
+		vote := *message.Vote
+		vote.IncludesMirror = false
+		message.Vote = &vote
 	}
-	if m.Round != nil {
-		a := *m.Round
-		a.VotesIncludeMirror = false
-		m.Round = &a
+	if message.Round != nil {
+		round := *message.Round
+		round.VotesIncludeMirror = false
+		message.Round = &round
 	}
-	return m
+	return message
 }
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"slices"
+	"strings"
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/fairshare"
@@ -10,75 +11,77 @@
 
 // Share is how a class of a team fared.
 type Share struct {
-	Jobs, Started, Done int
-	Half                float64 // CPU seconds that the smaller half of its jobs takes
+	Jobs    int     // that count
+	Started int     // those of them with a task that has been on a machine
+	Done    int     // those of them of which all tasks have completed
+	Half    float64 // CPU seconds that the smaller half of its jobs takes
 }
 
-// Shares counts the jobs that were accepted up to a moment and not cancelled, by class
-// and team. Jobs that fail wherever they run can't be served and do not count.
+// Shares counts the jobs that were handed in up to a moment, accepted and not cancelled, by
+// team and class. Jobs that fail wherever they run can't be served and do not count.
 func (u *Users) Shares(until time.Duration) map[fairshare.Account]*Share {
-	out := map[fairshare.Account]*Share{}
-	work := map[fairshare.Account][]float64{}
-	for _, j := range u.jobs {
-		if !j.Accepted || j.cancelRequested || j.Mistaken || j.submittedAt > until {
+	shares := map[fairshare.Account]*Share{}
+	cpuSeconds := map[fairshare.Account][]float64{}
+	for _, job := range u.jobs {
+		if !job.Accepted || job.cancelRequested || job.Mistaken || job.submittedAt > until {
 			continue
 		}
-		s := &j.Spec
-		a := fairshare.Account{Team: s.Team, Class: s.Class}
-		x := out[a]
-		if x == nil {
-			x = &Share{}
-			out[a] = x
+		account := fairshare.Account{Team: job.Spec.Team, Class: job.Spec.Class}
+		if shares[account] == nil {
+			shares[account] = &Share{}
 		}
-		x.Jobs++
-		if len(j.completed) > 0 || len(j.machines) > 0 {
-			x.Started++
-		}
-		if len(j.completed) == s.Tasks {
-			x.Done++
-		}
-		work[a] = append(work[a], float64(s.Tasks)*s.CPUs*j.RunS)
+		shares[account].add(job)
+		cpuSeconds[account] = append(cpuSeconds[account], float64(job.Spec.Tasks)*job.Spec.CPUs*job.RunS)
 	}
-	for a, list := range work {
-		slices.Sort(list)
-		for _, w := range list[:int(math.Ceil(float64(len(list))/2))] {
-			out[a].Half += w
-		}
+	for account, amounts := range cpuSeconds {
+		shares[account].Half = smallerHalf(amounts)
+	}
+	return shares
+}
+
+// add counts a job.
+func (s *Share) add(job *Job) {
+	s.Jobs++
+	if len(job.completed) > 0 || len(job.machines) > 0 {
+		s.Started++
+	}
+	if len(job.completed) == job.Spec.Tasks {
+		s.Done++
 	}
-	return out
+}
+
+// smallerHalf sorts amounts and sums up the smaller half of them.
+func smallerHalf(amounts []float64) (sum float64) {
+	slices.Sort(amounts)
+	for _, amount := range amounts[:int(math.Ceil(float64(len(amounts))/2))] {
+		sum += amount
+	}
+	return sum
 }
 
 // FloorsBroken lists the classes of which less than half is done although the capacity
 // that their team could use, in CPU seconds, was enough for the smaller half of the jobs
 // of each of its classes. judged is of how many classes that is so.
 func (u *Users) FloorsBroken(until time.Duration, capacity map[string]float64) (broken []fairshare.Account, judged int) {
-	need := map[string]float64{}
 	shares := u.Shares(until)
-	for a, x := range shares {
-		need[a.Team] += x.Half
+	needed := map[string]float64{} // by team
+	for account, share := range shares {
+		needed[account.Team] += share.Half
 	}
-	for a, x := range shares {
-		if need[a.Team] > capacity[a.Team] {
+	for account, share := range shares {
+		if needed[account.Team] > capacity[account.Team] {
 			continue
 		}
 		judged++
-		if 2*x.Done < x.Jobs {
-			broken = append(broken, a)
+		if 2*share.Done < share.Jobs {
+			broken = append(broken, account)
 		}
 	}
-	slices.SortFunc(broken, func(x, y fairshare.Account) int {
-		return slices.Compare([]string{x.Team, x.Class}, []string{y.Team, y.Class})
+	slices.SortFunc(broken, func(a, b fairshare.Account) int {
+		if order := strings.Compare(a.Team, b.Team); order != 0 {
+			return order
+		}
+		return strings.Compare(a.Class, b.Class)
 	})
 	return broken, judged
 }
-
-// Reasons lists what the users of the jobs that are not over were told last.
-func (u *Users) Reasons() []string {
-	var out []string
-	for _, j := range u.jobs {
-		if j.Answer.Reason != "" {
-			out = append(out, j.Answer.Reason)
-		}
-	}
-	return out
-}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -10,59 +10,54 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/protocol"
-	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// State is the state service.
+const (
+	// storeBurstSeconds is how many seconds' worth of requests may come at once.
+	storeBurstSeconds = 1
+	// conditionsPerOperation is how many conditions a transaction may have for each
+	// operation that it may have.
+	conditionsPerOperation = 4
+	// maxTransactionBytes is the largest size of all values of a transaction together.
+	maxTransactionBytes = 64 << 10
+	bytesPerKB          = 1024
+)
+
+// State is the state service around the real kvstore, with its limits and faults.
 type State struct {
-	cluster     *World
-	state       *kvstore.State           // the store itself is the product's
-	leaseExpiry map[uint64]time.Duration // by lease
-	Out         bool                     // an outage: every node gets 503
-	Refuses     map[string]bool          // nodes that alone get 503
-	Forgot      map[string]bool          // nodes whose next watch is told that its revision is too old
-	// LateShare is the share of transactions that get no answer and are applied
-	// from LateFrom up to LateBy afterwards.
-	LateShare     float64
-	LateFrom      time.Duration
-	LateBy        time.Duration
-	LateOnly      string        // only of those that change a key with this prefix, empty: of all
-	Late          int           // transactions that were
-	Slow          time.Duration // is added to every answer
-	Lowered       bool          // the limits that were announced hold
-	Writes        int
-	Refused       int // requests above the limits
-	watches       []*watch
-	requestBucket tokenBucket
-	writeBucket   tokenBucket
-}
+	StoreFaults
 
-// tokenBucket is a limit by the second that allows bursts of one second's worth.
-type tokenBucket struct {
-	used      float64
-	updatedAt time.Duration
+	Late    int // transactions that were answered or applied late
+	Writes  int // operations applied
+	Refused int // requests above the limits
+
+	cluster       *World
+	checker       *checker
+	state         *kvstore.State
+	leaseExpiry   map[uint64]time.Duration // by lease
+	watches       []*watch                 // open ones, in the order in which they came
+	requestBucket leakyBucket
+	writeBucket   leakyBucket
 }
 
-func (b *tokenBucket) take(now time.Duration, n, rate float64) bool {
-	b.used = max(b.used-(now-b.updatedAt).Seconds()*rate, 0)
-	b.updatedAt = now
-	if b.used+n > rate {
-		return false
-	}
-	b.used += n
-	return true
+// watch is a request that waits for changes.
+type watch struct {
+	node          string
+	sinceRevision uint64
+	respond       func(core.WatchOutcome, protocol.WatchResponse)
+	closed        bool
 }
 
-// limited reports whether a request with so many writes is above the limits.
-func (s *State) limited(writes int) bool {
-	set := s.limits()
-	if s.requestBucket.take(s.cluster.Now, 1, set.RPS) && s.writeBucket.take(s.cluster.Now, float64(writes), set.WriteRPS) {
-		return false
+func newState(cluster *World) *State {
+	return &State{
+		StoreFaults: StoreFaults{Refuses: map[string]bool{}, Forgot: map[string]bool{}},
+		cluster:     cluster, checker: cluster.checker, state: kvstore.NewState(), leaseExpiry: map[uint64]time.Duration{},
 	}
-	s.Refused++
-	return true
 }
 
+// refuses reports whether a node's requests are refused.
+func (s *State) refuses(node string) bool { return s.Out || s.Refuses[node] }
+
 // limits are those in force.
 func (s *State) limits() config.State {
 	if s.Lowered {
@@ -71,114 +66,114 @@
 	return s.cluster.Set.Site.State
 }
 
-type watch struct {
-	node          string
-	sinceRevision uint64
-	respond       func(core.WatchOutcome, protocol.WatchResponse)
-	closed        bool
+// limited reports whether a request with so many writes is above the limits.
+func (s *State) limited(writes int) bool {
+	limits, now := s.limits(), s.cluster.Now
+	if s.requestBucket.take(now, 1, limits.RPS, storeBurstSeconds) &&
+		s.writeBucket.take(now, float64(writes), limits.WriteRPS, storeBurstSeconds) {
+		return false
+	}
+	s.Refused++
+	return true
 }
 
-func newStore(w *World) *State {
-	return &State{cluster: w, state: kvstore.NewState(), leaseExpiry: map[uint64]time.Duration{}, Refuses: map[string]bool{}, Forgot: map[string]bool{}}
+// change makes the next state and wakes the watches that wait for one.
+func (s *State) change(apply func(*kvstore.Batch)) {
+	batch := s.state.Begin()
+	apply(batch)
+	s.state = batch.Next()
+	s.wakeWatches()
 }
 
-func (s *State) refuses(node string) bool { return s.Out || s.Refuses[node] }
-
-func (s *State) armLease(id uint64) {
-	life, _ := s.state.LeaseTTL(id)
-	ends := s.cluster.Now + time.Duration(life)*time.Millisecond
-	s.leaseExpiry[id] = ends
-	s.cluster.At(ends, func() {
-		if s.leaseExpiry[id] != ends || s.Out {
-			return
+// commitUnseen commits a transaction without the knowledge of any controller.
+func (s *State) commitUnseen(txn *kvstore.Txn) {
+	s.change(func(batch *kvstore.Batch) {
+		if _, err := batch.Commit(txn); err != nil {
+			panic(fmt.Sprintf("simulation: commit: %v", err)) // only a lease that is not there
 		}
-		s.change(func(b *kvstore.Batch) { _ = b.RevokeLease(id) }) // it may have ended
 	})
 }
 
-// change makes the next state and wakes those who wait for one.
-func (s *State) change(f func(*kvstore.Batch)) {
-	b := s.state.Begin()
-	f(b)
-	s.state = b.Next()
-	s.wakeWatches()
-}
-
-// commitUnseen commits a transaction behind everybody's back.
-func (s *State) commitUnseen(txn *kvstore.Txn) {
-	s.change(func(b *kvstore.Batch) {
-		if _, err := b.Commit(txn); err != nil {
-			panic(fmt.Sprintf("simulation: commit: %v", err)) // only a lease that is not there
+// armLease starts a lease's full time anew.
+func (s *State) armLease(id uint64) {
+	ttlMilliseconds, _ := s.state.LeaseTTL(id)
+	expiry := s.cluster.Now + time.Duration(ttlMilliseconds)*time.Millisecond
+	s.leaseExpiry[id] = expiry
+	s.cluster.At(expiry, func() {
+		if s.leaseExpiry[id] != expiry || s.Out { // renewed, or frozen by an outage
+			return
 		}
+		s.change(func(batch *kvstore.Batch) { _ = batch.RevokeLease(id) }) // it may have ended
 	})
 }
 
-func (s *State) handleLease(node string, e core.RenewLease) (uint64, core.LeaseOutcome) {
-	if s.refuses(node) {
-		return e.LeaseID, core.LeaseRefused
-	}
-	if s.limited(0) {
-		return e.LeaseID, core.LeaseRefused
+// handleLease renews a node's lease, or grants one if it names none.
+func (s *State) handleLease(node string, request core.RenewLease) (uint64, core.LeaseOutcome) {
+	if s.refuses(node) || s.limited(0) {
+		return request.LeaseID, core.LeaseRefused
 	}
-	if e.LeaseID != 0 {
-		if _, ok := s.state.LeaseTTL(e.LeaseID); !ok {
-			return e.LeaseID, core.LeaseExpired
+	if request.LeaseID != 0 {
+		if _, exists := s.state.LeaseTTL(request.LeaseID); !exists {
+			return request.LeaseID, core.LeaseExpired
 		}
-		s.armLease(e.LeaseID)
-		return e.LeaseID, core.LeaseGranted
+		s.armLease(request.LeaseID)
+		return request.LeaseID, core.LeaseGranted
 	}
 	var id uint64
 	var err error
-	s.change(func(b *kvstore.Batch) { id, err = b.GrantLease(e.TTL.Milliseconds()) })
+	s.change(func(batch *kvstore.Batch) { id, err = batch.GrantLease(request.TTL.Milliseconds()) })
 	if err != nil {
-		s.cluster.recordViolation("malformed", "%s asks for a lease of %v", node, e.TTL)
+		s.checker.recordLeaseTTL(node, request.TTL)
 		return 0, core.LeaseRefused
 	}
 	s.armLease(id)
 	return id, core.LeaseGranted
 }
 
-// Commit runs a transaction of a node, an old one perhaps. CommitUnknown stands for an
-// answer that never comes.
-func (s *State) Commit(node string, old bool, t protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
+// Commit runs a transaction of a node, perhaps one of the previous version. CommitUnknown
+// stands for an answer that never comes.
+func (s *State) Commit(node string, previousVersion bool, txn protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
 	if s.refuses(node) {
 		return core.CommitUnavailable, protocol.TransactionResult{}
 	}
-	if s.limited(len(t.Then)) {
+	if s.limited(len(txn.Then)) {
 		return core.CommitThrottled, protocol.TransactionResult{}
 	}
-	if why := s.malformed(t); why != "" {
-		if !old { // that one does not know the limits to come
-			s.cluster.recordViolation("malformed", "%s sends the state service %s", node, why)
-		}
+	if fault := s.malformed(txn); fault != "" {
+		s.checker.recordMalformed(node, previousVersion, fault)
 		return core.CommitRejected, protocol.TransactionResult{}
 	}
-	if s.LateShare > 0 && slices.ContainsFunc(t.Then, func(op protocol.Operation) bool { return strings.HasPrefix(op.Put+op.Delete, s.LateOnly) }) &&
-		s.cluster.Rand.Float64() < s.LateShare {
-		s.Late++
-		if s.LateBy == 0 { // carried out at once: only the answer is lost
-			s.apply(t)
-			return core.CommitUnknown, protocol.TransactionResult{}
-		}
-		s.cluster.After(s.LateFrom+time.Duration(s.cluster.Rand.Int64N(int64(s.LateBy-s.LateFrom)+1)), func() { s.apply(t) })
+	if s.drawLate(txn) {
+		s.applyLate(txn)
 		return core.CommitUnknown, protocol.TransactionResult{}
 	}
-	return s.apply(t)
+	return s.apply(txn)
 }
 
-func (s *State) apply(t protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
-	s.Writes += len(t.Then)
-	txn := kvstore.Txn{If: t.If}
-	for _, op := range t.Then {
-		o := kvstore.Op{Put: op.Put, LeaseID: op.Lease, Delete: op.Delete}
-		if op.Put != "" {
-			o.Value = protocol.Encode(op.Value)
-		}
-		txn.Then = append(txn.Then, o)
+// drawLate reports whether a transaction is one of those that get no answer.
+func (s *State) drawLate(txn protocol.Transaction) bool {
+	concerned := func(operation protocol.Operation) bool {
+		return strings.HasPrefix(operation.Put+operation.Delete, s.LateOnly)
+	}
+	return s.LateShare > 0 && slices.ContainsFunc(txn.Then, concerned) && s.cluster.Rand.Float64() < s.LateShare
+}
+
+func (s *State) applyLate(txn protocol.Transaction) {
+	s.Late++
+	if s.LateBy == 0 { // applied at once: only the answer is lost
+		s.apply(txn)
+		return
 	}
+	delay := s.LateFrom + time.Duration(s.cluster.Rand.Int64N(int64(s.LateBy-s.LateFrom)+1))
+	s.cluster.After(delay, func() { s.apply(txn) })
+}
+
+func (s *State) apply(txn protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
+	s.Writes += len(txn.Then)
+	encoded := encodeTransaction(txn)
 	var result kvstore.TxnResult
 	var err error
-	s.change(func(b *kvstore.Batch) { result, err = b.Commit(&txn) })
+	s.change(func(batch *kvstore.Batch) { result, err = batch.Commit(&encoded) })
 	answer := protocol.TransactionResult{Failed: result.FailedKeys, Revision: result.Revision}
 	switch {
 	case err != nil:
@@ -190,135 +185,118 @@
 	}
 }
 
-// loadPage answers with a page of keys.
-func (s *State) loadPage(node string, since string, sent time.Duration) core.LoadResult {
-	d := core.LoadResult{SentAt: sent, Revision: s.state.Revision}
-	if s.refuses(node) || s.limited(0) {
-		return d
+// encodeTransaction is a transaction as the store takes it.
+func encodeTransaction(txn protocol.Transaction) kvstore.Txn {
+	encoded := kvstore.Txn{If: txn.If}
+	for _, operation := range txn.Then {
+		op := kvstore.Op{Put: operation.Put, LeaseID: operation.Lease, Delete: operation.Delete}
+		if operation.Put != "" {
+			op.Value = protocol.Encode(operation.Value)
+		}
+		encoded.Then = append(encoded.Then, op)
 	}
-	p := s.state.Range(core.KeyPrefix, since, 0)
-	d.OK, d.Items, d.More = true, p.Items, p.More
-	return d
+	return encoded
 }
 
-// answerWatch answers a watch.
-func (s *State) answerWatch(rev uint64, done func(core.WatchOutcome, protocol.WatchResponse)) {
-	e, err := s.state.EventsSince(core.KeyPrefix, rev)
-	if err != nil {
-		done(core.WatchCompacted, e)
-		return
+// malformed says which limit a transaction is over, empty: none. A node that sends such a
+// transaction would send it for ever.
+func (s *State) malformed(txn protocol.Transaction) string {
+	limits := s.limits()
+	if operations := len(txn.Then); operations > limits.TxnOps {
+		return fmt.Sprintf("%d changes in one transaction", operations)
+	}
+	if conditions := len(txn.If); conditions > conditionsPerOperation*limits.TxnOps {
+		return fmt.Sprintf("%d conditions in one transaction", conditions)
+	}
+	total := 0
+	for _, operation := range txn.Then {
+		size := protocol.JSONSize(operation.Value)
+		total += size
+		if float64(size) > limits.ValueKB*bytesPerKB {
+			return fmt.Sprintf("a value of %d bytes for %s", size, operation.Put)
+		}
 	}
-	done(core.WatchServed, e)
+	if total > maxTransactionBytes {
+		return fmt.Sprintf("a transaction of %d bytes", total)
+	}
+	return ""
 }
 
-func (s *State) handleWatch(node string, e core.Watch, done func(core.WatchOutcome, protocol.WatchResponse)) {
+// loadPage answers with a page of keys, those after the given one.
+func (s *State) loadPage(node string, after string, sentAt time.Duration) core.LoadResult {
+	result := core.LoadResult{SentAt: sentAt, Revision: s.state.Revision}
+	if s.refuses(node) || s.limited(0) {
+		return result
+	}
+	page := s.state.Range(core.KeyPrefix, after, 0)
+	result.OK, result.Items, result.More = true, page.Items, page.More
+	return result
+}
+
+// handleWatch answers a watch at once if there is a change or it does not wait, else once
+// there is a change or its time is over. In an outage watches that are open stay open.
+func (s *State) handleWatch(node string, request core.Watch, respond func(core.WatchOutcome, protocol.WatchResponse)) {
 	if s.refuses(node) {
-		if e.Hold == 0 {
-			done(core.WatchUnavailable, protocol.WatchResponse{})
+		if request.Hold == 0 {
+			respond(core.WatchUnavailable, protocol.WatchResponse{})
 		}
-		return // open watches stay open
+		return
 	}
 	if s.limited(0) {
-		done(core.WatchThrottled, protocol.WatchResponse{})
+		respond(core.WatchThrottled, protocol.WatchResponse{})
 		return
 	}
 	if s.Forgot[node] {
 		delete(s.Forgot, node)
-		done(core.WatchCompacted, protocol.WatchResponse{})
+		respond(core.WatchCompacted, protocol.WatchResponse{})
 		return
 	}
-	if e.Hold == 0 || s.state.Revision > e.Since {
-		s.answerWatch(e.Since, done)
+	if request.Hold == 0 || s.state.Revision > request.Since {
+		s.answerWatch(request.Since, respond)
 		return
 	}
-	x := &watch{node: node, sinceRevision: e.Since, respond: done}
-	s.watches = append(s.watches, x)
-	s.cluster.After(e.Hold, func() { s.finishWatch(x) })
-}
-
-func (s *State) finishWatch(x *watch) {
-	if !x.closed && !s.refuses(x.node) {
-		x.closed = true
-		s.answerWatch(x.sinceRevision, x.respond)
-	}
+	open := &watch{node: node, sinceRevision: request.Since, respond: respond}
+	s.watches = append(s.watches, open)
+	s.cluster.After(request.Hold, func() { s.finishWatch(open) })
 }
 
-func (s *State) wakeWatches() {
-	open := s.watches
-	s.watches = nil
-	for _, x := range open {
-		if !x.closed && s.state.Revision > x.sinceRevision {
-			s.finishWatch(x)
-		}
-		if !x.closed {
-			s.watches = append(s.watches, x)
-		}
+// answerWatch answers with the changes since a revision.
+func (s *State) answerWatch(revision uint64, respond func(core.WatchOutcome, protocol.WatchResponse)) {
+	events, err := s.state.EventsSince(core.KeyPrefix, revision)
+	if err != nil {
+		respond(core.WatchCompacted, events)
+		return
 	}
+	respond(core.WatchServed, events)
 }
 
-// Ended puts n jobs into the store that were done or cancelled long ago.
-func (s *State) Ended(n int) {
-	var txn kvstore.Txn
-	for i := range n {
-		id := fmt.Sprintf("job-9%08d", i)
-		spec := Array(1 + i%40)
-		spec.ID = id
-		rec := records.Job{Spec: spec, State: protocol.JobDone, SubmittedAt: 9e8 + float64(i)}
-		if i%50 == 0 {
-			rec.State, rec.StopReason = protocol.JobCancelled, "cancelled by its user"
-		}
-		txn.Then = append(txn.Then, kvstore.Op{Put: "c/job/" + id, Value: protocol.Encode(rec)})
+func (s *State) finishWatch(open *watch) {
+	if !open.closed && !s.refuses(open.node) {
+		open.closed = true
+		s.answerWatch(open.sinceRevision, open.respond)
 	}
-	s.commitUnseen(&txn)
 }
 
-// Behind puts a job into the store and n jobs that wait for it: half of them for it alone,
-// half in chains of a hundred.
-func (s *State) Behind(first protocol.Job, n int) {
-	first.EstimateS = 100_000
-	txn := kvstore.Txn{Then: []kvstore.Op{{Put: "c/job/" + first.ID, Value: protocol.Encode(records.Job{Spec: first, State: protocol.JobQueued, SubmittedAt: 1e9})}}}
-	before := ""
-	for i := range n {
-		spec := Array(1 + i%40)
-		spec.ID = fmt.Sprintf("job-8%08d", i)
-		if spec.Dependencies = []string{first.ID}; i%200 > 100 {
-			spec.Dependencies = []string{before}
+// wakeWatches answers the open watches that there is a change for.
+func (s *State) wakeWatches() {
+	watches := s.watches
+	s.watches = nil
+	for _, open := range watches {
+		if !open.closed && s.state.Revision > open.sinceRevision {
+			s.finishWatch(open)
 		}
-		before = spec.ID
-		txn.Then = append(txn.Then, kvstore.Op{Put: "c/run/" + spec.ID, Value: protocol.Encode(records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: 1e9})})
-	}
-	s.commitUnseen(&txn)
-}
-
-// malformed says what is wrong with a transaction: it is over a limit of the
-// settings. A service that sends one would send it for ever.
-func (s *State) malformed(t protocol.Transaction) string {
-	set := s.limits()
-	if n := len(t.Then); n > set.TxnOps {
-		return fmt.Sprintf("%d changes in one transaction", n)
-	}
-	if n := len(t.If); n > 4*set.TxnOps {
-		return fmt.Sprintf("%d conditions in one transaction", n)
-	}
-	total := 0
-	for _, op := range t.Then {
-		size := protocol.JSONSize(op.Value)
-		if total += size; float64(size) > set.ValueKB*1024 {
-			return fmt.Sprintf("a value of %d bytes for %s", size, op.Put)
+		if !open.closed {
+			s.watches = append(s.watches, open)
 		}
 	}
-	if total > 64<<10 {
-		return fmt.Sprintf("a transaction of %d bytes", total)
-	}
-	return ""
 }
 
 // Count counts the keys with a prefix.
-func (s *State) Count(prefix string) (n int) {
+func (s *State) Count(prefix string) (keys int) {
 	for key := range s.state.All() {
 		if strings.HasPrefix(key, prefix) {
-			n++
+			keys++
 		}
 	}
-	return n
+	return keys
 }
--- /dev/null
+++ b/internal/simulation/store_content.go
@@ -0,0 +1,67 @@
+package simulation
+
+import (
+	"fmt"
+
+	"github.com/chalkhub/chalkhub/internal/kvstore"
+	"github.com/chalkhub/chalkhub/internal/protocol"
+	"github.com/chalkhub/chalkhub/internal/records"
+)
+
+// Prefixes of the keys under which jobs are stored.
+const (
+	jobKeyPrefix          = "c/job/" // jobs without dependencies
+	dependentJobKeyPrefix = "c/run/" // jobs with dependencies
+)
+
+const (
+	// taskCountVariety is how many different numbers of tasks the jobs have that are put
+	// into the store.
+	taskCountVariety = 40
+	// oneCancelledIn is how many finished jobs there are for each that was cancelled.
+	oneCancelledIn = 50
+	// chainPeriod is how many dependent jobs there are for each chain; its second half is
+	// the chain.
+	chainPeriod = 200
+	// longEstimateS is an estimate that no test waits for, in seconds.
+	longEstimateS = 100_000
+)
+
+// Ended puts so many jobs into the store that were done or cancelled long ago.
+func (s *State) Ended(count int) {
+	var txn kvstore.Txn
+	for i := range count {
+		spec := Array(1 + i%taskCountVariety)
+		spec.ID = fmt.Sprintf("job-9%08d", i)
+		record := records.Job{Spec: spec, State: protocol.JobDone, SubmittedAt: 9e8 + float64(i)}
+		if i%oneCancelledIn == 0 {
+			record.State, record.StopReason = protocol.JobCancelled, "cancelled by its user"
+		}
+		txn.Then = append(txn.Then, putJob(jobKeyPrefix, record))
+	}
+	s.commitUnseen(&txn)
+}
+
+// Behind puts a job into the store and so many jobs that depend on it: half of them on it
+// alone, half in chains of a hundred.
+func (s *State) Behind(first protocol.Job, count int) {
+	first.EstimateS = longEstimateS
+	txn := kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(first))}}
+	previous := ""
+	for i := range count {
+		spec := Array(1 + i%taskCountVariety)
+		spec.ID = fmt.Sprintf("job-8%08d", i)
+		spec.Dependencies = []string{first.ID}
+		if i%chainPeriod > chainPeriod/2 {
+			spec.Dependencies = []string{previous}
+		}
+		previous = spec.ID
+		txn.Then = append(txn.Then, putJob(dependentJobKeyPrefix, queuedRecord(spec)))
+	}
+	s.commitUnseen(&txn)
+}
+
+// putJob stores a job's record.
+func putJob(prefix string, record records.Job) kvstore.Op {
+	return kvstore.Op{Put: prefix + record.Spec.ID, Value: protocol.Encode(record)}
+}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -8,269 +8,397 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Users submit, poll and cancel, and keep the rules' checker: whatever happens
-// on a machine or is told to a user passes through here.
+const (
+	// userTimeout is how long a user waits for an answer.
+	userTimeout = 5 * time.Second
+	// userRetryInterval is the pause before a request is repeated that was not served.
+	userRetryInterval = time.Second
+	// firstPollDelay is the time from a job's acceptance to the first question about it.
+	firstPollDelay = time.Second
+	// pollInterval is the pause between questions about a job.
+	pollInterval = 3 * time.Second
+
+	// readRounds and readRoundInterval say how often, and how fast after one another, a
+	// job's user asks at all nodes when it reads everywhere.
+	readRounds        = 3
+	readRoundInterval = 4 * time.Millisecond
+)
+
+// Statuses of replies beside those that the core gives: servers and balancers give these.
+const (
+	statusBadRequest  core.ReplyStatus = 400
+	statusTooMany     core.ReplyStatus = 429
+	statusServerError core.ReplyStatus = 500
+)
+
+// Users submit, poll and cancel jobs. Whatever they are told, and whatever happens to a task
+// on a machine, passes through here to the checker.
 type Users struct {
-	cluster      *World
-	jobs         map[string]*Job
-	lastJob      int
-	runningTasks int                // tasks that are on machines
+	cluster *World
+	checker *checker
+	jobs    map[string]*Job
+	lastJob int // number of the job submitted last
+
+	runningTasks int                // on machines
 	cpus         map[string]float64 // that they take, by team
 	gpus         map[string]float64
-	Starts       int           // tasks that started on a machine
-	Again        int           // and those of them that had been completed before
-	Asked        int           // requests,
-	Served       int           // and those that got another answer than to come again later,
-	Late         int           // or none at all in time
-	Only         *Node         // whom all requests go to, nil: to any that is ready
-	Calm         time.Duration // when all troubles are over, 0: not known
+
+	Starts int // tasks that started on a machine
+	Again  int // those of them that had been completed before
+	Asked  int // requests
+	Served int // requests that got an answer other than to come again later
+	Late   int // requests that got no answer in time
+	Looks  int // questions of ReadEverywhere that were answered
+	// LateStarts counts the starts that a machine took after the user was told that the job
+	// is cancelled.
+	LateStarts int
+
+	// Only is the node that all requests go to, nil: to any that is ready.
+	Only *Node
+	// Calm is when all faults are over, 0: not known. Some rules hold from then on only.
+	Calm time.Duration
 	// CloseLooks has users ask at all nodes again and again within milliseconds, and repeat
 	// the submission, right after a job was accepted, ended or called cancelled.
 	CloseLooks bool
-	// AtEnd is the share of jobs that are called off at the moment at which they end.
+	// AtEnd is the share of jobs that are cancelled at the moment at which they end.
 	AtEnd float64
-	// LateStarts counts the starts that a machine took after the user was told that the job
-	// is cancelled.
-	LateStarts int
-	Looks      int // questions of close looks that were answered with 200
 }
 
 // Job is a job as its user sees it.
 type Job struct {
-	Spec            protocol.Job
-	RunS            float64
-	RunsS           []float64 // by task, if they differ
-	Mistaken        bool      // fails wherever it runs
-	Accepted        bool
-	Refused         core.ReplyStatus // the final refusal's status
-	Never           bool             // can't run or lacks a field: must not be accepted
-	Told            string
-	finalAt         time.Duration            // when the first word came that it is done or cancelled
-	answeredAt      time.Duration            // when a question about it was answered last
-	idleSince       map[string]time.Duration // machines that could take it while it waits, and since when
-	lastStartAt     time.Duration            // when a machine took one of its tasks last
-	submittedAt     time.Duration            // when it was handed in
-	Answer          protocol.JobResponse
+	Spec     protocol.Job
+	RunS     float64   // how long its tasks run
+	RunsS    []float64 // by task, if they differ
+	Mistaken bool      // its tasks fail wherever they run
+	Never    bool      // it can't run or lacks a field: it must not be accepted
+
+	Accepted  bool
+	Refused   core.ReplyStatus     // the status of its final rejection, 0: none
+	Told      string               // the state that its user was told last
+	Answer    protocol.JobResponse // in which that was
+	Cancelled time.Duration        // when its user was told that it is cancelled
+
+	submittedAt     time.Duration
 	cancelRequested bool
-	Cancelled       time.Duration // when its user was told
-	completed       map[int]bool
-	savedRun        map[int]time.Duration // how much of its run a task has saved
-	machines        map[string]string     // task -> machine
+	completed       map[int]bool          // tasks, by index
+	savedRun        map[int]time.Duration // how much of its run a task has saved, by index
+	machines        map[string]string     // where its tasks are, by name
+
+	// Records of the checker.
+	finalAt     time.Duration            // when the first word came that it is done or cancelled
+	answeredAt  time.Duration            // when a question about it was answered last
+	lastStartAt time.Duration            // when a machine took one of its tasks last
+	idleSince   map[string]time.Duration // machines that could take a task of it, and since when
 }
 
-func newUsers(w *World) *Users {
-	return &Users{cluster: w, jobs: map[string]*Job{}, cpus: map[string]float64{}, gpus: map[string]float64{}}
+func newUsers(cluster *World) *Users {
+	return &Users{cluster: cluster, checker: cluster.checker, jobs: map[string]*Job{}, cpus: map[string]float64{}, gpus: map[string]float64{}}
 }
 
-// Array describes an array job of n tasks with one CPU each, for team blue.
-func Array(n int) protocol.Job {
-	return protocol.Job{Class: "photos", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyNormal, Tasks: n,
+// Array describes an array job of so many tasks with one CPU each, for team blue.
+func Array(tasks int) protocol.Job {
+	return protocol.Job{Class: "photos", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyNormal, Tasks: tasks,
 		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.5, AllowSpot: true, EstimateS: 10}
 }
 
-// Submit hands in a job whose tasks run for runS, again and again until it is
-// answered; change may alter it first.
+func jobID(number int) string { return fmt.Sprintf("job-%06d", number) }
+
+// Submit hands in a job whose tasks run for runS seconds, again and again until it is
+// answered for good.
 func (u *Users) Submit(spec protocol.Job, runS float64) *Job {
 	u.lastJob++
 	if spec.ID == "" {
-		spec.ID = fmt.Sprintf("job-%06d", u.lastJob)
+		spec.ID = jobID(u.lastJob)
+	}
+	job := &Job{
+		Spec: spec, RunS: runS, submittedAt: u.cluster.Now,
+		completed: map[int]bool{}, savedRun: map[int]time.Duration{}, machines: map[string]string{},
 	}
-	j := &Job{Spec: spec, RunS: runS, submittedAt: u.cluster.Now, completed: map[int]bool{}, savedRun: map[int]time.Duration{}, machines: map[string]string{}}
-	u.jobs[spec.ID] = j
-	u.submit(j)
-	return j
+	u.jobs[spec.ID] = job
+	u.submit(job)
+	return job
 }
 
-// request sends a request to some live node, as a load balancer would.
-func (u *Users) request(build func(core.RequestID) core.Command, got func(core.Reply)) {
-	w := u.cluster
+// Resubmit hands the same job in once more.
+func (u *Users) Resubmit(job *Job) { u.submit(job) }
+
+func submitCommand(job *Job) func(core.RequestID) core.Command {
+	return func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job.Spec} }
+}
+
+func queryCommand(jobID string) func(core.RequestID) core.Command {
+	return func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: jobID} }
+}
+
+func cancelCommand(job *Job) func(core.RequestID) core.Command {
+	return func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: job.Spec.ID} }
+}
+
+// request sends a request to some ready node, as a load balancer would. onReply gets the zero
+// Reply if no answer comes.
+func (u *Users) request(build func(core.RequestID) core.Command, onReply func(core.Reply)) {
+	cluster := u.cluster
 	u.Asked++
-	answer := got
-	got = func(r core.Reply) {
-		if r.Status > 0 && r.Status < 500 && r.Status != 429 {
+	count := func(reply core.Reply) {
+		if reply.Status > 0 && reply.Status < statusServerError && reply.Status != statusTooMany {
 			u.Served++
 		}
-		answer(r)
+		onReply(reply)
 	}
-	start := w.Rand.IntN(len(w.Nodes))
-	for i := range w.Nodes {
-		n := w.Nodes[(start+i)%len(w.Nodes)]
-		if n.Alive() && n.Ready && (u.Only == nil || u.Only == n) {
-			call(w, "users", n.Label, 5*time.Second, func(reply func(core.Reply)) { n.Ask(build, reply) }, got,
-				func() {
-					u.Late++
-					got(core.Reply{})
-				})
+	first := cluster.Rand.IntN(len(cluster.Nodes))
+	for i := range cluster.Nodes {
+		node := cluster.Nodes[(first+i)%len(cluster.Nodes)]
+		if node.Alive() && node.Ready && (u.Only == nil || u.Only == node) {
+			u.requestFrom(node, build, count, func() {
+				u.Late++
+				count(core.Reply{})
+			})
 			return
 		}
 	}
-	w.After(time.Second, func() { got(core.Reply{}) })
+	cluster.After(userRetryInterval, func() { count(core.Reply{}) })
 }
 
-func (u *Users) submit(j *Job) {
-	sent := u.cluster.Now
-	u.request(func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} }, func(r core.Reply) {
-		switch r.Status {
-		case 200, 201:
-			if j.Never {
-				u.cluster.recordViolation("wrongly_accepted", "%s is answered %d", j.Spec.ID, r.Status)
-			}
-			first := !j.Accepted
-			j.Accepted = true
-			u.observe(j, r.Body.(protocol.JobResponse), sent)
-			if first {
-				u.cluster.After(time.Second, func() { u.poll(j) })
-				u.readEverywhereIfEnabled(j)
-			}
-		case 400, 422:
-			if j.Accepted {
-				u.cluster.recordViolation("forgotten", "%s was accepted and then refused with %d", j.Spec.ID, r.Status)
-			}
-			j.Refused = r.Status
+// requestFrom sends a request to one node.
+func (u *Users) requestFrom(node *Node, build func(core.RequestID) core.Command, onReply func(core.Reply), onTimeout func()) {
+	call(u.cluster, endpointUsers, node.Label, userTimeout, func(reply func(core.Reply)) { node.Ask(build, reply) }, onReply, onTimeout)
+}
+
+func (u *Users) submit(job *Job) {
+	sentAt := u.cluster.Now
+	u.request(submitCommand(job), func(reply core.Reply) {
+		switch reply.Status {
+		case core.ReplyOK, core.ReplyAccepted:
+			u.checker.checkAcceptance(job, reply)
+			u.accepted(job, reply.Body.(protocol.JobResponse), sentAt)
+		case statusBadRequest, core.ReplyInvalid:
+			u.checker.checkRejection(job, reply)
+			job.Refused = reply.Status
 		default:
-			u.cluster.After(time.Second, func() { u.submit(j) })
+			u.cluster.After(userRetryInterval, func() { u.submit(job) })
 		}
 	})
 }
 
-// Resubmit hands the same job in once more.
-func (u *Users) Resubmit(j *Job) { u.submit(j) }
-
-// readEverywhereIfEnabled is a close look at a job, if users take them.
-func (u *Users) readEverywhereIfEnabled(j *Job) {
-	if u.CloseLooks {
-		u.Look(j)
+// accepted begins to poll a job once it is accepted.
+func (u *Users) accepted(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
+	first := !job.Accepted
+	job.Accepted = true
+	u.observe(job, answer, sentAt)
+	if first {
+		u.cluster.After(firstPollDelay, func() { u.poll(job) })
+		u.readEverywhereIfEnabled(job)
 	}
 }
 
-// Look has a job's user ask at all nodes, and hand it in again at one of them, three times
-// within some milliseconds.
-func (u *Users) Look(j *Job) {
-	w := u.cluster
-	at := func(n *Node, build func(core.RequestID) core.Command) {
-		sent, known := w.Now, j.Accepted
-		call(w, "users", n.Label, 5*time.Second, func(reply func(core.Reply)) { n.Ask(build, reply) }, func(r core.Reply) {
-			switch {
-			case r.Status == 200 || r.Status == 201:
-				u.Looks++
-				u.observe(j, r.Body.(protocol.JobResponse), sent)
-			case known && (r.Status == 404 || r.Status == 400 || r.Status == 422):
-				w.recordViolation("forgotten", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
-			}
-		}, func() {})
-	}
-	for k := range 3 {
-		w.After(time.Duration(k)*4*time.Millisecond, func() {
-			for i, n := range w.Nodes {
-				at(n, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} })
-				if i == k%len(w.Nodes) {
-					at(n, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} })
-				}
-			}
-		})
-	}
-}
-
-// jobCompleted is told of the moment at which the last task of a job completes.
-func (u *Users) jobCompleted(j *Job) {
-	if u.AtEnd > 0 && u.cluster.Rand.Float64() < u.AtEnd {
-		u.Abort(j)
-	}
-	u.readEverywhereIfEnabled(j)
-}
-
-func (u *Users) poll(j *Job) {
-	sent := u.cluster.Now
-	if u.Calm > 0 && u.cluster.Now-max(j.answeredAt, u.Calm) > maxUnansweredWait {
-		u.cluster.recordViolation("forgotten", "no question about %s has been answered since %.3f", j.Spec.ID, j.answeredAt.Seconds())
-		j.answeredAt = u.cluster.Now // said once
-	}
-	u.checkWaiting(j)
-	u.request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
-		switch r.Status {
-		case 200:
-			u.observe(j, r.Body.(protocol.JobResponse), sent)
-		case 404:
-			u.cluster.recordViolation("forgotten", "%s is answered 404", j.Spec.ID)
+func (u *Users) poll(job *Job) {
+	sentAt := u.cluster.Now
+	u.checker.checkAnswered(job)
+	u.checker.checkWaiting(job)
+	u.request(queryCommand(job.Spec.ID), func(reply core.Reply) {
+		switch reply.Status {
+		case core.ReplyOK:
+			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
+		case core.ReplyNotFound:
+			u.checker.recordForgotten(job.Spec.ID, reply)
 		}
-		u.cluster.After(3*time.Second, func() { u.poll(j) })
+		u.cluster.After(pollInterval, func() { u.poll(job) })
 	})
 }
 
 // PollAny asks once about some job that was handed in, or about one that never was.
 func (u *Users) PollAny() {
-	n := u.cluster.Rand.IntN(u.lastJob + 1)
-	id := fmt.Sprintf("job-%06d", n)
-	j, sent := u.jobs[id], u.cluster.Now
-	known := j != nil && j.Accepted
-	u.request(func(id2 core.RequestID) core.Command { return core.QueryJob{ID: id2, JobID: id} }, func(r core.Reply) {
+	id := jobID(u.cluster.Rand.IntN(u.lastJob + 1))
+	job, sentAt := u.jobs[id], u.cluster.Now
+	known := job != nil && job.Accepted
+	u.request(queryCommand(id), func(reply core.Reply) {
 		switch {
-		case r.Status == 200 && j == nil:
-			u.cluster.recordViolation("invented", "%s is answered 200", id)
-		case r.Status == 200 && known:
-			u.observe(j, r.Body.(protocol.JobResponse), sent)
-		case r.Status == 404 && known:
-			u.cluster.recordViolation("forgotten", "%s is answered 404", id)
+		case reply.Status == core.ReplyOK && job == nil:
+			u.checker.recordViolation(ruleInvented, "%s is answered %d", id, reply.Status)
+		case reply.Status == core.ReplyOK && known:
+			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
+		case reply.Status == core.ReplyNotFound && known:
+			u.checker.recordForgotten(id, reply)
 		}
 	})
 }
 
-// Never hands in, at all nodes, a job that can't run: each refuses it for good, or has its
-// user come again, however little it knows yet.
+// Never hands in, at all nodes, a job that can't run: each node must reject it for good, or
+// have its user come again, however little it knows yet.
 func (u *Users) Never(spec protocol.Job) *Job {
-	j := u.Submit(spec, 1)
-	j.Never = true
-	for _, n := range u.cluster.Nodes {
-		call(u.cluster, "users", n.Label, 5*time.Second, func(reply func(core.Reply)) {
-			n.Ask(func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: j.Spec} }, reply)
-		}, func(r core.Reply) {
-			if r.Status != 422 && r.Status != 400 && r.Status != 503 {
-				u.cluster.recordViolation("wrongly_accepted", "%s is answered %d by %s", j.Spec.ID, r.Status, n.Label)
-			}
-		}, func() {})
+	job := u.Submit(spec, 1)
+	job.Never = true
+	for _, node := range u.cluster.Nodes {
+		u.requestFrom(node, submitCommand(job), func(reply core.Reply) { u.checker.checkRejected(job, node, reply) }, func() {})
 	}
-	return j
+	return job
 }
 
 // Abort cancels a job, again and again until that is confirmed.
-func (u *Users) Abort(j *Job) {
-	j.cancelRequested = true
-	sent := u.cluster.Now
-	u.request(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: j.Spec.ID} }, func(r core.Reply) {
-		if r.Status != 200 {
-			u.cluster.After(time.Second, func() { u.Abort(j) })
+func (u *Users) Abort(job *Job) {
+	job.cancelRequested = true
+	sentAt := u.cluster.Now
+	u.request(cancelCommand(job), func(reply core.Reply) {
+		if reply.Status != core.ReplyOK {
+			u.cluster.After(userRetryInterval, func() { u.Abort(job) })
 			return
 		}
-		u.observe(j, r.Body.(protocol.JobResponse), sent)
+		u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
 	})
 }
 
 // Wants notes that a job's user wants it cancelled, whoever is asked and whatever comes of it.
-func (u *Users) Wants(j *Job) { j.cancelRequested = true }
+func (u *Users) Wants(job *Job) { job.cancelRequested = true }
+
+// readEverywhereIfEnabled looks closely at a job, if users do that.
+func (u *Users) readEverywhereIfEnabled(job *Job) {
+	if u.CloseLooks {
+		u.Look(job)
+	}
+}
+
+// Look has a job's user ask at all nodes, and hand it in again at one of them, three times
+// within some milliseconds: whoever is asked must know what any node has confirmed.
+func (u *Users) Look(job *Job) {
+	for round := range readRounds {
+		u.cluster.After(time.Duration(round)*readRoundInterval, func() {
+			for i, node := range u.cluster.Nodes {
+				u.readAt(node, job, queryCommand(job.Spec.ID))
+				if i == round%len(u.cluster.Nodes) {
+					u.readAt(node, job, submitCommand(job))
+				}
+			}
+		})
+	}
+}
+
+// readAt asks one node about a job and checks its answer.
+func (u *Users) readAt(node *Node, job *Job, build func(core.RequestID) core.Command) {
+	sentAt, known := u.cluster.Now, job.Accepted
+	u.requestFrom(node, build, func(reply core.Reply) {
+		switch reply.Status {
+		case core.ReplyOK, core.ReplyAccepted:
+			u.Looks++
+			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
+		case core.ReplyNotFound, statusBadRequest, core.ReplyInvalid:
+			if known {
+				u.checker.recordViolation(ruleForgotten, "%s is answered %d by %s", job.Spec.ID, reply.Status, node.Label)
+			}
+		}
+	}, func() {})
+}
+
+// isFinal reports whether a job's state never changes again.
+func isFinal(state string) bool {
+	return state == protocol.JobDone || state == protocol.JobCancelled
+}
+
+// observe takes what a node says of a job in answer to a question that left at sentAt.
+func (u *Users) observe(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
+	u.checker.checkAnswer(job, answer, sentAt)
+	job.answeredAt = u.cluster.Now
+	if isFinal(job.Told) { // the first such word is the one that counts
+		if answer.State == job.Told {
+			job.Answer = answer
+		}
+		return
+	}
+	if answer.State == protocol.JobCancelled {
+		job.Cancelled = u.cluster.Now
+		u.cluster.After(u.checker.cancelDeadline(), func() { u.checker.checkNoneRuns(job) })
+	}
+	job.Told, job.Answer = answer.State, answer
+	if isFinal(answer.State) {
+		job.finalAt = u.cluster.Now
+		u.readEverywhereIfEnabled(job)
+	}
+}
+
+// taskStarted notes that a task is on a machine from now on.
+func (u *Users) taskStarted(worker *Worker, task *Task) {
+	job := task.job
+	u.checker.checkStart(worker, task)
+	if _, ok := job.machines[task.Name]; !ok {
+		u.addUsage(job, 1)
+	}
+	u.Starts++
+	if job.completed[task.index] {
+		u.Again++
+	}
+	job.machines[task.Name] = worker.Info.Name
+	u.checker.checkPlace(worker, task)
+	u.checker.checkQuota(job.Spec.Team)
+}
 
-// AllTold reports whether every accepted job's user knows that it is over.
+// taskLeft notes that a task is no longer on its machine.
+func (u *Users) taskLeft(worker *Worker, task *Task) {
+	if task.job != nil && task.occupiesMachine() && task.job.machines[task.Name] == worker.Info.Name {
+		delete(task.job.machines, task.Name)
+		u.addUsage(task.job, -1)
+	}
+}
+
+// taskCompleted notes that a task has done its work; it may have done so before.
+func (u *Users) taskCompleted(task *Task) {
+	job := task.job
+	if job.completed[task.index] {
+		return
+	}
+	job.completed[task.index] = true
+	if len(job.completed) == job.Spec.Tasks {
+		u.jobCompleted(job)
+	}
+}
+
+// jobCompleted is the moment at which the last task of a job completes.
+func (u *Users) jobCompleted(job *Job) {
+	if u.AtEnd > 0 && u.cluster.Rand.Float64() < u.AtEnd {
+		u.Abort(job)
+	}
+	u.readEverywhereIfEnabled(job)
+}
+
+// addUsage adds the usage of so many tasks to that of a job's team.
+func (u *Users) addUsage(job *Job, tasks int) {
+	u.runningTasks += tasks
+	u.cpus[job.Spec.Team] += float64(tasks) * job.Spec.CPUs
+	u.gpus[job.Spec.Team] += float64(tasks) * job.Spec.GPUs
+}
+
+// AllTold reports whether the user of every job that was not rejected knows that it is over.
 func (u *Users) AllTold() bool {
-	for _, j := range u.jobs {
-		if j.Refused == 0 && j.Told != protocol.JobDone && j.Told != protocol.JobCancelled {
+	for _, job := range u.jobs {
+		if job.Refused == 0 && !isFinal(job.Told) {
 			return false
 		}
 	}
 	return true
 }
 
-// On is the machine that a task is on, or empty.
-func (j *Job) On(i int) string { return j.machines[protocol.TaskName(j.Spec.ID, i)] }
-
 // Done is how many tasks of jobs have completed.
-func (u *Users) Done(jobs ...*Job) (n int) {
-	for _, j := range jobs {
-		n += len(j.completed)
+func (u *Users) Done(jobs ...*Job) (tasks int) {
+	for _, job := range jobs {
+		tasks += len(job.completed)
 	}
-	return n
+	return tasks
 }
 
-// Running is how many tasks are on machines.
-func (j *Job) Running() int { return len(j.machines) }
-
 // Running is how many tasks of all jobs are on machines.
 func (u *Users) Running() int { return u.runningTasks }
+
+// Reasons lists what the users of the jobs that are not over were told last.
+func (u *Users) Reasons() []string {
+	var reasons []string
+	for _, job := range u.jobs {
+		if job.Answer.Reason != "" {
+			reasons = append(reasons, job.Answer.Reason)
+		}
+	}
+	return reasons
+}
+
+// On is the machine that a task is on, or empty.
+func (j *Job) On(index int) string { return j.machines[protocol.TaskName(j.Spec.ID, index)] }
+
+// Running is how many of its tasks are on machines.
+func (j *Job) Running() int { return len(j.machines) }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -8,394 +8,256 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
+const (
+	// minHeartbeatInterval is the least pause between two heartbeats, also if something
+	// changes on the machine in between.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat, and how old
+	// an answer may be for the worker to act on it.
+	heartbeatTimeout = 4 * time.Second
+	// heartbeatRetryInterval is the pause before a worker turns to the next controller.
+	heartbeatRetryInterval = time.Second
+	// maxRedirectDelay bounds the drawn pause before a worker follows a redirect, which
+	// spreads the load of many that are redirected at once.
+	maxRedirectDelay = 500 * time.Millisecond
+	// hungPollInterval is how often something that a hung machine has to do is tried again.
+	hungPollInterval = time.Second
+	// hungReplyPollInterval is how often a hung machine's unread answer is tried again.
+	hungReplyPollInterval = 100 * time.Millisecond
+	// leaseCheckInterval is how often a worker looks at its lease.
+	leaseCheckInterval = 100 * time.Millisecond
+)
+
 // Worker is the agent on a machine.
 type Worker struct {
-	cluster           *World
-	Info              protocol.Instance
-	Faulty            bool    // every task it starts fails
-	Hung              bool    // does nothing until it resumes; its lease ends all the same
-	Mute              bool    // opens no connection to a controller
-	Slow              float64 // tasks take so many times as long, 0: once
-	removed           bool
-	clockRate         float64
-	session           uint64
-	reportSeq         uint64
-	leaderToken       uint64
-	Tasks             []*Task
-	images            map[string]bool
-	nodeIndex         int
-	heartbeatInFlight bool
-	changedInFlight   bool // something changed while a report was under way
+	WorkerFaults
+
+	cluster *World
+	Info    protocol.Instance
+	Tasks   []*Task
+
+	removed     bool
+	clockRate   float64 // of its clock, 1: exact
+	session     uint64  // counts the times that its lease expired
+	reportSeq   uint64
+	leaderToken uint64 // fencing token, the highest that it has seen
+	images      map[string]bool
+
+	nodeIndex         int  // the controller that it reports to
+	heartbeatInFlight bool // no answer has come yet
+	changedInFlight   bool // something changed meanwhile
 	leaseRenewedAt    time.Duration
 	lastHeartbeatAt   time.Duration
-	heartbeatTimer    uint64
-	NoticeS           *float64
-	lastTaskAt        time.Duration // when it took a task last
-	hardwareFailed    bool          // a task has failed here that would not have elsewhere
-}
+	heartbeatTimer    uint64 // the newest timer; older ones do nothing
 
-// Task is an attempt on a machine.
-type Task struct {
-	Name         string
-	Attempt      uint64
-	State        string
-	Why          string
-	Saved        bool
-	job          *Job
-	index        int
-	runningSince time.Duration // when it began to run
+	// Records for the checker.
+	lastTaskAt     time.Duration // when it took a task last
+	hardwareFailed bool          // a task has failed here that would not have elsewhere
 }
 
-// occupiesMachine reports whether the task counts as being on its machine.
-func (t *Task) occupiesMachine() bool {
-	return t.State == protocol.TaskRunning || t.State == protocol.TaskSaving || t.State == protocol.TaskWaiting
+func newWorker(cluster *World, instance protocol.Instance) *Worker {
+	w := &Worker{
+		cluster: cluster, Info: instance, session: 1, images: map[string]bool{},
+		leaseRenewedAt: cluster.Now, lastHeartbeatAt: -time.Hour,
+		clockRate: cluster.drawClockRate(), nodeIndex: cluster.Rand.IntN(len(cluster.Nodes)),
+	}
+	w.sendHeartbeat()
+	w.watchLease()
+	return w
 }
 
-func (t *Task) usesCapacity() bool { return t.State != protocol.TaskExited }
+// ReportsTo is the controller that it sends its heartbeats to.
+func (w *Worker) ReportsTo() *Node { return w.cluster.Nodes[w.nodeIndex] }
 
-func newWorker(w *World, m protocol.Instance) *Worker {
-	k := &Worker{cluster: w, Info: m, session: 1, images: map[string]bool{}, leaseRenewedAt: w.Now, lastHeartbeatAt: -time.Hour,
-		clockRate: 1 + (w.Rand.Float64()*2-1)*0.00025, nodeIndex: w.Rand.IntN(len(w.Nodes))}
-	k.sendHeartbeat()
-	k.watchLease()
-	return k
+// remove is what the end of the machine is to its worker.
+func (w *Worker) remove() {
+	w.removed = true
+	w.dropTasks()
+	delete(w.cluster.Workers, w.Info.Name)
 }
 
-func (k *Worker) remove() {
-	k.removed = true
-	for _, t := range k.Tasks {
-		k.cluster.Users.taskLeft(k, t)
+// dropTasks ends all tasks without a trace.
+func (w *Worker) dropTasks() {
+	for _, task := range w.Tasks {
+		w.cluster.Users.taskLeft(w, task)
 	}
-	k.Tasks = nil
-	delete(k.cluster.Workers, k.Info.Name)
+	w.Tasks = nil
 }
 
-func (k *Worker) localDuration(d time.Duration) time.Duration {
-	return time.Duration(float64(d) / k.clockRate)
+// localDuration is the span of simulated time in which the worker's clock advances by d.
+func (w *Worker) localDuration(d time.Duration) time.Duration {
+	return time.Duration(float64(d) / w.clockRate)
 }
 
-func (k *Worker) lease() time.Duration {
-	return k.localDuration(config.Seconds(k.cluster.Set.Site.Workers.LeaseS))
+func (w *Worker) leaseDuration() time.Duration {
+	return w.localDuration(config.Seconds(w.cluster.Set.Site.Workers.LeaseS))
 }
 
-func (k *Worker) watchLease() {
-	if k.removed {
+// watchLease ends all tasks whenever the lease expires. That goes for a hung machine too: it
+// may resume within its lease, not after it.
+func (w *Worker) watchLease() {
+	if w.removed {
 		return
 	}
-	// A hung machine too: it may resume within its lease, not after it.
-	if k.cluster.Now-k.leaseRenewedAt > k.lease() {
-		for _, t := range k.Tasks {
-			k.cluster.Users.taskLeft(k, t)
-		}
-		k.Tasks = nil
-		k.session++
-		k.leaseRenewedAt = k.cluster.Now
-		k.statusChanged()
+	if w.cluster.Now-w.leaseRenewedAt > w.leaseDuration() {
+		w.dropTasks()
+		w.session++
+		w.leaseRenewedAt = w.cluster.Now
+		w.statusChanged()
 	}
-	k.cluster.After(100*time.Millisecond, k.watchLease)
+	w.cluster.After(leaseCheckInterval, w.watchLease)
 }
 
 // heartbeat is the worker's report, as of now.
-func (k *Worker) heartbeat() protocol.Heartbeat {
-	k.reportSeq++
-	r := protocol.Heartbeat{
-		Machine: k.Info.Name, Addr: k.Info.Addr, Type: k.Info.Type, Zone: k.Info.Zone, Spot: k.Info.Spot,
-		Session: k.session, Seq: k.reportSeq, Token: k.leaderToken, NoticeS: k.NoticeS, Tasks: []protocol.TaskStatus{},
+func (w *Worker) heartbeat() protocol.Heartbeat {
+	w.reportSeq++
+	report := protocol.Heartbeat{
+		Machine: w.Info.Name, Addr: w.Info.Addr, Type: w.Info.Type, Zone: w.Info.Zone, Spot: w.Info.Spot,
+		Session: w.session, Seq: w.reportSeq, Token: w.leaderToken, NoticeS: w.NoticeS, Tasks: []protocol.TaskStatus{},
 	}
-	for _, t := range k.Tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.Why, Saved: t.Saved})
+	for _, task := range w.Tasks {
+		report.Tasks = append(report.Tasks, protocol.TaskStatus{
+			Task: task.Name, Attempt: task.Attempt, State: task.State, ExitReason: task.Why, Saved: task.Saved})
 	}
-	return r
+	return report
 }
 
-func (k *Worker) statusChanged() {
-	if k.heartbeatInFlight {
-		k.changedInFlight = true
+// statusChanged has the worker report soon.
+func (w *Worker) statusChanged() {
+	if w.heartbeatInFlight {
+		w.changedInFlight = true
 		return
 	}
-	k.scheduleHeartbeat(max(k.lastHeartbeatAt+500*time.Millisecond-k.cluster.Now, 0))
+	w.scheduleHeartbeat(w.untilNextAllowed())
 }
 
-func (k *Worker) scheduleHeartbeat(d time.Duration) {
-	k.heartbeatTimer++
-	id := k.heartbeatTimer
-	k.cluster.After(d, func() {
-		if id == k.heartbeatTimer && !k.removed {
-			k.sendHeartbeat()
+// untilNextAllowed is how long the worker must wait before its next heartbeat.
+func (w *Worker) untilNextAllowed() time.Duration {
+	return max(w.lastHeartbeatAt+minHeartbeatInterval-w.cluster.Now, 0)
+}
+
+// scheduleHeartbeat replaces the time of the next heartbeat.
+func (w *Worker) scheduleHeartbeat(delay time.Duration) {
+	w.heartbeatTimer++
+	timer := w.heartbeatTimer
+	w.cluster.After(delay, func() {
+		if timer == w.heartbeatTimer && !w.removed {
+			w.sendHeartbeat()
 		}
 	})
 }
 
-func (k *Worker) sendHeartbeat() {
-	if k.removed || k.heartbeatInFlight {
-		return
-	}
-	if k.Hung {
-		k.scheduleHeartbeat(time.Second)
-		return
-	}
-	k.heartbeatInFlight, k.changedInFlight = true, false
-	k.lastHeartbeatAt = k.cluster.Now
-	sent, session := k.cluster.Now, k.session
-	rep := k.heartbeat()
-	node := k.cluster.Nodes[k.nodeIndex]
-	next := func(d time.Duration) {
-		k.heartbeatInFlight = false
-		if k.changedInFlight {
-			d = max(k.lastHeartbeatAt+500*time.Millisecond-k.cluster.Now, 0)
-		}
-		k.scheduleHeartbeat(d)
-	}
-	elsewhere := func() {
-		k.nodeIndex = (k.nodeIndex + 1) % len(k.cluster.Nodes)
-		next(time.Second)
-	}
-	if k.Mute {
-		elsewhere()
-		return
-	}
-	k.cluster.retain(rep)
-	var got func(core.Reply)
-	got = func(r core.Reply) {
-		if k.removed {
-			return
-		}
-		if k.Hung && k.cluster.Now-sent < 4*time.Second {
-			k.cluster.After(100*time.Millisecond, func() { got(r) }) // it is read once the machine goes on
-			return
-		}
-		if k.Hung {
-			elsewhere()
-			return
-		}
-		switch body := r.Body.(type) {
-		case protocol.HeartbeatResponse:
-			if session == k.session && body.Token >= k.leaderToken && k.cluster.Now-sent < 4*time.Second {
-				raised := body.Token > k.leaderToken
-				k.leaderToken = body.Token
-				k.leaseRenewedAt = max(k.leaseRenewedAt, sent)
-				if k.execute(body.Commands) || raised {
-					k.changedInFlight = true
-				}
-			}
-			report := config.Seconds(k.cluster.Set.Site.Workers.ReportS)
-			next(k.localDuration(time.Duration(float64(report) * (0.75 + k.cluster.Rand.Float64()/2))))
-			return
-		case protocol.Redirect:
-			for i, n := range k.cluster.Nodes {
-				if n.Label == body.ReportTo && i != k.nodeIndex {
-					k.nodeIndex = i
-					next(time.Duration(k.cluster.Rand.Int64N(int64(500 * time.Millisecond))))
-					return
-				}
-			}
-		}
-		elsewhere()
-	}
-	call(k.cluster, k.Info.Name, node.Label, 4*time.Second, func(reply func(core.Reply)) {
-		node.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} }, reply)
-	}, got, elsewhere)
+// sentHeartbeat is a heartbeat whose answer the worker waits for.
+type sentHeartbeat struct {
+	sentAt  time.Duration
+	session uint64
 }
 
-func (k *Worker) handleDirect(d protocol.DirectCommands, answer func(core.DirectOutcome, protocol.Heartbeat)) {
-	if k.removed {
+func (w *Worker) sendHeartbeat() {
+	if w.removed || w.heartbeatInFlight {
 		return
 	}
-	if k.Hung {
-		k.cluster.After(time.Second, func() { k.handleDirect(d, answer) })
+	if w.Hung {
+		w.scheduleHeartbeat(hungPollInterval)
 		return
 	}
-	if d.Token < k.leaderToken || d.Session != k.session {
-		if d.Token > k.leaderToken {
-			k.leaderToken = d.Token
-		}
-		answer(core.DirectFenced, k.heartbeat())
+	w.heartbeatInFlight, w.changedInFlight = true, false
+	w.lastHeartbeatAt = w.cluster.Now
+	sent := sentHeartbeat{sentAt: w.cluster.Now, session: w.session}
+	report := w.heartbeat()
+	node := w.ReportsTo()
+	if w.Mute {
+		w.tryNextNode()
 		return
 	}
-	k.leaderToken = d.Token
-	if k.execute(d.Commands) {
-		k.statusChanged()
-	}
-	answer(core.DirectExecuted, k.heartbeat())
+	w.cluster.retain(report)
+	call(w.cluster, w.Info.Name, node.Label, heartbeatTimeout, func(reply func(core.Reply)) {
+		node.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, reply)
+	}, func(reply core.Reply) { w.handleHeartbeatReply(sent, reply) }, w.tryNextNode)
 }
 
-// execute carries out commands in order and reports whether anything changed.
-func (k *Worker) execute(cmds []protocol.Command) bool {
-	some := false
-	for _, c := range cmds {
-		switch c.Kind {
-		case protocol.CommandStart:
-			some = k.start(c) || some
-		case protocol.CommandStop:
-			for _, t := range k.Tasks {
-				if t.Name == c.Task && t.Attempt == c.Attempt && t.State != protocol.TaskExited {
-					k.stop(t, c.GraceS)
-					some = true
-				}
-			}
-		case protocol.CommandForget:
-			kept := k.Tasks[:0]
-			for _, t := range k.Tasks {
-				if t.Name == c.Task && t.Attempt == c.Attempt && t.State == protocol.TaskExited {
-					some = true
-					continue
-				}
-				kept = append(kept, t)
-			}
-			k.Tasks = kept
-		}
+// heartbeatDone schedules the next heartbeat, earlier if something changed meanwhile.
+func (w *Worker) heartbeatDone(delay time.Duration) {
+	w.heartbeatInFlight = false
+	if w.changedInFlight {
+		delay = w.untilNextAllowed()
 	}
-	return some
+	w.scheduleHeartbeat(delay)
 }
 
-func (k *Worker) start(c protocol.Command) bool {
-	u := k.cluster.Users
-	t := &Task{Name: c.Task, Attempt: c.Attempt, State: protocol.TaskFetching}
-	for _, x := range k.Tasks {
-		if x.Name == c.Task {
-			if x.Attempt == c.Attempt {
-				return false
-			}
-			if x.usesCapacity() {
-				t.State, t.Why = protocol.TaskExited, protocol.ExitDuplicate
-			}
-		}
-	}
-	ref, i, err := protocol.ParseTaskName(c.Task)
-	t.job, t.index = u.jobs[ref], i
-	if err != nil || t.job == nil || i >= t.job.Spec.Tasks {
-		t.State, t.Why = protocol.TaskExited, protocol.ExitUnknownTask
-	}
-	if t.State == protocol.TaskFetching && !k.hasCapacity(&t.job.Spec) {
-		t.State, t.Why = protocol.TaskExited, protocol.ExitNoCapacity
-	}
-	k.Tasks = append(k.Tasks, t)
-	if t.State != protocol.TaskFetching {
-		return true
+// tryNextNode gives a heartbeat up and turns to the next controller.
+func (w *Worker) tryNextNode() {
+	w.nodeIndex = (w.nodeIndex + 1) % len(w.cluster.Nodes)
+	w.heartbeatDone(heartbeatRetryInterval)
+}
+
+func (w *Worker) handleHeartbeatReply(sent sentHeartbeat, reply core.Reply) {
+	if w.removed {
+		return
 	}
-	t.job.lastStartAt, k.lastTaskAt = k.cluster.Now, k.cluster.Now
-	if t.job.Cancelled > 0 {
-		u.LateStarts++
+	fresh := w.cluster.Now-sent.sentAt < heartbeatTimeout
+	if w.Hung && fresh { // it is read once the machine resumes
+		w.cluster.After(hungReplyPollInterval, func() { w.handleHeartbeatReply(sent, reply) })
+		return
 	}
-	fetch := time.Duration(0)
-	if s := &t.job.Spec; !k.images[s.Image] {
-		fetch = config.Seconds(s.ImageGB / k.cluster.Cloud.Type(k.Info.Type).FetchGBps)
+	if w.Hung {
+		w.tryNextNode()
+		return
 	}
-	k.afterIfPresent(t, fetch, func() {
-		if t.State != protocol.TaskFetching {
-			return
+	switch body := reply.Body.(type) {
+	case protocol.HeartbeatResponse:
+		if fresh && sent.session == w.session && body.Token >= w.leaderToken {
+			w.acceptResponse(sent, body)
 		}
-		k.images[t.job.Spec.Image] = true
-		if t.job.Spec.Kind == protocol.KindGang {
-			t.State = protocol.TaskWaiting
-			u.taskStarted(k, t)
-			k.statusChanged()
-			u.runGangTask(k, t)
-			return
-		}
-		t.State = protocol.TaskRunning
-		u.taskStarted(k, t)
-		k.statusChanged()
-		t.runningSince = k.cluster.Now
-		runS := t.job.RunS
-		if len(t.job.RunsS) > 0 {
-			runS = t.job.RunsS[t.index]
-		}
-		run := config.Seconds(runS*max(k.Slow, 1)) - t.job.savedRun[t.index]
-		if t.job.completed[t.index] {
-			run = 0
-		}
-		switch {
-		case k.Faulty || t.job.Mistaken:
-			k.afterIfPresent(t, 500*time.Millisecond, func() { k.exit(t, protocol.ExitFailed) })
-		case t.job.Spec.Kind != protocol.KindService:
-			k.afterIfPresent(t, run, func() { k.exit(t, protocol.ExitDone) })
-		}
-	})
-	return true
+		interval := float64(config.Seconds(w.cluster.Set.Site.Workers.ReportS))
+		jitter := 0.75 + w.cluster.Rand.Float64()/2
+		w.heartbeatDone(w.localDuration(time.Duration(interval * jitter)))
+	case protocol.Redirect:
+		w.followRedirect(body)
+	default:
+		w.tryNextNode()
+	}
 }
 
-// currentAttempt is the attempt of a task that is on the machine, or 0.
-func (k *Worker) currentAttempt(task string) uint64 {
-	for _, t := range k.Tasks {
-		if t.Name == task && t.occupiesMachine() {
-			return t.Attempt
-		}
+// acceptResponse renews the lease and executes the commands of an answer.
+func (w *Worker) acceptResponse(sent sentHeartbeat, body protocol.HeartbeatResponse) {
+	newLeader := body.Token > w.leaderToken
+	w.leaderToken = body.Token
+	w.leaseRenewedAt = max(w.leaseRenewedAt, sent.sentAt)
+	if w.execute(body.Commands) || newLeader {
+		w.changedInFlight = true
 	}
-	return 0
 }
 
-// afterIfPresent runs f if the task is still here by then.
-func (k *Worker) afterIfPresent(t *Task, d time.Duration, f func()) {
-	k.cluster.After(d, func() {
-		if k.Hung {
-			k.afterIfPresent(t, time.Second, f)
+func (w *Worker) followRedirect(redirect protocol.Redirect) {
+	for i, node := range w.cluster.Nodes {
+		if node.Label == redirect.ReportTo && i != w.nodeIndex {
+			w.nodeIndex = i
+			w.heartbeatDone(time.Duration(w.cluster.Rand.Int64N(int64(maxRedirectDelay))))
 			return
 		}
-		for _, x := range k.Tasks {
-			if x == t && !k.removed {
-				f()
-				return
-			}
-		}
-	})
+	}
+	w.tryNextNode()
 }
 
-func (k *Worker) exit(t *Task, why string) {
-	if t.State == protocol.TaskExited {
+// handleDirect serves a call of a controller. Commands of an older leader, or meant for an
+// earlier session, are not executed.
+func (w *Worker) handleDirect(commands protocol.DirectCommands, answer func(core.DirectOutcome, protocol.Heartbeat)) {
+	if w.removed {
 		return
 	}
-	k.cluster.Users.taskLeft(k, t)
-	if t.job != nil && t.runningSince > 0 && why == protocol.ExitStopped {
-		ran := k.cluster.Now - t.runningSince
-		if step := config.Seconds(t.job.Spec.CheckpointS); step <= 0 {
-			ran = 0
-		} else if !t.Saved {
-			ran = ran / step * step
-		}
-		t.job.savedRun[t.index] += ran
-	}
-	t.State, t.Why = protocol.TaskExited, why
-	k.hardwareFailed = k.hardwareFailed || why == protocol.ExitFailed && !t.job.Mistaken
-	if why == protocol.ExitDone && t.job != nil && !t.job.completed[t.index] {
-		t.job.completed[t.index] = true
-		if len(t.job.completed) == t.job.Spec.Tasks {
-			k.cluster.Users.jobCompleted(t.job)
-		}
+	if w.Hung {
+		w.cluster.After(hungPollInterval, func() { w.handleDirect(commands, answer) })
+		return
 	}
-	k.statusChanged()
-}
-
-func (k *Worker) stop(t *Task, grace float64) {
-	s := t.job
-	if t.State == protocol.TaskRunning && s != nil && s.Spec.CheckpointS > 0 && grace >= s.Spec.SaveS {
-		t.State = protocol.TaskSaving
-		k.afterIfPresent(t, config.Seconds(s.Spec.SaveS), func() { t.Saved = true; k.exit(t, protocol.ExitStopped) })
+	if commands.Token < w.leaderToken || commands.Session != w.session {
+		w.leaderToken = max(w.leaderToken, commands.Token)
+		answer(core.DirectFenced, w.heartbeat())
 		return
 	}
-	k.exit(t, protocol.ExitStopped)
-}
-
-// capacity are what a machine has left.
-type capacity struct{ cpus, gpus, memoryGB float64 }
-
-func (k *Worker) free() capacity {
-	mt := k.cluster.Cloud.Type(k.Info.Type)
-	left := capacity{mt.CPUs, mt.GPUs, mt.MemoryGB}
-	for _, t := range k.Tasks {
-		if t.usesCapacity() && t.job != nil {
-			left.cpus -= t.job.Spec.CPUs
-			left.gpus -= t.job.Spec.GPUs
-			left.memoryGB -= t.job.Spec.MemoryGB
-		}
+	w.leaderToken = commands.Token
+	if w.execute(commands.Commands) {
+		w.statusChanged()
 	}
-	return left
-}
-
-func (k *Worker) hasCapacity(s *protocol.Job) bool {
-	left := k.free()
-	return left.cpus >= s.CPUs-1e-9 && left.gpus >= s.GPUs-1e-9 && left.memoryGB >= s.MemoryGB-1e-9
+	answer(core.DirectExecuted, w.heartbeat())
 }
-
-// ReportsTo is the controller that it sends its reports to.
-func (k *Worker) ReportsTo() *Node { return k.cluster.Nodes[k.nodeIndex] }
