--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -6,8 +6,8 @@
 //     effects the simulation carries out.
 //   - Fault injection (faults.go, and the links of network.go) is all that a test switches on
 //     and off: crashes, pauses, partitions, lost messages, late commits, outages.
-//   - The checker (invariants.go, invariant_waiting.go) looks from outside whether the rules
-//     of the protocol hold, and records violations.
+//   - The checker (invariants.go, invariant_waiting.go) checks from outside that the rules of
+//     the protocol hold, and records violations.
 //
 // The package knows the core by its commands, effects and queries only, never its inner state.
 //
@@ -76,7 +76,7 @@
 	eventSeq uint64
 }
 
-// Settings describes a small deployment with so many controllers.
+// Settings describes a small deployment with the given number of controllers.
 func Settings(nodes int) config.Settings {
 	var settings config.Settings
 	settings.Site = config.Site{
@@ -102,7 +102,7 @@
 	}
 }
 
-// New makes a cluster with so many controllers and starts them.
+// New makes a cluster with the given number of controllers and starts them.
 func New(seed uint64, nodes int) *World { return Build(seed, Settings(nodes), Types()) }
 
 // Build makes a cluster of the given settings, with a controller for each sibling that they
@@ -126,7 +126,7 @@
 	return c
 }
 
-// SomeWorkers draws workers at random, at most so many.
+// SomeWorkers draws workers at random, at most count.
 func (c *World) SomeWorkers(count int) []*Worker {
 	names := slices.Sorted(maps.Keys(c.Workers))
 	c.Rand.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -84,7 +84,7 @@
 // it reads no heartbeat until it knows which machines are its own.
 var lateLeaderDelays = []time.Duration{0, 60, 130, 250, 500, 1000, 2000}
 
-// leaderPollInterval is how often a change of the leader is looked for.
+// leaderPollInterval is how often the retained heartbeats' release polls for a new leader.
 const leaderPollInterval = 5 * time.Millisecond
 
 // retain keeps a heartbeat for the next leader, if that is switched on.
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -7,7 +7,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// gangPollInterval is how often a gang's task looks for its peers.
+// gangPollInterval is how often a gang's task polls its peers.
 const gangPollInterval = 200 * time.Millisecond
 
 // gangTask is a gang's task on its machine: it runs once all tasks of the gang are on
@@ -26,7 +26,7 @@
 	gang.watch()
 }
 
-// watch looks for the peers again and again, until the task is over.
+// watch polls the peers until the task is over.
 func (g *gangTask) watch() {
 	job, cluster := g.task.job, g.worker.cluster
 	if !g.task.occupiesMachine() || job.machines[g.task.Name] != g.worker.Info.Name {
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -10,8 +10,8 @@
 // machine could take its next task all the time and its team is under its quota.
 const maxIdleWait = 90 * time.Second
 
-// checkWaiting looks whether a job waits for nothing; its user's polls call it. How what is
-// not a plain array is judged:
+// checkWaiting checks that a job which could start does not wait too long; it is called
+// before each poll of its user. Jobs that are not plain arrays are judged as follows:
 //
 //   - A gang needs capacity for all of its tasks at once, within its zones' rule, so it waits
 //     for something unless the machines that could take one task could take all.
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -51,7 +51,7 @@
 	quotaEpsilon = 1e-6
 )
 
-// checker looks whether the rules of the protocol hold, from outside the controllers: it
+// checker checks that the rules of the protocol hold, from outside the controllers: it
 // compares what happens on machines with what users are told. It reads the simulation's
 // state, records violations and changes nothing but its own records of a Job; it draws no
 // random numbers and schedules nothing, so that a run goes the same way without it.
@@ -98,7 +98,7 @@
 	}
 }
 
-// checkAnswered looks whether a question about a job was answered lately.
+// checkAnswered checks that some question about a job was answered lately.
 func (c *checker) checkAnswered(job *Job) {
 	now, faultsOverAt := c.cluster.Now, c.cluster.Users.Calm
 	if faultsOverAt == 0 || now-max(job.answeredAt, faultsOverAt) <= maxUnansweredWait {
@@ -108,10 +108,10 @@
 	job.answeredAt = now // recorded once
 }
 
-// checkAnswer looks at what a node says of a job in answer to a question that left at sentAt,
-// before its user takes it in. Done and cancelled exclude one another whenever they were
-// asked for. Any other state is stale if the question left after the final word had come,
-// whichever node said that.
+// checkAnswer checks what a node says of a job in answer to a question that was sent at
+// sentAt. It is called before the user takes the answer in. Done and cancelled exclude one
+// another whenever the question was sent. Any other state is stale if the question was sent
+// after the first final answer had come, whichever node gave that.
 func (c *checker) checkAnswer(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
 	id, final := job.Spec.ID, isFinal(answer.State)
 	if isFinal(job.Told) && answer.State != job.Told && (final || sentAt > job.finalAt) {
@@ -186,7 +186,7 @@
 	}
 }
 
-// checkPlace looks whether a task may be on its machine.
+// checkPlace checks that a task may be on its machine.
 func (c *checker) checkPlace(worker *Worker, task *Task) {
 	spec, machine := &task.job.Spec, &worker.Info
 	allowed := machineAllowed(spec, machine) && (spec.Zone == "" || spec.Zone == machine.Zone)
@@ -219,7 +219,7 @@
 	return tasks
 }
 
-// checkQuota looks whether a team is under its quota.
+// checkQuota checks that a team is within its quota.
 func (c *checker) checkQuota(teamName string) {
 	cpus, gpus := c.cluster.Users.cpus[teamName], c.cluster.Users.gpus[teamName]
 	for _, team := range c.cluster.Set.Site.Teams {
--- a/internal/simulation/leakybucket.go
+++ b/internal/simulation/leakybucket.go
@@ -8,9 +8,8 @@
 	updatedAt time.Duration
 }
 
-// take takes so many requests out of a limit of rate a second, with bursts of so many
-// seconds' worth, and reports whether they are allowed. Requests that are not allowed count
-// for nothing.
+// take reports whether requests are allowed by a limit of rate a second, with bursts of
+// burstSeconds' worth, and counts them if they are.
 func (b *leakyBucket) take(now time.Duration, requests, rate, burstSeconds float64) bool {
 	b.used = max(b.used-(now-b.updatedAt).Seconds()*rate, 0)
 	b.updatedAt = now
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -65,7 +65,7 @@
 	send func()
 }
 
-// Link has packets from one endpoint to another go as link says, from now on. Endpoints are
+// Link sets the link from one endpoint to another, from now on. Endpoints are
 // "node-0", "state", "cloud", "users", a machine's name, "workers" for all machines,
 // "workers/a" for those of zone a, "workers/even" and "workers/odd" for about half of them,
 // and "zone a" for whatever is in that zone.
@@ -80,7 +80,7 @@
 	c.releaseHeld(path)
 }
 
-// Between does so in both directions.
+// Between sets the links of both directions between two endpoints.
 func (c *World) Between(a, b string, link Link) {
 	c.Link(a, b, link)
 	c.Link(b, a, link)
@@ -138,8 +138,8 @@
 	return ""
 }
 
-// linkBetween is what becomes of a packet from one endpoint to another now: all links of its
-// path combined, and the path that would hold it.
+// linkBetween combines all links that concern packets from one endpoint to another now. If
+// the combined link holds them, heldBy is the path whose healing releases them.
 func (c *World) linkBetween(from, to string) (combined Link, heldBy endpoints) {
 	if len(c.links) == 0 {
 		return
@@ -189,7 +189,7 @@
 func (c *World) deliver(from, to string, onArrival, onReset func()) {
 	link, heldBy := c.linkBetween(from, to)
 	switch {
-	case link.Drop || link.Largest == unreadBytes || c.drawWith(link.Loss) || c.drawWith(c.Loss):
+	case link.Drop || link.Largest == unreadBytes || c.drawChance(link.Loss) || c.drawChance(c.Loss):
 	case link.Refuse:
 		c.After(c.networkDelay(), onReset)
 	case link.Reset:
@@ -204,9 +204,9 @@
 	}
 }
 
-// drawWith reports whether something happens that does so with a probability; if that is 0,
+// drawChance reports whether something happens that does so with a probability; if that is 0,
 // nothing is drawn.
-func (c *World) drawWith(probability float64) bool {
+func (c *World) drawChance(probability float64) bool {
 	return probability > 0 && c.Rand.Float64() < probability
 }
 
@@ -230,7 +230,7 @@
 	if serveNow := serve; to == endpointStore && c.State.Slow > 0 {
 		serve = func(reply func(T)) { c.After(c.State.Slow, func() { serveNow(reply) }) }
 	}
-	if c.drawWith(c.Copies) {
+	if c.drawChance(c.Copies) {
 		delay := c.Latency*2 + time.Duration(c.Rand.Int64N(int64(c.CopyBy)+1))
 		c.After(delay, func() { serve(func(T) {}) })
 	}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -66,7 +66,7 @@
 	return s.cluster.Set.Site.State
 }
 
-// limited reports whether a request with so many writes is above the limits.
+// limited reports whether a request with the given number of writes is above the limits.
 func (s *State) limited(writes int) bool {
 	limits, now := s.limits(), s.cluster.Now
 	if s.requestBucket.take(now, 1, limits.RPS, storeBurstSeconds) &&
--- a/internal/simulation/store_content.go
+++ b/internal/simulation/store_content.go
@@ -27,7 +27,7 @@
 	longEstimateS = 100_000
 )
 
-// Ended puts so many jobs into the store that were done or cancelled long ago.
+// Ended puts count jobs into the store that were done or cancelled long ago.
 func (s *State) Ended(count int) {
 	var txn kvstore.Txn
 	for i := range count {
@@ -42,7 +42,7 @@
 	s.commitUnseen(&txn)
 }
 
-// Behind puts a job into the store and so many jobs that depend on it: half of them on it
+// Behind puts a job into the store, and count jobs that depend on it: half of them on it
 // alone, half in chains of a hundred.
 func (s *State) Behind(first protocol.Job, count int) {
 	first.EstimateS = longEstimateS
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -95,7 +95,7 @@
 	return &Users{cluster: cluster, checker: cluster.checker, jobs: map[string]*Job{}, cpus: map[string]float64{}, gpus: map[string]float64{}}
 }
 
-// Array describes an array job of so many tasks with one CPU each, for team blue.
+// Array describes an array job with one CPU for each task, for team blue.
 func Array(tasks int) protocol.Job {
 	return protocol.Job{Class: "photos", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyNormal, Tasks: tasks,
 		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.5, AllowSpot: true, EstimateS: 10}
@@ -250,15 +250,15 @@
 // Wants notes that a job's user wants it cancelled, whoever is asked and whatever comes of it.
 func (u *Users) Wants(job *Job) { job.cancelRequested = true }
 
-// readEverywhereIfEnabled looks closely at a job, if users do that.
+// readEverywhereIfEnabled reads a job at all nodes if CloseLooks is set.
 func (u *Users) readEverywhereIfEnabled(job *Job) {
 	if u.CloseLooks {
 		u.Look(job)
 	}
 }
 
-// Look has a job's user ask at all nodes, and hand it in again at one of them, three times
-// within some milliseconds: whoever is asked must know what any node has confirmed.
+// Look has a job's user ask at all nodes, and submit it again at one of them, three times
+// within some milliseconds: every node must know what any node has confirmed.
 func (u *Users) Look(job *Job) {
 	for round := range readRounds {
 		u.cluster.After(time.Duration(round)*readRoundInterval, func() {
@@ -350,7 +350,7 @@
 	}
 }
 
-// jobCompleted is the moment at which the last task of a job completes.
+// jobCompleted is called when the last task of a job completes.
 func (u *Users) jobCompleted(job *Job) {
 	if u.AtEnd > 0 && u.cluster.Rand.Float64() < u.AtEnd {
 		u.Abort(job)
@@ -358,7 +358,7 @@
 	u.readEverywhereIfEnabled(job)
 }
 
-// addUsage adds the usage of so many tasks to that of a job's team.
+// addUsage adds the usage of tasks of a job, or takes it away, to that of its team.
 func (u *Users) addUsage(job *Job, tasks int) {
 	u.runningTasks += tasks
 	u.cpus[job.Spec.Team] += float64(tasks) * job.Spec.CPUs
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -24,7 +24,7 @@
 	hungPollInterval = time.Second
 	// hungReplyPollInterval is how often a hung machine's unread answer is tried again.
 	hungReplyPollInterval = 100 * time.Millisecond
-	// leaseCheckInterval is how often a worker looks at its lease.
+	// leaseCheckInterval is how often a worker checks its lease.
 	leaseCheckInterval = 100 * time.Millisecond
 )
 
@@ -69,14 +69,14 @@
 // ReportsTo is the controller that it sends its heartbeats to.
 func (w *Worker) ReportsTo() *Node { return w.cluster.Nodes[w.nodeIndex] }
 
-// remove is what the end of the machine is to its worker.
+// remove ends the worker together with its machine.
 func (w *Worker) remove() {
 	w.removed = true
 	w.dropTasks()
 	delete(w.cluster.Workers, w.Info.Name)
 }
 
-// dropTasks ends all tasks without a trace.
+// dropTasks ends all tasks at once; the worker does not report them any more.
 func (w *Worker) dropTasks() {
 	for _, task := range w.Tasks {
 		w.cluster.Users.taskLeft(w, task)
