--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -48,7 +48,9 @@
 	}
 	d.run()
 	if s.core.debug && (d.sent > 0 || q.reason != "") {
-		s.core.logDebug("ranked", "job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee, "dispatched", d.sent, "waiting", q.waitingTasks(), "reason", q.reason)
+		s.core.logDebug("ranked",
+			"job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee,
+			"dispatched", d.sent, "waiting", q.waitingTasks(), "reason", q.reason)
 	}
 }
 
@@ -254,15 +256,15 @@
 	q, member := d.job, d.machine.shard
 	round.addUsage(q.spec(), s.core.bestEffortTeams[q.spec().Team])
 	attempt := &inflightAttempt{
-		job:               q,
-		taskIndex:         d.index,
-		number:            d.attempt,
-		plannedMachine:    d.machine.name,
-		shard:             member.label,
-		dispatchSession:   member.session,
-		dispatchSeq:       member.messagesSent + 1,
-		awaitingPlacement: true,
-		claimants:         map[string]bool{},
+		job:             q,
+		taskIndex:       d.index,
+		number:          d.attempt,
+		plannedMachine:  d.machine.name,
+		shard:           member.label,
+		dispatchSession: member.session,
+		dispatchSeq:     member.messagesSent + 1,
+		location:        locationDispatched,
+		claimants:       map[string]bool{},
 	}
 	task := protocol.TaskName(q.id, d.index)
 	s.trackAttempt(task, attempt)
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -122,7 +122,7 @@
 func (s *scheduler) releaseGangs() {
 	// Well before the workers give up waiting for one another.
 	timeout := config.Seconds(s.core.settings.Site.Workers.GangWaitS) / 4
-	for _, q := range s.queue.all() {
+	for _, q := range s.queue.All() {
 		if q.spec().Kind != protocol.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
 			continue
 		}
@@ -144,7 +144,7 @@
 func (q *queuedJob) gangProgress() (held int, started bool) {
 	for _, attempt := range q.inflight {
 		switch {
-		case attempt.unlocated || attempt.awaitingPlacement || attempt.machine == "":
+		case attempt.location != locationClaimed || attempt.machine == "":
 		case attempt.taskState == peerproto.StateHeld:
 			held++
 		default:
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -54,10 +54,11 @@
 // is durable, or a crash of every controller would lose the only trace of it.
 func (s *shard) clearIfDurable(clears *pendingClears, m *machine, attempt *taskAttempt, entry *jobEntry) {
 	failed := attempt.exitReason != protocol.ExitDone
-	if !failed && !s.mustNotRun(attempt.jobID, entry) && !entry.isTaskDone(attempt.taskIndex) && entry.record.Spec.Kind != protocol.KindService {
+	if !failed && !s.mustNotRun(attempt.jobID, entry) && !isDurablyDone(attempt, entry) {
 		return
 	}
-	clears.commands = append(clears.commands, protocol.Command{Kind: protocol.CommandForget, Task: attempt.task, Attempt: attempt.number})
+	forget := protocol.Command{Kind: protocol.CommandForget, Task: attempt.task, Attempt: attempt.number}
+	clears.commands = append(clears.commands, forget)
 	if attempt.callID != 0 && attempt.startToken == m.token {
 		clears.sentDirectly = true
 	}
@@ -66,6 +67,12 @@
 	}
 }
 
+// isDurablyDone reports whether nothing is lost with the trace of a completed attempt. Replicas of a
+// service are never recorded as done.
+func isDurablyDone(attempt *taskAttempt, entry *jobEntry) bool {
+	return entry.isTaskDone(attempt.taskIndex) || entry.record.Spec.Kind == protocol.KindService
+}
+
 // stopCommand is the command to stop an attempt that runs, if it is due.
 func (s *shard) stopCommand(attempt *taskAttempt, entry *jobEntry) (stop protocol.Command, due bool) {
 	stop = protocol.Command{Kind: protocol.CommandStop, Task: attempt.task, Attempt: attempt.number}
@@ -136,8 +143,8 @@
 	}
 	s.placementDue, s.nextPlacementAt = false, now+s.core.intervals.scheduling
 	s.updateMachinesWithCapacity()
-	open := make([]*machine, 0, s.machinesWithCapacity.len())
-	for _, m := range s.machinesWithCapacity.all() {
+	open := make([]*machine, 0, s.machinesWithCapacity.Len())
+	for _, m := range s.machinesWithCapacity.All() {
 		open = append(open, m)
 	}
 	full := map[string]bool{} // jobs of which a task found no room: their others won't either
@@ -157,10 +164,10 @@
 func (s *shard) updateMachinesWithCapacity() {
 	for _, m := range s.capacityChanged {
 		m.capacityChanged = false
-		if s.machines.get(m.name) == m && m.acceptsTasks() && m.freeCapacity().CPUs > binpacking.RoundingSlack {
-			s.machinesWithCapacity.set(m.name, m)
-		} else if s.machinesWithCapacity.get(m.name) == m {
-			s.machinesWithCapacity.delete(m.name)
+		if s.machines.Get(m.name) == m && m.acceptsTasks() && m.freeCapacity().CPUs > binpacking.RoundingSlack {
+			s.machinesWithCapacity.Set(m.name, m)
+		} else if s.machinesWithCapacity.Get(m.name) == m {
+			s.machinesWithCapacity.Delete(m.name)
 		}
 	}
 	s.capacityChanged = s.capacityChanged[:0]
@@ -184,8 +191,7 @@
 	}
 	if best == nil {
 		full[attempt.jobID] = !attempt.spec.Spread
-		// Until it is placed, runningSince is when it was dispatched.
-		if now-attempt.runningSince < intervals.maintenance {
+		if now-attempt.unplacedSince < intervals.maintenance {
 			return false
 		}
 		s.returnTask(attempt)
@@ -194,7 +200,7 @@
 	if !best.freeCapacity().HasImage(attempt.spec.Image) {
 		s.recordImage(best, attempt.spec)
 	}
-	attempt.phase, attempt.runningSince = phaseQueued, 0
+	attempt.phase = phaseQueued
 	s.core.logDebug("placed", "task", attempt.task, "machine", best.name)
 	s.addAttempt(best, attempt)
 	if nextHeartbeat := best.lastHeardAt + intervals.heartbeat; nextHeartbeat-now > intervals.heartbeat/6 {
@@ -225,7 +231,7 @@
 
 // holdForGang holds room on a machine for a task of a gang, and reports whether there is room.
 func (s *shard) holdForGang(name string, attempt *taskAttempt, entry *jobEntry) bool {
-	m := s.machines.get(name)
+	m := s.machines.Get(name)
 	if m == nil || !m.acceptsTasks() || attempt.recordVersion != 0 && entry.recordVersion != attempt.recordVersion {
 		return false
 	}
@@ -240,7 +246,7 @@
 // resolveHeld lets keep decide which of the listed tasks that room is held for stay.
 func (s *shard) resolveHeld(list []peerproto.TaskAttempt, keep func(*machine, *taskAttempt) bool) {
 	for _, try := range list {
-		m := s.machines.get(try.Machine)
+		m := s.machines.Get(try.Machine)
 		if m == nil {
 			continue
 		}
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -27,7 +27,7 @@
 			node := s.leader()
 			node.Crash(soon)
 			s.Logs = nil
-			s.eventually(30*second, "there is a new shard map", func() bool { return s.logged(node.Label + " new map") })
+			s.eventually(30*second, "there is a new shard map", func() bool { return s.logged(node.Label + " new shard map") })
 			node.Crash(soon)
 		},
 		"a member restarts while messages of its former process are delayed": func(s *scenario) {
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -68,8 +68,8 @@
 	planned := s.plannedAttempts()
 	preemptors := s.preemptorUrgencies()
 	round := &schedulingRound{teamUsage: s.computeTeamUsage(), infeasible: map[taskShape]bool{}}
-	round.machines = make([]*candidateMachine, 0, s.machines.len())
-	for name, view := range s.machines.all() {
+	round.machines = make([]*candidateMachine, 0, s.machines.Len())
+	for name, view := range s.machines.All() {
 		if !view.acceptsTasks() || view.unschedulable {
 			continue
 		}
@@ -98,7 +98,7 @@
 func (s *scheduler) plannedAttempts() map[string][]*inflightAttempt {
 	planned := map[string][]*inflightAttempt{}
 	for task, attempt := range s.unplacedAttempts {
-		if attempt.awaitingPlacement {
+		if attempt.location == locationDispatched {
 			planned[attempt.plannedMachine] = append(planned[attempt.plannedMachine], attempt)
 		} else {
 			delete(s.unplacedAttempts, task)
@@ -151,5 +151,6 @@
 	if reservedFor == nil {
 		return ""
 	}
-	return fmt.Sprintf("team %s is at its limit, and what is free next is for %s, of which too little was served", spec.Team, reservedFor.spec().Class)
+	return fmt.Sprintf("team %s is at its limit, and what is free next is for %s, of which too little was served",
+		spec.Team, reservedFor.spec().Class)
 }
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -6,6 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"github.com/chalkhub/chalkhub/internal/fairshare"
+	"github.com/chalkhub/chalkhub/internal/orderedmap"
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
@@ -26,10 +27,10 @@
 	// What the members tell of their shards.
 	shards      map[string]*shardView // by label
 	shardLabels map[uint64]string     // by session, "" before its hello
-	machines    *orderedMap[*machineView]
+	machines    *orderedmap.Map[*machineView]
 
 	// The queue, and the attempts that may be on a machine.
-	queue            *orderedMap[*queuedJob]
+	queue            *orderedmap.Map[*queuedJob]
 	attempts         map[string]*inflightAttempt // by task name
 	unplacedAttempts map[string]*inflightAttempt // all that await placement, and a few that no longer do
 	stopRequests     map[string]*inflightAttempt // all that are asked to stop, and a few that have stopped
@@ -75,7 +76,7 @@
 
 // reset drops all that an earlier term as leader knew of jobs and machines.
 func (s *scheduler) reset() {
-	s.machines, s.queue = newOrderedMap[*machineView](), newOrderedMap[*queuedJob]()
+	s.machines, s.queue = orderedmap.New[*machineView](), orderedmap.New[*queuedJob]()
 	s.attempts = map[string]*inflightAttempt{}
 	s.unplacedAttempts, s.stopRequests = map[string]*inflightAttempt{}, map[string]*inflightAttempt{}
 	s.teamUsage, s.unsavedJobs = map[string]*usage{}, map[string]*queuedJob{}
@@ -121,13 +122,13 @@
 	if s.core.records.dependencies.IsWaiting(id) {
 		return // it holds nothing, and comes again once it is ready
 	}
-	q := s.queue.get(id)
+	q := s.queue.Get(id)
 	switch {
 	case entry.isFinal():
 		delete(s.unsavedJobs, id)
 		// Attempts stay until their tasks are surely gone: they count against the quota.
 		if q != nil && len(q.inflight) == 0 {
-			s.queue.delete(id)
+			s.queue.Delete(id)
 		}
 	case q == nil:
 		s.enqueue(id, entry)
@@ -139,11 +140,13 @@
 	q := newQueuedJob(entry)
 	q.unlocated = entry.version <= s.electionRevision && !entry.readyThisTerm
 	s.hasUnlocated = s.hasUnlocated || q.unlocated
-	s.queue.set(id, q)
+	s.queue.Set(id, q)
 	spec := q.spec()
 	s.core.estimator.JobArrived(spec)
 	if s.core.debug {
-		s.core.logDebug("queued", "job", id, "at", entry.record.SubmittedAt, "team", spec.Team, "class", spec.Class, "tasks", spec.Tasks, "cpus", spec.CPUs, "guess_s", spec.EstimateS)
+		s.core.logDebug("queued",
+			"job", id, "at", entry.record.SubmittedAt, "team", spec.Team, "class", spec.Class,
+			"tasks", spec.Tasks, "cpus", spec.CPUs, "guess_s", spec.EstimateS)
 	}
 	if !q.unlocated {
 		s.core.fleet.jobArrived(q)
@@ -155,7 +158,7 @@
 
 // progressSaved follows the mirror: completed tasks that are durable need not be saved.
 func (s *scheduler) progressSaved(id string) {
-	q := s.queue.get(id)
+	q := s.queue.Get(id)
 	if q == nil {
 		return
 	}
@@ -169,47 +172,40 @@
 // enterEpoch enters the epoch of the shard map in force if this leader wrote it.
 func (s *scheduler) enterEpoch() {
 	shardMap := s.core.records.shardMap
-	if shardMap == nil || shardMap.Leader != s.core.settings.Label || shardMap.Epoch <= s.epochAtElection || shardMap.Epoch == s.epoch {
+	if shardMap == nil || shardMap.Leader != s.core.settings.Label {
+		return
+	}
+	if shardMap.Epoch <= s.epochAtElection || shardMap.Epoch == s.epoch {
 		return
 	}
 	first := s.epoch == 0
 	s.epoch, s.epochEnteredAt = shardMap.Epoch, s.core.now.Monotonic
 	s.attemptCounter = 0
 	s.distrustMachines()
-	s.markUnlocated()
+	s.markDispatchedUnlocated()
 	for _, member := range s.shards {
 		// It may have entered this epoch, and sent its snapshot, before we did.
 		member.syncedEpoch, member.snapshotTasks = 0, nil
 		member.outbox, member.outboxDue = peerproto.Message{Resync: true}, true
 	}
 	if first {
-		s.core.logDebug("entered first epoch as leader", "machines", s.machines.len(), "jobs", s.queue.len())
+		s.core.logDebug("entered first epoch as leader", "machines", s.machines.Len(), "jobs", s.queue.Len())
 	}
 }
 
 // distrustMachines forgets what the shards of the last epoch told: a machine may have another
 // owner now. Those of the registry that no shard has told of count as not seen yet.
 func (s *scheduler) distrustMachines() {
-	for _, view := range s.machines.all() {
-		view.state.TasksComplete, view.state.TasksBounded, view.state.AcceptsTasks, view.unsureSince = false, false, false, s.core.now.Monotonic
+	for _, view := range s.machines.All() {
+		view.state.TasksComplete, view.state.TasksBounded, view.state.AcceptsTasks = false, false, false
+		view.unsureSince = s.core.now.Monotonic
 		view.cordoned = false
 	}
-	for name := range s.core.records.machineRecords.all() {
+	for name := range s.core.records.machineRecords.All() {
 		s.ensureMachine(name)
 	}
 }
 
-// markUnlocated notes that a task which was dispatched but not yet seen on a machine may be on any
-// machine of a shard that is gone; it counts as running until all machines are seen.
-func (s *scheduler) markUnlocated() {
-	for _, attempt := range s.unplacedAttempts {
-		if attempt.awaitingPlacement {
-			attempt.awaitingPlacement, attempt.unlocated, s.hasUnlocated = false, true, true
-		}
-	}
-	clear(s.unplacedAttempts)
-}
-
 // reconcile does what is due for a leader whose epoch is in force, and sends the members what has
 // gathered for them.
 func (s *scheduler) reconcile() {
