--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -135,13 +135,13 @@
 	site, sockets := &settings.Site, settings.Site.Resources.MaxSockets
 	c := &controller{engine: engine.New(core.New(settings, policy, bootID, logging.Level() <= slog.LevelDebug), log)}
 	c.api = api.New(c.engine, int(float64(sockets)*userSocketShare))
-	heartbeat := config.Seconds(site.Workers.ReportS)
+	heartbeat := config.Seconds(site.Workers.HeartbeatS)
 	c.links = peer.New(peer.Settings{
 		Siblings: siblingAddresses(settings), RetryInterval: heartbeat / linkRetries, Timeout: heartbeat,
 		MaxQueuedBytes: int(site.Resources.RAMMB * peerQueueShare * (1 << 20)),
 	}, c.engine.Post, c.statusPage)
 	c.engine.Connect(engine.Clients{
-		Store:   kvclient.New(settings.External.State, storeTimeout, sockets, c.engine.Clock),
+		Store:   kvclient.New(settings.External.Store, storeTimeout, sockets, c.engine.Clock),
 		Cloud:   cloud.New(settings.External.Cloud),
 		Workers: worker.New(int(float64(sockets)*workerSocketShare), heartbeat),
 		Peers:   c.links,
--- a/cmd/chalkhubctl/serve.go
+++ b/cmd/chalkhubctl/serve.go
@@ -62,7 +62,7 @@
 	switch {
 	case f.Listen == "" || f.File == "":
 		return fmt.Errorf("%s: listen and file must be set", c.Config)
-	case !(f.Limits.RPS > 0 && f.Limits.WriteRPS > 0 && f.Limits.ValueKB > 0 && f.Limits.TxnOps > 0):
+	case !(f.Limits.RPS > 0 && f.Limits.WriteRPS > 0 && f.Limits.ValueKB > 0 && f.Limits.MaxTxnOps > 0):
 		return fmt.Errorf("%s: all limits must be above 0", c.Config)
 	case f.ArtifactsListen != "" && f.ArtifactsDir == "":
 		return fmt.Errorf("%s: depot_folder must be set with depot_listen", c.Config)
@@ -100,7 +100,7 @@
 		return err
 	}
 	log.Info("state loaded", "file", f.File, "revision", s.Revision, "keys", s.Len(), "took", time.Since(began))
-	srv := kvserver.New(kvserver.Settings{Limits: kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.TxnOps},
+	srv := kvserver.New(kvserver.Settings{Limits: kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.MaxTxnOps},
 		RequestsPerSecond: f.Limits.RPS, WritesPerSecond: f.Limits.WriteRPS, MaxBatch: f.MaxBatch}, s, v)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return srv.Serve(ctx, l) })
@@ -227,7 +227,7 @@
 }
 
 func (c *agentCmd) check(f *local.AgentFile) error {
-	if f.Machine == "" || f.Artifacts == "" || f.Dir == "" || f.CheckpointDir == "" || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.ReportS > 0 && f.Workers.LeaseS > 0) {
+	if f.Machine == "" || f.Artifacts == "" || f.Dir == "" || f.CheckpointDir == "" || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.HeartbeatS > 0 && f.Workers.LeaseS > 0) {
 		return fmt.Errorf("%s: machine, cpus, controllers, depot, folder, saves, report_s and lease_s must be set", c.Config)
 	}
 	return nil
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -34,7 +34,7 @@
 	CPUs, GPUs, MemoryGB      float64
 	CacheGB, FetchGBps        float64 // of images; no rate: an image is there at once
 	Controllers               []protocol.Redirect
-	Workers                   config.Workers
+	Workers                   config.WorkerTiming
 }
 
 // DurableState is what an agent that is started again must still know. The machine keeps
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -38,7 +38,7 @@
 }) *harness {
 	h := &harness{t: t, running: map[AttemptKey]bool{}, killed: map[AttemptKey]bool{}, terminated: map[AttemptKey]bool{}}
 	h.agent = New(Settings{Machine: "n-1", Addr: "x", Type: "small", Zone: "a", CPUs: 4, MemoryGB: 8,
-		Controllers: []protocol.Redirect{{ReportTo: "ctl-0"}, {ReportTo: "ctl-1"}}, Workers: config.Workers{ReportS: 1, LeaseS: 12, CancelS: 20}}, 1, 0, DurableState{})
+		Controllers: []protocol.Redirect{{ReportTo: "ctl-0"}, {ReportTo: "ctl-1"}}, Workers: config.WorkerTiming{HeartbeatS: 1, LeaseS: 12, CancelS: 20}}, 1, 0, DurableState{})
 	h.apply(h.agent.Tick(0))
 	return h
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -30,7 +30,7 @@
 )
 
 func (a *Agent) heartbeatInterval() time.Duration {
-	return config.Seconds(a.settings.Workers.ReportS)
+	return config.Seconds(a.settings.Workers.HeartbeatS)
 }
 
 func (a *Agent) jitteredInterval() time.Duration {
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -76,7 +76,7 @@
 		Agent: agent.Settings{
 			Machine: "n-1", CPUs: 4, MemoryGB: 4,
 			Controllers: []protocol.Redirect{{ReportTo: "ctl-0"}},
-			Workers:     config.Workers{ReportS: 0.3, LeaseS: leaseS},
+			Workers:     config.WorkerTiming{HeartbeatS: 0.3, LeaseS: leaseS},
 		},
 	}
 	m.start()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,11 +17,11 @@
 	if err != nil || s.Label != "n0" || s.Site.InitialSize != 2 {
 		t.Fatal(s, err)
 	}
-	if l := s.Site.State.Least(); l != s.Site.State {
+	if l := s.Site.Store.Lowest(); l != s.Site.Store {
 		t.Fatal(l)
 	}
 	next, err := Parse([]byte(strings.Replace(good, `"txn_ops":16`, `"txn_ops":16,"next":{"value_kb":2,"txn_ops":20}`, 1)))
-	if err != nil || next.Site.State.Least() != (State{RPS: 100, WriteRPS: 50, ValueKB: 2, TxnOps: 16}) {
+	if err != nil || next.Site.Store.Lowest() != (StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 2, MaxTxnOps: 16}) {
 		t.Fatal(next, err)
 	}
 	for change, field := range map[[2]string]string{
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -27,10 +27,10 @@
 	RushBoots           float64 // an ordinary machine is hired for work that has more than this many boot times left
 	PreemptReports      float64 // a task is stopped for others if it loses at most this many report periods of work
 	PreemptForGuarantee bool    // stop what others run beyond their guarantee
-	BootPatience        float64 // a boot is given up after this many boot times
-	FloorShare          float64 // the share of the jobs of each class of a team that is served before others go on; 0: none
-	FloorLeases         float64 // a job that waits for longer than this many worker leases is overdue
-	BeginS              float64 // seconds within which the largest arrays of a class are to begin; 0: no promise
+	BootTimeoutFactor   float64 // a boot is given up after this many boot times
+	FairShare           float64 // the share of the jobs of each class of a team that is served before others go on; 0: none
+	OverdueLeases       float64 // a job that waits for longer than this many worker leases is overdue
+	LargestStartS       float64 // seconds within which the largest arrays of a class are to begin; 0: no promise
 }
 
 // DefaultPolicy is what holds without a script.
@@ -47,10 +47,10 @@
 		RushBoots:           4,
 		PreemptReports:      4,
 		PreemptForGuarantee: false,
-		BootPatience:        3,
-		FloorShare:          0.55,
-		FloorLeases:         5,
-		BeginS:              240,
+		BootTimeoutFactor:   3,
+		FairShare:           0.55,
+		OverdueLeases:       5,
+		LargestStartS:       240,
 	}
 }
 
@@ -136,10 +136,10 @@
 		"soon_boots":      {&p.SoonBoots, 0.1, 1000},
 		"rush_boots":      {&p.RushBoots, 0, 1000},
 		"preempt_reports": {&p.PreemptReports, 0, 1e6},
-		"boot_patience":   {&p.BootPatience, 1.5, 100},
-		"floor_share":     {&p.FloorShare, 0, 0.95},
-		"floor_leases":    {&p.FloorLeases, 1, 1e6},
-		"begin_s":         {&p.BeginS, 0, 1e9},
+		"boot_patience":   {&p.BootTimeoutFactor, 1.5, 100},
+		"floor_share":     {&p.FairShare, 0, 0.95},
+		"floor_leases":    {&p.OverdueLeases, 1, 1e6},
+		"begin_s":         {&p.LargestStartS, 0, 1e9},
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -35,20 +35,20 @@
 // External holds the addresses of the outside systems, host:port.
 type External struct {
 	Cloud string `json:"cloud"`
-	State string `json:"state"`
+	Store string `json:"state"`
 }
 
 // Site describes the deployment.
 type Site struct {
-	InitialSize  int         `json:"initial_size"`
-	Zones        []string    `json:"zones"`
-	Teams        []Team      `json:"teams"`
-	Objectives   []Objective `json:"objectives"`
-	Workers      Workers     `json:"workers"`
-	State        State       `json:"state"`
-	Cloud        Cloud       `json:"cloud"`
-	Resources    Resources   `json:"resources"`
-	ClockErrorMS float64     `json:"clock_error_ms"`
+	InitialSize  int          `json:"initial_size"`
+	Zones        []string     `json:"zones"`
+	Teams        []Team       `json:"teams"`
+	Objectives   []Objective  `json:"objectives"`
+	Workers      WorkerTiming `json:"workers"`
+	Store        StoreLimits  `json:"state"`
+	Cloud        CloudLimits  `json:"cloud"`
+	Resources    Resources    `json:"resources"`
+	ClockErrorMS float64      `json:"clock_error_ms"`
 }
 
 // Team is a team's guarantee and limit; 0 means none.
@@ -70,37 +70,37 @@
 	Times   float64 `json:"times"`
 }
 
-// Workers holds the intervals that workers keep to, in seconds.
-type Workers struct {
-	ReportS   float64 `json:"report_s"`
-	LeaseS    float64 `json:"lease_s"`
-	GangWaitS float64 `json:"gang_wait_s"`
-	GangPeerS float64 `json:"gang_peer_s"`
-	CancelS   float64 `json:"cancel_s"`
+// WorkerTiming holds the intervals that workers keep to, in seconds.
+type WorkerTiming struct {
+	HeartbeatS float64 `json:"report_s"`
+	LeaseS     float64 `json:"lease_s"`
+	GangWaitS  float64 `json:"gang_wait_s"`
+	GangPeerS  float64 `json:"gang_peer_s"`
+	CancelS    float64 `json:"cancel_s"`
 }
 
-// State holds the limits of the key-value store, and those that it will have from some
+// StoreLimits holds the limits of the key-value store, and those that it will have from some
 // unannounced moment on. A limit that Next leaves out stays.
-type State struct {
-	RPS      float64 `json:"rps"`
-	WriteRPS float64 `json:"write_rps"`
-	ValueKB  float64 `json:"value_kb"`
-	TxnOps   int     `json:"txn_ops"`
-	Next     *State  `json:"next"`
+type StoreLimits struct {
+	RPS       float64      `json:"rps"`
+	WriteRPS  float64      `json:"write_rps"`
+	ValueKB   float64      `json:"value_kb"`
+	MaxTxnOps int          `json:"txn_ops"`
+	Next      *StoreLimits `json:"next"`
 }
 
-// Least is what holds now and will hold then: the smaller of each limit.
+// Lowest is what holds now and will hold then: the smaller of each limit.
 //
 // Guards against what could be written only before the limits fell, and would have to be
 // rewritten afterwards at a rate that has fallen too.
-func (s *State) Least() State {
+func (s *StoreLimits) Lowest() StoreLimits {
 	out := *s
 	out.Next = nil
 	if s.Next != nil {
 		out.RPS = lowest(s.RPS, s.Next.RPS)
 		out.WriteRPS = lowest(s.WriteRPS, s.Next.WriteRPS)
 		out.ValueKB = lowest(s.ValueKB, s.Next.ValueKB)
-		out.TxnOps = int(lowest(float64(s.TxnOps), float64(s.Next.TxnOps)))
+		out.MaxTxnOps = int(lowest(float64(s.MaxTxnOps), float64(s.Next.MaxTxnOps)))
 	}
 	return out
 }
@@ -113,8 +113,8 @@
 	return now
 }
 
-// Cloud holds the cloud's limits.
-type Cloud struct {
+// CloudLimits holds the cloud's limits.
+type CloudLimits struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
 }
@@ -196,7 +196,7 @@
 	}
 	validateTeams(v, site.Teams)
 	validateWorkers(v, &site.Workers)
-	validateStore(v, &site.State)
+	validateStore(v, &site.Store)
 	v.requirePositive("settings.cloud.rps", site.Cloud.RPS)
 	v.requirePositive("settings.resources.ram_mb", site.Resources.RAMMB)
 	v.requirePositive("settings.resources.max_sockets", float64(site.Resources.MaxSockets))
@@ -211,7 +211,7 @@
 	v.requireAddress("serve_on", s.Listen)
 	v.requireAddress("peer_listen", s.PeerListen)
 	v.requireAddress("external.cloud", s.External.Cloud)
-	v.requireAddress("external.state", s.External.State)
+	v.requireAddress("external.state", s.External.Store)
 	labels := map[string]bool{s.Label: true}
 	for i, sibling := range s.Siblings {
 		field := fmt.Sprintf("siblings[%d]", i)
@@ -241,11 +241,11 @@
 	minCancelLeases    = 1.2
 )
 
-func validateWorkers(v *validation, workers *Workers) {
-	v.requirePositive("settings.workers.report_s", workers.ReportS)
+func validateWorkers(v *validation, workers *WorkerTiming) {
+	v.requirePositive("settings.workers.report_s", workers.HeartbeatS)
 	v.requirePositive("settings.workers.lease_s", workers.LeaseS)
 	v.requirePositive("settings.workers.cancel_s", workers.CancelS)
-	if workers.LeaseS < minLeaseHeartbeats*workers.ReportS {
+	if workers.LeaseS < minLeaseHeartbeats*workers.HeartbeatS {
 		v.reject("settings.workers.lease_s", "must be at least twice report_s")
 	}
 	if workers.CancelS < minCancelLeases*workers.LeaseS {
@@ -253,12 +253,12 @@
 	}
 }
 
-func validateStore(v *validation, store *State) {
+func validateStore(v *validation, store *StoreLimits) {
 	v.requirePositive("settings.state.rps", store.RPS)
 	v.requirePositive("settings.state.write_rps", store.WriteRPS)
 	v.requirePositive("settings.state.value_kb", store.ValueKB)
-	v.requirePositive("settings.state.txn_ops", float64(store.TxnOps))
-	if next := store.Next; next != nil && !(next.RPS >= 0 && next.WriteRPS >= 0 && next.ValueKB >= 0 && next.TxnOps >= 0) {
+	v.requirePositive("settings.state.txn_ops", float64(store.MaxTxnOps))
+	if next := store.Next; next != nil && !(next.RPS >= 0 && next.WriteRPS >= 0 && next.ValueKB >= 0 && next.MaxTxnOps >= 0) {
 		v.reject("settings.state.next", "has a negative limit")
 	}
 }
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -88,7 +88,7 @@
 // older versions do not read.
 func (b *admissionBatches) nextBatch() []submission {
 	var batch, rest []submission
-	maxSize, maxGuards := min(b.core.maxValueBytes(), maxBatchSize), 2*b.core.storeLimits.TxnOps
+	maxSize, maxGuards := min(b.core.maxValueBytes(), maxBatchSize), 2*b.core.storeLimits.MaxTxnOps
 	size, guards := batchFrameSize, 1
 	for i := range b.waiting {
 		s := &b.waiting[i]
--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -13,8 +13,8 @@
 	for range 4 {
 		s.Users.Submit(simulation.Array(10), 8)
 	}
-	s.eventually(120*second, "every job is done and its user knows", s.Users.AllTold)
-	s.eventually(600*second, "idle machines are returned", func() bool { return s.Cloud.Deleted == s.Cloud.Hired })
+	s.eventually(120*second, "every job is done and its user knows", s.Users.AllFinal)
+	s.eventually(600*second, "idle machines are returned", func() bool { return s.Cloud.Deleted == s.Cloud.Created })
 }
 
 // A machine that fails every task is drained, returned and replaced, and the
@@ -22,13 +22,13 @@
 func TestFaultyMachineIsReplaced(t *testing.T) {
 	s := newScenario(t, 60)
 	job := s.Users.Submit(simulation.Array(8), 10)
-	s.eventually(60*second, "tasks run", func() bool { return job.Running() > 0 })
-	bad := job.On(0)
+	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 0 })
+	bad := job.MachineOf(0)
 	s.Workers[bad].Faulty = true
 	for range 5 {
 		s.Users.Submit(simulation.Array(8), 10)
 	}
-	s.eventually(200*second, "every job is done", s.Users.AllTold)
+	s.eventually(200*second, "every job is done", s.Users.AllFinal)
 	s.eventually(60*second, "the machine is gone", func() bool { return s.Workers[bad] == nil })
 }
 
@@ -37,7 +37,7 @@
 	for seed := range uint64(12) {
 		s := newScenario(t, 300+seed)
 		for range 3 {
-			s.Users.Submit(simulation.Array(24), 10).Mistaken = true
+			s.Users.Submit(simulation.Array(24), 10).FailsEverywhere = true
 		}
 		s.Users.Submit(simulation.Array(12), 25)
 		s.Run(s.Now + 100*second)
@@ -52,13 +52,13 @@
 func TestSeveralFaultyMachinesAreQuarantined(t *testing.T) {
 	s := newScenario(t, 68)
 	for range 9 {
-		s.Cloud.Add("box", "b", true)
+		s.Cloud.AddRunning("box", "b", true)
 	}
 	job := s.Users.Submit(simulation.Array(36), 10)
-	s.eventually(60*second, "tasks run", func() bool { return job.Running() > 20 })
+	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 20 })
 	var sick []*simulation.Worker
 	for i := 0; i < 36 && len(sick) < 4; i += 4 {
-		if worker := s.Workers[job.On(i)]; worker != nil && !worker.Faulty {
+		if worker := s.Workers[job.MachineOf(i)]; worker != nil && !worker.Faulty {
 			worker.Faulty = true
 			sick = append(sick, worker)
 		}
@@ -67,20 +67,20 @@
 		s.After(time.Duration(5*i)*second, func() { s.Users.Submit(simulation.Array(60), 10) })
 	}
 	mistaken := s.Users.Submit(simulation.Array(10), 10)
-	mistaken.Mistaken = true
+	mistaken.FailsEverywhere = true
 	s.eventually(60*second, "every faulty machine is quarantined", func() bool {
 		return strings.Count(strings.Join(s.Logs, "\n"), "quarantined") == len(sick)
 	})
-	s.Users.Abort(mistaken)
-	s.eventually(100*second, "every job is over", s.Users.AllTold)
+	s.Users.Cancel(mistaken)
+	s.eventually(100*second, "every job is over", s.Users.AllFinal)
 }
 
 func TestMachinesThatNeverBootAreGivenUp(t *testing.T) {
 	s := newScenario(t, 62)
-	s.Cloud.NeverUp = 2
+	s.Cloud.StuckBoots = 2
 	s.Users.Submit(simulation.Array(8), 10)
-	s.eventually(240*second, "the job is done", s.Users.AllTold)
-	s.eventually(300*second, "nothing is left", func() bool { return s.Cloud.Deleted == s.Cloud.Hired })
+	s.eventually(240*second, "the job is done", s.Users.AllFinal)
+	s.eventually(300*second, "nothing is left", func() bool { return s.Cloud.Deleted == s.Cloud.Created })
 }
 
 func TestUnmanagedMachinesAreUsed(t *testing.T) {
@@ -88,30 +88,30 @@
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	job := s.Users.Submit(simulation.Array(4), 5)
 	s.eventually(60*second, "the reason names the cloud", func() bool { return strings.Contains(job.Answer.Reason, "cloud") })
-	s.Cloud.Add("box", "a", true)
-	s.eventually(60*second, "the job is done", s.Users.AllTold)
+	s.Cloud.AddRunning("box", "a", true)
+	s.eventually(60*second, "the job is done", s.Users.AllFinal)
 }
 
 // A controller is ready as soon as it is entitled. It once waited for the machine types
 // as well, and the load balancer, which probes once a second, had no controller for the
 // first users.
 func TestReadyBeforeTheCloudAnswers(t *testing.T) {
-	s := &scenario{World: simulation.New(77, 3), t: t}
+	s := &scenario{Cluster: simulation.New(77, 3), t: t}
 	for _, node := range s.Nodes {
-		s.Cut(node.Label, "cloud", false)
+		s.Partition(node.Label, "cloud", false)
 	}
 	s.eventually(second, "every controller is ready", func() bool {
 		return s.Nodes[0].Ready && s.Nodes[1].Ready && s.Nodes[2].Ready
 	})
 	job := s.Users.Submit(simulation.Array(2), 5)
 	s.Run(s.Now + 3*second)
-	if job.Accepted || job.Refused != 0 {
+	if job.Accepted || job.Rejected != 0 {
 		t.Fatalf("a controller decided without knowing the machine types: %+v", job)
 	}
 	for _, node := range s.Nodes {
-		s.Mend(node.Label, "cloud")
+		s.Heal(node.Label, "cloud")
 	}
-	s.eventually(60*second, "the job is done", s.Users.AllTold)
+	s.eventually(60*second, "the job is done", s.Users.AllFinal)
 }
 
 // A machine that has just come up has not shown its token yet. That is no reason
@@ -119,11 +119,11 @@
 func TestNewMachinesAreKept(t *testing.T) {
 	s := newScenario(t, 32)
 	for range 10 {
-		s.Cloud.Add("barn", "a", true)
+		s.Cloud.AddRunning("barn", "a", true)
 	}
 	s.Users.Submit(simulation.Array(900), 40)
 	for i := range 40 {
-		s.At(s.Now+20*second+time.Duration(i)*second/7, func() { s.Cloud.Add("barn", "a", true) })
+		s.At(s.Now+20*second+time.Duration(i)*second/7, func() { s.Cloud.AddRunning("barn", "a", true) })
 	}
 	s.Run(s.Now + 30*second)
 	s.requireInvariants()
@@ -137,7 +137,7 @@
 func TestLongTasksAreConsolidated(t *testing.T) {
 	s := newScenario(t, 35)
 	for range 12 {
-		s.Cloud.Add("barn", "a", true)
+		s.Cloud.AddRunning("barn", "a", true)
 	}
 	big := simulation.Array(12)
 	big.CPUs = 15
@@ -145,26 +145,26 @@
 	long := simulation.Array(12)
 	long.CheckpointS, long.SaveS = 5, 1
 	job := s.Users.Submit(long, 400)
-	s.eventually(60*second, "each machine has one of both", func() bool { return s.Users.Running() == 24 })
+	s.eventually(60*second, "each machine has one of both", func() bool { return s.Users.RunningTasks() == 24 })
 	s.eventually(150*second, "most machines are returned", func() bool { return len(s.Workers) <= 4 })
-	s.eventually(20*second, "the long tasks go on", func() bool { return job.Running() == 12 })
+	s.eventually(20*second, "the long tasks go on", func() bool { return job.RunningTasks() == 12 })
 }
 
 // Machines that are known before the cloud has listed its types get work once it has:
 // the leader once looked their type up in a snapshot that did not name it.
 func TestMachinesKnownBeforeTheirTypes(t *testing.T) {
 	s := newScenario(t, 42)
-	s.Cloud.Out = true
+	s.Cloud.Down = true
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for _, node := range s.Nodes {
 		node.Crash(second)
 	}
-	s.State.Forget("c/types")
-	s.Cloud.Add("barn", "a", false)
+	s.Store.DeleteKey("c/types")
+	s.Cloud.AddRunning("barn", "a", false)
 	s.Run(s.Now + 10*second)
-	s.Cloud.Out = false
+	s.Cloud.Down = false
 	s.Users.Submit(simulation.Array(4), 5)
-	s.eventually(30*second, "the job is done", s.Users.AllTold)
+	s.eventually(30*second, "the job is done", s.Users.AllFinal)
 }
 
 // A cloud that allows one call a second is still called, and one list of many pages does
@@ -172,16 +172,16 @@
 func TestRateLimitedCloud(t *testing.T) {
 	set := simulation.Settings(3)
 	set.Site.Cloud.RPS = 1
-	s := &scenario{World: simulation.Build(43, set, simulation.Types()), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(43, set, simulation.MachineTypes()), t: t}
 	s.Users.Submit(simulation.Array(8), 10)
-	s.eventually(90*second, "the job is done", s.Users.AllTold)
+	s.eventually(90*second, "the job is done", s.Users.AllFinal)
 	for range 1200 {
-		s.Cloud.Add("box", "a", false)
+		s.Cloud.AddRunning("box", "a", false)
 	}
 	s.Users.Submit(simulation.Array(2000), 20)
-	s.eventually(200*second, "the job is done", s.Users.AllTold)
-	if s.Cloud.Refused > 0 {
-		t.Fatalf("%d calls of the cloud were refused", s.Cloud.Refused)
+	s.eventually(200*second, "the job is done", s.Users.AllFinal)
+	if s.Cloud.Throttled > 0 {
+		t.Fatalf("%d calls of the cloud were refused", s.Cloud.Throttled)
 	}
 }
 
@@ -190,24 +190,24 @@
 	s := newScenario(t, 50)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 4 {
-		s.Cloud.Add("box", "b", true)
+		s.Cloud.AddRunning("box", "b", true)
 	}
 	solid := simulation.Array(40)
 	solid.AllowSpot = false
 	s.Users.Submit(solid, 10)
 	s.eventually(200*second, "they are returned", func() bool { return s.Cloud.Deleted == 4 })
 	s.Cloud.Capacity["box"] = 4
-	s.eventually(300*second, "the job is done", s.Users.AllTold)
+	s.eventually(300*second, "the job is done", s.Users.AllFinal)
 }
 
 // Where there are no spot instances, work without an objective keeps the on-demand machine that was
 // created for it: it was made unschedulable after its first task, and replaced by a new one.
 func TestWorkWithoutObjectiveKeepsOnDemandMachine(t *testing.T) {
-	types := simulation.Types()[:1]
+	types := simulation.MachineTypes()[:1]
 	types[0].SpotPrice = 0
-	s := &scenario{World: simulation.Build(55, simulation.Settings(3), types), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(55, simulation.Settings(3), types), t: t}
 	spec := simulation.Array(20)
 	spec.CPUs = 4
 	s.Users.Submit(spec, 5)
-	s.eventually(250*second, "the job is done", s.Users.AllTold)
+	s.eventually(250*second, "the job is done", s.Users.AllFinal)
 }
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -23,7 +23,7 @@
 // by a worker's lease: longer than any that degraded mode takes account of. The limit in force
 // is the larger one.
 func (c *Core) cancelsPerLease() int {
-	return int(c.settings.Site.State.WriteRPS * c.intervals.workerLease.Seconds())
+	return int(c.settings.Site.Store.WriteRPS * c.intervals.workerLease.Seconds())
 }
 
 // maxCancelAttempts is how often a cancellation is tried that lost a race, or whose outcome is
--- a/internal/core/capacity_faults_test.go
+++ b/internal/core/capacity_faults_test.go
@@ -16,7 +16,7 @@
 		s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 6, 0
 		s.addMachines(6)
 		for i, node := range s.Nodes {
-			s.Between(node.Label, "workers", simulation.Link{Delay: time.Duration(1+i%3) * second / 2})
+			s.SetLinks(node.Label, "workers", simulation.Link{Delay: time.Duration(1+i%3) * second / 2})
 		}
 		s.PeerLatency = 400 * time.Millisecond
 		var urgent, other []*simulation.Job
@@ -31,7 +31,7 @@
 			case k%2 == 0:
 				urgent = append(urgent, job)
 			case k%6 == 5:
-				s.Users.Abort(job)
+				s.Users.Cancel(job)
 			default:
 				other = append(other, job)
 			}
@@ -41,10 +41,10 @@
 			s.Run(s.Now + 3*second)
 		}
 		s.eventually(32*second, "urgent work is done", toldState(protocol.JobDone, urgent...))
-		s.Mend("node-0", "workers")
+		s.Heal("node-0", "workers")
 		s.PeerLatency = 0
 		for _, node := range s.Nodes {
-			s.Mend(node.Label, "workers")
+			s.Heal(node.Label, "workers")
 		}
 		s.recoverAndFinish(300 * second)
 		if !toldState(protocol.JobDone, other...)() {
@@ -62,7 +62,7 @@
 		s.addMachines(2)
 		failing := simulation.Array(8)
 		failing.Urgency = protocol.UrgencyHigh
-		s.Users.Submit(failing, 5).Mistaken = true
+		s.Users.Submit(failing, 5).FailsEverywhere = true
 		s.Run(s.Now + 6*second)
 		job := s.Users.Submit(simulation.Array(4), 5)
 		s.eventually(25*second, "the other job is done", toldState(protocol.JobDone, job))
--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -39,15 +39,15 @@
 // simulateLostAnswers runs a day of jobs, cancellations, failovers and handovers with such
 // answers, and returns how many there were.
 func simulateLostAnswers(t *testing.T, seed uint64, key string, late bool) int {
-	s := &scenario{World: simulation.Build(seed, simulation.Settings(3), simulation.Types()), t: t}
-	s.State.LateOnly, s.State.LateShare = key, 1
+	s := &scenario{Cluster: simulation.NewWithSettings(seed, simulation.Settings(3), simulation.MachineTypes()), t: t}
+	s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = key, 1
 	if key == "" {
-		s.State.LateShare = 0.7
+		s.Store.DelayedCommitShare = 0.7
 	}
 	if late {
-		s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.6, 2*second, 12*second
+		s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 0.6, 2*second, 12*second
 	}
-	s.Users.CloseLooks = true
+	s.Users.CheckReadYourWrites = true
 	s.Run(s.Now + 15*second)
 	s.addMachines(8)
 	head := s.Users.Submit(simulation.Array(1), 80) // that others depend on
@@ -58,7 +58,7 @@
 			s.submitMany(48, head)
 		}
 		if k%4 == 1 {
-			s.After(4*second, func() { s.Users.Abort(job) })
+			s.After(4*second, func() { s.Users.Cancel(job) })
 		} else {
 			uncancelled = append(uncancelled, job)
 		}
@@ -70,12 +70,12 @@
 		}
 		s.Run(s.Now + 3*second)
 	}
-	s.eventually(400*second, "the work is done although answers are still lost", s.Users.AllTold)
+	s.eventually(400*second, "the work is done although answers are still lost", s.Users.AllFinal)
 	if !toldState(protocol.JobDone, uncancelled...)() {
 		t.Fatal("a job that nobody cancelled is over and not done")
 	}
 	s.recoverAndFinish(second)
-	return s.State.Late
+	return s.Store.DelayedCommits
 }
 
 // lostAnswersSpec describes the k-th job: some depend on head, and some have descriptions that
@@ -115,14 +115,18 @@
 
 // slowStores are the ways in which writes are slow, late or without an answer.
 var slowStores = map[string]func(s *scenario){
-	"slow":         func(s *scenario) { s.State.Slow = 900 * time.Millisecond },
-	"late":         func(s *scenario) { s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.5, 2*second, 12*second },
-	"answers lost": func(s *scenario) { s.State.LateShare = 0.6 },
+	"slow": func(s *scenario) { s.Store.ResponseDelay = 900 * time.Millisecond },
+	"late": func(s *scenario) {
+		s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 0.5, 2*second, 12*second
+	},
+	"answers lost": func(s *scenario) { s.Store.DelayedCommitShare = 0.6 },
 	"register late": func(s *scenario) {
-		s.State.LateOnly, s.State.LateShare, s.State.LateFrom, s.State.LateBy = "c/rigs/", 1, 2*second, 8*second
+		s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = "c/rigs/", 1, 2*second, 8*second
+	},
+	"register lost": func(s *scenario) { s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = "c/rigs/", 1 },
+	"slow and copied": func(s *scenario) {
+		s.Store.ResponseDelay, s.DuplicateShare, s.MaxDuplicateDelay = 300*time.Millisecond, 0.3, 20*second
 	},
-	"register lost":   func(s *scenario) { s.State.LateOnly, s.State.LateShare = "c/rigs/", 1 },
-	"slow and copied": func(s *scenario) { s.State.Slow, s.Copies, s.CopyBy = 300*time.Millisecond, 0.3, 20*second },
 }
 
 // New machines are up within two seconds and get work at once, for teams at their quotas, while
@@ -133,7 +137,7 @@
 		t.Run(name, func(t *testing.T) {
 			acrossSeeds(t, 3400, 4, func(t *testing.T, variant, controllers int, seed uint64) {
 				s := startScenario(t, seed, controllers, func(site *config.Site) { site.Teams[1].CPUsMax = 16 })
-				s.Cloud.AtOnce = true
+				s.Cloud.InstantBoot = true
 				slowDown(s)
 				for wave := range 4 {
 					for _, team := range []string{"red", "blue"} {
@@ -141,8 +145,8 @@
 						spec.Team = team
 						s.Users.Submit(spec, float64(4+wave*5))
 					}
-					before := s.Cloud.Hired
-					s.Until(s.Now+8*second, func() bool { return s.Cloud.Hired > before })
+					before := s.Cloud.Created
+					s.RunUntil(s.Now+8*second, func() bool { return s.Cloud.Created > before })
 					s.Run(s.Now + time.Duration(variant*2+wave)*second/2) // from before they are up to long after
 					s.crashLeader(second / 5)
 					s.Run(s.Now + 4*second)
@@ -159,18 +163,18 @@
 func TestSmallJobFlood(t *testing.T) {
 	acrossSeeds(t, 3600, 2, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, func(site *config.Site) {
-			site.State = config.State{RPS: 350, WriteRPS: 35, ValueKB: 16, TxnOps: 16, Next: &config.State{WriteRPS: 8}}
+			site.Store = config.StoreLimits{RPS: 350, WriteRPS: 35, ValueKB: 16, MaxTxnOps: 16, Next: &config.StoreLimits{WriteRPS: 8}}
 		})
 		s.addMachines(16)
-		s.Users.CloseLooks = variant%2 == 0
-		s.At(s.Now+60*second, func() { s.State.Lowered = true })
+		s.Users.CheckReadYourWrites = variant%2 == 0
+		s.At(s.Now+60*second, func() { s.Store.LimitsLowered = true })
 		var jobs, cancelled []*simulation.Job
 		for n := range 4 * 150 {
 			job := s.Users.Submit(simulation.Array(1), float64(3+n%5*3))
 			jobs = append(jobs, job)
 			if n%4 == 1 {
 				cancelled = append(cancelled, job)
-				s.After(time.Duration(n%7)*2*second, func() { s.Users.Abort(job) })
+				s.After(time.Duration(n%7)*2*second, func() { s.Users.Cancel(job) })
 			}
 			if n%100 == 50 {
 				s.Users.Submit(simulation.Array(30), 10)
@@ -185,12 +189,12 @@
 		}
 		s.eventually(20*second, "cancellations are confirmed", func() bool {
 			return !slices.ContainsFunc(cancelled, func(job *simulation.Job) bool {
-				return job.Told != protocol.JobCancelled && job.Told != protocol.JobDone
+				return job.LastState != protocol.JobCancelled && job.LastState != protocol.JobDone
 			})
 		})
 		s.recoverAndFinish(120 * second)
-		if s.State.Refused > 1000 { // thousands, if each submission has a write of its own
-			t.Fatalf("%d requests were above the limits", s.State.Refused)
+		if s.Store.Throttled > 1000 { // thousands, if each submission has a write of its own
+			t.Fatalf("%d requests were above the limits", s.Store.Throttled)
 		}
 	})
 }
@@ -206,22 +210,22 @@
 			for range controllers * 2 {
 				jobs = append(jobs, s.Users.Submit(simulation.Array(4), 300))
 			}
-			s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == controllers*8 })
+			s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == controllers*8 })
 			leader, at := s.leader(), s.Now+second
-			s.At(at, func() { s.State.Refuses[leader.Label] = true })
+			s.At(at, func() { s.Store.RefusedNodes[leader.Label] = true })
 			s.At(at+offset*time.Millisecond, func() {
 				for i, job := range jobs {
 					if i%2 == 0 {
 						s.abortUnanswered(s.Nodes[i/2], job)
 					}
-					s.Users.Abort(job)
+					s.Users.Cancel(job)
 				}
 			})
 			if variant == 2 { // and a second later it serves nobody
-				s.At(at+second, func() { s.State.Outage(s.cancelSpan() + 10*second) })
+				s.At(at+second, func() { s.Store.Outage(s.cancelSpan() + 10*second) })
 			}
 			s.Run(at + s.cancelSpan() + 15*second)
-			s.State.Refuses = map[string]bool{}
+			s.Store.RefusedNodes = map[string]bool{}
 			s.recoverAndFinish(60 * second)
 			s.Run(s.Now + s.cancelSpan() + second)
 			s.requireInvariants()
--- a/internal/core/consistency_faults_test.go
+++ b/internal/core/consistency_faults_test.go
@@ -16,7 +16,7 @@
 	acrossSeeds(t, 3000, 3, func(t *testing.T, _, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
 		s.addMachines(8)
-		s.Users.CloseLooks, s.Users.AtEnd = true, 0.3
+		s.Users.CheckReadYourWrites, s.Users.CancelAtEndShare = true, 0.3
 		kinds := []protocol.Job{simulation.Array(1), simulation.Array(3), simulation.Array(40), simulation.Array(2), simulation.Array(1)}
 		kinds[3].MachineTypes = []string{"box", "barn"}
 		kinds[4] = withManyTypes(kinds[4]) // its description is stored in chunks
@@ -33,22 +33,22 @@
 			last = job
 			switch k % 8 {
 			case 1:
-				s.Until(s.Now+5*second, func() bool { return job.Accepted })
-				s.Users.Abort(job)
+				s.RunUntil(s.Now+5*second, func() bool { return job.Accepted })
+				s.Users.Cancel(job)
 			case 3:
-				s.After(3*second, func() { s.Users.Abort(job) })
+				s.After(3*second, func() { s.Users.Cancel(job) })
 			case 5:
-				s.State.Forgot[s.Nodes[k%controllers].Label] = true
+				s.Store.CompactedNodes[s.Nodes[k%controllers].Label] = true
 			case 6:
 				s.Nodes[k%controllers].Crash(second / 5)
 			case 7:
-				s.State.Slow = time.Duration(k%3) * 100 * time.Millisecond
+				s.Store.ResponseDelay = time.Duration(k%3) * 100 * time.Millisecond
 			}
 			s.Run(s.Now + 2*second)
 		}
 		s.recoverAndFinish(200 * second)
-		if s.Users.Looks < 1000 {
-			t.Fatalf("only %d reads at all nodes were answered", s.Users.Looks)
+		if s.Users.ConsistentReads < 1000 {
+			t.Fatalf("only %d reads at all nodes were answered", s.Users.ConsistentReads)
 		}
 	})
 }
@@ -61,18 +61,18 @@
 	for seed := range uint64(12) {
 		s := newScenario(t, 3800+seed)
 		s.addMachines(8)
-		s.Users.CloseLooks = true
+		s.Users.CheckReadYourWrites = true
 		for k := range 20 {
 			job := s.Users.Submit(simulation.Array(1+k%3), 5)
-			if !s.Until(s.Now+40*second, func() bool { return s.Users.Done(job) == job.Spec.Tasks }) {
+			if !s.RunUntil(s.Now+40*second, func() bool { return s.Users.CompletedTasks(job) == job.Spec.Tasks }) {
 				t.Fatal("its tasks do not complete")
 			}
 			s.Run(s.Now + time.Duration(k*k)*time.Millisecond)
-			s.Users.Look(job)
-			s.Users.Abort(job)
+			s.Users.ReadEverywhere(job)
+			s.Users.Cancel(job)
 			s.Users.Resubmit(job)
-			s.eventually(3*second, "it is over", func() bool { return job.Told == protocol.JobDone || job.Told == protocol.JobCancelled })
-			if job.Told == protocol.JobDone {
+			s.eventually(3*second, "it is over", func() bool { return job.LastState == protocol.JobDone || job.LastState == protocol.JobCancelled })
+			if job.LastState == protocol.JobDone {
 				done++
 			} else {
 				cancelled++
@@ -91,17 +91,17 @@
 	for seed := range uint64(3) {
 		s := newScenario(t, 4800+seed)
 		slow := s.follower()
-		s.Link("state", slow.Label, simulation.Link{Delay: 6 * second / 10})
+		s.SetLink("state", slow.Label, simulation.Link{Delay: 6 * second / 10})
 		s.Run(s.Now + 5*second)
-		s.Users.Only = s.leader()
+		s.Users.OnlyNode = s.leader()
 		job := s.Users.Submit(simulation.Array(2), 15)
 		s.eventually(10*second, "it is accepted", func() bool { return job.Accepted })
-		s.Users.Only = nil
+		s.Users.OnlyNode = nil
 		again, answers := job.Spec, map[string]core.ReplyStatus{}
 		again.CPUs = 4096
 		for _, node := range s.Nodes {
 			submit := func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: again} }
-			node.Ask(submit, func(reply core.Reply) { answers[node.Label] = reply.Status })
+			node.Request(submit, func(reply core.Reply) { answers[node.Label] = reply.Status })
 		}
 		s.Run(s.Now + 5*second)
 		for _, node := range s.Nodes {
@@ -109,7 +109,7 @@
 				t.Fatalf("%s answers %d", node.Label, got)
 			}
 		}
-		s.Link("state", slow.Label, simulation.Link{})
-		s.eventually(60*second, "it is done", s.Users.AllTold)
+		s.SetLink("state", slow.Label, simulation.Link{})
+		s.eventually(60*second, "it is done", s.Users.AllFinal)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -36,8 +36,8 @@
 // Core is the state of one controller. It is not safe for concurrent use.
 type Core struct {
 	settings         *config.Settings
-	storeLimits      config.State // the limits of the state service that we keep to
-	throttled        bool         // the state service has refused a change for its rate
+	storeLimits      config.StoreLimits // the limits of the state service that we keep to
+	throttled        bool               // the state service has refused a change for its rate
 	policy           config.Policy
 	bootID           string
 	intervals        intervals
@@ -74,7 +74,7 @@
 		settings: settings, policy: policy, bootID: bootID, debug: debug,
 		intervals:       newIntervals(settings),
 		bestEffortTeams: bestEffortTeams(settings.Site.Teams),
-		storeLimits:     settings.Site.State.Least(),
+		storeLimits:     settings.Site.Store.Lowest(),
 	}
 	c.controllerLabels = []string{settings.Label}
 	for _, sibling := range settings.Siblings {
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -50,7 +50,7 @@
 // measureCommands measures heartbeats and polls that come alone, and ten scheduling rounds.
 func measureCommands(s *scenario, durations durationsByName) {
 	roundDue := false
-	s.Applied = func(_ *simulation.Node, commands []core.Command, took time.Duration) {
+	s.OnApplied = func(_ *simulation.Node, commands []core.Command, took time.Duration) {
 		if roundDue {
 			durations.record("round", took)
 			roundDue = false
@@ -100,7 +100,7 @@
 	b.Helper()
 	var total, longest time.Duration
 	allSeen := false
-	s.Applied = func(n *simulation.Node, _ []core.Command, took time.Duration) {
+	s.OnApplied = func(n *simulation.Node, _ []core.Command, took time.Duration) {
 		if n.Core.IsLeader() && !allSeen {
 			total += took
 			longest = max(longest, took)
@@ -122,7 +122,7 @@
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := newScenario(b, 1)
-			s.State.Ended(n)
+			s.Store.AddFinishedJobs(n)
 			s.Run(s.Now + 20*second) // the others read them anew: so many changes are not kept
 			for range b.N {
 				nd := s.Nodes[0]
@@ -131,14 +131,14 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				took, most := time.Duration(0), time.Duration(0)
-				s.Applied = func(x *simulation.Node, _ []core.Command, d time.Duration) {
+				s.OnApplied = func(x *simulation.Node, _ []core.Command, d time.Duration) {
 					if x == nd {
 						took, most = took+d, max(most, d)
 					}
 				}
 				nd.Start()
 				s.eventually(240*second, "the node is ready", func() bool { return nd.Ready })
-				s.Applied = nil
+				s.OnApplied = nil
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(took.Seconds()*1000, "load-ms")
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -45,7 +45,7 @@
 	s := newScenario(t, 301)
 	jobs := s.submitDiamond()
 	other := s.submitAccepted(simulation.Array(1), 300)
-	s.Users.Abort(jobs[0])
+	s.Users.Cancel(jobs[0])
 	s.eventually(45*second, "all dependents are cancelled", toldState(protocol.JobCancelled, jobs...))
 	late := s.submitAccepted(dependentArray(2, other, jobs[3]), 1)
 	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", toldState(protocol.JobCancelled, late))
@@ -65,7 +65,7 @@
 func TestCancelledBranchOfDiamond(t *testing.T) {
 	s := newScenario(t, 302)
 	jobs := s.submitDiamond()
-	s.Users.Abort(jobs[1])
+	s.Users.Cancel(jobs[1])
 	s.eventually(60*second, "the end is cancelled", toldState(protocol.JobCancelled, jobs[1], jobs[3]))
 	s.eventually(60*second, "the other branch is done", toldState(protocol.JobDone, jobs[0], jobs[2]))
 }
@@ -78,18 +78,18 @@
 		s := newScenario(t, 400+seed)
 		head := s.submitAccepted(simulation.Array(1), 4)
 		accepted := s.submitAccepted(dependentArray(1, head), 1)
-		s.Until(s.Now+60*second, func() bool { return head.Running() > 0 })
+		s.RunUntil(s.Now+60*second, func() bool { return head.RunningTasks() > 0 })
 		s.Run(s.Now + 4*second - 300*time.Millisecond + time.Duration(seed)*25*time.Millisecond)
-		s.Users.Abort(head)
+		s.Users.Cancel(head)
 		late := s.Users.Submit(dependentArray(1, head, accepted), 1)
 		if seed%4 == 0 {
 			s.leader().Crash(second / 20)
 		}
 		s.eventually(200*second, "all come to the same end", func() bool {
-			final := head.Told == protocol.JobDone || head.Told == protocol.JobCancelled
-			return final && toldState(head.Told, accepted, late)()
+			final := head.LastState == protocol.JobDone || head.LastState == protocol.JobCancelled
+			return final && toldState(head.LastState, accepted, late)()
 		})
-		outcomes[head.Told]++
+		outcomes[head.LastState]++
 	}
 	if outcomes[protocol.JobDone] == 0 || outcomes[protocol.JobCancelled] == 0 {
 		t.Fatalf("only one outcome was shown: %v", outcomes)
@@ -129,7 +129,7 @@
 	}
 	free := s.submitAccepted(simulation.Array(8), 5) // team blue's guarantee
 	s.eventually(60*second, "other work is done", toldState(protocol.JobDone, free))
-	s.eventually(400*second, "and in the end all", s.Users.AllTold)
+	s.eventually(400*second, "and in the end all", s.Users.AllFinal)
 }
 
 // What an urgent job depends on is treated as urgent.
@@ -160,8 +160,8 @@
 func TestCheckerCatchesDependencyFaults(t *testing.T) {
 	requireCaught := func(s *scenario, invariant string) {
 		t.Helper()
-		if !slices.ContainsFunc(s.Broken, func(b string) bool { return strings.Contains(b, " "+invariant+": ") }) {
-			t.Errorf("%s was not caught: %v", invariant, s.Broken)
+		if !slices.ContainsFunc(s.Violations, func(b string) bool { return strings.Contains(b, " "+invariant+": ") }) {
+			t.Errorf("%s was not caught: %v", invariant, s.Violations)
 		}
 	}
 	// Controllers of the previous version know nothing of dependencies and start at once.
@@ -177,17 +177,17 @@
 	s = newScenario(t, 312)
 	first = s.submitAccepted(simulation.Array(2), 600)
 	rest := s.submitAccepted(dependentArray(2, first), 5)
-	s.Users.Abort(first)
+	s.Users.Cancel(first)
 	s.eventually(60*second, "both are cancelled", toldState(protocol.JobCancelled, first, rest))
-	s.State.Reopen(first.Spec)
+	s.Store.ReopenJob(first.Spec)
 	s.crashAll(second)
 	s.Run(s.Now + 100*second)
 	requireCaught(s, "orphaned")
 
 	// Controllers that were not told of the limits to come write too much.
 	s = newScenario(t, 313)
-	s.Set.Site.State.Next = &config.State{ValueKB: 0.25}
-	s.State.Lowered = true
+	s.Settings.Site.Store.Next = &config.StoreLimits{ValueKB: 0.25}
+	s.Store.LimitsLowered = true
 	s.Users.Submit(simulation.Array(2), 5)
 	s.Run(s.Now + 20*second)
 	requireCaught(s, "malformed")
@@ -198,7 +198,7 @@
 func TestDependencyChainWithFailingHead(t *testing.T) {
 	s := newScenario(t, 314)
 	head := s.submitAccepted(simulation.Array(4), 5)
-	head.Mistaken = true
+	head.FailsEverywhere = true
 	rest := []*simulation.Job{s.submitAccepted(dependentArray(40, head), 5)}
 	rest = append(rest, s.submitAccepted(dependentArray(3, rest[0]), 5))
 	free := s.submitAccepted(simulation.Array(8), 5)
@@ -207,7 +207,7 @@
 	if reason := rest[1].Answer.Reason; reason != "waits for "+rest[0].Spec.ID {
 		t.Fatalf("the last says %q", reason)
 	}
-	s.Users.Abort(head)
+	s.Users.Cancel(head)
 	s.eventually(60*second, "all are cancelled", toldState(protocol.JobCancelled, head, rest[0], rest[1]))
 }
 
@@ -220,14 +220,14 @@
 		return spec
 	}
 	full := s.submitAccepted(ofRed(24), 150)
-	s.eventually(60*second, "its team is at its quota", func() bool { return full.Running() == 24 })
+	s.eventually(60*second, "its team is at its quota", func() bool { return full.RunningTasks() == 24 })
 	head := s.submitAccepted(simulation.Array(4), 4)
 	middle := s.submitAccepted(ofRed(4, head), 4)
 	last := s.submitAccepted(dependentArray(4, middle), 4)
 	s.eventually(60*second, "the first is done", toldState(protocol.JobDone, head))
 	s.Run(s.Now + 8*second)
 	if !strings.Contains(middle.Answer.Reason, "at its limit") {
-		t.Fatalf("the second is %s and says %q, %d of the first run", middle.Told, middle.Answer.Reason, full.Running())
+		t.Fatalf("the second is %s and says %q, %d of the first run", middle.LastState, middle.Answer.Reason, full.RunningTasks())
 	}
 	s.eventually(300*second, "all are done", toldState(protocol.JobDone, full, head, middle, last))
 }
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -11,7 +11,7 @@
 // exhaustSingleWrites submits so many jobs at one node that those which follow are accepted
 // in batches, and not with a write for each.
 func (s *scenario) exhaustSingleWrites(node *simulation.Node) {
-	s.Users.Only = node
+	s.Users.OnlyNode = node
 	for range 12 {
 		s.Users.Submit(simulation.Array(1), 300)
 	}
@@ -42,9 +42,9 @@
 	informed, late := s.leader(), s.follower()
 
 	// What the state service says reaches one node late.
-	s.Link("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
-	s.Users.Only = informed
-	s.Users.Abort(cause)
+	s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
+	s.Users.OnlyNode = informed
+	s.Users.Cancel(cause)
 	s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, cause))
 
 	s.exhaustSingleWrites(informed)
@@ -52,13 +52,13 @@
 	s.eventually(200*time.Millisecond, "its dependent is aborted", toldState(protocol.JobCancelled, dependent))
 
 	prepare(s, late)
-	s.Users.Only = late
+	s.Users.OnlyNode = late
 	s.Users.Resubmit(dependent)
 	s.Run(s.Now + 5*second)
 	s.requireInvariants()
 
-	s.Users.Only = nil
-	s.Users.Look(dependent)
+	s.Users.OnlyNode = nil
+	s.Users.ReadEverywhere(dependent)
 	s.Run(s.Now + 5*second)
 	s.requireInvariants()
 }
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -26,7 +26,7 @@
 		spec.Team = team
 		running = append(running, s.Users.Submit(spec, 500), s.Users.Submit(spec, 500))
 	}
-	s.eventually(60*second, "all quotas are reached", func() bool { return s.Users.Running() == 48 })
+	s.eventually(60*second, "all quotas are reached", func() bool { return s.Users.RunningTasks() == 48 })
 	for _, team := range quotaTeams {
 		spec := simulation.Array(8)
 		spec.Team = team
@@ -40,13 +40,13 @@
 var machineFailures = map[string]func(s *scenario, machine *simulation.Worker, variant int){
 	"partitioned": func(s *scenario, machine *simulation.Worker, variant int) {
 		for _, node := range s.Nodes {
-			s.Cut(node.Label, machine.Info.Name, variant%2 == 0)
+			s.Partition(node.Label, machine.Info.Name, variant%2 == 0)
 		}
 	},
 	"neither reaches nor is reached": func(s *scenario, machine *simulation.Worker, _ int) {
-		machine.Mute = true
+		machine.OutboundBlocked = true
 		for _, node := range s.Nodes {
-			s.Link(node.Label, machine.Info.Name, simulation.Dropped)
+			s.SetLink(node.Label, machine.Info.Name, simulation.Dropped)
 		}
 	},
 	"hangs": func(_ *scenario, machine *simulation.Worker, _ int) { machine.Hung = true },
@@ -65,20 +65,20 @@
 			t.Run(fmt.Sprintf("%s, %d crashes", name, crashes), func(t *testing.T) {
 				acrossSeeds(t, 3200, 2, func(t *testing.T, variant, controllers int, seed uint64) {
 					s, running, waiting := startAtQuota(t, seed, controllers)
-					s.Cloud.Out = true // or the machines would be deleted, which frees them at once
+					s.Cloud.Down = true // or the machines would be deleted, which frees them at once
 					for _, job := range []*simulation.Job{running[0], running[2], running[4]} {
 						for i := range 8 {
-							if machine := s.Workers[job.On(i)]; machine != nil {
+							if machine := s.Workers[job.MachineOf(i)]; machine != nil {
 								fail(s, machine, variant)
 							}
 						}
-						s.Users.Abort(job)
+						s.Users.Cancel(job)
 					}
 					for range crashes {
 						waiting = append(waiting, s.crashLeaderAndSubmit(running)...)
 					}
 					s.requireStarts(waiting)
-					s.Cloud.Out = false
+					s.Cloud.Down = false
 					s.Run(s.Now + s.cancelSpan())
 					s.requireInvariants()
 				})
@@ -105,11 +105,11 @@
 // leader needs for its first shard map, the former owner's last answers, a lease and its drift.
 func (s *scenario) requireStarts(jobs []*simulation.Job) {
 	s.t.Helper()
-	workers := s.Set.Site.Workers
-	s.eventually(config.Seconds(workers.LeaseS+2*workers.ReportS), "each team starts something again", func() bool {
+	workers := s.Settings.Site.Workers
+	s.eventually(config.Seconds(workers.LeaseS+2*workers.HeartbeatS), "each team starts something again", func() bool {
 		started := map[string]bool{}
 		for _, job := range jobs {
-			started[job.Spec.Team] = started[job.Spec.Team] || job.Running()+s.Users.Done(job) > 0
+			started[job.Spec.Team] = started[job.Spec.Team] || job.RunningTasks()+s.Users.CompletedTasks(job) > 0
 		}
 		return !slices.ContainsFunc(quotaTeams, func(team string) bool { return !started[team] })
 	})
@@ -120,12 +120,12 @@
 	"crashes":               func(s *scenario, owner *simulation.Node) { owner.Crash(30 * second) },
 	"crashes, back at once": func(s *scenario, owner *simulation.Node) { owner.Crash(50 * time.Millisecond) },
 	"crashes, back soon":    func(s *scenario, owner *simulation.Node) { owner.Crash(3 * second) },
-	"is paused":             func(s *scenario, owner *simulation.Node) { owner.StandStill(12 * second) },
+	"is paused":             func(s *scenario, owner *simulation.Node) { owner.Pause(12 * second) },
 	"isolated": func(s *scenario, owner *simulation.Node) {
 		s.partition(25*second, owner.Label, append(s.otherEnds(owner), "workers")...)
 	},
 	"partitioned from workers": func(s *scenario, owner *simulation.Node) { s.partition(25*second, owner.Label, "workers") },
-	"refused by the store":     func(s *scenario, owner *simulation.Node) { s.State.Refuses[owner.Label] = true },
+	"refused by the store":     func(s *scenario, owner *simulation.Node) { s.Store.RefusedNodes[owner.Label] = true },
 	"crashes with another": func(s *scenario, owner *simulation.Node) {
 		owner.Crash(second)
 		s.Nodes[(slices.Index(s.Nodes, owner)+1)%len(s.Nodes)].Crash(2 * second)
@@ -150,13 +150,13 @@
 					handOver(s, owner)
 					jobs := s.submitAndCancel(60, variant == 1)
 					s.eventually(s.cancelSpan()+20*second, "all are cancelled", func() bool {
-						s.State.Refuses = map[string]bool{}
+						s.Store.RefusedNodes = map[string]bool{}
 						return toldState(protocol.JobCancelled, jobs...)()
 					})
 					s.Run(s.Now + s.cancelSpan() + second)
 					s.requireInvariants()
 					s.recoverAndFinish(second)
-					late += s.Users.LateStarts
+					late += s.Users.StartsAfterCancel
 					starts += s.Users.Starts
 				}
 			})
@@ -181,7 +181,7 @@
 			if through.Alive() && through.Ready {
 				s.abortUnanswered(through, job) // whoever tells of it first
 			}
-			s.Users.Abort(job)
+			s.Users.Cancel(job)
 		})
 		s.Run(s.Now + second/10)
 	}
@@ -197,13 +197,13 @@
 				s := startScenario(t, seed, controllers, nil)
 				s.addMachines(12)
 				s.Users.Submit(simulation.Array(12), 90)
-				s.Users.CloseLooks, s.Users.AtEnd = true, 0.2
+				s.Users.CheckReadYourWrites, s.Users.CancelAtEndShare = true, 0.2
 				crashes := 0
 				for k := range 10 {
 					job := s.Users.Submit(simulation.Array(4), float64(5+k%3*20))
-					s.After(9*second, func() { s.Users.Abort(job) })
+					s.After(9*second, func() { s.Users.Cancel(job) })
 					if outage && k == 4 {
-						s.State.Outage(40 * second)
+						s.Store.Outage(40 * second)
 					}
 					// Whoever leads, or would if the state service answered: any of them may.
 					if leader := s.currentLeader(); leader != nil {
@@ -227,16 +227,16 @@
 func TestAllControllersDownPastWorkerLease(t *testing.T) {
 	acrossSeeds(t, 4300, 4, func(t *testing.T, variant, controllers int, seed uint64) {
 		s, toCancel := startFull(t, seed, controllers)
-		s.Users.Abort(toCancel)
-		s.Until(s.Now+2*second, toldState(protocol.JobCancelled, toCancel))
+		s.Users.Cancel(toCancel)
+		s.RunUntil(s.Now+2*second, toldState(protocol.JobCancelled, toCancel))
 		down := time.Duration(8+6*variant) * second // up to well over the lease
 		for i, node := range s.Nodes {
 			node.Crash(down + time.Duration(i)*second*time.Duration(variant%2*3))
 		}
 		for _, machine := range s.SomeWorkers(8) { // which come back to them later than the others
 			for _, node := range s.Nodes {
-				s.Cut(node.Label, machine.Info.Name, false)
-				s.After(down+5*second, func() { s.Mend(node.Label, machine.Info.Name) })
+				s.Partition(node.Label, machine.Info.Name, false)
+				s.After(down+5*second, func() { s.Heal(node.Label, machine.Info.Name) })
 			}
 		}
 		s.Run(s.Now + s.cancelSpan() + second)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -11,9 +11,9 @@
 func TestLeaderCrash(t *testing.T) {
 	s := newScenario(t, 3)
 	first, other := s.Users.Submit(simulation.Array(12), 20), s.Users.Submit(simulation.Array(12), 20)
-	s.eventually(60*second, "tasks run", func() bool { return first.Running()+other.Running() > 6 })
+	s.eventually(60*second, "tasks run", func() bool { return first.RunningTasks()+other.RunningTasks() > 6 })
 	s.leader().Crash(8 * second)
-	s.eventually(120*second, "the work goes on", s.Users.AllTold)
+	s.eventually(120*second, "the work goes on", s.Users.AllFinal)
 }
 
 func TestEveryControllerCrashes(t *testing.T) {
@@ -25,7 +25,7 @@
 	for _, node := range s.Nodes {
 		node.Crash(5 * second)
 	}
-	s.eventually(180*second, "nothing accepted is lost", s.Users.AllTold)
+	s.eventually(180*second, "nothing accepted is lost", s.Users.AllFinal)
 }
 
 func TestRollingRestart(t *testing.T) {
@@ -36,7 +36,7 @@
 	for i, node := range s.Nodes {
 		s.After(time.Duration(10+15*i)*second, func() { node.Crash(4 * second) })
 	}
-	s.eventually(200*second, "the work goes on", s.Users.AllTold)
+	s.eventually(200*second, "the work goes on", s.Users.AllFinal)
 }
 
 // A controller process that is paused and resumes has full queues, old timers and an answer that
@@ -49,9 +49,9 @@
 			node = s.follower()
 		}
 		pause := time.Duration(5+15*seed) * second
-		node.StandStill(pause)
+		node.Pause(pause)
 		s.After(pause/2, func() { s.Users.Submit(simulation.Array(6), 10) })
-		s.eventually(300*second, "the work goes on", s.Users.AllTold)
+		s.eventually(300*second, "the work goes on", s.Users.AllFinal)
 	}
 }
 
@@ -62,11 +62,11 @@
 	spec := simulation.Array(60)
 	spec.Team, spec.EstimateS = "red", 100
 	job := s.Users.Submit(spec, 20)
-	s.eventually(90*second, "the team is at its limit", func() bool { return job.Running() == 24 })
+	s.eventually(90*second, "the team is at its limit", func() bool { return job.RunningTasks() == 24 })
 	for _, node := range s.Nodes {
 		node.Crash(4 * second)
 	}
-	s.eventually(300*second, "the job is done", s.Users.AllTold)
+	s.eventually(300*second, "the job is done", s.Users.AllFinal)
 }
 
 // A dead machine must not delay a failover for a whole lease: the cloud is
@@ -87,7 +87,7 @@
 	}
 	s.Logs = nil
 	s.eventually(9*second, "every machine is seen or gone", func() bool { return s.logged("every machine has been seen") })
-	s.eventually(300*second, "every job is done", s.Users.AllTold)
+	s.eventually(300*second, "every job is done", s.Users.AllFinal)
 }
 
 // What may be on a machine whose owner has not changed is known, whether it answers
@@ -95,15 +95,15 @@
 func TestFailoverDoesNotWaitForRetainedMachines(t *testing.T) {
 	s := newScenario(t, 78)
 	for range 6 {
-		s.Cloud.Add("barn", "a", true)
+		s.Cloud.AddRunning("barn", "a", true)
 	}
 	for range 3 {
 		s.Users.Submit(simulation.Array(60), 30)
 	}
-	s.eventually(60*second, "the machines are full", func() bool { return s.Users.Running() >= 90 })
+	s.eventually(60*second, "the machines are full", func() bool { return s.Users.RunningTasks() >= 90 })
 	old := s.leader()
 	dead := ""
-	s.follower().Ask(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, func(reply core.Reply) {
+	s.follower().Request(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, func(reply core.Reply) {
 		for name, status := range reply.Body.(*core.Status).Machines {
 			if status.Trusted && (dead == "" || name < dead) {
 				dead = name
@@ -117,7 +117,7 @@
 	s.eventually(9*second, "every other machine has been seen", func() bool {
 		return s.logged("every machine has been seen")
 	})
-	s.eventually(300*second, "every job is done", s.Users.AllTold)
+	s.eventually(300*second, "every job is done", s.Users.AllFinal)
 }
 
 // A leader that has to reload the state does not know what it dispatched before: what
@@ -126,22 +126,22 @@
 	for seed := range uint64(4) {
 		s := newScenario(t, 910+seed)
 		job := s.Users.Submit(simulation.Array(60), 60)
-		s.eventually(90*second, "all run", func() bool { return job.Running() == 60 })
-		n, machine := s.leader(), job.On(int(seed)*16)
+		s.eventually(90*second, "all run", func() bool { return job.RunningTasks() == 60 })
+		n, machine := s.leader(), job.MachineOf(int(seed)*16)
 		for _, other := range s.Nodes {
-			s.Cut(other.Label, machine, false)
+			s.Partition(other.Label, machine, false)
 		}
-		s.State.Forgot[n.Label] = true
+		s.Store.CompactedNodes[n.Label] = true
 		for _, other := range s.Nodes {
 			if other != n { // nor do those who looked after the machine
 				other.Crash(second / 5)
 			}
 		}
-		s.eventually(20*second, "it reloads the state", func() bool { return !s.State.Forgot[n.Label] })
+		s.eventually(20*second, "it reloads the state", func() bool { return !s.Store.CompactedNodes[n.Label] })
 		s.Run(s.Now + 10*second)
 		for _, other := range s.Nodes {
-			s.Mend(other.Label, machine)
+			s.Heal(other.Label, machine)
 		}
-		s.eventually(300*second, "all is done", s.Users.AllTold)
+		s.eventually(300*second, "all is done", s.Users.AllFinal)
 	}
 }
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -25,9 +25,9 @@
 // newFairShareRules turns the operators' policy into spans of seconds.
 func (c *Core) newFairShareRules() fairshare.Rules {
 	lease := c.intervals.workerLease.Seconds()
-	overdueAfter := c.policy.FloorLeases * lease
+	overdueAfter := c.policy.OverdueLeases * lease
 	return fairshare.Rules{
-		MinShare:     c.policy.FloorShare,
+		MinShare:     c.policy.FairShare,
 		OverdueAfter: overdueAfter,
 		DecayTime:    servedMemory * overdueAfter,
 		AgingTime:    boostedAging * c.policy.AgingLeases * lease,
@@ -147,10 +147,10 @@
 // earlyStartAge is how many seconds a large job waits until its first task goes ahead: two thirds
 // of the time within which it is to begin.
 func (s *scheduler) earlyStartAge() float64 {
-	if s.core.policy.BeginS <= 0 {
+	if s.core.policy.LargestStartS <= 0 {
 		return math.Inf(1)
 	}
-	return s.core.policy.BeginS * 2 / 3
+	return s.core.policy.LargestStartS * 2 / 3
 }
 
 // startEarly lets the first task of an array that is among the largest of its account go before all
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -37,18 +37,18 @@
 // startContended begins a scenario on twelve machines in which the streams submit jobs until a time.
 func startContended(t testing.TB, seed uint64, until time.Duration, policy func(*config.Policy), set config.Settings, streams ...jobStream) *scenario {
 	t.Helper()
-	w := simulation.Build(seed, set, simulation.Types())
-	w.Policy.FloorLeases = 2.5 // a day of minutes shows as much as one of hours
+	w := simulation.NewWithSettings(seed, set, simulation.MachineTypes())
+	w.Policy.OverdueLeases = 2.5 // a day of minutes shows as much as one of hours
 	if policy != nil {
 		policy(&w.Policy)
 	}
 	for _, n := range w.Nodes {
 		n.Start() // with this policy
 	}
-	s := &scenario{World: w, t: t}
+	s := &scenario{Cluster: w, t: t}
 	for _, zone := range []string{"a", "b"} {
 		for range 6 {
-			s.Cloud.Add("box", zone, false)
+			s.Cloud.AddRunning("box", zone, false)
 		}
 	}
 	for _, stream := range streams {
@@ -78,7 +78,7 @@
 
 // patience is after how long an account is overdue.
 func (s *scenario) patience() time.Duration {
-	return config.Seconds(s.Policy.FloorLeases * s.Set.Site.Workers.LeaseS)
+	return config.Seconds(s.Policy.OverdueLeases * s.Settings.Site.Workers.LeaseS)
 }
 
 // checkFairShare fails if less than half is done of the jobs of a class that came at least two
@@ -88,23 +88,23 @@
 	s.requireInvariants()
 	until := s.Now - 2*s.patience()
 	capacity := map[string]float64{}
-	for _, t := range s.Set.Site.Teams {
+	for _, t := range s.Settings.Site.Teams {
 		capacity[t.Name] = limit * until.Seconds()
 	}
-	broken, judged := s.Users.FloorsBroken(until, capacity)
+	broken, judged := s.Users.UnderservedClasses(until, capacity)
 	if judged == 0 {
 		s.t.Fatal("half for all was not possible: the scenario shows nothing")
 	}
 	for _, a := range broken {
-		x := s.Users.Shares(until)[a]
+		x := s.Users.ClassShares(until)[a]
 		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", a.Class, a.Team, x.Done, x.Jobs, x.Started, s.lastLogs(*logLines))
 	}
 }
 
 // classShare is how much is done of a class of team red, of what came at least two patiences ago.
-func (s *scenario) classShare(class string) *simulation.Share {
+func (s *scenario) classShare(class string) *simulation.ClassShare {
 	s.t.Helper()
-	share := s.Users.Shares(s.Now - 2*s.patience())[fairshare.Account{Team: "red", Class: class}]
+	share := s.Users.ClassShares(s.Now - 2*s.patience())[fairshare.Account{Team: "red", Class: class}]
 	if share == nil {
 		s.t.Fatalf("no job of %s", class)
 	}
@@ -124,7 +124,7 @@
 func TestFairShareUnderTeamQuota(t *testing.T) {
 	t.Parallel()
 	const day = 400 * second
-	none := func(p *config.Policy) { p.FloorShare = 0 }
+	none := func(p *config.Policy) { p.FairShare = 0 }
 	for _, policy := range []func(*config.Policy){none, nil} {
 		s := startContended(t, 501, day, policy, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
 		s.Run(day)
@@ -225,11 +225,11 @@
 		"fails everywhere": func(s *scenario) {
 			s.Cloud.Capacity["barn"] = 0 // where two machines hold all, each failure would count for much
 			for at := 5 * second; at < day; at += unservable.interval {
-				s.At(at, func() { s.submitFrom(unservable).Mistaken = true })
+				s.At(at, func() { s.submitFrom(unservable).FailsEverywhere = true })
 			}
 		},
 		"zone cut off": func(s *scenario) {
-			s.At(second, func() { s.CutZone("b", "", false) })
+			s.At(second, func() { s.PartitionZone("b", "", false) })
 			inZone := unservable
 			inZone.customize = func(spec *protocol.Job) { spec.Zone = "b" }
 			s.submitBetween(inZone, 5*second, day)
@@ -273,7 +273,7 @@
 		{"the limit binds", large, 5, 4, 1, 7 * second},
 		{"the limit binds", gang(8), 16, 8, 1, 3 * second / 2},
 	} {
-		for _, share := range []float64{0, config.DefaultPolicy().FloorShare} {
+		for _, share := range []float64{0, config.DefaultPolicy().FairShare} {
 			s := c.simulate(t, share)
 			if served := s.classShare(c.large.class); share > 0 {
 				s.checkHalfServed(c.large.class)
@@ -306,9 +306,9 @@
 			interval: c.interval * time.Duration(20+i) / 20, tasks: c.small, cpus: 1, runSeconds: float64(9 + i)})
 	}
 	s := startContended(t, 507, day, func(p *config.Policy) {
-		p.FloorShare = share
-		p.BeginS = 0       // it starts one of these large tasks early, with or without fair share
-		p.IdleBoots = 1000 // machines with room are there, as where other teams need them
+		p.FairShare = share
+		p.LargestStartS = 0 // it starts one of these large tasks early, with or without fair share
+		p.IdleBoots = 1000  // machines with room are there, as where other teams need them
 	}, set, streams...)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = c.machines, 0
 	s.Run(day)
@@ -342,7 +342,7 @@
 	reasons := map[string]bool{}
 	for at := 5 * second; at < day; at += 3 * second {
 		s.At(at, func() {
-			for _, reason := range s.Users.Reasons() {
+			for _, reason := range s.Users.LastReasons() {
 				reasons[reason] = true
 			}
 		})
@@ -363,7 +363,7 @@
 func TestLargestJobsStartEarly(t *testing.T) {
 	small := photoJobs()
 	small.interval, small.tasks = 4*second, 10 // more than the limit lets run
-	s := startContended(t, 2100, 300*second, func(p *config.Policy) { p.FloorLeases, p.BeginS = 5, 100 }, simulation.Settings(3), small, alertJobs())
+	s := startContended(t, 2100, 300*second, func(p *config.Policy) { p.OverdueLeases, p.LargestStartS = 5, 100 }, simulation.Settings(3), small, alertJobs())
 	var large []*simulation.Job
 	began := map[*simulation.Job]time.Duration{}
 	for k := range 6 {
@@ -376,7 +376,7 @@
 	for at := 30 * second; at < 250*second; at += second {
 		s.At(at, func() {
 			for _, j := range large {
-				if _, ok := began[j]; !ok && j.Running() > 0 {
+				if _, ok := began[j]; !ok && j.RunningTasks() > 0 {
 					began[j] = s.Now
 				}
 			}
--- a/internal/core/fault_helpers_test.go
+++ b/internal/core/fault_helpers_test.go
@@ -19,7 +19,7 @@
 	if change != nil {
 		change(&settings.Site)
 	}
-	s := &scenario{World: simulation.Build(seed, settings, simulation.Types()), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(seed, settings, simulation.MachineTypes()), t: t}
 	s.eventually(20*second, "the nodes are ready", func() bool {
 		return !slices.ContainsFunc(s.Nodes, func(n *simulation.Node) bool { return !n.Ready })
 	})
@@ -49,7 +49,7 @@
 	s.Users.Submit(spec, 40)
 	s.Users.Submit(simulation.Array(8), 60)
 	toCancel = s.Users.Submit(simulation.Array(16), 200)
-	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 48 })
+	s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 48 })
 	return s, toCancel
 }
 
@@ -57,10 +57,10 @@
 // then on nobody may be left without an answer.
 func (s *scenario) recoverAndFinish(timeout time.Duration) {
 	s.t.Helper()
-	s.State.LateShare, s.State.Slow, s.State.Refuses = 0, 0, map[string]bool{}
-	s.Copies, s.KeepReports, s.Users.AtEnd, s.Cloud.Out = 0, false, 0, false
-	s.Users.Calm = s.Now
-	s.eventually(timeout, "all is over", s.Users.AllTold)
+	s.Store.DelayedCommitShare, s.Store.ResponseDelay, s.Store.RefusedNodes = 0, 0, map[string]bool{}
+	s.DuplicateShare, s.RetainHeartbeats, s.Users.CancelAtEndShare, s.Cloud.Down = 0, false, 0, false
+	s.Users.FaultsOverAt = s.Now
+	s.eventually(timeout, "all is over", s.Users.AllFinal)
 }
 
 // crashLeader crashes whoever leads.
@@ -88,6 +88,6 @@
 // toldState tells whether the users of all jobs were told a state last.
 func toldState(state string, jobs ...*simulation.Job) func() bool {
 	return func() bool {
-		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return job.Told != state })
+		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return job.LastState != state })
 	}
 }
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -13,14 +13,14 @@
 // partitionMachine cuts a machine off from all controllers, dropping what is under way.
 func (s *scenario) partitionMachine(machine *simulation.Worker) {
 	for _, node := range s.Nodes {
-		s.Cut(node.Label, machine.Info.Name, false)
+		s.Partition(node.Label, machine.Info.Name, false)
 	}
 }
 
 // healMachine ends partitionMachine.
 func (s *scenario) healMachine(machine *simulation.Worker) {
 	for _, node := range s.Nodes {
-		s.Mend(node.Label, machine.Info.Name)
+		s.Heal(node.Label, machine.Info.Name)
 	}
 }
 
@@ -49,8 +49,8 @@
 	machinesDieWithLeader: func(s *scenario) { s.removeSomeMachines(6) },
 	"of partitioned machines": func(s *scenario) { // so that it is the first that anybody hears
 		busy := slices.DeleteFunc(s.SomeWorkers(64), func(machine *simulation.Worker) bool { return len(machine.Tasks) == 0 })
-		s.addMachines(12)  // with room for all that they run
-		s.Cloud.Out = true // or they would be taken for dead, and deleted
+		s.addMachines(12)   // with room for all that they run
+		s.Cloud.Down = true // or they would be taken for dead, and deleted
 		for _, machine := range busy {
 			s.partitionMachine(machine)
 			s.After(7*second, func() { s.healMachine(machine) })
@@ -73,15 +73,15 @@
 			acrossSeeds(t, 3500, 3, func(t *testing.T, variant, controllers int, seed uint64) {
 				s := startScenario(t, seed, controllers, nil)
 				s.addMachines(12)
-				s.KeepReports = true
+				s.RetainHeartbeats = true
 				s.Run(s.Now + 4*second) // one of each machine is kept
-				s.KeepReports = false
+				s.RetainHeartbeats = false
 				spec := simulation.Array(24)
 				spec.Team = "red" // all that it may use
 				red, blue := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(20), 60)
-				s.eventually(30*second, "all tasks run", func() bool { return red.Running() == 24 && blue.Running() == 20 })
+				s.eventually(30*second, "all tasks run", func() bool { return red.RunningTasks() == 24 && blue.RunningTasks() == 20 })
 				between(s)
-				kept := red.Running() + s.Users.Done(red)
+				kept := red.RunningTasks() + s.Users.CompletedTasks(red)
 				s.Logs = nil
 				if variant%2 == 0 {
 					s.crashLeader(second / 5)
@@ -92,7 +92,7 @@
 				more.Team = "red"
 				s.Users.Submit(more, 10)
 				s.eventually(35*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
-				if lost := kept - red.Running() - s.Users.Done(red); name != machinesDieWithLeader && lost > 0 {
+				if lost := kept - red.RunningTasks() - s.Users.CompletedTasks(red); name != machinesDieWithLeader && lost > 0 {
 					t.Fatalf("%d tasks were lost by a stale heartbeat\n%s", lost, s.lastLogs(*logLines))
 				}
 				s.recoverAndFinish(300 * second)
@@ -109,24 +109,24 @@
 		acrossSeeds(t, 3900, 3, func(t *testing.T, variant, controllers int, seed uint64) {
 			s := startScenario(t, seed, controllers, nil)
 			s.addMachines(12)
-			s.Cloud.Out = variant%2 == 0
+			s.Cloud.Down = variant%2 == 0
 			spec := simulation.Array(24)
 			spec.Team = "red"
 			red, toCancel := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(16), 200)
-			s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 40 })
+			s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 40 })
 			for _, machine := range s.SomeWorkers(7) {
-				machine.Mute = true
-				s.After(time.Duration(20+variant*20)*second, func() { machine.Mute = false })
+				machine.OutboundBlocked = true
+				s.After(time.Duration(20+variant*20)*second, func() { machine.OutboundBlocked = false })
 			}
 			s.Run(s.Now + time.Duration(variant*5)*second)
 			if failover {
 				s.crashLeader(second / 5)
 			}
-			s.Users.Abort(toCancel)
+			s.Users.Cancel(toCancel)
 			s.Run(s.Now + s.cancelSpan() + 20*second)
 			s.recoverAndFinish(300 * second)
-			if red.Told != protocol.JobDone {
-				t.Fatalf("the other job is %s", red.Told)
+			if red.LastState != protocol.JobDone {
+				t.Fatalf("the other job is %s", red.LastState)
 			}
 		})
 	}
@@ -141,13 +141,13 @@
 		setLinks := func(link simulation.Link) {
 			for _, machine := range delayed {
 				for _, node := range s.Nodes {
-					s.Link(machine.Info.Name, node.Label, link)
+					s.SetLink(machine.Info.Name, node.Label, link)
 				}
 			}
 		}
 		setLinks(simulation.Held) // what the machines send is kept, what they are told arrives
 		s.Run(s.Now + second)
-		s.Users.Abort(toCancel)
+		s.Users.Cancel(toCancel)
 		s.crashLeader(second / 5)
 		s.Users.Submit(simulation.Array(12), 10)
 		s.Run(s.Now + time.Duration(2+variant*6)*second) // from before it has acted to long after
@@ -163,14 +163,14 @@
 	for seed := range uint64(4) {
 		s := newScenario(t, 4700+seed)
 		s.addMachines(8)
-		s.Copies, s.CopyBy = 1, 60*second
+		s.DuplicateShare, s.MaxDuplicateDelay = 1, 60*second
 		job := s.Users.Submit(simulation.Array(16), 300)
 		s.Run(s.Now + 60*second)
-		s.Cloud.Out = true // or it would be deleted, which settles it
-		s.Cloud.Remove(s.Workers[job.On(0)].Info.Name)
-		s.Copies = 0
-		workers := s.Set.Site.Workers
-		s.eventually(config.Seconds(workers.LeaseS+2*workers.ReportS), "its tasks are known to be lost", func() bool {
+		s.Cloud.Down = true // or it would be deleted, which settles it
+		s.Cloud.Remove(s.Workers[job.MachineOf(0)].Info.Name)
+		s.DuplicateShare = 0
+		workers := s.Settings.Site.Workers
+		s.eventually(config.Seconds(workers.LeaseS+2*workers.HeartbeatS), "its tasks are known to be lost", func() bool {
 			return s.logged("machine lease expired, its tasks are lost")
 		})
 	}
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -131,7 +131,7 @@
 // times as long as usual, one after another for twenty minutes.
 func (f *fleet) bootTimeout(machineType *protocol.MachineType) time.Duration {
 	factor := float64(int(1) << min(f.failedBoots[machineType.Name], maxBootDoublings))
-	return config.Seconds(machineType.BootS * f.core.policy.BootPatience * factor)
+	return config.Seconds(machineType.BootS * f.core.policy.BootTimeoutFactor * factor)
 }
 
 // isDrained reports whether a machine that is being returned may be deleted. If its shard has
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -15,12 +15,12 @@
 // Scenarios in which two faults meet; docs/fault-interleavings.md says what each goes through.
 
 // cancelSpan is the time in which the tasks of a cancelled job must have ended.
-func (s *scenario) cancelSpan() time.Duration { return config.Seconds(s.Set.Site.Workers.CancelS) }
+func (s *scenario) cancelSpan() time.Duration { return config.Seconds(s.Settings.Site.Workers.CancelS) }
 
 // abortUnanswered has a user ask a node to cancel a job, and hear nothing of its answer.
 func (s *scenario) abortUnanswered(node *simulation.Node, job *simulation.Job) {
-	s.Users.Wants(job)
-	node.Ask(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: job.Spec.ID} }, func(core.Reply) {})
+	s.Users.NoteCancelRequested(job)
+	node.Request(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: job.Spec.ID} }, func(core.Reply) {})
 }
 
 // otherFollower is the controller that neither leads nor is the follower of this scenario.
@@ -35,12 +35,12 @@
 func cancellationThenOutage(t *testing.T, seed uint64, confirm func(s *scenario, gone *simulation.Job)) (s *scenario, long, gone *simulation.Job) {
 	s = newScenario(t, seed)
 	long, gone = s.Users.Submit(simulation.Array(12), 200), s.Users.Submit(simulation.Array(6), 300)
-	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
+	s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 18 })
 	leader := s.leader()
-	s.State.Refuses[leader.Label] = true
+	s.Store.RefusedNodes[leader.Label] = true
 	confirm(s, gone)
-	s.eventually(5*second, "its user is told", func() bool { return gone.Told == protocol.JobCancelled })
-	s.State.Outage(s.cancelSpan() + 20*second)
+	s.eventually(5*second, "its user is told", func() bool { return gone.LastState == protocol.JobCancelled })
+	s.Store.Outage(s.cancelSpan() + 20*second)
 	return s, long, gone
 }
 
@@ -49,24 +49,24 @@
 // it knew; the other tasks run on.
 func TestCancellationSurvivesStoreOutage(t *testing.T) {
 	unanswered := func(s *scenario, f func()) {
-		s.State.LateShare, s.State.LateBy = 1, time.Millisecond
+		s.Store.DelayedCommitShare, s.Store.MaxCommitDelay = 1, time.Millisecond
 		f()
 		s.Run(s.Now + second/2)
-		s.State.LateShare = 0
+		s.Store.DelayedCommitShare = 0
 	}
 	for name, confirm := range map[string]func(*scenario, *simulation.Job){
-		"by who wrote it": func(s *scenario, job *simulation.Job) { s.Users.Abort(job) },
+		"by who wrote it": func(s *scenario, job *simulation.Job) { s.Users.Cancel(job) },
 		"by who got no answer to its write": func(s *scenario, job *simulation.Job) {
-			unanswered(s, func() { s.Users.Abort(job) })
+			unanswered(s, func() { s.Users.Cancel(job) })
 		},
 		"by another whose mirror holds it": func(s *scenario, job *simulation.Job) {
 			unanswered(s, func() { s.abortUnanswered(s.follower(), job) })
-			s.Users.Only = s.otherFollower()
-			s.Users.Abort(job)
+			s.Users.OnlyNode = s.otherFollower()
+			s.Users.Cancel(job)
 		},
 		"by a poll": func(s *scenario, job *simulation.Job) {
 			unanswered(s, func() { s.abortUnanswered(s.follower(), job) })
-			s.Users.Only = s.otherFollower()
+			s.Users.OnlyNode = s.otherFollower()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -75,14 +75,14 @@
 				leastRunning := 12
 				for range 50 {
 					s.Run(s.Now + second)
-					leastRunning = min(leastRunning, long.Running())
+					leastRunning = min(leastRunning, long.RunningTasks())
 				}
 				s.requireInvariants()
-				if gone.Running() > 0 || leastRunning < 12 {
-					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", gone.Running(), leastRunning)
+				if gone.RunningTasks() > 0 || leastRunning < 12 {
+					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", gone.RunningTasks(), leastRunning)
 				}
-				s.State.Refuses, s.Users.Only = map[string]bool{}, nil
-				s.eventually(200*second, "the work goes on", func() bool { return long.Told == protocol.JobDone })
+				s.Store.RefusedNodes, s.Users.OnlyNode = map[string]bool{}, nil
+				s.eventually(200*second, "the work goes on", func() bool { return long.LastState == protocol.JobDone })
 			}
 		})
 	}
@@ -95,15 +95,15 @@
 		s := newBusyScenario(t, 1100+seed, 10*second)
 		node := s.follower()
 		node.Crash(second)
-		s.State.LateFrom, s.State.LateBy = 4*second, 5*second
+		s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 4*second, 5*second
 		s.eventually(5*second, "its key is being written", func() bool {
-			s.State.LateShare = 0
+			s.Store.DelayedCommitShare = 0
 			if node.Alive() {
-				s.State.LateShare = 1
+				s.Store.DelayedCommitShare = 1
 			}
-			return s.State.Late > 0
+			return s.Store.DelayedCommits > 0
 		})
-		s.State.LateShare = 0
+		s.Store.DelayedCommitShare = 0
 		node.Crash(second / 5)
 		s.eventually(5*second, "the next process is in the map", func() bool { return s.logged("controller rejoined the shard map") })
 		s.Logs = nil
@@ -111,7 +111,7 @@
 		if s.logged("controller left the shard map") {
 			t.Fatalf("it lost its place\n%s", s.lastLogs(*logLines))
 		}
-		s.eventually(120*second, "the work is done", s.Users.AllTold)
+		s.eventually(120*second, "the work is done", s.Users.AllFinal)
 	}
 }
 
@@ -128,14 +128,14 @@
 		}
 		s.Logs = nil
 		s.eventually(45*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
-		s.eventually(200*second, "the work is done", s.Users.AllTold)
+		s.eventually(200*second, "the work is done", s.Users.AllFinal)
 	}
 }
 
 // addMachines adds machines, and runs until they are heard.
 func (s *scenario) addMachines(count int) {
 	for range count {
-		s.Cloud.Add("box", "b", true)
+		s.Cloud.AddRunning("box", "b", true)
 	}
 	s.Run(s.Now + 6*second)
 }
@@ -162,25 +162,25 @@
 		for range 4 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(12), 120))
 		}
-		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 48 })
+		s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 48 })
 		leader := s.leader()
-		s.Cloud.Out = true                 // or the machines that it answers would be given up and deleted
+		s.Cloud.Down = true                // or the machines that it answers would be given up and deleted
 		for _, worker := range s.Workers { // nor do the others reach its machines, or a raised token would end it
 			for _, other := range s.Nodes {
-				if worker.ReportsTo() == leader && other != leader {
+				if worker.Controller() == leader && other != leader {
 					s.partition(70*second, other.Label, worker.Info.Name)
 				}
 			}
 		}
 		s.partition(70*second, leader.Label, s.otherEnds(leader)...)
 		s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(leader) })
-		s.Users.Only = s.Nodes[(slices.Index(s.Nodes, leader)+1)%3]
-		s.Users.Abort(jobs[0])
-		s.Users.Abort(jobs[1])
+		s.Users.OnlyNode = s.Nodes[(slices.Index(s.Nodes, leader)+1)%3]
+		s.Users.Cancel(jobs[0])
+		s.Users.Cancel(jobs[1])
 		s.eventually(10*second, "their users are told", toldState(protocol.JobCancelled, jobs[0], jobs[1]))
-		s.Users.Only = nil
+		s.Users.OnlyNode = nil
 		s.Run(s.Now + s.cancelSpan() + second)
-		s.Cloud.Out = false
+		s.Cloud.Down = false
 		s.eventually(300*second, "the others are done", toldState(protocol.JobDone, jobs[2], jobs[3]))
 	}
 }
@@ -190,24 +190,24 @@
 func TestLateWritesDuringFailovers(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1400+seed, 5*second)
-		s.State.LateShare, s.State.LateFrom, s.State.LateBy = 0.35, 2*second, 12*second
+		s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 0.35, 2*second, 12*second
 		var jobs []*simulation.Job
 		for range 8 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(5), 8))
 			s.Run(s.Now + 2*second)
 		}
-		s.Users.Abort(jobs[6])
-		s.Users.Abort(jobs[7])
+		s.Users.Cancel(jobs[6])
+		s.Users.Cancel(jobs[7])
 		for range 2 {
 			if leader := s.currentLeader(); leader != nil {
 				leader.Crash(second / 5)
 			}
 			s.Run(s.Now + 15*second)
 		}
-		s.State.LateShare = 0
+		s.Store.DelayedCommitShare = 0
 		s.Run(s.Now + 13*second)
-		s.Users.Calm = s.Now
-		s.eventually(300*second, "all is over", s.Users.AllTold)
+		s.Users.FaultsOverAt = s.Now
+		s.eventually(300*second, "all is over", s.Users.AllFinal)
 		s.Run(s.Now + 20*second)
 		s.requireInvariants()
 	}
@@ -221,25 +221,25 @@
 		var jobs []*simulation.Job
 		for range 5 {
 			job := s.Users.Submit(simulation.Array(3), 0)
-			job.RunsS = []float64{4, 20 + float64(seed), 45}
+			job.TaskRunS = []float64{4, 20 + float64(seed), 45}
 			jobs = append(jobs, job)
 		}
-		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 15 })
+		s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 15 })
 		ended := 0
 		for ended < 15 { // no write records it before the leader crashes
-			s.State.LateShare, s.State.LateFrom, s.State.LateBy = 1, 12*second, 12*second
-			s.eventually(60*second, "another task ends", func() bool { return s.Users.Done(jobs...) > ended })
+			s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 1, 12*second, 12*second
+			s.eventually(60*second, "another task ends", func() bool { return s.Users.CompletedTasks(jobs...) > ended })
 			s.Run(s.Now + 11*second)
-			s.State.LateShare = 0
-			ended = s.Users.Done(jobs...)
+			s.Store.DelayedCommitShare = 0
+			ended = s.Users.CompletedTasks(jobs...)
 			if leader := s.currentLeader(); leader != nil {
 				leader.Crash(second / 5)
 			}
 			s.Run(s.Now + 6*second)
 		}
 		s.eventually(30*second, "all are done", toldState(protocol.JobDone, jobs...))
-		if s.Users.Again > 0 {
-			t.Fatalf("%d completed tasks were started again", s.Users.Again)
+		if s.Users.RepeatedStarts > 0 {
+			t.Fatalf("%d completed tasks were started again", s.Users.RepeatedStarts)
 		}
 	}
 }
@@ -256,10 +256,10 @@
 			spec.Team = team
 			s.Users.Submit(spec, 60)
 			gone := s.Users.Submit(simulation.Array(16), 200)
-			s.eventually(90*second, "all tasks run", func() bool { return s.Users.Running() == 40 })
+			s.eventually(90*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 40 })
 			leader, unreachable := s.leader(), 0
 			for _, worker := range s.Workers {
-				if worker.ReportsTo() != leader {
+				if worker.Controller() != leader {
 					continue
 				}
 				unreachable++
@@ -268,24 +268,24 @@
 					if seed%2 == 1 {
 						link, back = simulation.Held, simulation.Held
 					}
-					s.Link(node.Label, worker.Info.Name, link)
-					s.Link(worker.Info.Name, node.Label, back)
-					s.After(time.Duration(4+4*seed)*second, func() { s.Mend(node.Label, worker.Info.Name) })
+					s.SetLink(node.Label, worker.Info.Name, link)
+					s.SetLink(worker.Info.Name, node.Label, back)
+					s.After(time.Duration(4+4*seed)*second, func() { s.Heal(node.Label, worker.Info.Name) })
 				}
 			}
 			if unreachable < 2 {
 				t.Fatalf("the leader owns %d machines", unreachable)
 			}
-			s.Cloud.Out = true
+			s.Cloud.Down = true
 			leader.Crash(second / 5)
 			s.Run(s.Now + second) // what comes now waits for no machine to be seen
 			more := simulation.Array(6)
 			more.Team = team
 			s.Users.Submit(more, 10)
-			s.Users.Abort(gone)
+			s.Users.Cancel(gone)
 			s.Run(s.Now + s.cancelSpan() + 10*second)
-			s.Cloud.Out = false
-			s.eventually(400*second, "the work is done", s.Users.AllTold)
+			s.Cloud.Down = false
+			s.eventually(400*second, "the work is done", s.Users.AllFinal)
 		}
 	}
 }
@@ -296,13 +296,13 @@
 	for seed := range uint64(4) {
 		s := newScenario(t, 1700+seed)
 		s.addMachines(6)
-		s.Copies, s.CopyBy = 1, 32*second
+		s.DuplicateShare, s.MaxDuplicateDelay = 1, 32*second
 		for round := range 16 {
 			s.Users.Submit(simulation.Array(8), float64(3+round%3*8))
 			s.Run(s.Now + 3*second)
 		}
-		s.Copies = 0
-		s.eventually(200*second, "the work is done", s.Users.AllTold)
+		s.DuplicateShare = 0
+		s.eventually(200*second, "the work is done", s.Users.AllFinal)
 	}
 }
 
@@ -313,21 +313,21 @@
 	for seed := range uint64(6) {
 		s := newScenario(t, 1750+seed)
 		s.addMachines(8)
-		s.Copies, s.CopyBy = 1, 40*second
+		s.DuplicateShare, s.MaxDuplicateDelay = 1, 40*second
 		s.Run(s.Now + 10*second)
-		s.Copies = 0
+		s.DuplicateShare = 0
 		job := s.Users.Submit(simulation.Array(24), 60)
-		s.eventually(20*second, "all tasks run", func() bool { return job.Running() == 24 })
+		s.eventually(20*second, "all tasks run", func() bool { return job.RunningTasks() == 24 })
 		for i := range 24 {
 			for _, node := range s.Nodes {
-				s.Cut(node.Label, job.On(i), false)
+				s.Partition(node.Label, job.MachineOf(i), false)
 			}
 		}
 		for _, node := range s.Nodes {
 			node.Crash(second / 5)
 		}
 		s.addMachines(8)
-		s.eventually(200*second, "the work is done", s.Users.AllTold)
+		s.eventually(200*second, "the work is done", s.Users.AllFinal)
 	}
 }
 
@@ -337,22 +337,22 @@
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1800+seed, 8*second)
 		for _, node := range s.Nodes {
-			s.Link(node.Label, "workers", simulation.Link{Hold: true, Period: time.Duration(2+seed) * second})
+			s.SetLink(node.Label, "workers", simulation.Link{Hold: true, FlapPeriod: time.Duration(2+seed) * second})
 		}
 		var jobs []*simulation.Job
 		for round := range 8 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(5), 30))
 			s.Run(s.Now + 3*second)
 			if round%2 == 1 {
-				s.Users.Abort(jobs[round-1])
+				s.Users.Cancel(jobs[round-1])
 			}
 		}
 		s.leader().Crash(second)
 		s.Run(s.Now + s.cancelSpan())
 		for _, node := range s.Nodes {
-			s.Link(node.Label, "workers", simulation.Link{})
+			s.SetLink(node.Label, "workers", simulation.Link{})
 		}
-		s.eventually(300*second, "the work is done", s.Users.AllTold)
+		s.eventually(300*second, "the work is done", s.Users.AllFinal)
 	}
 }
 
@@ -367,22 +367,22 @@
 		}
 		s.Run(s.Now + 15*second)
 		leader := s.leader()
-		s.State.Slow = 400 * time.Millisecond
-		s.Users.Abort(jobs[0])
+		s.Store.ResponseDelay = 400 * time.Millisecond
+		s.Users.Cancel(jobs[0])
 		s.Run(s.Now + second)
-		s.State.Refuses[leader.Label] = true
-		s.Users.Abort(jobs[1])
+		s.Store.RefusedNodes[leader.Label] = true
+		s.Users.Cancel(jobs[1])
 		s.Run(s.Now + time.Duration(1+seed)*second)
-		s.Users.Abort(jobs[2])
+		s.Users.Cancel(jobs[2])
 		s.Run(s.Now + second/2)
 		out := s.cancelSpan() + 20*second
-		s.State.Outage(out)
+		s.Store.Outage(out)
 		s.Run(s.Now + out)
-		delete(s.State.Refuses, leader.Label)
-		s.State.Slow = 0
-		s.Users.Calm = s.Now
+		delete(s.Store.RefusedNodes, leader.Label)
+		s.Store.ResponseDelay = 0
+		s.Users.FaultsOverAt = s.Now
 		s.eventually(60*second, "the users are told", toldState(protocol.JobCancelled, jobs[:3]...))
-		s.eventually(300*second, "the work is done", s.Users.AllTold)
+		s.eventually(300*second, "the work is done", s.Users.AllFinal)
 	}
 }
 
@@ -392,7 +392,7 @@
 	for seed := range uint64(8) {
 		s := newBusyScenario(t, 2000+seed, 10*second)
 		back := []time.Duration{50 * time.Millisecond, second / 5, second, 4 * second}[seed%4]
-		s.Nodes[seed%3].Old = seed >= 4
+		s.Nodes[seed%3].PreviousVersion = seed >= 4
 		for range 3 {
 			if leader := s.currentLeader(); leader != nil {
 				leader.Crash(back)
@@ -412,7 +412,7 @@
 		}
 		s.Run(s.Now + second)
 		s.awaitLeader().Crash(back)
-		s.eventually(300*second, "the work is done", s.Users.AllTold)
+		s.eventually(300*second, "the work is done", s.Users.AllFinal)
 	}
 }
 
@@ -429,11 +429,11 @@
 		s := newScenario(t, 2200+seed)
 		s.addMachines(16)
 		job := s.Users.Submit(simulation.Array(64), 90)
-		s.eventually(90*second, "all tasks run", func() bool { return job.Running() == 64 })
-		s.Cloud.Out = true
+		s.eventually(90*second, "all tasks run", func() bool { return job.RunningTasks() == 64 })
+		s.Cloud.Down = true
 		for _, worker := range s.SomeWorkers(6) {
 			for _, node := range s.Nodes {
-				s.Link(node.Label, worker.Info.Name, simulation.Dropped)
+				s.SetLink(node.Label, worker.Info.Name, simulation.Dropped)
 			}
 		}
 		for _, node := range s.Nodes {
@@ -443,11 +443,11 @@
 		s.eventually(45*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
 		for _, worker := range s.Workers {
 			for _, node := range s.Nodes {
-				s.Mend(node.Label, worker.Info.Name)
+				s.Heal(node.Label, worker.Info.Name)
 			}
 		}
-		s.Cloud.Out = false
-		s.eventually(300*second, "the job is done", s.Users.AllTold)
+		s.Cloud.Down = false
+		s.eventually(300*second, "the job is done", s.Users.AllFinal)
 	}
 }
 
@@ -456,9 +456,9 @@
 func TestEveryHeartbeatResponseStopsCancelledTasks(t *testing.T) {
 	s := newScenario(t, 2300)
 	gone, stays := s.Users.Submit(simulation.Array(4), 100), s.Users.Submit(simulation.Array(4), 100)
-	s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 8 })
-	worker := s.Workers[gone.On(0)]
-	s.Users.Abort(gone)
+	s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 8 })
+	worker := s.Workers[gone.MachineOf(0)]
+	s.Users.Cancel(gone)
 	s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, gone))
 	old := protocol.Heartbeat{Machine: worker.Info.Name, Addr: worker.Info.Addr, Type: worker.Info.Type, Zone: worker.Info.Zone, Spot: worker.Info.Spot, Session: 1,
 		Tasks: []protocol.TaskStatus{
@@ -467,7 +467,7 @@
 			{Task: protocol.TaskName(stays.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
 		}}
 	var answer protocol.HeartbeatResponse
-	worker.ReportsTo().Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: old} }, func(r core.Reply) {
+	worker.Controller().Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: old} }, func(r core.Reply) {
 		answer, _ = r.Body.(protocol.HeartbeatResponse)
 	})
 	s.Run(s.Now + second)
@@ -483,17 +483,17 @@
 	for tenths := range 24 {
 		set := simulation.Settings(3)
 		set.Site.Workers.CancelS = 24 // little more than two times the staleness limit and a lease
-		s := &scenario{World: simulation.Build(2400, set, simulation.Types()), t: t}
+		s := &scenario{Cluster: simulation.NewWithSettings(2400, set, simulation.MachineTypes()), t: t}
 		s.Run(2 * second)
 		s.addMachines(12)
 		gone := s.Users.Submit(simulation.Array(40), 100)
-		s.eventually(60*second, "all tasks run", func() bool { return gone.Running() == 40 })
+		s.eventually(60*second, "all tasks run", func() bool { return gone.RunningTasks() == 40 })
 		leader, third := s.leader(), s.otherFollower()
-		s.State.Refuses[leader.Label] = true
-		s.Users.Only = s.follower()
-		s.Users.Abort(gone)
+		s.Store.RefusedNodes[leader.Label] = true
+		s.Users.OnlyNode = s.follower()
+		s.Users.Cancel(gone)
 		s.eventually(5*second, "its user is told", toldState(protocol.JobCancelled, gone))
-		s.State.Outage(60 * second)
+		s.Store.Outage(60 * second)
 		s.After(3*second+time.Duration(tenths)*second/10, func() { third.Crash(0) })
 		s.Run(s.Now + s.cancelSpan() + second)
 		s.requireInvariants()
@@ -509,15 +509,15 @@
 		s.eventually(40*second, "it is done", toldState(protocol.JobDone, job))
 		s.Run(s.Now + 4*second) // its admission batch is gone
 		if forgets {
-			s.State.Forget("c/job/" + job.Spec.ID)
+			s.Store.DeleteKey("c/job/" + job.Spec.ID)
 		} else {
-			s.State.Reopen(job.Spec)
+			s.Store.ReopenJob(job.Spec)
 		}
 		node := s.follower()
 		node.Crash(second / 5)
 		s.Run(s.Now + 5*second)
-		s.Link(node.Label, "users", simulation.Link{Delay: second})
-		s.Users.Look(job) // the others' answers come first
+		s.SetLink(node.Label, "users", simulation.Link{Delay: second})
+		s.Users.ReadEverywhere(job) // the others' answers come first
 		s.Run(s.Now + 3*second)
 	}
 	for name, fault := range map[string]struct {
@@ -525,23 +525,23 @@
 		seed func(s *scenario, red *simulation.Job)
 	}{
 		"nobody answers": {"forgotten", func(s *scenario, red *simulation.Job) {
-			s.Users.Calm = s.Now
+			s.Users.FaultsOverAt = s.Now
 			for _, node := range s.Nodes {
-				s.Cut(node.Label, "users", false)
+				s.Partition(node.Label, "users", false)
 			}
 			s.Run(s.Now + 90*second)
 		}},
 		"a start long after": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
-			s.Users.Abort(red)
+			s.Users.Cancel(red)
 			s.Run(s.Now + s.cancelSpan() + 10*second)
-			s.Workers[s.Cloud.Add("box", "b", true)].Force(protocol.TaskName(red.Spec.ID, 3), 99)
+			s.Workers[s.Cloud.AddRunning("box", "b", true)].ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 5*second)
 		}},
 		"a task goes on as its machine does": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
-			s.Users.Abort(red)
+			s.Users.Cancel(red)
 			s.Run(s.Now + s.cancelSpan() - 5*second)
-			worker := s.Workers[s.Cloud.Add("box", "b", true)]
-			worker.Force(protocol.TaskName(red.Spec.ID, 3), 99)
+			worker := s.Workers[s.Cloud.AddRunning("box", "b", true)]
+			worker.ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 2*second/10)
 			worker.Hung = true // before it could be stopped, and beyond cancel_s
 			s.Run(s.Now + 10*second)
@@ -549,11 +549,11 @@
 			s.Run(s.Now + second)
 		}},
 		"a start after the word": {"late starts", func(s *scenario, red *simulation.Job) {
-			s.Users.Abort(red)
+			s.Users.Cancel(red)
 			s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, red))
-			s.Workers[s.Cloud.Add("box", "b", true)].Force(protocol.TaskName(red.Spec.ID, 3), 99)
-			if s.Users.LateStarts == 1 {
-				s.Broken = append(s.Broken, "late starts: one")
+			s.Workers[s.Cloud.AddRunning("box", "b", true)].ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
+			if s.Users.StartsAfterCancel == 1 {
+				s.Violations = append(s.Violations, "late starts: one")
 			}
 		}},
 		"past the limit": {"quota", func(s *scenario, red *simulation.Job) {
@@ -562,18 +562,18 @@
 			more.Team = "red"
 			job := s.Users.Submit(more, 60)
 			for i, worker := range s.SomeWorkers(8) {
-				worker.Force(protocol.TaskName(job.Spec.ID, i), 99)
+				worker.ForceStart(protocol.TaskName(job.Spec.ID, i), 99)
 			}
 			s.Run(s.Now + 5*second)
 		}},
 		"an older word that comes last": {"went_back", func(s *scenario, red *simulation.Job) { reopened(s, false) }},
 		"unknown at one node":           {"forgotten", func(s *scenario, red *simulation.Job) { reopened(s, true) }},
 		"accepted though it can't run": {"wrongly_accepted", func(s *scenario, red *simulation.Job) {
-			s.Users.Never(simulation.Array(1))
+			s.Users.SubmitInvalid(simulation.Array(1))
 			s.Run(s.Now + second)
 		}},
 		"room, and a limit that only the checker lifts": {"left_waiting", func(s *scenario, red *simulation.Job) {
-			s.Set.Site.Teams = []config.Team{{Name: "red", CPUsMax: 100}}
+			s.Settings.Site.Teams = []config.Team{{Name: "red", CPUsMax: 100}}
 			most := simulation.Array(6) // of which each leaves a CPU of its machine
 			most.CPUs = 3
 			s.Users.Submit(most, 300)
@@ -581,7 +581,7 @@
 			more.Team = "red"
 			s.Users.Submit(more, 10)
 			s.Run(s.Now + 30*second)
-			s.Users.Calm = s.Now
+			s.Users.FaultsOverAt = s.Now
 			s.Run(s.Now + 100*second)
 		}},
 	} {
@@ -591,10 +591,10 @@
 			spec.Team = "red"
 			spec.ImageGB = 0 // or it would be stopped before it has its image
 			red := s.Users.Submit(spec, 300)
-			s.eventually(60*second, "all tasks run", func() bool { return red.Running() == 24 })
+			s.eventually(60*second, "all tasks run", func() bool { return red.RunningTasks() == 24 })
 			fault.seed(s, red)
-			if !slices.ContainsFunc(s.Broken, func(b string) bool { return strings.Contains(b, fault.rule+":") }) {
-				t.Errorf("%s is not noticed: %v", fault.rule, s.Broken)
+			if !slices.ContainsFunc(s.Violations, func(b string) bool { return strings.Contains(b, fault.rule+":") }) {
+				t.Errorf("%s is not noticed: %v", fault.rule, s.Violations)
 			}
 		})
 	}
@@ -605,7 +605,7 @@
 	s := newScenario(t, 2600)
 	s.addMachines(8)
 	job := s.Users.Submit(simulation.Array(24), 40)
-	s.eventually(60*second, "all tasks run", func() bool { return job.Running() == 24 })
+	s.eventually(60*second, "all tasks run", func() bool { return job.RunningTasks() == 24 })
 	s.Run(s.Now + 30*second)
 	for _, node := range s.Nodes {
 		node.Crash(second / 5)
--- a/internal/core/intervals.go
+++ b/internal/core/intervals.go
@@ -31,7 +31,7 @@
 // newIntervals derives the spans from the settings.
 func newIntervals(settings *config.Settings) intervals {
 	site := &settings.Site
-	lease, heartbeat := config.Seconds(site.Workers.LeaseS), config.Seconds(site.Workers.ReportS)
+	lease, heartbeat := config.Seconds(site.Workers.LeaseS), config.Seconds(site.Workers.HeartbeatS)
 	// A member that dies keeps its key for memberLease, so this bounds a failover; one that is
 	// cut off from the state service answers workers only for maxStaleness, which must end
 	// before memberLease does. maxStaleness + workerLease stays below cancel_s.
@@ -41,7 +41,7 @@
 	driftMargin := time.Duration(4 * clockDrift * float64(lease+maxStaleness))
 	// All nodes' watches and barriers together take at most half of the requests.
 	nodes := float64(len(settings.Siblings) + 1)
-	readSpacing := time.Duration(4 * nodes / site.State.Least().RPS * float64(time.Second))
+	readSpacing := time.Duration(4 * nodes / site.Store.Lowest().RPS * float64(time.Second))
 	return intervals{
 		workerLease:        lease,
 		heartbeat:          heartbeat,
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -21,7 +21,7 @@
 			s := newScenario(t, 95)
 			s.Run(s.Now + 10*second)
 			leader, member := s.leader(), s.follower()
-			s.Between(leader.Label, member.Label, simulation.Link{Largest: peerproto.MaxLineBytes})
+			s.SetLinks(leader.Label, member.Label, simulation.Link{MaxMessageBytes: peerproto.MaxLineBytes})
 			var asked []peerproto.TaskAttempt // of a job that is unknown there: all of them come back
 			var stops []peerproto.StopTask
 			for i := range machines * tasks {
@@ -31,7 +31,7 @@
 			}
 			var got, returned []peerproto.TaskAttempt
 			var stopped []peerproto.StopTask
-			s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
+			s.OnApplied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 				for _, c := range cmds {
 					line, ok := c.(core.PeerReceived)
 					switch {
@@ -65,14 +65,14 @@
 	for _, machines := range []int{4000, 8000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			set := simulation.Settings(3)
-			set.Site.State.RPS, set.Site.State.WriteRPS = 250*float64(machines)/1454, 100*float64(machines)/1454
+			set.Site.Store.RPS, set.Site.Store.WriteRPS = 250*float64(machines)/1454, 100*float64(machines)/1454
 			set.Site.Workers.LeaseS, set.Site.Workers.CancelS = 26.5, 51.5
-			s := &scenario{World: simulation.Build(96, set, simulation.Types()), t: t}
+			s := &scenario{Cluster: simulation.NewWithSettings(96, set, simulation.MachineTypes()), t: t}
 			s.Run(s.Now + 10*second)
 			long := s.Users.Submit(simulation.Array(12), 150)
-			s.eventually(60*second, "all tasks run", func() bool { return long.Running() == 12 })
+			s.eventually(60*second, "all tasks run", func() bool { return long.RunningTasks() == 12 })
 			s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // the others wait
-			perTick := int(set.Site.State.WriteRPS * 0.9 / 10)
+			perTick := int(set.Site.Store.WriteRPS * 0.9 / 10)
 			var gone []*simulation.Job
 			for range 80 * perTick {
 				gone = append(gone, s.Users.Submit(simulation.Array(1), 300))
@@ -80,31 +80,31 @@
 			s.eventually(60*second, "all jobs are accepted", func() bool {
 				return !slices.ContainsFunc(gone, func(j *simulation.Job) bool { return !j.Accepted })
 			})
-			s.Users.Only = s.leader()
+			s.Users.OnlyNode = s.leader()
 			behind := s.follower()
-			s.Cut(behind.Label, "state", true)
+			s.Partition(behind.Label, "state", true)
 			for i := range 80 { // 8 s: a mirror is too old to act on after 9
 				for _, j := range gone[i*perTick : (i+1)*perTick] {
-					s.Users.Abort(j)
+					s.Users.Cancel(j)
 				}
 				s.Run(s.Now + second/10)
 			}
 			told := 0
 			for _, j := range gone {
-				if j.Told == protocol.JobCancelled {
+				if j.LastState == protocol.JobCancelled {
 					told++
 				}
 			}
 			if told < 1500 {
 				t.Fatalf("only %d users were told", told)
 			}
-			s.State.Outage(40 * second)
-			s.Mend(behind.Label, "state")
+			s.Store.Outage(40 * second)
+			s.Heal(behind.Label, "state")
 			s.Logs = nil
 			least := 12
 			for range 38 {
 				s.Run(s.Now + second)
-				least = min(least, long.Running())
+				least = min(least, long.RunningTasks())
 			}
 			s.requireInvariants()
 			if least < 12 || !s.logged("workers are kept alive") {
--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -12,7 +12,7 @@
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 20+seed, 18*second)
 		s.partition(30*second, s.Nodes[seed%3].Label, "state", s.Nodes[(seed+1)%3].Label, s.Nodes[(seed+2)%3].Label)
-		s.eventually(240*second, "the work goes on", s.Users.AllTold)
+		s.eventually(240*second, "the work goes on", s.Users.AllFinal)
 	}
 }
 
@@ -21,21 +21,21 @@
 func TestPartitionedMachineKeepsTasksUntilLeaseExpiry(t *testing.T) {
 	s := newScenario(t, 30)
 	job := s.Users.Submit(simulation.Array(8), 50)
-	s.eventually(60*second, "every task runs", func() bool { return job.Running() == 8 })
-	s.partition(60*second, job.On(0), s.Nodes[0].Label, s.Nodes[1].Label, s.Nodes[2].Label)
-	s.eventually(240*second, "its tasks run elsewhere", s.Users.AllTold)
+	s.eventually(60*second, "every task runs", func() bool { return job.RunningTasks() == 8 })
+	s.partition(60*second, job.MachineOf(0), s.Nodes[0].Label, s.Nodes[1].Label, s.Nodes[2].Label)
+	s.eventually(240*second, "its tasks run elsewhere", s.Users.AllFinal)
 }
 
 // A worker that hangs and resumes within its lease still has its tasks.
 func TestHungMachineResumes(t *testing.T) {
 	s := newScenario(t, 31)
 	job := s.Users.Submit(simulation.Array(8), 30)
-	s.eventually(60*second, "every task runs", func() bool { return job.Running() == 8 })
-	worker := s.Workers[job.On(3)]
+	s.eventually(60*second, "every task runs", func() bool { return job.RunningTasks() == 8 })
+	worker := s.Workers[job.MachineOf(3)]
 	worker.Hung = true
 	s.leader().Crash(3 * second)
 	s.After(12*second, func() { worker.Hung = false })
-	s.eventually(200*second, "the job is done", s.Users.AllTold)
+	s.eventually(200*second, "the job is done", s.Users.AllFinal)
 }
 
 // Crashes, partitions, lost machines, lost responses and outages that overlap. With seed 72 the
@@ -53,7 +53,7 @@
 		s := newScenario(t, 100+seed)
 		t.Logf("seed %d", seed)
 		s.Loss = 0.01
-		s.State.LateShare, s.State.LateBy = 0.03, 5*second
+		s.Store.DelayedCommitShare, s.Store.MaxCommitDelay = 0.03, 5*second
 		random := s.Rand
 		for i := range 12 {
 			spec := simulation.Array(4 + random.IntN(12))
@@ -68,9 +68,9 @@
 			}
 			s.After(time.Duration(random.IntN(60))*second, func() {
 				job := s.Users.Submit(spec, 3+random.Float64()*20)
-				job.Mistaken = i == 7
-				if i%6 == 5 || job.Mistaken {
-					s.After(time.Duration(5+random.IntN(40))*second, func() { s.Users.Abort(job) })
+				job.FailsEverywhere = i == 7
+				if i%6 == 5 || job.FailsEverywhere {
+					s.After(time.Duration(5+random.IntN(40))*second, func() { s.Users.Cancel(job) })
 				}
 			})
 		}
@@ -81,12 +81,12 @@
 			case 0:
 				s.After(start, func() { node.Crash(time.Duration(1+random.IntN(8)) * second) })
 			case 1:
-				s.After(start, func() { s.State.Outage(time.Duration(5+random.IntN(25)) * second) })
+				s.After(start, func() { s.Store.Outage(time.Duration(5+random.IntN(25)) * second) })
 			case 2:
 				end := []string{"state", "workers", s.Nodes[random.IntN(3)].Label, "cloud"}[random.IntN(4)]
 				keep := random.IntN(2) == 0
-				s.After(start, func() { s.Cut(node.Label, end, keep) })
-				s.After(start+time.Duration(5+random.IntN(30))*second, func() { s.Mend(node.Label, end) })
+				s.After(start, func() { s.Partition(node.Label, end, keep) })
+				s.After(start+time.Duration(5+random.IntN(30))*second, func() { s.Heal(node.Label, end) })
 			case 3:
 				s.After(start, func() {
 					for _, worker := range s.SomeWorkers(2) {
@@ -104,7 +104,7 @@
 				pause := time.Duration(3+random.IntN(40)) * second
 				s.After(start, func() {
 					if node.Alive() {
-						node.StandStill(pause)
+						node.Pause(pause)
 					}
 				})
 			case 6:
@@ -114,7 +114,7 @@
 			}
 		}
 		s.Run(110 * second)
-		s.eventually(500*second, "every job is over", s.Users.AllTold)
+		s.eventually(500*second, "every job is over", s.Users.AllFinal)
 	}
 }
 
@@ -125,12 +125,12 @@
 	for seed, cutLeader := range []bool{false, true} {
 		s := newScenario(t, 75+uint64(seed))
 		for range 12 {
-			s.Cloud.Add("box", "b", true)
+			s.Cloud.AddRunning("box", "b", true)
 		}
 		for range 4 {
 			s.Users.Submit(simulation.Array(40), 20)
 		}
-		s.eventually(60*second, "tasks run", func() bool { return s.Users.Running() > 40 })
+		s.eventually(60*second, "tasks run", func() bool { return s.Users.RunningTasks() > 40 })
 		node := s.follower()
 		if cutLeader {
 			node = s.leader()
@@ -138,7 +138,7 @@
 		hasLogged := func(what string) func() bool {
 			return func() bool { return s.logged(what) }
 		}
-		s.Cut(node.Label, "workers", false)
+		s.Partition(node.Label, "workers", false)
 		s.eventually(15*second, "it leaves the map", hasLogged("leaving the shard map"))
 		s.Logs = nil
 		s.Run(s.Now + 40*second)
@@ -146,9 +146,9 @@
 			t.Fatal("it joins again while it reaches no machine")
 		}
 		s.Users.Submit(simulation.Array(100), 30)
-		s.Mend(node.Label, "workers")
+		s.Heal(node.Label, "workers")
 		s.eventually(12*second, "it joins again", hasLogged("rejoining the shard map"))
-		s.eventually(200*second, "every job is done", s.Users.AllTold)
+		s.eventually(200*second, "every job is done", s.Users.AllFinal)
 	}
 }
 
@@ -158,7 +158,7 @@
 	s := newScenario(t, 31)
 	s.PeerLatency = 400 * time.Millisecond
 	for range 12 {
-		s.Cloud.Add("barn", "a", true)
+		s.Cloud.AddRunning("barn", "a", true)
 	}
 	for i := range 60 {
 		s.At(s.Now+time.Duration(i)*second/2, func() {
@@ -166,7 +166,7 @@
 			for _, worker := range s.SomeWorkers(1) {
 				if i%3 == 0 {
 					s.Cloud.Remove(worker.Info.Name)
-					s.Cloud.Add("barn", "a", true)
+					s.Cloud.AddRunning("barn", "a", true)
 				}
 			}
 		})
@@ -184,12 +184,12 @@
 		s := newScenario(t, 59)
 		s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 		for i := range 12 {
-			s.Cloud.Add("box", []string{"a", "b"}[min(i/4, 1)], true)
+			s.Cloud.AddRunning("box", []string{"a", "b"}[min(i/4, 1)], true)
 		}
 		long := simulation.Array(48)
 		long.CheckpointS, long.SaveS = 4, 1
 		job := s.Users.Submit(long, 400)
-		s.eventually(60*second, "all of it runs", func() bool { return job.Running() == 48 })
+		s.eventually(60*second, "all of it runs", func() bool { return job.RunningTasks() == 48 })
 		var nodes []string
 		for _, node := range s.Nodes {
 			nodes = append(nodes, node.Label)
@@ -206,10 +206,10 @@
 			s.leader().Crash(20 * second)
 		}
 		s.Run(s.Now + 150*second)
-		if s.Cloud.Deleted > 1 || s.Cloud.Hired > 0 {
-			t.Errorf("leader changed %v: %d machines were returned and %d created", changeLeader, s.Cloud.Deleted, s.Cloud.Hired)
+		if s.Cloud.Deleted > 1 || s.Cloud.Created > 0 {
+			t.Errorf("leader changed %v: %d machines were returned and %d created", changeLeader, s.Cloud.Deleted, s.Cloud.Created)
 		}
-		s.eventually(60*second, "all of it runs again", func() bool { return job.Running() >= 44 })
+		s.eventually(60*second, "all of it runs again", func() bool { return job.RunningTasks() >= 44 })
 	}
 }
 
@@ -217,9 +217,9 @@
 // was stopped and cleared is not started again by the duplicate.
 func TestDuplicatedCommandsAreNotRepeated(t *testing.T) {
 	s := newScenario(t, 900)
-	s.Copies, s.CopyBy = 1, 120*second
+	s.DuplicateShare, s.MaxDuplicateDelay = 1, 120*second
 	job := s.Users.Submit(simulation.Array(4), 300)
-	s.eventually(60*second, "a machine is up", func() bool { return job.Running() == 4 })
+	s.eventually(60*second, "a machine is up", func() bool { return job.RunningTasks() == 4 })
 	var jobs []*simulation.Job
 	for range 12 { // beside it, so that they start by /do
 		jobs = append(jobs, s.Users.Submit(simulation.Array(2), 300))
@@ -227,7 +227,7 @@
 	}
 	s.Run(s.Now + 10*second)
 	for _, job := range jobs {
-		s.Users.Abort(job)
+		s.Users.Cancel(job)
 	}
 	s.Run(s.Now + 150*second)
 	s.requireInvariants()
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -93,18 +93,18 @@
 	result.name = fmt.Sprintf("%s: %s, mended low first %v", mode, c, lowFirst)
 	cluster := simulation.New(7, 3)
 	for i := range 12 {
-		cluster.Cloud.Add("box", []string{"a", "b"}[i%2], false)
+		cluster.Cloud.AddRunning("box", []string{"a", "b"}[i%2], false)
 	}
-	s := &scenario{World: cluster, t: t}
+	s := &scenario{Cluster: cluster, t: t}
 	s.Run(12 * second)
 	ends := s.actualEnds()
 	set := func(part cutSet, link simulation.Link) {
 		for i, pair := range linkPairs {
 			if part>>(2*i)&1 != 0 {
-				s.Link(ends[pair[0]], ends[pair[1]], link)
+				s.SetLink(ends[pair[0]], ends[pair[1]], link)
 			}
 			if part>>(2*i)&2 != 0 {
-				s.Link(ends[pair[1]], ends[pair[0]], link)
+				s.SetLink(ends[pair[1]], ends[pair[0]], link)
 			}
 		}
 	}
@@ -126,15 +126,15 @@
 	before := s.Users.Starts
 	s.Run(mend)
 	result.starts = s.Users.Starts - before
-	result.timedOutUsers = s.Users.Late
+	result.timedOutUsers = s.Users.TimedOut
 	set(first, simulation.Link{})
 	s.Run(rest)
 	set(last, simulation.Link{})
-	if !s.Until(rest+150*second, s.Users.AllTold) {
+	if !s.RunUntil(rest+150*second, s.Users.AllFinal) {
 		result.failure = "the work does not end"
 	}
-	if len(s.Broken) > 0 {
-		result.failure = strings.Join(s.Broken, "\n")
+	if len(s.Violations) > 0 {
+		result.failure = strings.Join(s.Violations, "\n")
 	}
 	result.logs = s.Logs
 	return result
@@ -251,7 +251,7 @@
 func startWithMachines(t *testing.T, seed uint64, machines int) *scenario {
 	s := newBusyScenario(t, seed, 10*second)
 	for range machines {
-		s.Cloud.Add("box", "b", false)
+		s.Cloud.AddRunning("box", "b", false)
 	}
 	s.Run(s.Now + 10*second)
 	return s
@@ -270,11 +270,11 @@
 	for seed, how := range []simulation.Link{simulation.Dropped, simulation.Held} {
 		s := newBusyScenario(t, 400+uint64(seed), 10*second)
 		leader := s.leader()
-		s.Link("state", leader.Label, how)
+		s.SetLink("state", leader.Label, how)
 		s.eventually(40*second, "another leads", func() bool { return s.anotherLeads(leader) })
 		s.Run(s.Now + 30*second)
-		s.Link("state", leader.Label, simulation.Link{})
-		s.eventually(200*second, "the work ends", s.Users.AllTold)
+		s.SetLink("state", leader.Label, simulation.Link{})
+		s.eventually(200*second, "the work ends", s.Users.AllFinal)
 		s.eventually(40*second, "it takes part again", func() bool { return leader.Ready })
 	}
 }
@@ -287,7 +287,7 @@
 	leader, changes := s.leader(), 0
 	for _, other := range []string{"workers", "node-0", "node-1", "node-2"} {
 		if other != leader.Label {
-			s.Cut(leader.Label, other, false)
+			s.Partition(leader.Label, other, false)
 		}
 	}
 	s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(leader) })
@@ -301,21 +301,21 @@
 	if changes > 0 {
 		t.Fatalf("the leader changed %d times in ten minutes of one and the same cut", changes)
 	}
-	s.eventually(10*second, "the work has ended meanwhile", s.Users.AllTold)
+	s.eventually(10*second, "the work has ended meanwhile", s.Users.AllFinal)
 
 	s = startWithMachines(t, 411, 6)
 	leader = s.leader()
 	for _, node := range s.Nodes {
-		s.Cut(node.Label, "workers", false)
+		s.Partition(node.Label, "workers", false)
 	}
 	s.Run(s.Now + 60*second)
 	for _, node := range s.Nodes {
-		s.Mend(node.Label, "workers")
+		s.Heal(node.Label, "workers")
 	}
 	if s.currentLeader() != leader {
 		t.Fatal("the leader changed although nobody else reaches more")
 	}
-	s.eventually(200*second, "the work ends", s.Users.AllTold)
+	s.eventually(200*second, "the work ends", s.Users.AllFinal)
 }
 
 // A leader without reachable machines that loses its members' links steps down, and does not
@@ -325,14 +325,14 @@
 	for seed, knows := range []bool{true, false} {
 		s := startWithMachines(t, 420+uint64(seed), 60)
 		leader := s.leader()
-		s.Cut(leader.Label, "workers", false)
+		s.Partition(leader.Label, "workers", false)
 		if s.Run(s.Now + 2*second); knows {
 			s.eventually(15*second, "it leaves the shard map", func() bool { return s.logged("leaving the shard map") })
 			s.Run(s.Now + 5*second)
 		}
 		for _, other := range s.Nodes {
 			if other != leader {
-				s.Between(leader.Label, other.Label, simulation.Refused)
+				s.SetLinks(leader.Label, other.Label, simulation.Refused)
 			}
 		}
 		s.eventually(6*second, "another leads", func() bool { return s.anotherLeads(leader) })
@@ -340,7 +340,7 @@
 		if s.logged("members [" + leader.Label + "]") {
 			t.Fatal("it took all machines for itself, and reaches none")
 		}
-		s.eventually(200*second, "the work ends", s.Users.AllTold)
+		s.eventually(200*second, "the work ends", s.Users.AllFinal)
 	}
 }
 
@@ -352,21 +352,21 @@
 	node := s.follower()
 	for _, end := range []string{"state", "workers", "node-0", "node-1", "node-2"} {
 		if end != node.Label {
-			s.Cut(node.Label, end, true)
+			s.Partition(node.Label, end, true)
 		}
 	}
 	s.Run(s.Now + 30*second)
 	s.Logs = nil
 	for _, end := range []string{"state", "node-0", "node-1", "node-2"} {
-		s.Mend(node.Label, end)
+		s.Heal(node.Label, end)
 	}
 	s.Run(s.Now + 20*second)
 	if s.logged("controller rejoined the shard map") {
 		t.Fatal("it is given machines that it does not reach")
 	}
-	s.Mend(node.Label, "workers")
+	s.Heal(node.Label, "workers")
 	s.eventually(12*second, "it takes part again", func() bool { return s.logged("controller rejoined the shard map") })
-	s.eventually(200*second, "the work ends", s.Users.AllTold)
+	s.eventually(200*second, "the work ends", s.Users.AllFinal)
 }
 
 // A controller that loses the machines notices it soon after a heartbeat period, whatever the
@@ -374,12 +374,12 @@
 func TestUnreachableMachinesAreNoticedWithinAReportPeriod(t *testing.T) {
 	s := startWithMachines(t, 440, 60)
 	node := s.follower()
-	node.StandStill(5 * second) // less than its lease
+	node.Pause(5 * second) // less than its lease
 	s.Run(s.Now + 15*second)
 	if s.logged("leaving the shard map") {
 		t.Fatal("it leaves the shard map for having stood still")
 	}
-	s.Cut(node.Label, "workers", false)
+	s.Partition(node.Label, "workers", false)
 	s.eventually(4*second, "it leaves the shard map", func() bool { return s.logged("leaving the shard map") })
 }
 
@@ -388,19 +388,19 @@
 func TestOneWayPartitionFromTheMachines(t *testing.T) {
 	s := newScenario(t, 450)
 	for range 30 {
-		s.Cloud.Add("box", "b", true)
+		s.Cloud.AddRunning("box", "b", true)
 	}
 	for at := 10 * second; at < 90*second; at += second {
 		s.At(at, func() { s.Users.Submit(simulation.Array(3), 5) })
 	}
 	s.Run(30 * second)
 	node := s.follower()
-	s.Link(node.Label, "workers", simulation.Dropped)
+	s.SetLink(node.Label, "workers", simulation.Dropped)
 	s.eventually(13*second, "it leaves the shard map", func() bool { return s.logged("leaving the shard map") })
 	s.Run(s.Now + 40*second)
-	s.Link(node.Label, "workers", simulation.Link{})
+	s.SetLink(node.Label, "workers", simulation.Link{})
 	s.eventually(60*second, "it takes part again", func() bool { return s.logged("rejoining the shard map") })
-	s.eventually(200*second, "the work ends", s.Users.AllTold)
+	s.eventually(200*second, "the work ends", s.Users.AllFinal)
 }
 
 // A controller that the state service does not serve is soon not ready, so that users are sent
@@ -408,11 +408,11 @@
 func TestNodeWithoutStoreIsNotReady(t *testing.T) {
 	s := newBusyScenario(t, 460, 10*second)
 	node := s.follower()
-	s.Cut(node.Label, "state", false)
+	s.Partition(node.Label, "state", false)
 	s.eventually(3500*time.Millisecond, "it is not ready", func() bool { return !node.Ready })
-	s.Mend(node.Label, "state")
+	s.Heal(node.Label, "state")
 	s.eventually(10*second, "it is ready", func() bool { return node.Ready })
-	s.State.Outage(20 * second)
+	s.Store.Outage(20 * second)
 	nobody := time.Duration(0)
 	for range 200 {
 		s.Run(s.Now + second/10)
@@ -430,7 +430,7 @@
 func TestRejoinedMemberStaysInTheShardMap(t *testing.T) {
 	s := newScenario(t, 470)
 	for i := range 30 {
-		s.Cloud.Add("box", []string{"a", "b"}[i%2], true)
+		s.Cloud.AddRunning("box", []string{"a", "b"}[i%2], true)
 	}
 	s.Run(s.Now + 10*second)
 	node := s.follower()
@@ -439,10 +439,10 @@
 		s.At(at, func() { s.Users.Submit(simulation.Array(6), 5) })
 	}
 	s.Run(s.Now + 5*second)
-	s.CutZone("b", "", false)
+	s.PartitionZone("b", "", false)
 	s.Run(s.Now + 60*second)
 	s.Logs = nil
-	s.MendZone("b", "")
+	s.HealZone("b", "")
 	s.eventually(10*second, "it takes part again", func() bool { return s.logged("controller rejoined the shard map") })
 	s.Run(s.Now + 30*second)
 	if s.logged("leaving the shard map") {
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -15,7 +15,7 @@
 	low, high := simulation.Array(30), simulation.Array(10)
 	low.Urgency, high.Urgency = protocol.UrgencyLow, protocol.UrgencyHigh
 	lowJob, urgentJob := s.Users.Submit(low, 10), s.Users.Submit(high, 10)
-	s.eventually(200*second, "the urgent job is done", func() bool { return urgentJob.Told == protocol.JobDone })
+	s.eventually(200*second, "the urgent job is done", func() bool { return urgentJob.LastState == protocol.JobDone })
 	if lowJob.Answer.Done > 10 {
 		t.Fatalf("%d tasks of the low-urgency job are done before the urgent job", lowJob.Answer.Done)
 	}
@@ -29,11 +29,11 @@
 	low := simulation.Array(16)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	lowJob := s.Users.Submit(low, 300)
-	s.eventually(60*second, "the low-urgency job fills the machine", func() bool { return lowJob.Running() == 16 })
+	s.eventually(60*second, "the low-urgency job fills the machine", func() bool { return lowJob.RunningTasks() == 16 })
 	high := simulation.Array(8)
 	high.Urgency = protocol.UrgencyHigh
 	urgentJob := s.Users.Submit(high, 20)
-	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.Running() == 8 })
+	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.RunningTasks() == 8 })
 	s.eventually(10*second, "the low-urgency job's user is told why", func() bool { return strings.Contains(lowJob.Answer.Reason, "more urgent work") })
 }
 
@@ -42,17 +42,17 @@
 func TestBestEffortTeamYieldsToGuarantee(t *testing.T) {
 	s := newScenario(t, 37)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	s.Cloud.Add("barn", "a", true)
+	s.Cloud.AddRunning("barn", "a", true)
 	long := simulation.Array(40)
 	long.Team, long.CheckpointS, long.SaveS, long.Urgency = "guest", 4, 1, protocol.UrgencyLow
 	bestEffortJob := s.Users.Submit(long, 300)
-	s.eventually(30*second, "the best-effort team fills the machine", func() bool { return bestEffortJob.Running() == 16 })
+	s.eventually(30*second, "the best-effort team fills the machine", func() bool { return bestEffortJob.RunningTasks() == 16 })
 	own := simulation.Array(8)
 	own.Urgency = protocol.UrgencyLow
 	guaranteedJob := s.Users.Submit(own, 10)
-	s.eventually(15*second, "the other team has its guarantee", func() bool { return guaranteedJob.Running() == 8 })
+	s.eventually(15*second, "the other team has its guarantee", func() bool { return guaranteedJob.RunningTasks() == 8 })
 	s.eventually(10*second, "the best-effort user is told why", func() bool { return strings.Contains(bestEffortJob.Answer.Reason, "its guarantee") })
-	s.eventually(40*second, "the best-effort job goes on", func() bool { return bestEffortJob.Running() >= 14 })
+	s.eventually(40*second, "the best-effort job goes on", func() bool { return bestEffortJob.RunningTasks() >= 14 })
 }
 
 // Preemption makes room machine by machine: as many small tasks are stopped as a large one
@@ -61,18 +61,18 @@
 	s := newScenario(t, 39)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 8 {
-		s.Cloud.Add("box", "a", true)
+		s.Cloud.AddRunning("box", "a", true)
 	}
 	one, other := simulation.Array(8), simulation.Array(8) // a task of each on every machine
 	one.Team, one.CheckpointS, one.SaveS, one.CPUs, one.MemoryGB = "guest", 4, 3, 2, 12
 	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
 	oneJob, otherJob := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
-	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return oneJob.Running()+otherJob.Running() >= 14 })
+	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return oneJob.RunningTasks()+otherJob.RunningTasks() >= 14 })
 	own := simulation.Array(2)
 	own.CPUs = 4
 	largeJob := s.Users.Submit(own, 30)
-	s.eventually(6*second, "the large tasks run", func() bool { return largeJob.Running() == 2 })
-	if n := oneJob.Running() + otherJob.Running(); n < 10 {
+	s.eventually(6*second, "the large tasks run", func() bool { return largeJob.RunningTasks() == 2 })
+	if n := oneJob.RunningTasks() + otherJob.RunningTasks(); n < 10 {
 		t.Fatalf("only %d of 16 small tasks are left", n)
 	}
 }
@@ -83,17 +83,17 @@
 	s := newScenario(t, 40)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 4 {
-		s.Cloud.Add("barn", "a", true)
+		s.Cloud.AddRunning("barn", "a", true)
 	}
 	low := simulation.Array(16)
 	low.Urgency, low.CPUs, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 4, 2
 	lowJob := s.Users.Submit(low, 300)
-	s.eventually(60*second, "the low-urgency job fills the machines", func() bool { return lowJob.Running() == 16 })
+	s.eventually(60*second, "the low-urgency job fills the machines", func() bool { return lowJob.RunningTasks() == 16 })
 	high := simulation.Array(16)
 	high.Urgency = protocol.UrgencyHigh
 	urgentJob := s.Users.Submit(high, 20)
-	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.Running() == 16 })
-	if n := lowJob.Running(); n < 11 {
+	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.RunningTasks() == 16 })
+	if n := lowJob.RunningTasks(); n < 11 {
 		t.Fatalf("%d of 16 low-urgency tasks are left, four had to go", n)
 	}
 }
@@ -104,21 +104,21 @@
 	s := newScenario(t, 41)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 4 {
-		s.Cloud.Add("barn", "a", true)
+		s.Cloud.AddRunning("barn", "a", true)
 	}
 	bad := simulation.Array(60)
 	bad.Urgency = protocol.UrgencyHigh
 	crashLooping := s.Users.Submit(bad, 10)
-	crashLooping.Mistaken = true
+	crashLooping.FailsEverywhere = true
 	s.eventually(60*second, "it is known to fail", func() bool { return strings.Contains(crashLooping.Answer.Reason, "one is tried again at") })
 	low := simulation.Array(80)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	lowJob := s.Users.Submit(low, 600)
-	s.eventually(30*second, "the low-urgency job fills the machines", func() bool { return lowJob.Running() >= 62 })
+	s.eventually(30*second, "the low-urgency job fills the machines", func() bool { return lowJob.RunningTasks() >= 62 })
 	least := 64
 	for range 100 {
 		s.Run(s.Now + second)
-		least = min(least, lowJob.Running())
+		least = min(least, lowJob.RunningTasks())
 	}
 	if least < 58 {
 		t.Fatalf("%d of 64 low-urgency tasks were left", least)
@@ -130,17 +130,17 @@
 func TestPreemptedCapacityIsKeptForUrgentJob(t *testing.T) {
 	s := newScenario(t, 48)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	s.Cloud.Add("box", "a", false)
+	s.Cloud.AddRunning("box", "a", false)
 	long := simulation.Array(3)
 	long.CheckpointS, long.SaveS = 4, 1
 	longJob := s.Users.Submit(long, 300)
-	s.eventually(30*second, "it leaves one CPU free", func() bool { return longJob.Running() == 3 })
+	s.eventually(30*second, "it leaves one CPU free", func() bool { return longJob.RunningTasks() == 3 })
 	big, small := simulation.Array(1), simulation.Array(1)
 	big.CPUs, big.Urgency = 4, protocol.UrgencyHigh
 	small.CheckpointS, small.SaveS = 4, 1
 	urgentJob := s.Users.Submit(big, 5)
 	s.Users.Submit(small, 300)
-	s.eventually(20*second, "the urgent job is done", func() bool { return urgentJob.Told == protocol.JobDone })
+	s.eventually(20*second, "the urgent job is done", func() bool { return urgentJob.LastState == protocol.JobDone })
 }
 
 // A best-effort team's urgent tasks with checkpoints, and another team's urgent ones within its
@@ -148,15 +148,15 @@
 func TestBestEffortAndGuaranteedTeamsDoNotPreemptInTurn(t *testing.T) {
 	s := newScenario(t, 49)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	s.Cloud.Add("barn", "a", true)
+	s.Cloud.AddRunning("barn", "a", true)
 	bestEffort, own := simulation.Array(40), simulation.Array(2)
 	bestEffort.Team, bestEffort.Urgency, bestEffort.CheckpointS, bestEffort.SaveS = "guest", protocol.UrgencyProduction, 4, 1
 	own.Urgency, own.CPUs = protocol.UrgencyHigh, 4
 	s.Users.Submit(bestEffort, 20)
 	s.Run(s.Now + 8*second)
 	job := s.Users.Submit(own, 10)
-	s.eventually(25*second, "the guaranteed job is done", func() bool { return job.Told == protocol.JobDone })
-	s.eventually(200*second, "the best-effort one too", s.Users.AllTold)
+	s.eventually(25*second, "the guaranteed job is done", func() bool { return job.LastState == protocol.JobDone })
+	s.eventually(200*second, "the best-effort one too", s.Users.AllFinal)
 }
 
 // Low-urgency work within its team's guarantee ranks before another team's work with an objective,
@@ -164,14 +164,14 @@
 func TestLowerRankedWorkDoesNotPreempt(t *testing.T) {
 	set := simulation.Settings(3)
 	set.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "alerts", Share: 0.9, Times: 1}}
-	s := &scenario{World: simulation.Build(58, set, simulation.Types()), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(58, set, simulation.MachineTypes()), t: t}
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	s.Cloud.Add("box", "a", true)
+	s.Cloud.AddRunning("box", "a", true)
 	idle, late := simulation.Array(8), simulation.Array(40)
 	idle.Urgency = protocol.UrgencyLow
 	late.Team, late.Class, late.DeadlineS = "red", "alerts", 5
 	s.Users.Submit(idle, 9)
 	s.Run(s.Now + 12*second)
 	s.Users.Submit(late, 9)
-	s.eventually(400*second, "both are done", s.Users.AllTold)
+	s.eventually(400*second, "both are done", s.Users.AllFinal)
 }
--- a/internal/core/random_deployment_test.go
+++ b/internal/core/random_deployment_test.go
@@ -49,10 +49,10 @@
 func (d *deployment) unfinished() string {
 	var left []string
 	for _, job := range d.jobs {
-		if job.Refused == 0 && job.Told != protocol.JobDone && job.Told != protocol.JobCancelled {
+		if job.Rejected == 0 && job.LastState != protocol.JobDone && job.LastState != protocol.JobCancelled {
 			spec := &job.Spec
 			left = append(left, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", spec.ID, spec.Kind, spec.Team,
-				spec.Tasks, spec.CPUs, job.Told, job.Answer.Reason))
+				spec.Tasks, spec.CPUs, job.LastState, job.Answer.Reason))
 		}
 	}
 	return strings.Join(left, ", ")
@@ -93,10 +93,10 @@
 	}
 	heartbeat := drawFloat(rt, "report_s", 1, 6)
 	lease := max(heartbeat*drawFloat(rt, "lease in reports", 4.5, 9), 9)
-	site.Workers = config.Workers{ReportS: heartbeat, LeaseS: lease, CancelS: lease * drawFloat(rt, "cancel in leases", 1.3, 3.6),
+	site.Workers = config.WorkerTiming{HeartbeatS: heartbeat, LeaseS: lease, CancelS: lease * drawFloat(rt, "cancel in leases", 1.3, 3.6),
 		GangWaitS: 1.6 * lease, GangPeerS: 2 * heartbeat}
-	site.State = drawStoreLimits(rt)
-	site.Cloud = config.Cloud{RPS: drawFloat(rt, "cloud rps", 1, 10), ListLagS: drawFloat(rt, "list lag", 1, 20)}
+	site.Store = drawStoreLimits(rt)
+	site.Cloud = config.CloudLimits{RPS: drawFloat(rt, "cloud rps", 1, 10), ListLagS: drawFloat(rt, "list lag", 1, 20)}
 	site.Resources = config.Resources{Cores: 0.2, RAMMB: 128, MaxSockets: 1000}
 	for i := range rapid.IntRange(1, 5).Draw(rt, "types") {
 		d.types = append(d.types, drawMachineType(rt, i, site.Zones))
@@ -110,12 +110,12 @@
 
 // drawStoreLimits draws the limits of the state service, and perhaps lower ones that are
 // announced.
-func drawStoreLimits(rt *rapid.T) config.State {
-	limits := config.State{RPS: drawFloat(rt, "rps", 50, 500), WriteRPS: drawFloat(rt, "write_rps", 10, 150),
-		ValueKB: rapid.SampledFrom([]float64{4, 8, 16, 32, 64}).Draw(rt, "value_kb"), TxnOps: rapid.IntRange(4, 32).Draw(rt, "txn_ops")}
+func drawStoreLimits(rt *rapid.T) config.StoreLimits {
+	limits := config.StoreLimits{RPS: drawFloat(rt, "rps", 50, 500), WriteRPS: drawFloat(rt, "write_rps", 10, 150),
+		ValueKB: rapid.SampledFrom([]float64{4, 8, 16, 32, 64}).Draw(rt, "value_kb"), MaxTxnOps: rapid.IntRange(4, 32).Draw(rt, "txn_ops")}
 	if rapid.Bool().Draw(rt, "limits fall") {
-		limits.Next = &config.State{WriteRPS: limits.WriteRPS * drawFloat(rt, "to", 0.6, 1),
-			ValueKB: rapid.SampledFrom([]float64{2, 4, 0}).Draw(rt, "next value_kb"), TxnOps: rapid.IntRange(0, 8).Draw(rt, "next txn_ops")}
+		limits.Next = &config.StoreLimits{WriteRPS: limits.WriteRPS * drawFloat(rt, "to", 0.6, 1),
+			ValueKB: rapid.SampledFrom([]float64{2, 4, 0}).Draw(rt, "next value_kb"), MaxTxnOps: rapid.IntRange(0, 8).Draw(rt, "next txn_ops")}
 	}
 	return limits
 }
@@ -171,15 +171,15 @@
 		for _, zone := range machineType.Zones {
 			s.Cloud.Capacity[machineType.Name+" "+zone] = rapid.IntRange(4, 24).Draw(rt, "capacity")
 			for range rapid.IntRange(0, 3).Draw(rt, "up at the start") {
-				s.Cloud.Add(machineType.Name, zone, false)
+				s.Cloud.AddRunning(machineType.Name, zone, false)
 			}
 		}
 	}
 	if rapid.IntRange(0, 9).Draw(rt, "boots") == 9 {
-		s.Cloud.NeverUp, s.Cloud.Boots = 3, 3
+		s.Cloud.StuckBoots, s.Cloud.BootFactor = 3, 3
 	}
 	s.Loss = drawFloat(rt, "lost packets", 0, 0.02)
-	s.State.LateShare, s.State.LateBy = drawFloat(rt, "late transactions", 0, 0.05), 12*second
+	s.Store.DelayedCommitShare, s.Store.MaxCommitDelay = drawFloat(rt, "late transactions", 0, 0.05), 12*second
 }
 
 // drawUpgrade may begin with controllers of the previous version that come back as new ones, one
@@ -192,14 +192,14 @@
 		d.upgradedAt = second
 		for _, node := range s.Nodes {
 			d.upgradedAt += drawSpan(rt, "the next one after", 0.05, 6)
-			s.At(d.upgradedAt, func() { node.Old = false; node.Crash(delay) })
+			s.At(d.upgradedAt, func() { node.PreviousVersion = false; node.Crash(delay) })
 		}
 		d.upgradedAt += delay + second
 		d.lastFaultAt = max(d.lastFaultAt, d.upgradedAt)
 	}
-	if d.settings.Site.State.Next != nil {
+	if d.settings.Site.Store.Next != nil {
 		at := drawSpan(rt, "limits fall", 0, 80)
-		s.At(at, func() { s.State.Lowered = true })
+		s.At(at, func() { s.Store.LimitsLowered = true })
 		d.lastFaultAt = max(d.lastFaultAt, at)
 	}
 }
@@ -291,12 +291,12 @@
 func (d *deployment) submit(s *scenario, drawn *drawnJob) {
 	drawn.spec.Dependencies = d.newestAccepted(drawn.dependencies - 2)
 	job := s.Users.Submit(drawn.spec, drawn.seconds)
-	job.Mistaken = drawn.mistaken
+	job.FailsEverywhere = drawn.mistaken
 	d.jobs = append(d.jobs, job)
 	d.cpuSeconds += drawn.seconds * drawn.spec.CPUs * float64(drawn.spec.Tasks)
 	switch {
 	case drawn.cancelled:
-		s.After(drawn.cancelAfter, func() { s.Users.Abort(job) })
+		s.After(drawn.cancelAfter, func() { s.Users.Cancel(job) })
 	case drawn.endless || drawn.mistaken:
 		d.endlessJobs = append(d.endlessJobs, job)
 	}
@@ -315,8 +315,8 @@
 // cancelRunning has users cancel up to n of the jobs that are under way.
 func (d *deployment) cancelRunning(s *scenario, n int) {
 	for _, job := range d.jobs {
-		if job.Told == protocol.JobRunning && n > 0 {
-			s.Users.Abort(job)
+		if job.LastState == protocol.JobRunning && n > 0 {
+			s.Users.Cancel(job)
 			n--
 		}
 	}
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -85,14 +85,14 @@
 
 // partition cuts two ends off from one another for the time of the fault.
 func (f *fault) partition(a, b string) {
-	f.during(func() { f.s.Cut(a, b, f.keepPackets) }, func() { f.s.Mend(a, b) })
+	f.during(func() { f.s.Partition(a, b, f.keepPackets) }, func() { f.s.Heal(a, b) })
 }
 
 // refuseLeader has the store refuse whoever leads now, for a while.
 func (f *fault) refuseLeader(span time.Duration) {
 	if leader := f.s.currentLeader(); leader != nil {
-		f.s.State.Refuses[leader.Label] = true
-		f.s.After(span, func() { delete(f.s.State.Refuses, leader.Label) })
+		f.s.Store.RefusedNodes[leader.Label] = true
+		f.s.After(span, func() { delete(f.s.Store.RefusedNodes, leader.Label) })
 	}
 }
 
@@ -146,7 +146,7 @@
 	"controller paused": func(f *fault) {
 		f.atStart(func() {
 			if f.node.Alive() {
-				f.node.StandStill(f.span)
+				f.node.Pause(f.span)
 			}
 		})
 	},
@@ -155,22 +155,22 @@
 // storeFaults are those of the state service.
 var storeFaults = map[string]func(*fault){
 	"commit answers lost": func(f *fault) {
-		share, store := drawFloat(f.rt, "share", 0.1, 0.7), f.s.State
-		f.during(func() { store.LateShare, store.LateBy = share, 0 }, func() { store.LateShare, store.LateBy = 0.02, 12*second })
+		share, store := drawFloat(f.rt, "share", 0.1, 0.7), f.s.Store
+		f.during(func() { store.DelayedCommitShare, store.MaxCommitDelay = share, 0 }, func() { store.DelayedCommitShare, store.MaxCommitDelay = 0.02, 12*second })
 	},
 	"late commits": func(f *fault) {
-		share, store := drawFloat(f.rt, "share", 0.1, 0.6), f.s.State
-		before := store.LateShare
-		f.during(func() { store.LateShare, store.LateFrom = share, 2*second }, func() { store.LateShare, store.LateFrom = before, 0 })
+		share, store := drawFloat(f.rt, "share", 0.1, 0.6), f.s.Store
+		before := store.DelayedCommitShare
+		f.during(func() { store.DelayedCommitShare, store.MinCommitDelay = share, 2*second }, func() { store.DelayedCommitShare, store.MinCommitDelay = before, 0 })
 	},
 	"controller refused by store": func(f *fault) {
-		f.during(func() { f.s.State.Refuses[f.node.Label] = true }, func() { delete(f.s.State.Refuses, f.node.Label) })
+		f.during(func() { f.s.Store.RefusedNodes[f.node.Label] = true }, func() { delete(f.s.Store.RefusedNodes, f.node.Label) })
 	},
 	"store outage": func(f *fault) {
-		f.atStart(func() { f.s.State.Outage(f.span) })
+		f.atStart(func() { f.s.Store.Outage(f.span) })
 	},
 	"slow store": func(f *fault) {
-		f.during(func() { f.s.State.Slow = 300 * time.Millisecond }, func() { f.s.State.Slow = 0 })
+		f.during(func() { f.s.Store.ResponseDelay = 300 * time.Millisecond }, func() { f.s.Store.ResponseDelay = 0 })
 	},
 	"cancellation as store refuses leader": func(f *fault) {
 		f.atStart(func() {
@@ -178,7 +178,7 @@
 			f.cancelRunning(f.s, f.count)
 		})
 		if f.keepPackets {
-			f.s.At(f.at+second, func() { f.s.State.Outage(f.span) })
+			f.s.At(f.at+second, func() { f.s.Store.Outage(f.span) })
 		}
 	},
 	"cancellation then outage": func(f *fault) { // jobs are cancelled through those who are still served
@@ -189,14 +189,14 @@
 			f.refuseLeader(alone + outage)
 			f.cancelRunning(f.s, f.count)
 		})
-		f.s.At(f.at+alone, func() { f.s.State.Outage(outage) })
+		f.s.At(f.at+alone, func() { f.s.Store.Outage(outage) })
 	},
 }
 
 // networkFaults are partitions, and links that delay, duplicate or refuse.
 var networkFaults = map[string]func(*fault){
 	"packets duplicated": func(f *fault) {
-		f.during(func() { f.s.Copies, f.s.CopyBy = 0.2, f.span }, func() { f.s.Copies = 0 })
+		f.during(func() { f.s.DuplicateShare, f.s.MaxDuplicateDelay = 0.2, f.span }, func() { f.s.DuplicateShare = 0 })
 	},
 	"partition from store":   func(f *fault) { f.partition(f.node.Label, "state") },
 	"partition from workers": func(f *fault) { f.partition(f.node.Label, "workers") },
@@ -220,11 +220,11 @@
 		})
 	},
 	"commands delayed": func(f *fault) {
-		held := simulation.Link{Hold: true, Period: drawSpan(f.rt, "period", 1, 8)}
-		f.during(func() { f.s.Link(f.node.Label, "workers", held) }, func() { f.s.Link(f.node.Label, "workers", simulation.Link{}) })
+		held := simulation.Link{Hold: true, FlapPeriod: drawSpan(f.rt, "period", 1, 8)}
+		f.during(func() { f.s.SetLink(f.node.Label, "workers", held) }, func() { f.s.SetLink(f.node.Label, "workers", simulation.Link{}) })
 	},
 	"peer connections refused": func(f *fault) {
-		f.during(func() { f.s.PeersRefuse = true }, func() { f.s.PeersRefuse = false })
+		f.during(func() { f.s.PeersRefuseConnections = true }, func() { f.s.PeersRefuseConnections = false })
 	},
 	"slow peer links": func(f *fault) {
 		f.during(func() { f.s.PeerLatency = 400 * time.Millisecond }, func() { f.s.PeerLatency = 0 })
@@ -232,11 +232,11 @@
 	"link faults":        (*fault).drawLinkFaults,
 	"link faults, again": (*fault).drawLinkFaults, // drawn twice as often as the rest
 	"zone partitioned": func(f *fault) {
-		f.during(func() { f.s.CutZone(f.zone, "", f.keepPackets) }, func() { f.s.MendZone(f.zone, "") })
+		f.during(func() { f.s.PartitionZone(f.zone, "", f.keepPackets) }, func() { f.s.HealZone(f.zone, "") })
 	},
 	"zones partitioned from each other": func(f *fault) {
 		if other := rapid.SampledFrom(f.settings.Site.Zones).Draw(f.rt, "other"); other != f.zone {
-			f.during(func() { f.s.CutZone(f.zone, other, f.keepPackets) }, func() { f.s.MendZone(f.zone, other) })
+			f.during(func() { f.s.PartitionZone(f.zone, other, f.keepPackets) }, func() { f.s.HealZone(f.zone, other) })
 		}
 	},
 }
@@ -255,10 +255,10 @@
 	if to == "sibling" {
 		to = rapid.SampledFrom(f.s.Nodes).Draw(f.rt, "sibling").Label
 	}
-	link := rapid.SampledFrom([]simulation.Link{simulation.Dropped, simulation.Held, simulation.Refused, simulation.Resets, simulation.Unread,
-		{Delay: 2 * second}, {Loss: 0.4}, {Largest: 4096}}).Draw(f.rt, "link")
+	link := rapid.SampledFrom([]simulation.Link{simulation.Dropped, simulation.Held, simulation.Refused, simulation.ResetOnSend, simulation.Unread,
+		{Delay: 2 * second}, {Loss: 0.4}, {MaxMessageBytes: 4096}}).Draw(f.rt, "link")
 	if rapid.IntRange(0, 3).Draw(f.rt, "flaps") == 3 {
-		link.Period = drawSpan(f.rt, "period", 0.5, 12.5)
+		link.FlapPeriod = drawSpan(f.rt, "period", 0.5, 12.5)
 	}
 	const (
 		forth = iota
@@ -268,10 +268,10 @@
 	begin, end := drawSpan(f.rt, "begins after", 0, 10), drawSpan(f.rt, "ends after", 12, 70)
 	set := func(link simulation.Link) {
 		if ways != back {
-			f.s.Link(from, to, link)
+			f.s.SetLink(from, to, link)
 		}
 		if ways != forth {
-			f.s.Link(to, from, link)
+			f.s.SetLink(to, from, link)
 		}
 	}
 	f.s.At(f.at+begin, func() { set(link) })
@@ -283,15 +283,15 @@
 var machineFaults = map[string]func(*fault){
 	"machines cannot reach controllers": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
-			machine.Mute = true
-			f.s.After(f.span, func() { machine.Mute = false })
+			machine.OutboundBlocked = true
+			f.s.After(f.span, func() { machine.OutboundBlocked = false })
 		})
 	},
 	"one-way partition from machines": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
 			for _, node := range f.s.Nodes {
-				f.s.Link(node.Label, machine.Info.Name, simulation.Dropped)
-				f.s.After(f.span, func() { f.s.Link(node.Label, machine.Info.Name, simulation.Link{}) })
+				f.s.SetLink(node.Label, machine.Info.Name, simulation.Dropped)
+				f.s.After(f.span, func() { f.s.SetLink(node.Label, machine.Info.Name, simulation.Link{}) })
 			}
 		})
 	},
@@ -310,19 +310,19 @@
 			f.s.After(f.span, func() { machine.Faulty = false })
 		})
 	},
-	"slow machines":           func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.Slow = 3 }) },
-	"spot machines reclaimed": func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.Recall(f.span / 8) }) },
+	"slow machines":           func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.SlowFactor = 3 }) },
+	"spot machines reclaimed": func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.Reclaim(f.span / 8) }) },
 	"heartbeats delayed past failover": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
 			for _, node := range f.s.Nodes {
-				f.s.Link(machine.Info.Name, node.Label, simulation.Held)
-				f.s.After(f.span, func() { f.s.Link(machine.Info.Name, node.Label, simulation.Link{}) })
+				f.s.SetLink(machine.Info.Name, node.Label, simulation.Held)
+				f.s.After(f.span, func() { f.s.SetLink(machine.Info.Name, node.Label, simulation.Link{}) })
 			}
 		})
 		f.s.At(f.at+second, func() { f.s.crashLeader(second / 5) })
 	},
 	"heartbeats replayed at failover": func(f *fault) {
-		f.during(func() { f.s.KeepReports = true }, func() { f.s.KeepReports = false })
+		f.during(func() { f.s.RetainHeartbeats = true }, func() { f.s.RetainHeartbeats = false })
 		f.s.At(f.at+f.span+time.Duration(f.count)*second/12, func() { f.s.crashLeader(second / 5) })
 	},
 	"cancellation while machines hang": func(f *fault) {
@@ -341,7 +341,7 @@
 	left := f.count
 	for _, job := range f.jobs {
 		for i := 0; i < job.Spec.Tasks && left > 0; i++ {
-			if machine := f.s.Workers[job.On(i)]; machine != nil && !machine.Hung {
+			if machine := f.s.Workers[job.MachineOf(i)]; machine != nil && !machine.Hung {
 				left--
 				machine.Hung = true
 				f.s.After(span, func() { machine.Hung = false })
@@ -353,7 +353,7 @@
 // cloudFaults are those of the cloud.
 var cloudFaults = map[string]func(*fault){
 	"cloud down": func(f *fault) {
-		f.during(func() { f.s.Cloud.Out = true }, func() { f.s.Cloud.Out = false })
+		f.during(func() { f.s.Cloud.Down = true }, func() { f.s.Cloud.Down = false })
 	},
 	"no cloud capacity": func(f *fault) {
 		f.during(func() {
@@ -371,7 +371,7 @@
 // requestFaults are what users do at a bad moment, or too often.
 var requestFaults = map[string]func(*fault){
 	"cancellation at completion": func(f *fault) {
-		f.during(func() { f.s.Users.AtEnd = 0.4 }, func() { f.s.Users.AtEnd = 0 })
+		f.during(func() { f.s.Users.CancelAtEndShare = 0.4 }, func() { f.s.Users.CancelAtEndShare = 0 })
 	},
 	"cancellation during handover": func(f *fault) {
 		delay := drawRestartDelay(f.rt)
@@ -414,11 +414,11 @@
 	case 1:
 		spec.MachineTypes = []string{"no such type"}
 	}
-	s.Users.Never(spec)
+	s.Users.SubmitInvalid(spec)
 	for _, job := range d.jobs {
 		switch {
-		case job.Told == protocol.JobDone:
-			s.Users.Abort(job)
+		case job.LastState == protocol.JobDone:
+			s.Users.Cancel(job)
 		case job.Accepted:
 			s.Users.Resubmit(job)
 		}
--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -23,8 +23,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		d := drawDeployment(rt)
 		d.drawBindingQuotas(rt)
-		s := &scenario{World: simulation.Build(rapid.Uint64().Draw(rt, "luck"), d.settings, d.types), t: rt}
-		s.Policy.FloorLeases = 1.5
+		s := &scenario{Cluster: simulation.NewWithSettings(rapid.Uint64().Draw(rt, "luck"), d.settings, d.types), t: rt}
+		s.Policy.OverdueLeases = 1.5
 		for _, node := range s.Nodes {
 			node.Start()
 		}
@@ -34,7 +34,7 @@
 		}
 		s.At(d.lastFaultAt, func() {
 			for _, machine := range s.Workers {
-				machine.Slow = 0 // those that were slow would stay so
+				machine.SlowFactor = 0 // those that were slow would stay so
 			}
 		})
 		up := d.lastFaultAt + config.Seconds(2*d.longestBoot()) // when there are machines at the latest
@@ -121,9 +121,9 @@
 // allows it, and returns how many classes it has judged.
 func (s *scenario) requireHalfOfEachClass(until time.Duration, capacity map[string]float64) (judged int) {
 	s.t.Helper()
-	broken, judged := s.Users.FloorsBroken(until, capacity)
+	broken, judged := s.Users.UnderservedClasses(until, capacity)
 	for _, account := range broken {
-		share := s.Users.Shares(until)[account]
+		share := s.Users.ClassShares(until)[account]
 		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 	return judged
--- a/internal/core/randomized_test.go
+++ b/internal/core/randomized_test.go
@@ -28,25 +28,25 @@
 func TestRandomizedSimulation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := drawDeployment(rt)
-		s := &scenario{World: simulation.Build(rapid.Uint64().Draw(rt, "luck"), d.settings, d.types), t: rt}
+		s := &scenario{Cluster: simulation.NewWithSettings(rapid.Uint64().Draw(rt, "luck"), d.settings, d.types), t: rt}
 		d.drawMachines(rt, s)
 		d.drawUpgrade(rt, s)
 		d.drawJobs(rt, s)
-		s.Users.CloseLooks = rapid.IntRange(0, 3).Draw(rt, "close looks") == 3
-		s.Cloud.AtOnce = rapid.IntRange(0, 3).Draw(rt, "boots at once") == 3
+		s.Users.CheckReadYourWrites = rapid.IntRange(0, 3).Draw(rt, "close looks") == 3
+		s.Cloud.InstantBoot = rapid.IntRange(0, 3).Draw(rt, "boots at once") == 3
 		var kinds []string
 		for range rapid.IntRange(0, 7).Draw(rt, "troubles") {
 			kinds = append(kinds, d.drawFault(rt, s))
 		}
 		drawnPairs.add(kinds)
 		s.Run(d.lastFaultAt)
-		s.Loss, s.State.LateShare, s.Users.Calm = 0, 0, s.Now
+		s.Loss, s.Store.DelayedCommitShare, s.Users.FaultsOverAt = 0, 0, s.Now
 		s.requireInvariants()
 		s.Run(s.Now + 3*d.lease())
 		s.requireAnswers(d)
 		s.cancelEndless(d)
 		timeout := d.completionTimeout(s)
-		over := s.Until(s.Now+timeout, s.Users.AllTold)
+		over := s.RunUntil(s.Now+timeout, s.Users.AllFinal)
 		s.requireInvariants()
 		if !over {
 			rt.Fatalf("not over within %v: %s\n%s", timeout, d.unfinished(), s.lastLogs(*logLines))
@@ -58,9 +58,9 @@
 // requireAnswers fails the test unless nine of ten requests are answered, or all but one.
 func (s *scenario) requireAnswers(d *deployment) {
 	s.t.Helper()
-	asked, served := s.Users.Asked, s.Users.Served
+	asked, served := s.Users.Requests, s.Users.Answered
 	s.Run(s.Now + max(2*d.lease(), 20*second))
-	asked, served = s.Users.Asked-asked, s.Users.Served-served
+	asked, served = s.Users.Requests-asked, s.Users.Answered-served
 	if asked-served > max(asked/10, 1) {
 		s.t.Fatalf("after all faults %d of %d requests are answered\n%s", served, asked, s.lastLogs(*logLines))
 	}
@@ -70,11 +70,11 @@
 func (s *scenario) cancelEndless(d *deployment) {
 	s.t.Helper()
 	for _, job := range d.endlessJobs {
-		if job.Refused == 0 && job.Told == "" {
-			s.eventually(2*d.lease()+10*second, "a job is accepted", func() bool { return job.Told != "" || job.Refused != 0 })
+		if job.Rejected == 0 && job.LastState == "" {
+			s.eventually(2*d.lease()+10*second, "a job is accepted", func() bool { return job.LastState != "" || job.Rejected != 0 })
 		}
-		if job.Refused == 0 {
-			s.Users.Abort(job)
+		if job.Rejected == 0 {
+			s.Users.Cancel(job)
 		}
 	}
 }
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -32,13 +32,13 @@
 		},
 		"a member restarts while messages of its former process are delayed": func(s *scenario) {
 			node := s.follower()
-			s.Cut(node.Label, "state", true)
-			s.Cut(node.Label, "workers", true)
+			s.Partition(node.Label, "state", true)
+			s.Partition(node.Label, "workers", true)
 			s.Run(s.Now + second)
 			node.Crash(soon)
 			s.Run(s.Now + second/2)
 			node.Crash(soon) // none of the three can be heard
-			s.After(20*second, func() { s.Mend(node.Label, "state"); s.Mend(node.Label, "workers") })
+			s.After(20*second, func() { s.Heal(node.Label, "state"); s.Heal(node.Label, "workers") })
 		},
 		"all crash and restart in another order": func(s *scenario) {
 			for i, node := range s.Nodes {
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
 				s := newScenario(t, 800+seed)
-				s.Copies, s.CopyBy = 0.3, 100*second
+				s.DuplicateShare, s.MaxDuplicateDelay = 0.3, 100*second
 				long := s.submitAccepted(simulation.Array(12), 30)
 				next := s.submitAccepted(dependentArray(6, long), 5)
 				cancelled := s.submitAccepted(simulation.Array(10), 200)
@@ -70,13 +70,13 @@
 				}
 				s.Run(s.Now + 20*second)
 				ends(s)
-				s.Users.Abort(cancelled)
+				s.Users.Cancel(cancelled)
 				s.Users.Submit(simulation.Array(5), 4)
-				s.eventually(300*second, "all come to their end", s.Users.AllTold)
+				s.eventually(300*second, "all come to their end", s.Users.AllFinal)
 				s.Run(s.Now + 100*second) // the last copies arrive
 				s.requireInvariants()
-				if !toldState(protocol.JobDone, long, next)() || cancelled.Told != protocol.JobCancelled {
-					t.Fatal(long.Told, next.Told, cancelled.Told)
+				if !toldState(protocol.JobDone, long, next)() || cancelled.LastState != protocol.JobCancelled {
+					t.Fatal(long.LastState, next.LastState, cancelled.LastState)
 				}
 			}
 		})
@@ -90,17 +90,17 @@
 	for _, old := range []bool{false, true} { // the leader, as it is in production
 		s := newScenario(t, 90)
 		for range 12 {
-			s.Cloud.Add("box", "b", true)
+			s.Cloud.AddRunning("box", "b", true)
 		}
 		s.Run(s.Now + 10*second)
 		if node := s.leader(); old {
-			node.Old = true
+			node.PreviousVersion = true
 			node.Crash(second / 10)
 			s.Run(s.Now + 10*second)
 		}
 		member, ended, epoch, given := s.follower(), false, uint64(0), map[string]uint64{}
-		s.Link(member.Label, "workers", simulation.Link{Delay: 300 * time.Millisecond})
-		s.Applied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
+		s.SetLink(member.Label, "workers", simulation.Link{Delay: 300 * time.Millisecond})
+		s.OnApplied = func(n *simulation.Node, cmds []core.Command, _ time.Duration) {
 			for _, command := range cmds {
 				line, ok := command.(core.PeerReceived)
 				if ok && ended && n != member && line.Message.Snapshot && line.Message.Epoch == epoch {
@@ -120,8 +120,8 @@
 				}
 				if len(given) > 0 && !ended {
 					ended = true
-					s.Link(s.leader().Label, "state", simulation.Link{Delay: second / 10}) // the next map takes its time
-					s.After(time.Millisecond/4, func() { n.Crash(second / 50) })           // before anybody hears of it
+					s.SetLink(s.leader().Label, "state", simulation.Link{Delay: second / 10}) // the next map takes its time
+					s.After(time.Millisecond/4, func() { n.Crash(second / 50) })              // before anybody hears of it
 				}
 			}
 		}
@@ -130,7 +130,7 @@
 		}
 		s.eventually(30*second, "the member crashes", func() bool { return ended })
 		s.Run(s.Now + 5*second)
-		s.Link(member.Label, "workers", simulation.Link{})
-		s.eventually(200*second, "the work ends", s.Users.AllTold)
+		s.SetLink(member.Label, "workers", simulation.Link{})
+		s.eventually(200*second, "the work ends", s.Users.AllFinal)
 	}
 }
--- a/internal/core/rolling_upgrade_test.go
+++ b/internal/core/rolling_upgrade_test.go
@@ -13,7 +13,7 @@
 // startOldVersion starts all controllers with the previous version.
 func (s *scenario) startOldVersion() {
 	for _, node := range s.Nodes {
-		node.Old = true
+		node.PreviousVersion = true
 		node.Start()
 	}
 }
@@ -21,14 +21,14 @@
 // upgradeAll restarts all controllers with the present version.
 func (s *scenario) upgradeAll() {
 	for _, node := range s.Nodes {
-		node.Old = false
+		node.PreviousVersion = false
 	}
 	s.crashAll(second / 5)
 }
 
 // upgrade restarts a controller with the present version.
 func upgrade(node *simulation.Node) {
-	node.Old = false
+	node.PreviousVersion = false
 	node.Crash(second / 5)
 }
 
@@ -37,7 +37,7 @@
 func TestRollingUpgrade(t *testing.T) {
 	s := newScenario(t, 306)
 	for _, node := range s.Nodes {
-		node.Old = true
+		node.PreviousVersion = true
 		node.Crash(second / 20)
 	}
 	s.Run(s.Now + 30*second)
@@ -45,20 +45,20 @@
 	var after *simulation.Job
 	for k := range s.Nodes {
 		node := s.leader()
-		for i := k; !node.Old; i++ {
+		for i := k; !node.PreviousVersion; i++ {
 			node = s.Nodes[i%len(s.Nodes)]
 		}
 		upgrade(node)
 		s.Run(s.Now + 8*second)
 		if k == 1 {
-			old := s.Nodes[slices.IndexFunc(s.Nodes, func(node *simulation.Node) bool { return node.Old })]
-			s.Link("users", old.Label, simulation.Refused) // it would accept the job without its dependencies
+			old := s.Nodes[slices.IndexFunc(s.Nodes, func(node *simulation.Node) bool { return node.PreviousVersion })]
+			s.SetLink("users", old.Label, simulation.Refused) // it would accept the job without its dependencies
 			after = s.Users.Submit(dependentArray(2, before), 3)
 			s.Run(s.Now + 6*second)
 			if after.Accepted {
 				t.Fatal("accepted while a controller of the previous version lives")
 			}
-			s.Link("users", old.Label, simulation.Link{})
+			s.SetLink("users", old.Label, simulation.Link{})
 		}
 	}
 	s.eventually(200*second, "all is done", toldState(protocol.JobDone, before, after))
@@ -69,11 +69,11 @@
 func TestRollingUpgradeDuringFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		settings := simulation.Settings(4)
-		settings.Site.State.Next = &config.State{WriteRPS: 30, ValueKB: 2, TxnOps: 5}
-		s := &scenario{World: simulation.Build(320+seed, settings, simulation.Types()), t: t}
+		settings.Site.Store.Next = &config.StoreLimits{WriteRPS: 30, ValueKB: 2, MaxTxnOps: 5}
+		s := &scenario{Cluster: simulation.NewWithSettings(320+seed, settings, simulation.MachineTypes()), t: t}
 		s.startOldVersion()
 		for range 30 {
-			s.Cloud.Add("box", "a", true)
+			s.Cloud.AddRunning("box", "a", true)
 		}
 		s.Run(s.Now + 10*second)
 		var jobs []*simulation.Job
@@ -90,7 +90,7 @@
 				s.crashAllInOutage(seed)
 			case 2:
 				s.Run(s.Now + 2*second)
-				s.Nodes[3].StandStill(20 * second)
+				s.Nodes[3].Pause(20 * second)
 			}
 		}
 		s.Run(s.Now + 30*second)
@@ -107,9 +107,9 @@
 	for i, node := range s.Nodes {
 		node.Crash(second * time.Duration(1+(i+int(seed))%4) / 10)
 	}
-	s.State.Outage(12 * second)
-	s.After(4*second, func() { s.State.Lowered = true })
+	s.Store.Outage(12 * second)
+	s.After(4*second, func() { s.Store.LimitsLowered = true })
 	for range 60 {
-		s.Cloud.Add("box", "b", true)
+		s.Cloud.AddRunning("box", "b", true)
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -21,12 +21,12 @@
 		if i%2 == 1 {
 			zone = "b"
 		}
-		s.Cloud.Add("barn", zone, true)
+		s.Cloud.AddRunning("barn", zone, true)
 	}
 	for range n / 10 {
 		s.Users.Submit(simulation.Array(16*10*2), 20+s.Rand.Float64()*20)
 	}
-	s.eventually(90*second, "nearly every CPU is taken", func() bool { return s.Users.Running() >= n*15 })
+	s.eventually(90*second, "nearly every CPU is taken", func() bool { return s.Users.RunningTasks() >= n*15 })
 	return s
 }
 
@@ -38,7 +38,7 @@
 			s := startLoaded(b, 1, n)
 			b.ReportAllocs()
 			var own time.Duration
-			s.Applied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
+			s.OnApplied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
 			b.ResetTimer()
 			defer func() { b.ReportMetric(own.Seconds()*1000/float64(b.N), "core-ms/op") }()
 			for range b.N {
@@ -57,10 +57,10 @@
 			s := startLoaded(b, 1, 1000)
 			first := simulation.Array(1)
 			first.ID, first.CPUs = "job-900000000", 16
-			s.State.Behind(first, n)
+			s.Store.AddDependentJobs(first, n)
 			s.Run(s.Now + 60*second) // the others read them anew: so many changes are not kept
 			var own time.Duration
-			s.Applied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
+			s.OnApplied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
 			b.ResetTimer()
 			defer func() { b.ReportMetric(own.Seconds()*1000/float64(b.N), "core-ms/op") }()
 			for range b.N {
@@ -77,12 +77,12 @@
 	s := newScenario(t, 33)
 	s.Users.Submit(simulation.Array(3200), 60)
 	s.Run(s.Now + 2*second)
-	before := s.State.Writes
+	before := s.Store.Writes
 	for range 200 {
-		s.Cloud.Add("barn", "a", true)
+		s.Cloud.AddRunning("barn", "a", true)
 	}
-	s.eventually(8*second, "every machine works", func() bool { return s.Users.Running() >= 3200 })
-	if n := s.State.Writes - before; n > 40 {
+	s.eventually(8*second, "every machine works", func() bool { return s.Users.RunningTasks() >= 3200 })
+	if n := s.Store.Writes - before; n > 40 {
 		t.Fatalf("%d writes for 200 machines", n)
 	}
 }
@@ -93,7 +93,7 @@
 	s := startLoaded(t, 34, 150)
 	s.leader().Crash(3 * second)
 	s.Run(s.Now + 10*second)
-	s.State.Outage(8 * second)
+	s.Store.Outage(8 * second)
 	for _, k := range s.SomeWorkers(15) {
 		s.Cloud.Remove(k.Info.Name)
 	}
@@ -101,8 +101,8 @@
 	for _, n := range s.Nodes {
 		n.Crash(4 * second)
 	}
-	s.eventually(60*second, "the machines are full again", func() bool { return s.Users.Running() >= 130*15 })
-	s.eventually(400*second, "nothing accepted is lost", s.Users.AllTold)
+	s.eventually(60*second, "the machines are full again", func() bool { return s.Users.RunningTasks() >= 130*15 })
+	s.eventually(400*second, "nothing accepted is lost", s.Users.AllFinal)
 }
 
 // After all nodes have crashed, hundreds of machines are seen again within a few seconds, and none is
@@ -132,7 +132,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		s.Nodes[0].Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(core.Reply) {})
+		s.Nodes[0].Request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: j.Spec.ID} }, func(core.Reply) {})
 		if i%50 == 0 {
 			s.Run(s.Now + second/10)
 		}
@@ -166,7 +166,7 @@
 					s := newScenario(b, 700+seed)
 					s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // what is up must do
 					for i := range 16 {
-						s.Cloud.Add("box", []string{"a", "b"}[i%2], true)
+						s.Cloud.AddRunning("box", []string{"a", "b"}[i%2], true)
 					}
 					for range 30 {
 						s.Users.Submit(simulation.Array(100), 3+s.Rand.Float64()*3)
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -25,7 +25,7 @@
 
 // scenario runs a simulated cluster and fails on any violated invariant.
 type scenario struct {
-	*simulation.World
+	*simulation.Cluster
 	t testReporter
 }
 
@@ -40,8 +40,8 @@
 // newScenario begins a scenario with three controllers that are ready.
 func newScenario(t testing.TB, seed uint64) *scenario {
 	t.Helper()
-	s := &scenario{World: simulation.New(seed, 3), t: t}
-	if !s.Until(20*second, func() bool {
+	s := &scenario{Cluster: simulation.New(seed, 3), t: t}
+	if !s.RunUntil(20*second, func() bool {
 		for _, node := range s.Nodes {
 			if !node.Ready {
 				return false
@@ -68,15 +68,15 @@
 // requireInvariants fails if an invariant was violated so far.
 func (s *scenario) requireInvariants() {
 	s.t.Helper()
-	if len(s.Broken) > 0 {
-		s.t.Fatalf("%d violated invariants:\n%s\n%s", len(s.Broken), strings.Join(s.Broken[:min(len(s.Broken), 12)], "\n"), s.lastLogs(5**logLines))
+	if len(s.Violations) > 0 {
+		s.t.Fatalf("%d violated invariants:\n%s\n%s", len(s.Violations), strings.Join(s.Violations[:min(len(s.Violations), 12)], "\n"), s.lastLogs(5**logLines))
 	}
 }
 
 // eventually lets time pass until a condition holds, and fails if it does not within a span.
 func (s *scenario) eventually(span time.Duration, what string, holds func() bool) {
 	s.t.Helper()
-	if !s.Until(s.Now+span, holds) {
+	if !s.RunUntil(s.Now+span, holds) {
 		s.requireInvariants()
 		s.t.Fatalf("not within %v: %s\n%s", span, what, s.lastLogs(*logLines))
 	}
@@ -91,11 +91,11 @@
 // partition cuts one end off from others for a while; packets are kept and delivered late.
 func (s *scenario) partition(span time.Duration, end string, others ...string) {
 	for _, other := range others {
-		s.Cut(end, other, true)
+		s.Partition(end, other, true)
 	}
 	s.After(span, func() {
 		for _, other := range others {
-			s.Mend(end, other)
+			s.Heal(end, other)
 		}
 	})
 }
@@ -140,12 +140,12 @@
 func TestInvariantCheckerCatchesDoubleRun(t *testing.T) {
 	s := newScenario(t, 2)
 	job := s.Users.Submit(simulation.Array(1), 60)
-	s.eventually(60*second, "the task runs", func() bool { return job.Running() == 1 })
-	other := s.Cloud.Add("box", "b", false)
-	s.Workers[other].Force(protocol.TaskName(job.Spec.ID, 0), 99)
+	s.eventually(60*second, "the task runs", func() bool { return job.RunningTasks() == 1 })
+	other := s.Cloud.AddRunning("box", "b", false)
+	s.Workers[other].ForceStart(protocol.TaskName(job.Spec.ID, 0), 99)
 	s.Run(s.Now + 5*second)
-	if len(s.Broken) == 0 || !strings.Contains(s.Broken[0], "ran_twice") {
-		t.Fatalf("the checker saw %q", s.Broken)
+	if len(s.Violations) == 0 || !strings.Contains(s.Violations[0], "ran_twice") {
+		t.Fatalf("the checker saw %q", s.Violations)
 	}
 }
 
@@ -157,6 +157,6 @@
 		jobs = append(jobs, s.Users.Submit(spec, 1))
 	}
 	s.eventually(10*second, "all are refused", func() bool {
-		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return job.Refused != 422 })
+		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return job.Rejected != 422 })
 	})
 }
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -29,7 +29,7 @@
 	s.Users.Submit(apart, 15)
 	s.Users.Submit(pinned, 15)
 	s.After(25*second, func() { s.leader().Crash(3 * second) })
-	s.eventually(240*second, "all are done", s.Users.AllTold)
+	s.eventually(240*second, "all are done", s.Users.AllFinal)
 }
 
 // Jobs submitted with a mistake fail everywhere: users are told so, and when one task is tried
@@ -39,11 +39,11 @@
 	var bad []*simulation.Job
 	for range 3 {
 		job := s.Users.Submit(simulation.Array(24), 10)
-		job.Mistaken = true
+		job.FailsEverywhere = true
 		bad = append(bad, job)
 	}
 	good := s.Users.Submit(simulation.Array(12), 25)
-	s.eventually(120*second, "the good job is done", func() bool { return good.Told == protocol.JobDone })
+	s.eventually(120*second, "the good job is done", func() bool { return good.LastState == protocol.JobDone })
 	s.eventually(60*second, "a bad one says why", func() bool { return strings.Contains(bad[0].Answer.Reason, "one is tried again at") })
 	s.Run(s.Now + 100*second)
 	failed := 0
@@ -58,11 +58,11 @@
 	if failed > 3*24*3/2 {
 		t.Fatalf("%d failed starts of 72 tasks", failed)
 	}
-	bad[1].Mistaken = false // it was the machines after all
-	s.eventually(200*second, "a job that has been repaired is done", func() bool { return bad[1].Told == protocol.JobDone })
-	s.Users.Abort(bad[0])
-	s.Users.Abort(bad[2])
-	s.eventually(60*second, "all are over", s.Users.AllTold)
+	bad[1].FailsEverywhere = false // it was the machines after all
+	s.eventually(200*second, "a job that has been repaired is done", func() bool { return bad[1].LastState == protocol.JobDone })
+	s.Users.Cancel(bad[0])
+	s.Users.Cancel(bad[2])
+	s.eventually(60*second, "all are over", s.Users.AllFinal)
 }
 
 // A gang starts only once room for all of its tasks is held; when one is lost,
@@ -79,14 +79,14 @@
 		}
 		job := s.Users.Submit(spec, 30)
 		s.Users.Submit(simulation.Array(10), 20)
-		s.eventually(120*second, "all tasks run", func() bool { return job.Running() == 20 })
+		s.eventually(120*second, "all tasks run", func() bool { return job.RunningTasks() == 20 })
 		s.Run(s.Now + 5*second)
 		if seed == 0 {
 			s.leader().Crash(3 * second)
 		} else {
-			s.Cloud.Remove(job.On(7))
+			s.Cloud.Remove(job.MachineOf(7))
 		}
-		s.eventually(300*second, "both jobs are done", s.Users.AllTold)
+		s.eventually(300*second, "both jobs are done", s.Users.AllFinal)
 	}
 }
 
@@ -105,13 +105,13 @@
 	most := 0
 	for range 25 {
 		s.Run(s.Now + second)
-		most = max(most, job.Running())
+		most = max(most, job.RunningTasks())
 	}
 	if most < 8 || most > 56 {
 		t.Fatalf("the best-effort team took %d of 64 CPUs", most)
 	}
 	s.Users.Submit(simulation.Array(16), 18)
-	s.eventually(600*second, "every job is done", s.Users.AllTold)
+	s.eventually(600*second, "every job is done", s.Users.AllFinal)
 }
 
 // What the others have left idle for two leases a best-effort team may use, however much of their
@@ -122,24 +122,24 @@
 	burst := simulation.Array(800)
 	burst.EstimateS = 60 // or so it seems
 	s.Users.Submit(burst, 1)
-	s.eventually(200*second, "the others' work is done", s.Users.AllTold)
+	s.eventually(200*second, "the others' work is done", s.Users.AllFinal)
 	spec := simulation.Array(3)
 	spec.Team, spec.CPUs = "guest", 4 // more than an eighth of the only machine
 	job := s.Users.Submit(spec, 10)
-	s.eventually(45*second, "the best-effort job starts", func() bool { return job.Running() > 0 })
-	s.eventually(60*second, "it is done", s.Users.AllTold)
+	s.eventually(45*second, "the best-effort job starts", func() bool { return job.RunningTasks() > 0 })
+	s.eventually(60*second, "it is done", s.Users.AllFinal)
 }
 
 // Of two jobs of one team and class, the one with less left comes first.
 func TestSmallerJobOfSameClassRunsFirst(t *testing.T) {
 	s := newScenario(t, 36)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	s.Cloud.Add("barn", "a", true)
+	s.Cloud.AddRunning("barn", "a", true)
 	large := s.Users.Submit(simulation.Array(300), 10)
 	s.Run(s.Now + 5*second)
 	small := s.Users.Submit(simulation.Array(16), 10)
-	s.eventually(40*second, "the small job is done", func() bool { return small.Told == protocol.JobDone })
-	if large.Told == protocol.JobDone {
+	s.eventually(40*second, "the small job is done", func() bool { return small.LastState == protocol.JobDone })
+	if large.LastState == protocol.JobDone {
 		t.Fatal("the large job was done first")
 	}
 }
@@ -147,16 +147,16 @@
 // A job to be spread over two zones runs by halves where there is only one; one whose
 // tasks must run together can't.
 func TestSpreadWithOneZone(t *testing.T) {
-	types := simulation.Types()[:1]
+	types := simulation.MachineTypes()[:1]
 	types[0].Zones = []string{"a"}
-	s := &scenario{World: simulation.Build(44, simulation.Settings(3), types), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(44, simulation.Settings(3), types), t: t}
 	halves, gang := simulation.Array(9), simulation.Array(4)
 	halves.Spread, gang.Spread, gang.Kind = true, true, protocol.KindGang
 	halvesJob, gangJob := s.Users.Submit(halves, 10), s.Users.Submit(gang, 10)
-	s.eventually(60*second, "half of it runs", func() bool { return halvesJob.Running() == 5 })
-	s.eventually(120*second, "it is done", func() bool { return halvesJob.Told == protocol.JobDone })
-	if gangJob.Refused != 422 {
-		t.Fatalf("the gang is answered %d", gangJob.Refused)
+	s.eventually(60*second, "half of it runs", func() bool { return halvesJob.RunningTasks() == 5 })
+	s.eventually(120*second, "it is done", func() bool { return halvesJob.LastState == protocol.JobDone })
+	if gangJob.Rejected != 422 {
+		t.Fatalf("the gang is answered %d", gangJob.Rejected)
 	}
 }
 
@@ -164,14 +164,14 @@
 func TestSpreadJobUsesZoneWithCapacity(t *testing.T) {
 	s := newScenario(t, 56)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-	s.Cloud.Add("box", "a", true)
-	s.Cloud.Add("box", "b", true)
+	s.Cloud.AddRunning("box", "a", true)
+	s.Cloud.AddRunning("box", "b", true)
 	spec := simulation.Array(40)
 	spec.Spread = true
 	job := s.Users.Submit(spec, 8)
-	s.eventually(30*second, "both zones are used", func() bool { return job.Running() == 8 })
+	s.eventually(30*second, "both zones are used", func() bool { return job.RunningTasks() == 8 })
 	for i := range 40 {
-		if machine := job.On(i); machine != "" && s.Workers[machine].Info.Zone == "a" {
+		if machine := job.MachineOf(i); machine != "" && s.Workers[machine].Info.Zone == "a" {
 			s.Cloud.Remove(machine)
 		}
 	}
@@ -184,12 +184,12 @@
 	s := newScenario(t, 57)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 2 {
-		s.Cloud.Add("box", "a", true)
+		s.Cloud.AddRunning("box", "a", true)
 	}
 	s.Users.Submit(simulation.Array(2), 5)
-	s.eventually(40*second, "the others' work is done", s.Users.AllTold)
+	s.eventually(40*second, "the others' work is done", s.Users.AllFinal)
 	gang := simulation.Array(8)
 	gang.Team, gang.Kind = "guest", protocol.KindGang
 	s.Users.Submit(gang, 10)
-	s.eventually(600*second, "the gang is done", s.Users.AllTold)
+	s.eventually(600*second, "the gang is done", s.Users.AllFinal)
 }
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -15,11 +15,11 @@
 func TestStoreOutageBeyondWorkerLease(t *testing.T) {
 	s := newScenario(t, 6)
 	job := s.Users.Submit(simulation.Array(16), 40)
-	s.eventually(60*second, "tasks run", func() bool { return job.Running() > 8 })
-	s.State.Outage(40 * second)
+	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 8 })
+	s.Store.Outage(40 * second)
 	s.Run(s.Now + 39*second)
 	s.requireInvariants()
-	s.eventually(180*second, "the work is done again", s.Users.AllTold)
+	s.eventually(180*second, "the work is done again", s.Users.AllFinal)
 }
 
 // A controller that is refused by the state service alone still receives its workers' heartbeats;
@@ -28,9 +28,9 @@
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 10+seed, 20*second)
 		node := s.Nodes[seed%3]
-		s.State.Refuses[node.Label] = true
-		s.After(40*second, func() { delete(s.State.Refuses, node.Label) })
-		s.eventually(240*second, "the work goes on", s.Users.AllTold)
+		s.Store.RefusedNodes[node.Label] = true
+		s.After(40*second, func() { delete(s.Store.RefusedNodes, node.Label) })
+		s.eventually(240*second, "the work goes on", s.Users.AllFinal)
 	}
 }
 
@@ -41,13 +41,13 @@
 	job := s.Users.Submit(simulation.Array(4), 60)
 	s.eventually(30*second, "the job is accepted", func() bool { return job.Accepted })
 	s.Run(s.Now + 5*second)
-	s.State.Refused = 0
+	s.Store.Throttled = 0
 	asked, answered := 0, 0
 	for i := range 3000 {
 		s.At(s.Now+time.Duration(i)*5*time.Millisecond, func() {
 			node := s.Nodes[i%3]
 			asked++
-			node.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: job.Spec.ID} }, func(reply core.Reply) {
+			node.Request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: job.Spec.ID} }, func(reply core.Reply) {
 				if reply.Status == 200 {
 					answered++
 				}
@@ -62,10 +62,10 @@
 		})
 	}
 	s.Run(s.Now + 16*second)
-	if s.State.Refused > 0 || answered < asked {
-		t.Fatalf("%d requests were refused, %d of %d polls answered", s.State.Refused, answered, asked)
+	if s.Store.Throttled > 0 || answered < asked {
+		t.Fatalf("%d requests were refused, %d of %d polls answered", s.Store.Throttled, answered, asked)
 	}
-	s.eventually(200*second, "every job is done", s.Users.AllTold)
+	s.eventually(200*second, "every job is done", s.Users.AllFinal)
 }
 
 // Transactions without an answer that are applied late must not accept a job
@@ -73,14 +73,14 @@
 func TestLateTransactionsAndLostResponses(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 40+seed)
-		s.State.LateShare, s.State.LateBy = 0.15, 6*second
+		s.Store.DelayedCommitShare, s.Store.MaxCommitDelay = 0.15, 6*second
 		s.Loss = 0.03
 		jobs := []*simulation.Job{}
 		for range 6 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(6), 8))
 		}
-		s.After(12*second, func() { s.Users.Abort(jobs[0]); s.Users.Abort(jobs[1]) })
-		s.eventually(400*second, "every job is over", s.Users.AllTold)
+		s.After(12*second, func() { s.Users.Cancel(jobs[0]); s.Users.Cancel(jobs[1]) })
+		s.eventually(400*second, "every job is over", s.Users.AllFinal)
 		for _, job := range jobs {
 			s.Users.Resubmit(job) // however late, the answer is its state
 		}
@@ -93,18 +93,18 @@
 // keys anew, by pages some of which are refused, and knows every job.
 func TestPagedLoadAfterCompaction(t *testing.T) {
 	s := newScenario(t, 47)
-	s.State.Ended(4500)
+	s.Store.AddFinishedJobs(4500)
 	open := s.Users.Submit(simulation.Array(4), 200)
-	s.eventually(60*second, "it runs", func() bool { return open.Running() == 4 })
+	s.eventually(60*second, "it runs", func() bool { return open.RunningTasks() == 4 })
 	restarted := s.leader()
-	s.State.Refuses[restarted.Label] = true
-	s.After(6*second, func() { delete(s.State.Refuses, restarted.Label) })
+	s.Store.RefusedNodes[restarted.Label] = true
+	s.After(6*second, func() { delete(s.Store.RefusedNodes, restarted.Label) })
 	restarted.Crash(second)
-	s.After(6*second+40*time.Millisecond, func() { s.State.Refuses[restarted.Label] = true })
-	s.After(8*second, func() { delete(s.State.Refuses, restarted.Label) })
+	s.After(6*second+40*time.Millisecond, func() { s.Store.RefusedNodes[restarted.Label] = true })
+	s.After(8*second, func() { delete(s.Store.RefusedNodes, restarted.Label) })
 	s.eventually(20*second, "it is ready", func() bool { return restarted.Ready })
 	for i, want := range map[int]string{0: protocol.JobCancelled, 51: protocol.JobDone, 4499: protocol.JobDone} {
-		restarted.Ask(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(reply core.Reply) {
+		restarted.Request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(reply core.Reply) {
 			if answer := reply.Body.(protocol.JobResponse); reply.Status != 200 || answer.State != want || answer.Done == 0 && want == protocol.JobDone {
 				t.Errorf("%d: %+v", i, reply)
 			}
@@ -121,24 +121,24 @@
 	for seed := range uint64(6) {
 		s := newScenario(t, 520+seed)
 		long, gone := s.Users.Submit(simulation.Array(12), 150), s.Users.Submit(simulation.Array(6), 300)
-		s.eventually(60*second, "all tasks run", func() bool { return s.Users.Running() == 18 })
-		s.Users.Abort(gone)
-		s.eventually(second, "its user is told", func() bool { return gone.Told == protocol.JobCancelled })
-		s.State.Outage(70 * second) // the others have not seen it
+		s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 18 })
+		s.Users.Cancel(gone)
+		s.eventually(second, "its user is told", func() bool { return gone.LastState == protocol.JobCancelled })
+		s.Store.Outage(70 * second) // the others have not seen it
 		s.Run(s.Now + 12*second)
-		if n := gone.Running(); n > 0 {
+		if n := gone.RunningTasks(); n > 0 {
 			t.Fatalf("%d tasks of the cancelled job run", n)
 		}
 		least := 12
 		for range 56 {
 			s.Run(s.Now + second)
-			least = min(least, long.Running())
+			least = min(least, long.RunningTasks())
 		}
 		if least < 12 {
 			t.Fatalf("%d of 12 tasks were left", least)
 		}
 		s.requireInvariants()
-		s.eventually(120*second, "the job is done", func() bool { return long.Told == protocol.JobDone })
+		s.eventually(120*second, "the job is done", func() bool { return long.LastState == protocol.JobDone })
 	}
 }
 
@@ -148,28 +148,28 @@
 	for away := range 3 {
 		s := newScenario(t, 530+uint64(away))
 		job := s.Users.Submit(simulation.Array(12), 150)
-		s.eventually(60*second, "all tasks run", func() bool { return job.Running() == 12 })
+		s.eventually(60*second, "all tasks run", func() bool { return job.RunningTasks() == 12 })
 		one := s.follower()
 		switch away {
 		case 0:
 			for _, node := range s.Nodes {
-				s.State.Refuses[node.Label] = node != one
+				s.Store.RefusedNodes[node.Label] = node != one
 			}
 		case 1:
 			one.Crash(0)
-			s.State.Outage(60 * second)
+			s.Store.Outage(60 * second)
 		case 2:
-			one.Old = true
+			one.PreviousVersion = true
 			one.Crash(second / 5)
 			s.Run(s.Now + 15*second)
-			s.State.Outage(60 * second)
+			s.Store.Outage(60 * second)
 		}
 		s.Logs = nil
 		s.Run(s.Now + 30*second)
 		if s.logged("workers are kept alive") {
 			t.Fatal("degraded mode was entered")
 		}
-		s.State.Refuses = map[string]bool{}
-		s.eventually(500*second, "the job is done", s.Users.AllTold)
+		s.Store.RefusedNodes = map[string]bool{}
+		s.eventually(500*second, "the job is done", s.Users.AllFinal)
 	}
 }
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -3,7 +3,7 @@
 // maxTxnOps is how many keys one transaction may change: what the settings allow, and half of
 // a second's changes, since a larger one would never pass the rate limit while others write too.
 func (c *Core) maxTxnOps() int {
-	return max(min(c.storeLimits.TxnOps, int(c.storeLimits.WriteRPS/2)), 1)
+	return max(min(c.storeLimits.MaxTxnOps, int(c.storeLimits.WriteRPS/2)), 1)
 }
 
 // writeRate is the rate of changes that this node paces itself by: the present one until the
@@ -13,7 +13,7 @@
 	if c.throttled {
 		return c.storeLimits.WriteRPS
 	}
-	return c.settings.Site.State.WriteRPS
+	return c.settings.Site.Store.WriteRPS
 }
 
 // maxValueBytes is how many bytes a value may have, in the form in which limits are counted.
--- a/internal/core/store_limits_test.go
+++ b/internal/core/store_limits_test.go
@@ -14,12 +14,12 @@
 // The limits of the state service are lowered without notice, below the sizes of what is stored.
 func TestStoreLimitsAreLowered(t *testing.T) {
 	settings := simulation.Settings(3)
-	settings.Site.State = config.State{RPS: 200, WriteRPS: 40, ValueKB: 32, TxnOps: 20,
-		Next: &config.State{WriteRPS: 28, ValueKB: 2, TxnOps: 5}}
-	s := &scenario{World: simulation.Build(307, settings, simulation.Types()), t: t}
+	settings.Site.Store = config.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 32, MaxTxnOps: 20,
+		Next: &config.StoreLimits{WriteRPS: 28, ValueKB: 2, MaxTxnOps: 5}}
+	s := &scenario{Cluster: simulation.NewWithSettings(307, settings, simulation.MachineTypes()), t: t}
 	s.startOldVersion()
 	for range 60 {
-		s.Cloud.Add("box", "a", false)
+		s.Cloud.AddRunning("box", "a", false)
 	}
 	s.Run(s.Now + 20*second) // controllers of the previous version fill large values
 	var jobs []*simulation.Job
@@ -33,16 +33,16 @@
 		upgrade(node)
 		s.Run(s.Now + 5*second)
 	}
-	s.State.Lowered = true
+	s.Store.LimitsLowered = true
 	spec := simulation.Array(40_000)
 	spec.Team, spec.CPUs = "blue", 0.01
 	huge := s.submitAccepted(spec, 1)
 	for range 40 {
-		s.Cloud.Add("box", "b", false)
+		s.Cloud.AddRunning("box", "b", false)
 	}
 	s.eventually(300*second, "all is done", toldState(protocol.JobDone, jobs...))
 	s.Run(s.Now + 60*second)
-	s.Users.Abort(huge)
+	s.Users.Cancel(huge)
 	s.eventually(60*second, "the huge one is cancelled", toldState(protocol.JobCancelled, huge))
 	s.crashAll(second / 5)
 	s.Run(s.Now + 60*second)
@@ -53,9 +53,9 @@
 // again and again: it is accepted once, whole, and nothing of the other attempts is left.
 func TestDependencyListLargerThanAValue(t *testing.T) {
 	settings := simulation.Settings(3)
-	settings.Site.State.Next = &config.State{ValueKB: 2, TxnOps: 5}
-	s := &scenario{World: simulation.Build(308, settings, simulation.Types()), t: t}
-	s.State.Lowered = true
+	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2, MaxTxnOps: 5}
+	s := &scenario{Cluster: simulation.NewWithSettings(308, settings, simulation.MachineTypes()), t: t}
+	s.Store.LimitsLowered = true
 	s.Run(s.Now + 5*second)
 	var dependencies []*simulation.Job
 	for k := range 700 {
@@ -73,21 +73,21 @@
 		s.Nodes[k%3].Crash(second / 5)
 	}
 	s.eventually(60*second, "the list is accepted", func() bool { return last.Accepted })
-	s.eventually(10*second, "it waits", func() bool { return last.Told == protocol.JobQueued })
+	s.eventually(10*second, "it waits", func() bool { return last.LastState == protocol.JobQueued })
 	s.crashAll(second / 5)
-	s.eventually(400*second, "all is done", s.Users.AllTold)
-	s.eventually(500*second, "nothing of it is left", func() bool { return s.State.Count("c/long/") == 0 })
+	s.eventually(400*second, "all is done", s.Users.AllFinal)
+	s.eventually(500*second, "nothing of it is left", func() bool { return s.Store.CountKeys("c/long/") == 0 })
 }
 
 // Progress of a job whose blocks are larger than a value, some of it written before the limits
 // were lowered.
 func TestProgressOfHugeJob(t *testing.T) {
 	settings := simulation.Settings(3)
-	settings.Site.State.Next = &config.State{ValueKB: 2, TxnOps: 5}
-	s := &scenario{World: simulation.Build(309, settings, simulation.Types()), t: t}
+	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2, MaxTxnOps: 5}
+	s := &scenario{Cluster: simulation.NewWithSettings(309, settings, simulation.MachineTypes()), t: t}
 	s.startOldVersion()
 	for range 40 {
-		s.Cloud.Add("box", "a", false)
+		s.Cloud.AddRunning("box", "a", false)
 	}
 	s.Run(s.Now + 10*second)
 	spec := simulation.Array(18_000)
@@ -95,7 +95,7 @@
 	job := s.Users.Submit(spec, 4)
 	s.eventually(300*second, "a third is done and written", func() bool { return job.Answer.Done > 6000 })
 	s.upgradeAll()
-	s.State.Lowered = true
+	s.Store.LimitsLowered = true
 	s.Run(s.Now + 30*second)
 	before := job.Answer.Done
 	s.crashAll(second / 5)
@@ -104,15 +104,15 @@
 		t.Fatalf("%d tasks were done, now %d", before, job.Answer.Done)
 	}
 	s.eventually(900*second, "it is done", toldState(protocol.JobDone, job))
-	s.eventually(100*second, "nothing of it is left", func() bool { return s.State.Count("c/fine/")+s.State.Count("c/prog/") == 0 })
+	s.eventually(100*second, "nothing of it is left", func() bool { return s.Store.CountKeys("c/fine/")+s.Store.CountKeys("c/prog/") == 0 })
 }
 
 // A job whose description no longer fits into a value runs, in the zone that is chosen for it, and
 // ends.
 func TestJobSpecLargerThanAValue(t *testing.T) {
 	settings := simulation.Settings(3)
-	settings.Site.State.Next = &config.State{ValueKB: 2}
-	s := &scenario{World: simulation.Build(310, settings, simulation.Types()), t: t}
+	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2}
+	s := &scenario{Cluster: simulation.NewWithSettings(310, settings, simulation.MachineTypes()), t: t}
 	s.Run(s.Now + 5*second)
 	spec := simulation.Array(6)
 	spec.OneZone, spec.MachineTypes = true, []string{"box"}
@@ -122,17 +122,17 @@
 	s.startOldVersion()
 	s.Run(s.Now + 5*second)
 	before := s.submitAccepted(spec, 5)
-	s.Cloud.Out = true // it can't start yet
+	s.Cloud.Down = true // it can't start yet
 	s.upgradeAll()
-	s.State.Lowered = true
+	s.Store.LimitsLowered = true
 	s.Run(s.Now + 5*second)
-	s.Cloud.Out = false
+	s.Cloud.Down = false
 	after := s.Users.Submit(spec, 5)
 	toCancel := s.Users.Submit(spec, 500)
 	s.eventually(100*second, "it is accepted too", func() bool { return after.Accepted && toCancel.Accepted })
-	s.Users.Abort(toCancel)
-	s.eventually(200*second, "all come to their end", s.Users.AllTold)
-	if before.Told != protocol.JobDone || after.Told != protocol.JobDone {
-		t.Fatal(before.Told, after.Told)
+	s.Users.Cancel(toCancel)
+	s.eventually(200*second, "all come to their end", s.Users.AllFinal)
+	if before.LastState != protocol.JobDone || after.LastState != protocol.JobDone {
+		t.Fatal(before.LastState, after.LastState)
 	}
 }
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -15,10 +15,10 @@
 	spec := simulation.Array(20)
 	spec.CheckpointS, spec.SaveS = 5, 4
 	job := s.Users.Submit(spec, 300)
-	s.eventually(60*second, "tasks run", func() bool { return job.Running() > 5 })
-	s.Users.Abort(job)
+	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 5 })
+	s.Users.Cancel(job)
 	s.leader().Crash(5 * second)
-	s.eventually(40*second, "no task is left", func() bool { return job.Told == protocol.JobCancelled && job.Running() == 0 })
+	s.eventually(40*second, "no task is left", func() bool { return job.LastState == protocol.JobCancelled && job.RunningTasks() == 0 })
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
 	if !strings.Contains(job.Answer.Reason, "cancelled") {
@@ -31,12 +31,12 @@
 	spec := simulation.Array(4)
 	spec.Kind, spec.EstimateS = protocol.KindService, 0
 	job := s.Users.Submit(spec, 0)
-	s.eventually(60*second, "all replicas run", func() bool { return job.Running() == 4 })
-	s.Cloud.Remove(job.On(0))
-	s.eventually(90*second, "lost replicas run again", func() bool { return job.Running() == 4 })
+	s.eventually(60*second, "all replicas run", func() bool { return job.RunningTasks() == 4 })
+	s.Cloud.Remove(job.MachineOf(0))
+	s.eventually(90*second, "lost replicas run again", func() bool { return job.RunningTasks() == 4 })
 	s.Run(s.Now + 60*second)
-	s.Users.Abort(job)
-	s.eventually(60*second, "it is over", s.Users.AllTold)
+	s.Users.Cancel(job)
+	s.eventually(60*second, "it is over", s.Users.AllFinal)
 }
 
 func TestInfeasibleJobsAreRejected(t *testing.T) {
@@ -61,26 +61,26 @@
 func TestSiteWithoutTeams(t *testing.T) {
 	set := simulation.Settings(1)
 	set.Site.Teams = nil
-	s := &scenario{World: simulation.Build(45, set, simulation.Types()), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(45, set, simulation.MachineTypes()), t: t}
 	s.Users.Submit(simulation.Array(8), 10)
-	s.eventually(90*second, "the job is done", s.Users.AllTold)
+	s.eventually(90*second, "the job is done", s.Users.AllFinal)
 }
 
 // More machine types than one value holds.
 func TestManyMachineTypes(t *testing.T) {
 	set := simulation.Settings(3)
-	set.Site.State.ValueKB, set.Site.State.TxnOps, set.Site.State.WriteRPS = 4, 4, 10
-	types := simulation.Types()
+	set.Site.Store.ValueKB, set.Site.Store.MaxTxnOps, set.Site.Store.WriteRPS = 4, 4, 10
+	types := simulation.MachineTypes()
 	for i := range 60 {
 		extra := types[0]
 		extra.Name = fmt.Sprintf("box-%d", i)
 		types = append(types, extra)
 	}
-	s := &scenario{World: simulation.Build(46, set, types), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(46, set, types), t: t}
 	last := simulation.Array(6)
 	last.MachineTypes = []string{"box-59"}
 	s.Users.Submit(last, 10)
-	s.eventually(90*second, "the job is done", s.Users.AllTold)
+	s.eventually(90*second, "the job is done", s.Users.AllFinal)
 }
 
 // Many who submit at once share writes: all are accepted within a second or two at a
@@ -88,13 +88,13 @@
 // the batches are deleted when their jobs are over.
 func TestSubmissionBurstSharesWrites(t *testing.T) {
 	set := simulation.Settings(3)
-	set.Site.State.WriteRPS = 10
-	s := &scenario{World: simulation.Build(54, set, simulation.Types()), t: t}
+	set.Site.Store.WriteRPS = 10
+	s := &scenario{Cluster: simulation.NewWithSettings(54, set, simulation.MachineTypes()), t: t}
 	for range 8 {
-		s.Cloud.Add("barn", "a", true)
+		s.Cloud.AddRunning("barn", "a", true)
 	}
 	s.Run(s.Now + 5*second)
-	writes := s.State.Writes
+	writes := s.Store.Writes
 	var jobs []*simulation.Job
 	for i := range 120 {
 		spec := simulation.Array(1)
@@ -108,17 +108,17 @@
 		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return !job.Accepted })
 	}
 	s.eventually(4*second, "all are accepted", all)
-	if n := s.State.Writes - writes; n > 40 {
+	if n := s.Store.Writes - writes; n > 40 {
 		t.Fatalf("%d writes for 120 jobs", n)
 	}
-	s.Users.Abort(jobs[7])
-	s.Users.Abort(jobs[18])
+	s.Users.Cancel(jobs[7])
+	s.Users.Cancel(jobs[18])
 	s.leader().Crash(2 * second)
 	for _, job := range jobs[:20] {
 		s.Users.Resubmit(job)
 	}
-	s.eventually(200*second, "every job is over", s.Users.AllTold)
-	s.eventually(60*second, "the batches are deleted", func() bool { return s.State.Count("c/accepted/") == 0 })
+	s.eventually(200*second, "every job is over", s.Users.AllFinal)
+	s.eventually(60*second, "the batches are deleted", func() bool { return s.Store.CountKeys("c/accepted/") == 0 })
 	for _, job := range jobs {
 		s.Users.Resubmit(job) // the answer is its state, however late
 	}
@@ -131,8 +131,8 @@
 func TestAdmissionBatchesFitValueLimit(t *testing.T) {
 	for i := range 24 {
 		set := simulation.Settings(3)
-		set.Site.State.WriteRPS, set.Site.State.ValueKB = 10, 5+float64(i*23)/1024
-		s := &scenario{World: simulation.Build(58, set, simulation.Types()), t: t}
+		set.Site.Store.WriteRPS, set.Site.Store.ValueKB = 10, 5+float64(i*23)/1024
+		s := &scenario{Cluster: simulation.NewWithSettings(58, set, simulation.MachineTypes()), t: t}
 		s.Run(5 * second)
 		var jobs []*simulation.Job
 		for range 120 {
--- a/internal/core/zone_faults_test.go
+++ b/internal/core/zone_faults_test.go
@@ -15,7 +15,7 @@
 		acrossSeeds(t, 4000, 3, func(t *testing.T, variant, controllers int, seed uint64) {
 			s := startScenario(t, seed, controllers, nil)
 			for range 6 {
-				s.Cloud.Add("box", "a", true)
+				s.Cloud.AddRunning("box", "a", true)
 			}
 			s.addMachines(6)
 			var jobs []*simulation.Job
@@ -84,23 +84,23 @@
 				spec := simulation.Array(tasks)
 				constrain(&spec)
 				job := s.Users.Submit(spec, 20)
-				s.eventually(30*second, "some tasks run", func() bool { return job.Running() > 2 })
+				s.eventually(30*second, "some tasks run", func() bool { return job.RunningTasks() > 2 })
 				if variant%3 == 1 { // somebody reads the state service late
-					s.Link("state", s.Nodes[variant%controllers].Label, simulation.Link{Delay: 2 * second})
+					s.SetLink("state", s.Nodes[variant%controllers].Label, simulation.Link{Delay: 2 * second})
 				}
 				s.loseZone(s.zoneOfTask(job, variant))
 				if variant%3 == 2 {
 					s.After(18*second, func() { s.crashLeader(second / 5) })
 				}
 				s.eventually(100*second, "all its tasks have started", func() bool {
-					return job.Running()+s.Users.Done(job) == tasks
+					return job.RunningTasks()+s.Users.CompletedTasks(job) == tasks
 				})
-				s.Users.Calm = s.Now
+				s.Users.FaultsOverAt = s.Now
 				if spec.Kind == protocol.KindService {
 					s.Run(s.Now + 60*second)
-					s.Users.Abort(job)
+					s.Users.Cancel(job)
 				}
-				s.eventually(150*second, "it is over", s.Users.AllTold)
+				s.eventually(150*second, "it is over", s.Users.AllFinal)
 			})
 		})
 	}
@@ -108,16 +108,16 @@
 
 // startInThreeZones starts controllers with machines in three zones, those of type cask in two.
 func startInThreeZones(t *testing.T, seed uint64, controllers int) *scenario {
-	types := simulation.Types()
+	types := simulation.MachineTypes()
 	types[0].Zones = []string{"a", "b", "c"}
 	types = append(types, types[0])
 	types[2].Name, types[2].Zones = "cask", []string{"a", "b"}
-	s := &scenario{World: simulation.Build(seed, simulation.Settings(controllers), types), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(seed, simulation.Settings(controllers), types), t: t}
 	s.Run(3 * second)
 	for _, zone := range []string{"a", "b", "c"} {
 		for _, typeName := range []string{"box", "cask", "box"} {
 			if typeName == "box" || zone != "c" {
-				s.Cloud.Add(typeName, zone, true)
+				s.Cloud.AddRunning(typeName, zone, true)
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 // zoneOfTask is the zone of the first of a job's tasks from one on that is on a machine.
 func (s *scenario) zoneOfTask(job *simulation.Job, first int) string {
 	for i := range job.Spec.Tasks {
-		if machine := s.Workers[job.On((first+i)%job.Spec.Tasks)]; machine != nil {
+		if machine := s.Workers[job.MachineOf((first+i)%job.Spec.Tasks)]; machine != nil {
 			return machine.Info.Zone
 		}
 	}
@@ -152,7 +152,7 @@
 func (s *scenario) fixMachines(zones ...string) {
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for _, zone := range zones {
-		s.Cloud.Add("box", zone, true)
+		s.Cloud.AddRunning("box", zone, true)
 	}
 	s.Run(s.Now + 4*second)
 }
@@ -166,13 +166,13 @@
 		spec := simulation.Array(14)
 		spec.OneZone = true
 		job := s.Users.Submit(spec, 50)
-		s.eventually(30*second, "its zone is full", func() bool { return job.Running() == 8 })
+		s.eventually(30*second, "its zone is full", func() bool { return job.RunningTasks() == 8 })
 		s.Run(s.Now + 10*second)
 		if variant == 1 {
 			s.crashLeader(second / 5)
 		}
-		s.Users.Calm = s.Now
-		s.eventually(200*second, "it is done", s.Users.AllTold)
+		s.Users.FaultsOverAt = s.Now
+		s.eventually(200*second, "it is done", s.Users.AllFinal)
 	})
 }
 
@@ -182,21 +182,21 @@
 	acrossSeeds(t, 4580, 6, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
 		s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
-		first := s.Cloud.Add("box", "a", true)
+		first := s.Cloud.AddRunning("box", "a", true)
 		s.Run(s.Now + 4*second)
 		spec := simulation.Array(12)
 		spec.OneZone = true
 		job := s.Users.Submit(spec, 40)
-		s.eventually(30*second, "its tasks run", func() bool { return job.Running() == 4 })
+		s.eventually(30*second, "its tasks run", func() bool { return job.RunningTasks() == 4 })
 		s.Cloud.Remove(first)
-		s.Cloud.Add("box", "b", true)
-		s.State.LateOnly, s.State.LateShare, s.State.LateFrom, s.State.LateBy = "c/job/", 1, 6*second, time.Duration(8+variant)*second
+		s.Cloud.AddRunning("box", "b", true)
+		s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = "c/job/", 1, 6*second, time.Duration(8+variant)*second
 		s.eventually(90*second, "it is to move", func() bool { return s.logged("job reassigned to another zone") })
-		s.Cloud.Add("box", "a", true)
+		s.Cloud.AddRunning("box", "a", true)
 		s.Run(s.Now + 5*second)
-		s.State.LateShare = 0
+		s.Store.DelayedCommitShare = 0
 		if variant%2 == 1 { // and the leader reloads everything
-			s.State.Forgot[s.leader().Label] = true
+			s.Store.CompactedNodes[s.leader().Label] = true
 		}
 		s.Run(s.Now + 20*second)
 		s.recoverAndFinish(400 * second)
@@ -212,7 +212,7 @@
 		spec := simulation.Array(12)
 		spec.Class, spec.Urgency, spec.OneZone, spec.CPUs = "alerts", protocol.UrgencyHigh, true, 4
 		urgent := s.Users.Submit(spec, 40)
-		s.eventually(30*second, "it has its zone", func() bool { return urgent.Running() == 2 })
+		s.eventually(30*second, "it has its zone", func() bool { return urgent.RunningTasks() == 2 })
 		var small []*simulation.Job
 		for range 8 {
 			spec := simulation.Array(1)
--- a/internal/local/configure.go
+++ b/internal/local/configure.go
@@ -93,7 +93,7 @@
 		Snapshots:       c.path("snapshots"),
 		SnapshotEveryS:  snapshotEveryS,
 		SnapshotsKept:   snapshotsKept,
-		Limits:          site.State,
+		Limits:          site.Store,
 		MaxBatch:        cmp.Or(c.options.MaxBatch, defaultMaxBatch),
 	}
 }
@@ -107,7 +107,7 @@
 		Zone:       own.Zone,
 		Listen:     own.Serve,
 		PeerListen: own.Status,
-		External:   config.External{Cloud: c.Cloud, State: c.State},
+		External:   config.External{Cloud: c.Cloud, Store: c.State},
 		Site:       site,
 	}
 	for i, other := range c.Controllers {
--- a/internal/local/files.go
+++ b/internal/local/files.go
@@ -64,15 +64,15 @@
 
 // StateFile is the settings of `chalkhubctl state run`.
 type StateFile struct {
-	Listen          string       `json:"listen"`
-	ArtifactsListen string       `json:"depot_listen"` // empty: no artifact server
-	File            string       `json:"file"`
-	ArtifactsDir    string       `json:"depot_folder"`
-	Snapshots       string       `json:"snapshots"`
-	SnapshotEveryS  float64      `json:"snapshot_every_s"` // 0: only when one is asked for
-	SnapshotsKept   int          `json:"snapshots_kept"`
-	Limits          config.State `json:"limits"`
-	MaxBatch        int          `json:"batch"`
+	Listen          string             `json:"listen"`
+	ArtifactsListen string             `json:"depot_listen"` // empty: no artifact server
+	File            string             `json:"file"`
+	ArtifactsDir    string             `json:"depot_folder"`
+	Snapshots       string             `json:"snapshots"`
+	SnapshotEveryS  float64            `json:"snapshot_every_s"` // 0: only when one is asked for
+	SnapshotsKept   int                `json:"snapshots_kept"`
+	Limits          config.StoreLimits `json:"limits"`
+	MaxBatch        int                `json:"batch"`
 }
 
 // CloudFile is the settings of `chalkhubctl cloud`.
@@ -81,26 +81,26 @@
 	Dir     string              `json:"folder"`
 	Cloud   localcloud.Settings `json:"rent"`
 	Cluster Addresses           `json:"cluster"`
-	Workers config.Workers      `json:"workers"`
+	Workers config.WorkerTiming `json:"workers"`
 }
 
 // AgentFile is the settings of `chalkhubctl agent`.
 type AgentFile struct {
-	Machine       string         `json:"machine"`
-	Listen        string         `json:"listen"`
-	Type          string         `json:"type"`
-	Zone          string         `json:"zone"`
-	Spot          bool           `json:"spot"`
-	CPUs          float64        `json:"cpus"`
-	GPUs          float64        `json:"gpus"`
-	MemoryGB      float64        `json:"memory_gb"`
-	CacheGB       float64        `json:"cache_gb"`
-	FetchGBps     float64        `json:"fetch_gb_per_s"`
-	Controllers   []Controller   `json:"controllers"`
-	Artifacts     string         `json:"depot"`
-	Dir           string         `json:"folder"`
-	CheckpointDir string         `json:"saves"`
-	Workers       config.Workers `json:"workers"`
+	Machine       string              `json:"machine"`
+	Listen        string              `json:"listen"`
+	Type          string              `json:"type"`
+	Zone          string              `json:"zone"`
+	Spot          bool                `json:"spot"`
+	CPUs          float64             `json:"cpus"`
+	GPUs          float64             `json:"gpus"`
+	MemoryGB      float64             `json:"memory_gb"`
+	CacheGB       float64             `json:"cache_gb"`
+	FetchGBps     float64             `json:"fetch_gb_per_s"`
+	Controllers   []Controller        `json:"controllers"`
+	Artifacts     string              `json:"depot"`
+	Dir           string              `json:"folder"`
+	CheckpointDir string              `json:"saves"`
+	Workers       config.WorkerTiming `json:"workers"`
 }
 
 func writeJSON(path string, v any) error {
