--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -149,8 +149,8 @@
 		InitialSize:  s.Controllers,
 		Zones:        s.Zones,
 		Workers:      s.workerSettings(),
-		State:        config.State{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps},
-		Cloud:        config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
+		Store:        config.StoreLimits{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, MaxTxnOps: s.State.TxnOps},
+		Cloud:        config.CloudLimits{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
 		Resources:    config.Resources{Cores: controllerCores, RAMMB: controllerRAMMB, MaxSockets: controllerMaxSockets},
 		ClockErrorMS: clockErrorMS,
 	}
@@ -160,8 +160,8 @@
 	return site
 }
 
-func (s *Settings) workerSettings() config.Workers {
-	return config.Workers{ReportS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS}
+func (s *Settings) workerSettings() config.WorkerTiming {
+	return config.WorkerTiming{HeartbeatS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS}
 }
 
 // cloudSettings is what the cloud is told.
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -30,11 +30,11 @@
 type Cloud struct {
 	CloudFaults
 
-	Hired   int // machines created on request
-	Deleted int // machines deleted, on request or by the cloud itself
-	Refused int // calls above the limit
+	Created   int // machines created on request
+	Deleted   int // machines deleted, on request or by the cloud itself
+	Throttled int // calls above the limit
 
-	cluster      *World
+	cluster      *Cluster
 	types        []protocol.MachineType
 	machines     map[string]*machine // by name, deleted ones too
 	responses    map[string][]string // names of the machines created, by the request's id
@@ -49,7 +49,7 @@
 	deletedAt time.Duration // 0: it exists
 }
 
-func newCloud(cluster *World, types []protocol.MachineType) *Cloud {
+func newCloud(cluster *Cluster, types []protocol.MachineType) *Cloud {
 	return &Cloud{
 		CloudFaults: CloudFaults{Capacity: map[string]int{}},
 		cluster:     cluster, types: types, machines: map[string]*machine{}, responses: map[string][]string{},
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Add creates a running machine that nobody asked for, and returns its name.
-func (c *Cloud) Add(machineType, zone string, spot bool) string {
+// AddRunning creates a running machine that nobody asked for, and returns its name.
+func (c *Cloud) AddRunning(machineType, zone string, spot bool) string {
 	name := c.addBooting(machineType, zone, spot)
 	c.finishBoot(name)
 	return name
@@ -107,9 +107,9 @@
 	for range count {
 		name := c.addBooting(request.Type, request.Zone, request.Spot)
 		names = append(names, name)
-		c.Hired++
-		if c.NeverUp > 0 {
-			c.NeverUp--
+		c.Created++
+		if c.StuckBoots > 0 {
+			c.StuckBoots--
 			continue
 		}
 		c.cluster.After(c.drawBoot(request.Type), func() { c.finishBoot(name) })
@@ -140,8 +140,8 @@
 // drawBoot draws how long a machine boots.
 func (c *Cloud) drawBoot(machineType string) time.Duration {
 	factor := minBootFactor + bootFactorSpread*c.cluster.Rand.Float64()
-	boot := config.Seconds(c.Type(machineType).BootS * factor * max(c.Boots, 1))
-	if c.AtOnce {
+	boot := config.Seconds(c.Type(machineType).BootS * factor * max(c.BootFactor, 1))
+	if c.InstantBoot {
 		boot = time.Duration(c.cluster.Rand.Int64N(int64(maxInstantBoot)))
 	}
 	return boot
@@ -173,12 +173,12 @@
 // admit gives the outcome of a call that is not served, in an outage or above the limit, and
 // CloudDone if it is served.
 func (c *Cloud) admit() core.CloudOutcome {
-	if c.Out {
+	if c.Down {
 		return core.CloudUnavailable
 	}
-	rate := c.cluster.Set.Site.Cloud.RPS
+	rate := c.cluster.Settings.Site.Cloud.RPS
 	if !c.callBucket.take(c.cluster.Now, 1, rate, cloudBurstSeconds) {
-		c.Refused++
+		c.Throttled++
 		return core.CloudThrottled
 	}
 	return core.CloudDone
@@ -198,7 +198,7 @@
 	if outcome := c.admit(); outcome != core.CloudDone {
 		return core.ListInstancesResult{Outcome: outcome}
 	}
-	seenAt := c.cluster.Now - config.Seconds(c.cluster.Set.Site.Cloud.ListLagS)
+	seenAt := c.cluster.Now - config.Seconds(c.cluster.Settings.Site.Cloud.ListLagS)
 	var instances []protocol.Instance
 	for _, listed := range c.machines {
 		if listed.Name <= after || listed.createdAt > seenAt || listed.deletedAt > 0 && listed.deletedAt <= seenAt {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -39,29 +39,29 @@
 // Debug has the nodes of all clusters log at debug level.
 var Debug bool
 
-// World is a whole cluster and its surroundings.
-type World struct {
+// Cluster is a whole cluster and its surroundings.
+type Cluster struct {
 	NetworkFaults
 
-	Now     time.Duration // simulated time since the start
-	Rand    *rand.Rand
-	Set     config.Settings
-	Policy  config.Policy
-	State   *State
-	Cloud   *Cloud
-	Nodes   []*Node
-	Workers map[string]*Worker // by machine
-	Users   *Users
-	// Broken lists the violations of the protocol's rules that the checker has found.
-	Broken []string
+	Now      time.Duration // simulated time since the start
+	Rand     *rand.Rand
+	Settings config.Settings
+	Policy   config.Policy
+	Store    *Store
+	Cloud    *Cloud
+	Nodes    []*Node
+	Workers  map[string]*Worker // by machine
+	Users    *Users
+	// Violations lists the violations of the protocol's rules that the checker has found.
+	Violations []string
 	// Logs are the nodes' log lines, for a test that looks for some.
 	Logs []string
-	// Applied is called, if it is set, with each batch of commands that a node has applied
+	// OnApplied is called, if it is set, with each batch of commands that a node has applied
 	// and the real time that this took.
-	Applied func(node *Node, commands []core.Command, took time.Duration)
-	// KeepReports retains one heartbeat of each machine, the first from now on, and delivers
+	OnApplied func(node *Node, commands []core.Command, took time.Duration)
+	// RetainHeartbeats retains one heartbeat of each machine, the first from now on, and delivers
 	// them late, to all controllers, when another process becomes the leader.
-	KeepReports bool
+	RetainHeartbeats bool
 
 	checker            *checker
 	retainedHeartbeats map[string]protocol.Heartbeat // by machine
@@ -82,9 +82,9 @@
 	settings.Site = config.Site{
 		InitialSize: nodes, Zones: []string{"a", "b"},
 		Teams:     []config.Team{{Name: "red", CPUs: 8, CPUsMax: 24}, {Name: "blue", CPUs: 8}, {Name: "guest"}},
-		Workers:   config.Workers{ReportS: 2, LeaseS: 16, GangWaitS: 20, GangPeerS: 5, CancelS: 45},
-		State:     config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
-		Cloud:     config.Cloud{RPS: 8, ListLagS: 4},
+		Workers:   config.WorkerTiming{HeartbeatS: 2, LeaseS: 16, GangWaitS: 20, GangPeerS: 5, CancelS: 45},
+		Store:     config.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, MaxTxnOps: 16},
+		Cloud:     config.CloudLimits{RPS: 8, ListLagS: 4},
 		Resources: config.Resources{Cores: 0.2, RAMMB: 128, MaxSockets: 1000},
 	}
 	for i := range nodes {
@@ -94,8 +94,8 @@
 	return settings
 }
 
-// Types are the machine types that the simulated cloud rents.
-func Types() []protocol.MachineType {
+// MachineTypes are the machine types that the simulated cloud rents.
+func MachineTypes() []protocol.MachineType {
 	return []protocol.MachineType{
 		{Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: []string{"a", "b"}},
 		{Name: "barn", CPUs: 16, GPUs: 2, MemoryGB: 64, CacheGB: 40, FetchGBps: 1, Price: 0.7, SpotPrice: 0.2, BootS: 10, Zones: []string{"a"}},
@@ -103,19 +103,21 @@
 }
 
 // New makes a cluster with the given number of controllers and starts them.
-func New(seed uint64, nodes int) *World { return Build(seed, Settings(nodes), Types()) }
+func New(seed uint64, nodes int) *Cluster {
+	return NewWithSettings(seed, Settings(nodes), MachineTypes())
+}
 
-// Build makes a cluster of the given settings, with a controller for each sibling that they
+// NewWithSettings makes a cluster of the given settings, with a controller for each sibling that they
 // name, and starts the controllers.
-func Build(seed uint64, settings config.Settings, types []protocol.MachineType) *World {
-	c := &World{
+func NewWithSettings(seed uint64, settings config.Settings, types []protocol.MachineType) *Cluster {
+	c := &Cluster{
 		NetworkFaults: NetworkFaults{Latency: defaultLatency},
-		Rand:          rand.New(rand.NewPCG(seed, seed^secondSeedMask)), Set: settings, Policy: config.DefaultPolicy(),
+		Rand:          rand.New(rand.NewPCG(seed, seed^secondSeedMask)), Settings: settings, Policy: config.DefaultPolicy(),
 		Workers: map[string]*Worker{}, retainedHeartbeats: map[string]protocol.Heartbeat{},
 		links: map[endpoints]*Link{}, peerLinks: map[uint64]*peerLink{},
 	}
 	c.checker = &checker{cluster: c}
-	c.State = newState(c)
+	c.Store = newStore(c)
 	c.Cloud = newCloud(c, types)
 	c.Users = newUsers(c)
 	for _, sibling := range settings.Siblings {
@@ -127,7 +129,7 @@
 }
 
 // SomeWorkers draws workers at random, at most count.
-func (c *World) SomeWorkers(count int) []*Worker {
+func (c *Cluster) SomeWorkers(count int) []*Worker {
 	names := slices.Sorted(maps.Keys(c.Workers))
 	c.Rand.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 	var workers []*Worker
@@ -138,7 +140,7 @@
 }
 
 // currentLeader names the process that leads, empty: none does.
-func (c *World) currentLeader() string {
+func (c *Cluster) currentLeader() string {
 	for _, node := range c.Nodes {
 		if node.Alive() && node.Core.IsLeader() {
 			return node.processName()
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -91,7 +91,7 @@
 		effect.Txn = previousVersionWrites(effect.Txn)
 	}
 	callFrom(n, endpointStore, serviceTimeout, func(reply func(core.CommitResult)) {
-		outcome, answer := n.cluster.State.Commit(n.Label, previousVersion, effect.Txn)
+		outcome, answer := n.cluster.Store.Commit(n.Label, previousVersion, effect.Txn)
 		if outcome != core.CommitUnknown {
 			reply(core.CommitResult{ID: effect.ID, Outcome: outcome, Answer: answer})
 		}
@@ -101,14 +101,14 @@
 func (n *Node) performLoadPage(effect core.LoadPage) {
 	sentAt := n.clock()
 	callFrom(n, endpointStore, serviceTimeout, func(reply func(core.LoadResult)) {
-		reply(n.cluster.State.loadPage(n.Label, effect.After, sentAt))
+		reply(n.cluster.Store.loadPage(n.Label, effect.After, sentAt))
 	}, core.LoadResult{})
 }
 
 func (n *Node) performWatch(effect core.Watch) {
 	sentAt := n.clock()
 	callFrom(n, endpointStore, serviceTimeout+effect.Hold, func(reply func(core.WatchResult)) {
-		n.cluster.State.handleWatch(n.Label, effect, func(outcome core.WatchOutcome, answer protocol.WatchResponse) {
+		n.cluster.Store.handleWatch(n.Label, effect, func(outcome core.WatchOutcome, answer protocol.WatchResponse) {
 			reply(core.WatchResult{Barrier: effect.Barrier, SentAt: sentAt, Outcome: outcome, Answer: answer})
 		})
 	}, core.WatchResult{Barrier: effect.Barrier, SentAt: sentAt})
@@ -117,13 +117,13 @@
 func (n *Node) performRenewLease(effect core.RenewLease) {
 	sentAt := n.clock()
 	callFrom(n, endpointStore, serviceTimeout, func(reply func(core.LeaseResult)) {
-		id, outcome := n.cluster.State.handleLease(n.Label, effect)
+		id, outcome := n.cluster.Store.handleLease(n.Label, effect)
 		reply(core.LeaseResult{SentAt: sentAt, LeaseID: id, Outcome: outcome})
 	}, core.LeaseResult{SentAt: sentAt})
 }
 
 func (n *Node) performCallWorker(effect core.CallWorker) {
-	timeout := config.Seconds(n.cluster.Set.Site.Workers.ReportS)
+	timeout := config.Seconds(n.cluster.Settings.Site.Workers.HeartbeatS)
 	if len(effect.Body.Commands) == 0 {
 		timeout /= emptyCallShare
 	}
@@ -139,7 +139,7 @@
 }
 
 func (n *Node) performProbeWorker(effect core.ProbeWorker) {
-	timeout := config.Seconds(n.cluster.Set.Site.Workers.ReportS)
+	timeout := config.Seconds(n.cluster.Settings.Site.Workers.HeartbeatS)
 	callFrom(n, effect.Machine, timeout, func(reply func(core.ProbeResult)) {
 		if worker := n.cluster.Workers[effect.Machine]; worker != nil && !worker.Hung {
 			reply(core.ProbeResult{Machine: effect.Machine, OK: true})
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -14,25 +14,25 @@
 }
 
 // At runs callback at a moment of simulated time, now if that is past.
-func (c *World) At(moment time.Duration, callback func()) {
+func (c *Cluster) At(moment time.Duration, callback func()) {
 	c.eventSeq++
 	heap.Push(&c.events, event{at: max(moment, c.Now), seq: c.eventSeq, run: callback})
 }
 
 // After runs callback after a span of simulated time.
-func (c *World) After(delay time.Duration, callback func()) { c.At(c.Now+delay, callback) }
+func (c *Cluster) After(delay time.Duration, callback func()) { c.At(c.Now+delay, callback) }
 
 // Run lets simulated time pass up to end.
-func (c *World) Run(end time.Duration) {
+func (c *Cluster) Run(end time.Duration) {
 	for c.hasEventBy(end) {
 		c.runNextEvent()
 	}
 	c.Now = end
 }
 
-// Until lets simulated time pass until condition holds, at most up to end, and reports
+// RunUntil lets simulated time pass until condition holds, at most up to end, and reports
 // whether it does.
-func (c *World) Until(end time.Duration, condition func() bool) bool {
+func (c *Cluster) RunUntil(end time.Duration, condition func() bool) bool {
 	for !condition() {
 		if !c.hasEventBy(end) {
 			return false
@@ -42,11 +42,11 @@
 	return true
 }
 
-func (c *World) hasEventBy(end time.Duration) bool {
+func (c *Cluster) hasEventBy(end time.Duration) bool {
 	return len(c.events) > 0 && c.events[0].at <= end
 }
 
-func (c *World) runNextEvent() {
+func (c *Cluster) runNextEvent() {
 	next := heap.Pop(&c.events).(event)
 	c.Now = next.at
 	next.run()
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,57 +12,57 @@
 )
 
 // NetworkFaults are the faults of the whole network. Those of single paths are set with
-// World.Link.
+// Cluster.SetLink.
 type NetworkFaults struct {
 	// Latency is the usual one-way latency.
 	Latency time.Duration
 	// PeerLatency is added to every message between controllers, as by a busy node that is
 	// slow to read.
 	PeerLatency time.Duration
-	// PeersRefuse makes controllers refuse one another's new connections.
-	PeersRefuse bool
+	// PeersRefuseConnections makes controllers refuse one another's new connections.
+	PeersRefuseConnections bool
 	// Loss is the share of calls whose request or answer is lost, each by itself.
 	Loss float64
-	// Copies is the share of requests that arrive a second time, up to CopyBy after the
-	// first.
-	Copies float64
-	CopyBy time.Duration
+	// DuplicateShare is the share of requests that arrive a second time, up to MaxDuplicateDelay
+	// after the first.
+	DuplicateShare    float64
+	MaxDuplicateDelay time.Duration
 }
 
 // StoreFaults are the faults of the state service.
 type StoreFaults struct {
-	// Out is an outage: every request is refused.
-	Out bool
-	// Refuses are nodes whose requests alone are refused.
-	Refuses map[string]bool
-	// Forgot are nodes whose next watch is told that its revision has been compacted.
-	Forgot map[string]bool
-	// LateShare is the share of transactions that get no answer and are applied from
-	// LateFrom up to LateBy afterwards; with a LateBy of 0 they are applied at once.
-	LateShare float64
-	LateFrom  time.Duration
-	LateBy    time.Duration
-	// LateOnly limits that to transactions that change a key with this prefix, empty: all.
-	LateOnly string
-	// Slow is added to the time that every answer takes.
-	Slow time.Duration
-	// Lowered puts the announced lower limits in force.
-	Lowered bool
+	// Down is an outage: every request is refused.
+	Down bool
+	// RefusedNodes are nodes whose requests alone are refused.
+	RefusedNodes map[string]bool
+	// CompactedNodes are nodes whose next watch is told that its revision has been compacted.
+	CompactedNodes map[string]bool
+	// DelayedCommitShare is the share of transactions that get no answer and are applied
+	// from MinCommitDelay up to MaxCommitDelay afterwards, at once if MaxCommitDelay is 0.
+	DelayedCommitShare float64
+	MinCommitDelay     time.Duration
+	MaxCommitDelay     time.Duration
+	// DelayedCommitPrefix limits that to transactions that change a key with this prefix, empty: all.
+	DelayedCommitPrefix string
+	// ResponseDelay is added to the time that every answer takes.
+	ResponseDelay time.Duration
+	// LimitsLowered puts the announced lower limits in force.
+	LimitsLowered bool
 }
 
 // CloudFaults are the faults of the cloud.
 type CloudFaults struct {
-	// Out is an outage: every request is refused.
-	Out bool
+	// Down is an outage: every request is refused.
+	Down bool
 	// Capacity is how many machines there are of a type, or of a type in a zone ("box a");
 	// absent: any number.
 	Capacity map[string]int
-	// NeverUp is how many of the next machines that are created stay booting for ever.
-	NeverUp int
-	// Boots is the factor by which boots are slower, 0: none.
-	Boots float64
-	// AtOnce has machines run within two seconds.
-	AtOnce bool
+	// StuckBoots is how many of the next machines that are created stay booting for ever.
+	StuckBoots int
+	// BootFactor is the factor by which boots are slower, 0: none.
+	BootFactor float64
+	// InstantBoot has machines run within two seconds.
+	InstantBoot bool
 }
 
 // WorkerFaults are the faults of a machine and its worker.
@@ -71,10 +71,10 @@
 	Faulty bool
 	// Hung makes it do nothing until it resumes; its lease expires all the same.
 	Hung bool
-	// Mute makes it open no connection to a controller, while it still serves theirs.
-	Mute bool
-	// Slow is the factor by which its tasks take longer, 0: none.
-	Slow float64
+	// OutboundBlocked makes it open no connection to a controller, while it still serves theirs.
+	OutboundBlocked bool
+	// SlowFactor is the factor by which its tasks take longer, 0: none.
+	SlowFactor float64
 	// NoticeS is the notice, in seconds, of the cloud that takes it back, nil: none.
 	NoticeS *float64
 }
@@ -88,8 +88,8 @@
 const leaderPollInterval = 5 * time.Millisecond
 
 // retain keeps a heartbeat for the next leader, if that is switched on.
-func (c *World) retain(report protocol.Heartbeat) {
-	if _, retained := c.retainedHeartbeats[report.Machine]; retained || !c.KeepReports {
+func (c *Cluster) retain(report protocol.Heartbeat) {
+	if _, retained := c.retainedHeartbeats[report.Machine]; retained || !c.RetainHeartbeats {
 		return
 	}
 	if len(c.retainedHeartbeats) == 0 {
@@ -101,7 +101,7 @@
 
 // releaseAtFailover delivers the retained heartbeats to all controllers, with latencies that
 // mix their order, once another process leads.
-func (c *World) releaseAtFailover() {
+func (c *Cluster) releaseAtFailover() {
 	leader := c.currentLeader()
 	if leader == "" || leader == c.lastLeader {
 		c.After(leaderPollInterval, c.releaseAtFailover)
@@ -116,43 +116,43 @@
 	}
 }
 
-func (c *World) deliverLate(node *Node, report protocol.Heartbeat) {
+func (c *Cluster) deliverLate(node *Node, report protocol.Heartbeat) {
 	for _, delay := range lateLeaderDelays {
 		c.After(delay*time.Millisecond+c.networkDelay(), func() {
-			node.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, func(core.Reply) {})
+			node.Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, func(core.Reply) {})
 		})
 	}
 }
 
-// Cut partitions two endpoints from one another. With hold, packets are kept and delivered
+// Partition partitions two endpoints from one another. With hold, packets are kept and delivered
 // when the partition is healed.
-func (c *World) Cut(a, b string, hold bool) {
+func (c *Cluster) Partition(a, b string, hold bool) {
 	if hold {
-		c.Between(a, b, Held)
+		c.SetLinks(a, b, Held)
 	} else {
-		c.Between(a, b, Dropped)
+		c.SetLinks(a, b, Dropped)
 	}
 }
 
-// Mend heals a partition and lets held packets go, in order.
-func (c *World) Mend(a, b string) { c.Between(a, b, Link{}) }
+// Heal heals a partition and lets held packets go, in order.
+func (c *Cluster) Heal(a, b string) { c.SetLinks(a, b, Link{}) }
 
-// CutZone partitions a zone from the rest or, if other names a zone, from that one. The
+// PartitionZone partitions a zone from the rest or, if other names a zone, from that one. The
 // regional services are in no zone.
-func (c *World) CutZone(zone, other string, hold bool) {
-	c.Cut(zoneEndpoint(zone), zoneEndpoint(other), hold)
+func (c *Cluster) PartitionZone(zone, other string, hold bool) {
+	c.Partition(zoneEndpoint(zone), zoneEndpoint(other), hold)
 }
 
-// MendZone heals such a partition.
-func (c *World) MendZone(zone, other string) { c.Mend(zoneEndpoint(zone), zoneEndpoint(other)) }
+// HealZone heals such a partition.
+func (c *Cluster) HealZone(zone, other string) { c.Heal(zoneEndpoint(zone), zoneEndpoint(other)) }
 
-// Force makes the worker start a task that nobody commanded, for tests of the checker.
-func (w *Worker) Force(task string, attempt uint64) {
+// ForceStart makes the worker start a task that nobody commanded, for tests of the checker.
+func (w *Worker) ForceStart(task string, attempt uint64) {
 	w.execute([]protocol.Command{{Kind: protocol.CommandStart, Task: task, Attempt: attempt}})
 }
 
-// Recall has the cloud take the machine back after a notice, or with none.
-func (w *Worker) Recall(notice time.Duration) {
+// Reclaim has the cloud take the machine back after a notice, or with none.
+func (w *Worker) Reclaim(notice time.Duration) {
 	if notice > 0 {
 		seconds := notice.Seconds()
 		w.NoticeS = &seconds
@@ -163,10 +163,10 @@
 
 // Outage makes the store refuse everybody for a while; leases are frozen and have their full
 // time afterwards.
-func (s *State) Outage(duration time.Duration) {
-	s.Out = true
+func (s *Store) Outage(duration time.Duration) {
+	s.Down = true
 	s.cluster.After(duration, func() {
-		s.Out = false
+		s.Down = false
 		for _, id := range slices.Sorted(maps.Keys(s.state.LeaseTTLs())) {
 			s.armLease(id)
 		}
@@ -174,14 +174,14 @@
 	})
 }
 
-// Forget removes a key without the knowledge of any controller.
-func (s *State) Forget(key string) {
+// DeleteKey removes a key without the knowledge of any controller.
+func (s *Store) DeleteKey(key string) {
 	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
 }
 
-// Reopen puts a job back to where it was when it was accepted, without the knowledge of any
+// ReopenJob puts a job back to where it was when it was accepted, without the knowledge of any
 // controller.
-func (s *State) Reopen(spec protocol.Job) {
+func (s *Store) ReopenJob(spec protocol.Job) {
 	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
 }
 
@@ -190,9 +190,9 @@
 	return records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: wallClockOffset}
 }
 
-// StandStill pauses the process without ending it: the effects that it was about to perform
+// Pause pauses the process without ending it: the effects that it was about to perform
 // are performed when it resumes, and commands pile up meanwhile.
-func (n *Node) StandStill(duration time.Duration) {
+func (n *Node) Pause(duration time.Duration) {
 	n.paused = true
 	n.cluster.After(duration, n.ifSameProcess(func() {
 		n.paused = false
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -21,7 +21,7 @@
 }
 
 func (w *Worker) runGangTask(task *Task) {
-	wait := config.Seconds(w.cluster.Set.Site.Workers.GangWaitS)
+	wait := config.Seconds(w.cluster.Settings.Site.Workers.GangWaitS)
 	gang := &gangTask{worker: w, task: task, waitUntil: w.cluster.Now + wait}
 	gang.watch()
 }
@@ -42,7 +42,7 @@
 // advance moves the task on as its peers allow, and gives the reason of its exit if it is over.
 func (g *gangTask) advance() (exitReason string) {
 	cluster := g.worker.cluster
-	timing := &cluster.Set.Site.Workers
+	timing := &cluster.Settings.Site.Workers
 	waiting, running := g.task.State == protocol.TaskWaiting, g.task.State == protocol.TaskRunning
 	switch complete := g.complete(); {
 	case waiting && complete:
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -22,7 +22,7 @@
 //     takes nothing, and a job that fails everywhere waits for its next try: none of these
 //     count. A machine that is in quarantine for such a job's sake does.
 func (c *checker) checkWaiting(job *Job) {
-	now, faultsOverAt := c.cluster.Now, c.cluster.Users.Calm
+	now, faultsOverAt := c.cluster.Now, c.cluster.Users.FaultsOverAt
 	if faultsOverAt == 0 || now < faultsOverAt || !c.couldStart(job) {
 		job.idleSince = nil
 		return
@@ -63,7 +63,7 @@
 func (c *checker) recordLeftWaiting(job *Job, machineName string, since time.Duration) {
 	spec, machine := &job.Spec, c.cluster.Workers[machineName].Info
 	c.recordViolation(ruleLeftWaiting, "%s (%s, %d tasks of %g CPUs, zone %q, one zone %v, spread %v, spot %v) is %s (%s); %s (%s in %s, spot %v) has had room for it since %.3f",
-		spec.ID, spec.Kind, spec.Tasks, spec.CPUs, spec.Zone, spec.OneZone, spec.Spread, spec.AllowSpot, job.Told, job.Answer.Reason,
+		spec.ID, spec.Kind, spec.Tasks, spec.CPUs, spec.Zone, spec.OneZone, spec.Spread, spec.AllowSpot, job.LastState, job.Answer.Reason,
 		machineName, machine.Type, machine.Zone, machine.Spot, since.Seconds())
 }
 
@@ -82,7 +82,7 @@
 // couldStart reports whether a job has a task that may start now, as far as its user, its
 // team's quota and its dependencies go.
 func (c *checker) couldStart(job *Job) bool {
-	if !job.Accepted || job.Mistaken || job.cancelRequested || isFinal(job.Told) {
+	if !job.Accepted || job.FailsEverywhere || job.cancelRequested || isFinal(job.LastState) {
 		return false
 	}
 	if c.cancelledDependency(job) != nil || len(c.incompleteDependencies(job)) > 0 {
@@ -112,7 +112,7 @@
 		tasks = float64(spec.Tasks)
 	}
 	cpus, gpus := users.cpus[spec.Team]+tasks*spec.CPUs, users.gpus[spec.Team]+tasks*spec.GPUs
-	for _, team := range c.cluster.Set.Site.Teams {
+	for _, team := range c.cluster.Settings.Site.Teams {
 		if team.Name == spec.Team && (team.CPUsMax > 0 && cpus > team.CPUsMax || team.GPUsMax > 0 && gpus > team.GPUsMax) {
 			return false
 		}
@@ -137,7 +137,7 @@
 // fittingTasks is how many tasks of a job the machine could take now, by its type, kind and
 // free capacity; none if it has a fault.
 func (w *Worker) fittingTasks(spec *protocol.Job) int {
-	faulty := w.Hung || w.Faulty || w.hardwareFailed || w.Mute || w.NoticeS != nil
+	faulty := w.Hung || w.Faulty || w.hardwareFailed || w.OutboundBlocked || w.NoticeS != nil
 	if faulty || !machineAllowed(spec, &w.Info) {
 		return 0
 	}
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -56,14 +56,14 @@
 // state, records violations and changes nothing but its own records of a Job; it draws no
 // random numbers and schedules nothing, so that a run goes the same way without it.
 type checker struct {
-	cluster *World
+	cluster *Cluster
 }
 
 // recordViolation notes that a rule was broken, and how.
 func (c *checker) recordViolation(broken rule, format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
 	violation := fmt.Sprintf("%.3f %s: %s", c.cluster.Now.Seconds(), broken, detail)
-	c.cluster.Broken = append(c.cluster.Broken, violation)
+	c.cluster.Violations = append(c.cluster.Violations, violation)
 }
 
 // recordForgotten notes that a node does not know an accepted job.
@@ -73,12 +73,12 @@
 
 // cancelDeadline is how long a cancelled job's tasks may still run.
 func (c *checker) cancelDeadline() time.Duration {
-	return config.Seconds(c.cluster.Set.Site.Workers.CancelS)
+	return config.Seconds(c.cluster.Settings.Site.Workers.CancelS)
 }
 
 // checkAcceptance is called when a job is accepted.
 func (c *checker) checkAcceptance(job *Job, reply core.Reply) {
-	if job.Never {
+	if job.MustBeRejected {
 		c.recordViolation(ruleWronglyAccepted, "%s is answered %d", job.Spec.ID, reply.Status)
 	}
 }
@@ -100,7 +100,7 @@
 
 // checkAnswered checks that some question about a job was answered lately.
 func (c *checker) checkAnswered(job *Job) {
-	now, faultsOverAt := c.cluster.Now, c.cluster.Users.Calm
+	now, faultsOverAt := c.cluster.Now, c.cluster.Users.FaultsOverAt
 	if faultsOverAt == 0 || now-max(job.answeredAt, faultsOverAt) <= maxUnansweredWait {
 		return
 	}
@@ -114,12 +114,12 @@
 // after the first final answer had come, whichever node gave that.
 func (c *checker) checkAnswer(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
 	id, final := job.Spec.ID, isFinal(answer.State)
-	if isFinal(job.Told) && answer.State != job.Told && (final || sentAt > job.finalAt) {
+	if isFinal(job.LastState) && answer.State != job.LastState && (final || sentAt > job.finalAt) {
 		c.recordViolation(ruleWentBack, "%s was %s at %.3f and is called %s, asked at %.3f",
-			id, job.Told, job.finalAt.Seconds(), answer.State, sentAt.Seconds())
+			id, job.LastState, job.finalAt.Seconds(), answer.State, sentAt.Seconds())
 	}
 	dependency := c.cancelledDependency(job)
-	if dependency != nil && dependency.Cancelled > 0 && sentAt > dependency.Cancelled+c.cancelDeadline() && !final {
+	if dependency != nil && dependency.CancelConfirmedAt > 0 && sentAt > dependency.CancelConfirmedAt+c.cancelDeadline() && !final {
 		c.recordViolation(ruleOrphaned, "%s is called %s long after %s was cancelled", id, answer.State, dependency.Spec.ID)
 	}
 	if answer.State == protocol.JobCancelled && !job.cancelRequested && dependency == nil {
@@ -147,12 +147,12 @@
 		id := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		dependency := c.cluster.Users.jobs[id]
-		if seen[id] || dependency == nil || dependency.Told == protocol.JobDone {
+		if seen[id] || dependency == nil || dependency.LastState == protocol.JobDone {
 			continue
 		}
 		seen[id] = true
 		pending = append(pending, dependency.Spec.Dependencies...)
-		if dependency.cancelRequested && (found == nil || found.Cancelled == 0) {
+		if dependency.cancelRequested && (found == nil || found.CancelConfirmedAt == 0) {
 			found = dependency
 		}
 	}
@@ -177,7 +177,7 @@
 	if machine, ok := job.machines[task.Name]; ok {
 		c.recordViolation(ruleRanTwice, "%s starts on %s while it is on %s", task.Name, worker.Info.Name, machine)
 	}
-	if job.Cancelled > 0 && c.cluster.Now > job.Cancelled+c.cancelDeadline() {
+	if job.CancelConfirmedAt > 0 && c.cluster.Now > job.CancelConfirmedAt+c.cancelDeadline() {
 		c.recordViolation(ruleRanCancelled, "%s starts", task.Name)
 	}
 	for _, dependency := range c.incompleteDependencies(job) {
@@ -222,7 +222,7 @@
 // checkQuota checks that a team is within its quota.
 func (c *checker) checkQuota(teamName string) {
 	cpus, gpus := c.cluster.Users.cpus[teamName], c.cluster.Users.gpus[teamName]
-	for _, team := range c.cluster.Set.Site.Teams {
+	for _, team := range c.cluster.Settings.Site.Teams {
 		if team.Name != teamName {
 			continue
 		}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,25 +8,25 @@
 // Link is what the network does to packets from one endpoint to another, in that direction
 // alone. The zero Link delivers them.
 type Link struct {
-	Drop    bool          // packets vanish
-	Hold    bool          // packets are kept and arrive once the link is healed
-	Refuse  bool          // connections are refused, and those that stand break
-	Reset   bool          // connections break when something is sent, which may have arrived
-	Delay   time.Duration // is added to the latency
-	Loss    float64       // this share of the packets vanishes
-	Largest int           // in bytes; larger messages between controllers never get through, 0: all do
-	Period  time.Duration // the link is down and up in turns, each for so long; 0: down all the time
+	Drop            bool          // packets vanish
+	Hold            bool          // packets are kept and arrive once the link is healed
+	Refuse          bool          // connections are refused, and those that stand break
+	Reset           bool          // connections break when something is sent, which may have arrived
+	Delay           time.Duration // is added to the latency
+	Loss            float64       // this share of the packets vanishes
+	MaxMessageBytes int           // in bytes; larger messages between controllers never get through, 0: all do
+	FlapPeriod      time.Duration // the link is down and up in turns, each for so long; 0: down all the time
 
 	since time.Duration // when it was set
 }
 
 // Links that tests often set.
 var (
-	Dropped = Link{Drop: true}
-	Held    = Link{Hold: true}
-	Refused = Link{Refuse: true}
-	Resets  = Link{Reset: true}
-	Unread  = Link{Largest: unreadBytes} // connections are accepted and never read
+	Dropped     = Link{Drop: true}
+	Held        = Link{Hold: true}
+	Refused     = Link{Refuse: true}
+	ResetOnSend = Link{Reset: true}
+	Unread      = Link{MaxMessageBytes: unreadBytes} // connections are accepted and never read
 )
 
 // unreadBytes is the limit of a link that no message gets through.
@@ -38,10 +38,10 @@
 // untilUp is how long it takes until a flapping link lets packets pass, 0 if it does now or
 // does not flap.
 func (l *Link) untilUp(now time.Duration) time.Duration {
-	if l.Period == 0 || (now-l.since)/l.Period%2 == 1 {
+	if l.FlapPeriod == 0 || (now-l.since)/l.FlapPeriod%2 == 1 {
 		return 0
 	}
-	return l.Period - (now-l.since)%l.Period
+	return l.FlapPeriod - (now-l.since)%l.FlapPeriod
 }
 
 // combine adds what another link does, if both lie on a packet's path.
@@ -51,8 +51,8 @@
 	l.Reset = l.Reset || other.Reset
 	l.Delay += other.Delay
 	l.Loss = max(l.Loss, other.Loss)
-	if other.Largest > 0 && (l.Largest == 0 || other.Largest < l.Largest) {
-		l.Largest = other.Largest
+	if other.MaxMessageBytes > 0 && (l.MaxMessageBytes == 0 || other.MaxMessageBytes < l.MaxMessageBytes) {
+		l.MaxMessageBytes = other.MaxMessageBytes
 	}
 }
 
@@ -65,11 +65,11 @@
 	send func()
 }
 
-// Link sets the link from one endpoint to another, from now on. Endpoints are
+// SetLink sets the link from one endpoint to another, from now on. Endpoints are
 // "node-0", "state", "cloud", "users", a machine's name, "workers" for all machines,
 // "workers/a" for those of zone a, "workers/even" and "workers/odd" for about half of them,
 // and "zone a" for whatever is in that zone.
-func (c *World) Link(from, to string, link Link) {
+func (c *Cluster) SetLink(from, to string, link Link) {
 	path := endpoints{from, to}
 	if link == (Link{}) {
 		delete(c.links, path)
@@ -80,15 +80,15 @@
 	c.releaseHeld(path)
 }
 
-// Between sets the links of both directions between two endpoints.
-func (c *World) Between(a, b string, link Link) {
-	c.Link(a, b, link)
-	c.Link(b, a, link)
+// SetLinks sets the links of both directions between two endpoints.
+func (c *Cluster) SetLinks(a, b string, link Link) {
+	c.SetLink(a, b, link)
+	c.SetLink(b, a, link)
 }
 
 // releaseHeld sends again what a path held, and breaks the links between controllers that
 // have lost something and could now be made anew.
-func (c *World) releaseHeld(path endpoints) {
+func (c *Cluster) releaseHeld(path endpoints) {
 	held := c.heldPackets
 	c.heldPackets = nil
 	for _, packet := range held {
@@ -107,14 +107,14 @@
 }
 
 // connectionBlocked reports whether no connection is made between two endpoints.
-func (c *World) connectionBlocked(a, b string) bool {
+func (c *Cluster) connectionBlocked(a, b string) bool {
 	there, _ := c.linkBetween(a, b)
 	back, _ := c.linkBetween(b, a)
 	return there.blocksConnections() || back.blocksConnections()
 }
 
 // endpointNames are the names that an endpoint goes by, its zone's not among them.
-func (c *World) endpointNames(endpoint string) []string {
+func (c *Cluster) endpointNames(endpoint string) []string {
 	if !strings.HasPrefix(endpoint, machinePrefix) {
 		return []string{endpoint}
 	}
@@ -126,7 +126,7 @@
 }
 
 // zoneOf is where an endpoint is, empty for the regional services and the users.
-func (c *World) zoneOf(endpoint string) string {
+func (c *Cluster) zoneOf(endpoint string) string {
 	if worker := c.Workers[endpoint]; worker != nil {
 		return worker.Info.Zone
 	}
@@ -140,7 +140,7 @@
 
 // linkBetween combines all links that concern packets from one endpoint to another now. If
 // the combined link holds them, heldBy is the path whose healing releases them.
-func (c *World) linkBetween(from, to string) (combined Link, heldBy endpoints) {
+func (c *Cluster) linkBetween(from, to string) (combined Link, heldBy endpoints) {
 	if len(c.links) == 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 			continue
 		}
 		untilUp := link.untilUp(c.Now)
-		if link.Period > 0 && untilUp == 0 {
+		if link.FlapPeriod > 0 && untilUp == 0 {
 			continue
 		}
 		if link.Hold && untilUp > 0 { // a flapping link is never healed, it comes up of itself
@@ -164,7 +164,7 @@
 }
 
 // pathsBetween are the paths whose links concern packets from one endpoint to another.
-func (c *World) pathsBetween(from, to string) []endpoints {
+func (c *Cluster) pathsBetween(from, to string) []endpoints {
 	var paths []endpoints
 	toNames := c.endpointNames(to)
 	for _, fromName := range c.endpointNames(from) {
@@ -186,10 +186,10 @@
 
 // deliver takes a packet of a call from one endpoint to the other; onReset is called if the
 // connection breaks, which the caller sees at once.
-func (c *World) deliver(from, to string, onArrival, onReset func()) {
+func (c *Cluster) deliver(from, to string, onArrival, onReset func()) {
 	link, heldBy := c.linkBetween(from, to)
 	switch {
-	case link.Drop || link.Largest == unreadBytes || c.drawChance(link.Loss) || c.drawChance(c.Loss):
+	case link.Drop || link.MaxMessageBytes == unreadBytes || c.drawChance(link.Loss) || c.drawChance(c.Loss):
 	case link.Refuse:
 		c.After(c.networkDelay(), onReset)
 	case link.Reset:
@@ -206,19 +206,19 @@
 
 // drawChance reports whether something happens that does so with a probability; if that is 0,
 // nothing is drawn.
-func (c *World) drawChance(probability float64) bool {
+func (c *Cluster) drawChance(probability float64) bool {
 	return probability > 0 && c.Rand.Float64() < probability
 }
 
 // networkDelay draws the latency of a packet: between half of the usual and one and a half.
-func (c *World) networkDelay() time.Duration {
+func (c *Cluster) networkDelay() time.Duration {
 	return c.Latency/2 + time.Duration(c.Rand.Int64N(int64(c.Latency)+1))
 }
 
 // call carries a request from one endpoint to the other and its answer back. serve runs at
 // the far end and gets a function to answer with; onFailure runs if no answer came in time.
 // Exactly one of onAnswer and onFailure runs.
-func call[T any](c *World, from, to string, timeout time.Duration, serve func(reply func(T)), onAnswer func(T), onFailure func()) {
+func call[T any](c *Cluster, from, to string, timeout time.Duration, serve func(reply func(T)), onAnswer func(T), onFailure func()) {
 	over := false
 	fail := func() {
 		if !over {
@@ -227,11 +227,11 @@
 		}
 	}
 	c.After(timeout, fail)
-	if serveNow := serve; to == endpointStore && c.State.Slow > 0 {
-		serve = func(reply func(T)) { c.After(c.State.Slow, func() { serveNow(reply) }) }
+	if serveNow := serve; to == endpointStore && c.Store.ResponseDelay > 0 {
+		serve = func(reply func(T)) { c.After(c.Store.ResponseDelay, func() { serveNow(reply) }) }
 	}
-	if c.drawChance(c.Copies) {
-		delay := c.Latency*2 + time.Duration(c.Rand.Int64N(int64(c.CopyBy)+1))
+	if c.drawChance(c.DuplicateShare) {
+		delay := c.Latency*2 + time.Duration(c.Rand.Int64N(int64(c.MaxDuplicateDelay)+1))
 		c.After(delay, func() { serve(func(T) {}) })
 	}
 	c.deliver(from, to, func() {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -19,12 +19,12 @@
 
 // Node is a controller process: a real core whose effects the simulation carries out.
 type Node struct {
-	cluster *World
-	Label   string
-	Zone    string
-	Core    *core.Core // nil while the process is down
-	Ready   bool       // what the core said last of its readiness for users' requests
-	Old     bool       // runs the previous version from its next start on
+	cluster         *Cluster
+	Label           string
+	Zone            string
+	Core            *core.Core // nil while the process is down
+	Ready           bool       // what the core said last of its readiness for users' requests
+	PreviousVersion bool       // runs the previous version from its next start on
 
 	runsPreviousVersion bool
 	clockRate           float64 // of its monotonic clock, 1: exact
@@ -44,26 +44,26 @@
 }
 
 // newNode makes the node of a sibling without starting it. It draws the rate of its clock.
-func newNode(cluster *World, label, zone string) *Node {
+func newNode(cluster *Cluster, label, zone string) *Node {
 	return &Node{cluster: cluster, Label: label, Zone: zone, clockRate: cluster.drawClockRate()}
 }
 
 // drawClockRate draws the rate of a clock that drifts.
-func (c *World) drawClockRate() float64 { return 1 + (c.Rand.Float64()*2-1)*maxClockDrift }
+func (c *Cluster) drawClockRate() float64 { return 1 + (c.Rand.Float64()*2-1)*maxClockDrift }
 
 // Start starts the process.
 func (n *Node) Start() {
 	n.incarnation++
-	settings := n.cluster.Set
+	settings := n.cluster.Settings
 	settings.Label = n.Label
 	settings.Siblings = nil
-	for _, sibling := range n.cluster.Set.Siblings {
+	for _, sibling := range n.cluster.Settings.Siblings {
 		if sibling.Label != n.Label {
 			settings.Siblings = append(settings.Siblings, sibling)
 		}
 	}
-	if n.runsPreviousVersion = n.Old; n.runsPreviousVersion {
-		settings.Site.State.Next = nil
+	if n.runsPreviousVersion = n.PreviousVersion; n.runsPreviousVersion {
+		settings.Site.Store.Next = nil
 	}
 	n.Core = core.New(&settings, n.cluster.Policy, n.processName(), Debug)
 	n.startedAt = n.cluster.Now
@@ -106,8 +106,8 @@
 	n.wake(0)
 }
 
-// Ask posts a request of a user or worker and passes its reply to onReply.
-func (n *Node) Ask(build func(core.RequestID) core.Command, onReply func(core.Reply)) {
+// Request posts a request of a user or worker and passes its reply to onReply.
+func (n *Node) Request(build func(core.RequestID) core.Command, onReply func(core.Reply)) {
 	if n.Core == nil {
 		return
 	}
@@ -141,8 +141,8 @@
 	now := core.Instant{Monotonic: n.clock(), Wall: wallClockOffset + n.cluster.Now.Seconds()}
 	realStart := time.Now()
 	effects := append([]core.Effect(nil), n.Core.Apply(now, commands)...)
-	if n.cluster.Applied != nil {
-		n.cluster.Applied(n, commands, time.Since(realStart))
+	if n.cluster.OnApplied != nil {
+		n.cluster.OnApplied(n, commands, time.Since(realStart))
 	}
 	if n.paused {
 		n.pendingEffects = effects
--- a/internal/simulation/peerlink.go
+++ b/internal/simulation/peerlink.go
@@ -26,7 +26,7 @@
 // peerLink is a connection between two controllers. In each direction messages arrive in
 // the order in which they were sent.
 type peerLink struct {
-	cluster     *World
+	cluster     *Cluster
 	id          uint64 // the session, for both ends
 	dialer      *Node
 	acceptor    *Node
@@ -47,7 +47,7 @@
 		if n.peerTarget == "" || peer.Label != n.peerTarget {
 			continue
 		}
-		if !peer.Alive() || cluster.connectionBlocked(n.Label, peer.Label) || cluster.PeersRefuse {
+		if !peer.Alive() || cluster.connectionBlocked(n.Label, peer.Label) || cluster.PeersRefuseConnections {
 			cluster.After(redialInterval, retry)
 			return
 		}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (c *World) connectPeers(dialer, acceptor *Node) {
+func (c *Cluster) connectPeers(dialer, acceptor *Node) {
 	c.lastLinkID++
 	link := &peerLink{cluster: c, id: c.lastLinkID, dialer: dialer, acceptor: acceptor}
 	c.peerLinks[link.id] = link
@@ -77,7 +77,7 @@
 	case path.Refuse || path.Reset:
 		l.close()
 		return
-	case path.Drop || path.Largest > 0 && messageBytes(message) > path.Largest:
+	case path.Drop || path.MaxMessageBytes > 0 && messageBytes(message) > path.MaxMessageBytes:
 		l.lossy[direction] = true
 		return
 	case path.Hold:
@@ -119,7 +119,7 @@
 }
 
 // sortedPeerLinks are the links between controllers in the order in which they were made.
-func (c *World) sortedPeerLinks() []*peerLink {
+func (c *Cluster) sortedPeerLinks() []*peerLink {
 	var links []*peerLink
 	for _, link := range c.peerLinks {
 		links = append(links, link)
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -9,38 +9,38 @@
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 )
 
-// Share is how a class of a team fared.
-type Share struct {
-	Jobs    int     // that count
-	Started int     // those of them with a task that has been on a machine
-	Done    int     // those of them of which all tasks have completed
-	Half    float64 // CPU seconds that the smaller half of its jobs takes
+// ClassShare is how a class of a team fared.
+type ClassShare struct {
+	Jobs                  int     // that count
+	Started               int     // those of them with a task that has been on a machine
+	Done                  int     // those of them of which all tasks have completed
+	SmallerHalfCPUSeconds float64 // CPU seconds that the smaller half of its jobs takes
 }
 
-// Shares counts the jobs that were handed in up to a moment, accepted and not cancelled, by
+// ClassShares counts the jobs that were handed in up to a moment, accepted and not cancelled, by
 // team and class. Jobs that fail wherever they run can't be served and do not count.
-func (u *Users) Shares(until time.Duration) map[fairshare.Account]*Share {
-	shares := map[fairshare.Account]*Share{}
+func (u *Users) ClassShares(until time.Duration) map[fairshare.Account]*ClassShare {
+	shares := map[fairshare.Account]*ClassShare{}
 	cpuSeconds := map[fairshare.Account][]float64{}
 	for _, job := range u.jobs {
-		if !job.Accepted || job.cancelRequested || job.Mistaken || job.submittedAt > until {
+		if !job.Accepted || job.cancelRequested || job.FailsEverywhere || job.submittedAt > until {
 			continue
 		}
 		account := fairshare.Account{Team: job.Spec.Team, Class: job.Spec.Class}
 		if shares[account] == nil {
-			shares[account] = &Share{}
+			shares[account] = &ClassShare{}
 		}
 		shares[account].add(job)
 		cpuSeconds[account] = append(cpuSeconds[account], float64(job.Spec.Tasks)*job.Spec.CPUs*job.RunS)
 	}
 	for account, amounts := range cpuSeconds {
-		shares[account].Half = smallerHalf(amounts)
+		shares[account].SmallerHalfCPUSeconds = smallerHalf(amounts)
 	}
 	return shares
 }
 
 // add counts a job.
-func (s *Share) add(job *Job) {
+func (s *ClassShare) add(job *Job) {
 	s.Jobs++
 	if len(job.completed) > 0 || len(job.machines) > 0 {
 		s.Started++
@@ -59,14 +59,14 @@
 	return sum
 }
 
-// FloorsBroken lists the classes of which less than half is done although the capacity
+// UnderservedClasses lists the classes of which less than half is done although the capacity
 // that their team could use, in CPU seconds, was enough for the smaller half of the jobs
 // of each of its classes. judged is of how many classes that is so.
-func (u *Users) FloorsBroken(until time.Duration, capacity map[string]float64) (broken []fairshare.Account, judged int) {
-	shares := u.Shares(until)
+func (u *Users) UnderservedClasses(until time.Duration, capacity map[string]float64) (broken []fairshare.Account, judged int) {
+	shares := u.ClassShares(until)
 	needed := map[string]float64{} // by team
 	for account, share := range shares {
-		needed[account.Team] += share.Half
+		needed[account.Team] += share.SmallerHalfCPUSeconds
 	}
 	for account, share := range shares {
 		if needed[account.Team] > capacity[account.Team] {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -23,15 +23,15 @@
 	bytesPerKB          = 1024
 )
 
-// State is the state service around the real kvstore, with its limits and faults.
-type State struct {
+// Store is the state service around the real kvstore, with its limits and faults.
+type Store struct {
 	StoreFaults
 
-	Late    int // transactions that were answered or applied late
-	Writes  int // operations applied
-	Refused int // requests above the limits
+	DelayedCommits int // transactions that were answered or applied late
+	Writes         int // operations applied
+	Throttled      int // requests above the limits
 
-	cluster       *World
+	cluster       *Cluster
 	checker       *checker
 	state         *kvstore.State
 	leaseExpiry   map[uint64]time.Duration // by lease
@@ -48,37 +48,37 @@
 	closed        bool
 }
 
-func newState(cluster *World) *State {
-	return &State{
-		StoreFaults: StoreFaults{Refuses: map[string]bool{}, Forgot: map[string]bool{}},
+func newStore(cluster *Cluster) *Store {
+	return &Store{
+		StoreFaults: StoreFaults{RefusedNodes: map[string]bool{}, CompactedNodes: map[string]bool{}},
 		cluster:     cluster, checker: cluster.checker, state: kvstore.NewState(), leaseExpiry: map[uint64]time.Duration{},
 	}
 }
 
 // refuses reports whether a node's requests are refused.
-func (s *State) refuses(node string) bool { return s.Out || s.Refuses[node] }
+func (s *Store) refuses(node string) bool { return s.Down || s.RefusedNodes[node] }
 
 // limits are those in force.
-func (s *State) limits() config.State {
-	if s.Lowered {
-		return s.cluster.Set.Site.State.Least()
+func (s *Store) limits() config.StoreLimits {
+	if s.LimitsLowered {
+		return s.cluster.Settings.Site.Store.Lowest()
 	}
-	return s.cluster.Set.Site.State
+	return s.cluster.Settings.Site.Store
 }
 
 // limited reports whether a request with the given number of writes is above the limits.
-func (s *State) limited(writes int) bool {
+func (s *Store) limited(writes int) bool {
 	limits, now := s.limits(), s.cluster.Now
 	if s.requestBucket.take(now, 1, limits.RPS, storeBurstSeconds) &&
 		s.writeBucket.take(now, float64(writes), limits.WriteRPS, storeBurstSeconds) {
 		return false
 	}
-	s.Refused++
+	s.Throttled++
 	return true
 }
 
 // change makes the next state and wakes the watches that wait for one.
-func (s *State) change(apply func(*kvstore.Batch)) {
+func (s *Store) change(apply func(*kvstore.Batch)) {
 	batch := s.state.Begin()
 	apply(batch)
 	s.state = batch.Next()
@@ -86,7 +86,7 @@
 }
 
 // commitUnseen commits a transaction without the knowledge of any controller.
-func (s *State) commitUnseen(txn *kvstore.Txn) {
+func (s *Store) commitUnseen(txn *kvstore.Txn) {
 	s.change(func(batch *kvstore.Batch) {
 		if _, err := batch.Commit(txn); err != nil {
 			panic(fmt.Sprintf("simulation: commit: %v", err)) // only a lease that is not there
@@ -95,12 +95,12 @@
 }
 
 // armLease starts a lease's full time anew.
-func (s *State) armLease(id uint64) {
+func (s *Store) armLease(id uint64) {
 	ttlMilliseconds, _ := s.state.LeaseTTL(id)
 	expiry := s.cluster.Now + time.Duration(ttlMilliseconds)*time.Millisecond
 	s.leaseExpiry[id] = expiry
 	s.cluster.At(expiry, func() {
-		if s.leaseExpiry[id] != expiry || s.Out { // renewed, or frozen by an outage
+		if s.leaseExpiry[id] != expiry || s.Down { // renewed, or frozen by an outage
 			return
 		}
 		s.change(func(batch *kvstore.Batch) { _ = batch.RevokeLease(id) }) // it may have ended
@@ -108,7 +108,7 @@
 }
 
 // handleLease renews a node's lease, or grants one if it names none.
-func (s *State) handleLease(node string, request core.RenewLease) (uint64, core.LeaseOutcome) {
+func (s *Store) handleLease(node string, request core.RenewLease) (uint64, core.LeaseOutcome) {
 	if s.refuses(node) || s.limited(0) {
 		return request.LeaseID, core.LeaseRefused
 	}
@@ -132,7 +132,7 @@
 
 // Commit runs a transaction of a node, perhaps one of the previous version. CommitUnknown
 // stands for an answer that never comes.
-func (s *State) Commit(node string, previousVersion bool, txn protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
+func (s *Store) Commit(node string, previousVersion bool, txn protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
 	if s.refuses(node) {
 		return core.CommitUnavailable, protocol.TransactionResult{}
 	}
@@ -151,24 +151,24 @@
 }
 
 // drawLate reports whether a transaction is one of those that get no answer.
-func (s *State) drawLate(txn protocol.Transaction) bool {
+func (s *Store) drawLate(txn protocol.Transaction) bool {
 	concerned := func(operation protocol.Operation) bool {
-		return strings.HasPrefix(operation.Put+operation.Delete, s.LateOnly)
+		return strings.HasPrefix(operation.Put+operation.Delete, s.DelayedCommitPrefix)
 	}
-	return s.LateShare > 0 && slices.ContainsFunc(txn.Then, concerned) && s.cluster.Rand.Float64() < s.LateShare
+	return s.DelayedCommitShare > 0 && slices.ContainsFunc(txn.Then, concerned) && s.cluster.Rand.Float64() < s.DelayedCommitShare
 }
 
-func (s *State) applyLate(txn protocol.Transaction) {
-	s.Late++
-	if s.LateBy == 0 { // applied at once: only the answer is lost
+func (s *Store) applyLate(txn protocol.Transaction) {
+	s.DelayedCommits++
+	if s.MaxCommitDelay == 0 { // applied at once: only the answer is lost
 		s.apply(txn)
 		return
 	}
-	delay := s.LateFrom + time.Duration(s.cluster.Rand.Int64N(int64(s.LateBy-s.LateFrom)+1))
+	delay := s.MinCommitDelay + time.Duration(s.cluster.Rand.Int64N(int64(s.MaxCommitDelay-s.MinCommitDelay)+1))
 	s.cluster.After(delay, func() { s.apply(txn) })
 }
 
-func (s *State) apply(txn protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
+func (s *Store) apply(txn protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
 	s.Writes += len(txn.Then)
 	encoded := encodeTransaction(txn)
 	var result kvstore.TxnResult
@@ -200,12 +200,12 @@
 
 // malformed says which limit a transaction is over, empty: none. A node that sends such a
 // transaction would send it for ever.
-func (s *State) malformed(txn protocol.Transaction) string {
+func (s *Store) malformed(txn protocol.Transaction) string {
 	limits := s.limits()
-	if operations := len(txn.Then); operations > limits.TxnOps {
+	if operations := len(txn.Then); operations > limits.MaxTxnOps {
 		return fmt.Sprintf("%d changes in one transaction", operations)
 	}
-	if conditions := len(txn.If); conditions > conditionsPerOperation*limits.TxnOps {
+	if conditions := len(txn.If); conditions > conditionsPerOperation*limits.MaxTxnOps {
 		return fmt.Sprintf("%d conditions in one transaction", conditions)
 	}
 	total := 0
@@ -223,7 +223,7 @@
 }
 
 // loadPage answers with a page of keys, those after the given one.
-func (s *State) loadPage(node string, after string, sentAt time.Duration) core.LoadResult {
+func (s *Store) loadPage(node string, after string, sentAt time.Duration) core.LoadResult {
 	result := core.LoadResult{SentAt: sentAt, Revision: s.state.Revision}
 	if s.refuses(node) || s.limited(0) {
 		return result
@@ -235,7 +235,7 @@
 
 // handleWatch answers a watch at once if there is a change or it does not wait, else once
 // there is a change or its time is over. In an outage watches that are open stay open.
-func (s *State) handleWatch(node string, request core.Watch, respond func(core.WatchOutcome, protocol.WatchResponse)) {
+func (s *Store) handleWatch(node string, request core.Watch, respond func(core.WatchOutcome, protocol.WatchResponse)) {
 	if s.refuses(node) {
 		if request.Hold == 0 {
 			respond(core.WatchUnavailable, protocol.WatchResponse{})
@@ -246,8 +246,8 @@
 		respond(core.WatchThrottled, protocol.WatchResponse{})
 		return
 	}
-	if s.Forgot[node] {
-		delete(s.Forgot, node)
+	if s.CompactedNodes[node] {
+		delete(s.CompactedNodes, node)
 		respond(core.WatchCompacted, protocol.WatchResponse{})
 		return
 	}
@@ -261,7 +261,7 @@
 }
 
 // answerWatch answers with the changes since a revision.
-func (s *State) answerWatch(revision uint64, respond func(core.WatchOutcome, protocol.WatchResponse)) {
+func (s *Store) answerWatch(revision uint64, respond func(core.WatchOutcome, protocol.WatchResponse)) {
 	events, err := s.state.EventsSince(core.KeyPrefix, revision)
 	if err != nil {
 		respond(core.WatchCompacted, events)
@@ -270,7 +270,7 @@
 	respond(core.WatchServed, events)
 }
 
-func (s *State) finishWatch(open *watch) {
+func (s *Store) finishWatch(open *watch) {
 	if !open.closed && !s.refuses(open.node) {
 		open.closed = true
 		s.answerWatch(open.sinceRevision, open.respond)
@@ -278,7 +278,7 @@
 }
 
 // wakeWatches answers the open watches that there is a change for.
-func (s *State) wakeWatches() {
+func (s *Store) wakeWatches() {
 	watches := s.watches
 	s.watches = nil
 	for _, open := range watches {
@@ -291,8 +291,8 @@
 	}
 }
 
-// Count counts the keys with a prefix.
-func (s *State) Count(prefix string) (keys int) {
+// CountKeys counts the keys with a prefix.
+func (s *Store) CountKeys(prefix string) (keys int) {
 	for key := range s.state.All() {
 		if strings.HasPrefix(key, prefix) {
 			keys++
--- a/internal/simulation/store_content.go
+++ b/internal/simulation/store_content.go
@@ -27,8 +27,8 @@
 	longEstimateS = 100_000
 )
 
-// Ended puts count jobs into the store that were done or cancelled long ago.
-func (s *State) Ended(count int) {
+// AddFinishedJobs puts count jobs into the store that were done or cancelled long ago.
+func (s *Store) AddFinishedJobs(count int) {
 	var txn kvstore.Txn
 	for i := range count {
 		spec := Array(1 + i%taskCountVariety)
@@ -42,9 +42,9 @@
 	s.commitUnseen(&txn)
 }
 
-// Behind puts a job into the store, and count jobs that depend on it: half of them on it
+// AddDependentJobs puts a job into the store, and count jobs that depend on it: half of them on it
 // alone, half in chains of a hundred.
-func (s *State) Behind(first protocol.Job, count int) {
+func (s *Store) AddDependentJobs(first protocol.Job, count int) {
 	first.EstimateS = longEstimateS
 	txn := kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(first))}}
 	previous := ""
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -16,11 +16,11 @@
 
 // Task is an attempt at a task on a machine.
 type Task struct {
-	Name    string
-	Attempt uint64
-	State   string // protocol.TaskFetching and others
-	Why     string // the reason of its exit
-	Saved   bool   // it saved its progress before it was stopped
+	Name       string
+	Attempt    uint64
+	State      string // protocol.TaskFetching and others
+	ExitReason string // the reason of its exit
+	Saved      bool   // it saved its progress before it was stopped
 
 	job          *Job // nil if the name is of no job
 	index        int
@@ -93,14 +93,14 @@
 	task.job, task.index = w.cluster.Users.jobs[job], index
 	unknown := err != nil || task.job == nil || index >= task.job.Spec.Tasks
 	if reason := w.refusal(task, unknown); reason != "" {
-		task.State, task.Why = protocol.TaskExited, reason
+		task.State, task.ExitReason = protocol.TaskExited, reason
 		w.Tasks = append(w.Tasks, task)
 		return true
 	}
 	w.Tasks = append(w.Tasks, task)
 	task.job.lastStartAt, w.lastTaskAt = w.cluster.Now, w.cluster.Now
-	if task.job.Cancelled > 0 {
-		w.cluster.Users.LateStarts++
+	if task.job.CancelConfirmedAt > 0 {
+		w.cluster.Users.StartsAfterCancel++
 	}
 	w.afterIfPresent(task, w.fetchDuration(&task.job.Spec), func() { w.imageFetched(task) })
 	return true
@@ -152,7 +152,7 @@
 	w.statusChanged()
 	task.runningSince = w.cluster.Now
 	switch {
-	case w.Faulty || task.job.Mistaken:
+	case w.Faulty || task.job.FailsEverywhere:
 		w.afterIfPresent(task, failureDelay, func() { w.exit(task, protocol.ExitFailed) })
 	case task.job.Spec.Kind != protocol.KindService:
 		w.afterIfPresent(task, w.remainingRun(task), func() { w.exit(task, protocol.ExitDone) })
@@ -166,10 +166,10 @@
 		return 0
 	}
 	runS := job.RunS
-	if len(job.RunsS) > 0 {
-		runS = job.RunsS[task.index]
+	if len(job.TaskRunS) > 0 {
+		runS = job.TaskRunS[task.index]
 	}
-	return config.Seconds(runS*max(w.Slow, 1)) - job.savedRun[task.index]
+	return config.Seconds(runS*max(w.SlowFactor, 1)) - job.savedRun[task.index]
 }
 
 // currentAttempt is the attempt of a task that is on the machine, or 0.
@@ -222,8 +222,8 @@
 	if task.job != nil && task.runningSince > 0 && reason == protocol.ExitStopped {
 		task.job.savedRun[task.index] += w.progressKept(task)
 	}
-	task.State, task.Why = protocol.TaskExited, reason
-	w.hardwareFailed = w.hardwareFailed || reason == protocol.ExitFailed && !task.job.Mistaken
+	task.State, task.ExitReason = protocol.TaskExited, reason
+	w.hardwareFailed = w.hardwareFailed || reason == protocol.ExitFailed && !task.job.FailsEverywhere
 	if reason == protocol.ExitDone && task.job != nil {
 		w.cluster.Users.taskCompleted(task)
 	}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -34,7 +34,7 @@
 // Users submit, poll and cancel jobs. Whatever they are told, and whatever happens to a task
 // on a machine, passes through here to the checker.
 type Users struct {
-	cluster *World
+	cluster *Cluster
 	checker *checker
 	jobs    map[string]*Job
 	lastJob int // number of the job submitted last
@@ -43,40 +43,40 @@
 	cpus         map[string]float64 // that they take, by team
 	gpus         map[string]float64
 
-	Starts int // tasks that started on a machine
-	Again  int // those of them that had been completed before
-	Asked  int // requests
-	Served int // requests that got an answer other than to come again later
-	Late   int // requests that got no answer in time
-	Looks  int // questions of ReadEverywhere that were answered
-	// LateStarts counts the starts that a machine took after the user was told that the job
+	Starts          int // tasks that started on a machine
+	RepeatedStarts  int // those of them that had been completed before
+	Requests        int // requests
+	Answered        int // requests that got an answer other than to come again later
+	TimedOut        int // requests that got no answer in time
+	ConsistentReads int // questions of ReadEverywhere that were answered
+	// StartsAfterCancel counts the starts that a machine took after the user was told that the job
 	// is cancelled.
-	LateStarts int
+	StartsAfterCancel int
 
-	// Only is the node that all requests go to, nil: to any that is ready.
-	Only *Node
-	// Calm is when all faults are over, 0: not known. Some rules hold from then on only.
-	Calm time.Duration
-	// CloseLooks has users ask at all nodes again and again within milliseconds, and repeat
+	// OnlyNode is the node that all requests go to, nil: to any that is ready.
+	OnlyNode *Node
+	// FaultsOverAt is when all faults are over, 0: not known. Some rules hold from then on only.
+	FaultsOverAt time.Duration
+	// CheckReadYourWrites has users ask at all nodes again and again within milliseconds, and repeat
 	// the submission, right after a job was accepted, ended or called cancelled.
-	CloseLooks bool
-	// AtEnd is the share of jobs that are cancelled at the moment at which they end.
-	AtEnd float64
+	CheckReadYourWrites bool
+	// CancelAtEndShare is the share of jobs that are cancelled at the moment at which they end.
+	CancelAtEndShare float64
 }
 
 // Job is a job as its user sees it.
 type Job struct {
-	Spec     protocol.Job
-	RunS     float64   // how long its tasks run
-	RunsS    []float64 // by task, if they differ
-	Mistaken bool      // its tasks fail wherever they run
-	Never    bool      // it can't run or lacks a field: it must not be accepted
-
-	Accepted  bool
-	Refused   core.ReplyStatus     // the status of its final rejection, 0: none
-	Told      string               // the state that its user was told last
-	Answer    protocol.JobResponse // in which that was
-	Cancelled time.Duration        // when its user was told that it is cancelled
+	Spec            protocol.Job
+	RunS            float64   // how long its tasks run
+	TaskRunS        []float64 // by task, if they differ
+	FailsEverywhere bool      // its tasks fail wherever they run
+	MustBeRejected  bool      // it can't run or lacks a field: it must not be accepted
+
+	Accepted          bool
+	Rejected          core.ReplyStatus     // the status of its final rejection, 0: none
+	LastState         string               // the state that its user was told last
+	Answer            protocol.JobResponse // in which that was
+	CancelConfirmedAt time.Duration        // when its user was told that it is cancelled
 
 	submittedAt     time.Duration
 	cancelRequested bool
@@ -91,7 +91,7 @@
 	idleSince   map[string]time.Duration // machines that could take a task of it, and since when
 }
 
-func newUsers(cluster *World) *Users {
+func newUsers(cluster *Cluster) *Users {
 	return &Users{cluster: cluster, checker: cluster.checker, jobs: map[string]*Job{}, cpus: map[string]float64{}, gpus: map[string]float64{}}
 }
 
@@ -138,19 +138,19 @@
 // Reply if no answer comes.
 func (u *Users) request(build func(core.RequestID) core.Command, onReply func(core.Reply)) {
 	cluster := u.cluster
-	u.Asked++
+	u.Requests++
 	count := func(reply core.Reply) {
 		if reply.Status > 0 && reply.Status < statusServerError && reply.Status != statusTooMany {
-			u.Served++
+			u.Answered++
 		}
 		onReply(reply)
 	}
 	first := cluster.Rand.IntN(len(cluster.Nodes))
 	for i := range cluster.Nodes {
 		node := cluster.Nodes[(first+i)%len(cluster.Nodes)]
-		if node.Alive() && node.Ready && (u.Only == nil || u.Only == node) {
+		if node.Alive() && node.Ready && (u.OnlyNode == nil || u.OnlyNode == node) {
 			u.requestFrom(node, build, count, func() {
-				u.Late++
+				u.TimedOut++
 				count(core.Reply{})
 			})
 			return
@@ -161,7 +161,7 @@
 
 // requestFrom sends a request to one node.
 func (u *Users) requestFrom(node *Node, build func(core.RequestID) core.Command, onReply func(core.Reply), onTimeout func()) {
-	call(u.cluster, endpointUsers, node.Label, userTimeout, func(reply func(core.Reply)) { node.Ask(build, reply) }, onReply, onTimeout)
+	call(u.cluster, endpointUsers, node.Label, userTimeout, func(reply func(core.Reply)) { node.Request(build, reply) }, onReply, onTimeout)
 }
 
 func (u *Users) submit(job *Job) {
@@ -173,7 +173,7 @@
 			u.accepted(job, reply.Body.(protocol.JobResponse), sentAt)
 		case statusBadRequest, core.ReplyInvalid:
 			u.checker.checkRejection(job, reply)
-			job.Refused = reply.Status
+			job.Rejected = reply.Status
 		default:
 			u.cluster.After(userRetryInterval, func() { u.submit(job) })
 		}
@@ -223,43 +223,43 @@
 	})
 }
 
-// Never hands in, at all nodes, a job that can't run: each node must reject it for good, or
+// SubmitInvalid hands in, at all nodes, a job that can't run: each node must reject it for good, or
 // have its user come again, however little it knows yet.
-func (u *Users) Never(spec protocol.Job) *Job {
+func (u *Users) SubmitInvalid(spec protocol.Job) *Job {
 	job := u.Submit(spec, 1)
-	job.Never = true
+	job.MustBeRejected = true
 	for _, node := range u.cluster.Nodes {
 		u.requestFrom(node, submitCommand(job), func(reply core.Reply) { u.checker.checkRejected(job, node, reply) }, func() {})
 	}
 	return job
 }
 
-// Abort cancels a job, again and again until that is confirmed.
-func (u *Users) Abort(job *Job) {
+// Cancel cancels a job, again and again until that is confirmed.
+func (u *Users) Cancel(job *Job) {
 	job.cancelRequested = true
 	sentAt := u.cluster.Now
 	u.request(cancelCommand(job), func(reply core.Reply) {
 		if reply.Status != core.ReplyOK {
-			u.cluster.After(userRetryInterval, func() { u.Abort(job) })
+			u.cluster.After(userRetryInterval, func() { u.Cancel(job) })
 			return
 		}
 		u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
 	})
 }
 
-// Wants notes that a job's user wants it cancelled, whoever is asked and whatever comes of it.
-func (u *Users) Wants(job *Job) { job.cancelRequested = true }
+// NoteCancelRequested notes that a job's user wants it cancelled, whoever is asked and whatever comes of it.
+func (u *Users) NoteCancelRequested(job *Job) { job.cancelRequested = true }
 
-// readEverywhereIfEnabled reads a job at all nodes if CloseLooks is set.
+// readEverywhereIfEnabled reads a job at all nodes if CheckReadYourWrites is set.
 func (u *Users) readEverywhereIfEnabled(job *Job) {
-	if u.CloseLooks {
-		u.Look(job)
+	if u.CheckReadYourWrites {
+		u.ReadEverywhere(job)
 	}
 }
 
-// Look has a job's user ask at all nodes, and submit it again at one of them, three times
+// ReadEverywhere has a job's user ask at all nodes, and submit it again at one of them, three times
 // within some milliseconds: every node must know what any node has confirmed.
-func (u *Users) Look(job *Job) {
+func (u *Users) ReadEverywhere(job *Job) {
 	for round := range readRounds {
 		u.cluster.After(time.Duration(round)*readRoundInterval, func() {
 			for i, node := range u.cluster.Nodes {
@@ -278,7 +278,7 @@
 	u.requestFrom(node, build, func(reply core.Reply) {
 		switch reply.Status {
 		case core.ReplyOK, core.ReplyAccepted:
-			u.Looks++
+			u.ConsistentReads++
 			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
 		case core.ReplyNotFound, statusBadRequest, core.ReplyInvalid:
 			if known {
@@ -297,17 +297,17 @@
 func (u *Users) observe(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
 	u.checker.checkAnswer(job, answer, sentAt)
 	job.answeredAt = u.cluster.Now
-	if isFinal(job.Told) { // the first such word is the one that counts
-		if answer.State == job.Told {
+	if isFinal(job.LastState) { // the first such word is the one that counts
+		if answer.State == job.LastState {
 			job.Answer = answer
 		}
 		return
 	}
 	if answer.State == protocol.JobCancelled {
-		job.Cancelled = u.cluster.Now
+		job.CancelConfirmedAt = u.cluster.Now
 		u.cluster.After(u.checker.cancelDeadline(), func() { u.checker.checkNoneRuns(job) })
 	}
-	job.Told, job.Answer = answer.State, answer
+	job.LastState, job.Answer = answer.State, answer
 	if isFinal(answer.State) {
 		job.finalAt = u.cluster.Now
 		u.readEverywhereIfEnabled(job)
@@ -323,7 +323,7 @@
 	}
 	u.Starts++
 	if job.completed[task.index] {
-		u.Again++
+		u.RepeatedStarts++
 	}
 	job.machines[task.Name] = worker.Info.Name
 	u.checker.checkPlace(worker, task)
@@ -352,8 +352,8 @@
 
 // jobCompleted is called when the last task of a job completes.
 func (u *Users) jobCompleted(job *Job) {
-	if u.AtEnd > 0 && u.cluster.Rand.Float64() < u.AtEnd {
-		u.Abort(job)
+	if u.CancelAtEndShare > 0 && u.cluster.Rand.Float64() < u.CancelAtEndShare {
+		u.Cancel(job)
 	}
 	u.readEverywhereIfEnabled(job)
 }
@@ -365,29 +365,29 @@
 	u.gpus[job.Spec.Team] += float64(tasks) * job.Spec.GPUs
 }
 
-// AllTold reports whether the user of every job that was not rejected knows that it is over.
-func (u *Users) AllTold() bool {
+// AllFinal reports whether the user of every job that was not rejected knows that it is over.
+func (u *Users) AllFinal() bool {
 	for _, job := range u.jobs {
-		if job.Refused == 0 && !isFinal(job.Told) {
+		if job.Rejected == 0 && !isFinal(job.LastState) {
 			return false
 		}
 	}
 	return true
 }
 
-// Done is how many tasks of jobs have completed.
-func (u *Users) Done(jobs ...*Job) (tasks int) {
+// CompletedTasks is how many tasks of jobs have completed.
+func (u *Users) CompletedTasks(jobs ...*Job) (tasks int) {
 	for _, job := range jobs {
 		tasks += len(job.completed)
 	}
 	return tasks
 }
 
-// Running is how many tasks of all jobs are on machines.
-func (u *Users) Running() int { return u.runningTasks }
+// RunningTasks is how many tasks of all jobs are on machines.
+func (u *Users) RunningTasks() int { return u.runningTasks }
 
-// Reasons lists what the users of the jobs that are not over were told last.
-func (u *Users) Reasons() []string {
+// LastReasons lists what the users of the jobs that are not over were told last.
+func (u *Users) LastReasons() []string {
 	var reasons []string
 	for _, job := range u.jobs {
 		if job.Answer.Reason != "" {
@@ -397,8 +397,8 @@
 	return reasons
 }
 
-// On is the machine that a task is on, or empty.
-func (j *Job) On(index int) string { return j.machines[protocol.TaskName(j.Spec.ID, index)] }
+// MachineOf is the machine that a task is on, or empty.
+func (j *Job) MachineOf(index int) string { return j.machines[protocol.TaskName(j.Spec.ID, index)] }
 
-// Running is how many of its tasks are on machines.
-func (j *Job) Running() int { return len(j.machines) }
+// RunningTasks is how many of its tasks are on machines.
+func (j *Job) RunningTasks() int { return len(j.machines) }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -32,7 +32,7 @@
 type Worker struct {
 	WorkerFaults
 
-	cluster *World
+	cluster *Cluster
 	Info    protocol.Instance
 	Tasks   []*Task
 
@@ -55,7 +55,7 @@
 	hardwareFailed bool          // a task has failed here that would not have elsewhere
 }
 
-func newWorker(cluster *World, instance protocol.Instance) *Worker {
+func newWorker(cluster *Cluster, instance protocol.Instance) *Worker {
 	w := &Worker{
 		cluster: cluster, Info: instance, session: 1, images: map[string]bool{},
 		leaseRenewedAt: cluster.Now, lastHeartbeatAt: -time.Hour,
@@ -66,8 +66,8 @@
 	return w
 }
 
-// ReportsTo is the controller that it sends its heartbeats to.
-func (w *Worker) ReportsTo() *Node { return w.cluster.Nodes[w.nodeIndex] }
+// Controller is the controller that it sends its heartbeats to.
+func (w *Worker) Controller() *Node { return w.cluster.Nodes[w.nodeIndex] }
 
 // remove ends the worker together with its machine.
 func (w *Worker) remove() {
@@ -90,7 +90,7 @@
 }
 
 func (w *Worker) leaseDuration() time.Duration {
-	return w.localDuration(config.Seconds(w.cluster.Set.Site.Workers.LeaseS))
+	return w.localDuration(config.Seconds(w.cluster.Settings.Site.Workers.LeaseS))
 }
 
 // watchLease ends all tasks whenever the lease expires. That goes for a hung machine too: it
@@ -117,7 +117,7 @@
 	}
 	for _, task := range w.Tasks {
 		report.Tasks = append(report.Tasks, protocol.TaskStatus{
-			Task: task.Name, Attempt: task.Attempt, State: task.State, ExitReason: task.Why, Saved: task.Saved})
+			Task: task.Name, Attempt: task.Attempt, State: task.State, ExitReason: task.ExitReason, Saved: task.Saved})
 	}
 	return report
 }
@@ -165,14 +165,14 @@
 	w.lastHeartbeatAt = w.cluster.Now
 	sent := sentHeartbeat{sentAt: w.cluster.Now, session: w.session}
 	report := w.heartbeat()
-	node := w.ReportsTo()
-	if w.Mute {
+	node := w.Controller()
+	if w.OutboundBlocked {
 		w.tryNextNode()
 		return
 	}
 	w.cluster.retain(report)
 	call(w.cluster, w.Info.Name, node.Label, heartbeatTimeout, func(reply func(core.Reply)) {
-		node.Ask(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, reply)
+		node.Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, reply)
 	}, func(reply core.Reply) { w.handleHeartbeatReply(sent, reply) }, w.tryNextNode)
 }
 
@@ -209,7 +209,7 @@
 		if fresh && sent.session == w.session && body.Token >= w.leaderToken {
 			w.acceptResponse(sent, body)
 		}
-		interval := float64(config.Seconds(w.cluster.Set.Site.Workers.ReportS))
+		interval := float64(config.Seconds(w.cluster.Settings.Site.Workers.HeartbeatS))
 		jitter := 0.75 + w.cluster.Rand.Float64()/2
 		w.heartbeatDone(w.localDuration(time.Duration(interval * jitter)))
 	case protocol.Redirect:
