--- a/cmd/chalkhubctl/agent.go
+++ b/cmd/chalkhubctl/agent.go
@@ -15,6 +15,7 @@
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/local"
 	"github.com/chalkhub/chalkhub/internal/localcloud"
+	"github.com/chalkhub/chalkhub/internal/logging"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/shim"
 )
@@ -88,7 +89,7 @@
 		Dir:           f.Dir,
 		CheckpointDir: f.CheckpointDir,
 		ShimCommand:   shimCommand,
-		Logger:        logger().With("machine", f.Machine),
+		Logger:        logging.New(os.Stderr).With("machine", f.Machine),
 		Agent: agent.Settings{
 			Machine:   f.Machine,
 			Type:      f.Type,
--- a/cmd/chalkhubctl/cloud.go
+++ b/cmd/chalkhubctl/cloud.go
@@ -10,6 +10,7 @@
 
 	"github.com/chalkhub/chalkhub/internal/local"
 	"github.com/chalkhub/chalkhub/internal/localcloud"
+	"github.com/chalkhub/chalkhub/internal/logging"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
@@ -34,7 +35,7 @@
 	start := func(m protocol.Instance, t localcloud.MachineType, listener, alive *os.File) (*exec.Cmd, error) {
 		return agentCommand(self, &f, m, t, []*os.File{listener, alive})
 	}
-	cloud, err := localcloud.Open(f.Cloud, filepath.Join(f.Dir, "cloud.jsonl"), filepath.Join(f.Dir, "machines"), start, logger())
+	cloud, err := localcloud.Open(f.Cloud, filepath.Join(f.Dir, "cloud.jsonl"), filepath.Join(f.Dir, "machines"), start, logging.New(os.Stderr))
 	if err != nil {
 		return err
 	}
--- a/cmd/chalkhubctl/local.go
+++ b/cmd/chalkhubctl/local.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/chalkhub/chalkhub/internal/local"
+	"github.com/chalkhub/chalkhub/internal/logging"
 )
 
 type localCmd struct {
@@ -98,7 +99,7 @@
 // Run runs a cluster until it is interrupted, or the demonstration.
 func (c *localCmd) Run(ctx context.Context) (err error) {
 	startedAt := time.Now()
-	options := local.Options{PolicyFile: c.Policy, Logger: logger()}
+	options := local.Options{PolicyFile: c.Policy, Logger: logging.New(os.Stderr)}
 	if c.Demo {
 		options.Logger = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
--- a/cmd/chalkhubctl/main.go
+++ b/cmd/chalkhubctl/main.go
@@ -6,10 +6,8 @@
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
 	"os/signal"
-	"strings"
 	"syscall"
 
 	"github.com/alecthomas/kong"
@@ -99,17 +97,6 @@
 	return a.Client()
 }
 
-func logger() *slog.Logger {
-	level := slog.LevelInfo
-	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
-	case "error":
-		level = slog.LevelError
-	case "debug":
-		level = slog.LevelDebug
-	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-}
-
 func main() {
 	var c cli
 	parser := kong.Must(&c, kong.Name("chalkhubctl"), kong.Description("Jobs and clusters of chalkhub."), kong.Vars{"version": version},
--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"os"
 	"strings"
 	"sync"
 	"time"
@@ -15,6 +16,7 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 	"github.com/chalkhub/chalkhub/internal/httpserver"
 	"github.com/chalkhub/chalkhub/internal/local"
+	"github.com/chalkhub/chalkhub/internal/logging"
 )
 
 type completionCmd struct {
@@ -207,6 +209,6 @@
 		ReadTimeout:  time.Minute,
 		WriteTimeout: time.Minute,
 	}
-	logger().Info("serving metrics", "at", "http://"+c.Listen+"/metrics")
+	logging.New(os.Stderr).Info("serving metrics", "at", "http://"+c.Listen+"/metrics")
 	return httpserver.Serve(ctx, srv, l)
 }
--- a/cmd/chalkhubctl/state.go
+++ b/cmd/chalkhubctl/state.go
@@ -17,6 +17,7 @@
 	"github.com/chalkhub/chalkhub/internal/kvserver"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/local"
+	"github.com/chalkhub/chalkhub/internal/logging"
 )
 
 const (
@@ -61,7 +62,7 @@
 	if err := c.check(&f); err != nil {
 		return err
 	}
-	log := logger()
+	log := logging.New(os.Stderr)
 	startedAt := time.Now()
 	file, state, err := openStateFile(&f)
 	if err != nil {
