--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -209,6 +209,7 @@
 		ReadTimeout:  time.Minute,
 		WriteTimeout: time.Minute,
 	}
-	logging.New(os.Stderr).Info("serving metrics", "at", "http://"+c.Listen+"/metrics")
+	log := logging.New(os.Stderr)
+	log.Info("serving metrics", "at", "http://"+c.Listen+"/metrics")
 	return httpserver.Serve(ctx, srv, l)
 }
