--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -35,7 +35,7 @@
 var version = "devel"
 
 // peerQueueShare is the share of the process's memory that may wait to be sent to other
-// controllers. A task takes about 90 bytes in a whole picture that waits and over 200 in the core
+// controllers. A task takes about 90 bytes in a snapshot that waits and over 200 in the core
 // of the machine's owner, so a fleet that fits into the memory is told of before this binds.
 const peerQueueShare = 0.25
 
--- a/internal/protocol/artifacts.go
+++ b/internal/protocol/artifacts.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// JobDescription tells agents what a job's tasks do. Users upload it to the depot before
+// JobDescription tells agents what a job's tasks do. Users upload it to the artifact store before
 // they submit the job (PROTOCOL, POST /v1/report, "start").
 type JobDescription struct {
 	Job        Job               `msgpack:"Job"`
@@ -42,18 +42,18 @@
 	return nil
 }
 
-// ResultStatus is what the depot tells of a task: whether its result is kept.
+// ResultStatus is what the artifact store answers about a task: whether its result is kept.
 type ResultStatus struct {
 	Done bool `msgpack:"Done"`
 }
 
-// UploadedJobs is a page of the depot's jobs, newest uploads first.
+// UploadedJobs is a page of the artifact store's jobs, newest uploads first.
 type UploadedJobs struct {
 	Jobs []UploadedJob `msgpack:"Jobs"`
 	More bool          `msgpack:"More"`
 }
 
-// UploadedJob is a job in the depot's list.
+// UploadedJob is a job in the artifact store's list.
 type UploadedJob struct {
 	ID         string  `msgpack:"Ref"`
 	Team       string  `msgpack:"Desk"`
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -3,15 +3,7 @@
 // field is added with omitempty and its absence means that the writer did not know it.
 package records
 
-import (
-	"encoding/base64"
-	"math/bits"
-
-	"github.com/chalkhub/chalkhub/internal/protocol"
-)
-
-// What chalkhub itself keeps in the state service. These values are ours, so
-// their names are plain.
+import "github.com/chalkhub/chalkhub/internal/protocol"
 
 // Job is a job's durable state. State is JobQueued until the job is over.
 type Job struct {
@@ -20,13 +12,13 @@
 	SubmittedAt float64      `msgpack:"at"`               // time of day of the submission, in seconds
 	Zones       []string     `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
 	StopReason  string       `msgpack:"why,omitempty"`    // why the job was stopped
-	Chunks      int          `msgpack:"pieces,omitempty"` // the whole record is in so many keys,
-	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // all of this name; here are only its id and state
+	Chunks      int          `msgpack:"pieces,omitempty"` // the whole record is in so many keys
+	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // of this name; this one has only its id and state
 	DoneAt      float64      `msgpack:"over,omitempty"`   // time of day when it was done, in seconds; 0: an older version wrote it
 }
 
-// Chunk is a piece of a record that is larger than a value: of its MessagePack,
-// deflated, as base64.
+// Chunk is a part of a record that is larger than a value: of its MessagePack, deflated, as
+// base64.
 type Chunk struct {
 	Text string `msgpack:"text"`
 }
@@ -44,11 +36,12 @@
 // Node says that a controller is alive.
 type Node struct {
 	BootID string `msgpack:"boot"`
-	Level  int    `msgpack:"level,omitempty"` // what it understands: Level of its version
+	Level  int    `msgpack:"level,omitempty"` // FormatLevel of its version
 }
 
-// FormatLevel is what this version understands of what is stored. Older ones say nothing, 0.
-const FormatLevel = 1 // jobs that need others
+// FormatLevel is the newest form of records that this version understands: 1 has dependent jobs.
+// Versions before it say nothing, 0.
+const FormatLevel = 1
 
 // Leader says who leads.
 type Leader struct {
@@ -56,14 +49,14 @@
 	BootID string `msgpack:"boot"`
 }
 
-// ShardMap says who divides the machines.
+// ShardMap says which controllers divide the machines among themselves.
 type ShardMap struct {
 	Epoch   uint64            `msgpack:"epoch"`
 	Leader  string            `msgpack:"leader"`
-	Members map[string]string `msgpack:"members"` // label -> boot
+	Members map[string]string `msgpack:"members"` // boot id by label
 }
 
-// RegistryPage is one key of the register of machines.
+// RegistryPage is one key of the machine registry.
 type RegistryPage struct {
 	Machines map[string]Machine `msgpack:"machines"`
 }
@@ -91,49 +84,3 @@
 	Count  float64 `msgpack:"n"`
 	LastAt float64 `msgpack:"last"` // time of day of the newest duration
 }
-
-// TaskSet is a set of task numbers.
-type TaskSet []byte
-
-// Has reports whether i is in the set.
-func (s TaskSet) Has(i int) bool { return i>>3 < len(s) && s[i>>3]&(1<<(i&7)) != 0 }
-
-// Add puts i into the set and reports whether it was new.
-func (s *TaskSet) Add(i int) bool {
-	for i>>3 >= len(*s) {
-		*s = append(*s, 0)
-	}
-	if s.Has(i) {
-		return false
-	}
-	(*s)[i>>3] |= 1 << (i & 7)
-	return true
-}
-
-// Merge adds another set, whose first byte is so many behind the first of this one, and
-// returns how many were new.
-func (s *TaskSet) Merge(o TaskSet, at int) (added int) {
-	for at+len(o) > len(*s) {
-		*s = append(*s, 0)
-	}
-	for i, b := range o {
-		added += bits.OnesCount8(b &^ (*s)[at+i])
-		(*s)[at+i] |= b
-	}
-	return added
-}
-
-// Len counts the set.
-func (s TaskSet) Len() int {
-	n := 0
-	for _, b := range s {
-		n += bits.OnesCount8(b)
-	}
-	return n
-}
-
-// Text is the set as text.
-func (s TaskSet) Text() string { return base64.RawStdEncoding.EncodeToString(s) }
-
-// ParseTaskSet reads what Text wrote.
-func ParseTaskSet(t string) (TaskSet, error) { return base64.RawStdEncoding.DecodeString(t) }
