--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -35,7 +35,7 @@
 var version = "devel"
 
 // peerQueueShare is the share of the process's memory that may wait to be sent to other
-// controllers. A task takes about 90 bytes in a whole picture that waits and over 200 in the core
+// controllers. A task takes about 90 bytes in a snapshot that waits and over 200 in the core
 // of the machine's owner, so a fleet that fits into the memory is told of before this binds.
 const peerQueueShare = 0.25
 
@@ -135,13 +135,13 @@
 	site, sockets := &settings.Site, settings.Site.Resources.MaxSockets
 	c := &controller{engine: engine.New(core.New(settings, policy, bootID, logging.Level() <= slog.LevelDebug), log)}
 	c.api = api.New(c.engine, int(float64(sockets)*userSocketShare))
-	heartbeat := config.Seconds(site.Workers.ReportS)
+	heartbeat := config.Seconds(site.Workers.HeartbeatS)
 	c.links = peer.New(peer.Settings{
 		Siblings: siblingAddresses(settings), RetryInterval: heartbeat / linkRetries, Timeout: heartbeat,
 		MaxQueuedBytes: int(site.Resources.RAMMB * peerQueueShare * (1 << 20)),
 	}, c.engine.Post, c.statusPage)
 	c.engine.Connect(engine.Clients{
-		Store:   kvclient.New(settings.External.State, storeTimeout, sockets, c.engine.Clock),
+		Store:   kvclient.New(settings.External.Store, storeTimeout, sockets, c.engine.Clock),
 		Cloud:   cloud.New(settings.External.Cloud),
 		Workers: worker.New(int(float64(sockets)*workerSocketShare), heartbeat),
 		Peers:   c.links,
--- a/cmd/chalkhubctl/agent.go
+++ b/cmd/chalkhubctl/agent.go
@@ -15,6 +15,7 @@
 	"github.com/chalkhub/chalkhub/internal/config"
 	"github.com/chalkhub/chalkhub/internal/local"
 	"github.com/chalkhub/chalkhub/internal/localcloud"
+	"github.com/chalkhub/chalkhub/internal/logging"
 	"github.com/chalkhub/chalkhub/internal/protocol"
 	"github.com/chalkhub/chalkhub/internal/shim"
 )
@@ -35,7 +36,7 @@
 
 func (c *agentCmd) check(f *local.AgentFile) error {
 	named := f.Machine != "" && f.Artifacts != "" && f.Dir != "" && f.CheckpointDir != ""
-	if !named || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.ReportS > 0 && f.Workers.LeaseS > 0) {
+	if !named || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.HeartbeatS > 0 && f.Workers.LeaseS > 0) {
 		return fmt.Errorf("%s: machine, cpus, controllers, depot, folder, saves, report_s and lease_s must be set", c.Config)
 	}
 	return nil
@@ -88,7 +89,7 @@
 		Dir:           f.Dir,
 		CheckpointDir: f.CheckpointDir,
 		ShimCommand:   shimCommand,
-		Logger:        logger().With("machine", f.Machine),
+		Logger:        logging.New(os.Stderr).With("machine", f.Machine),
 		Agent: agent.Settings{
 			Machine:   f.Machine,
 			Type:      f.Type,
--- a/cmd/chalkhubctl/state.go
+++ b/cmd/chalkhubctl/state.go
@@ -17,6 +17,7 @@
 	"github.com/chalkhub/chalkhub/internal/kvserver"
 	"github.com/chalkhub/chalkhub/internal/kvstore"
 	"github.com/chalkhub/chalkhub/internal/local"
+	"github.com/chalkhub/chalkhub/internal/logging"
 )
 
 const (
@@ -42,7 +43,7 @@
 	switch {
 	case f.Listen == "" || f.File == "":
 		return fmt.Errorf("%s: listen and file must be set", c.Config)
-	case !(f.Limits.RPS > 0 && f.Limits.WriteRPS > 0 && f.Limits.ValueKB > 0 && f.Limits.TxnOps > 0):
+	case !(f.Limits.RPS > 0 && f.Limits.WriteRPS > 0 && f.Limits.ValueKB > 0 && f.Limits.MaxTxnOps > 0):
 		return fmt.Errorf("%s: all limits must be above 0", c.Config)
 	case f.ArtifactsListen != "" && f.ArtifactsDir == "":
 		return fmt.Errorf("%s: depot_folder must be set with depot_listen", c.Config)
@@ -61,7 +62,7 @@
 	if err := c.check(&f); err != nil {
 		return err
 	}
-	log := logger()
+	log := logging.New(os.Stderr)
 	startedAt := time.Now()
 	file, state, err := openStateFile(&f)
 	if err != nil {
@@ -74,7 +75,7 @@
 	}
 	log.Info("state loaded", "file", f.File, "revision", state.Revision, "keys", state.Len(), "took", time.Since(startedAt))
 	srv := kvserver.New(kvserver.Settings{
-		Limits:            kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.TxnOps},
+		Limits:            kvstore.Limits{MaxValueKiB: f.Limits.ValueKB, MaxTxnOps: f.Limits.MaxTxnOps},
 		RequestsPerSecond: f.Limits.RPS,
 		WritesPerSecond:   f.Limits.WriteRPS,
 		MaxBatch:          f.MaxBatch,
