--- a/internal/regress/regress.go
+++ b/internal/regress/regress.go
@@ -12,17 +12,17 @@
 	"github.com/goccy/go-json"
 )
 
-// Fall is how far a site's figure may fall: a smaller change is noise.
-const Fall = 0.03
+// MaxFall is how far a site's figure may fall: a smaller change is noise.
+const MaxFall = 0.03
 
-// Half is the share of the jobs of each class, of each team, and of each class's largest
+// MinServedShare is the share of the jobs of each class, of each team, and of each class's largest
 // jobs, that must have been served when a day ends; with less the day has failed, whatever it is worth.
-const Half = 0.5
+const MinServedShare = 0.5
 
 // Entry is a run of the bench on one site, as the journal tells it.
 type Entry struct {
 	ID      string    `json:"id"`
-	At      [2]string `json:"at"` // begin and end, in UTC; no end if it was ended by hand
+	Times   [2]string `json:"at"` // begin and end, in UTC; no end if it was ended by hand
 	Command string    `json:"cmd"`
 	Args    []string  `json:"argv"`
 	Site    string    `json:"site"`
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Least is the class or team of which least was served; nil if the bench did not say.
-func (d *Day) Least() *Served {
+// LeastServed is the class or team of which least was served; nil if the bench did not say.
+func (d *Day) LeastServed() *Served {
 	var least *Served
 	for i := range d.Served {
 		if s := &d.Served[i]; s.Jobs > 0 && (least == nil || s.Share < least.Share) {
@@ -73,9 +73,9 @@
 // Quick reports whether only the roughest days were played.
 func (e *Entry) Quick() bool { return slices.Contains(e.Args, "--quick") }
 
-// Read reads the entries of a journal, oldest first. Files that are not entries are
+// ReadJournal reads the entries of a journal, oldest first. Files that are not entries are
 // passed over.
-func Read(dir string) ([]Entry, error) {
+func ReadJournal(dir string) ([]Entry, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 			out = append(out, e)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Entry) int { return strings.Compare(a.At[0], b.At[0]) })
+	slices.SortStableFunc(out, func(a, b Entry) int { return strings.Compare(a.Times[0], b.Times[0]) })
 	return out, nil
 }
 
@@ -102,8 +102,8 @@
 type Row struct {
 	Site, Day   string
 	Now, Before *float64
-	Least       *Served // of a day: the class or team that was served least
-	Bad         string  // why this must not land; empty: it may
+	LeastServed *Served // of a day: the class or team that was served least
+	Problem     string  // why this must not land; empty: it may
 }
 
 // Change is how much a figure has moved; ok is false where there is nothing to compare.
@@ -114,10 +114,10 @@
 	return *r.Now - *r.Before, true
 }
 
-// Judge compares new entries with the newest earlier one of the same site and kind. A
+// Compare compares new entries with the newest earlier one of the same site and kind. A
 // site's row comes before those of its days. Only a site's figure may not fall; a day's
 // own is shown, since a single day moves by more than noise allows a site.
-func Judge(before, now []Entry) []Row {
+func Compare(before, now []Entry) []Row {
 	var rows []Row
 	for i := range now {
 		e := &now[i]
@@ -135,34 +135,34 @@
 				days[d.Name] = d.Score
 			}
 		}
-		if change, ok := site.Change(); ok && change < -Fall {
-			site.Bad = fmt.Sprintf("fell by more than %.2f", Fall)
+		if change, ok := site.Change(); ok && change < -MaxFall {
+			site.Problem = fmt.Sprintf("fell by more than %.2f", MaxFall)
 		}
 		if !e.OK || e.Error != nil {
-			site.Bad = fmt.Sprintf("the run failed: %v", e.Error)
+			site.Problem = fmt.Sprintf("the run failed: %v", e.Error)
 		}
 		if len(e.Days) == 0 {
-			site.Bad = "no day was played"
+			site.Problem = "no day was played"
 		}
 		rows = append(rows, site)
 		for _, d := range e.Days {
-			rows = append(rows, Row{Site: e.Site, Day: d.Name, Now: d.Score, Before: days[d.Name], Least: d.Least(), Bad: d.bad()})
+			rows = append(rows, Row{Site: e.Site, Day: d.Name, Now: d.Score, Before: days[d.Name], LeastServed: d.LeastServed(), Problem: d.problem()})
 		}
 	}
 	return rows
 }
 
-// bad says why a day fails, if so.
-func (d *Day) bad() string {
+// problem says why a day fails, if so.
+func (d *Day) problem() string {
 	var out []string
-	for _, rule := range sorted(d.Rules) {
+	for _, rule := range sortedKeys(d.Rules) {
 		out = append(out, fmt.Sprintf("broke %s: %v", rule, d.Rules[rule]))
 	}
 	if d.Fault != nil {
 		out = append(out, fmt.Sprintf("failed: %v", d.Fault))
 	}
 	for _, s := range d.Served {
-		if s.Jobs > 0 && s.Share < Half {
+		if s.Jobs > 0 && s.Share < MinServedShare {
 			out = append(out, fmt.Sprintf("failed: only %.0f%% of %s served", 100*s.Share, s.Who))
 		}
 	}
@@ -172,7 +172,7 @@
 	return strings.Join(out, "; ")
 }
 
-func sorted(m map[string]any) []string {
+func sortedKeys(m map[string]any) []string {
 	var out []string
 	for k := range m {
 		out = append(out, k)
@@ -181,5 +181,7 @@
 	return out
 }
 
-// Bad reports whether any row says that this must not land.
-func Bad(rows []Row) bool { return slices.ContainsFunc(rows, func(r Row) bool { return r.Bad != "" }) }
+// AnyProblem reports whether any row says that this must not land.
+func AnyProblem(rows []Row) bool {
+	return slices.ContainsFunc(rows, func(r Row) bool { return r.Problem != "" })
+}
