--- a/internal/mirror/barrier.go
+++ b/internal/mirror/barrier.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// barriers are the callbacks that wait for a barrier. Those that come while one is under way
-// share the next.
+// barriers holds the callbacks that wait for a read barrier. Callbacks that are added while a
+// barrier request is in flight share the next barrier.
 type barriers struct {
 	pacer    pacer
-	active   bool            // a barrier waits for its turn, or was sent and its callbacks have not all run
-	inFlight []func(ok bool) // served by the barrier that was sent
-	waiting  []func(ok bool) // served by the next one to leave
+	active   bool            // a barrier is scheduled or in flight, or its callbacks have not all returned
+	inFlight []func(ok bool) // callbacks of the barrier that was sent
+	waiting  []func(ok bool) // callbacks of the next barrier to be sent
 }
 
-// Barrier calls done, once, when the replica holds everything that any controller can have answered
-// before now; ok is false if that could not be found out, or if the replica has to be loaded anew
-// before.
+// Barrier runs a read barrier and calls done exactly once: with true when the replica has every
+// change on which any controller can have based a response before this call, and with false if
+// the barrier failed or the replica is not loaded or has to be loaded again. done may run before
+// Barrier returns, and may call Barrier itself.
 func (m *Mirror) Barrier(done func(ok bool)) {
 	if !m.IsReady() {
 		done(false)
@@ -28,7 +29,7 @@
 	}
 }
 
-// startBarrier has a barrier leave for those that wait for one, if there are any.
+// startBarrier schedules a barrier if any callback waits for one.
 func (m *Mirror) startBarrier() {
 	if len(m.barriers.waiting) == 0 {
 		return
@@ -37,9 +38,9 @@
 	m.barriers.pacer.send(m.host, m.options.ReadInterval, m.sendBarrier)
 }
 
-// sendBarrier sends the request. Whoever asked before it leaves is served by it.
+// sendBarrier sends the request on behalf of every callback that is waiting at this moment.
 func (m *Mirror) sendBarrier() {
-	if len(m.barriers.waiting) == 0 { // failed meanwhile
+	if len(m.barriers.waiting) == 0 { // failBarriers has called them since the barrier was scheduled
 		m.barriers.active = false
 		return
 	}
@@ -47,11 +48,13 @@
 	m.host.RequestChanges(m.revision, 0, true)
 }
 
-// finishBarrier calls those that the barrier serves that was answered, and starts the next.
+// finishBarrier runs the callbacks of the barrier that got its response, and schedules the next
+// barrier.
 //
-// The barrier counts as under way until all of them have been called. Guards against a callback
-// that asks for another one: it started that one before its turn, and the end of the answer
-// started one more, in which those that the first was to serve were lost.
+// The barrier stays active until all its callbacks have returned. Otherwise a callback that
+// requests another barrier would schedule that one at once, and the end of this function would
+// schedule one more. Sending the second overwrote the first one's callbacks, which were then
+// never called.
 func (m *Mirror) finishBarrier(ok bool) {
 	served := m.barriers.inFlight
 	m.barriers.inFlight = nil
@@ -62,8 +65,9 @@
 	m.startBarrier()
 }
 
-// failBarriers calls everyone that asked: the replica is no longer complete. The answer to a
-// request that is under way serves nobody then, and the next one waits for it.
+// failBarriers runs all callbacks with false, because the replica is no longer complete. If a
+// barrier is in flight, its response then has no callbacks to run, and the next barrier is not
+// sent before it has arrived.
 func (m *Mirror) failBarriers() {
 	failed := slices.Concat(m.barriers.inFlight, m.barriers.waiting)
 	m.barriers.inFlight, m.barriers.waiting = nil, nil
@@ -72,8 +76,9 @@
 	}
 }
 
-// AwaitOutcome calls done once the replica holds what became of a write: at once if the
-// outcome of the write is decided, after a pause if it is not.
+// AwaitOutcome runs a barrier after a write, so that the replica shows whether the write was
+// applied, and then calls done, also if the barrier failed. If the outcome is not decided, the
+// write may still be applied, so the barrier is requested only after delay.
 func (m *Mirror) AwaitOutcome(decided bool, delay time.Duration, done func()) {
 	awaitBarrier := func() { m.Barrier(func(bool) { done() }) }
 	if decided {
--- a/internal/mirror/barrier_property_test.go
+++ b/internal/mirror/barrier_property_test.go
@@ -11,7 +11,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// The same draws in every run, unless others are asked for, as in package core.
+// Every run draws the same values unless flags choose others, as in package core.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "2000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -20,35 +20,37 @@
 	}
 }
 
-// barrierModel follows what callbacks of barriers may expect, from outside.
+// barrierModel checks the guarantees to a barrier's callback, from the requests that the mirror
+// sends and the responses that it gets.
 type barrierModel struct {
 	*harness
 	t *rapid.T
 
-	requestsSeen      int // requests of the harness that the model has looked at
+	requestsSeen      int // requests of the harness that the model has counted
 	barriersSent      int
 	openBarriers      int
 	openWatches       int
-	reloads           int // how often the replica had to be loaded anew
-	requested, called int
-	loadSentAt        time.Duration // when the last load began
+	reloads           int           // how often the replica had to be loaded again
+	requested, called int           // callbacks
+	loadSentAt        time.Duration // when the last load was requested
 }
 
-// requestBarrier asks for a barrier; its callback asks for more of them, nested to a depth.
+// requestBarrier requests a barrier whose callback requests nested more of them, each of which
+// does the same, down to depth levels.
 func (m *barrierModel) requestBarrier(nested, depth int) {
 	m.requested++
 	calls, sentBefore, reloadsBefore, ready := 0, m.barriersSent, m.reloads, m.IsReady()
 	m.Barrier(func(ok bool) {
 		if calls++; calls > 1 {
-			m.t.Fatalf("a callback is called %d times", calls)
+			m.t.Fatalf("a callback was called %d times, want once", calls)
 		}
 		m.called++
 		m.observeRequests()
 		if ok && (!ready || m.reloads > reloadsBefore) {
-			m.t.Fatal("a callback is served although the replica was loaded anew meanwhile")
+			m.t.Fatal("a callback succeeded although the replica was not complete since its request")
 		}
 		if ok && m.barriersSent <= sentBefore {
-			m.t.Fatal("a callback is served by a barrier that left before it asked")
+			m.t.Fatal("a callback succeeded with a barrier that was sent before its request")
 		}
 		if depth > 0 {
 			for range nested {
@@ -59,7 +61,7 @@
 	m.observeRequests()
 }
 
-// observeRequests counts the requests that have left since it was called last.
+// observeRequests counts the requests that were sent since its last call.
 func (m *barrierModel) observeRequests() {
 	for ; m.requestsSeen < len(m.changes); m.requestsSeen++ {
 		if request := m.changes[m.requestsSeen]; request.barrier {
@@ -70,11 +72,11 @@
 		}
 	}
 	if m.openBarriers > 1 {
-		m.t.Fatalf("%d barriers are under way", m.openBarriers)
+		m.t.Fatalf("%d barriers are in flight, want at most one", m.openBarriers)
 	}
 }
 
-// respond answers an open barrier or watch.
+// respond passes the response to an open barrier or watch to the mirror.
 func (m *barrierModel) respond(barrier bool, outcome mirror.ChangesOutcome, sentAt time.Duration) {
 	if barrier {
 		m.openBarriers--
@@ -91,7 +93,7 @@
 	m.observeRequests()
 }
 
-// servePage answers a page of a load, if one is asked for.
+// servePage serves a page of a load, if one is requested.
 func (m *barrierModel) servePage() {
 	if len(m.pages) == 0 || m.IsReady() {
 		return
@@ -102,9 +104,10 @@
 	m.observeRequests()
 }
 
-// Whatever is asked for, from callbacks too, answered, refused or compacted in whatever order: every
-// callback is called exactly once, by a barrier that left after it asked, with ok only if the replica
-// was complete all the while; and one barrier at a time is under way.
+// Barriers are requested at random, also from callbacks, and served, refused or compacted in any
+// order. Every callback must be called exactly once. It may succeed only with a barrier that was
+// sent after its request, and only if the replica was complete all the time. At most one barrier
+// is in flight.
 func TestEveryBarrierCallbackIsCalledOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &barrierModel{harness: newHarness(), t: rt}
@@ -136,7 +139,7 @@
 				m.servePage()
 			}
 		}
-		for range 100 { // all is answered in the end
+		for range 100 { // in the end every request is served
 			m.servePage()
 			m.advance(readInterval)
 			m.observeRequests()
@@ -145,7 +148,7 @@
 			}
 		}
 		if m.called != m.requested {
-			rt.Fatalf("%d of %d callbacks were called", m.called, m.requested)
+			rt.Fatalf("%d of %d callbacks were called, want all", m.called, m.requested)
 		}
 	})
 }
--- a/internal/mirror/load.go
+++ b/internal/mirror/load.go
@@ -6,20 +6,21 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Page answers RequestPage.
+// Page is the response to RequestPage.
 type Page struct {
-	OK       bool
-	SentAt   time.Duration // when the request left
+	OK       bool          // the state service returned the page
+	SentAt   time.Duration // when the request was sent
 	Items    []protocol.KeyValue
 	More     bool // this is not the last page
 	Revision uint64
 }
 
-// HandlePage takes a page of the keys and asks for the next. What changes meanwhile comes
-// again through the watch, which goes on from the first page's revision.
+// HandlePage stores a page of keys and requests the next one. Keys that change during the load
+// arrive again through the watch, which starts at the first page's revision.
 //
-// Guards the state service's rate limit, and a load of a hundred thousand jobs against
-// beginning anew whenever one of its pages is refused.
+// Pages are requested at least PageInterval apart to stay within the state service's rate limit.
+// A page that failed is requested again after a delay: a load of a hundred thousand jobs must
+// not start over whenever one of its pages is refused.
 func (m *Mirror) HandlePage(page Page) {
 	if !page.OK {
 		m.host.After(m.options.MaxStaleness/retryDivisor, m.requestPage)
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,16 +1,16 @@
-// Package mirror keeps a replica of the keys of the state service, a consensus-backed
-// key-value store: it loads them page by page, follows their changes by watches, runs read
-// barriers, and knows the keys' versions for the guards of compare-and-swap transactions.
+// Package mirror keeps a local replica of the keys of the state service, a consensus-backed
+// key-value store: it loads them page by page, follows their changes with watches, runs read
+// barriers, and records the keys' versions for the guards of compare-and-swap transactions.
 //
-// It does not know what the keys mean: what it reads goes to a Replica. It has no clock, no
-// sockets and no goroutines of its own: requests leave through a Host, and their answers come
-// back through the Handle methods, all of them on one goroutine.
+// It does not know what the keys mean: it passes what it reads to a Replica. It has no clock, no
+// sockets and no goroutines of its own: it sends requests through a Host and receives their
+// responses through the Handle methods. All calls must be made on one goroutine.
 //
 // Invariants:
 //   - While IsReady holds, the replica has every change up to Revision.
-//   - No key of the replica steps back to an older version.
+//   - No key of the replica reverts to an older version.
 //   - A barrier succeeds only once the replica has everything that was committed before
-//     the barrier was asked for.
+//     the barrier was requested.
 package mirror
 
 import (
@@ -19,71 +19,73 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Replica takes the keys that a Mirror reads.
+// Replica stores the keys that a Mirror reads.
 type Replica interface {
-	// Reset forgets all keys: a load begins.
+	// Reset deletes all keys. It is called when a load begins.
 	Reset()
-	// Put takes a key's new value. It reports whether the mirror is to remember the key's
-	// version; a replica that remembers it itself returns false.
+	// Put stores a key's new value. It reports whether the mirror should record the key's
+	// version; a replica that records it itself returns false.
 	Put(key string, value protocol.Raw, version uint64) (rememberVersion bool)
-	// Delete takes the deletion of a key.
+	// Delete deletes a key.
 	Delete(key string)
-	// EndBatch follows each batch of Put and Delete; a load is one batch.
+	// EndBatch is called after each batch of Put and Delete; a load is one batch.
 	EndBatch()
-	// Loaded follows the last page of a load.
+	// Loaded is called once the last page of a load has been stored.
 	Loaded()
 }
 
-// Host is what a Mirror needs of the process that it runs in.
+// Host is what a Mirror needs from the process that it runs in.
 type Host interface {
-	// Now is the steady clock.
+	// Now returns the time of a monotonic clock.
 	Now() time.Duration
-	// After runs a function once a span has passed.
+	// After calls run once, after a delay, on the goroutine that the mirror runs on.
 	After(delay time.Duration, run func())
 	// Info logs a line for operators.
 	Info(text string, args ...any)
 
-	// RequestPage reads a page of all keys, those after a key; HandlePage takes the answer.
+	// RequestPage requests a page of all keys: those after afterKey, or the first page if that
+	// is empty. The response is passed to HandlePage.
 	RequestPage(afterKey string)
-	// RequestChanges waits for changes that are newer than a revision, for the span hold at the
-	// most; a barrier does not wait. HandleChanges takes the answer.
+	// RequestChanges requests the changes that are newer than the revision since. A watch waits
+	// for changes, for hold at the most; a barrier does not wait. The response is passed to
+	// HandleChanges.
 	RequestChanges(since uint64, hold time.Duration, barrier bool)
 }
 
-// Options are the spans that a Mirror keeps to.
+// Options are the time limits of a Mirror.
 type Options struct {
-	MaxStaleness time.Duration // how long an answered watch lets the replica count as fresh
+	MaxStaleness time.Duration // the replica is fresh for this long after a successful read was sent
 	ReadInterval time.Duration // the shortest time between two barriers, and between two watches
 	PageInterval time.Duration // the shortest time between two pages of a load
 }
 
-// A watch is held open for Fresh/watchHoldDivisor, so that several fit into the span for which
-// the replica counts as fresh; a request that failed is repeated after Fresh/retryDivisor.
+// A watch is held open for MaxStaleness/watchHoldDivisor, so that several fit into the time for
+// which the replica is fresh; a request that failed is repeated after MaxStaleness/retryDivisor.
 const (
 	watchHoldDivisor = 8
 	retryDivisor     = 16
 )
 
-// phase is how far a Mirror has come.
+// phase tells whether a Mirror has a complete replica.
 type phase int
 
 const (
-	needsLoad phase = iota // nothing is loaded, or the mirror fell too far behind the service
-	loading                // a page is under way, or its request waits for a timer
-	following              // the replica has everything up to revision
+	needsLoad phase = iota // nothing is loaded, or the service no longer keeps changes that the replica lacks
+	loading                // a page request is in flight or scheduled
+	following              // the replica has every change up to revision
 )
 
-// Mirror keeps a Replica in step with the state service.
+// Mirror keeps a Replica up to date with the state service. It is not safe for concurrent use.
 type Mirror struct {
 	host    Host
 	replica Replica
 	options Options
 
 	phase       phase
-	revision    uint64        // up to which the replica has everything, while following
-	freshAt     time.Duration // when the newest answered watch or barrier left
-	watching    bool          // a watch is open, or about to be
-	unavailable bool          // the state service did not answer the last watch or barrier
+	revision    uint64        // the replica has every change up to this one, while following
+	freshAt     time.Duration // when the newest successful load, watch or barrier was sent
+	watching    bool          // a watch is open or scheduled
+	unavailable bool          // a watch or barrier failed, and none has been served since
 	versions    map[string]uint64
 
 	load       load
@@ -91,15 +93,15 @@
 	barriers   barriers
 }
 
-// load is the load that is under way, or the last one.
+// load is the state of the load in progress, or of the last one.
 type load struct {
-	afterKey string        // the last key read so far, empty: none yet
+	afterKey string        // the last key read so far; empty before the first page
 	revision uint64        // of the first page
-	sentAt   time.Duration // when the request for the first page left
+	sentAt   time.Duration // when the first page was requested
 	pacer    pacer
 }
 
-// New makes a mirror that begins with a load at the first Maintain.
+// New returns a mirror that starts its first load when Maintain is called.
 func New(host Host, replica Replica, options Options) *Mirror {
 	return &Mirror{
 		host: host, replica: replica, options: options,
@@ -107,38 +109,42 @@
 	}
 }
 
-// IsReady reports whether the replica holds everything up to Revision.
+// IsReady reports whether the replica is loaded and has every change up to Revision.
 func (m *Mirror) IsReady() bool { return m.phase == following }
 
-// IsFresh reports whether the replica is young enough to act on.
+// IsFresh reports whether the replica is recent enough to act on: it is ready, and its newest
+// successful load, watch or barrier was sent less than MaxStaleness ago.
 func (m *Mirror) IsFresh() bool {
 	return m.IsReady() && m.host.Now()-m.freshAt < m.options.MaxStaleness
 }
 
-// FreshAt is when the newest answered watch or barrier left.
+// FreshAt returns when the newest successful load, watch or barrier was sent, by the host's
+// clock.
 func (m *Mirror) FreshAt() time.Duration { return m.freshAt }
 
-// IsUnavailable reports whether the state service did not answer last time.
+// IsUnavailable reports whether a watch or barrier failed and none has been served since.
 func (m *Mirror) IsUnavailable() bool { return m.unavailable }
 
-// Revision is the one up to which the replica holds every change.
+// Revision returns the revision up to which the replica has every change. It holds only while
+// IsReady does.
 func (m *Mirror) Revision() uint64 { return m.revision }
 
-// LoadRevision is the revision at which the last load began.
+// LoadRevision returns the revision of the first page of the newest load.
 func (m *Mirror) LoadRevision() uint64 { return m.load.revision }
 
-// Version is the version of a key, 0 if there is none or the replica remembers it itself.
+// Version returns the version of a key; 0 if the key is missing or the replica records its
+// version itself.
 func (m *Mirror) Version(key string) uint64 { return m.versions[key] }
 
-// VersionCount is of how many keys the mirror remembers the version.
+// VersionCount returns the number of keys whose version the mirror records.
 func (m *Mirror) VersionCount() int { return len(m.versions) }
 
-// Guard ties a write to a key's version in the mirror.
+// Guard returns the precondition that a key still has the version that the mirror recorded.
 func (m *Mirror) Guard(key string) protocol.Guard {
 	return protocol.Guard{Key: key, Version: m.versions[key]}
 }
 
-// Maintain keeps the replica loaded and a watch open.
+// Maintain starts a load if the replica needs one, and otherwise opens a watch if none is open.
 func (m *Mirror) Maintain() {
 	switch m.phase {
 	case needsLoad:
@@ -161,7 +167,7 @@
 	})
 }
 
-// put passes a key on unless a newer version of it is known.
+// put passes a value to the replica unless a newer version of the key is known.
 func (m *Mirror) put(key string, value protocol.Raw, version uint64) {
 	if m.versions[key] > version {
 		return
@@ -171,7 +177,7 @@
 	}
 }
 
-// remove passes a deletion on unless a page of a load brought a newer version of the key.
+// remove passes a deletion to the replica unless a page of a load had a newer version of the key.
 func (m *Mirror) remove(key string, version uint64) {
 	if m.versions[key] > version {
 		return
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -16,13 +16,13 @@
 	pageInterval = 50 * time.Millisecond
 )
 
-// harness is a Host and a Replica, and records what a mirror asks of them.
+// harness is a Host and a Replica that records what a mirror requests of them.
 type harness struct {
 	*mirror.Mirror
 	now    time.Duration
 	timers []timer
 
-	pages   []string         // keys after which pages were asked for
+	pages   []string         // keys after which pages were requested
 	changes []changesRequest // watches and barriers
 	logs    []string
 
@@ -65,7 +65,7 @@
 
 func (h *harness) Reset() { h.resets++; clear(h.keys) }
 
-// Put leaves versions of keys below "own/" to the replica.
+// Put reports that the replica itself records the versions of keys below "own/".
 func (h *harness) Put(key string, value protocol.Raw, _ uint64) bool {
 	h.keys[key] = string(value)
 	return key[0] != 'o'
@@ -77,7 +77,7 @@
 
 func (h *harness) Loaded() { h.loaded++ }
 
-// advance lets time pass and runs the timers that are due.
+// advance moves the clock on and runs the timers that become due, in order of time.
 func (h *harness) advance(duration time.Duration) {
 	end := h.now + duration
 	for {
@@ -98,7 +98,7 @@
 	h.now = end
 }
 
-// load answers the first page with all keys at a revision.
+// load serves the first page with all keys at a revision.
 func (h *harness) load(revision uint64, items ...protocol.KeyValue) {
 	h.Maintain()
 	h.HandlePage(mirror.Page{OK: true, SentAt: h.now, Items: items, Revision: revision})
@@ -127,20 +127,20 @@
 func TestLoadResumesAfterFailedPage(t *testing.T) {
 	h := newHarness()
 	h.Maintain()
-	h.Maintain() // a load is under way: nothing more is asked
+	h.Maintain() // a load is in progress: nothing more is requested
 	h.HandlePage(mirror.Page{OK: true, Items: []protocol.KeyValue{item("a", "1", 3), item("b", "1", 4)}, More: true, Revision: 5})
 	h.HandlePage(mirror.Page{})
-	requireEqual(t, "ready after half a load", h.IsReady(), false)
+	requireEqual(t, "ready after a part of the load", h.IsReady(), false)
 	h.advance(fresh)
 	h.HandlePage(mirror.Page{OK: true, Items: []protocol.KeyValue{item("c", "1", 7)}, Revision: 8})
 	if want := []string{"", "b", "b"}; !slices.Equal(h.pages, want) {
-		t.Fatalf("pages after %q, want %q", h.pages, want)
+		t.Fatalf("pages requested after keys %q, want %q", h.pages, want)
 	}
 	requireEqual(t, "resets", h.resets, 1)
 	requireEqual(t, "loads", h.loaded, 1)
 	requireEqual(t, "ready", h.IsReady(), true)
-	requireEqual(t, "revision is that of the first page", h.Revision(), 5)
-	requireEqual(t, "fresh since the first page left", h.FreshAt(), 0)
+	requireEqual(t, "revision (that of the first page)", h.Revision(), 5)
+	requireEqual(t, "fresh since (when the first page was requested)", h.FreshAt(), 0)
 	if want := map[string]string{"a": "1", "b": "1", "c": "1"}; !maps.Equal(h.keys, want) {
 		t.Fatalf("keys %v", h.keys)
 	}
@@ -148,17 +148,17 @@
 
 func TestNoKeyRevertsToAnOlderVersion(t *testing.T) {
 	h := newHarness()
-	h.load(5, item("a", "new", 9)) // a later page brought what came after the first
+	h.load(5, item("a", "new", 9)) // changed after the first page's revision, 5
 	h.serveChanges(false, 10, put("a", "old", 6), put("b", "1", 7), protocol.WatchEvent{Delete: "a", Version: 8})
 	requireEqual(t, "a", h.keys["a"], "new")
-	h.serveChanges(true, 7, put("b", "older", 6)) // a barrier that a watch has overtaken
+	h.serveChanges(true, 7, put("b", "older", 6)) // a barrier's response, older than that of the watch
 	requireEqual(t, "b", h.keys["b"], "1")
 	requireEqual(t, "revision", h.Revision(), 10)
 	requireEqual(t, "guard", h.Guard("a"), protocol.Guard{Key: "a", Version: 9})
 	requireEqual(t, "version of a missing key", h.Version("x"), 0)
 	h.serveChanges(false, 11, protocol.WatchEvent{Delete: "a", Version: 11}, put("own/x", "1", 11))
 	requireEqual(t, "version of a deleted key", h.Version("a"), 0)
-	requireEqual(t, "version that the replica keeps", h.Version("own/x"), 0)
+	requireEqual(t, "version that the replica records itself", h.Version("own/x"), 0)
 }
 
 func TestMirrorReloadsAfterCompaction(t *testing.T) {
@@ -168,16 +168,17 @@
 	requireEqual(t, "ready", h.IsReady(), false)
 	served := true
 	h.Barrier(func(ok bool) { served = ok })
-	requireEqual(t, "barrier without a replica", served, false)
+	requireEqual(t, "barrier served while the replica is not loaded", served, false)
 	h.load(50, item("b", "1", 40))
 	if want := map[string]string{"b": "1"}; !maps.Equal(h.keys, want) {
 		t.Fatalf("keys %v, want %v", h.keys, want)
 	}
-	requireEqual(t, "version of a key from before", h.Version("a"), 0)
+	requireEqual(t, "version of a key from before the reload", h.Version("a"), 0)
 	requireEqual(t, "load revision", h.LoadRevision(), 50)
 }
 
-// The watch and a barrier both come too late; one load makes up for it.
+// The watch and a barrier both get the response that their changes are compacted. The second
+// response arrives while the load is in progress and must not cause another one.
 func TestSeveralCompactedResponsesCauseOneLoad(t *testing.T) {
 	h := newHarness()
 	h.load(5)
@@ -186,7 +187,7 @@
 	h.Maintain()
 	h.HandleChanges(mirror.Changes{Barrier: true, Outcome: mirror.Compacted})
 	h.Maintain()
-	requireEqual(t, "pages asked for", len(h.pages), 1)
+	requireEqual(t, "pages requested", len(h.pages), 1)
 }
 
 func TestFreshnessExpiresWithoutResponses(t *testing.T) {
@@ -197,12 +198,12 @@
 	h.HandleChanges(mirror.Changes{SentAt: h.now})
 	h.advance(1)
 	requireEqual(t, "fresh after a failed watch", h.IsFresh(), false)
-	requireEqual(t, "ready all the same", h.IsReady(), true)
+	requireEqual(t, "ready after a failed watch", h.IsReady(), true)
 	requireEqual(t, "unavailable", h.IsUnavailable(), true)
-	h.HandleChanges(mirror.Changes{}) // is logged once
+	h.HandleChanges(mirror.Changes{}) // not logged again
 	h.serveChanges(false, 6)
 	requireEqual(t, "fresh again", h.IsFresh(), true)
-	if want := []string{"state service does not answer", "state service is back"}; !slices.Equal(h.logs, want) {
+	if want := []string{"state service unavailable", "state service available again"}; !slices.Equal(h.logs, want) {
 		t.Fatalf("logs %q, want %q", h.logs, want)
 	}
 }
@@ -215,14 +216,14 @@
 	}
 	requireEqual(t, "watches", len(h.changes), 1)
 	requireEqual(t, "watch", h.changes[0], changesRequest{since: 5, hold: fresh / 8})
-	for revision := range uint64(10) { // answered at once, each time
+	for revision := range uint64(10) { // served at once, each time
 		h.serveChanges(false, 6+revision)
 		h.Maintain()
 	}
 	requireEqual(t, "watches within an interval", len(h.changes), 1)
 	h.advance(readInterval)
-	requireEqual(t, "watches after it", len(h.changes), 2)
-	requireEqual(t, "watch", h.changes[1].since, 15)
+	requireEqual(t, "watches after the interval", len(h.changes), 2)
+	requireEqual(t, "revision of the second watch", h.changes[1].since, 15)
 }
 
 func TestFailedWatchIsRetriedAfterDelay(t *testing.T) {
@@ -232,7 +233,7 @@
 	h.Maintain()
 	requireEqual(t, "watches", len(h.changes), 1)
 	h.advance(fresh)
-	requireEqual(t, "watches after the pause", len(h.changes), 2)
+	requireEqual(t, "watches after the delay", len(h.changes), 2)
 }
 
 func TestBarriersAreShared(t *testing.T) {
@@ -248,14 +249,14 @@
 		})
 	}
 	requestBarrier("a")
-	requestBarrier("b") // while a's is on its way
+	requestBarrier("b") // while a's barrier is in flight
 	requestBarrier("c")
 	requireEqual(t, "barriers", len(h.changes), 1)
 	h.serveChanges(true, 6)
 	if want := []string{"a"}; !slices.Equal(served, want) {
-		t.Fatalf("served %q, want %q: who asked later needs a later barrier", served, want)
+		t.Fatalf("served %q, want %q: a barrier must not serve callbacks that were added after it was sent", served, want)
 	}
-	requestBarrier("d") // before the next one leaves
+	requestBarrier("d") // before the next barrier is sent
 	h.advance(readInterval)
 	requireEqual(t, "barriers", len(h.changes), 2)
 	h.serveChanges(true, 6)
@@ -281,15 +282,15 @@
 	h.AwaitOutcome(false, time.Second, func() {})
 	requireEqual(t, "barriers", len(h.changes), 0)
 	h.advance(time.Second)
-	requireEqual(t, "barriers after the pause", len(h.changes), 1)
+	requireEqual(t, "barriers after the delay", len(h.changes), 1)
 	h.serveChanges(true, 6)
 	h.advance(time.Second)
 	h.AwaitOutcome(true, time.Second, func() {})
 	requireEqual(t, "barriers", len(h.changes), 2)
 }
 
-// Callbacks of a barrier that ask for another one, while a third waits. Each is served, by one
-// barrier at a time, however long the answers take.
+// Callbacks of a barrier request another one while further callbacks wait. Each callback must be
+// served, and only one barrier may be in flight, however long the responses take.
 func TestBarrierRequestedByCallbackIsServed(t *testing.T) {
 	h := newHarness()
 	h.load(5)
@@ -302,7 +303,7 @@
 		h.advance(3 * readInterval)
 		requested := len(h.changes)
 		if requested > 1 {
-			t.Fatalf("%d barriers are under way", requested)
+			t.Fatalf("%d barriers are in flight, want at most one", requested)
 		}
 		h.changes = nil
 		if requested == 1 {
--- a/internal/mirror/pacer.go
+++ b/internal/mirror/pacer.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// pacer keeps reads of one kind an interval apart.
+// pacer sends requests of one kind at least an interval apart.
 //
-// Guards the state service's rate limit: with a wave of small jobs every change ended the
-// watch of every controller and every poll asked for a barrier, one after the other as fast
-// as they were answered, until lease renewals and submissions got a 429.
+// Without it the controllers exceed the state service's rate limit: in a wave of small jobs every
+// change completed the watch of every controller and every poll requested a barrier, and each
+// was followed by the next as soon as its response arrived, until lease renewals and submissions
+// were refused with status 429.
 type pacer struct {
 	nextAt time.Duration
 }
 
-// send sends a read, at once unless the last one left less than an interval ago.
+// send calls request: at once, or when an interval has passed since the previous request.
 func (p *pacer) send(host Host, interval time.Duration, request func()) {
 	now := host.Now()
 	sendAt := max(p.nextAt, now)
-	p.nextAt = sendAt + interval // before the request, which may send another
+	p.nextAt = sendAt + interval // set first, because request may call send
 	if sendAt == now {
 		request()
 	} else {
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -6,26 +6,26 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// ChangesOutcome is what became of RequestChanges.
+// ChangesOutcome is the result of RequestChanges.
 type ChangesOutcome int
 
 // Outcomes of RequestChanges.
 const (
-	Failed    ChangesOutcome = iota // there was no answer, or a refusal
-	Served                          // the changes are complete up to the answer's revision
-	Compacted                       // the changes since the revision asked for are no longer kept
+	Failed    ChangesOutcome = iota // there was no response, or the request was refused
+	Served                          // the changes are complete up to the response's revision
+	Compacted                       // the service no longer keeps all changes since the requested revision
 )
 
-// Changes answers RequestChanges.
+// Changes is the response to RequestChanges.
 type Changes struct {
 	Barrier  bool
-	SentAt   time.Duration // when the request left
+	SentAt   time.Duration // when the request was sent
 	Outcome  ChangesOutcome
-	Failure  string // names the outcome in the log if it is Failed
+	Failure  string // the reason in the log, if Outcome is Failed
 	Response protocol.WatchResponse
 }
 
-// HandleChanges takes the answer to a watch or a barrier.
+// HandleChanges applies the response to a watch or a barrier.
 func (m *Mirror) HandleChanges(changes Changes) {
 	if !changes.Barrier {
 		m.watching = false
@@ -43,8 +43,8 @@
 	}
 }
 
-// handleCompaction has the replica loaded anew, unless that is under way already, or was done after the
-// request left.
+// handleCompaction makes the next Maintain load the replica again, unless a load is in progress
+// or has begun since the request was sent.
 func (m *Mirror) handleCompaction(changes *Changes) {
 	if m.phase != following || changes.SentAt < m.load.sentAt {
 		return
@@ -56,14 +56,14 @@
 func (m *Mirror) applyChanges(changes *Changes) {
 	if m.unavailable {
 		m.unavailable = false
-		m.host.Info("state service is back")
+		m.host.Info("state service available again")
 	}
 	if !m.IsReady() {
-		return // a load is under way, and the watch after it brings these changes again
+		return // the watch that follows the load delivers these changes again
 	}
 	for _, event := range changes.Response.Events {
-		// A watch and a barrier overlap: what an earlier answer brought is not taken
-		// again, or the replica would step back.
+		// The responses to a watch and a barrier can overlap. Events that an earlier response
+		// delivered are skipped, because they would revert a key to an older version.
 		if event.Version <= m.revision {
 			continue
 		}
@@ -81,12 +81,12 @@
 func (m *Mirror) handleFailure(changes *Changes) {
 	if !m.unavailable {
 		m.unavailable = true
-		m.host.Info("state service does not answer", "outcome", changes.Failure)
+		m.host.Info("state service unavailable", "outcome", changes.Failure)
 	}
 	if changes.Barrier {
 		return
 	}
-	m.watching = true // until the pause is over
+	m.watching = true // Maintain opens no watch until the delay has passed
 	m.host.After(m.options.MaxStaleness/retryDivisor, func() {
 		m.watching = false
 		m.Maintain()
