--- a/internal/engine/clients.go
+++ b/internal/engine/clients.go
@@ -2,8 +2,9 @@
 
 import "github.com/chalkhub/chalkhub/internal/core"
 
-// Clients carry out what the core wants done outside. The methods of all but Peers block
-// for as long as the call takes; each is called in a goroutine of its own.
+// Clients carry out the core's effects on other systems. The methods of all but Peers block for
+// as long as the call takes. Each call runs in a goroutine of its own, so these clients must be
+// safe for concurrent use.
 type Clients struct {
 	Store   StoreClient
 	Cloud   CloudClient
@@ -27,22 +28,22 @@
 	DeleteInstances(core.DeleteInstances) core.DeleteInstancesResult
 }
 
-// WorkerClient calls workers directly.
+// WorkerClient calls workers directly, outside their heartbeats.
 type WorkerClient interface {
 	Call(core.CallWorker) core.CallWorkerResult
 	Probe(core.ProbeWorker) core.ProbeResult
 }
 
-// PeerLinks are the links to the other controllers. Their methods do not block; what comes
-// over a link is posted to the engine.
+// PeerLinks are the links to the other controllers. Their methods do not block. Messages that
+// arrive over a link are posted to the engine.
 type PeerLinks interface {
 	Connect(label string)
 	Send(core.SendToPeer)
 	CloseSession(session uint64)
 }
 
-// call is the call to the outside that an effect stands for, and gives the command that
-// answers it. It is nil for an effect that is no such call.
+// call returns the function that makes the outside call of an effect and returns the result as
+// a command. It returns nil for an effect that is not an outside call.
 func (c *Clients) call(effect core.Effect) func() core.Command {
 	switch effect := effect.(type) {
 	case core.Commit:
--- a/internal/engine/clients_test.go
+++ b/internal/engine/clients_test.go
@@ -7,7 +7,7 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 )
 
-// fakeClients answers every call with a result that names the request.
+// fakeClients returns, for every call, a result that identifies the request.
 type fakeClients struct{}
 
 func (fakeClients) Commit(request core.Commit) core.CommitResult {
@@ -50,8 +50,8 @@
 	return core.ProbeResult{Machine: request.Machine}
 }
 
-// Each call to the outside goes to the client that can answer it, and its result is the
-// command that answers it. All other effects are no such calls.
+// Each effect that is an outside call goes to the client for it, and the command is the client's
+// result. All other effects have no call.
 func TestEachOutsideCallGoesToItsClient(t *testing.T) {
 	clients := Clients{Store: fakeClients{}, Cloud: fakeClients{}, Workers: fakeClients{}}
 	for _, test := range []struct {
@@ -79,12 +79,12 @@
 			call := clients.call(test.effect)
 			if call == nil || test.want == nil {
 				if call != nil || test.want != nil {
-					t.Fatalf("a call: %v, want %T", call != nil, test.want)
+					t.Fatalf("the effect has a call: %v, want a call that returns %T", call != nil, test.want)
 				}
 				return
 			}
 			if got := call(); !reflect.DeepEqual(got, test.want) {
-				t.Errorf("%+v, want %+v", got, test.want)
+				t.Errorf("the call returned %+v, want %+v", got, test.want)
 			}
 		})
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,15 +1,16 @@
-// Package engine runs a core: it gives it commands and the time, and carries out the
-// effects that it decides on.
+// Package engine runs a core: it passes commands and the current time to it, and carries out
+// the effects that it returns.
 //
-// It owns the queue of commands, the steady clock of a node, the requests that wait for a
-// reply, and the goroutines in which outside calls run. It does not know what a command
-// means or why an effect is wanted; it decides nothing but which of them goes where.
+// It owns the command queue, the monotonic clock of a controller, the requests that wait for a
+// reply, and the goroutines in which outside calls (calls to other systems) run. It does not
+// know what a command means or why an effect is wanted; it decides only which client carries
+// out which effect.
 //
 // Invariants:
-//   - One goroutine, Engine.Run, touches the core. All else goes through the queue.
-//   - Effects are carried out in the order in which the core gives them, but for outside
-//     calls: these run beside each other, and their answers come back as commands.
-//   - A request gets one reply at the most.
+//   - Only the goroutine of Engine.Run accesses the core. Everything else goes through the queue.
+//   - Effects are carried out in the order in which the core returns them, except for outside
+//     calls: these run concurrently, and their results come back as commands.
+//   - A request gets at most one reply.
 package engine
 
 import (
@@ -26,23 +27,24 @@
 )
 
 const (
-	// maxBatch is the most commands that the core applies at once: with more, the first of
-	// them would wait for the last.
+	// maxBatch is the maximum number of commands that the core applies at once. The effects
+	// of a batch are carried out after its last command, so a larger batch would delay the
+	// replies to its first commands.
 	maxBatch = 256
-	// queueLength is how many commands may wait. With more, requests are refused, and
-	// whoever posts another command waits.
+	// queueLength is the capacity of the command queue. When it is full, Ask refuses requests
+	// and Post blocks.
 	queueLength = 4096
-	// minTimerDelay keeps deadlines that follow on each other from spinning.
+	// minTimerDelay keeps Run from spinning when one deadline closely follows another.
 	minTimerDelay = 2 * time.Millisecond
 
-	// maxRecordedMillis bounds the response times that are recorded; no request waits longer.
+	// maxRecordedMillis is the longest response time that is recorded; no request waits longer.
 	maxRecordedMillis = 60_000
-	significantDigits = 2 // within a percent, in a few kilobytes
+	significantDigits = 2 // accurate within a percent; takes a few kilobytes
 )
 
-// Engine runs one core.
+// Engine runs one core. Apart from Connect and Run, its methods may be called from any goroutine.
 type Engine struct {
-	core      *core.Core // belongs to Run
+	core      *core.Core // accessed only by Run
 	clients   Clients
 	logger    *slog.Logger
 	queue     chan core.Command
@@ -51,12 +53,12 @@
 
 	mu            sync.Mutex
 	lastID        core.RequestID
-	replyChannels map[core.RequestID]chan core.Reply // of the requests that wait
+	replyChannels map[core.RequestID]chan core.Reply // of the requests that wait for a reply
 	responseTimes *hdrhistogram.Histogram            // milliseconds
 }
 
-// New makes an engine for a core, which belongs to it from then on. Connect follows before
-// Run.
+// New returns an engine for a core and takes ownership of the core. Connect must be called
+// before Run.
 func New(c *core.Core, logger *slog.Logger) *Engine {
 	return &Engine{
 		core:          c,
@@ -68,20 +70,21 @@
 	}
 }
 
-// Connect gives the engine its clients, which may need the engine themselves.
+// Connect sets the engine's clients. They are not arguments of New because they may need the
+// engine themselves.
 func (e *Engine) Connect(clients Clients) { e.clients = clients }
 
-// Clock is the steady clock that the core lives by.
+// Clock returns the time of the monotonic clock that the core uses: the time since New.
 func (e *Engine) Clock() time.Duration { return time.Since(e.startedAt) }
 
-// Ready reports whether the node can take requests.
+// Ready reports whether the controller can take requests.
 func (e *Engine) Ready() bool { return e.ready.Load() }
 
-// Post puts a command into the queue and waits while that is full.
+// Post adds a command to the queue and blocks while the queue is full.
 func (e *Engine) Post(command core.Command) { e.queue <- command }
 
-// Ask posts the command that build makes for a request and waits for its reply, at most for
-// the given time; ok is false if none came or the queue was full.
+// Ask posts the command that build returns for a new request and waits for its reply, at most
+// for timeout. ok is false if the queue was full or no reply came in time.
 func (e *Engine) Ask(build func(core.RequestID) core.Command, timeout time.Duration) (reply core.Reply, ok bool) {
 	begin := time.Now()
 	id, replies := e.registerRequest()
@@ -101,8 +104,8 @@
 	}
 }
 
-// registerRequest gives a request its number and the channel of its reply, which takes that
-// without waiting.
+// registerRequest assigns a request its ID and the channel for its reply. The channel is
+// buffered, so that the engine never blocks on a request that no longer waits.
 func (e *Engine) registerRequest() (core.RequestID, <-chan core.Reply) {
 	replies := make(chan core.Reply, 1)
 	e.mu.Lock()
@@ -112,16 +115,18 @@
 	return e.lastID, replies
 }
 
-// finishRequest forgets a request that has its reply, or waits for it no longer.
+// finishRequest removes a request that has its reply or no longer waits for one, and records how
+// long it took.
 func (e *Engine) finishRequest(id core.RequestID, begin time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.replyChannels, id)
 	millis := min(max(time.Since(begin).Milliseconds(), 1), maxRecordedMillis)
-	_ = e.responseTimes.RecordValue(millis) // it is within the bounds
+	_ = e.responseTimes.RecordValue(millis) // fails only for values out of bounds
 }
 
-// Status asks the core for its status and adds the response times.
+// Status asks the core for its status and adds the response times of requests. It returns false
+// under the same conditions as Ask.
 func (e *Engine) Status(timeout time.Duration) (*core.Status, bool) {
 	reply, ok := e.Ask(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, timeout)
 	if !ok {
@@ -134,8 +139,8 @@
 	return status, true
 }
 
-// Run runs the core until ctx ends. Outside calls that are under way then are left to their
-// timeouts; nobody takes their answers any more.
+// Run runs the core until ctx ends, and returns the error of ctx. Outside calls that are in
+// flight then are not cancelled: they end with their timeouts, and their results are ignored.
 func (e *Engine) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -157,7 +162,7 @@
 	}
 }
 
-// fillBatch adds what waits in the queue to a batch, up to the most that it may have.
+// fillBatch adds the commands that wait in the queue to a batch, up to maxBatch.
 func (e *Engine) fillBatch(batch []core.Command) []core.Command {
 	for len(batch) < maxBatch {
 		select {
@@ -174,8 +179,8 @@
 	return core.Instant{Monotonic: e.Clock(), Wall: float64(time.Now().UnixMicro()) / 1e6}
 }
 
-// perform carries out an effect. It does not wait: calls to the outside go on in goroutines
-// of their own, which end with the calls' timeouts.
+// perform carries out an effect. It does not wait for outside calls: each runs in a goroutine
+// of its own, which ends at the latest with the call's timeout.
 func (e *Engine) perform(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Reply:
@@ -193,14 +198,15 @@
 	default:
 		call := e.clients.call(effect)
 		if call == nil {
-			// An effect was added to the core and not to this package.
+			// An effect was added to package core but not to this package.
 			panic(fmt.Sprintf("engine: unknown effect %T", effect))
 		}
 		go func() { e.Post(call()) }()
 	}
 }
 
-// deliver hands a reply to the request that waits for it, if it still does.
+// deliver passes a reply to the request that waits for it, or drops it if the request no longer
+// waits.
 func (e *Engine) deliver(reply core.Reply) {
 	e.mu.Lock()
 	replies := e.replyChannels[reply.ID]
--- a/internal/engine/outcomes.go
+++ b/internal/engine/outcomes.go
@@ -7,10 +7,10 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// NoResponse is the status of a call that got no whole answer.
+// NoResponse is the status of a call that got no complete response.
 const NoResponse = rpc.NoAnswer
 
-// CommitOutcome decodes the state service's answer to a transaction.
+// CommitOutcome decodes the status of the state service's response to a transaction.
 func CommitOutcome(status int) core.CommitOutcome {
 	switch status {
 	case NoResponse:
@@ -28,7 +28,8 @@
 	}
 }
 
-// LeaseOutcome decodes the state service's answer to a request or a renewal of a lease.
+// LeaseOutcome decodes the status of the state service's response to a request or a renewal of a
+// lease.
 func LeaseOutcome(status int) core.LeaseOutcome {
 	switch status {
 	case NoResponse:
@@ -42,7 +43,7 @@
 	}
 }
 
-// WatchOutcome decodes the state service's answer to a watch or a barrier.
+// WatchOutcome decodes the status of the state service's response to a watch or a barrier.
 func WatchOutcome(status int) core.WatchOutcome {
 	switch status {
 	case NoResponse:
@@ -58,7 +59,8 @@
 	}
 }
 
-// DirectOutcome decodes a worker's answer to direct commands.
+// DirectOutcome decodes the status of a worker's response to commands that were sent to it
+// directly.
 func DirectOutcome(status int) core.DirectOutcome {
 	switch status {
 	case NoResponse:
@@ -72,7 +74,7 @@
 	}
 }
 
-// CloudOutcome decodes the cloud's answer to any of its calls.
+// CloudOutcome decodes the status of the cloud's response to any call.
 func CloudOutcome(status int) core.CloudOutcome {
 	switch status {
 	case NoResponse:
--- a/internal/engine/outcomes_test.go
+++ b/internal/engine/outcomes_test.go
@@ -6,15 +6,15 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 )
 
-// outcomes are what the answers to one kind of call mean: some codes have a meaning of their
-// own, all others share one.
+// outcomes lists the expected outcome of every status of one kind of call: some statuses have an
+// outcome of their own, all others share one.
 type outcomes[T comparable] struct {
 	decode    func(status int) T
 	byStatus  map[int]T
 	otherwise T
 }
 
-// check decodes every code that can come, and some that should not.
+// check decodes every status that a response can have, and further numbers that it cannot have.
 func (o outcomes[T]) check(t *testing.T) {
 	for status := range 1000 {
 		want, ok := o.byStatus[status]
@@ -22,7 +22,7 @@
 			want = o.otherwise
 		}
 		if got := o.decode(status); got != want {
-			t.Errorf("status %d means %v, not %v", status, got, want)
+			t.Errorf("status %d was decoded to %v, want %v", status, got, want)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 func TestCommitDecidedByTwoOutcomesOnly(t *testing.T) {
 	for status := range 1000 {
 		if got, want := CommitOutcome(status).Decided(), status == 200 || status == 409; got != want {
-			t.Errorf("a transaction answered with %d counts as decided: %v", status, got)
+			t.Errorf("a transaction with status %d counts as decided: %v, want the opposite", status, got)
 		}
 	}
 }
@@ -65,10 +65,11 @@
 	}, core.CloudThrottled}.check(t)
 }
 
-// The zero value of each outcome is what a command without one stands for.
+// A result command whose outcome is not set must read as "no response", so that value must be
+// the zero value of each outcome type.
 func TestNoResponseIsTheZeroOutcome(t *testing.T) {
 	if CommitOutcome(NoResponse) != 0 || LeaseOutcome(NoResponse) != 0 || WatchOutcome(NoResponse) != 0 ||
 		DirectOutcome(NoResponse) != 0 || CloudOutcome(NoResponse) != 0 {
-		t.Error("no answer is decoded to something else than the zero value")
+		t.Error("NoResponse is decoded to another outcome than the zero value")
 	}
 }
