--- a/internal/degraded/cancellation_log.go
+++ b/internal/degraded/cancellation_log.go
@@ -1,19 +1,21 @@
 package degraded
 
-// minLogCapacity is how many cancellations every log holds: enough for a small site, whose
-// store is allowed few writes a second.
+// minLogCapacity is how many cancellations every log can hold: enough for a small site, whose
+// state service allows few writes a second.
 const minLogCapacity = 1024
 
-// CancellationLog remembers the cancellations that a controller may have acknowledged since it
-// was started: those that its mirror has brought, and its own that the mirror has yet to bring.
-// The zero value is ready, and holds the least.
+// CancellationLog records the cancellations that a controller may have acknowledged since it
+// was started: those that its mirror delivered, and those that it wrote itself and its mirror has
+// yet to deliver. The zero value is ready to use and holds minLogCapacity cancellations. It is
+// not safe for concurrent use.
 //
-// Guards against a memory of acknowledged writes alone: a user was told of a cancellation by a
-// controller that had not written it, or had got no answer to its write, and no vote listed it.
+// Recording only the controller's own confirmed writes is not enough: a controller acknowledged a
+// cancellation to a user that it had not written, or whose write had got no response, and no vote
+// listed it.
 type CancellationLog struct {
-	capacity int // at least minLogCapacity are held whatever it says
+	capacity int // minLogCapacity applies if this is less
 
-	// completeSince is the revision after which nothing has been forgotten.
+	// completeSince is the revision after which no cancellation has been dropped.
 	completeSince uint64
 
 	entries []cancellation  // in the order in which they were recorded
@@ -25,14 +27,15 @@
 	revision uint64 // of the write
 }
 
-// NewCancellationLog makes a log that holds at least so many cancellations. A round needs those
-// that the mirror of any controller has yet to bring.
+// NewCancellationLog returns a log that holds at least capacity cancellations. It must hold all
+// that some controller's mirror has yet to deliver, because a round needs them.
 func NewCancellationLog(capacity int) CancellationLog {
 	return CancellationLog{capacity: capacity}
 }
 
-// Record adds a cancellation and the revision of its write. The same one may come twice, in
-// any order with others.
+// Record adds a cancellation and the revision of its write, unless the log already has one of the
+// same job. Cancellations may be recorded in any order of their revisions. A full log drops the
+// one that was recorded first.
 func (l *CancellationLog) Record(job string, revision uint64) {
 	if l.jobs[job] {
 		return
@@ -51,11 +54,11 @@
 	oldest := l.entries[0]
 	l.completeSince = max(l.completeSince, oldest.revision)
 	delete(l.jobs, oldest.job)
-	l.entries = l.entries[1:] // append copies the rest once the array is full
+	l.entries = l.entries[1:] // append copies the entries that are left once the array is full
 }
 
-// Since lists the cancellations that are newer than the revision returned. That is the one
-// asked for, or a newer one if some after that have been forgotten.
+// Since returns the jobs whose cancellations are newer than the revision since. That is the
+// requested revision, or a newer one if cancellations after the requested one have been dropped.
 func (l *CancellationLog) Since(revision uint64) (since uint64, jobs []string) {
 	since = max(revision, l.completeSince)
 	for _, entry := range l.entries {
--- a/internal/degraded/cancellation_log_test.go
+++ b/internal/degraded/cancellation_log_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// A log holds what it was made for, and takes the same cancellation once.
+// A log holds at least its capacity, and records the same cancellation only once.
 func TestCancellationLogHoldsItsCapacity(t *testing.T) {
 	for _, capacity := range []uint64{10, 8000, 16000} {
 		t.Run(fmt.Sprint(capacity), func(t *testing.T) {
@@ -34,18 +34,18 @@
 				}
 			}
 			if since, jobs := log.Since(0); since != 0 || uint64(len(jobs)) != held {
-				t.Fatalf("%d of %d since %d", len(jobs), held, since)
+				t.Fatalf("the full log lists %d jobs, want %d, since revision %d, want 0", len(jobs), held, since)
 			}
 			log.Record("job-one-more", 100+held)
-			log.Record("job-0", 100) // forgotten by now: it counts anew
+			log.Record("job-0", 100) // was dropped, so it is recorded again
 			if since, jobs := log.Since(0); since != 101 || uint64(len(jobs)) != held-1 {
-				t.Fatalf("%d of %d since %d", len(jobs), held, since)
+				t.Fatalf("after two more records the log lists %d jobs, want one less than %d, since revision %d, want 101", len(jobs), held, since)
 			}
 		})
 	}
 }
 
-// BenchmarkRecord records a cancellation in a full log, and then the same one again.
+// BenchmarkRecord records a cancellation in a log that is full, and then the same one again.
 func BenchmarkRecord(b *testing.B) {
 	for _, capacity := range []int{1024, 16384} {
 		b.Run(fmt.Sprint(capacity), func(b *testing.B) {
--- a/internal/degraded/cancellation_test.go
+++ b/internal/degraded/cancellation_test.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// outageBegins is when the store stops serving all controllers.
+	// outageBegins is when the state service stops serving all controllers.
 	outageBegins = 800 * time.Millisecond
 	outageEnds   = 4 * time.Second
 )
 
-// simulatedController is one controller of cancelling. The leader is labelled "a".
+// simulatedController is one controller of a cancellationSimulation. The leader is labelled "a".
 type simulatedController struct {
 	log            CancellationLog
-	mirrorRevision uint64                   // its mirror holds all up to here
-	learned        map[string]bool          // cancelled jobs that a round told it of
-	acknowledgedAt map[string]time.Duration // when it first told a user that the job is cancelled
+	mirrorRevision uint64                   // its mirror has every change up to this revision
+	learned        map[string]bool          // cancelled jobs that a round listed
+	acknowledgedAt map[string]time.Duration // when it first acknowledged a job's cancellation to a user
 }
 
 func (c *simulatedController) acknowledge(job string, now time.Duration) {
@@ -35,10 +35,10 @@
 	}
 }
 
-// cancellationSimulation plays the argument "why no task of a cancelled job is kept running" of the
-// package comment. Users cancel jobs at any controller before an outage; some writes get no
-// answer, answers and watches from before the outage still arrive in it, and controllers
-// acknowledge a cancellation by whatever they know.
+// cancellationSimulation tests the argument "Why no task of a cancelled job is kept running" of
+// the package comment. Users cancel jobs at any controller before an outage. Some writes get no
+// response, responses to writes and watches from before the outage still arrive during it, and
+// controllers acknowledge every cancellation that they know of.
 type cancellationSimulation struct {
 	t               *rapid.T
 	labels          []string
@@ -47,8 +47,8 @@
 	coordinator     Coordinator
 	now             time.Duration
 	events          []event
-	jobs            []string      // cancelled; that of revision r is jobs[r-1]
-	leaderRefusedAt time.Duration // when the store stops serving the leader
+	jobs            []string      // cancelled jobs; the one cancelled in revision r is jobs[r-1]
+	leaderRefusedAt time.Duration // when the state service stops serving the leader
 }
 
 type event struct {
@@ -66,18 +66,18 @@
 	return s
 }
 
-// oneIn draws true once in n times.
+// oneIn draws true with a probability of about one in n.
 func (s *cancellationSimulation) oneIn(n int, what string) bool {
 	return rapid.IntRange(0, n-1).Draw(s.t, what) == 0
 }
 
-// schedule runs something after a delay of up to so many milliseconds.
+// schedule calls run after a drawn delay of 1 to maxMillis milliseconds.
 func (s *cancellationSimulation) schedule(maxMillis int, run func()) {
 	delay := time.Duration(rapid.IntRange(1, maxMillis).Draw(s.t, "ms")) * time.Millisecond
 	s.events = append(s.events, event{s.now + delay, run})
 }
 
-// isServed reports whether the store serves a controller.
+// isServed reports whether the state service serves a controller.
 func (s *cancellationSimulation) isServed(label string) bool {
 	return s.now < outageBegins && (label != "a" || s.now < s.leaderRefusedAt)
 }
@@ -110,8 +110,8 @@
 	}
 }
 
-// stepController lets a controller write cancellations, read its watch, and acknowledge what
-// its mirror holds, the last in the outage, too.
+// stepController lets a controller write a cancellation and open a watch while the state service
+// serves it, and acknowledge a cancellation of its mirror at any time, also during the outage.
 func (s *cancellationSimulation) stepController(label string) {
 	controller := s.controllers[label]
 	if s.isServed(label) && s.oneIn(12, "cancels") {
@@ -157,8 +157,9 @@
 	}
 }
 
-// voteOf is a controller's vote. Revisions in votes are one more than here, since an empty
-// mirror votes with revision 1.
+// voteOf returns a controller's vote. Revisions in votes are one more than in the simulation:
+// revision 0 in a vote means that nothing is loaded, so a mirror without changes votes with
+// revision 1.
 func (s *cancellationSimulation) voteOf(label string, round Round) Vote {
 	controller := s.controllers[label]
 	vote := permittingVote(round.Number, controller.mirrorRevision+1)
@@ -168,8 +169,8 @@
 	return vote
 }
 
-// checkServing fails if a controller serves and does not know of a cancellation that a user
-// was told of more than a window ago. It returns how many controllers serve.
+// checkServing fails the test if a controller serves and does not know of a cancellation that was
+// acknowledged to a user more than a window ago. It returns how many controllers serve.
 func (s *cancellationSimulation) checkServing() (serving int) {
 	for _, label := range s.labels {
 		if !s.mayServe(label) {
@@ -202,6 +203,6 @@
 		}
 	})
 	if servingSteps == 0 {
-		t.Fatal("no controller ever served in an outage: nothing was shown")
+		t.Fatal("no controller ever served in degraded mode, so the test checked nothing")
 	}
 }
--- a/internal/degraded/coordinator.go
+++ b/internal/degraded/coordinator.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// Coordinator opens rounds and counts their votes; the leader has one for each epoch. The
-// zero value is ready.
+// Coordinator opens rounds and collects their votes; the leader has one for each epoch. The
+// zero value is ready to use. It is not safe for concurrent use.
 type Coordinator struct {
-	round     uint64          // number of the round that is open, or was last
-	startedAt time.Duration   // when it was opened
-	votes     map[string]Vote // by controller's label
+	round     uint64          // number of the open round, or of the last one
+	startedAt time.Duration   // when the round was opened
+	votes     map[string]Vote // by the controller's label
 	complete  bool            // all votes of the round have arrived
 
-	agreedRound    uint64   // the last round in which all agreed, 0: none
-	cancelledJobs  []string // that its votes listed, sorted
+	agreedRound    uint64   // the last round in which all votes agreed; 0 if there is none
+	cancelledJobs  []string // jobs that the votes of agreedRound listed, sorted
 	cancelledSince uint64   // revision that every mirror had reached in the last complete round
 	serveUntil     time.Duration
 }
 
-// NextRound returns the round to be asked now, if one is due: interval has passed since the
-// last one was opened and all have voted in it, or a window has passed and some never will.
+// NextRound returns the round that the leader must send to all controllers now, if one is due.
+// The first is due at once. A later one is due when interval has passed since the last one was
+// opened and all its votes have arrived, or when a window has passed and votes are missing.
 func (c *Coordinator) NextRound(now, interval, window time.Duration) (Round, bool) {
 	first := c.round == 0
 	switch {
 	case first, c.complete && now-c.startedAt >= interval:
 		c.round++
 	case !c.complete && now-c.startedAt >= window:
-		// A controller that has not voted by now may never have been asked, so nothing may
-		// rest on the round just before the next one: that number is left out.
+		// A controller whose vote is missing may never have received this round, so voters
+		// must not rely on it as the predecessor of the next round. Leaving one number out
+		// makes the two rounds not consecutive.
 		c.round += 2
 	default:
 		return Round{}, false
@@ -43,9 +45,9 @@
 	}, true
 }
 
-// ReceiveVote takes one controller's vote. epoch is the leader's own; labels name all
-// controllers of the site, the leader among them. The last vote that is missing decides the
-// round.
+// ReceiveVote records one controller's vote in the open round, and decides the round once all
+// votes have arrived. epoch is the leader's own; labels name all controllers of the site,
+// including the leader. Votes of other rounds are ignored.
 func (c *Coordinator) ReceiveVote(label string, vote Vote, epoch uint64, window time.Duration, labels []string) {
 	if vote.Round != c.round || c.complete {
 		return
@@ -70,8 +72,8 @@
 // decide evaluates a complete round.
 func (c *Coordinator) decide(epoch uint64, window time.Duration, labels []string) {
 	permitted := true
-	knownToAll := ^uint64(0)  // every mirror holds all up to this revision
-	unlistedUpTo := uint64(0) // up to here, acknowledged cancellations may be in no vote
+	knownToAll := ^uint64(0)  // every mirror has every change up to this revision
+	unlistedUpTo := uint64(0) // acknowledged cancellations up to this revision may be in no vote
 	var cancelledJobs []string
 	for _, label := range labels {
 		vote := c.votes[label]
@@ -89,10 +91,10 @@
 	c.serveUntil = c.startedAt + window
 }
 
-// CancelledJobs lists the jobs of the last round that agreed whose tasks must be stopped on
-// the leader's own machines, too.
+// CancelledJobs returns the cancelled jobs that the votes of the last agreed round listed, sorted
+// and without duplicates. Their tasks must be stopped on the leader's own machines, too.
 func (c *Coordinator) CancelledJobs() []string { return c.cancelledJobs }
 
-// MayServeUntil is the time until which the leader itself may serve its agents; 0 if it may
-// not.
+// MayServeUntil returns the time until which the leader itself may serve its workers; 0 if it
+// may not.
 func (c *Coordinator) MayServeUntil() time.Duration { return c.serveUntil }
--- a/internal/degraded/degraded_test.go
+++ b/internal/degraded/degraded_test.go
@@ -25,7 +25,7 @@
 	laterEpoch  = 6
 )
 
-// controllerLabels are the controllers of the largest site that is tried; the first leads.
+// controllerLabels names the controllers of the largest site in the tests; the first one leads.
 var controllerLabels = []string{"a", "b", "c", "d"}
 
 // drawLabels draws a site of two to four controllers.
@@ -33,13 +33,13 @@
 	return controllerLabels[:rapid.IntRange(2, 4).Draw(t, "controllers")]
 }
 
-// permittingVote is a vote that lets others serve.
+// permittingVote returns a vote that permits serving.
 func permittingVote(round, mirrorRevision uint64) Vote {
 	return Vote{Round: round, Epoch: leaderEpoch, StoreDown: true, MirrorRevision: mirrorRevision, IncludesMirror: true}
 }
 
-// runRounds plays so many rounds among the leader, one voter, and a third controller whose
-// votes are given.
+// runRounds runs rounds among the leader, a voter that always permits serving, and a third
+// controller whose votes thirdVote returns.
 func runRounds(rounds int, thirdVote func(round uint64) Vote) (coordinator Coordinator, voter Voter) {
 	labels := controllerLabels[:3]
 	for now := time.Duration(0); rounds > 0; now += interval {
@@ -59,10 +59,10 @@
 func TestServingContinuesWhenAllVotesAgree(t *testing.T) {
 	coordinator, voter := runRounds(4, func(round uint64) Vote { return permittingVote(round, 50) })
 	if got, want := coordinator.MayServeUntil(), 300*time.Millisecond+window; got != want {
-		t.Errorf("the leader may serve until %v, not %v", got, want)
+		t.Errorf("the leader may serve until %v, want %v", got, want)
 	}
 	if got, want := voter.MayServeUntil(), 100*time.Millisecond+window; got != want {
-		t.Errorf("the voter may serve until %v, not %v", got, want)
+		t.Errorf("the voter may serve until %v, want %v", got, want)
 	}
 }
 
@@ -71,13 +71,13 @@
 		name   string
 		change func(*Vote)
 	}{
-		{"the store serves it", func(v *Vote) { v.StoreDown = false }},
-		{"it is in a later epoch", func(v *Vote) { v.Epoch = laterEpoch }},
-		{"its mirror has loaded nothing yet", func(v *Vote) { v.MirrorRevision = 0 }},
-		{"it acknowledged more before a restart", func(v *Vote) { v.LoadedRevision = 41 }},
-		{"its log has forgotten what it acknowledged", func(v *Vote) { v.CancelledSince = 41 }},
-		{"it answers an older round", func(v *Vote) { v.Round-- }},
-		{"it lists its own writes alone", func(v *Vote) { v.IncludesMirror = false }},
+		{"state service serves the controller", func(v *Vote) { v.StoreDown = false }},
+		{"controller is in a later epoch", func(v *Vote) { v.Epoch = laterEpoch }},
+		{"mirror is not loaded", func(v *Vote) { v.MirrorRevision = 0 }},
+		{"controller may have acknowledged newer cancellations before a restart", func(v *Vote) { v.LoadedRevision = 41 }},
+		{"log has dropped newer cancellations", func(v *Vote) { v.CancelledSince = 41 }},
+		{"vote is for an older round", func(v *Vote) { v.Round-- }},
+		{"vote lists only own writes", func(v *Vote) { v.IncludesMirror = false }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			coordinator, voter := runRounds(4, func(round uint64) Vote {
@@ -86,13 +86,14 @@
 				return vote
 			})
 			if coordinator.MayServeUntil() != 0 || voter.MayServeUntil() != 0 {
-				t.Errorf("the leader may serve until %v, the voter until %v", coordinator.MayServeUntil(), voter.MayServeUntil())
+				t.Errorf("the leader may serve until %v, the voter until %v, want 0 for both", coordinator.MayServeUntil(), voter.MayServeUntil())
 			}
 		})
 	}
 }
 
-// An older leader's rounds do not ask for what the mirrors hold.
+// A leader of an older version does not require that votes include the cancellations of the
+// mirrors, and leaves VotesIncludeMirror unset.
 func TestVoterIgnoresOutcomeOfOlderLeader(t *testing.T) {
 	var voter Voter
 	for number := uint64(1); number < 5; number++ {
--- a/internal/degraded/takeover_test.go
+++ b/internal/degraded/takeover_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// takeoverSimulation plays the argument "why no machine is served by two owners" of the package
-// comment: controllers enter a later epoch at any moment, while messages are late or lost.
+// takeoverSimulation tests the argument "Why no machine is served by two owners" of the package
+// comment: controllers enter a later epoch at any time, while messages are delayed or lost.
 type takeoverSimulation struct {
 	t           *rapid.T
 	labels      []string
@@ -19,7 +19,7 @@
 	network     []message
 }
 
-// message is a round on its way to a voter or, if from is set, a vote on its way back.
+// message is a round in flight to a voter or, if from is set, a vote in flight to the leader.
 type message struct {
 	arrives time.Duration
 	to      string
@@ -95,7 +95,7 @@
 	}
 }
 
-// firstEntry is when the first controller enters the later epoch.
+// firstEntry returns when the first controller enters the later epoch.
 func (s *takeoverSimulation) firstEntry() time.Duration {
 	first := s.entersAt[s.labels[0]]
 	for _, entered := range s.entersAt {
@@ -112,11 +112,11 @@
 		}
 		first := s.firstEntry()
 		if until := s.coordinator.MayServeUntil(); until > first+window {
-			t.Fatalf("the leader serves until %v, a new owner enters at %v", until, first)
+			t.Fatalf("the leader may serve until %v, more than a window after a new owner enters the epoch at %v", until, first)
 		}
 		for label, voter := range s.voters {
 			if until := voter.MayServeUntil(); until > first+window {
-				t.Fatalf("%s serves until %v, a new owner enters at %v", label, until, first)
+				t.Fatalf("%s may serve until %v, more than a window after a new owner enters the epoch at %v", label, until, first)
 			}
 		}
 	})
--- a/internal/degraded/voter.go
+++ b/internal/degraded/voter.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Voter keeps track of the rounds that a controller has voted in; every controller but the
-// leader has one for each epoch. The zero value is ready.
+// Voter keeps track of the rounds that a controller has voted in; every controller except the
+// leader has one for each epoch. The zero value is ready to use. It is not safe for concurrent
+// use.
 type Voter struct {
-	lastRound       uint64 // the last round voted in, 0: none
+	lastRound       uint64 // the last round voted in; 0 if there is none
 	lastVotedAt     time.Duration
-	previousRound   uint64 // the one before
+	previousRound   uint64 // the round voted in before lastRound
 	previousVotedAt time.Duration
 	serveUntil      time.Duration
 }
 
-// HandleRound records that the vote on a round is sent now, and learns from the round how
-// earlier ones ended.
+// HandleRound records that the vote in a round is sent now. If the round reports that all votes
+// of an earlier round agreed, HandleRound extends the time until which the controller may serve.
 //
-// Only the round voted in last counts, and only if the voter voted in the one just before it,
-// too: the window then starts at that earlier vote, which was sent before any vote of the
-// agreed round was cast (see the package comment).
+// Only the last round that the controller voted in counts, and only if it also voted in the round
+// just before that: the window then starts at that earlier vote, which was sent before any vote of
+// the agreed round (see the package comment).
 func (v *Voter) HandleRound(now, window time.Duration, round Round) {
 	if round.Number <= v.lastRound {
-		return // a duplicate or late message: the vote on it was sent before, if ever
+		return // a duplicate or late message: if there is a vote in this round, it was sent before
 	}
 	consecutive := v.previousRound+1 == v.lastRound
 	if round.VotesIncludeMirror && round.AgreedRound > 0 && round.AgreedRound == v.lastRound && consecutive {
@@ -30,5 +31,6 @@
 	v.lastRound, v.lastVotedAt = round.Number, now
 }
 
-// MayServeUntil is the time until which this controller may serve its agents; 0 if it may not.
+// MayServeUntil returns the time until which this controller may serve its workers; 0 if it may
+// not.
 func (v *Voter) MayServeUntil() time.Duration { return v.serveUntil }
