--- a/internal/degraded/degraded.go
+++ b/internal/degraded/degraded.go
@@ -16,19 +16,19 @@
 // how a lease is renewed while the state service responds.
 //
 // All times are of one controller's monotonic clock; they are never compared between
-// controllers. The window is how long a controller may serve after the state of the cluster was
-// last confirmed to it. A new owner of a machine waits for the same time before it assumes that
-// the former owner has stopped serving.
+// controllers. The window is how long a controller may serve on the last information that it
+// received. A new owner of a machine waits for the same time before it assumes that the former
+// owner has stopped serving.
 //
 // # Why no machine is served by two owners
 //
 // A controller that takes over a machine in a later epoch first waits until the machine's former
-// owner can no longer serve it: for one window after the controller entered that epoch. Before it
-// entered the epoch, it had voted in some round k that it had not. A voter sends its own vote of
-// round k-1 before the leader opens round k, and so before any vote of round k is sent. Its
-// window is counted from its vote of round k-1 and so ends before the new owner's wait does. The
-// leader's window is counted from the opening of round k, which also precedes every vote of that
-// round.
+// owner can no longer serve it: for one window after the controller entered that epoch. A
+// permission to serve rests on some round k in which every controller, the new owner included,
+// voted that it had not entered the later epoch. A voter sends its own vote of round k-1 before
+// the leader opens round k, and so before any vote of round k is sent. Its window is counted from
+// its vote of round k-1 and so ends before the new owner's wait does. The leader's window is
+// counted from the opening of round k, which also precedes every vote of that round.
 //
 // The vote of every controller of the site is needed, whether or not the shard map names it, so
 // there is no quorum. If one vote is missing, all controllers stop serving as they would without
--- a/internal/stepdown/stepdown.go
+++ b/internal/stepdown/stepdown.go
@@ -1,43 +1,47 @@
-// Package stepdown decides when a leader that keeps its lease but can serve nobody gives up
-// the lead, and for how long it then leaves the lead to others.
+// Package stepdown decides when a leader that keeps its lease but can serve nobody steps down,
+// and for how long it then abstains from leading.
 //
-// A leader that holds its lease but reaches too little must step down by itself: that is
-// check-quorum (Ongaro, Consensus: Bridging Theory and Practice, 2014, §6.2). Here the
-// key-value store elects the leader, so what counts is not a majority of votes but whether any
-// work can start through this leader.
+// A leader that holds its lease but reaches too few others must step down by itself; this is
+// check-quorum (Ongaro, Consensus: Bridging Theory and Practice, 2014, §6.2). Here the state
+// service elects the leader, so the condition is not a majority of votes but whether any work can
+// start through this leader.
 //
-// The package owns the patience with such a leader and the back-off after a step-down. It has
-// no clock, input or output, and must not know what a link is: the caller says whether the
-// leader can serve anybody, who else lives, and writes the election record.
+// The package owns how long such a leader is tolerated and the backoff after it has stepped down.
+// It has no clock, input or output, and must not know what a link is: the caller reports whether
+// the leader can serve anybody and whether other controllers are alive, and writes the election
+// record.
 //
-// Invariants: a condition that flaps faster than the caller's patience never causes a
-// step-down; whatever the links do, a controller steps down at most MaxStepDownsPerHour times
-// an hour as long as others take the lead; a site whose lead nobody else takes is not left
-// without a leader.
+// Invariants:
+//   - A condition that flaps faster than the caller's grace period never causes a step-down.
+//   - Whatever the links do, a controller steps down at most MaxStepDownsPerHour times an hour,
+//     as long as others take over leadership.
+//   - A site in which no other controller takes over leadership is not left without a leader.
 package stepdown
 
 import "time"
 
-// maxDoublings is how often the back-off doubles. With a base of seconds the longest one lasts
-// minutes: a link that goes on flapping costs little, and one that is mended is soon used again.
+// maxDoublings is how often the backoff doubles. With a base of seconds the longest backoff lasts
+// minutes: a link that keeps flapping causes few changes of leader, and a link that is repaired is
+// soon used again.
 const maxDoublings = 6
 
-// Tracker is a controller's record of its own step-downs. Only BaseBackoff need be set.
+// Tracker records a controller's own step-downs. Only BaseBackoff has to be set. All times are of
+// one monotonic clock. It is not safe for concurrent use.
 type Tracker struct {
-	// BaseBackoff is how long a controller leaves the lead to others after it has stepped down
-	// for the first time. The time doubles with each further step-down, maxDoublings times. It
-	// also bounds how often step-downs happen: see MaxStepDownsPerHour.
+	// BaseBackoff is how long a controller abstains from leading after its first step-down. The
+	// time doubles with each further step-down, at most maxDoublings times. It also bounds how
+	// often step-downs happen: see MaxStepDownsPerHour.
 	BaseBackoff time.Duration
 
 	cannotServe      bool          // it leads and can serve nobody
-	cannotServeSince time.Duration // when unable last changed
-	canServeSince    time.Duration // when unable last changed, or when the last back-off ended
-	stepDowns        int           // since it last led well for long
+	cannotServeSince time.Duration // when cannotServe last changed
+	canServeSince    time.Duration // when cannotServe last changed, or when the last backoff ends
+	stepDowns        int           // since it last led for maxBackoff while able to serve
 	backoffUntil     time.Duration
 }
 
 // ShouldStepDown records whether this leader can serve nobody, and reports whether that has
-// lasted for patience.
+// lasted for gracePeriod.
 func (t *Tracker) ShouldStepDown(now time.Duration, cannotServe bool, gracePeriod time.Duration) bool {
 	if cannotServe != t.cannotServe {
 		t.cannotServe, t.cannotServeSince, t.canServeSince = cannotServe, now, now
@@ -48,23 +52,23 @@
 	return cannotServe && now-t.cannotServeSince >= gracePeriod
 }
 
-// SteppedDown records that the controller has stepped down, which starts its back-off.
+// SteppedDown records that the controller has stepped down, which starts its backoff.
 func (t *Tracker) SteppedDown(now time.Duration) {
 	t.backoffUntil = now + t.BaseBackoff<<min(t.stepDowns, maxDoublings)
 	t.stepDowns++
 	t.cannotServe, t.canServeSince = false, t.backoffUntil
 }
 
-// ShouldAbstain reports whether this controller should leave a vacant lead to others. It
-// should not if no other lives, or if the lead has been vacant for longer than others need to
-// take it.
+// ShouldAbstain reports whether this controller should leave vacant leadership to others because
+// its backoff has not ended. It should not if no other controller is alive, or if leadership has
+// been vacant for takeoverTime, the time that others need to take over.
 func (t *Tracker) ShouldAbstain(now time.Duration, othersAlive bool, vacantFor, takeoverTime time.Duration) bool {
 	return now < t.backoffUntil && othersAlive && vacantFor < takeoverTime
 }
 
-// MaxStepDownsPerHour is how often a controller steps down in an hour at most, whatever its
-// links do, as long as others take the lead: once for each length of the back-off, once more
-// at the start of the hour, and then once in each longest back-off.
+// MaxStepDownsPerHour returns how often a controller steps down in an hour at most, whatever its
+// links do, as long as others take over leadership: once for each length of the backoff, once
+// more at the start of the hour, and then once in each backoff of the longest length.
 func (t *Tracker) MaxStepDownsPerHour() int {
 	return maxDoublings + 2 + int(time.Hour/t.maxBackoff())
 }
--- a/internal/stepdown/stepdown_test.go
+++ b/internal/stepdown/stepdown_test.go
@@ -12,8 +12,9 @@
 	step         = time.Second / 4
 )
 
-// simulateFlapping plays an hour of a link that changes every period, and counts the step-downs.
-// Whoever takes the lead is as badly off and loses it at once.
+// simulateFlapping simulates an hour in which a link is cut and restored in turn, for a period
+// each, and counts the step-downs. Whichever controller takes over has the same fault and loses
+// leadership at once.
 func simulateFlapping(tracker *Tracker, period time.Duration) (stepDowns int) {
 	leading := true
 	for now := time.Duration(0); now < time.Hour; now += step {
@@ -33,8 +34,8 @@
 
 func TestStepDownsPerHourAreBounded(t *testing.T) {
 	for _, test := range []struct {
-		period   time.Duration // in which a link changes
-		stepDown bool          // it is cut for longer than the patience
+		period   time.Duration // between two changes of the link
+		stepDown bool          // a step-down is expected: the link is cut for longer than gracePeriod
 	}{
 		{3 * time.Second, false},
 		{5 * time.Second, true},
@@ -45,7 +46,7 @@
 			tracker := &Tracker{BaseBackoff: baseBackoff}
 			stepDowns := simulateFlapping(tracker, test.period)
 			if stepDowns > tracker.MaxStepDownsPerHour() || (stepDowns > 0) != test.stepDown {
-				t.Errorf("%d step-downs in an hour, bound %d", stepDowns, tracker.MaxStepDownsPerHour())
+				t.Errorf("%d step-downs in an hour, want at most %d, and none only if the link is cut for less than gracePeriod", stepDowns, tracker.MaxStepDownsPerHour())
 			}
 			checkVacantLeadIsTaken(t, tracker)
 			checkBackoffIsReset(t, tracker)
@@ -53,18 +54,20 @@
 	}
 }
 
-// checkVacantLeadIsTaken checks that a controller takes the lead when nobody else does.
+// checkVacantLeadIsTaken checks that a controller does not abstain when no other controller takes
+// over leadership.
 func checkVacantLeadIsTaken(t *testing.T, tracker *Tracker) {
 	t.Helper()
 	if tracker.ShouldAbstain(time.Hour, false, 0, takeoverTime) {
-		t.Error("it abstains although no other controller lives")
+		t.Error("the controller abstains although no other controller is alive")
 	}
 	if tracker.ShouldAbstain(time.Hour, true, takeoverTime+time.Second, takeoverTime) {
-		t.Error("it abstains although no other controller took the lead")
+		t.Error("the controller abstains although no other controller took over leadership in time")
 	}
 }
 
-// checkBackoffIsReset checks that the back-off is the first again after hours of leading well.
+// checkBackoffIsReset checks that the backoff is BaseBackoff again after the controller has led for
+// hours while able to serve.
 func checkBackoffIsReset(t *testing.T, tracker *Tracker) {
 	t.Helper()
 	const later = 4 * time.Hour
@@ -72,9 +75,9 @@
 	tracker.ShouldStepDown(later, false, gracePeriod)
 	tracker.SteppedDown(later)
 	if !tracker.ShouldAbstain(later+baseBackoff-time.Second, true, 0, takeoverTime) {
-		t.Error("it takes the lead back before its back-off is over")
+		t.Error("the controller takes over leadership before its backoff has ended")
 	}
 	if tracker.ShouldAbstain(later+baseBackoff+time.Second, true, 0, takeoverTime) {
-		t.Error("its back-off still counts step-downs from hours before")
+		t.Error("the backoff still counts step-downs from hours before")
 	}
 }
