--- a/internal/degraded/cancellation_test.go
+++ b/internal/degraded/cancellation_test.go
@@ -121,7 +121,7 @@
 		revision := uint64(len(s.jobs))
 		s.schedule(300, func() { s.readWatch(controller, revision) })
 	}
-	if controller.mirrorRevision > 0 && s.oneIn(4, "asked") {
+	if controller.mirrorRevision > 0 && s.oneIn(4, "acknowledges") {
 		index := rapid.IntRange(0, int(controller.mirrorRevision)-1).Draw(s.t, "about")
 		controller.acknowledge(s.jobs[index], s.now)
 	}
@@ -130,7 +130,7 @@
 func (s *cancellationSimulation) writeCancellation(controller *simulatedController) {
 	job, revision := fmt.Sprint("job-", len(s.jobs)), uint64(len(s.jobs)+1)
 	s.jobs = append(s.jobs, job)
-	if s.oneIn(3, "no answer") {
+	if s.oneIn(3, "no response") {
 		return
 	}
 	s.schedule(300, func() {
--- a/internal/degraded/degraded.go
+++ b/internal/degraded/degraded.go
@@ -64,7 +64,7 @@
 	CancelledSince uint64   `json:"since"`
 	Cancelled      []string `json:"cancelled,omitempty"`
 
-	// IncludesMirror tells that Cancelled includes the cancellations that the mirror delivered.
+	// IncludesMirror reports that Cancelled includes the cancellations that the mirror delivered.
 	// A controller of an older version does not set it: it lists only its own confirmed
 	// writes, so its vote does not permit serving.
 	IncludesMirror bool `json:"mirrored,omitempty"`
@@ -87,6 +87,6 @@
 	AgreedRound uint64   `json:"agreed,omitempty"`
 	Cancelled   []string `json:"void,omitempty"`
 
-	// VotesIncludeMirror tells that all votes of AgreedRound had IncludesMirror set.
+	// VotesIncludeMirror reports that all votes of AgreedRound had IncludesMirror set.
 	VotesIncludeMirror bool `json:"mirrored,omitempty"`
 }
--- a/internal/mirror/barrier.go
+++ b/internal/mirror/barrier.go
@@ -53,8 +53,8 @@
 //
 // The barrier stays active until all its callbacks have returned. Otherwise a callback that
 // requests another barrier would schedule that one at once, and the end of this function would
-// schedule one more. Sending the second overwrote the first one's callbacks, which were then
-// never called.
+// schedule one more. Sending the second would overwrite the first one's callbacks, which would
+// then never be called.
 func (m *Mirror) finishBarrier(ok bool) {
 	served := m.barriers.inFlight
 	m.barriers.inFlight = nil
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -66,7 +66,7 @@
 	retryDivisor     = 16
 )
 
-// phase tells whether a Mirror has a complete replica.
+// phase is the load state of a Mirror's replica.
 type phase int
 
 const (
@@ -139,7 +139,9 @@
 // VersionCount returns the number of keys whose version the mirror records.
 func (m *Mirror) VersionCount() int { return len(m.versions) }
 
-// Guard returns the precondition that a key still has the version that the mirror recorded.
+// Guard returns the guard of a transaction that a key still has the version that the mirror
+// recorded or, without a recorded version, that the key does not exist. It is not meant for keys
+// whose versions the replica records itself.
 func (m *Mirror) Guard(key string) protocol.Guard {
 	return protocol.Guard{Key: key, Version: m.versions[key]}
 }
--- a/internal/mirror/pacer.go
+++ b/internal/mirror/pacer.go
@@ -4,10 +4,10 @@
 
 // pacer sends requests of one kind at least an interval apart.
 //
-// Without it the controllers exceed the state service's rate limit: in a wave of small jobs every
-// change completed the watch of every controller and every poll requested a barrier, and each
-// was followed by the next as soon as its response arrived, until lease renewals and submissions
-// were refused with status 429.
+// This keeps the controllers within the state service's rate limit. In a wave of small jobs every
+// change completes the watch of every controller, and every poll requests a barrier. Without
+// pacing, the next watch or barrier was sent as soon as a response arrived, until lease renewals
+// and submissions were refused with status 429.
 type pacer struct {
 	nextAt time.Duration
 }
