--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -99,7 +99,7 @@
 	c.commit(notAcceptedGuards(jobID), []protocol.Operation{{Put: key, Value: s.record}}, func(result CommitResult) {
 		switch result.Outcome {
 		case Committed:
-			a.replyCommitted(&s, result.Answer.Revision)
+			a.replyCommitted(&s, result.Response.Revision)
 		case CommitConflict:
 			c.queries.replyCurrent(s.requestID, jobID) // another node was first, or an earlier try of ours
 		case CommitUnknown:
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -139,10 +139,10 @@
 	switch result.Outcome {
 	case Committed:
 		for i := range batch {
-			b.core.admission.replyCommitted(&batch[i], result.Answer.Revision)
+			b.core.admission.replyCommitted(&batch[i], result.Response.Revision)
 		}
 	case CommitConflict:
-		b.retryWithout(batch, result.Answer.Failed)
+		b.retryWithout(batch, result.Response.Failed)
 	case CommitUnknown:
 		for i := range batch {
 			queries.replyAfterCommit(batch[i].requestID, batch[i].record.Spec.ID, unknownRevision)
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -129,7 +129,7 @@
 	c.commit(guards, ops, func(result CommitResult) {
 		switch result.Outcome {
 		case Committed:
-			x.chunksStored(result.Answer.Revision)
+			x.chunksStored(result.Response.Revision)
 		case CommitUnknown:
 			// Guards against chunks written anew, and in vain again, as long as answers
 			// are lost: the mirror says what became of these.
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -59,7 +59,7 @@
 	if leader != nil {
 		m.leaderSeenAt = c.now.Monotonic
 	}
-	if leader == nil && m.staysBack() {
+	if leader == nil && m.abstainsFromElection() {
 		return true
 	}
 	if leader != nil && (leader.Label != c.settings.Label || leader.BootID == c.bootID) {
@@ -70,20 +70,20 @@
 	return true
 }
 
-// staysBack reports whether this node leaves the leader's place to others for a while: it has
+// abstainsFromElection reports whether this node leaves the leader's place to others for a while: it has
 // just stepped down, or one who reaches machines should lead.
-func (m *membership) staysBack() bool {
+func (m *membership) abstainsFromElection() bool {
 	c := m.core
 	others, vacant := len(c.records.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
 	return m.stepdown.ShouldAbstain(c.now.Monotonic, others, vacant, c.intervals.memberLease) ||
 		c.shard.reachability.Unreachable() && others && vacant < c.intervals.maintenance
 }
 
-// stepDownIfIdle gives the leader key up once this leader has been able to serve nobody for a
+// stepDownIfUnable gives the leader key up once this leader has been able to serve nobody for a
 // while, and reports whether it does so.
-func (m *membership) stepDownIfIdle(idle bool) bool {
+func (m *membership) stepDownIfUnable(unable bool) bool {
 	c := m.core
-	if !m.stepdown.ShouldStepDown(c.now.Monotonic, idle, c.intervals.maintenance) || m.keyWriteInFlight {
+	if !m.stepdown.ShouldStepDown(c.now.Monotonic, unable, c.intervals.maintenance) || m.keyWriteInFlight {
 		return false
 	}
 	c.logInfo("leader reaches no machine and no member that does, stepping down")
@@ -100,12 +100,12 @@
 func (m *membership) writeKey(guard protocol.Guard, op protocol.Operation) {
 	c := m.core
 	m.keyWriteInFlight = true
-	c.commit([]protocol.Guard{guard}, []protocol.Operation{op}, func(d CommitResult) {
-		if d.Outcome == CommitRejected {
+	c.commit([]protocol.Guard{guard}, []protocol.Operation{op}, func(result CommitResult) {
+		if result.Outcome == CommitRejected {
 			m.leaseID, m.keyWriteInFlight = 0, false // the lease has expired
 			return
 		}
 		pause := c.intervals.maxStaleness / outcomeChecksPerStaleness
-		c.mirror.AwaitOutcome(d.Outcome.Decided(), pause, func() { m.keyWriteInFlight = false })
+		c.mirror.AwaitOutcome(result.Outcome.Decided(), pause, func() { m.keyWriteInFlight = false })
 	})
 }
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -9,10 +9,10 @@
 // How a shard fences its machines, calls them, and expires their leases.
 
 const (
-	// fencingShare and minFencingCalls bound the calls without commands that are under way
+	// machinesPerFencingCall and minFencingCalls bound the calls without commands that are under way
 	// at once: one for so many machines of the shard, but so many at least.
-	fencingShare    = 16
-	minFencingCalls = 4
+	machinesPerFencingCall = 16
+	minFencingCalls        = 4
 
 	// maxUnansweredCalls is how many calls in a row an unconfirmed machine may leave
 	// unanswered before it counts as silent: it is most likely dead, and holds up all that
@@ -32,7 +32,7 @@
 // fenced or was not heard.
 func (s *shard) checkMachine(m *machine) {
 	c := s.core
-	if s.dropIfGone(m) {
+	if s.releaseIfMissing(m) {
 		return
 	}
 	if m.machineType == nil {
@@ -40,7 +40,7 @@
 			s.markChanged(m)
 		}
 	}
-	if !m.leaseExpired() && c.now.Monotonic-m.lastAnsweredAt > c.intervals.machineLeaseExpiry {
+	if !m.leaseExpired() && c.now.Monotonic-m.leaseRenewedAt > c.intervals.machineLeaseExpiry {
 		s.expireLease(m)
 	}
 	unresponsive := !m.isTrusted() && m.unansweredCalls >= maxUnansweredCalls
@@ -51,9 +51,9 @@
 	s.fenceIfDue(m)
 }
 
-// dropIfGone releases a machine that has left the registry, or that was never in it and is
+// releaseIfMissing releases a machine that has left the registry, or that was never in it and is
 // no longer heard.
-func (s *shard) dropIfGone(m *machine) bool {
+func (s *shard) releaseIfMissing(m *machine) bool {
 	c := s.core
 	switch {
 	case m.registered && c.records.machineRecords.Get(m.name) == nil:
@@ -127,7 +127,7 @@
 
 // mayFence reports whether one more call without commands may be under way.
 func (s *shard) mayFence() bool {
-	return len(s.fencingCalls) < max(s.machines.Len()/fencingShare, minFencingCalls)
+	return len(s.fencingCalls) < max(s.machines.Len()/machinesPerFencingCall, minFencingCalls)
 }
 
 // fenceNext calls the machines that had to wait, as one has answered.
@@ -161,43 +161,43 @@
 }
 
 // handleCallResult takes the outcome of a call to a machine.
-func (s *shard) handleCallResult(d *CallWorkerResult) {
-	s.reachability.CallEnded(s.core.now.Monotonic, d.Outcome != DirectUnknown)
-	if s.fencingCalls[d.CallID] {
-		delete(s.fencingCalls, d.CallID)
+func (s *shard) handleCallResult(result *CallWorkerResult) {
+	s.reachability.CallEnded(s.core.now.Monotonic, result.Outcome != DirectUnknown)
+	if s.fencingCalls[result.CallID] {
+		delete(s.fencingCalls, result.CallID)
 		defer s.fenceNext()
 	}
-	m := s.machines.Get(d.Machine)
-	if m == nil || m.callInFlight != d.CallID {
+	m := s.machines.Get(result.Machine)
+	if m == nil || m.callInFlight != result.CallID {
 		return
 	}
 	m.callInFlight = 0
-	switch d.Outcome {
+	switch result.Outcome {
 	case DirectExecuted:
-		s.callExecuted(m, d)
+		s.callExecuted(m, result)
 	case DirectFenced:
-		s.callRefused(m, d)
+		s.callRefused(m, result)
 	default:
-		s.callUnanswered(m, d.CallID)
+		s.callUnanswered(m, result.CallID)
 	}
 	s.checkMachine(m)
 }
 
 // callExecuted takes the report of a worker that has executed a call.
-func (s *shard) callExecuted(m *machine, d *CallWorkerResult) {
+func (s *shard) callExecuted(m *machine, result *CallWorkerResult) {
 	m.lastHeardAt, m.unansweredCalls = s.core.now.Monotonic, 0
-	s.applyReport(m, &d.Report, d.CallID, false)
+	s.applyReport(m, &result.Report, result.CallID, false)
 }
 
 // callRefused takes the report of a worker that has executed nothing of a call, since its
 // session or its token is another one. A higher token than ours means that a newer shard
 // map is on its way to us.
-func (s *shard) callRefused(m *machine, d *CallWorkerResult) {
+func (s *shard) callRefused(m *machine, result *CallWorkerResult) {
 	now := s.core.now.Monotonic
 	m.lastHeardAt, m.unansweredCalls = now, 0
-	sessionChanged := d.Report.Session != m.session && d.Report.Token <= m.token
-	s.dropRefusedStarts(m, d.CallID)
-	s.applyReport(m, &d.Report, d.CallID, false)
+	sessionChanged := result.Report.Session != m.session && result.Report.Token <= m.token
+	s.dropRefusedStarts(m, result.CallID)
+	s.applyReport(m, &result.Report, result.CallID, false)
 	m.nextCallAt = now + s.core.intervals.heartbeat
 	if sessionChanged {
 		m.nextCallAt = 0
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -40,12 +40,12 @@
 		s.refuseHeartbeat(id) // somebody has a newer shard map than we do
 		return
 	}
-	s.answerHeartbeat(id, m, report, current, mayServe)
+	s.respondToHeartbeat(id, m, report, current, mayServe)
 }
 
-// answerHeartbeat takes what a heartbeat says of a machine of ours, and answers it with what the
+// respondToHeartbeat takes what a heartbeat says of a machine of ours, and answers it with what the
 // worker must do.
-func (s *shard) answerHeartbeat(id RequestID, m *machine, report *protocol.Heartbeat, current, mayServe bool) {
+func (s *shard) respondToHeartbeat(id RequestID, m *machine, report *protocol.Heartbeat, current, mayServe bool) {
 	c := s.core
 	newest := report.Newer(m.session, m.seq)
 	if current {
@@ -53,16 +53,16 @@
 	}
 	if newest {
 		s.applyReport(m, report, 0, true)
-		if !m.fenced && !m.leaseExpired() && c.now.Monotonic-m.maybeAnsweredUntil > c.intervals.machineLeaseExpiry {
+		if !m.fenced && !m.leaseExpired() && c.now.Monotonic-m.maybeRenewedUntil > c.intervals.machineLeaseExpiry {
 			s.expireLease(m)
 		}
 	}
 	if current {
-		m.lastAnsweredAt = max(m.lastAnsweredAt, c.now.Monotonic)
+		m.leaseRenewedAt = max(m.leaseRenewedAt, c.now.Monotonic)
 	}
-	answer := protocol.HeartbeatResponse{Commands: s.heartbeatCommands(m, report, newest, mayServe)}
-	answer.Token = m.token // which the commands may have raised
-	c.emit(Reply{ID: id, Status: ReplyOK, Body: answer})
+	response := protocol.HeartbeatResponse{Commands: s.heartbeatCommands(m, report, newest, mayServe)}
+	response.Token = m.token // which the commands may have raised
+	c.emit(Reply{ID: id, Status: ReplyOK, Body: response})
 }
 
 // refuseHeartbeat answers a worker that this node may not serve it now.
@@ -134,7 +134,7 @@
 // last session, just after tasks have been started on it.
 func (s *shard) beginSession(m *machine, report *protocol.Heartbeat) {
 	if m.fenced || report.Token >= m.minToken {
-		m.lastAnsweredAt = max(m.lastAnsweredAt, s.core.now.Monotonic)
+		m.leaseRenewedAt = max(m.leaseRenewedAt, s.core.now.Monotonic)
 	}
 	s.retainAttempts(m, func(a *taskAttempt) bool { return a.phase <= phaseQueued })
 	s.markChanged(m)
@@ -259,8 +259,8 @@
 // Guards against a leader that plans for it: it dispatched the same tasks to the same
 // machine every round, got them back, and nobody else was given that capacity for four
 // leases.
-func causesBackoff(why string) bool {
-	return why == protocol.ExitFailed || why == protocol.ExitNoCapacity || why == protocol.ExitUnknownTask
+func causesBackoff(exitReason string) bool {
+	return exitReason == protocol.ExitFailed || exitReason == protocol.ExitNoCapacity || exitReason == protocol.ExitUnknownTask
 }
 
 // recordImage notes that a machine has, or is about to fetch, the image of a job.
--- a/internal/core/mirror_host.go
+++ b/internal/core/mirror_host.go
@@ -32,7 +32,7 @@
 
 // handleChanges passes the answer to a watch or a barrier on to the mirror.
 func (c *Core) handleChanges(result WatchResult) {
-	changes := mirror.Changes{Barrier: result.Barrier, SentAt: result.SentAt, Answer: result.Answer}
+	changes := mirror.Changes{Barrier: result.Barrier, SentAt: result.SentAt, Answer: result.Response}
 	switch result.Outcome {
 	case WatchServed:
 		changes.Outcome = mirror.Served
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -28,8 +28,8 @@
 func (s *shard) machinesSilent() bool { return s.reachability.Silent(s.reachabilityView()) }
 
 // handleProbeResult takes the outcome of asking a machine whether it can be reached.
-func (s *shard) handleProbeResult(d ProbeResult) {
-	s.reachability.ProbeEnded(s.core.now.Monotonic, d.OK)
+func (s *shard) handleProbeResult(result ProbeResult) {
+	s.reachability.ProbeEnded(s.core.now.Monotonic, result.OK)
 }
 
 func (s *shard) reachabilityView() reachability.View {
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -21,15 +21,15 @@
 	if m.mapWriteInFlight {
 		return
 	}
-	missing, unheard := m.surveyMembers()
+	missing, disconnected := m.surveyMembers()
 	desired := m.desiredMembers
-	idle := len(desired) == 0 && unheard
-	if m.stepDownIfIdle(idle) {
+	unable := len(desired) == 0 && disconnected
+	if m.stepDownIfUnable(unable) {
 		return
 	}
 	// A map of this node alone would take the machines from those who may well serve them,
 	// just before another leads, or before this node knows that it reaches none.
-	if idle || unheard && c.shard.machinesSilent() && !c.shard.reachability.Unreachable() {
+	if unable || disconnected && c.shard.machinesSilent() && !c.shard.reachability.Unreachable() {
 		return
 	}
 	if len(desired) == 0 {
@@ -51,7 +51,7 @@
 // surveyMembers lists in desiredMembers the controllers that should be members. It reports
 // whether a live controller is missing among them, and whether one is that did not say itself
 // that it reaches no machine.
-func (m *membership) surveyMembers() (missing, unheard bool) {
+func (m *membership) surveyMembers() (missing, disconnected bool) {
 	c := m.core
 	clear(m.desiredMembers) // not made anew, as this runs with every batch of commands
 	for label, node := range c.records.nodes {
@@ -64,10 +64,10 @@
 			m.desiredMembers[label] = node.BootID
 		default:
 			missing = true
-			unheard = unheard || !c.scheduler.reportsUnreachable(label, node.BootID)
+			disconnected = disconnected || !c.scheduler.reportsUnreachable(label, node.BootID)
 		}
 	}
-	return missing, unheard
+	return missing, disconnected
 }
 
 // writeShardMap writes the map of the desired members as the epoch after the one in force.
@@ -79,14 +79,14 @@
 	}
 	m.mapWriteInFlight = true
 	guards := []protocol.Guard{m.leaderGuard(), c.mirror.Guard(keyShardMap)}
-	c.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(d CommitResult) {
+	c.commit(guards, []protocol.Operation{{Put: keyShardMap, Value: next}}, func(result CommitResult) {
 		pause := c.intervals.maxStaleness / outcomeChecksPerStaleness
-		c.mirror.AwaitOutcome(d.Outcome == Committed, pause, func() { m.mapWriteInFlight = false })
+		c.mirror.AwaitOutcome(result.Outcome == Committed, pause, func() { m.mapWriteInFlight = false })
 	})
 }
 
-// logAbsentMembers notes which controllers are outside the shard map, for those on call.
-func (m *membership) logAbsentMembers() {
+// logMembershipChanges notes which controllers are outside the shard map, for those on call.
+func (m *membership) logMembershipChanges() {
 	c := m.core
 	shardMap := c.records.shardMap
 	if shardMap == nil || shardMap == m.observedMap {
