--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -7,19 +7,20 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Command is something that has happened: a request, the result of a call, news of a link. The
-// set is closed: only the types of this file are commands.
+// Command is an input of the core: a request, the result of a call, or an event of a link. Only
+// the types of this file implement it.
 type Command interface{ command() }
 
-// Tick says only that time has passed.
+// Tick carries no information except that time has passed.
 type Tick struct{}
 
-// RequestID names a request that waits for its Reply.
+// RequestID identifies a request that waits for its Reply.
 type RequestID uint64
 
-// Requests of users, workers and operators, each answered by one Reply.
+// Requests of users, workers and operators. Each gets exactly one Reply.
 type (
-	// SubmitJob asks to accept a job. A job that was accepted before is answered as by QueryJob.
+	// SubmitJob asks to accept a job. For a job that was accepted before, the reply is that of
+	// QueryJob.
 	SubmitJob struct {
 		ID   RequestID
 		Spec protocol.Job
@@ -39,7 +40,7 @@
 		ID     RequestID
 		Report protocol.Heartbeat
 	}
-	// GetStatus asks for the Status of this node.
+	// GetStatus asks for the Status of this controller.
 	GetStatus struct {
 		ID RequestID
 	}
@@ -47,13 +48,13 @@
 
 // Results of calls to the state service.
 type (
-	// CommitResult answers Commit.
+	// CommitResult is the result of a Commit.
 	CommitResult struct {
 		ID       uint64
 		Outcome  CommitOutcome
 		Response protocol.TransactionResult
 	}
-	// LoadResult answers LoadPage. Without OK the rest means nothing.
+	// LoadResult is the result of a LoadPage. Unless OK is set, the other fields mean nothing.
 	LoadResult struct {
 		OK       bool
 		SentAt   time.Duration
@@ -61,14 +62,16 @@
 		More     bool
 		Revision uint64
 	}
-	// WatchResult answers Watch. SentAt is when the request left: the answer is at least as new.
+	// WatchResult is the result of a Watch. SentAt is when the request was sent: the response
+	// shows the state of that time or a later one.
 	WatchResult struct {
 		Barrier  bool
 		SentAt   time.Duration
 		Outcome  WatchOutcome
 		Response protocol.WatchResponse
 	}
-	// LeaseResult answers RenewLease. The lease runs from SentAt at the least.
+	// LeaseResult is the result of a RenewLease. SentAt is when the request was sent: the lease
+	// lasts at least until SentAt plus its TTL.
 	LeaseResult struct {
 		SentAt  time.Duration
 		LeaseID uint64
@@ -78,15 +81,15 @@
 
 // Results of calls to workers.
 type (
-	// CallWorkerResult answers CallWorker. The outcomes DirectExecuted and DirectFenced carry a
-	// report.
+	// CallWorkerResult is the result of a CallWorker. Report is set for the outcomes
+	// DirectExecuted and DirectFenced.
 	CallWorkerResult struct {
 		Machine string
 		CallID  uint64
 		Outcome DirectOutcome
 		Report  protocol.Heartbeat
 	}
-	// ProbeResult answers ProbeWorker.
+	// ProbeResult is the result of a ProbeWorker.
 	ProbeResult struct {
 		Machine string
 		OK      bool
@@ -95,40 +98,42 @@
 
 // Results of calls to the cloud.
 type (
-	// MachineTypesResult answers ListMachineTypes.
+	// MachineTypesResult is the result of a ListMachineTypes.
 	MachineTypesResult struct {
 		Outcome  CloudOutcome
 		Response protocol.MachineTypes
 	}
-	// ListInstancesResult answers ListInstances with a page.
+	// ListInstancesResult is the result of a ListInstances: one page.
 	ListInstancesResult struct {
 		Outcome  CloudOutcome
 		Machines []protocol.Instance
 		More     bool
 	}
-	// CreateInstancesResult answers CreateInstances. There may be fewer names than were asked for.
+	// CreateInstancesResult is the result of a CreateInstances. The cloud may have created fewer
+	// instances than requested.
 	CreateInstancesResult struct {
 		Request string
 		Outcome CloudOutcome
 		Names   []string
 	}
-	// DeleteInstancesResult answers DeleteInstances.
+	// DeleteInstancesResult is the result of a DeleteInstances.
 	DeleteInstancesResult struct {
 		Names   []string
 		Outcome CloudOutcome
 	}
 )
 
-// News of the links to the sibling controllers.
+// Events of the links between this controller and its siblings.
 type (
-	// PeerConnected says that a link is up. Label is set only for links that we dialled.
+	// PeerConnected reports that a link is up. Label, of the controller at the other end, is set
+	// only for a link that this controller dialled.
 	PeerConnected struct {
 		Session uint64
 		Label   string
 	}
-	// PeerDisconnected says that a link is down.
+	// PeerDisconnected reports that a link is down.
 	PeerDisconnected struct{ Session uint64 }
-	// PeerReceived is a message that came over a link.
+	// PeerReceived is a message received over a link.
 	PeerReceived struct {
 		Session uint64
 		Message peerproto.Message
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,21 +1,26 @@
-// Package core is the deterministic state machine of one controller: commands go in, effects
-// come out.
+// Package core is the deterministic state machine of one controller: it takes commands and
+// returns effects.
 //
-// It owns every decision and all state of a node, one part for each concern: the mirror is a
-// local replica of the state service and storedRecords what its keys say; admission, cancellation
-// and jobQueries answer users; membership holds the lease, the leader key and the shard map; shard
-// has the machines that this member owns, scheduler the leader's job queue, estimator the history
-// of run times, fleet the rented machines and machineRegistry the stored list of machines;
-// degradedMode serves while the state service is down for everybody, and garbageCollector deletes
-// keys that nobody needs any more.
+// It owns every decision and all state of a controller, in one component for each concern:
+//   - mirror is a local replica of the state service, storedRecords the decoded content of its keys.
+//   - admission, cancellation and jobQueries handle users' requests.
+//   - membership holds the lease, the leader key and the shard map.
+//   - shard holds the machines that this controller owns as a member of the shard map.
+//   - scheduler holds the leader's job queue.
+//   - estimator holds the history of run times.
+//   - fleet holds the rented machines, machineRegistry the stored list of machines.
+//   - degradedMode keeps workers alive while the state service is down for all controllers.
+//   - garbageCollector deletes keys that are no longer needed.
 //
-// It may not know clocks, sockets, files, goroutines or the numbers of any protocol: package
-// engine passes the time with each batch of commands, carries out the effects and decodes the
-// answers.
+// It must not use clocks, sockets, files or goroutines, and must not know the status codes of any
+// protocol: package engine passes the time with each batch of commands, executes the effects and
+// decodes the responses.
 //
-// Invariants: the same batches at the same times give the same effects, so that a run can be
-// played again from its seed; a user is told only what is durable in the state service, or
-// agreed on in degraded mode; and whatever a leader writes is guarded by the leader key.
+// Invariants:
+//   - The same batches at the same times give the same effects, so that a run can be replayed from
+//     its seed.
+//   - A user is told only what is durable in the state service, or agreed on in degraded mode.
+//   - Every write of a leader is guarded by the leader key.
 package core
 
 import (
@@ -27,7 +32,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Instant is a moment: spans are measured by the monotonic clock, the time of day only dates.
+// Instant is a point in time on two clocks. Durations are measured on the monotonic clock; the
+// wall clock only dates records.
 type Instant struct {
 	Monotonic time.Duration
 	Wall      float64 // seconds since 1970
@@ -36,21 +42,21 @@
 // Core is the state of one controller. It is not safe for concurrent use.
 type Core struct {
 	settings         *config.Settings
-	storeLimits      config.StoreLimits // the limits of the state service that we keep to
-	throttled        bool               // the state service has refused a change for its rate
+	storeLimits      config.StoreLimits // the limits of the state service that are respected
+	throttled        bool               // the state service has refused a write for its rate
 	policy           config.Policy
 	bootID           string
 	intervals        intervals
 	debug            bool
 	fairShareRules   fairshare.Rules
-	bestEffortTeams  map[string]bool // teams without a guarantee where others have one
-	controllerLabels []string        // of all controllers of the site, this one first
+	bestEffortTeams  map[string]bool // teams without a guarantee on a site where others have one
+	controllerLabels []string        // labels of all controllers of the site, this one first
 
 	now         Instant
 	effects     []Effect
 	timers      timerHeap
 	lastTimerID uint64
-	loopback    []func() // deliveries of messages between this node's scheduler and its shard
+	loopback    []func() // pending deliveries between this controller's scheduler and its shard
 
 	mirror       *mirror.Mirror
 	records      *storedRecords
@@ -68,7 +74,8 @@
 	degraded     *degradedMode
 }
 
-// New makes the core of a controller. bootID must differ in every process.
+// New makes the core of a controller. bootID identifies this process: it must be different in
+// every process, also in successive ones of the same controller.
 func New(settings *config.Settings, policy config.Policy, bootID string, debug bool) *Core {
 	c := &Core{
 		settings: settings, policy: policy, bootID: bootID, debug: debug,
@@ -98,8 +105,8 @@
 	return c
 }
 
-// Apply works through a batch of commands and returns what is to be done. The returned slice
-// is valid until the next call.
+// Apply handles a batch of commands and returns the effects to execute, in order. The returned
+// slice is valid until the next call.
 func (c *Core) Apply(now Instant, commands []Command) []Effect {
 	c.now = now
 	c.effects = c.effects[:0]
@@ -112,8 +119,8 @@
 	return c.effects
 }
 
-// reconcile lets each part act on what the batch has changed. The order matters: each part
-// relies on those before it.
+// reconcile lets each component act on the changes of the batch. The order matters: each component
+// relies on the state of those before it.
 func (c *Core) reconcile() {
 	c.membership.reconcile()
 	c.degraded.reconcile()
@@ -122,8 +129,8 @@
 	c.shard.reconcile()
 }
 
-// deliverLoopback delivers the messages between this node's scheduler and its own shard, and
-// those that they cause, as a link would to another node.
+// deliverLoopback delivers the messages between this controller's scheduler and its own shard,
+// including those sent in response, as a peer link does between two controllers.
 func (c *Core) deliverLoopback() {
 	for len(c.loopback) > 0 {
 		deliver := c.loopback[0]
@@ -135,7 +142,7 @@
 	}
 }
 
-// handle passes a command on to the part that it concerns.
+// handle dispatches a command to the component that it concerns.
 func (c *Core) handle(command Command) {
 	switch command := command.(type) {
 	case Tick:
@@ -196,8 +203,8 @@
 	}
 }
 
-// peerConnected tells a link that we dialled, which leads to the leader, from one that a
-// member dialled, whose leader we may be.
+// peerConnected assigns a new link to the shard or the scheduler: a link that this controller
+// dialled goes to the leader; one that a member dialled comes to this controller as the leader.
 func (c *Core) peerConnected(p PeerConnected) {
 	if p.Label != "" {
 		c.shard.leaderLinkUp(p.Session)
@@ -211,8 +218,8 @@
 	c.scheduler.memberLinkDown(p.Session)
 }
 
-// peerReceived routes a message: over the link to the leader it is for the shard, or asks for
-// a vote; over any other it is from a member, to the leader.
+// peerReceived routes a message. One over the link to the leader is for the shard, or asks for a
+// vote of degraded mode. One over any other link was sent by a member to the leader.
 func (c *Core) peerReceived(p PeerReceived) {
 	message := &p.Message
 	switch {
@@ -228,7 +235,7 @@
 	}
 }
 
-// team is the team of a name, nil if the site has none of it.
+// team returns the team of this name, or nil if the site has no such team.
 func (c *Core) team(name string) *config.Team {
 	for i := range c.settings.Site.Teams {
 		if c.settings.Site.Teams[i].Name == name {
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -7,37 +7,37 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Effect is something to be done outside: an answer, a call, a message to a peer. The set is
-// closed: only the types of this file are effects. Every call is answered by exactly one
-// command, also if nothing came back.
+// Effect is an output of the core that package engine executes: a reply, a call, a message to a
+// peer. Only the types of this file implement it. Every call results in exactly one command, also
+// if no response arrived.
 type Effect interface{ effect() }
 
-// Reply answers a request. The type of Body goes with the request and the status; it is encoded
-// by the server.
+// Reply is the response to a request. The type of Body depends on the request and the status; the
+// server encodes it.
 type Reply struct {
 	ID         RequestID
 	Status     ReplyStatus
 	Body       any
-	RetryAfter time.Duration // how long to wait before the request is repeated, 0: no matter
+	RetryAfter time.Duration // how long the client is to wait before it repeats the request, 0: not specified
 }
 
 // Calls to the state service.
 type (
-	// Commit runs a transaction; CommitResult answers it.
+	// Commit runs a transaction; CommitResult is its result.
 	Commit struct {
 		ID  uint64
 		Txn protocol.Transaction
 	}
-	// LoadPage reads a page of all keys, those after After; LoadResult answers it.
+	// LoadPage reads a page of all keys, beginning after the key After; LoadResult is its result.
 	LoadPage struct{ After string }
-	// Watch waits for changes since a revision, at most for Hold; WatchResult answers it. A
-	// barrier does not wait: it asks what has changed up to now.
+	// Watch waits for changes since the revision Since, at most for Hold; WatchResult is its
+	// result. With Barrier set it does not wait, but returns all changes up to now.
 	Watch struct {
 		Since   uint64
 		Hold    time.Duration
 		Barrier bool
 	}
-	// RenewLease renews a lease, or asks for a new one if LeaseID is 0; LeaseResult answers it.
+	// RenewLease renews a lease, or requests a new one if LeaseID is 0; LeaseResult is its result.
 	RenewLease struct {
 		LeaseID uint64
 		TTL     time.Duration
@@ -46,14 +46,15 @@
 
 // Calls to workers.
 type (
-	// CallWorker sends commands straight to a worker; CallWorkerResult answers it.
+	// CallWorker sends commands directly to a worker, without waiting for its next heartbeat;
+	// CallWorkerResult is its result.
 	CallWorker struct {
 		Machine string
 		CallID  uint64
 		Addr    string
 		Body    protocol.DirectCommands
 	}
-	// ProbeWorker asks whether a worker can be reached; ProbeResult answers it.
+	// ProbeWorker checks whether a worker is reachable; ProbeResult is its result.
 	ProbeWorker struct {
 		Machine string
 		Addr    string
@@ -62,41 +63,42 @@
 
 // Calls to the cloud.
 type (
-	// ListMachineTypes asks what can be rented; MachineTypesResult answers it.
+	// ListMachineTypes lists the machine types that can be rented; MachineTypesResult is its
+	// result.
 	ListMachineTypes struct{}
-	// ListInstances asks for a page of the rented machines, those after After;
-	// ListInstancesResult answers it.
+	// ListInstances reads a page of the rented machines, beginning after the name After;
+	// ListInstancesResult is its result.
 	ListInstances struct{ After string }
-	// CreateInstances rents machines; CreateInstancesResult answers it. It is idempotent by the
-	// name of the request.
+	// CreateInstances rents machines; CreateInstancesResult is its result. It is idempotent: a
+	// repeated call with the same request name creates no further instances.
 	CreateInstances struct {
 		Request protocol.CreateMachinesRequest
 	}
-	// DeleteInstances returns machines; DeleteInstancesResult answers it.
+	// DeleteInstances terminates rented machines; DeleteInstancesResult is its result.
 	DeleteInstances struct{ Names []string }
 )
 
-// What is asked of the links to the sibling controllers.
+// Operations on the links between this controller and its siblings.
 type (
-	// ConnectPeer names the sibling to keep a link to, empty for none.
+	// ConnectPeer sets the label of the sibling to keep a link to; an empty label means none.
 	ConnectPeer struct{ Label string }
 	// SendToPeer sends a message over a link.
 	SendToPeer struct {
 		Session uint64
 		Message peerproto.Message
 	}
-	// ClosePeer ends a link.
+	// ClosePeer closes a link.
 	ClosePeer struct{ Session uint64 }
 )
 
-// SetReady says whether the node can take requests.
+// SetReady publishes whether this controller accepts requests.
 type SetReady struct{ Ready bool }
 
-// Log is a line for the operators.
+// Log writes a log line for the operators.
 type Log struct {
 	Level Level
 	Text  string
-	Args  []any // keys and values in turn
+	Args  []any // alternating keys and values
 }
 
 // Level is the level of a log line.
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -5,13 +5,15 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Who leads: the controller whose lease holds the leader key in the state service.
+// Leader election: the leader is the controller whose lease holds the leader key in the state
+// service.
 
-// outcomeChecksPerStaleness paces the looks at the mirror after a write that got no answer: what
-// became of it is known long before this node may no longer serve.
+// outcomeChecksPerStaleness divides maxStaleness into the pause before the mirror is read after a
+// write that got no response, so that the outcome is known long before this controller must stop
+// serving.
 const outcomeChecksPerStaleness = 16
 
-// followLeader takes note of whether this node leads.
+// followLeader updates whether this controller leads, as the leader key in the mirror shows it.
 func (m *membership) followLeader() {
 	c := m.core
 	leading := c.records.leader != nil && c.records.leader.BootID == c.bootID
@@ -30,12 +32,12 @@
 	c.scheduler.leadershipChanged(leading)
 }
 
-// registerNode writes this node's key if the key does not name this process, and reports
-// whether it does so.
+// registerNode writes this controller's node key unless the key already names this process, and
+// reports whether it does so.
 //
-// The version of the key guards against a write of this label's former process that is
-// carried out late: it took the place of the new one, whose machines were others' until it
-// wrote again.
+// The write is guarded by the version of the key. Without the guard a delayed write of the former
+// process with this label replaced the key of the new process, whose machines then belonged to
+// other controllers until it wrote its key again.
 func (m *membership) registerNode() bool {
 	c := m.core
 	if c.records.nodes[c.settings.Label].BootID == c.bootID {
@@ -47,12 +49,12 @@
 	return true
 }
 
-// standForElection takes the leader key if nobody has it, or a former process of this node,
-// and reports whether this node waits for the outcome or stays back.
+// standForElection writes the leader key if no controller holds it, or if a former process of this
+// controller does. It reports whether this controller has written the key, or abstains.
 //
-// A leader that was restarted takes its own key over at once: its former process is surely
-// dead, and whatever that one still has in flight is guarded by the version that this write
-// ends.
+// A leader that was restarted takes its own key over at once: its former process has certainly
+// ended, and the writes that this process still has in flight are guarded by the version of the
+// key that this write replaces.
 func (m *membership) standForElection() bool {
 	c := m.core
 	leader := c.records.leader
@@ -70,8 +72,9 @@
 	return true
 }
 
-// abstainsFromElection reports whether this node leaves the leader's place to others for a while: it has
-// just stepped down, or one who reaches machines should lead.
+// abstainsFromElection reports whether this controller leaves a vacant leader key to other
+// controllers for a limited time: it has just stepped down, or it reaches no machine and another
+// controller may reach some.
 func (m *membership) abstainsFromElection() bool {
 	c := m.core
 	others, vacant := len(c.records.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
@@ -79,8 +82,8 @@
 		c.shard.reachability.Unreachable() && others && vacant < c.intervals.maintenance
 }
 
-// stepDownIfUnable gives the leader key up once this leader has been able to serve nobody for a
-// while, and reports whether it does so.
+// stepDownIfUnable deletes the leader key once this leader has been unable to serve any machine for
+// a maintenance period, and reports whether it does so.
 func (m *membership) stepDownIfUnable(unable bool) bool {
 	c := m.core
 	if !m.stepdown.ShouldStepDown(c.now.Monotonic, unable, c.intervals.maintenance) || m.keyWriteInFlight {
@@ -92,11 +95,11 @@
 	return true
 }
 
-// leaderGuard ties a write to our leadership.
+// leaderGuard is the precondition that this controller still leads when a write is applied.
 func (m *membership) leaderGuard() protocol.Guard { return m.core.mirror.Guard(keyLeader) }
 
-// writeKey writes the node key or the leader key. The next write waits until the mirror shows
-// what became of this one.
+// writeKey writes the node key or the leader key. The next write waits until the mirror shows the
+// outcome of this one.
 func (m *membership) writeKey(guard protocol.Guard, op protocol.Operation) {
 	c := m.core
 	m.keyWriteInFlight = true
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -1,17 +1,18 @@
 package core
 
-// The lease of this node in the state service: it keeps the node's key, and the leader's.
+// The lease of this controller in the state service. The controller's node key, and the leader key
+// if it leads, exist only as long as the lease.
 
 const (
-	// renewalsPerLease is how often the lease is renewed while it lasts, so that several
-	// renewals in a row may be lost.
+	// renewalsPerLease is how many times the lease is renewed within its duration, so that it
+	// survives several lost renewals in a row.
 	renewalsPerLease = 6
 
-	// renewalRetriesPerLease paces the renewals after one that was not granted.
+	// renewalRetriesPerLease divides the lease into the pause after a renewal that was not granted.
 	renewalRetriesPerLease = 12
 )
 
-// renewLease renews the lease, or asks for a new one.
+// renewLease renews the lease when that is due, or requests a new one.
 func (m *membership) renewLease() {
 	c := m.core
 	due := m.leaseID == 0 || c.now.Monotonic-m.renewedAt >= c.intervals.memberLease/renewalsPerLease
@@ -22,23 +23,24 @@
 	c.emit(RenewLease{LeaseID: m.leaseID, TTL: c.intervals.memberLease})
 }
 
-// shouldLetLeaseExpire reports whether the lease is better left to expire: nothing has come back
-// from the state service for so long that this node may do nothing, and its renewals may
-// arrive all the same. It asks again once the lease must have expired, or when the mirror
-// hears the service.
+// shouldLetLeaseExpire reports whether renewals pause so that the lease can expire: no response has
+// come from the state service for so long that this controller may not serve, although its renewals
+// may still reach the service. Renewals resume once the lease must have expired, or when the mirror
+// gets a response.
 //
-// Guards against a leader whose requests arrive and whose answers do not: its renewals kept
-// its keys alive, so that nobody led and its machines stood still for as long as that lasted.
+// Guards against a one-way partition in which a leader's requests reach the state service but the
+// responses are lost: its renewals kept its keys alive, so that no other controller could lead and
+// no task was started on its machines for as long as the partition lasted.
 func (m *membership) shouldLetLeaseExpire() bool {
 	c := m.core
 	if m.leaseID == 0 || !m.renewalUnanswered || c.mirror.IsFresh() {
 		return false
 	}
-	latestExpiry := c.intervals.memberLease * 5 / 4 // the service may have got the renewal late
+	latestExpiry := c.intervals.memberLease * 5 / 4 // with a margin for a renewal that arrived late
 	return c.now.Monotonic-m.renewedAt >= c.intervals.maxStaleness && c.now.Monotonic-m.renewalSentAt < latestExpiry
 }
 
-// handleLeaseResult takes the answer to a renewal.
+// handleLeaseResult handles the response to a renewal, or that there was none.
 func (m *membership) handleLeaseResult(result LeaseResult) {
 	c := m.core
 	m.renewing, m.renewalUnanswered = false, result.Outcome == LeaseUnknown
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -11,41 +11,42 @@
 	"github.com/chalkhub/chalkhub/internal/stepdown"
 )
 
-// membership holds this node's place among the controllers: its lease in the state service
-// and the key that this lease keeps, who leads, and, on the leader, the shard map.
+// membership is this controller's part in the cluster: its lease in the state service and the node
+// key attached to it, which controller leads, and, on the leader, the shard map.
 //
-// Every write of it is guarded by the versions of what it was decided by, so that one that
-// is carried out late is void.
+// Each of its writes is guarded by the versions of the keys that the decision was based on, so that
+// a delayed write has no effect.
 type membership struct {
 	core *Core
 
 	// The lease, see lease.go.
 	leaseID           uint64        // 0: none
-	renewedAt         time.Duration // when the newest answered renewal was sent
-	renewalSentAt     time.Duration // when the newest renewal was sent, answered or not
-	renewalUnanswered bool          // that one
-	renewing          bool          // a renewal is under way, or to be repeated after a pause
-
-	// What was published of this node.
-	ready              bool
-	readinessPublished bool
+	renewedAt         time.Duration // when the newest renewal that was granted was sent
+	renewalSentAt     time.Duration // when the newest renewal was sent, granted or not
+	renewalUnanswered bool          // the newest renewal that has ended got no response
+	renewing          bool          // a renewal is in flight, or waits for its retry
+
+	// What was published last.
+	ready              bool // by SetReady
+	readinessPublished bool // ready has been published at all
 	peerTarget         string
 
 	// The election, see election.go.
-	keyWriteInFlight bool // of the node key or the leader key
+	keyWriteInFlight bool // a write of the node key or the leader key
 	leading          bool
-	leaderSince      time.Duration // when this node became the leader last
-	leaderSeenAt     time.Duration // when any node was last seen to lead
+	leaderSince      time.Duration // when this controller last became the leader
+	leaderSeenAt     time.Duration // when the mirror last showed any leader
 	stepdown         stepdown.Tracker
 
 	// The shard map, see shardmap.go.
 	mapWriteInFlight bool
-	desiredMembers   map[string]string        // by label, the process that should be a member
-	absentSince      map[string]time.Duration // controllers outside the shard map
-	observedMap      *records.ShardMap        // that this was read from
+	desiredMembers   map[string]string        // by label, the boot ID of the process that should be a member
+	absentSince      map[string]time.Duration // by label, since when a controller is outside the shard map
+	observedMap      *records.ShardMap        // the shard map that absentSince was updated from
 }
 
-// noPeerTarget differs from every label and from none, so that the first target is published.
+// noPeerTarget differs from every label and from the empty label, which means no peer, so that the
+// first target is always published.
 const noPeerTarget = "\x00"
 
 func newMembership(c *Core) *membership {
@@ -58,8 +59,8 @@
 	}
 }
 
-// reconcile keeps the lease and this node's key, follows who leads, and does the leader's
-// part for the shard map.
+// reconcile renews the lease, writes this controller's node key, follows the leader key and stands
+// for election. On the leader it also reconciles the shard map.
 func (m *membership) reconcile() {
 	m.core.mirror.Maintain()
 	m.renewLease()
@@ -81,9 +82,9 @@
 	}
 }
 
-// publishReadiness says whether this node can take requests. In an outage that all see, users
-// are told at once to come again, by nodes that the load balancer finds where they were when
-// it is over.
+// publishReadiness publishes whether this controller accepts requests. It stays ready in degraded
+// mode: users get an immediate response that asks them to retry, and when the outage is over the
+// load balancer still has all controllers in rotation.
 func (m *membership) publishReadiness() {
 	ready := m.mayServe() && !m.core.degraded.isIsolated() || m.core.degraded.isActive()
 	if ready != m.ready || !m.readinessPublished {
@@ -92,7 +93,7 @@
 	}
 }
 
-// publishPeerTarget says which sibling this node keeps a link to: the leader.
+// publishPeerTarget publishes which sibling this controller keeps a link to: the leader.
 func (m *membership) publishPeerTarget() {
 	target := ""
 	if leader := m.core.records.leader; leader != nil && leader.BootID != m.core.bootID {
@@ -104,33 +105,33 @@
 	}
 }
 
-// mayServe reports whether this node may answer workers and users act on it: its lease was
-// renewed and its mirror confirmed within the time that bounds both.
+// mayServe reports whether this controller is entitled to serve workers and users: its lease was
+// renewed, and its mirror confirmed, less than maxStaleness ago.
 //
-// Guards against two owners of a machine: a node that is cut off must fall silent before the
-// others count its lease as over.
+// Guards against two owners of a machine: a controller that is partitioned from the state service
+// must stop serving before its lease expires there and other controllers take its machines over.
 func (m *membership) mayServe() bool {
 	return m.leaseID != 0 && m.core.now.Monotonic-m.renewedAt < m.core.intervals.maxStaleness && m.core.mirror.IsFresh()
 }
 
-// isMember reports whether the shard map in force names this very process.
+// isMember reports whether the current shard map names this process, not only its label.
 func (m *membership) isMember() bool {
 	shardMap := m.core.records.shardMap
 	return shardMap != nil && shardMap.Members[m.core.settings.Label] == m.core.bootID
 }
 
-// labelHeldByOther reports whether the shard map in force names another process under a label
-// than boot. Until the next map such a process has nothing to say of the label's machines.
+// labelHeldByOther reports whether the current shard map names a process other than boot under a
+// label. Until the next shard map, what boot publishes about the label's machines is ignored.
 //
-// Guards against taking what the former process was given for lost: a process that was back
-// before the map changed said that it has no machines, and all that had just been given to
-// the former one was started a second time.
+// Guards against starting tasks twice after a restart: a process that was restarted before the map
+// changed published that it has no machines, and every task that had just been dispatched to its
+// former process was taken for lost and started a second time.
 func (m *membership) labelHeldByOther(label, boot string) bool {
 	shardMap := m.core.records.shardMap
 	return shardMap != nil && shardMap.Members[label] != "" && shardMap.Members[label] != boot
 }
 
-// epoch is the one of the shard map in force, 0 without a map.
+// epoch is the epoch of the current shard map, or 0 if there is no map.
 func (m *membership) epoch() uint64 {
 	if shardMap := m.core.records.shardMap; shardMap != nil {
 		return shardMap.Epoch
@@ -138,7 +139,8 @@
 	return 0
 }
 
-// ownerOf is the member that a machine belongs to, by rendezvous hashing.
+// ownerOf returns the label of the member that owns a machine, by rendezvous hashing, or "" if
+// there is no shard map.
 func (m *membership) ownerOf(machine string) string {
 	shardMap := m.core.records.shardMap
 	if shardMap == nil {
@@ -154,7 +156,7 @@
 	return owner
 }
 
-// sortedKeys are the keys of a map in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for key := range m {
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -8,57 +8,58 @@
 	"github.com/chalkhub/chalkhub/internal/reachability"
 )
 
-// Numbers that must never repeat hold the epoch in their high bits and a count in the low
-// ones, so that no write is needed to draw one.
+// Numbers that must never repeat consist of the epoch in the high bits and a counter in the low
+// bits, so that generating one needs no write to the state service.
 const (
-	// tokenBits are the bits of a fencing token below the epoch.
+	// tokenBits is the number of bits of a fencing token below the epoch.
 	tokenBits = 20
-	// attemptBits are the bits of an attempt's number below the epoch.
+	// attemptBits is the number of bits of an attempt number below the epoch.
 	attemptBits = 28
 )
 
-// shard owns the machines that the shard map gives this member: it answers their
-// heartbeats, places on them what the leader dispatches to it, and publishes their state
-// to the leader.
+// shard owns the machines that the shard map assigns to this member: it responds to their
+// heartbeats, places the attempts that the leader dispatches to it on them, and publishes their
+// state to the leader.
 //
-// Nothing is started on a machine whose list is not confirmed, and what may be on a machine
-// stays in the shard until the machine's list, or the end of its lease, shows that it is not.
+// Invariants: no attempt is started on a machine whose task list is not confirmed; an attempt that
+// may be on a machine stays in the shard until the machine's task list or the expiry of its lease
+// shows that it is not there.
 type shard struct {
 	core       *Core
 	epoch      uint64
 	epochSince time.Duration
-	isMember   bool // in this epoch
+	isMember   bool // the shard map of this epoch names this process
 	machines   *orderedmap.Map[*machine]
-	// machinesByJob holds the machines that have or had tasks of a job that is not over.
+	// machinesByJob holds, for each job that is not final, the machines that have or had tasks of it.
 	machinesByJob map[string]*orderedmap.Map[*machine]
 	nextCheckAt   time.Duration // when all machines are checked again
 
 	// Placement.
-	unplaced             []*taskAttempt // dispatched, no capacity found yet
-	capacityChanged      []*machine     // since tasks were last placed
+	unplaced             []*taskAttempt // dispatched to this shard, no capacity found yet
+	capacityChanged      []*machine     // free capacity may have changed since tasks were last placed
 	machinesWithCapacity *orderedmap.Map[*machine]
-	placementDue         bool // something may fit that did not fit before
+	placementDue         bool // a task may fit now that did not fit before
 	nextPlacementAt      time.Duration
-	expedited            []*machine // have commands that do not wait for a heartbeat
+	expedited            []*machine // their commands do not wait for the next heartbeat
 
 	// Calls to machines.
 	lastCallID   uint64
-	fencingCalls map[uint64]bool // calls without commands that are under way
-	fencingQueue []*machine      // wait for one of these to end
+	fencingCalls map[uint64]bool // IDs of calls without commands that are in flight
+	fencingQueue []*machine      // machines that wait for one of these calls to end
 	reachability reachability.Tracker
-	// lastHeardMachine is one that was heard when that was last asked.
+	// lastHeardMachine is the machine that the last search for a recently heard machine found.
 	lastHeardMachine *machine
 
 	// The link to the leader.
-	leaderLink             uint64 // its session, 0: none
+	leaderLink             uint64 // session of the link, 0: none
 	leaderHeardAt          time.Duration
-	lastLeaderSeq          uint64 // of the leader's messages over the link
+	lastLeaderSeq          uint64 // sequence number of the leader's newest message over the link
 	lastPublishedAt        time.Duration
 	fullSnapshotDue        bool
-	unpublished            []*machine              // have changed since they were last published
+	unpublished            []*machine              // changed since they were last published
 	releasedMachines       []string                // no longer owned, to be published
-	returned               []peerproto.TaskAttempt // given back to the leader's queue, to be published
-	confirmedCancellations []string                // jobs of which a user was told here that they are cancelled, to be relayed
+	returned               []peerproto.TaskAttempt // returned to the leader's queue, to be published
+	confirmedCancellations []string                // jobs whose cancellation this controller confirmed to a user, to be relayed
 }
 
 func newShard(c *Core) *shard {
@@ -72,8 +73,8 @@
 	}
 }
 
-// reconcile follows the shard map, checks the machines, places what was dispatched and
-// publishes what has changed.
+// reconcile follows the shard map, checks the machines, places dispatched attempts and publishes
+// changes to the leader.
 func (s *shard) reconcile() {
 	c := s.core
 	if !c.mirror.IsReady() {
@@ -95,7 +96,7 @@
 	s.publish()
 }
 
-// followLeadership connects this shard to the scheduler of its own node while that leads.
+// followLeadership connects this shard to the scheduler of its own controller while that leads.
 func (s *shard) followLeadership() {
 	leading := s.core.membership.leading
 	switch {
@@ -107,8 +108,8 @@
 	}
 }
 
-// checkMachines checks every machine from time to time. Leases run out between heartbeats
-// too, but walking over all machines with every batch of commands would cost too much.
+// checkMachines checks every machine periodically, since leases also expire between heartbeats.
+// Iterating over all machines with every batch of commands would cost too much.
 func (s *shard) checkMachines() {
 	c := s.core
 	if c.now.Monotonic < s.nextCheckAt {
@@ -120,7 +121,7 @@
 	}
 }
 
-// markChanged notes that the state of a machine has to be published, and that its capacity
+// markChanged records that the state of a machine has to be published, and that its free capacity
 // may have changed.
 func (s *shard) markChanged(m *machine) {
 	s.markCapacityChanged(m)
@@ -130,7 +131,6 @@
 	}
 }
 
-// markCapacityChanged notes that the free capacity of a machine may have changed.
 func (s *shard) markCapacityChanged(m *machine) {
 	m.capacityValid = false
 	s.placementDue = true
@@ -140,10 +140,10 @@
 	}
 }
 
-// owns reports whether a machine that was noted earlier still is this shard's.
+// owns reports whether this shard still owns a machine that was recorded earlier.
 func (s *shard) owns(m *machine) bool { return s.machines.Get(m.name) == m }
 
-// expedite has a machine's commands sent without waiting for its next heartbeat.
+// expedite causes a machine's commands to be sent without waiting for its next heartbeat.
 func (s *shard) expedite(m *machine) {
 	if !m.expedited {
 		m.expedited = true
@@ -164,7 +164,8 @@
 	}
 }
 
-// sendExpedited sends the commands of the expedited machines that can be called now.
+// sendExpedited sends commands to the expedited machines whose task list is confirmed and that have
+// no call in flight. The others stay expedited.
 func (s *shard) sendExpedited() {
 	var later []*machine
 	for _, m := range s.expedited {
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -7,15 +7,17 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// The shard map: which controllers are members, each the owner of a share of the machines.
-// The leader writes it; each version is an epoch.
+// The shard map names the controllers that are members; each owns a share of the machines. The
+// leader writes the map, and each version of it is an epoch.
 
-// reconcileShardMap writes a new map when the members are not who they should be: those with
-// a live key that this leader can hear. If nobody is left whose machines answer, and others
-// live that it cannot hear, it lets one of them lead.
+// reconcileShardMap writes a new map when the members differ from those that should be: the
+// controllers with a live node key that reach machines and, except the leader itself, have a live
+// link to it. If there is none, and other live controllers are disconnected from this leader, it
+// steps down so that one of them can lead.
 //
-// Guards against a leader that reaches the state service alone: it kept the map to itself,
-// and nothing started, while another reached both the state service and the machines.
+// Guards against a leader that reaches nothing but the state service: it stayed the only member of
+// the map, and no task started, while another controller reached both the state service and the
+// machines.
 func (m *membership) reconcileShardMap() {
 	c := m.core
 	if m.mapWriteInFlight {
@@ -27,8 +29,9 @@
 	if m.stepDownIfUnable(unable) {
 		return
 	}
-	// A map of this node alone would take the machines from those who may well serve them,
-	// just before another leads, or before this node knows that it reaches none.
+	// A map with this controller as its only member would take the machines from controllers that
+	// may be able to serve them, just before another controller leads, or before this one knows
+	// that it reaches no machine.
 	if unable || disconnected && c.shard.machinesSilent() && !c.shard.reachability.Unreachable() {
 		return
 	}
@@ -36,8 +39,8 @@
 		desired[c.settings.Label] = c.bootID
 	}
 	shardMap := c.records.shardMap
-	// A new leader gives the others a moment to call, so that a change of leader is one new
-	// map and not several.
+	// A new leader waits for one heartbeat period until the others have connected, so that a
+	// change of leader causes one new map and not several.
 	settled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
 	if !settled && (missing || shardMap == nil && len(desired) < c.settings.Site.InitialSize) {
 		return
@@ -48,12 +51,12 @@
 	m.writeShardMap(shardMap)
 }
 
-// surveyMembers lists in desiredMembers the controllers that should be members. It reports
-// whether a live controller is missing among them, and whether one is that did not say itself
-// that it reaches no machine.
+// surveyMembers sets desiredMembers to the controllers that should be members. missing reports that
+// another live controller is not among them; disconnected reports that one of these did not itself
+// report that it reaches no machine.
 func (m *membership) surveyMembers() (missing, disconnected bool) {
 	c := m.core
-	clear(m.desiredMembers) // not made anew, as this runs with every batch of commands
+	clear(m.desiredMembers) // reused, since this runs with every batch of commands
 	for label, node := range c.records.nodes {
 		switch {
 		case label == c.settings.Label:
@@ -70,7 +73,7 @@
 	return missing, disconnected
 }
 
-// writeShardMap writes the map of the desired members as the epoch after the one in force.
+// writeShardMap writes a map of the desired members as the epoch after that of the current map.
 func (m *membership) writeShardMap(inForce *records.ShardMap) {
 	c := m.core
 	next := records.ShardMap{Epoch: 1, Leader: c.settings.Label, Members: maps.Clone(m.desiredMembers)}
@@ -85,7 +88,8 @@
 	})
 }
 
-// logMembershipChanges notes which controllers are outside the shard map, for those on call.
+// logMembershipChanges logs, for the operators on call, which controllers have left or rejoined the
+// shard map.
 func (m *membership) logMembershipChanges() {
 	c := m.core
 	shardMap := c.records.shardMap
