--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -6,28 +6,28 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// startPhase is how certain the shard is that a start has reached its machine. The order
-// counts: up to phaseQueued nothing has been sent.
+// startPhase is how certain the shard is that the start command of an attempt has reached the
+// machine. The order matters: up to phaseQueued nothing has been sent.
 type startPhase int
 
 const (
-	phaseHeld         startPhase = iota // holds capacity and waits for the rest of its gang
-	phaseQueued                         // not sent yet
+	phaseHeld         startPhase = iota // has capacity reserved and waits for the rest of its gang
+	phaseQueued                         // start command not sent yet
 	phaseSentInReply                    // sent in the response to a heartbeat
-	phaseSentDirectly                   // sent by a call to the machine, outcome unknown
-	phaseListed                         // the machine has listed it
+	phaseSentDirectly                   // sent in a call to the machine, outcome unknown
+	phaseListed                         // the machine's task list has contained the attempt
 )
 
-// taskAttempt is one attempt of a task that is on a machine, on its way to one, or waits
-// in the shard for a machine with capacity.
+// taskAttempt is one execution of a task, as the shard knows it: on a machine, on its way to one, or
+// waiting in the shard for a machine with capacity.
 type taskAttempt struct {
-	task      string // its name: the job's id and the index
+	task      string // name of the task: the job's ID and the task's index
 	jobID     string
 	taskIndex int
 	number    uint64
 	spec      *protocol.Job // nil while the mirror does not hold the job
-	// recordVersion is the version of the job's record that the dispatch rests on, 0 if
-	// the placement of the job's tasks does not depend on the record.
+	// recordVersion is the version of the job's record that the dispatch is based on, 0 if the
+	// placement of the job's tasks does not depend on the record.
 	recordVersion uint64
 	unplacedSince time.Duration // when it was dispatched without a machine
 
@@ -35,19 +35,19 @@
 	callID     uint64 // the call that carried the start, if one did
 	startToken uint64 // the fencing token that the start was sent with
 
-	state        string // as the machine listed it last
+	state        string // as the machine last listed it
 	exitReason   string
-	lastListed   uint64        // the machine's listsRead when it was last listed
-	runningSince time.Duration // when it was first seen running, 0: not yet
-	// foundRunning says that it was running when this owner first saw it, so that it
-	// is not known when it began.
+	lastListed   uint64        // value of the machine's listsRead when it was last listed
+	runningSince time.Duration // when this shard first saw it running, 0: not yet
+	// foundRunning means that it was already running when this shard first saw it, so that its
+	// start time is unknown.
 	foundRunning bool
-	endedAt      time.Duration // when it was first seen to have ended
-	ranSeconds   float64       // how long it ran, 0: not known
+	endedAt      time.Duration // when this shard first saw that it has ended
+	ranSeconds   float64       // how long it ran, 0: unknown
 
-	stopRequested bool // by the leader
-	stopNow       bool // without time to save a checkpoint
-	published     bool // the leader has been told of its present state
+	stopRequested bool // the leader has requested its stop
+	stopNow       bool // stop it without time to save a checkpoint
+	published     bool // its present state has been published to the leader
 }
 
 // live reports whether the attempt occupies capacity.
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -8,41 +8,45 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// degradedMode keeps the workers' leases alive through an outage of the state service that all
-// controllers see; package degraded says when that is safe. While it lasts nothing is
-// started, hired or returned, and no user is told anything new: workers are answered, and
-// tasks that may not run any more are stopped.
+// degradedMode keeps the workers' leases alive during an outage of the state service that affects
+// all controllers; package degraded decides when that is safe. In degraded mode controllers respond
+// to heartbeats and stop tasks that must not run any more. They start no task, create or return no
+// instance, and confirm nothing new to users.
 //
-// Without it an outage longer than a worker's lease ended every task of a site.
+// Without it, an outage longer than a worker's lease ended every task of a site.
 type degradedMode struct {
 	core           *Core
-	renewalRefused bool // the lease was not renewed last time
-	leader         degraded.Coordinator
-	member         degraded.Voter
-	epoch          uint64                   // that leader and member speak of
-	cancelledJobs  map[string]time.Duration // jobs that somebody was told are cancelled, and when we last learnt of it
-	loggedActive   bool                     // what was last logged
+	renewalRefused bool                 // the last lease renewal failed
+	leader         degraded.Coordinator // used while this controller leads
+	member         degraded.Voter       // used while it does not
+	epoch          uint64               // the epoch of leader and member
+	// cancelledJobs holds jobs whose cancellation a controller may have confirmed to a user, and
+	// when this controller last learnt of that.
+	cancelledJobs map[string]time.Duration
+	loggedActive  bool // whether degraded mode was active when that was last logged
 }
 
 func newDegradedMode(c *Core) *degradedMode {
 	return &degradedMode{core: c, cancelledJobs: map[string]time.Duration{}}
 }
 
-// isStoreUnavailable reports whether the state service does not serve this node.
+// isStoreUnavailable reports whether the state service does not serve this controller: the last
+// lease renewal, or the last watch or read barrier, failed.
 func (d *degradedMode) isStoreUnavailable() bool {
 	return d.renewalRefused || d.core.mirror.IsUnavailable()
 }
 
-// isIsolated reports whether neither renewals nor watches are served here. Nothing that users ask
-// can be answered then; others may be served.
+// isIsolated reports whether both lease renewals and watches of this controller fail. It can then
+// serve no request of a user, although other controllers may be able to.
 //
-// Guards against users being sent here for as long as this node is still entitled to answer
-// workers: each of their requests waited, and was refused in the end.
+// Guards against reporting ready for as long as this controller is still entitled to serve workers:
+// each user request that the load balancer sent here waited and was refused in the end.
 func (d *degradedMode) isIsolated() bool {
 	return d.renewalRefused && d.core.mirror.IsUnavailable()
 }
 
-// isActive reports whether workers may be answered although this node is not entitled.
+// isActive reports whether degraded mode allows responses to workers although this controller is
+// not entitled to serve by its lease and mirror.
 func (d *degradedMode) isActive() bool {
 	return d.core.mirror.IsReady() && d.epoch > 0 && d.epoch == d.core.membership.epoch() && d.core.now.Monotonic < d.activeUntil()
 }
@@ -54,14 +58,17 @@
 	return d.member.MayServeUntil()
 }
 
-// reconcile asks the next round, on the leader, and notes when an outage is over.
+// reconcile starts the next round on the leader, logs when degraded mode begins or ends, and forgets
+// cancellations that the mirror has.
 func (d *degradedMode) reconcile() {
 	c := d.core
 	if !c.mirror.IsReady() {
 		return
 	}
 	d.followEpoch()
-	// Guards against forgetting them while this node is entitled by a mirror from before.
+	// A cancellation is kept until the mirror was confirmed by a request that was sent after it
+	// was learnt of. Guards against forgetting it while this controller is entitled to serve by
+	// a mirror that is older than the cancellation.
 	maps.DeleteFunc(d.cancelledJobs, func(_ string, learntAt time.Duration) bool { return learntAt < c.mirror.FreshAt() })
 	d.logTransition()
 	if c.membership.leading && d.isStoreUnavailable() && d.epoch != 0 && d.epoch == c.scheduler.epoch {
@@ -69,7 +76,7 @@
 	}
 }
 
-// followEpoch begins anew in each epoch: votes of another one say nothing.
+// followEpoch resets the votes in each new epoch, since those of another epoch do not count.
 func (d *degradedMode) followEpoch() {
 	if epoch := d.core.membership.epoch(); epoch != d.epoch {
 		d.epoch, d.leader, d.member = epoch, degraded.Coordinator{}, degraded.Voter{}
@@ -90,8 +97,8 @@
 	}
 }
 
-// startRound asks all controllers for their votes, if the next round is due. It takes all of them:
-// one that can't be asked may be served by the state service.
+// startRound asks all controllers for their votes, if the next round is due. It asks none unless
+// all are connected, since a controller without a link may be served by the state service.
 func (d *degradedMode) startRound() {
 	c := d.core
 	others := c.controllerLabels[1:]
@@ -110,7 +117,7 @@
 	d.handleVote(c.settings.Label, d.castVote(&round))
 }
 
-// handleRound answers the leader's question.
+// handleRound votes in a round that the leader has started.
 func (d *degradedMode) handleRound(epoch uint64, round *degraded.Round) {
 	c := d.core
 	if !c.mirror.IsReady() || epoch != d.epoch || epoch != c.membership.epoch() {
@@ -122,7 +129,7 @@
 	c.emit(SendToPeer{Session: c.shard.leaderLink, Message: peerproto.Message{Epoch: epoch, Vote: &vote}})
 }
 
-// castVote is what this node says in a round.
+// castVote returns this controller's vote in a round.
 func (d *degradedMode) castVote(round *degraded.Round) degraded.Vote {
 	m := d.core.mirror
 	vote := degraded.Vote{Round: round.Number, Epoch: d.epoch, StoreDown: d.isStoreUnavailable(), MirrorRevision: m.Revision(), LoadedRevision: m.LoadRevision(), IncludesMirror: true}
@@ -130,35 +137,36 @@
 	return vote
 }
 
-// handleVote takes a controller's vote.
+// handleVote counts a controller's vote, and stops the jobs that the last agreed round lists as
+// cancelled.
 func (d *degradedMode) handleVote(label string, vote degraded.Vote) {
 	d.leader.ReceiveVote(label, vote, d.epoch, d.core.intervals.maxStaleness, d.core.controllerLabels)
 	d.cancelJobs(d.leader.CancelledJobs())
 }
 
-// isCancelled reports whether a job is cancelled by another controller's word.
+// isCancelled reports whether a job is known to be cancelled although the mirror may not show it yet.
 func (d *degradedMode) isCancelled(jobID string) bool {
 	_, ok := d.cancelledJobs[jobID]
 	return ok
 }
 
-// cancelJobs has the tasks of jobs stopped that are cancelled for sure.
+// cancelJobs causes the tasks of jobs to be stopped whose cancellation is certain.
 func (d *degradedMode) cancelJobs(jobIDs []string) {
 	for _, jobID := range jobIDs {
 		if !d.isCancelled(jobID) {
-			d.core.logDebug("job cancelled, as another controller reported", "job", jobID)
+			d.core.logDebug("job cancelled, stopping its tasks", "job", jobID)
 			d.core.shard.expediteJob(jobID)
 		}
 		d.cancelledJobs[jobID] = d.core.now.Monotonic
 	}
 }
 
-// cancellationConfirmed passes on that a user is told now that a job is cancelled: a member to its
-// leader, the leader to all members.
+// cancellationConfirmed relays that the cancellation of a job is being confirmed to its user: a
+// member sends it to the leader, and the leader to all members.
 //
-// Guards against starts that a machine takes after its user was told, for as long as another
-// controller's watch takes to bring the cancellation. The rules of degraded mode rest on the
-// mirrors.
+// Guards against starting tasks of the job after the confirmation, in the time until the watch of
+// another controller delivers the cancellation. The rules of degraded mode do not rely on this
+// relay, but on the mirrors.
 func (d *degradedMode) cancellationConfirmed(jobID string) {
 	d.cancelJobs([]string{jobID})
 	if d.core.membership.leading {
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -6,30 +6,32 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// How a shard fences its machines, calls them, and expires their leases.
+// How a shard fences its machines, calls them, and expires their leases. A fencing call is a call
+// without commands: it shows the worker the machine's current fencing token.
 
 const (
-	// machinesPerFencingCall and minFencingCalls bound the calls without commands that are under way
-	// at once: one for so many machines of the shard, but so many at least.
+	// The number of fencing calls in flight is limited to one per machinesPerFencingCall machines
+	// of the shard, but is at least minFencingCalls.
 	machinesPerFencingCall = 16
 	minFencingCalls        = 4
 
-	// maxUnansweredCalls is how many calls in a row an unconfirmed machine may leave
-	// unanswered before it counts as silent: it is most likely dead, and holds up all that
-	// may be running on it.
+	// maxUnansweredCalls is the number of calls in a row without a response after which an
+	// unconfirmed machine counts as silent: it is most likely dead, and delays the restart of
+	// all tasks that may be running on it.
 	maxUnansweredCalls = 2
 
-	// maxMissedHeartbeats is after how many heartbeat periods without a message a machine is
-	// called.
+	// maxMissedHeartbeats is the number of heartbeat periods without a message after which a
+	// machine is called.
 	maxMissedHeartbeats = 2
 
-	// callRetriesPerHeartbeat paces the calls to a machine that has yet to be fenced.
+	// callRetriesPerHeartbeat divides the heartbeat period into the pause between calls to an
+	// unconfirmed machine that does not respond.
 	callRetriesPerHeartbeat = 8
 )
 
-// checkMachine does what is due for a machine as time passes: it drops one that is gone,
-// expires the lease of one that was not answered for too long, and calls one that has to be
-// fenced or was not heard.
+// checkMachine does the periodic work for a machine: it releases one that is missing, expires a
+// lease that was not renewed for too long, and calls a machine that has to be fenced or whose
+// heartbeats are missing.
 func (s *shard) checkMachine(m *machine) {
 	c := s.core
 	if s.releaseIfMissing(m) {
@@ -51,19 +53,19 @@
 	s.fenceIfDue(m)
 }
 
-// releaseIfMissing releases a machine that has left the registry, or that was never in it and is
-// no longer heard.
+// releaseIfMissing releases a machine that was deleted from the machine registry, or that is not in
+// the registry and sends no messages any more. It reports whether it did so.
 func (s *shard) releaseIfMissing(m *machine) bool {
 	c := s.core
 	switch {
 	case m.registered && c.records.machineRecords.Get(m.name) == nil:
-		// Deleted with its tasks. The leader would wait for ever for those that were not
-		// published to it yet.
+		// The machine was terminated, and its tasks with it. The attempts that were not
+		// published yet are returned, or the leader would wait for them forever.
 		for _, a := range m.attempts {
 			s.returnTask(a)
 		}
 	case !m.registered && c.now.Monotonic-m.lastHeardAt > c.intervals.machineLeaseExpiry:
-		// It was never given anything, or was taken out of the registry and deleted.
+		// The machine was never assigned a task, or was deleted from the registry and terminated.
 	default:
 		return false
 	}
@@ -71,14 +73,17 @@
 	return true
 }
 
-// expireLease takes a machine for empty. Nobody has validly answered its worker for longer
-// than the worker's lease, so the worker has dropped its tasks, and a start that is still
-// under way carries an earlier session. An answer with our token that the machine's next
-// heartbeat does not show was not accepted, and renewed nothing: of a machine that has shown
-// no token of this epoch only the answers from before the epoch count.
+// expireLease records that a machine runs nothing. No controller has renewed the worker's lease for
+// longer than the lease lasts, so the worker has killed its tasks, and a start command that is
+// still in flight carries an earlier session and will be refused.
 //
-// Guards against one-way partitions: a machine that is heard and hears nothing would have
-// each heartbeat answered anew, and a failover would wait for it as long as that lasts.
+// A worker that accepts a response shows the response's token in its next heartbeat. A machine that
+// has shown no token of this epoch has therefore accepted no response of this epoch, and only
+// responses from before the epoch can have renewed its lease.
+//
+// Guards against a one-way partition in which a machine's heartbeats arrive but the responses are
+// lost: if each response counted as a renewal, a failover would wait for the machine for as long as
+// the partition lasts.
 func (s *shard) expireLease(m *machine) {
 	lost := 0
 	for _, a := range m.attempts {
@@ -94,12 +99,12 @@
 	s.markChanged(m)
 }
 
-// fenceIfDue calls a machine without commands if its list has to be confirmed, or to find
-// out whether one that was not heard only has trouble reaching us.
+// fenceIfDue makes a fencing call to a machine whose task list has to be confirmed, or whose
+// heartbeats are missing: it may be alive and only unable to reach this controller.
 //
-// Guards against calling hundreds of machines at once after a change of the shard map: that
-// took the processor for seconds in which their heartbeats, which serve as well, were not
-// answered.
+// Limits the calls in flight. Guards against calling hundreds of machines at once after a change of
+// the shard map: that used the processor for seconds, during which there was no response to the
+// machines' heartbeats, which would have confirmed the lists as well.
 func (s *shard) fenceIfDue(m *machine) {
 	if m.callInFlight != 0 || s.core.now.Monotonic < m.nextCallAt || !s.needsFencing(m) {
 		return
@@ -113,7 +118,6 @@
 	}
 }
 
-// needsFencing reports whether a machine should be called without commands.
 func (s *shard) needsFencing(m *machine) bool {
 	switch m.trust {
 	case listConfirmed:
@@ -125,16 +129,16 @@
 	}
 }
 
-// mayFence reports whether one more call without commands may be under way.
+// mayFence reports whether the limit allows one more fencing call in flight.
 func (s *shard) mayFence() bool {
 	return len(s.fencingCalls) < max(s.machines.Len()/machinesPerFencingCall, minFencingCalls)
 }
 
-// fenceNext calls the machines that had to wait, as one has answered.
+// fenceNext checks the queued machines when a fencing call has ended, up to the limit.
 //
-// Guards against waiting for the next regular check in each round of calls, and against
-// checking every machine for every answer: with ten thousand machines that took a third of
-// a failover.
+// Guards against two delays: waiting for the next periodic check after each round of calls, and
+// checking every machine after every response. With ten thousand machines that took a third of a
+// failover.
 func (s *shard) fenceNext() {
 	for len(s.fencingQueue) > 0 && s.mayFence() {
 		m := s.fencingQueue[0]
@@ -146,7 +150,7 @@
 	}
 }
 
-// callMachine sends commands straight to a worker; without commands the call only fences.
+// callMachine sends commands directly to a worker; without commands it is a fencing call.
 func (s *shard) callMachine(m *machine, commands []protocol.Command) {
 	s.lastCallID++
 	m.callInFlight = s.lastCallID
@@ -160,7 +164,6 @@
 	})
 }
 
-// handleCallResult takes the outcome of a call to a machine.
 func (s *shard) handleCallResult(result *CallWorkerResult) {
 	s.reachability.CallEnded(s.core.now.Monotonic, result.Outcome != DirectUnknown)
 	if s.fencingCalls[result.CallID] {
@@ -183,15 +186,15 @@
 	s.checkMachine(m)
 }
 
-// callExecuted takes the report of a worker that has executed a call.
+// callExecuted applies the report of a worker that has executed a call.
 func (s *shard) callExecuted(m *machine, result *CallWorkerResult) {
 	m.lastHeardAt, m.unansweredCalls = s.core.now.Monotonic, 0
 	s.applyReport(m, &result.Report, result.CallID, false)
 }
 
-// callRefused takes the report of a worker that has executed nothing of a call, since its
-// session or its token is another one. A higher token than ours means that a newer shard
-// map is on its way to us.
+// callRefused applies the report of a worker that has executed nothing of a call, since its session
+// or its token did not match. A token higher than the shard's means that this controller's mirror
+// has yet to receive a newer shard map.
 func (s *shard) callRefused(m *machine, result *CallWorkerResult) {
 	now := s.core.now.Monotonic
 	m.lastHeardAt, m.unansweredCalls = now, 0
@@ -204,9 +207,9 @@
 	}
 }
 
-// callUnanswered notes that the outcome of a call is unknown. A start that it carried may be
-// executed at any time while token and session match: it stays on the machine here until
-// the machine has shown a raised token.
+// callUnanswered handles a call whose outcome is unknown. A start command that it carried may be
+// executed at any time while token and session match, so the attempt stays on the machine in this
+// shard until the machine has shown a raised token.
 func (s *shard) callUnanswered(m *machine, callID uint64) {
 	for _, a := range m.attempts {
 		if a.phase == phaseSentDirectly && a.callID == callID {
@@ -218,8 +221,8 @@
 	m.nextCallAt = s.core.now.Monotonic + s.callRetryAfter(m)
 }
 
-// callRetryAfter is how long an unanswered machine is left alone. One that has yet to be
-// fenced holds up what may be running on it, and is called again sooner.
+// callRetryAfter is the pause before a machine that did not respond is called again. It is shorter
+// for an unconfirmed machine, which delays the restart of the tasks that may be running on it.
 func (s *shard) callRetryAfter(m *machine) time.Duration {
 	if m.isTrusted() {
 		return s.core.intervals.heartbeat
@@ -227,14 +230,14 @@
 	return s.core.intervals.heartbeat / callRetriesPerHeartbeat
 }
 
-// raiseToken fences a machine anew.
+// raiseToken fences a machine again, with a higher token.
 func (s *shard) raiseToken(m *machine) {
 	m.raiseToken()
 	m.fullStateDue = true
 	s.markChanged(m)
 }
 
-// dropRefusedStarts returns the tasks whose starts a refused call carried.
+// dropRefusedStarts returns the attempts whose start commands were part of a refused call.
 func (s *shard) dropRefusedStarts(m *machine, callID uint64) {
 	s.retainAttempts(m, func(a *taskAttempt) bool {
 		if a.phase != phaseSentDirectly || a.callID != callID {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -4,16 +4,17 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// How a shard takes the heartbeats of workers and the task lists in them.
+// How a shard handles the heartbeats of workers and the task lists in them.
 
-// handleHeartbeat takes a worker's heartbeat and answers it.
+// handleHeartbeat handles a worker's heartbeat and replies to it.
 //
-// A worker sends its next heartbeat only when nobody waits for the answer to this one any
-// more, and counts its lease from when it was sent. Only a current heartbeat, one newer than
-// all before, renews anything or tells how the machine is now.
+// A worker sends its next heartbeat only when it no longer waits for the response to the previous
+// one, and it counts its lease from the sending of the heartbeat. Therefore only a current
+// heartbeat, one that is newer than all received before, renews the lease and shows the present
+// state of the machine.
 //
-// Guards against copies of a dead machine's heartbeats, each of which had its tasks waited
-// for for another lease.
+// Guards against duplicates of a dead machine's heartbeats that arrive late: each of them delayed
+// the restart of the machine's tasks by another lease.
 func (s *shard) handleHeartbeat(id RequestID, report *protocol.Heartbeat) {
 	c := s.core
 	m := s.machines.Get(report.Machine)
@@ -37,14 +38,14 @@
 		m = s.addReported(report)
 	}
 	if report.Token > m.token {
-		s.refuseHeartbeat(id) // somebody has a newer shard map than we do
+		s.refuseHeartbeat(id) // another controller has a newer shard map than this one
 		return
 	}
 	s.respondToHeartbeat(id, m, report, current, mayServe)
 }
 
-// respondToHeartbeat takes what a heartbeat says of a machine of ours, and answers it with what the
-// worker must do.
+// respondToHeartbeat applies the heartbeat of a machine that this shard owns, and replies with the
+// commands for the worker.
 func (s *shard) respondToHeartbeat(id RequestID, m *machine, report *protocol.Heartbeat, current, mayServe bool) {
 	c := s.core
 	newest := report.Newer(m.session, m.seq)
@@ -61,16 +62,16 @@
 		m.leaseRenewedAt = max(m.leaseRenewedAt, c.now.Monotonic)
 	}
 	response := protocol.HeartbeatResponse{Commands: s.heartbeatCommands(m, report, newest, mayServe)}
-	response.Token = m.token // which the commands may have raised
+	response.Token = m.token // set after the commands, since heartbeatCommands may raise the token
 	c.emit(Reply{ID: id, Status: ReplyOK, Body: response})
 }
 
-// refuseHeartbeat answers a worker that this node may not serve it now.
+// refuseHeartbeat replies to a worker that this controller may not serve it now.
 func (s *shard) refuseHeartbeat(id RequestID) {
 	s.core.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorResponse{Error: "not entitled"}})
 }
 
-// addReported begins to own a machine that is known by its heartbeat alone.
+// addReported adds a machine that is known to this shard only by its heartbeat.
 func (s *shard) addReported(report *protocol.Heartbeat) *machine {
 	m := s.addMachine(report.Machine)
 	m.addr, m.typeName, m.zone, m.spot = report.Addr, report.Type, report.Zone, report.Spot
@@ -79,7 +80,7 @@
 	return m
 }
 
-// recordHeartbeat notes that a machine was heard.
+// recordHeartbeat updates when and by which heartbeat a machine was last heard.
 func (s *shard) recordHeartbeat(m *machine, report *protocol.Heartbeat) {
 	m.lastHeartbeat = messageID{report.Session, report.Seq}
 	m.lastHeardAt, m.unansweredCalls = s.core.now.Monotonic, 0
@@ -89,8 +90,8 @@
 	}
 }
 
-// heartbeatCommands lists what the worker must do by the response to its heartbeat. A report
-// that is not the newest, or not confirmed, is answered only with stops of what must not run.
+// heartbeatCommands returns the commands for the response to a heartbeat. If the report is not the
+// newest, or the machine's task list is not confirmed, they only stop tasks that must not run.
 func (s *shard) heartbeatCommands(m *machine, report *protocol.Heartbeat, newest, mayServe bool) []protocol.Command {
 	if !newest || !m.isTrusted() {
 		return s.stopCommands(report)
@@ -101,9 +102,9 @@
 	return s.machineCommands(m, 0, mayServe)
 }
 
-// applyReport takes what a machine says of itself, in a heartbeat or in the answer to the
-// call callID. Only a message with our current token is believed: one with an older token
-// may miss a start that a former owner's command has yet to cause.
+// applyReport applies the report of a machine, which came in a heartbeat or in the response to the
+// call callID. Its task list counts only if the report shows the shard's current token: with an
+// older token, a start command of a former owner may still be in flight and take effect later.
 func (s *shard) applyReport(m *machine, report *protocol.Heartbeat, callID uint64, heartbeat bool) {
 	if !report.Newer(m.session, m.seq) {
 		return
@@ -126,12 +127,13 @@
 	})
 }
 
-// beginSession takes a new session of a worker. Its lease ran out: everything from before is
-// gone, and starts still under way carry the earlier session. The new session has a whole
-// lease, whether a heartbeat of it is answered or not.
+// beginSession handles the first report of a new session of a worker. Its lease has expired: all
+// tasks of the former session have ended, and start commands still in flight carry that session and
+// will be refused. The new session begins with a full lease, whether a heartbeat of it gets a
+// response or not.
 //
-// Guards against taking a machine that is heard by calls alone for empty by the lease of its
-// last session, just after tasks have been started on it.
+// Guards against expiring the lease of a machine that can be reached only by calls: counted from
+// the former session, the lease expired just after tasks had been started in the new one.
 func (s *shard) beginSession(m *machine, report *protocol.Heartbeat) {
 	if m.fenced || report.Token >= m.minToken {
 		m.leaseRenewedAt = max(m.leaseRenewedAt, s.core.now.Monotonic)
@@ -140,7 +142,7 @@
 	s.markChanged(m)
 }
 
-// observeInterruptionNotice follows whether the cloud is about to reclaim a machine.
+// observeInterruptionNotice updates whether the cloud is about to reclaim a machine.
 func (s *shard) observeInterruptionNotice(m *machine, report *protocol.Heartbeat) {
 	notice := report.NoticeS != nil
 	if notice == m.interruptionNotice {
@@ -153,15 +155,15 @@
 	}
 }
 
-// mayStillStart reports whether an attempt belongs to a machine after a confirmed list: it
-// is listed, or its start may still have an effect.
+// mayStillStart reports whether an attempt stays on a machine after a confirmed task list was
+// applied: the list has it, it was not sent yet, or its start command may still take effect.
 func (s *shard) mayStillStart(m *machine, a *taskAttempt, report *protocol.Heartbeat, callID uint64, heartbeat bool) bool {
 	switch {
 	case a.lastListed == m.listsRead, a.phase <= phaseQueued:
 		return true
 	case a.phase == phaseSentInReply:
-		// Executed before this heartbeat was made, or never; the answer to a call may be
-		// older than the response that carried it.
+		// A worker executes a response before it makes its next heartbeat, or never. The report
+		// in the response to a call may be older than the heartbeat response with the start.
 		return !heartbeat && a.startToken >= report.Token
 	case a.phase == phaseSentDirectly:
 		return a.startToken >= report.Token && a.callID != callID
@@ -169,7 +171,7 @@
 	return false
 }
 
-// applyTaskList takes a confirmed list.
+// applyTaskList applies a confirmed task list.
 func (s *shard) applyTaskList(m *machine, report *protocol.Heartbeat) {
 	m.listsRead++
 	next := 0
@@ -178,9 +180,9 @@
 	}
 }
 
-// applyTaskReport takes one line of a confirmed list. The search for its attempt begins at
-// index start, and the index after the one found is returned: lists keep their order, so
-// that the attempts of a machine are not searched from the first for each line.
+// applyTaskReport applies one entry of a confirmed task list. The search for its attempt begins at
+// index start, and next is the index after the attempt found: task lists keep their order, so the
+// attempts of a machine need not be searched from the beginning for each entry.
 func (s *shard) applyTaskReport(m *machine, report *protocol.TaskStatus, start int) (next int) {
 	a, next := findAttempt(m.attempts, report, start)
 	if a == nil {
@@ -195,8 +197,8 @@
 	return next
 }
 
-// findAttempt finds the attempt that a line of a list names, and returns the index after it;
-// start if there is none.
+// findAttempt returns the attempt that an entry of a task list names, and the index after it, or
+// nil and start if there is none.
 func findAttempt(attempts []*taskAttempt, report *protocol.TaskStatus, start int) (found *taskAttempt, next int) {
 	for n := range attempts {
 		i := (start + n) % len(attempts)
@@ -207,7 +209,8 @@
 	return nil, start
 }
 
-// discoverAttempt adds an attempt that a machine lists and that this owner did not know.
+// discoverAttempt adds an attempt that a machine lists and that this shard did not know, or returns
+// nil if its task name is malformed.
 func (s *shard) discoverAttempt(m *machine, report *protocol.TaskStatus) *taskAttempt {
 	jobID, taskIndex, err := protocol.ParseTaskName(report.Task)
 	if err != nil {
@@ -226,7 +229,7 @@
 	return a
 }
 
-// updateAttempt takes a change of an attempt's state.
+// updateAttempt applies a change of an attempt's state.
 func (s *shard) updateAttempt(m *machine, a *taskAttempt, report *protocol.TaskStatus) {
 	now := s.core.now.Monotonic
 	s.markChanged(m)
@@ -239,8 +242,9 @@
 	}
 	if report.State == protocol.TaskExited && a.live() {
 		a.endedAt = now
-		// Guards against durations that count from a change of owners: jobs of minutes
-		// were predicted to take seconds, and no machine was rented for them.
+		// The run time is unknown if the attempt was already running when this shard first saw
+		// it. Counted from a change of the machine's owner, run times of minutes were estimated
+		// as seconds, and no machine was rented for such jobs.
 		if a.runningSince > 0 && !a.foundRunning {
 			a.ranSeconds = (now - a.runningSince).Seconds()
 		}
@@ -252,18 +256,17 @@
 	a.state, a.exitReason, a.published = report.State, report.ExitReason, false
 }
 
-// causesBackoff reports whether a job is not started on a machine again for a while after
-// one of its tasks ended there for this reason: its shard places none, and the leader plans
-// none.
+// causesBackoff reports whether, after a task ended on a machine for this reason, no task of its
+// job is started there for the backoff period: the shard places none, and the leader plans none.
 //
-// Guards against a leader that plans for it: it dispatched the same tasks to the same
-// machine every round, got them back, and nobody else was given that capacity for four
-// leases.
+// Guards against a leader that still plans for such a machine: in every scheduling round it
+// dispatched the same tasks for the same machine and got them back, and no other job was given that
+// capacity for four leases.
 func causesBackoff(exitReason string) bool {
 	return exitReason == protocol.ExitFailed || exitReason == protocol.ExitNoCapacity || exitReason == protocol.ExitUnknownTask
 }
 
-// recordImage notes that a machine has, or is about to fetch, the image of a job.
+// recordImage records that a machine has, or is about to fetch, the image of a job.
 func (s *shard) recordImage(m *machine, job *protocol.Job) {
 	cacheGB := 0.0
 	if m.machineType != nil {
--- a/internal/core/intervals.go
+++ b/internal/core/intervals.go
@@ -6,45 +6,48 @@
 	"github.com/chalkhub/chalkhub/internal/config"
 )
 
-// maxClockDriftRatio is how far two monotonic clocks may part, as a share of the span measured.
+// maxClockDriftRatio is the largest difference between two monotonic clocks over a measured
+// duration, as a fraction of that duration.
 const maxClockDriftRatio = 0.0005
 
-// intervals are the spans that the rules rest on. They are ratios to the site's settings, so
-// that a site with other leases keeps the same order between them.
+// intervals are the timeouts and periods of the core. They are derived from the site's settings by
+// fixed ratios, so that they keep the same order on a site with other leases.
 type intervals struct {
-	workerLease        time.Duration // how long a worker runs its tasks without an answer
-	heartbeat          time.Duration // how often workers report
+	workerLease        time.Duration // how long a worker runs its tasks without a response to a heartbeat
+	heartbeat          time.Duration // period of the workers' heartbeats
 	memberLease        time.Duration // this controller's own lease in the state service
-	maxStaleness       time.Duration // how long a renewal, or the mirror, counts as fresh
-	machineLeaseExpiry time.Duration // silence after which a worker has surely dropped its tasks
-	reservationExpiry  time.Duration // after which capacity that nobody was given is for whoever waits
-	machineBackoff     time.Duration // how long a machine gets no more of a job that has failed there
-	maintenance        time.Duration // the leader's slow round: fleet, views, what could not be placed
-	scheduling         time.Duration // the leader's quick round: rank and dispatch
-	readSpacing        time.Duration // the shortest time between two barriers, and between two watches
-	pageSpacing        time.Duration // the shortest time between two pages of a load
+	maxStaleness       time.Duration // how long a lease renewal or the mirror counts as fresh
+	machineLeaseExpiry time.Duration // time without a renewal after which a worker has certainly ended its tasks
+	reservationExpiry  time.Duration // time without new tasks after which a machine's idle capacity is open to best-effort teams too
+	machineBackoff     time.Duration // how long no task of a job is placed on a machine after one has failed there
+	maintenance        time.Duration // period of the leader's slow round: fleet, job views, attempts that could not be placed
+	scheduling         time.Duration // period of the leader's quick round: rank and dispatch
+	readSpacing        time.Duration // shortest time between two read barriers, and between two watches
+	pageSpacing        time.Duration // shortest time between two pages of a load
 }
 
 // maintenancePeriod is the length of the leader's slow round.
 const maintenancePeriod = time.Second
 
-// maxRetryPause bounds how long work that has failed waits for its next try, however long the site's
-// leases: the users' rule is that no job waits for 90 s while a machine that fits has room, once all
-// faults are over, and nobody tells us that they are. A third of that is left for the try itself.
+// maxRetryPause limits how long failed work waits for its retry, whatever the site's leases. The
+// users require that no job waits for 90 s while a suitable machine has capacity, once all faults
+// are over, and the controllers cannot observe when that is. A third of the 90 s is left for the
+// retry itself.
 const maxRetryPause = time.Minute
 
-// newIntervals derives the spans from the settings.
 func newIntervals(settings *config.Settings) intervals {
 	site := &settings.Site
 	lease, heartbeat := config.Seconds(site.Workers.LeaseS), config.Seconds(site.Workers.HeartbeatS)
-	// A member that dies keeps its key for memberLease, so this bounds a failover; one that is
-	// cut off from the state service answers workers only for maxStaleness, which must end
-	// before memberLease does. maxStaleness + workerLease stays below cancel_s.
+	// The keys of a member that dies exist for memberLease, so this bounds the time of a failover.
+	// A member that is partitioned from the state service serves workers only for maxStaleness,
+	// which must end before memberLease does. maxStaleness + workerLease stays below cancel_s.
 	memberLease := min(lease*2/5, (config.Seconds(site.Workers.CancelS)-lease)*4/5)
 	maxStaleness := memberLease * 17 / 20
-	// A worker counts its lease on its own clock, from an answer that may be maxStaleness old.
+	// A former owner may renew the worker's lease for maxStaleness on its own clock, and the worker
+	// then measures the lease on a third clock. The margin covers the drift between these clocks.
 	driftMargin := time.Duration(4 * maxClockDriftRatio * float64(lease+maxStaleness))
-	// All nodes' watches and barriers together take at most half of the requests.
+	// The watches and barriers of all controllers together use at most half of the state service's
+	// request rate.
 	nodes := float64(len(settings.Siblings) + 1)
 	readSpacing := time.Duration(4 * nodes / site.Store.Lowest().RPS * float64(time.Second))
 	return intervals{
@@ -58,11 +61,10 @@
 		maintenance:        maintenancePeriod,
 		scheduling:         min(heartbeat/6, maintenancePeriod),
 		readSpacing:        readSpacing,
-		pageSpacing:        readSpacing / 3, // if all nodes load at once, three quarters
+		pageSpacing:        readSpacing / 3, // three quarters of the request rate if all controllers load at once
 	}
 }
 
-// scaleDuration multiplies a span by a factor.
 func scaleDuration(span time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(span) * factor)
 }
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -9,24 +9,24 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// The link of a shard to the leader: what the leader orders, and what the shard publishes.
+// The link of a shard to the leader: the leader's commands, and what the shard publishes.
 
-// loopbackLink is the session of the link between the shard and the scheduler of one node.
+// loopbackLink is the session of the link between the shard and the scheduler of one controller.
 const loopbackLink = ^uint64(0)
 
-// peerTimeout is how long nothing may come over a link between controllers until the other end
-// counts as gone. Both ends send something in every round of maintenance.
+// peerTimeout is how long a link between controllers may carry no message before the other end
+// counts as unreachable. Both ends send a message in every maintenance round.
 func (c *Core) peerTimeout() time.Duration {
 	return 2*c.intervals.heartbeat + c.intervals.maintenance
 }
 
-// leaderLinkUp begins a link to the leader. It starts with a full snapshot; nothing that was
-// sent over an earlier one is read any more.
+// leaderLinkUp handles a new link to the leader. The shard publishes a full snapshot over it;
+// messages of earlier links are no longer read.
 func (s *shard) leaderLinkUp(session uint64) {
 	s.leaderLink, s.fullSnapshotDue, s.lastLeaderSeq = session, true, 0
 	for _, m := range s.machines.All() {
 		if m.cordoned {
-			m.cordoned = false // until the leader says so again
+			m.cordoned = false // until the leader cordons it again
 			s.markCapacityChanged(m)
 		}
 	}
@@ -35,14 +35,15 @@
 	s.core.emit(SendToPeer{Session: session, Message: peerproto.Message{Hello: &hello, Unreachable: s.reachability.Unreachable()}})
 }
 
-// leaderLinkDown ends a link, if it is the one to the leader.
+// leaderLinkDown handles the end of a link, if it is the one to the leader.
 func (s *shard) leaderLinkDown(session uint64) {
 	if s.leaderLink == session {
 		s.leaderLink = 0
 	}
 }
 
-// handleLeaderMessage takes the leader's orders; those of another epoch are void.
+// handleLeaderMessage applies a message of the leader. Its commands have no effect if they are of
+// another epoch.
 func (s *shard) handleLeaderMessage(message *peerproto.Message) {
 	c := s.core
 	s.leaderHeardAt, s.lastLeaderSeq = c.now.Monotonic, message.Seq
@@ -73,8 +74,9 @@
 	s.drain(message.Drain)
 }
 
-// handleDispatch takes a task that the leader dispatches, for any machine or, of a gang, for
-// the one that is named.
+// handleDispatch accepts an attempt that the leader dispatches: for any machine of the shard or, if
+// its job is a gang, for the machine that the dispatch names. An attempt that must not run, or a
+// gang's that finds no capacity, is returned.
 func (s *shard) handleDispatch(dispatch *peerproto.TaskAttempt) {
 	c := s.core
 	jobID, taskIndex, err := protocol.ParseTaskName(dispatch.Task)
@@ -97,7 +99,7 @@
 	}
 }
 
-// handleStop has a task stopped that the leader preempts.
+// handleStop requests the stop of a task that the leader preempts.
 func (s *shard) handleStop(stop *peerproto.StopTask) {
 	m := s.machines.Get(stop.Machine)
 	if m == nil {
@@ -112,7 +114,7 @@
 	}
 }
 
-// setCordoned has machines kept from new tasks, or lets them have some again.
+// setCordoned cordons machines, so that no new tasks are placed on them, or uncordons them.
 func (s *shard) setCordoned(names []string, cordoned bool) {
 	for _, name := range names {
 		if m := s.machines.Get(name); m != nil {
@@ -122,7 +124,7 @@
 	}
 }
 
-// drain has machines get no new tasks in this epoch any more.
+// drain marks machines so that no new tasks are placed on them for the rest of this epoch.
 func (s *shard) drain(names []string) {
 	for _, name := range names {
 		if m := s.machines.Get(name); m != nil && !m.draining {
@@ -132,17 +134,19 @@
 	}
 }
 
-// publish sends the leader what has changed, and from time to time that this member lives.
+// publish sends changes to the leader. Without changes it sends an empty message once in each
+// maintenance period, as a sign of life.
 func (s *shard) publish() {
 	c := s.core
 	if s.leaderLink == 0 {
-		s.confirmedCancellations = nil // nobody is there to relay them
+		s.confirmedCancellations = nil // without a leader they cannot be relayed
 		return
 	}
 	if s.closeSilentLink() {
 		return
 	}
-	// A leader of an older version takes any full snapshot of this label for the member's.
+	// A leader of an older version accepts every full snapshot of this label as the member's, also
+	// if the shard map names another process.
 	full := s.fullSnapshotDue && !c.membership.labelHeldByOther(c.settings.Label, c.bootID)
 	message := s.nextMessage(full)
 	if !full && !hasChanges(&message) && c.now.Monotonic-s.lastPublishedAt < c.intervals.maintenance {
@@ -160,7 +164,8 @@
 	}
 }
 
-// closeSilentLink closes the link to a leader that has not been heard for too long.
+// closeSilentLink closes the link to a leader that has sent nothing for longer than peerTimeout, and
+// reports whether it does so.
 func (s *shard) closeSilentLink() bool {
 	c := s.core
 	if s.leaderLink == loopbackLink || c.now.Monotonic-s.leaderHeardAt <= c.peerTimeout() {
@@ -172,7 +177,8 @@
 	return true
 }
 
-// nextMessage is what the leader is to be told: the changes, or a full snapshot.
+// nextMessage returns the message to publish, with the changes or a full snapshot, and marks its
+// content as published.
 func (s *shard) nextMessage(full bool) peerproto.Message {
 	message := peerproto.Message{
 		Epoch: s.epoch, Unreachable: s.reachability.Unreachable(),
@@ -204,12 +210,13 @@
 	return message
 }
 
-// hasChanges reports whether a message holds anything but that its sender lives.
+// hasChanges reports whether a message is more than a sign of life.
 func hasChanges(message *peerproto.Message) bool {
 	return len(message.Cancelled) > 0 || len(message.Machines) > 0 || len(message.Returned) > 0 || len(message.Released) > 0
 }
 
-// machineState is what the leader is told of a machine: all of it, or what has changed.
+// machineState returns the state of a machine to publish, complete or only with what has changed,
+// and marks it as published.
 func (s *shard) machineState(m *machine) peerproto.MachineState {
 	state := peerproto.MachineState{
 		Name:               m.name,
@@ -235,8 +242,8 @@
 	return state
 }
 
-// publishTasks lists the machine's attempts, or only those that have changed, and notes that
-// the leader knows them. An attempt that has ended counts as dropped: it may run elsewhere.
+// publishTasks returns the machine's attempts, or only those that have changed, and marks them as
+// published. An attempt that has ended is recorded as dropped, since its task may run elsewhere.
 func (m *machine) publishTasks() []peerproto.TaskState {
 	var tasks []peerproto.TaskState
 	for _, a := range m.attempts {
@@ -254,7 +261,7 @@
 	return tasks
 }
 
-// removedTasks lists the dropped tasks of which the machine has no other live attempt.
+// removedTasks returns the dropped tasks of which the machine has no other live attempt.
 func (m *machine) removedTasks() []string {
 	var removed []string
 	for _, task := range m.droppedTasks {
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -25,8 +25,8 @@
 
 // shouldLetLeaseExpire reports whether renewals pause so that the lease can expire: no response has
 // come from the state service for so long that this controller may not serve, although its renewals
-// may still reach the service. Renewals resume once the lease must have expired, or when the mirror
-// gets a response.
+// may still reach the service. The next renewal is sent once the lease must have expired, or when
+// the mirror gets a response.
 //
 // Guards against a one-way partition in which a leader's requests reach the state service but the
 // responses are lost: its renewals kept its keys alive, so that no other controller could lead and
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -7,26 +7,24 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// listTrust is what the task list of a machine is worth to its owner.
+// listTrust states how far the owner of a machine can rely on the machine's task list.
 //
-// Its transitions are the methods resetForEpoch, observeToken, raiseToken and expireLease
-// of a machine, and nothing else changes it.
+// Only the methods resetForEpoch, observeToken, raiseToken and expireLease of a machine change it.
 type listTrust int
 
 const (
-	// listUnconfirmed: the machine has not shown its current fencing token yet. Its list
-	// is a hint only, since a start that was sent under an earlier token may still arrive.
+	// listUnconfirmed: the machine has not shown its current fencing token yet. Its task list is
+	// only a hint, since a start command with an earlier token may still arrive.
 	listUnconfirmed listTrust = iota
-	// listConfirmed: its newest message carried the current token. Nothing but what it
-	// lists, and what this owner has sent since, can be on it.
+	// listConfirmed: the machine's newest message carried the current token. Only the tasks that
+	// it lists, and those that this owner has sent since, can be on it.
 	listConfirmed
-	// listExpired: nobody has answered its worker for longer than the worker's lease, so
-	// it runs nothing.
+	// listExpired: no controller has renewed the worker's lease for longer than the lease lasts,
+	// so the machine runs nothing.
 	listExpired
 )
 
-// messageID orders the messages of a worker: by its session, and within it by a sequence
-// number.
+// messageID orders the messages of a worker: by session, and by sequence number within a session.
 type messageID struct{ session, seq uint64 }
 
 // machine is a machine that this member owns.
@@ -43,15 +41,15 @@
 	token    uint64 // the fencing token that commands to it carry
 	minToken uint64 // the least token that confirms its list
 	fenced   bool   // it has shown a token of this epoch
-	// ownedSinceConfirmed says that its list was confirmed in the last epoch, in which this
-	// member owned it too: no other controller has started anything on it since.
+	// ownedSinceConfirmed means that its list was confirmed in an earlier epoch and that this
+	// member has owned it ever since: no other controller has started anything on it.
 	ownedSinceConfirmed bool
 
 	lastHeardAt    time.Duration
-	leaseRenewedAt time.Duration // when its worker's lease was last renewed, at the latest
-	// maybeRenewedUntil is until when a former owner may have renewed the worker's lease.
+	leaseRenewedAt time.Duration // the latest time at which the worker's lease may have been renewed
+	// maybeRenewedUntil is the time until which a former owner may have renewed the worker's lease.
 	maybeRenewedUntil time.Duration
-	silent            bool // not heard for a while, as published to the leader
+	silent            bool // has sent no message for too long, as published to the leader
 	unansweredCalls   int  // in a row
 	callInFlight      uint64
 	nextCallAt        time.Duration
@@ -59,36 +57,36 @@
 
 	interruptionNotice bool // the cloud will reclaim it soon
 	draining           bool
-	cordoned           bool // gets no new tasks for now, by the leader's order
+	cordoned           bool // gets no new tasks until the leader uncordons it
 	expedited          bool // its commands do not wait for its next heartbeat
 
 	attempts     []*taskAttempt
-	listsRead    uint64 // how many confirmed lists were read
+	listsRead    uint64 // number of confirmed lists that were applied
 	images       binpacking.ImageCache
-	backoffUntil map[string]time.Duration // by job: no task of it is placed here before
+	backoffUntil map[string]time.Duration // by job: until then none of its tasks is placed here
 
-	unpublished   bool     // something of it has changed since it was last published
-	fullStateDue  bool     // the leader needs all of its state, not only what has changed
-	imagesChanged bool     // since it was last published
-	droppedTasks  []string // tasks that have left it since it was last published
+	unpublished   bool     // its state has changed since it was last published
+	fullStateDue  bool     // its complete state is to be published, not only what has changed
+	imagesChanged bool     // images has changed since it was last published
+	droppedTasks  []string // tasks that are no longer on it, dropped since it was last published
 
 	cachedCapacity  binpacking.Capacity // what freeCapacity returns while capacityValid
 	capacityValid   bool
-	capacityChanged bool // since tasks were last placed
+	capacityChanged bool // its capacity may have changed since tasks were last placed
 }
 
 // isTrusted reports whether the machine's task list is confirmed.
 func (m *machine) isTrusted() bool { return m.trust == listConfirmed }
 
-// leaseExpired reports whether the worker's lease has surely run out.
+// leaseExpired reports whether the worker's lease has certainly expired.
 func (m *machine) leaseExpired() bool { return m.trust == listExpired }
 
 // resetForEpoch gives the machine the first token of an epoch, so that its list has to be
-// confirmed anew. ownedBefore says that this member owned it in the epoch before as well.
+// confirmed again. ownedBefore means that this member owned it in the previous epoch as well.
 //
-// While it is ours nobody else starts anything on it: what can be there is what we know of,
-// whether it answers or not. Guards against a failover that waits for dead machines whose
-// owner has never changed.
+// While this member owns the machine, no other controller starts anything on it, so no tasks but
+// those that this member knows can be on it, whether it responds or not. Guards against a failover
+// that waits for dead machines whose owner has not changed.
 func (m *machine) resetForEpoch(epoch uint64, ownedBefore bool) {
 	m.ownedSinceConfirmed = ownedBefore && (m.isTrusted() || m.ownedSinceConfirmed)
 	m.token = epoch << tokenBits
@@ -101,8 +99,8 @@
 	m.draining, m.cordoned = false, false
 }
 
-// observeToken takes the token of the machine's newest message and reports whether its list
-// has become confirmed by it, or ceased to be.
+// observeToken applies the token of the machine's newest message, and reports whether that has
+// changed the trust in the machine's list.
 func (m *machine) observeToken(token uint64) (changed bool) {
 	was := m.trust
 	switch {
@@ -114,8 +112,8 @@
 	return m.trust != was
 }
 
-// raiseToken invalidates every start that was sent to the machine so far. Its list is
-// unconfirmed until it has shown the new token.
+// raiseToken invalidates, once the machine has seen the new token, every start command that was sent
+// to it before. Its list is unconfirmed until it has shown the new token.
 func (m *machine) raiseToken() {
 	m.token++
 	m.minToken = m.token
@@ -124,14 +122,15 @@
 	}
 }
 
-// expireLease notes that the worker's lease has run out: the machine runs nothing.
+// expireLease records that the worker's lease has expired: the machine runs nothing.
 func (m *machine) expireLease() {
 	m.trust = listExpired
 	m.attempts = nil
 }
 
-// freeCapacity is what is free on the machine, starts under way counted. It is computed
-// anew only once something has changed. The machine's type must be known.
+// freeCapacity returns the capacity of the machine that its live attempts leave free, including
+// attempts whose start is still in flight. It is cached until something changes. The machine's type
+// must be known.
 func (m *machine) freeCapacity() *binpacking.Capacity {
 	if m.capacityValid {
 		return &m.cachedCapacity
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -6,10 +6,10 @@
 	"github.com/chalkhub/chalkhub/internal/reachability"
 )
 
-// How a shard follows whether it reaches its machines; package reachability decides.
+// How a shard determines whether it reaches its machines; package reachability makes the decision.
 
-// checkReachability leaves the shard map, or joins it again, and asks machines whether they
-// can be reached.
+// checkReachability probes machines as package reachability requests it, and logs when this
+// controller leaves the shard map because it reaches no machine, or rejoins it.
 func (s *shard) checkReachability() {
 	c := s.core
 	verdict := s.reachability.Check(s.reachabilityView())
@@ -24,10 +24,9 @@
 	}
 }
 
-// machinesSilent reports whether it is in doubt that this member reaches its machines.
+// machinesSilent reports whether it is doubtful that this member reaches its machines.
 func (s *shard) machinesSilent() bool { return s.reachability.Silent(s.reachabilityView()) }
 
-// handleProbeResult takes the outcome of asking a machine whether it can be reached.
 func (s *shard) handleProbeResult(result ProbeResult) {
 	s.reachability.ProbeEnded(s.core.now.Monotonic, result.OK)
 }
@@ -38,7 +37,7 @@
 	}
 }
 
-// shardFleet is what package reachability may ask about the machines of a shard.
+// shardFleet implements reachability.Fleet with the machines of a shard.
 type shardFleet struct{ shard *shard }
 
 func (f shardFleet) KnownCount() int { return f.shard.core.records.machineRecords.Len() }
@@ -56,9 +55,9 @@
 	return n
 }
 
-// HeardWithin looks at the machine first that was found to be heard when it was last asked: to
-// search them all each time would be too much. One that is not registered may be gone, since
-// nobody is told of those taken out of the registry.
+// HeardWithin first looks at the machine that the last search found, since searching all machines
+// each time would cost too much. The search skips machines that are not registered: they may be
+// terminated, since the shard is not notified of machines that are deleted from the registry.
 func (f shardFleet) HeardWithin(span time.Duration) (heard, confirmed bool) {
 	s, now := f.shard, f.shard.core.now.Monotonic
 	if m := s.lastHeardMachine; m != nil && m.isTrusted() && s.owns(m) && now-m.lastHeardAt < span {
--- a/internal/core/shard_attempts.go
+++ b/internal/core/shard_attempts.go
@@ -7,14 +7,14 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// Which task attempts a shard has on its machines.
+// The task attempts on the machines of a shard.
 
-// addAttempt puts an attempt on a machine.
+// addAttempt records an attempt on a machine.
 func (s *shard) addAttempt(m *machine, a *taskAttempt) {
 	m.attempts = append(m.attempts, a)
 	s.markChanged(m)
 	if job := s.core.records.acceptedJob(a.jobID); job != nil && job.isFinal() {
-		return // nobody will look for the machines of a job that is over
+		return // the machines of a final job are not searched
 	}
 	if s.machinesByJob[a.jobID] == nil {
 		s.machinesByJob[a.jobID] = orderedmap.New[*machine]()
@@ -22,7 +22,7 @@
 	s.machinesByJob[a.jobID].Set(m.name, m)
 }
 
-// retainAttempts drops those attempts of a machine for which keep is false.
+// retainAttempts drops the attempts of a machine for which keep returns false.
 func (s *shard) retainAttempts(m *machine, keep func(*taskAttempt) bool) {
 	kept := m.attempts[:0]
 	for _, a := range m.attempts {
@@ -37,14 +37,13 @@
 	m.attempts = kept
 }
 
-// returnTask gives an attempt that was not started back to the leader's queue.
+// returnTask returns an attempt that was not started to the leader's queue.
 func (s *shard) returnTask(a *taskAttempt) {
 	s.returned = append(s.returned, peerproto.TaskAttempt{Task: a.task, Attempt: a.number})
 }
 
-// stopJob sees to it that the tasks of a job that has ended are stopped. The machines of
-// each job are on record for this: searching all machines cost more than anything else on
-// a large fleet with many jobs.
+// stopJob causes the tasks of a job that has ended to be stopped. It uses the index machinesByJob,
+// since on a large fleet with many jobs a search of all machines cost more than all other work.
 func (s *shard) stopJob(job *jobEntry) {
 	jobID := job.record.Spec.ID
 	machines := s.machinesByJob[jobID]
@@ -64,8 +63,8 @@
 	})
 }
 
-// stopJobOn returns the tasks of a job that were not sent to a machine yet, and expedites
-// the machine if it may run others.
+// stopJobOn returns the job's attempts that were not sent to the machine yet, and expedites the
+// machine if it may run other tasks of the job.
 func (s *shard) stopJobOn(m *machine, jobID string) {
 	s.retainAttempts(m, func(a *taskAttempt) bool {
 		switch {
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -8,17 +8,18 @@
 
 // How a shard follows the epochs of the shard map, and which machines it owns.
 
-// followEpoch enters the epoch of the shard map in force, if that is another one.
+// followEpoch enters the epoch of the current shard map if the shard is in a different one.
 func (s *shard) followEpoch() {
 	if epoch := s.core.membership.epoch(); epoch != s.epoch {
 		s.enterEpoch(epoch)
 	}
 }
 
-// enterEpoch drops everything that was dispatched but not sent, and fences every machine
-// that is ours now: until it answers with the new token its list is unconfirmed.
+// enterEpoch drops all attempts that were dispatched but not sent to a machine, and fences every
+// machine that this shard owns now: its task list is unconfirmed until it shows the new token.
 //
-// Guards against a start by the former owner that arrives after we have looked.
+// Guards against a start command of the former owner that reaches a machine after the new owner has
+// read the machine's task list.
 func (s *shard) enterEpoch(epoch uint64) {
 	c := s.core
 	ownedBefore := s.isMember && epoch == s.epoch+1
@@ -42,13 +43,13 @@
 	}
 }
 
-// resetMachine begins an epoch for a machine that stays or becomes ours.
+// resetMachine begins an epoch for a machine that this shard already held and still owns.
 func (s *shard) resetMachine(m *machine, ownedBefore bool) {
 	c := s.core
 	m.resetForEpoch(s.epoch, ownedBefore)
 	s.retainAttempts(m, func(a *taskAttempt) bool { return a.phase > phaseQueued })
 	if !m.leaseExpired() {
-		// Whoever owned it before may have answered it until its mirror was too old to.
+		// A former owner may have renewed the worker's lease until its mirror became stale.
 		m.leaseRenewedAt = max(m.leaseRenewedAt, c.now.Monotonic+c.intervals.maxStaleness)
 	}
 	m.maybeRenewedUntil = m.leaseRenewedAt
@@ -56,8 +57,8 @@
 	s.markChanged(m)
 }
 
-// adoptRegistered takes note of a machine of the registry, and owns it if the shard map
-// gives it to this member.
+// adoptRegistered records that a machine is in the machine registry, and adds it to the shard if
+// the shard map assigns it to this member.
 func (s *shard) adoptRegistered(name string, record *records.Machine) {
 	if m := s.machines.Get(name); m != nil {
 		m.registered = true
@@ -74,7 +75,7 @@
 	m.registered = true
 }
 
-// addMachine begins to own a machine.
+// addMachine adds a machine to those that this shard owns, with an unconfirmed task list.
 func (s *shard) addMachine(name string) *machine {
 	now := s.core.now.Monotonic
 	m := &machine{
@@ -92,7 +93,8 @@
 	return m
 }
 
-// releaseMachine ceases to own a machine.
+// releaseMachine removes a machine from those that this shard owns; the next message publishes
+// that.
 func (s *shard) releaseMachine(m *machine) {
 	s.machines.Delete(m.name)
 	s.machinesWithCapacity.Delete(m.name)
