--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -42,8 +42,8 @@
 // Core is the state of one controller. It is not safe for concurrent use.
 type Core struct {
 	settings         *config.Settings
-	storeLimits      config.StoreLimits // the limits of the state service that are respected
-	throttled        bool               // the state service has refused a write for its rate
+	storeLimits      config.StoreLimits // the lowest of the state service's present and announced limits
+	throttled        bool               // the state service has refused a write because of its rate limit
 	policy           config.Policy
 	bootID           string
 	intervals        intervals
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -10,8 +10,8 @@
 
 // degradedMode keeps the workers' leases alive during an outage of the state service that affects
 // all controllers; package degraded decides when that is safe. In degraded mode controllers respond
-// to heartbeats and stop tasks that must not run any more. They start no task, create or return no
-// instance, and confirm nothing new to users.
+// to heartbeats and stop tasks that must not run any more. They start no tasks, create and return
+// no instances, and confirm nothing new to users.
 //
 // Without it, an outage longer than a worker's lease ended every task of a site.
 type degradedMode struct {
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -10,8 +10,8 @@
 // without commands: it shows the worker the machine's current fencing token.
 
 const (
-	// The number of fencing calls in flight is limited to one per machinesPerFencingCall machines
-	// of the shard, but is at least minFencingCalls.
+	// The limit of fencing calls in flight is one per machinesPerFencingCall machines of the shard,
+	// but at least minFencingCalls.
 	machinesPerFencingCall = 16
 	minFencingCalls        = 4
 
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -103,7 +103,7 @@
 }
 
 // applyReport applies the report of a machine, which came in a heartbeat or in the response to the
-// call callID. Its task list counts only if the report shows the shard's current token: with an
+// call callID. Its task list counts only if the report shows the machine's current token: with an
 // older token, a start command of a former owner may still be in flight and take effect later.
 func (s *shard) applyReport(m *machine, report *protocol.Heartbeat, callID uint64, heartbeat bool) {
 	if !report.Newer(m.session, m.seq) {
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -135,7 +135,7 @@
 }
 
 // publish sends changes to the leader. Without changes it sends an empty message once in each
-// maintenance period, as a sign of life.
+// maintenance period, as a keepalive.
 func (s *shard) publish() {
 	c := s.core
 	if s.leaderLink == 0 {
@@ -210,7 +210,7 @@
 	return message
 }
 
-// hasChanges reports whether a message is more than a sign of life.
+// hasChanges reports whether a message is more than a keepalive.
 func hasChanges(message *peerproto.Message) bool {
 	return len(message.Cancelled) > 0 || len(message.Machines) > 0 || len(message.Returned) > 0 || len(message.Released) > 0
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -57,7 +57,7 @@
 
 	interruptionNotice bool // the cloud will reclaim it soon
 	draining           bool
-	cordoned           bool // gets no new tasks until the leader uncordons it
+	cordoned           bool // gets no new tasks for now, by command of the leader
 	expedited          bool // its commands do not wait for its next heartbeat
 
 	attempts     []*taskAttempt
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// resetMachine begins an epoch for a machine that this shard already held and still owns.
+// resetMachine begins an epoch for a machine that this shard still owns, or owns from now on.
 func (s *shard) resetMachine(m *machine, ownedBefore bool) {
 	c := s.core
 	m.resetForEpoch(s.epoch, ownedBefore)
