--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -63,7 +63,7 @@
 			if !c.shard.reachability.Unreachable() || len(c.records.nodes) == 1 {
 				m.desiredMembers[label] = node.BootID
 			}
-		case c.scheduler.hearsMember(label, node.BootID):
+		case c.scheduler.reportsReachable(label, node.BootID):
 			m.desiredMembers[label] = node.BootID
 		default:
 			missing = true
