--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -108,7 +108,7 @@
 	for index := range q.spec().Tasks {
 		if machine := machines[index]; machine != nil {
 			machine.Allocate(q.spec())
-			s.send(round, taskDispatch{job: q, index: index, attempt: attempt, machine: machine, hold: true})
+			s.queueDispatch(round, taskDispatch{job: q, index: index, attempt: attempt, machine: machine, hold: true})
 		}
 	}
 	q.gangReleased, q.gangHeldAt = false, s.core.now.Monotonic
@@ -162,11 +162,11 @@
 		if member == nil || attempt.taskState != peerproto.StateHeld {
 			continue
 		}
-		try := peerproto.TaskAttempt{Task: protocol.TaskName(q.id, index), Attempt: attempt.number, Machine: attempt.machine}
+		heldTask := peerproto.TaskAttempt{Task: protocol.TaskName(q.id, index), Attempt: attempt.number, Machine: attempt.machine}
 		if start {
-			member.outbox.StartHeld = append(member.outbox.StartHeld, try)
+			member.outbox.StartHeld = append(member.outbox.StartHeld, heldTask)
 		} else {
-			member.outbox.ReleaseHeld = append(member.outbox.ReleaseHeld, try)
+			member.outbox.ReleaseHeld = append(member.outbox.ReleaseHeld, heldTask)
 		}
 		member.outboxDue = true
 	}
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -29,7 +29,7 @@
 	}
 	inst.returnReason = why
 	if view := f.core.scheduler.machines.Get(inst.name); view != nil {
-		view.leaving = true
+		view.terminating = true
 	}
 	f.core.logInfo("draining instance", "machine", inst.name, "type", inst.typeName, "zone", inst.zone,
 		"spot", inst.spot, "why", string(why))
@@ -115,7 +115,7 @@
 func (f *fleet) isUnresponsive(view *machineView) bool {
 	c := f.core
 	patience := max(c.intervals.heartbeat, c.intervals.workerLease/5)
-	return !view.state.TasksComplete && view.state.Silent && c.now.Monotonic-view.unsureSince > patience
+	return !view.state.TasksComplete && view.state.Silent && c.now.Monotonic-view.incompleteSince > patience
 }
 
 // minBootTimeout is how long any machine may boot, however fast its type is.
@@ -184,7 +184,7 @@
 		f.instances.Delete(name)
 		f.deletedNames[name] = true
 		if view := f.core.scheduler.machines.Get(name); view != nil {
-			view.leaving = true
+			view.terminating = true
 		}
 	}
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -57,8 +57,8 @@
 	if !failed && !s.mustNotRun(attempt.jobID, entry) && !isDurablyDone(attempt, entry) {
 		return
 	}
-	forget := protocol.Command{Kind: protocol.CommandForget, Task: attempt.task, Attempt: attempt.number}
-	clears.commands = append(clears.commands, forget)
+	clearCommand := protocol.Command{Kind: protocol.CommandForget, Task: attempt.task, Attempt: attempt.number}
+	clears.commands = append(clears.commands, clearCommand)
 	if attempt.callID != 0 && attempt.startToken == m.token {
 		clears.sentDirectly = true
 	}
@@ -143,14 +143,14 @@
 	}
 	s.placementDue, s.nextPlacementAt = false, now+s.core.intervals.scheduling
 	s.updateMachinesWithCapacity()
-	open := make([]*machine, 0, s.machinesWithCapacity.Len())
+	withCapacity := make([]*machine, 0, s.machinesWithCapacity.Len())
 	for _, m := range s.machinesWithCapacity.All() {
-		open = append(open, m)
+		withCapacity = append(withCapacity, m)
 	}
-	full := map[string]bool{} // jobs of which a task found no room: their others won't either
+	jobsWithoutCapacity := map[string]bool{} // jobs of which a task found no room: their others won't either
 	unplaced := s.unplaced[:0]
 	for _, attempt := range s.unplaced {
-		if !s.place(attempt, open, full) {
+		if !s.place(attempt, withCapacity, jobsWithoutCapacity) {
 			unplaced = append(unplaced, attempt)
 		}
 	}
@@ -176,7 +176,7 @@
 // place finds a machine for an attempt, or returns the attempt to the leader's queue, and reports
 // whether either is done. The start goes out in the response to the machine's next heartbeat, or by
 // a call if that is far.
-func (s *shard) place(attempt *taskAttempt, open []*machine, full map[string]bool) bool {
+func (s *shard) place(attempt *taskAttempt, withCapacity []*machine, jobsWithoutCapacity map[string]bool) bool {
 	now, intervals := s.core.now.Monotonic, &s.core.intervals
 	entry := s.core.records.acceptedJob(attempt.jobID)
 	// Where its zones matter an attempt goes by the record that the leader went by: an older
@@ -186,11 +186,11 @@
 		return true
 	}
 	var best *machine
-	if !full[attempt.jobID] && (attempt.recordVersion == 0 || entry.recordVersion == attempt.recordVersion) {
-		best = s.bestMachine(attempt, entry, open)
+	if !jobsWithoutCapacity[attempt.jobID] && (attempt.recordVersion == 0 || entry.recordVersion == attempt.recordVersion) {
+		best = s.bestMachine(attempt, entry, withCapacity)
 	}
 	if best == nil {
-		full[attempt.jobID] = !attempt.spec.Spread
+		jobsWithoutCapacity[attempt.jobID] = !attempt.spec.Spread
 		if now-attempt.unplacedSince < intervals.maintenance {
 			return false
 		}
@@ -210,9 +210,9 @@
 }
 
 // bestMachine is the machine that fits an attempt best, nil if none does.
-func (s *shard) bestMachine(attempt *taskAttempt, entry *jobEntry, open []*machine) *machine {
+func (s *shard) bestMachine(attempt *taskAttempt, entry *jobEntry, withCapacity []*machine) *machine {
 	var best *machine
-	for _, m := range open {
+	for _, m := range withCapacity {
 		free := m.freeCapacity()
 		if !free.Fits(attempt.spec) || !m.allowsTask(entry, attempt.taskIndex) || m.backoffUntil[attempt.jobID] > s.core.now.Monotonic {
 			continue
@@ -245,13 +245,13 @@
 
 // resolveHeld lets keep decide which of the listed tasks that room is held for stay.
 func (s *shard) resolveHeld(list []peerproto.TaskAttempt, keep func(*machine, *taskAttempt) bool) {
-	for _, try := range list {
-		m := s.machines.Get(try.Machine)
+	for _, listed := range list {
+		m := s.machines.Get(listed.Machine)
 		if m == nil {
 			continue
 		}
 		s.retainAttempts(m, func(attempt *taskAttempt) bool {
-			return attempt.phase != phaseHeld || attempt.task != try.Task || attempt.number != try.Attempt || keep(m, attempt)
+			return attempt.phase != phaseHeld || attempt.task != listed.Task || attempt.number != listed.Attempt || keep(m, attempt)
 		})
 		s.markChanged(m)
 	}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -59,7 +59,7 @@
 	if s.isCrashLooping(q) {
 		needed = 1 // the rest of it would only fail
 	}
-	needed -= p.tasksComing()
+	needed -= p.tasksWithCapacityPending()
 	for _, set := range p.cheapestSets() {
 		if needed <= 0 {
 			return
@@ -79,11 +79,11 @@
 	return q.withinGuarantee && (s.core.policy.PreemptForGuarantee || len(s.core.bestEffortTeams) > 0)
 }
 
-// tasksComing is for how many of the job's tasks room is on its way.
+// tasksWithCapacityPending is for how many of the job's tasks room is on its way.
 //
 // Guards against preempting far more than is needed: what was asked to stop already is room on its
 // way, whichever job that was for.
-func (p *preemption) tasksComing() (tasks int) {
+func (p *preemption) tasksWithCapacityPending() (tasks int) {
 	for i := range p.victims {
 		v := &p.victims[i]
 		if v.attempt.stopRequested && p.isUsable(v) {
@@ -175,8 +175,8 @@
 	if spec.CheckpointS > 0 {
 		lost = math.Mod(lost, spec.CheckpointS)
 	}
-	most := scaleDuration(s.core.intervals.heartbeat, s.core.policy.PreemptReports)
-	return lost * spec.CPUs, time.Duration(lost*float64(time.Second)) <= most
+	maxLost := scaleDuration(s.core.intervals.heartbeat, s.core.policy.PreemptReports)
+	return lost * spec.CPUs, time.Duration(lost*float64(time.Second)) <= maxLost
 }
 
 // preempt asks for a task to be stopped for the sake of a job.
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -60,7 +60,7 @@
 			if !c.shard.reachability.Unreachable() || len(c.records.nodes) == 1 {
 				m.desiredMembers[label] = node.BootID
 			}
-		case c.scheduler.hearsMember(label, node.BootID):
+		case c.scheduler.reportsReachable(label, node.BootID):
 			m.desiredMembers[label] = node.BootID
 		default:
 			missing = true
