--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -7,25 +7,25 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// jobDispatch is the dispatch of one job's tasks in one round.
+// jobDispatch holds the state of dispatching one job's tasks in one scheduling round.
 type jobDispatch struct {
 	scheduler *scheduler
 	round     *schedulingRound
 	job       *queuedJob
 	spec      *protocol.Job
-	canary    bool // of an unproven job one task is tried at a time
+	canary    bool // the job is unproven, so only one of its tasks is tried at a time
 
-	machines    []*candidateMachine // feasible for its tasks, in the order in which they are filled
-	nextMachine int                 // the machines before this one have no room for its tasks, or it avoids them
+	machines    []*candidateMachine // with capacity for its tasks, in the order in which they are filled
+	nextMachine int                 // index into machines; those before it have no capacity for the tasks or are avoided by the job
 	// avoidedHaveRoom: one of the machines before next has room for its tasks and is avoided.
 	avoidedMachineFits bool
-	fullZones          []bool // by zone of a spread job: a task found no room there
+	fullZones          []bool // by zone index of a spread job: a task found no capacity there
 	dispatched         int
-	backedOff          int // tasks that wait because they failed
+	backedOff          int // number of tasks that wait for their retry time
 }
 
-// dispatch sends the waiting tasks of a job to shards that own machines with room for them, and
-// notes why the others wait.
+// dispatch sends the waiting tasks of a job to shards that own machines with capacity for them, and
+// sets the job's reason if tasks remain waiting.
 func (s *scheduler) dispatch(q *queuedJob, round *schedulingRound) {
 	spec := q.spec()
 	if !s.canStart(q, round) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// countAvoided is how many of the feasible machines the job avoids.
+// countAvoided returns how many of the feasible machines the job avoids.
 func (d *jobDispatch) countAvoided() (avoided int) {
 	for _, machine := range d.machines {
 		if d.scheduler.isAvoided(machine, d.job) {
@@ -66,8 +66,8 @@
 	return avoided
 }
 
-// canStart reports whether a job's tasks may be dispatched at all, whatever the room, and notes
-// why not.
+// canStart reports whether a job's tasks may be dispatched at all, regardless of capacity. If not, it
+// sets the job's reason.
 func (s *scheduler) canStart(q *queuedJob, round *schedulingRound) bool {
 	spec := q.spec()
 	switch {
@@ -84,11 +84,11 @@
 	return false
 }
 
-// run tries the waiting tasks in their order.
+// run tries to dispatch the waiting tasks in the order of their indices.
 func (d *jobDispatch) run() {
 	q := d.job
-	// Counted once: counting anew for each task of a huge job took the round's whole share of
-	// the processor.
+	// Counted once, because counting again for each task of a huge job used up all the processor
+	// time that the round may take.
 	waiting := q.waitingTasks()
 	q.firstWaiting = q.nextWaiting(q.firstWaiting)
 	for index := q.firstWaiting; index < d.spec.Tasks && d.dispatched < waiting; index = q.nextWaiting(index + 1) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// tryTask dispatches a task if it may start now and has room, and reports whether the job's next
-// tasks are to be tried.
+// tryTask dispatches a task if it may start now and a machine has capacity for it. It reports whether
+// to continue with the job's next task.
 func (d *jobDispatch) tryTask(index int) bool {
 	now := d.scheduler.core.now.Monotonic
 	if d.job.retryAt[index] > now {
@@ -131,8 +131,9 @@
 	return false
 }
 
-// atLimit reports whether the job may have no more tasks whatever the room, and notes why. What
-// an underserved account lacks is then reserved for it.
+// atLimit reports whether the job may start no more tasks, regardless of capacity. If so, it sets the
+// job's reason and, for a job of an underserved account, reserves the quota or the machines that the
+// job lacks.
 func (d *jobDispatch) atLimit() bool {
 	q := d.job
 	if reason := d.scheduler.overLimitReason(d.spec, 1, d.round); reason != "" {
@@ -151,17 +152,19 @@
 	return false
 }
 
-// findMachine is the first machine with room for a task that the job does not avoid, nil if there
-// is none; roomIsAvoided: the only machines with room for it are those that the job avoids.
+// findMachine returns the first machine that has capacity for a task and is not avoided by the job,
+// or nil if there is none. onlyAvoidedFit is true if the only machines with capacity for the task are
+// ones that the job avoids.
 //
-// Guards against a job that waits for them beside idle machines: another one was looked for in the
-// shard of the first only.
+// It searches the machines of all shards. An earlier search looked for an alternative to an avoided
+// machine only in that machine's shard, so that jobs waited although machines of other shards were
+// idle.
 func (d *jobDispatch) findMachine(index int) (machine *candidateMachine, onlyAvoidedFit bool) {
 	if d.spec.Spread {
-		d.nextMachine, d.avoidedMachineFits = 0, false // its tasks may use different machines
+		d.nextMachine, d.avoidedMachineFits = 0, false // its tasks are tied to different zones, so each may fit on other machines
 	}
-	// The tasks of other jobs are alike, and within a round room only shrinks: a machine
-	// without room for one task has none for the next.
+	// All tasks of any other job need the same resources, and capacity only shrinks within a round:
+	// a machine without capacity for one task has none for the next.
 	for ; d.nextMachine < len(d.machines); d.nextMachine++ {
 		switch machine := d.machines[d.nextMachine]; {
 		case !d.fits(index, machine):
@@ -174,21 +177,22 @@
 	return nil, d.avoidedMachineFits
 }
 
-// fits reports whether a machine has room for a task and the task may be there.
+// fits reports whether a machine has capacity for a task and the task may run there.
 func (d *jobDispatch) fits(index int, machine *candidateMachine) bool {
 	return machine.Fits(d.spec) && machine.AllowsTask(&d.job.entry.record, index)
 }
 
-// otherZoneMayHaveCapacity reports whether tasks of a spread job that are tied to its other zone may go on
-// although one has found no room.
+// otherZoneMayHaveCapacity reports whether a task without capacity belongs to a spread job whose other
+// zone has not been found full in this round.
 //
-// Guards against the first task without room holding up all, with machines idle in the other zone.
+// In that case the remaining tasks are still tried. Otherwise the first task without capacity would
+// block all tasks of the job while machines in the other zone are idle.
 func (d *jobDispatch) otherZoneMayHaveCapacity(index int) bool {
 	return d.spec.Spread && !d.fullZones[(index+1)%len(d.fullZones)]
 }
 
-// markZoneFull notes that a task's zone has no room, and ties its tasks to another one if that
-// lasts.
+// markZoneFull marks a task's zone as full for this round. If the zone stays full for long enough,
+// reassignZone ties its tasks to another zone.
 func (d *jobDispatch) markZoneFull(index int) {
 	zone := index % len(d.fullZones)
 	if d.fullZones[zone] {
@@ -198,8 +202,8 @@
 	d.scheduler.reassignZone(d.job, index)
 }
 
-// handleNoCapacity notes that a task has found no room, and has room made or reserved for it if its
-// job may have that.
+// handleNoCapacity sets the job's reason after a task found no capacity. If the job is entitled to it,
+// tasks of other jobs are preempted or machines are reserved for the task.
 func (d *jobDispatch) handleNoCapacity(index int) {
 	q, s := d.job, d.scheduler
 	s.reassignZone(q, index)
@@ -209,7 +213,7 @@
 	if q.stopCount > 0 {
 		q.reason = q.stopReason + "; " + q.reason
 	}
-	if !q.startsEarly { // a first task that goes before its rank waits for room, nothing is preempted for it
+	if !q.startsEarly { // a first task that starts ahead of its job's rank waits for free capacity and preempts nothing
 		s.preemptFor(q, d.round)
 	}
 	if d.dispatched == 0 {
@@ -217,7 +221,8 @@
 	}
 }
 
-// dispatchTask dispatches a task and reports whether the job's next tasks are to be tried.
+// dispatchTask dispatches a task to the shard of a machine. It reports whether to continue with the
+// job's next task.
 func (d *jobDispatch) dispatchTask(index int, machine *candidateMachine) bool {
 	q, s := d.job, d.scheduler
 	machine.Allocate(d.spec)
@@ -244,17 +249,18 @@
 	index   int
 	attempt uint64
 	machine *candidateMachine
-	hold    bool // that very machine is to hold room for it, until its gang is released
+	hold    bool // this machine must reserve capacity for the task until its gang is released
 }
 
-// nextAttemptNumber gives a number that no start has had, without a write: the epoch and a count
-// within it.
+// nextAttemptNumber returns an attempt number that was never used before. It combines the epoch with a
+// counter within the epoch, so that no write to the state service is needed.
 func (s *scheduler) nextAttemptNumber() uint64 {
 	s.attemptCounter++
 	return s.epoch<<attemptBits | s.attemptCounter
 }
 
-// queueDispatch dispatches a task and counts it against its team's quota.
+// queueDispatch adds a dispatch to the pending message of the machine's shard, tracks the attempt and
+// counts it against its team's quota.
 func (s *scheduler) queueDispatch(round *schedulingRound, d taskDispatch) {
 	q, member := d.job, d.machine.shard
 	round.addUsage(q.spec(), s.core.bestEffortTeams[q.spec().Team])
@@ -285,7 +291,7 @@
 	member.outboxDue = true
 }
 
-// noCapacityReason says why no machine has room for a task.
+// noCapacityReason returns the reason for which no machine has capacity for a task.
 func (s *scheduler) noCapacityReason(spec *protocol.Job) string {
 	if reason := s.core.fleet.noCapacityReason(spec); reason != "" {
 		return reason
--- a/internal/core/feasible.go
+++ b/internal/core/feasible.go
@@ -7,7 +7,8 @@
 	"github.com/chalkhub/chalkhub/internal/binpacking"
 )
 
-// taskShape is what decides which machines a task fits on.
+// taskShape holds the properties that decide which machines a task fits on. Tasks of equal shape fit on
+// the same machines.
 type taskShape struct {
 	cpus, gpus, memoryGB float64
 	zone                 string
@@ -30,12 +31,12 @@
 	}
 }
 
-// feasibleMachines lists the machines with room for a job's tasks, in the order in which they are
-// filled. A machine that is full by now leaves the round's machines with room.
+// feasibleMachines lists the machines with capacity for a job's tasks, in the order in which they are
+// filled. It removes machines that have become full from the round's withCapacity list.
 func (s *scheduler) feasibleMachines(q *queuedJob, round *schedulingRound) []*candidateMachine {
 	shape := s.shapeOf(q)
 	if round.infeasible[shape] {
-		return nil // within a round room only shrinks
+		return nil // capacity only shrinks within a round
 	}
 	spec := q.spec()
 	var feasible []*candidateMachine
@@ -61,18 +62,19 @@
 	return feasible
 }
 
-// reservedForPreemptor reports whether the room that tasks are being stopped for here is not for such a
-// task.
+// reservedForPreemptor reports whether a task of the given shape must not use this machine because
+// tasks are being stopped here for a more urgent job.
 //
-// Guards against small tasks that take, bit by bit, the room that others were preempted for: the
-// next ones of a best-effort team did, and those of two less urgent jobs that were preempted in
-// turn on the only machine that an urgent one could use, once a round for half an hour.
+// Otherwise small tasks would gradually take the capacity for which others were preempted. Further
+// tasks of a best-effort team did so. Tasks of two less urgent jobs were also preempted in turn on the
+// only machine that an urgent job could use, once per round for half an hour.
 func (m *candidateMachine) reservedForPreemptor(shape taskShape) bool {
 	return m.preempting && (shape.bestEffort || shape.urgency > m.preemptorUrgency)
 }
 
-// compareFillOrder orders the machines that a task may go to: first those that hold its image, then
-// spot instances, then those of the shard with most room, then those with least.
+// compareFillOrder orders the machines on which a task fits: first those that have its image cached,
+// then spot instances, then machines of the shard with the most free CPUs, then the machines with the
+// least free capacity.
 func compareFillOrder(a, b *candidateMachine, freeByShard map[*shardView]float64) int {
 	switch {
 	case a.imageCached != b.imageCached:
@@ -85,7 +87,8 @@
 	return a.CompareFree(&b.Capacity)
 }
 
-// trueFirst is what a comparison returns if its left side, and only that, has a property.
+// trueFirst returns the result of a comparison between two sides of which exactly one has a property:
+// the side with the property, the left one if left is true, comes first.
 func trueFirst(left bool) int {
 	if left {
 		return -1
@@ -93,8 +96,8 @@
 	return 1
 }
 
-// isAvoided reports whether the shard of a machine puts none of a job's tasks there, since some
-// have failed there.
+// isAvoided reports whether a job's tasks are kept off a machine for now because some of them failed
+// there.
 func (s *scheduler) isAvoided(m *candidateMachine, q *queuedJob) bool {
 	return m.view.backoffUntil[q.id] > s.core.now.Monotonic
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -6,9 +6,9 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// machineCommands lists what a machine must do now: stops first, then clears of tasks that have
-// ended, then starts, if any may go out. callID is that of the call they go with, 0 for a response
-// to a heartbeat.
+// machineCommands lists the commands that a machine must carry out now: first stops, then clears of
+// tasks that have ended, then, if mayStart is set, starts. callID identifies the direct call that
+// carries the commands; it is 0 for the response to a heartbeat.
 func (s *shard) machineCommands(m *machine, callID uint64, mayStart bool) []protocol.Command {
 	var commands []protocol.Command
 	var clears pendingClears
@@ -25,14 +25,14 @@
 			commands = append(commands, stop)
 		}
 	}
-	// Each change of its list makes a worker report once more. Clearing alone is no reason for
-	// that: it waits for other commands, but not for long.
+	// A worker sends an additional heartbeat whenever its task list changes. To avoid one for clears
+	// alone, clears are sent together with other commands, or alone once they are urgent.
 	if len(clears.commands) > 0 && (clears.urgent || len(commands) > 0 || startDue) {
 		if clears.sentDirectly {
-			// Guards against a call that was carried out and comes once more: what it started
-			// is unknown to the worker once it is cleared, and it would start it again. The
-			// worker takes the token and the clear together, so nothing that it lists
-			// meanwhile is in doubt.
+			// A call that was carried out may be delivered again. Once the worker has cleared a
+			// task that this call started, it no longer knows the task and would start it again,
+			// so the token is raised to invalidate the call. The worker applies the token and the
+			// clear together, so its list stays confirmed in the meantime.
 			m.token++
 		}
 		commands = append(commands, clears.commands...)
@@ -43,15 +43,16 @@
 	return commands
 }
 
-// pendingClears gathers the commands to clear a machine's tasks that have ended.
+// pendingClears collects the commands that clear a machine's ended tasks.
 type pendingClears struct {
 	commands     []protocol.Command
-	urgent       bool // not to wait for other commands
-	sentDirectly bool // one of the tasks was started by a call with the present token
+	urgent       bool // send the clears even without other commands
+	sentDirectly bool // one of the tasks was started by a direct call with the current token
 }
 
-// clearIfDurable has an attempt that has ended cleared. A completed task is cleared only once that
-// is durable, or a crash of every controller would lose the only trace of it.
+// clearIfDurable adds a command that clears an ended attempt from the worker's list. A completed task
+// is cleared only once its completion is stored durably; until then the worker's list is the only
+// record that would survive a crash of every controller.
 func (s *shard) clearIfDurable(clears *pendingClears, m *machine, attempt *taskAttempt, entry *jobEntry) {
 	failed := attempt.exitReason != protocol.ExitDone
 	if !failed && !s.mustNotRun(attempt.jobID, entry) && !isDurablyDone(attempt, entry) {
@@ -67,13 +68,13 @@
 	}
 }
 
-// isDurablyDone reports whether nothing is lost with the trace of a completed attempt. Replicas of a
-// service are never recorded as done.
+// isDurablyDone reports whether a completed attempt can be cleared without losing its completion.
+// Replicas of a service can always be cleared, since they are never recorded as done.
 func isDurablyDone(attempt *taskAttempt, entry *jobEntry) bool {
 	return entry.isTaskDone(attempt.taskIndex) || entry.record.Spec.Kind == protocol.KindService
 }
 
-// stopCommand is the command to stop an attempt that runs, if it is due.
+// stopCommand returns the command that stops a running attempt, and whether it must be sent.
 func (s *shard) stopCommand(attempt *taskAttempt, entry *jobEntry) (stop protocol.Command, due bool) {
 	stop = protocol.Command{Kind: protocol.CommandStop, Task: attempt.task, Attempt: attempt.number}
 	switch {
@@ -88,7 +89,8 @@
 	return protocol.Command{}, false
 }
 
-// appendStarts adds the commands to start what is queued on a machine.
+// appendStarts appends the commands that start the attempts queued on a machine, and records how and
+// with which token each start was sent.
 func (s *shard) appendStarts(commands []protocol.Command, m *machine, callID uint64) []protocol.Command {
 	for _, attempt := range m.attempts {
 		if attempt.phase != phaseQueued || s.core.degraded.isCancelled(attempt.jobID) {
@@ -105,15 +107,17 @@
 	return commands
 }
 
-// mustNotRun reports whether no task of a job may run; entry is what the mirror holds of it.
+// mustNotRun reports whether no task of a job may run. entry is the job's entry in the mirror, nil if
+// there is none.
 func (s *shard) mustNotRun(jobID string, entry *jobEntry) bool {
 	return entry == nil || entry.isFinal() || s.core.degraded.isCancelled(jobID)
 }
 
-// stopCommands lists what a machine must stop whatever else may be on its way to it, where its list
-// is not to be trusted for more.
+// stopCommands lists the reported tasks that must stop in any case. It is used when the report is not
+// confirmed or not the newest, so that no other commands can be derived from it.
 //
-// Guards against renewing a machine's lease with an answer that leaves a cancelled task on it.
+// Each response renews the worker's lease; without these commands, it could keep a cancelled task
+// running.
 func (s *shard) stopCommands(report *protocol.Heartbeat) []protocol.Command {
 	var commands []protocol.Command
 	for i := range report.Tasks {
@@ -126,7 +130,7 @@
 	return commands
 }
 
-// sendCommands sends a machine what is urgent by a call.
+// sendCommands sends a machine its pending commands by a direct call.
 func (s *shard) sendCommands(m *machine) {
 	m.expedited = false
 	if commands := s.machineCommands(m, s.lastCallID+1, true); len(commands) > 0 {
@@ -134,8 +138,8 @@
 	}
 }
 
-// placeAssigned finds machines for the attempts that the leader has dispatched to this shard, if
-// that is due.
+// placeAssigned finds machines for the attempts that the leader has dispatched to this shard. It does
+// nothing if capacity has not changed and the next periodic placement is not due.
 func (s *shard) placeAssigned() {
 	now := s.core.now.Monotonic
 	if len(s.unplaced) == 0 || !s.placementDue && now < s.nextPlacementAt {
@@ -147,7 +151,7 @@
 	for _, m := range s.machinesWithCapacity.All() {
 		withCapacity = append(withCapacity, m)
 	}
-	jobsWithoutCapacity := map[string]bool{} // jobs of which a task found no room: their others won't either
+	jobsWithoutCapacity := map[string]bool{} // by job: a task found no capacity, so its other tasks won't either
 	unplaced := s.unplaced[:0]
 	for _, attempt := range s.unplaced {
 		if !s.place(attempt, withCapacity, jobsWithoutCapacity) {
@@ -155,12 +159,12 @@
 		}
 	}
 	s.unplaced = unplaced
-	s.placementDue = false // what was marked meanwhile only lost room
+	s.placementDue = false // placement itself marks machines as changed, but only reduces their capacity
 }
 
-// updateMachinesWithCapacity follows the machines whose room may have changed. A full shard has few
-// machines with room, and looking for them among all of them for each heartbeat cost more the
-// larger it was.
+// updateMachinesWithCapacity updates machinesWithCapacity for the machines whose capacity may have
+// changed. A full shard has few machines with free capacity; searching all machines for them on every
+// heartbeat had a cost that grew with the size of the shard.
 func (s *shard) updateMachinesWithCapacity() {
 	for _, m := range s.capacityChanged {
 		m.capacityChanged = false
@@ -173,14 +177,15 @@
 	s.capacityChanged = s.capacityChanged[:0]
 }
 
-// place finds a machine for an attempt, or returns the attempt to the leader's queue, and reports
-// whether either is done. The start goes out in the response to the machine's next heartbeat, or by
-// a call if that is far.
+// place puts an attempt on a machine or returns it to the leader's queue, and reports whether it did
+// either. The start is sent in the response to the machine's next heartbeat, or by a direct call if
+// that heartbeat is expected too late.
 func (s *shard) place(attempt *taskAttempt, withCapacity []*machine, jobsWithoutCapacity map[string]bool) bool {
 	now, intervals := s.core.now.Monotonic, &s.core.intervals
 	entry := s.core.records.acceptedJob(attempt.jobID)
-	// Where its zones matter an attempt goes by the record that the leader went by: an older
-	// one has yet to be followed by that, and by a newer one the leader decides anew.
+	// An attempt of a job with zone constraints must be placed by the same version of the job's record
+	// on which the leader based the dispatch. If this shard's version is older, the attempt waits until
+	// the mirror catches up; if it is newer, the attempt is returned for the leader to decide again.
 	if s.mustNotRun(attempt.jobID, entry) || attempt.recordVersion != 0 && entry.recordVersion > attempt.recordVersion {
 		s.returnTask(attempt)
 		return true
@@ -209,7 +214,7 @@
 	return true
 }
 
-// bestMachine is the machine that fits an attempt best, nil if none does.
+// bestMachine returns the machine that fits an attempt best, or nil if none fits.
 func (s *shard) bestMachine(attempt *taskAttempt, entry *jobEntry, withCapacity []*machine) *machine {
 	var best *machine
 	for _, m := range withCapacity {
@@ -224,12 +229,13 @@
 	return best
 }
 
-// allowsTask reports whether a task of a job may be on a machine, whatever the room.
+// allowsTask reports whether a task of a job may run on a machine, regardless of capacity.
 func (m *machine) allowsTask(entry *jobEntry, index int) bool {
 	return binpacking.TaskMayRunOn(&entry.record, index, m.typeName, m.zone, m.spot)
 }
 
-// holdForGang holds room on a machine for a task of a gang, and reports whether there is room.
+// holdForGang reserves capacity on a machine for a task of a gang. It reports false if the machine
+// cannot take the task.
 func (s *shard) holdForGang(name string, attempt *taskAttempt, entry *jobEntry) bool {
 	m := s.machines.Get(name)
 	if m == nil || !m.acceptsTasks() || attempt.recordVersion != 0 && entry.recordVersion != attempt.recordVersion {
@@ -243,7 +249,8 @@
 	return true
 }
 
-// resolveHeld lets keep decide which of the listed tasks that room is held for stay.
+// resolveHeld calls keep for each listed attempt that holds capacity for a gang, and removes the attempt
+// from its machine if keep returns false.
 func (s *shard) resolveHeld(list []peerproto.TaskAttempt, keep func(*machine, *taskAttempt) bool) {
 	for _, listed := range list {
 		m := s.machines.Get(listed.Machine)
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -7,18 +7,18 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Levels of urgency, the most urgent first. Jobs of the first two should start at once.
+// Urgency levels, the most urgent first. Jobs of the first two levels should start immediately.
 const (
 	urgencyProduction = iota
 	urgencyHigh
 	urgencyNormal
 	urgencyLow
-	numUrgencyLevels // how many there are
+	numUrgencyLevels // the number of levels
 
 	lowestUrgency = urgencyLow
 )
 
-// urgencyLevel is the level of an urgency's name.
+// urgencyLevel returns the level for the name of an urgency. An unknown name has the lowest urgency.
 func urgencyLevel(name string) int {
 	switch name {
 	case protocol.UrgencyProduction:
@@ -31,9 +31,9 @@
 	return lowestUrgency
 }
 
-// Bands of the rank, the first to start first: services by urgency, what an account that stays
-// underserved is boosted to, urgent jobs, those within a guarantee, what an underserved account is
-// boosted to first, and all others by urgency.
+// Rank bands; jobs of a lower band start first. Services, urgent jobs and all others are further
+// divided by adding the urgency level to the band. An underserved account is first boosted to
+// bandBehindGuarantee and, if it stays underserved, to bandAheadOfUrgent.
 const (
 	bandServices        = -10
 	bandAheadOfUrgent   = -1
@@ -43,8 +43,8 @@
 	bandOthers          = 10
 )
 
-// rankJobs sorts the unfinished jobs by bands, and within one by CPUs (GPUs) times predicted
-// duration of what is left of the job, which waiting shrinks.
+// rankJobs returns the unfinished jobs sorted by band, and within a band by agedWork: the CPUs (GPUs)
+// of the remaining tasks times their predicted duration, reduced by the time that the job has waited.
 func (s *scheduler) rankJobs() []*queuedJob {
 	s.markWithinGuarantee()
 	s.core.estimator.BeginRound()
@@ -62,7 +62,7 @@
 	return jobs
 }
 
-// updateRank works out a job's rank anew, fair share aside.
+// updateRank recomputes a job's rank, without the fair-share boost.
 func (s *scheduler) updateRank(q *queuedJob) {
 	q.reason = ""
 	if len(q.failures.machines) > 0 && !q.provenToRun(&s.core.intervals) {
@@ -77,9 +77,10 @@
 	q.rankBand, q.rankInBand = s.bandOf(q), s.agedWork(q)
 }
 
-// predictTask is how many seconds a task of a job runs. A task that has run for twice the
-// prediction disproves it: a class without history once took the mean of its team's tiny tasks, so
-// that hours of work seemed to be worth no machine.
+// predictTask returns the predicted duration of one of the job's tasks in seconds. If a task has
+// already run for more than twice the prediction, its running time is used instead. Otherwise a class
+// without history, which is predicted from the mean of its team's tasks, could be rated far too short
+// if those are tiny, and hours of work would not appear to justify creating a machine.
 func (s *scheduler) predictTask(q *queuedJob) float64 {
 	predicted := s.core.estimator.Predict(q.spec())
 	ran := q.longestRunning.Seconds()
@@ -89,9 +90,9 @@
 	return predicted
 }
 
-// bandOf is a job's band. A best-effort team's work comes after what a guarantee covers, however
-// urgent it is: it took the room that its own tasks had been preempted for, and was preempted
-// again, once a round.
+// bandOf returns a job's band. Jobs of best-effort teams rank behind jobs within a guarantee, however
+// urgent they are. Otherwise they would take the capacity for which their own tasks have just been
+// preempted, and would be preempted again in every round.
 func (s *scheduler) bandOf(q *queuedJob) int {
 	spec, urgency := q.spec(), q.effectiveUrgency
 	switch {
@@ -106,11 +107,12 @@
 	}
 }
 
-// agedWork is the work that is left of a job, less the longer it has waited.
+// agedWork returns the remaining work of a job, in CPU (GPU) seconds, divided by a factor that grows
+// with its waiting time.
 //
-// All tasks that are left count, as the paper counts all GPUs of a job. By the product of one task
-// the jobs of one class tie, their age decides, and under load they all wait for as long as the
-// last one may.
+// All remaining tasks count, like all GPUs of a job in two-dimensional (GPUs times duration)
+// scheduling. If only a single task counted, all jobs of a class would tie and be ordered by age, and
+// under load each would wait about as long as the last one.
 func (s *scheduler) agedWork(q *queuedJob) float64 {
 	spec := q.spec()
 	width := taskWidth(spec)
@@ -122,7 +124,8 @@
 	return width * q.predictedSeconds / aging
 }
 
-// taskWidth is what a task counts for in the paper's product: its GPUs, or its CPUs if it has none.
+// taskWidth returns the GPUs of a task, or its CPUs if it uses no GPUs. This is the resource factor in
+// the product of resources and duration by which jobs are ranked.
 func taskWidth(spec *protocol.Job) float64 {
 	if spec.GPUs > 0 {
 		return spec.GPUs
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -8,40 +8,41 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// schedulingRound is what one round works with: the room on every machine that can be given work,
-// and what each team uses. The round fills both up as it dispatches.
+// schedulingRound is the working state of one scheduling round: the free capacity of every machine
+// that accepts tasks, and the usage of each team. Each dispatch in the round updates both.
 type schedulingRound struct {
 	machines     []*candidateMachine
-	withCapacity []*candidateMachine // those with any room left
-	infeasible   map[taskShape]bool  // no machine has room for such a task any more
+	withCapacity []*candidateMachine // those with free capacity left
+	infeasible   map[taskShape]bool  // tasks of this shape fit on no machine any more
 	teamUsage    map[string]*usage
 
-	bestEffortCPUs  float64 // CPUs that the tasks of best-effort teams may be taking,
-	bestEffortLimit float64 // of so many that they may take
+	bestEffortCPUs  float64 // CPUs that the tasks of best-effort teams may occupy
+	bestEffortLimit float64 // CPUs that they may occupy at most
 
-	// What is kept for underserved accounts from the jobs that rank behind.
-	quotaReservedFor    map[string]*queuedJob // by team: for whom its quota is reserved
-	machineReservations int                   // for so many jobs machines are reserved
-	smallestTaskCPUs    float64               // CPUs of the smallest task that waits
+	// Reservations for underserved accounts, which jobs of lower rank must not use.
+	quotaReservedFor    map[string]*queuedJob // by team: the job for which its quota is reserved
+	machineReservations int                   // number of jobs for which machines are reserved
+	smallestTaskCPUs    float64               // CPUs of the smallest waiting task
 
-	victims       []victim // what may be preempted, the cheapest first
+	victims       []victim // tasks that may be preempted, the smallest loss first
 	victimsListed bool
 }
 
-// candidateMachine is a machine that a round may give work to.
+// candidateMachine is a machine to which a scheduling round may dispatch tasks, with the capacity that
+// is still free on it.
 type candidateMachine struct {
 	binpacking.Capacity
 	name             string
 	shard            *shardView
 	view             *machineView
-	imageCached      bool // has the image of the job that is being dispatched
+	imageCached      bool // it has the image of the job that is being dispatched
 	reserved         bool // for an underserved account
-	preempting       bool // tasks are being stopped here for another job,
-	preemptorUrgency int  // which is this urgent
+	preempting       bool // tasks are being stopped here for another job
+	preemptorUrgency int  // the highest urgency level of such a job
 }
 
-// runRound ranks the unfinished jobs and dispatches the tasks that fit. It returns all of the jobs
-// and those that had tasks to dispatch, both in rank order.
+// runRound ranks the unfinished jobs and dispatches the tasks that fit. It returns all unfinished
+// jobs and those that had tasks to dispatch, both in rank order.
 func (s *scheduler) runRound() (ranked, waiting []*queuedJob) {
 	ranked = s.rankJobs()
 	round := s.newRound()
@@ -63,7 +64,9 @@
 	return ranked, waiting
 }
 
-// newRound takes stock of the machines and of the teams' usage.
+// newRound collects the machines that accept tasks, with their free capacity, and the usage of each
+// team. Only machines of members that are connected and have sent their snapshot of this epoch are
+// included.
 func (s *scheduler) newRound() *schedulingRound {
 	planned := s.plannedAttempts()
 	preemptors := s.preemptorUrgencies()
@@ -93,8 +96,8 @@
 	return round
 }
 
-// plannedAttempts lists, by machine, the attempts that were dispatched because of the room there
-// and that their shard has not placed yet. Those that it has leave unplacedAttempts.
+// plannedAttempts lists, by planned machine, the dispatched attempts that their shard has not placed
+// yet. It removes from unplacedAttempts those that no longer await placement.
 func (s *scheduler) plannedAttempts() map[string][]*inflightAttempt {
 	planned := map[string][]*inflightAttempt{}
 	for task, attempt := range s.unplacedAttempts {
@@ -107,8 +110,8 @@
 	return planned
 }
 
-// preemptorUrgencies is, by machine, the highest urgency that tasks are being stopped for there.
-// Tasks that have stopped leave stopRequests.
+// preemptorUrgencies returns, by machine, the highest urgency level for which tasks are being stopped
+// there. It removes from stopRequests the tasks that have stopped.
 func (s *scheduler) preemptorUrgencies() map[string]int {
 	urgencies := map[string]int{}
 	for task, attempt := range s.stopRequests {
@@ -123,8 +126,8 @@
 	return urgencies
 }
 
-// candidate makes the machine's entry of a new round, in the place of the last one's: ten thousand
-// of them for each round were most of what the leader allocated.
+// candidate returns the machine's entry for a new round. It reuses the memory of the previous round's
+// entry: allocating ten thousand entries in each round made up most of the leader's allocations.
 func (v *machineView) candidate(name string, member *shardView) *candidateMachine {
 	v.roundCandidate = candidateMachine{
 		name:             name,
@@ -144,8 +147,8 @@
 	return &v.roundCandidate
 }
 
-// quotaReservedReason says why a job starts nothing in this round although it could: its team's
-// quota is reserved for another class. It is empty if it is not.
+// quotaReservedReason returns the reason for which a job may not start tasks in this round if its
+// team's quota is reserved for a job of an underserved class, and an empty string otherwise.
 func (r *schedulingRound) quotaReservedReason(spec *protocol.Job) string {
 	reservedFor := r.quotaReservedFor[spec.Team]
 	if reservedFor == nil {
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -10,58 +10,60 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// scheduler is the leader's shared queue: it ranks the unfinished jobs and dispatches their tasks
-// to the shards, and keeps account of which task is on which machine. Only a leader's acts, and
-// only in an epoch whose shard map is its own.
+// scheduler holds the job queue of the whole cluster. It ranks the unfinished jobs, dispatches their
+// tasks to the shards and tracks which task is on which machine. Every controller has one, but it
+// acts only while its controller is the leader, and only in an epoch whose shard map that leader
+// has written.
 type scheduler struct {
 	core    *Core
 	leading bool
 
-	// The term as leader, and the epoch in force.
-	epoch            uint64 // the epoch this leader acts in, 0: none yet
+	// The current term as leader, and its epoch.
+	epoch            uint64 // the epoch in which this leader acts, 0: none yet
 	epochAtElection  uint64
 	epochEnteredAt   time.Duration
-	electionRevision uint64 // jobs newer than this were never dispatched by an earlier leader
-	reloadRevision   uint64 // the mirror's when it was last reloaded while this controller led
+	electionRevision uint64 // no earlier leader has dispatched a job whose version is newer than this
+	reloadRevision   uint64 // of the mirror at its last reload while this controller led
 
-	// What the members tell of their shards.
+	// What the members report about their shards.
 	shards      map[string]*shardView // by label
-	shardLabels map[uint64]string     // by session, "" before its hello
+	shardLabels map[uint64]string     // by link session, "" until the hello arrives
 	machines    *orderedmap.Map[*machineView]
 
 	// The queue, and the attempts that may be on a machine.
 	queue            *orderedmap.Map[*queuedJob]
 	attempts         map[string]*inflightAttempt // by task name
-	unplacedAttempts map[string]*inflightAttempt // all that await placement, and a few that no longer do
-	stopRequests     map[string]*inflightAttempt // all that are asked to stop, and a few that have stopped
-	teamUsage        map[string]*usage           // by team, what its tasks may be taking
-	attemptCounter   uint64                      // of this epoch
+	unplacedAttempts map[string]*inflightAttempt // all that await placement; may hold some that no longer do
+	stopRequests     map[string]*inflightAttempt // all that were asked to stop; may hold some that have stopped
+	teamUsage        map[string]*usage           // by team: resources that its attempts may occupy
+	attemptCounter   uint64                      // attempt numbers drawn in this epoch
 
-	// Jobs and tasks of earlier leaders that may be on machines not seen yet.
+	// Jobs and attempts that may be on machines which this leader has not seen yet.
 	hasUnlocated   bool
-	lastUnseen     string        // a machine that was not seen yet when last looked at
-	unseenLoggedAt time.Duration // when such machines were last named
+	lastUnseen     string        // an unseen machine found by the last search
+	unseenLoggedAt time.Duration // when unseen machines were last logged
 
-	// Completed tasks that are not durable yet.
+	// Completed tasks that are not yet stored durably.
 	unsavedJobs         map[string]*queuedJob
 	progressWriteTokens float64
 	progressTokensAt    time.Duration
 	progressSaveDue     bool
 	nextProgressSave    time.Duration
 
-	// Rounds.
-	lastScheduling      time.Duration // the quick round: rank and dispatch; 0: one is due
-	lastMaintenance     time.Duration // the slow round: fleet, garbage, what the members are told
-	dependencyWeightsAt time.Duration // when the priorities of dependencies were last worked out
+	// Scheduling and maintenance rounds.
+	lastScheduling      time.Duration // last scheduling round (rank and dispatch), 0: run one now
+	lastMaintenance     time.Duration // last maintenance round (autoscaling, garbage collection, job views)
+	dependencyWeightsAt time.Duration // when the priorities inherited from dependent jobs were last computed
 	fairShareStates     []fairshare.AccountState
-	startLatencies      [numUrgencyLevels]*hdrhistogram.Histogram // ms from submission to running
+	startLatencies      [numUrgencyLevels]*hdrhistogram.Histogram // milliseconds from submission to running
 }
 
 const (
-	// maxStartLatencyMillis is the longest start latency told apart: an hour.
+	// maxStartLatencyMillis is the upper bound of the start latency histograms: one hour. Longer
+	// latencies are recorded as this value.
 	maxStartLatencyMillis = 3_600_000
 
-	// startLatencyDigits is how many digits of a start latency are told apart.
+	// startLatencyDigits is the precision of the start latency histograms in significant digits.
 	startLatencyDigits = 2
 )
 
@@ -74,7 +76,7 @@
 	return s
 }
 
-// reset drops all that an earlier term as leader knew of jobs and machines.
+// reset discards the state of jobs and machines that belongs to an earlier term as leader.
 func (s *scheduler) reset() {
 	s.machines, s.queue = orderedmap.New[*machineView](), orderedmap.New[*queuedJob]()
 	s.attempts = map[string]*inflightAttempt{}
@@ -83,13 +85,14 @@
 	s.hasUnlocated = false
 }
 
-// leadershipChanged begins a term as leader, or ends it.
+// leadershipChanged begins or ends a term as leader.
 func (s *scheduler) leadershipChanged(leading bool) {
 	s.leading = leading
 	s.epoch = 0
 	s.epochAtElection = s.core.membership.epoch()
-	// Guards against a leader that had to reload its mirror: what came after its own key was
-	// written it may have dispatched itself, before it forgot.
+	// A leader that has to reload its mirror loses its scheduling state and starts a new term.
+	// Before that it may itself have dispatched jobs that are newer than its leader key, so all
+	// jobs up to the reload count as possibly dispatched.
 	s.electionRevision = max(s.core.mirror.Version(keyLeader), s.reloadRevision)
 	s.dependencyWeightsAt = 0
 	s.reset()
@@ -101,32 +104,32 @@
 	}
 }
 
-// beginTerm takes over the history and the unfinished jobs from the mirror.
+// beginTerm loads the run-time history and the unfinished jobs from the mirror.
 func (s *scheduler) beginTerm() {
 	s.core.estimator.load()
 	for _, id := range sortedKeys(s.core.records.jobs) {
 		entry := s.core.records.jobs[id]
-		entry.readyThisTerm = false // an earlier leader, perhaps this one, may have dispatched it
+		entry.readyThisTerm = false // it may have been dispatched in an earlier term, of this or another leader
 		s.jobChanged(entry)
 	}
 	s.core.fleet.reset()
 	s.core.fleet.restoreInflow()
 }
 
-// jobChanged follows the mirror.
+// jobChanged updates the queue after a job's entry in the mirror has changed.
 func (s *scheduler) jobChanged(entry *jobEntry) {
 	if !s.leading || entry.version == 0 {
 		return
 	}
 	id := entry.record.Spec.ID
 	if s.core.records.dependencies.IsWaiting(id) {
-		return // it holds nothing, and comes again once it is ready
+		return // it has no tasks in flight; jobChanged is called again once its dependencies are done
 	}
 	q := s.queue.Get(id)
 	switch {
 	case entry.isFinal():
 		delete(s.unsavedJobs, id)
-		// Attempts stay until their tasks are surely gone: they count against the quota.
+		// Its attempts count against the quota until their tasks are known to have ended.
 		if q != nil && len(q.inflight) == 0 {
 			s.queue.Delete(id)
 		}
@@ -135,7 +138,7 @@
 	}
 }
 
-// enqueue takes a job into the queue.
+// enqueue adds a job to the queue.
 func (s *scheduler) enqueue(id string, entry *jobEntry) {
 	q := newQueuedJob(entry)
 	q.unlocated = entry.version <= s.electionRevision && !entry.readyThisTerm
@@ -152,11 +155,12 @@
 		s.core.fleet.jobArrived(q)
 	}
 	if q.complete() {
-		s.unsavedJobs[id] = q // its last leader ended before it wrote that
+		s.unsavedJobs[id] = q // an earlier leader stopped before it wrote the completion
 	}
 }
 
-// progressSaved follows the mirror: completed tasks that are durable need not be saved.
+// progressSaved drops the tasks from a job's unsavedTasks whose completion the mirror now shows as
+// durable.
 func (s *scheduler) progressSaved(id string) {
 	q := s.queue.Get(id)
 	if q == nil {
@@ -169,7 +173,8 @@
 	}
 }
 
-// enterEpoch enters the epoch of the shard map in force if this leader wrote it.
+// enterEpoch enters the epoch of the current shard map if this leader wrote that map in its current
+// term. It marks all machine states as outdated and requests a full snapshot from every member.
 func (s *scheduler) enterEpoch() {
 	shardMap := s.core.records.shardMap
 	if shardMap == nil || shardMap.Leader != s.core.settings.Label {
@@ -184,7 +189,7 @@
 	s.invalidateMachineStates()
 	s.markDispatchedUnlocated()
 	for _, member := range s.shards {
-		// It may have entered this epoch, and sent its snapshot, before we did.
+		// The member may have entered this epoch and sent its snapshot before this leader did.
 		member.syncedEpoch, member.snapshotTasks = 0, nil
 		member.outbox, member.outboxDue = peerproto.Message{Resync: true}, true
 	}
@@ -193,8 +198,9 @@
 	}
 }
 
-// invalidateMachineStates forgets what the shards of the last epoch told: a machine may have another
-// owner now. Those of the registry that no shard has told of count as not seen yet.
+// invalidateMachineStates marks all machine states of the previous epoch as incomplete, because a
+// machine may have another owner now. Registered machines that no shard has reported get a view too,
+// and count as not seen yet.
 func (s *scheduler) invalidateMachineStates() {
 	for _, view := range s.machines.All() {
 		view.state.TasksComplete, view.state.TasksBounded, view.state.AcceptsTasks = false, false, false
@@ -206,8 +212,8 @@
 	}
 }
 
-// reconcile does what is due for a leader whose epoch is in force, and sends the members what has
-// gathered for them.
+// reconcile runs the work that is due and sends the members their pending messages. It does nothing
+// unless this controller leads and its epoch is the current one.
 func (s *scheduler) reconcile() {
 	if !s.leading || !s.core.membership.mayServe() {
 		return
@@ -227,7 +233,7 @@
 	s.flushOutboxes()
 }
 
-// schedule is the quick round, and the slow one if that is due.
+// schedule runs a scheduling round, followed by a maintenance round if one is due.
 func (s *scheduler) schedule() {
 	s.lastScheduling = s.core.now.Monotonic
 	s.removeTerminatedMachines()
@@ -240,8 +246,8 @@
 	}
 }
 
-// maintain is the slow round. ranked is every unfinished job and waiting those with tasks to
-// dispatch, both in rank order.
+// maintain runs a maintenance round. ranked holds every unfinished job, waiting those that had tasks
+// to dispatch; both are in rank order.
 func (s *scheduler) maintain(ranked, waiting []*queuedJob) {
 	s.core.fleet.autoscale(ranked, waiting)
 	s.core.estimator.save()
@@ -249,7 +255,7 @@
 	s.publishJobViews()
 }
 
-// flushOutboxes sends each member what has gathered for it.
+// flushOutboxes sends each connected member its pending message.
 func (s *scheduler) flushOutboxes() {
 	for _, label := range sortedKeys(s.shards) {
 		member := s.shards[label]
