--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -17,7 +17,8 @@
 
 	machines    []*candidateMachine // with capacity for its tasks, in the order in which they are filled
 	nextMachine int                 // index into machines; those before it have no capacity for the tasks or are avoided by the job
-	// avoidedHaveRoom: one of the machines before next has room for its tasks and is avoided.
+	// avoidedMachineFits is set if a machine before nextMachine has capacity for the tasks but the job
+	// avoids it.
 	avoidedMachineFits bool
 	fullZones          []bool // by zone index of a spread job: a task found no capacity there
 	dispatched         int
--- a/internal/core/feasible.go
+++ b/internal/core/feasible.go
@@ -96,8 +96,8 @@
 	return 1
 }
 
-// isAvoided reports whether a job's tasks are kept off a machine for now because some of them failed
-// there.
+// isAvoided reports whether a job's tasks are kept off a machine for now because one of them failed or
+// could not be started there.
 func (s *scheduler) isAvoided(m *candidateMachine, q *queuedJob) bool {
 	return m.view.backoffUntil[q.id] > s.core.now.Monotonic
 }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -8,8 +8,9 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// dispatchGang has room held for all tasks of a gang, if there is room for all of them, and notes
-// why not. The tasks start once all machines hold their room: see releaseGangs.
+// dispatchGang has capacity reserved for all tasks of a gang if there is enough for all of them at
+// once, and otherwise sets the job's reason. The tasks start once all machines have confirmed the
+// reservation: see releaseGangs.
 func (s *scheduler) dispatchGang(q *queuedJob, round *schedulingRound) {
 	if !s.mayStartGang(q, round) {
 		return
@@ -32,9 +33,9 @@
 	s.sendGang(q, machines, round)
 }
 
-// mayStartGang reports whether a gang's tasks may be dispatched, whatever the room, and notes why
-// not. A gang that lost a task ends as a whole on its workers, so it is dispatched anew only when
-// none of its tasks is left anywhere.
+// mayStartGang reports whether a gang's tasks may be dispatched, regardless of capacity. If not, it
+// sets the job's reason. When a gang loses a task, the workers end the whole gang, so it is dispatched
+// again only when none of its tasks is in flight any more.
 func (s *scheduler) mayStartGang(q *queuedJob, round *schedulingRound) bool {
 	if !s.canStart(q, round) {
 		return false
@@ -53,8 +54,9 @@
 	return true
 }
 
-// findGangMachines finds a machine for each of a gang's tasks, by index, as if those before it had
-// their room already. It is nil if there is no room for all, or if a task must not be retried yet.
+// findGangMachines finds a machine for each unfinished task of a gang, keyed by task index. Each task is
+// placed as if the earlier ones had already been allocated. It returns nil if there is not enough
+// capacity for all, or if a task must not be retried yet.
 func (s *scheduler) findGangMachines(q *queuedJob, round *schedulingRound) map[int]*candidateMachine {
 	spec := q.spec()
 	chosen := map[int]*candidateMachine{}
@@ -83,7 +85,7 @@
 	return chosen
 }
 
-// bestMachine is the index of the machine that fits a task best, -1 if none does.
+// bestMachine returns the index of the machine that fits a task best, or -1 if none fits.
 func bestMachine(machines []candidateMachine, q *queuedJob, index int) int {
 	spec := q.spec()
 	best := -1
@@ -102,8 +104,9 @@
 // sendGang dispatches all waiting tasks of a gang to the machines that were found for them.
 func (s *scheduler) sendGang(q *queuedJob, machines map[int]*candidateMachine, round *schedulingRound) {
 	q.reservedAt = 0
-	// The workers tell a gang's start from an earlier one by the attempt, so all of its tasks
-	// share one: with a number each they waited for one another for ever.
+	// The workers use the attempt number to distinguish this start of the gang from an earlier one,
+	// so all of its tasks share one number. With a separate number for each task, the tasks waited
+	// for one another forever.
 	attempt := s.nextAttemptNumber()
 	for index := range q.spec().Tasks {
 		if machine := machines[index]; machine != nil {
@@ -117,10 +120,10 @@
 	}
 }
 
-// releaseGangs starts the gangs whose machines hold room for all tasks, and drops the held tasks
-// of those that did not get all of it in time.
+// releaseGangs starts the gangs for which capacity is held for all tasks. Gangs that did not get all
+// their capacity in time have their held tasks dropped.
 func (s *scheduler) releaseGangs() {
-	// Well before the workers give up waiting for one another.
+	// Well before GangWaitS, after which the workers stop waiting for the gang's other tasks.
 	timeout := config.Seconds(s.core.settings.Site.Workers.GangWaitS) / 4
 	for _, q := range s.queue.All() {
 		if q.spec().Kind != protocol.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
@@ -139,8 +142,8 @@
 	}
 }
 
-// gangProgress counts the tasks of a gang that have room held for them, and reports whether any
-// has gone further than that.
+// gangProgress counts the tasks of a gang for which a machine holds capacity, and reports whether any
+// task has got past that state.
 func (q *queuedJob) gangProgress() (held int, started bool) {
 	for _, attempt := range q.inflight {
 		switch {
@@ -154,7 +157,7 @@
 	return held, started
 }
 
-// resolveGang has the shards start the held tasks of a gang, or drop them.
+// resolveGang has the shards start the held tasks of a gang, or drop them if start is false.
 func (s *scheduler) resolveGang(q *queuedJob, start bool) {
 	for _, index := range sortedKeys(q.inflight) {
 		attempt := q.inflight[index]
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// attemptLocation is where an attempt may be besides the machines that claim it.
+// attemptLocation says where an attempt may be, apart from the machines that claim it.
 //
-// An attempt begins as locationDispatched, or as locationClaimed if a machine lists it before
-// this leader knows of it. A shard's answer, or a machine's list, makes it locationClaimed; a
-// new epoch makes it locationUnknown while it is locationDispatched, until every machine has
+// An attempt begins as locationDispatched, or as locationClaimed if a machine lists it before this
+// leader knows of it. It becomes locationClaimed when a machine lists it or its shard returns it. If a
+// new epoch begins while it is locationDispatched, it becomes locationUnknown until every machine has
 // been seen.
 type attemptLocation int
 
 const (
-	// locationClaimed: it is on none but the machines that claim it.
+	// locationClaimed: the attempt can only be on machines that claim it.
 	locationClaimed attemptLocation = iota
-	// locationDispatched: it was sent to a shard that has not said where it is.
+	// locationDispatched: the attempt was sent to a shard that has neither placed nor returned it yet.
 	locationDispatched
-	// locationUnknown: the shard that it was sent to is gone. It may be on any machine that
-	// has not been seen yet.
+	// locationUnknown: the epoch in which the attempt was dispatched has ended, and its shard may no
+	// longer exist. The attempt may be on any machine that has not been seen yet.
 	locationUnknown
 )
 
-// inflightAttempt is the leader's record of a task attempt that was dispatched and may be on
-// a machine. It counts against its team's limit until it is surely on none.
+// inflightAttempt is the leader's record of a task attempt that was dispatched and may be on a machine.
+// It counts against its team's limit until it is known to be on no machine.
 type inflightAttempt struct {
 	job       *queuedJob
 	taskIndex int
 	number    uint64
 	location  attemptLocation
-	machine   string          // where it is as far as is known, empty: not known
-	claimants map[string]bool // every machine that lists it, or did and may still have it
-	taskState string          // on that machine
-	// runningSince is when it was first seen running, 0: not yet.
+	machine   string          // the machine it is believed to be on, empty if not known
+	claimants map[string]bool // machines that list it, or listed it and may still run it
+	taskState string          // its state on machine
+	// runningSince is when this leader first saw it running, 0: not yet.
 	runningSince time.Duration
 
 	// How it was dispatched.
-	shard           string // the member that it was dispatched to
-	dispatchSession uint64 // over this link
-	dispatchSeq     uint64 // with this message
-	plannedMachine  string // where the scheduling round saw capacity for it
-	recordVersion   uint64 // of the job's record that the dispatch rests on, 0: on none
+	shard           string // label of the member to which it was dispatched
+	dispatchSession uint64 // the session of the link used
+	dispatchSeq     uint64 // sequence number of the message on that link
+	plannedMachine  string // the machine on which the scheduling round allocated capacity for it
+	recordVersion   uint64 // version of the job's record on which the dispatch is based, 0: it does not depend on it
 
 	// Preemption.
 	stopRequested bool
-	stopUrgency   int // the urgency of the work that it is stopped for
+	stopUrgency   int // the urgency level of the work for which it is stopped
 }
 
-// trackAttempt begins to keep an attempt and counts it against its team's limit.
+// trackAttempt starts tracking an attempt and counts it against its team's limit.
 func (s *scheduler) trackAttempt(task string, attempt *inflightAttempt) {
 	s.attempts[task] = attempt
 	attempt.job.inflight[attempt.taskIndex] = attempt
@@ -58,7 +58,7 @@
 	teamUsage.add(spec, 1)
 }
 
-// releaseClaim takes back a machine's claim on a task: it surely is not there.
+// releaseClaim removes a machine's claim on a task that is known not to be on that machine.
 func (s *scheduler) releaseClaim(task string, attempt *inflightAttempt, view *machineView) {
 	view.unclaim(task)
 	name := view.state.Name
@@ -72,14 +72,14 @@
 	s.removeIfUnclaimed(task, attempt)
 }
 
-// handleNotPlaced notes that a shard has not placed an attempt and will not.
+// handleNotPlaced handles an attempt that its shard has not placed and will not place.
 func (s *scheduler) handleNotPlaced(task string, attempt *inflightAttempt) {
 	attempt.location = locationClaimed
 	s.removeIfUnclaimed(task, attempt)
 }
 
-// removeIfUnclaimed drops an attempt, and what it counts against its team's limit, if it is
-// surely on no machine and on its way to none.
+// removeIfUnclaimed stops tracking an attempt, which then no longer counts against its team's limit, if
+// no machine claims it and it is not on its way to one.
 func (s *scheduler) removeIfUnclaimed(task string, attempt *inflightAttempt) {
 	if attempt.location != locationClaimed || len(attempt.claimants) > 0 {
 		return
@@ -98,8 +98,9 @@
 	}
 }
 
-// markDispatchedUnlocated makes what was dispatched and not yet seen on a machine unlocated: the shard
-// that it was sent to may be gone, and it may be on any of its machines.
+// markDispatchedUnlocated marks all attempts that were dispatched but not yet seen on a machine as
+// unlocated: the shard to which an attempt was sent may no longer exist, and the attempt may be on any
+// of that shard's machines.
 func (s *scheduler) markDispatchedUnlocated() {
 	for _, attempt := range s.unplacedAttempts {
 		if attempt.location == locationDispatched {
@@ -109,7 +110,8 @@
 	clear(s.unplacedAttempts)
 }
 
-// resolveUnlocated frees what was unlocated once every machine has been seen.
+// resolveUnlocated ends the unlocated state of jobs and attempts once every machine has been seen. An
+// unlocated attempt that no machine claims does not exist and is removed.
 func (s *scheduler) resolveUnlocated() {
 	if !s.hasUnlocated {
 		return
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -10,49 +10,49 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// maxLoggedUnseen is how many of the machines that a failover waits for are named in a log
-// line.
+// maxLoggedUnseen is the maximum number of unseen machines that are named in one log line.
 const maxLoggedUnseen = 5
 
-// machineView is what the leader knows of a machine, by the registry and by the shard that
-// owns it.
+// machineView is the leader's knowledge of a machine, from the machine registry and from the shard that
+// owns the machine.
 type machineView struct {
-	state       peerproto.MachineState // as it was published last, without its lists
+	state       peerproto.MachineState // as its shard published it last, without the lists
 	shard       string                 // the member that published it
-	listedEpoch uint64                 // the epoch in which its shard has listed it, 0: it no longer does
-	machineType *protocol.MachineType  // nil while it is not known
+	listedEpoch uint64                 // the epoch in which its shard last listed it, 0: no shard lists it
+	machineType *protocol.MachineType  // nil while the type is not known
 	registered  bool                   // in the machine registry
-	images      map[string]bool        // in its cache
+	images      map[string]bool        // images cached on the machine
 
-	attempts       map[string]*inflightAttempt // that it claims, by task name
-	used           usage                       // by these
-	roundCandidate candidateMachine            // scratch space of the scheduling round
+	attempts       map[string]*inflightAttempt // that the machine claims, by task name
+	used           usage                       // resources occupied by attempts
+	roundCandidate candidateMachine            // the machine's entry in the scheduling round, reused by each round
 
-	terminating   bool // being scaled in, or gone
-	unschedulable bool // not counted on for new tasks
-	cordoned      bool // its shard was ordered to place nothing there
+	terminating   bool // being drained and returned, or already deleted
+	unschedulable bool // scale-in no longer needs it: no new tasks are dispatched to it
+	cordoned      bool // its shard was instructed to place no tasks on it
 	cordonedAt    time.Duration
-	unhealthy     bool                     // tasks of several jobs failed on it
-	failedJobs    map[string]bool          // that failed here since the last success
-	backoffUntil  map[string]time.Duration // by job: its shard places no task of it here before
+	unhealthy     bool                     // quarantined: tasks of several jobs failed on it
+	failedJobs    map[string]bool          // jobs with a task that failed here since a task last completed here
+	backoffUntil  map[string]time.Duration // by job: none of its tasks is placed here before this time
 
 	emptySince      time.Duration
 	lastClaimedAt   time.Duration
-	upSince         time.Duration // when it first was up, -1: never
-	incompleteSince time.Duration // since when its list is not complete, if it is not
+	upSince         time.Duration // when it first accepted tasks, -1: never
+	incompleteSince time.Duration // since when its task list is incomplete; valid only while it is
 }
 
-// listComplete reports whether no task but those that it lists can be on the machine.
+// listComplete reports whether only the listed tasks can be on the machine.
 func (v *machineView) listComplete() bool { return v.state.TasksComplete || v.state.TasksBounded }
 
-// acceptsTasks reports whether the machine may be given tasks, unschedulable or not.
+// acceptsTasks reports whether the machine can be given tasks. It does not consider unschedulable.
 func (v *machineView) acceptsTasks() bool {
 	state := &v.state
 	return state.AcceptsTasks && state.TasksComplete && !state.InterruptionNotice && !state.Draining &&
 		v.machineType != nil && v.registered && !v.unhealthy && !v.terminating
 }
 
-// free is what the attempts on the machine leave of it.
+// free returns the resources that the attempts on the machine do not occupy. The machine's type must be
+// known.
 func (v *machineView) free() protocol.MachineType {
 	return protocol.MachineType{
 		CPUs:     v.machineType.CPUs - v.used.cpus,
@@ -61,7 +61,7 @@
 	}
 }
 
-// claim notes that the machine may have an attempt, in place of any other of the same task.
+// claim records that an attempt may be on the machine. It replaces any other attempt of the same task.
 func (v *machineView) claim(task string, attempt *inflightAttempt, now time.Duration) {
 	if v.attempts[task] != attempt {
 		v.unclaim(task)
@@ -71,18 +71,19 @@
 	}
 }
 
-// unclaim notes that the machine has no attempt of a task.
+// unclaim records that no attempt of a task is on the machine.
 func (v *machineView) unclaim(task string) {
 	if attempt := v.attempts[task]; attempt != nil {
 		delete(v.attempts, task)
 		v.used.add(&attempt.job.entry.record.Spec, -1)
 	}
 	if len(v.attempts) == 0 {
-		v.used = usage{} // no rounding error is carried on
+		v.used = usage{} // discard accumulated rounding errors
 	}
 }
 
-// ensureMachine is the view of a machine, made from the registry if there is none yet.
+// ensureMachine returns the view of a machine. If there is none, it creates one from the machine's
+// record in the registry, if any.
 func (s *scheduler) ensureMachine(name string) *machineView {
 	if view := s.machines.Get(name); view != nil {
 		return view
@@ -107,24 +108,24 @@
 	return view
 }
 
-// setRegistered follows the registry: whether a machine may be given work.
+// setRegistered updates whether a machine is in the registry, without which it is given no tasks.
 func (s *scheduler) setRegistered(name string, registered bool) {
 	if view := s.machines.Get(name); view != nil {
 		view.registered = registered
 	} else if registered && s.epoch > 0 {
-		s.ensureMachine(name) // until its shard has published it, it may run anything
+		s.ensureMachine(name) // it may run unknown tasks until its shard has published it
 	}
 }
 
-// removeTerminatedMachines drops the views of machines that are surely gone, and completes those of
-// the others. A machine that was published before its type was known, and had no news since,
-// would get no work for ever.
+// removeTerminatedMachines removes the views of terminated machines and releases their claims. It also
+// fills in missing machine types: a machine that was published before its type was known, and has not
+// changed since, would otherwise never be given tasks.
 func (s *scheduler) removeTerminatedMachines() {
 	for name, view := range s.machines.All() {
 		if view.machineType == nil {
 			view.machineType = s.core.machineTypes()[view.state.Type]
 		}
-		s.quarantineIfFaulty(view) // jobs that failed here may have shown since that they work
+		s.quarantineIfFaulty(view) // jobs that failed here may since have run successfully elsewhere
 		if s.isTerminated(name, view) {
 			for _, task := range sortedKeys(view.attempts) {
 				s.releaseClaim(task, view.attempts[task], view)
@@ -134,18 +135,19 @@
 	}
 }
 
-// isTerminated reports whether a machine and its tasks are gone: the cloud says that it is deleted,
-// or no shard lists it and it is out of the registry, so that an earlier leader deleted it.
+// isTerminated reports whether a machine no longer exists, and therefore none of its tasks: the cloud
+// reports it as deleted, or no shard lists it and it is not in the registry, which means that an earlier
+// leader deleted it.
 //
-// Guards against waiting for ever for tasks that such a machine was thought to run. The delay
-// lets the mirror catch up with the registry.
+// Without the second case, the leader would wait forever for tasks that it believes to be on such a
+// machine. The delay of twice maxStaleness after entering the epoch lets the mirror catch up with the
+// registry.
 func (s *scheduler) isTerminated(name string, view *machineView) bool {
 	deletedEarlier := view.listedEpoch != s.epoch && !view.registered && s.core.now.Monotonic-s.epochEnteredAt > 2*s.core.intervals.maxStaleness
 	return deletedEarlier || view.terminating && s.core.fleet.wasDeleted(name)
 }
 
-// unseenMachines walks over the registered machines that may hold tasks that this leader does
-// not know of.
+// unseenMachines iterates over the registered machines that may hold tasks unknown to this leader.
 func (s *scheduler) unseenMachines() iter.Seq2[string, *records.Machine] {
 	return func(yield func(string, *records.Machine) bool) {
 		for name, record := range s.core.records.machineRecords.All() {
@@ -156,15 +158,15 @@
 	}
 }
 
-// isUnseen reports whether a machine may hold tasks that this leader does not know of.
+// isUnseen reports whether a machine may hold tasks unknown to this leader.
 func (s *scheduler) isUnseen(name string) bool {
 	view := s.machines.Get(name)
 	return (view == nil || !view.listComplete()) && !s.core.fleet.wasDeleted(name)
 }
 
-// anyUnseen reports whether there is such a machine. The search begins at the one that was
-// found last: looking at all of them for each message of a shard took most of a failover's
-// processor time, and grew with the square of the fleet.
+// anyUnseen reports whether any registered machine is unseen. The search begins at the machine found by
+// the previous search: searching all machines for each message of a shard took most of a failover's
+// processor time, which grew with the square of the number of machines.
 func (s *scheduler) anyUnseen() bool {
 	names := s.core.records.machineRecords.Keys()
 	first, _ := slices.BinarySearch(names, s.lastUnseen)
@@ -177,7 +179,8 @@
 	return false
 }
 
-// logUnseen names some of the machines that a failover waits for, once a round.
+// logUnseen logs some of the unseen machines that a failover waits for, at most once per maintenance
+// interval.
 func (s *scheduler) logUnseen() {
 	if s.core.now.Monotonic-s.unseenLoggedAt < s.core.intervals.maintenance {
 		return
@@ -187,5 +190,5 @@
 	for name := range s.unseenMachines() {
 		unseen = append(unseen, name)
 	}
-	s.core.logInfo("machines not seen yet", "count", len(unseen), "among them", unseen[:min(len(unseen), maxLoggedUnseen)])
+	s.core.logInfo("waiting for machines not seen yet", "count", len(unseen), "among them", unseen[:min(len(unseen), maxLoggedUnseen)])
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -11,25 +11,26 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// victim is a task that may be preempted at a small loss.
+// victim is a task that may be preempted because little work would be lost, or that has already been
+// asked to stop.
 type victim struct {
 	attempt  *inflightAttempt
 	task     string
 	machine  *candidateMachine
-	lostWork float64 // CPU seconds
+	lostWork float64 // in CPU seconds
 }
 
-// preemption is the choice of the tasks that are preempted for one job.
+// preemption selects the tasks to preempt for one job.
 type preemption struct {
 	scheduler *scheduler
 	job       *queuedJob
 	victims   []victim
 	mayUse    func(typ, zone string, spot bool) bool
-	sets      map[*candidateMachine]*preemptionSet // by machine: the room that is being made there
+	sets      map[*candidateMachine]*preemptionSet // by machine: the capacity that is being freed there
 }
 
-// preemptionSet is room that is made on a machine: whose tasks are to be stopped, and for how many
-// others that makes room.
+// preemptionSet is the capacity that is freed on one machine: the tasks to stop, and the number of the
+// preempting job's tasks that then fit.
 type preemptionSet struct {
 	binpacking.Capacity
 	victims     []*victim
@@ -37,9 +38,9 @@
 	tasksGained int
 }
 
-// preemptFor preempts tasks for a job that found no room: those that lose least, and no more than
-// the job can use. For an urgent job, or one with a deadline, tasks of less urgent jobs go; for a
-// job within its team's guarantee, what other teams run beyond theirs.
+// preemptFor preempts tasks for a job that found no capacity: those that lose the least work, and no
+// more than the job can use. For an urgent job or one with a deadline, tasks of less urgent jobs are
+// preempted; for a job within its team's guarantee, tasks that other teams run beyond their guarantees.
 func (s *scheduler) preemptFor(q *queuedJob, round *schedulingRound) {
 	if !s.mayPreempt(q) {
 		return
@@ -57,7 +58,7 @@
 	}
 	needed := q.waitingTasks()
 	if s.isCrashLooping(q) {
-		needed = 1 // the rest of it would only fail
+		needed = 1 // its other tasks are expected to fail, too
 	}
 	needed -= p.tasksWithCapacityPending()
 	for _, set := range p.cheapestSets() {
@@ -71,7 +72,7 @@
 	}
 }
 
-// mayPreempt reports whether tasks of others may be preempted for a job at all.
+// mayPreempt reports whether tasks of other jobs may be preempted for a job at all.
 func (s *scheduler) mayPreempt(q *queuedJob) bool {
 	if s.isUrgent(q) || s.hasDeadlineObjective(q) {
 		return true
@@ -79,10 +80,9 @@
 	return q.withinGuarantee && (s.core.policy.PreemptForGuarantee || len(s.core.bestEffortTeams) > 0)
 }
 
-// tasksWithCapacityPending is for how many of the job's tasks room is on its way.
-//
-// Guards against preempting far more than is needed: what was asked to stop already is room on its
-// way, whichever job that was for.
+// tasksWithCapacityPending returns the number of the job's tasks that will fit once the tasks that were
+// already asked to stop, for whichever job, have stopped. Without counting that capacity, far more tasks
+// would be preempted than needed.
 func (p *preemption) tasksWithCapacityPending() (tasks int) {
 	for i := range p.victims {
 		v := &p.victims[i]
@@ -93,11 +93,12 @@
 	return tasks
 }
 
-// cheapestSets lists sets of victims that each make room for at least one of the job's tasks, the
-// one with the smallest loss for each first.
+// cheapestSets lists sets of victims that each free capacity for at least one of the job's tasks,
+// ordered by the lost work per task gained.
 //
-// Room counts machine by machine: the four smallest losses on four machines made no room for a
-// task of four CPUs, and thousands of tasks were preempted in vain.
+// Each set is on a single machine, because a task needs all its capacity on one machine. When the
+// smallest losses were chosen across machines, the four smallest on four machines did not fit a task of
+// four CPUs, and thousands of tasks were preempted in vain.
 func (p *preemption) cheapestSets() []*preemptionSet {
 	var sets []*preemptionSet
 	for i := range p.victims {
@@ -119,7 +120,7 @@
 	return sets
 }
 
-// isUsable reports whether the job could use a victim's room and may have it.
+// isUsable reports whether the job could run on a victim's machine and may preempt the victim's job.
 func (p *preemption) isUsable(v *victim) bool {
 	m := v.machine
 	return p.mayUse(m.TypeName, m.Zone, m.Spot) &&
@@ -127,7 +128,7 @@
 		p.scheduler.isPreemptible(v.attempt.job, p.job)
 }
 
-// setOf is the set that is being gathered on a victim's machine.
+// setOf returns the set that is being collected on a victim's machine, creating it if necessary.
 func (p *preemption) setOf(v *victim) *preemptionSet {
 	set := p.sets[v.machine]
 	if set == nil {
@@ -137,8 +138,8 @@
 	return set
 }
 
-// addFreed adds the room of a task that is stopped, and takes it up with as many tasks as now fit,
-// which it counts.
+// addFreed adds the capacity of a stopped task and allocates as many of the gained tasks as now fit. It
+// returns their number.
 func (p *preemptionSet) addFreed(stopped, gained *protocol.Job) (tasks int) {
 	for p.Release(stopped); p.Fits(gained); tasks++ {
 		p.Allocate(gained)
@@ -146,7 +147,8 @@
 	return tasks
 }
 
-// findVictims lists what may be preempted in this round, the smallest loss first.
+// findVictims lists the tasks that may be preempted in this round, the smallest loss first. Tasks that
+// were already asked to stop are included.
 func (s *scheduler) findVictims(round *schedulingRound) {
 	for _, machine := range round.machines {
 		if machine.shard.session == 0 {
@@ -164,8 +166,9 @@
 	})
 }
 
-// lostWork is how many CPU seconds a task loses if it is stopped now; not ok if that is too much to
-// ask of it.
+// lostWork returns how many CPU seconds of work a task loses if it is stopped now. ok is false if the
+// task would lose more run time than the policy allows, or if it is not running and not fetching its
+// image either.
 func (s *scheduler) lostWork(attempt *inflightAttempt) (cpuSeconds float64, ok bool) {
 	if attempt.runningSince == 0 {
 		return 0, attempt.machine != "" && attempt.taskState == protocol.TaskFetching
@@ -179,7 +182,7 @@
 	return lost * spec.CPUs, time.Duration(lost*float64(time.Second)) <= maxLost
 }
 
-// preempt asks for a task to be stopped for the sake of a job.
+// preempt requests that a task be stopped to free its capacity for a job.
 func (s *scheduler) preempt(v *victim, q *queuedJob) {
 	reason := "tasks stopped to make room for more urgent work"
 	if v.attempt.job.effectiveUrgency <= q.effectiveUrgency {
@@ -191,8 +194,8 @@
 	v.machine.preemptorUrgency = min(v.attempt.stopUrgency, v.machine.preemptorUrgency)
 }
 
-// requestStop has a shard stop a task. Until it has stopped, work that is less urgent than urgency
-// does not take its room.
+// requestStop has a shard stop a task. Until the task has stopped, tasks less urgent than the given
+// urgency level are not dispatched to its machine.
 func (s *scheduler) requestStop(member *shardView, attempt *inflightAttempt, stop peerproto.StopTask, urgency int) {
 	attempt.stopRequested, attempt.stopUrgency = true, urgency
 	s.stopRequests[stop.Task] = attempt
@@ -214,27 +217,29 @@
 		return false
 	}
 	if victim.effectiveUrgency > preemptor.effectiveUrgency {
-		// Never those that may have its own tasks preempted in turn.
+		// Not if the victim's job could in turn preempt the preemptor's tasks.
 		return (s.isUrgent(preemptor) || s.hasDeadlineObjective(preemptor)) && !s.reclaimsGuarantee(victim, preemptor)
 	}
 	return s.reclaimsGuarantee(preemptor, victim)
 }
 
-// reclaimsGuarantee reports whether a job may have tasks of another team preempted for the sake of
-// its own team's guarantee.
+// reclaimsGuarantee reports whether a job may preempt tasks of another team's job because its own
+// team's guarantee covers it.
 func (s *scheduler) reclaimsGuarantee(q, victim *queuedJob) bool {
 	spec := victim.spec()
 	if !q.withinGuarantee || victim.withinGuarantee || spec.Team == q.spec().Team {
 		return false
 	}
-	// A best-effort task with checkpoints loses little, and was promised nothing.
+	// Even if the policy does not preempt for guarantees, best-effort tasks with checkpoints may be
+	// preempted: they lose little work, and no guarantee covers them.
 	return s.core.policy.PreemptForGuarantee || s.core.bestEffortTeams[spec.Team] && spec.CheckpointS > 0
 }
 
-// isUrgent reports whether a job's tasks should start at once.
+// isUrgent reports whether a job's tasks should start immediately.
 func (s *scheduler) isUrgent(q *queuedJob) bool { return q.effectiveUrgency <= urgencyHigh }
 
-// hasDeadlineObjective reports whether a job has a deadline that its class is held to.
+// hasDeadlineObjective reports whether a job has a deadline and the settings have a deadline objective
+// for its class.
 func (s *scheduler) hasDeadlineObjective(q *queuedJob) bool {
 	spec := q.spec()
 	for _, objective := range s.core.settings.Site.Objectives {
--- a/internal/core/queued_job.go
+++ b/internal/core/queued_job.go
@@ -11,57 +11,58 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// queuedJob is an unfinished job in the leader's queue, and what this leader knows of its tasks.
-// It ends with the leader's term: what must outlive that is in the store.
+// queuedJob is an unfinished job in the leader's queue, with the leader's state of its tasks. It lives
+// only for one term of the leader; everything that must survive the term is in the state service.
 type queuedJob struct {
 	id    string
 	entry *jobEntry
 
 	// Its tasks, by index.
 	inflight     map[int]*inflightAttempt
-	unsavedTasks map[int]bool          // have completed, which is not durable yet
-	stoppedTasks map[int]bool          // were stopped: what is left of them says nothing of their duration
-	retryAt      map[int]time.Duration // failed: no earlier than this
-	firstWaiting int                   // no task with a smaller index waits
+	unsavedTasks map[int]bool          // completed, but not yet stored durably
+	stoppedTasks map[int]bool          // were stopped, so the run time of their next attempt does not show their full duration
+	retryAt      map[int]time.Duration // earliest time of the next attempt after a failure
+	firstWaiting int                   // no task with a smaller index is waiting
 
 	// Its tasks as a whole.
-	unlocated      bool // from before this leader: its tasks may be on machines not seen yet
+	unlocated      bool // it predates this leader's term: its tasks may be on machines not seen yet
 	failures       failureRecord
-	longestRunning time.Duration         // how long one of its tasks has been running, at most
-	durations      estimator.RunningMean // of its own completed tasks that this leader has seen
+	longestRunning time.Duration         // longest time for which one of its tasks has been running so far
+	durations      estimator.RunningMean // of its tasks whose completion this leader has seen
 
 	pendingWrite pendingWrite
-	saveDueAt    time.Duration // when its completed tasks are to be written, 0: they are not
+	saveDueAt    time.Duration // when its completed tasks are to be written, 0: no write is due
 
-	zoneFullSince map[int]time.Duration // since when the tasks of each of its zones have found no room
+	zoneFullSince map[int]time.Duration // by zone index: since when the tasks tied to that zone have found no capacity
 
-	// Its rank, worked out anew in each round.
-	predictedSeconds   float64 // how long a task of it runs
-	effectiveUrgency   int     // its urgency, or that of the most urgent job that depends on it
-	dependentsDeadline float64 // time of day by which it must be done for those to be in time, +Inf for none
-	withinGuarantee    bool    // fits into its team's guarantee, with the team's earlier jobs
-	rankBand           int     // its place in the order: first the band,
-	rankInBand         float64 // then what it has within that, the smallest first
+	// Its rank, computed again in each round.
+	predictedSeconds   float64 // predicted duration of one of its tasks
+	effectiveUrgency   int     // level of its own urgency, or that of the most urgent job that depends on it
+	dependentsDeadline float64 // time of day (seconds) by which it must be done for its dependents to meet their deadlines, +Inf for none
+	withinGuarantee    bool    // it fits into its team's guarantee, together with the team's earlier jobs
+	rankBand           int     // primary sort key, the smallest first
+	rankInBand         float64 // secondary sort key, the smallest first
 
 	// Fair share.
-	boost       fairshare.Boost // of its class, whatever its urgency
-	protected   bool            // its tasks are not preempted: its class is underserved, or it has only just begun
-	startsEarly bool            // its first task goes before its rank
-	reservedAt  time.Duration   // since when quota or machines are reserved for it, 0: they are not
+	boost       fairshare.Boost // the boost of its class, regardless of its urgency
+	protected   bool            // its tasks must not be preempted: its class is underserved, or it has only just begun
+	startsEarly bool            // its first task starts ahead of its ordinary rank
+	reservedAt  time.Duration   // since when quota or machines are reserved for it, 0: nothing is reserved
 
 	// Preemption.
-	stopCount  int // of its tasks that were asked to stop
+	stopCount  int // number of stop requests for its tasks
 	stopReason string
 
 	// Gangs.
-	gangReleased bool          // its tasks were told to start
-	gangHeldAt   time.Duration // when room for its tasks was last asked for
+	gangReleased bool          // the shards were told to start its held tasks
+	gangHeldAt   time.Duration // when capacity for its tasks was last requested
 
-	reason        string            // why it waits, for its owner
-	publishedView peerproto.JobView // what all controllers were last told of it
+	reason        string            // why it waits, as shown to its owner
+	publishedView peerproto.JobView // the view of it that was last sent to the controllers
 }
 
-// pendingWrite is what is being written of a job. While it is, nothing else of the job is written.
+// pendingWrite is the kind of write that is in progress for a job. At most one write per job is in
+// progress at a time.
 type pendingWrite int
 
 const (
@@ -71,10 +72,10 @@
 	pendingProgress
 )
 
-// beginWrite notes that a write of the job has begun; none may be pending.
+// beginWrite records that a write of the job has begun. No other write of the job may be pending.
 func (q *queuedJob) beginWrite(write pendingWrite) { q.pendingWrite = write }
 
-// endWrite notes that what became of the pending write is known, and in the mirror.
+// endWrite records that the outcome of the pending write is known and reflected in the mirror.
 func (q *queuedJob) endWrite() { q.pendingWrite = noPendingWrite }
 
 func newQueuedJob(entry *jobEntry) *queuedJob {
@@ -91,23 +92,25 @@
 	}
 }
 
-// spec is what its owner asked for.
+// spec returns the job's description as submitted by its owner.
 func (q *queuedJob) spec() *protocol.Job { return &q.entry.record.Spec }
 
-// completedTasks counts the tasks that have completed, durably or not.
+// completedTasks returns the number of completed tasks, whether stored durably or not.
 func (q *queuedJob) completedTasks() int { return q.entry.doneCount + len(q.unsavedTasks) }
 
-// waitingTasks counts the tasks that are neither completed nor dispatched.
+// waitingTasks returns the number of tasks that are neither completed nor dispatched.
 func (q *queuedJob) waitingTasks() int {
 	return q.spec().Tasks - q.completedTasks() - len(q.inflight)
 }
 
-// complete reports whether every task has completed, durably or not. A service never is.
+// complete reports whether every task has completed, whether stored durably or not. A service is never
+// complete.
 func (q *queuedJob) complete() bool {
 	return q.spec().Kind != protocol.KindService && q.completedTasks() >= q.spec().Tasks
 }
 
-// nextWaiting is the first task from index on that is neither completed nor dispatched.
+// nextWaiting returns the first task index, starting at index, that is neither completed nor
+// dispatched. It returns at least the number of tasks if there is none.
 func (q *queuedJob) nextWaiting(index int) int {
 	for index < q.spec().Tasks && (q.inflight[index] != nil || q.taskDone(index)) {
 		index++
@@ -115,7 +118,7 @@
 	return index
 }
 
-// taskDone reports whether a task has completed, durably or not.
+// taskDone reports whether a task has completed, whether stored durably or not.
 func (q *queuedJob) taskDone(index int) bool {
 	return q.unsavedTasks[index] || q.entry.isTaskDone(index)
 }
@@ -125,9 +128,10 @@
 	return cmp.Or(cmp.Compare(q.rankBand, other.rankBand), cmp.Compare(q.rankInBand, other.rankInBand))
 }
 
-// ranksBefore reports whether a job takes free room before another one does.
+// ranksBefore reports whether a job is offered free capacity before another one.
 //
-// Guards against preempting tasks whose job then takes the room itself: one within its guarantee
-// ranks before another's job with a deadline, was preempted for that because it was less urgent,
-// and started its next tasks there, once a round for half an hour.
+// A job must not preempt tasks of a job that ranks before it, since that job would take the freed
+// capacity itself. This happened once per round for half an hour: a job within its team's guarantee was
+// preempted for another team's job with a deadline because it was less urgent, but ranked before that
+// job and started its next tasks on the freed capacity.
 func (q *queuedJob) ranksBefore(other *queuedJob) bool { return q.compareRank(other) < 0 }
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -11,23 +11,23 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// usage is what tasks take.
+// usage is a sum of the resources that tasks occupy.
 type usage struct{ cpus, gpus, memoryGB float64 }
 
-// add adds what so many tasks of a job take.
+// add adds the resources of the given number of tasks of a job; a negative number subtracts them.
 func (u *usage) add(spec *protocol.Job, tasks float64) {
 	u.cpus += tasks * spec.CPUs
 	u.gpus += tasks * spec.GPUs
 	u.memoryGB += tasks * spec.MemoryGB
 }
 
-// exceeds reports whether this is more than a team may use. A limit of 0 is none.
+// exceeds reports whether the usage is above a team's limit. A limit of 0 means no limit.
 func (u *usage) exceeds(team *config.Team) bool {
 	return team.CPUsMax > 0 && u.cpus > team.CPUsMax+binpacking.RoundingSlack ||
 		team.GPUsMax > 0 && u.gpus > team.GPUsMax+binpacking.RoundingSlack
 }
 
-// addUsage counts a task that is dispatched in this round.
+// addUsage adds a task that is dispatched in this round to its team's usage.
 func (r *schedulingRound) addUsage(spec *protocol.Job, bestEffort bool) {
 	if used := r.teamUsage[spec.Team]; used != nil {
 		used.add(spec, 1)
@@ -37,8 +37,9 @@
 	}
 }
 
-// computeTeamUsage is what each team's tasks may be taking. Every machine that has not been seen
-// counts as full of the team's tasks.
+// computeTeamUsage returns the resources that each team's tasks may occupy. The unknown part of every
+// machine that has not been seen yet counts as fully occupied by each team, so that no limit can be
+// exceeded by tasks of which this leader does not know.
 func (s *scheduler) computeTeamUsage() map[string]*usage {
 	unseen := s.unseenCapacity()
 	byTeam := map[string]*usage{}
@@ -54,8 +55,8 @@
 	return byTeam
 }
 
-// unseenCapacity is what tasks that this leader does not know may be taking on machines that it has
-// not seen.
+// unseenCapacity returns the resources that tasks unknown to this leader may occupy on machines that it
+// has not seen yet.
 func (s *scheduler) unseenCapacity() usage {
 	var unseen usage
 	for name, view := range s.machines.All() { // every machine of the registry has a view
@@ -64,7 +65,7 @@
 		case view.machineType == nil:
 			unseen.cpus, unseen.gpus = math.Inf(1), math.Inf(1)
 		default:
-			// What its known tasks take is counted already.
+			// The usage of its known tasks is already counted for their teams.
 			unseen.cpus += view.machineType.CPUs - view.used.cpus
 			unseen.gpus += view.machineType.GPUs - view.used.gpus
 		}
@@ -72,8 +73,8 @@
 	return unseen
 }
 
-// markWithinGuarantee marks the jobs that, with their team's earlier unfinished ones, fit into the
-// team's guarantee.
+// markWithinGuarantee marks the jobs that, together with their team's unfinished jobs that have waited
+// longer, fit into the team's guarantee.
 func (s *scheduler) markWithinGuarantee() {
 	byTeam := map[string][]*queuedJob{}
 	for _, q := range s.queue.All() {
@@ -99,9 +100,9 @@
 	}
 }
 
-// overLimitReason says why so many more tasks of a job may not be dispatched: they would take its
-// team past its limit, or the team is best-effort and the others need the room. It is empty if they
-// may.
+// overLimitReason returns the reason for which the given number of tasks of a job may not be dispatched
+// in addition: they would exceed the team's limit, or the team is best-effort and the capacity is kept
+// for the other teams. It is empty if they may be dispatched.
 func (s *scheduler) overLimitReason(spec *protocol.Job, tasks float64, round *schedulingRound) string {
 	team := s.core.team(spec.Team)
 	if team == nil {
@@ -118,7 +119,8 @@
 	return ""
 }
 
-// bestEffortTeams lists the teams that have no guarantee where others have one.
+// bestEffortTeams returns the teams that have no guarantee. If no team has one, it returns nil: no team
+// is best-effort then.
 func bestEffortTeams(teams []config.Team) map[string]bool {
 	bestEffort := map[string]bool{}
 	for i := range teams {
@@ -133,28 +135,29 @@
 }
 
 const (
-	// bestEffortShare is the share of the machines that best-effort teams may use whatever the
-	// others need, so that they do not starve.
+	// bestEffortShare is the share of all CPUs that best-effort teams may use regardless of what the
+	// other teams need, so that best-effort teams do not starve.
 	bestEffortShare = 1.0 / 8
 
-	// inflowHeadroom is the share of the other teams' inflow that is kept free of best-effort
-	// tasks.
+	// inflowHeadroom is the share of the other teams' inflow, in CPUs, that is kept free of
+	// best-effort tasks.
 	inflowHeadroom = 1.0 / 2
 
-	// minInflowCPUs is the least inflow that counts. What is left of an inflow that ended long
-	// ago once kept a gang that needs every machine from starting, for a millionth of a CPU.
+	// minInflowCPUs is the smallest inflow that counts. The inflow decays but never reaches zero: a
+	// remainder of a millionth of a CPU, from work that had ended long before, once kept a gang that
+	// needs every machine from starting.
 	minInflowCPUs = 1
 )
 
-// limitBestEffort works out what best-effort teams may take in a round: what the others' work, as
-// it has been coming in, does not need.
+// limitBestEffort computes how many CPUs best-effort teams may occupy in a round: those that the other
+// teams do not need, judging by the recent inflow of their work.
 //
-// Guards against long best-effort tasks that fill every machine in a quiet moment: with an inflow
-// of 2,600 CPUs of reports they once held 5,000 of 6,000 CPUs for minutes, and a team did not even
-// get its guarantee.
+// Without this limit, long best-effort tasks fill every machine in a quiet moment. With an inflow of
+// 2,600 CPUs of other teams' jobs, they once held 5,000 of 6,000 CPUs for minutes, and a team did
+// not even get its guarantee.
 //
-// The others do not need what is left on machines that were given nothing for long either. Guards
-// against a best-effort team that waits beside idle machines after a burst of the others.
+// Free CPUs of machines to which nothing was dispatched for reservationExpiry are available as well.
+// Otherwise a best-effort team would wait next to idle machines after a burst of the other teams' work.
 func (s *scheduler) limitBestEffort(round *schedulingRound) {
 	var total, idle float64
 	for _, machine := range round.machines {
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -8,29 +8,31 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// What the shards publish to the leader of their machines, and what it lets them know.
+// How the leader handles what the shards publish about their machines, and what it sends back to them.
 
-// progressSavesPerLease paces the writes of which tasks of a job have completed.
+// progressSavesPerLease limits how often a job's progress, the set of its completed tasks, is written:
+// this many times per worker lease.
 const progressSavesPerLease = 4
 
-// shardView is a member and its shard as the leader hears them.
+// shardView is the leader's state of one member, its link and its shard.
 type shardView struct {
 	label, bootID string
-	session       uint64 // of the link, 0: none
+	session       uint64 // of the link to the member, 0: not connected
 	lastHeardAt   time.Duration
-	unreachable   bool // it reports that it reaches no machine
+	unreachable   bool // the member reports that it reaches no machine
 
-	syncedEpoch     uint64          // the epoch of the last full snapshot
-	snapshotTasks   map[string]bool // named by the chunks of a snapshot so far, nil: none is under way
-	snapshotChunk   int             // the last of them
-	snapshotReadSeq uint64          // the last of our messages that the snapshot takes account of
+	syncedEpoch     uint64          // the epoch of its last full snapshot, 0: none on this link in the current epoch
+	snapshotTasks   map[string]bool // tasks named by the chunks received so far, nil: no snapshot is in progress
+	snapshotChunk   int             // number of the last chunk received
+	snapshotReadSeq uint64          // sequence number of the last leader message that the member had read before the snapshot
 
-	messagesSent uint64 // over the session
+	messagesSent uint64 // number of messages sent over the link
 	outbox       peerproto.Message
 	outboxDue    bool
 }
 
-// memberLinkUp begins a link that a member has made; its hello will name the member.
+// memberLinkUp registers a link that a member has opened. The member's label is known only once its
+// hello has arrived.
 func (s *scheduler) memberLinkUp(session uint64) {
 	s.shardLabels[session] = ""
 	if session == loopbackLink {
@@ -38,7 +40,7 @@
 	}
 }
 
-// memberLinkDown ends a member's link.
+// memberLinkDown removes a link that has closed. Its member has to send a new snapshot.
 func (s *scheduler) memberLinkDown(session uint64) {
 	label, ok := s.shardLabels[session]
 	if !ok {
@@ -51,7 +53,7 @@
 	}
 }
 
-// handleHello takes a member's first message over a link, which replaces any earlier link.
+// handleHello handles a member's first message over a link. The new link replaces any earlier one.
 func (s *scheduler) handleHello(session uint64, hello *peerproto.Hello) {
 	s.shardLabels[session] = hello.Label
 	member := s.shards[hello.Label]
@@ -70,28 +72,31 @@
 		view.cordoned = view.cordoned && view.shard != member.label
 	}
 	for _, job := range s.queue.All() {
-		job.publishedView = peerproto.JobView{} // a new listener knows nothing yet
+		job.publishedView = peerproto.JobView{} // the new link's member has no views yet, so all are sent again
 	}
 }
 
-// reportsReachable reports whether a member's link is alive and the member reaches its machines.
+// reportsReachable reports whether a controller's link is alive and it does not report that it reaches
+// no machine.
 func (s *scheduler) reportsReachable(label, bootID string) bool {
 	member := s.shards[label]
 	return member.alive(s.core, bootID) && !member.unreachable
 }
 
-// reportsUnreachable reports whether a controller is heard and says that it reaches no machine.
+// reportsUnreachable reports whether a controller's link is alive and it reports that it reaches no
+// machine.
 func (s *scheduler) reportsUnreachable(label, bootID string) bool {
 	member := s.shards[label]
 	return member.alive(s.core, bootID) && member.unreachable
 }
 
-// alive reports whether the link of this very process of a member was heard lately.
+// alive reports whether the member's link belongs to the process with the given boot ID and has received
+// a message within the peer timeout. The receiver may be nil.
 func (member *shardView) alive(c *Core, bootID string) bool {
 	return member != nil && member.session != 0 && member.bootID == bootID && c.now.Monotonic-member.lastHeardAt < c.peerTimeout()
 }
 
-// handleVote takes a controller's vote in a round of the degraded mode.
+// handleVote handles a controller's vote in a round of the degraded mode.
 func (s *scheduler) handleVote(session uint64, vote *degraded.Vote) {
 	label := s.shardLabels[session]
 	member := s.shards[label]
@@ -102,7 +107,9 @@
 	s.core.degraded.handleVote(label, *vote)
 }
 
-// handleShardMessage takes a message of a member.
+// handleShardMessage handles a message from a member. A hello and a member's reachability are recorded
+// in any case, cancellations while this controller leads. Everything else is ignored unless the message
+// is of the leader's current epoch and belongs to or follows a full snapshot.
 func (s *scheduler) handleShardMessage(session uint64, message *peerproto.Message) {
 	label, ok := s.shardLabels[session]
 	if !ok {
@@ -131,12 +138,13 @@
 		return
 	}
 	if message.Snapshot && !s.applySnapshot(member, message) || member.syncedEpoch != s.epoch && !message.Snapshot {
-		return // the full snapshot is still to come
+		return // wait for a full snapshot from its first chunk on
 	}
 	s.applyChanges(member, message)
 }
 
-// relayCancellations lets all members but one know of jobs that are cancelled.
+// relayCancellations forwards cancelled jobs to all connected members except one, usually the member
+// that reported them, and this controller's own.
 func (s *scheduler) relayCancellations(jobs []string, except string) {
 	for label, member := range s.shards {
 		if label != except && label != s.core.settings.Label && member.session != 0 {
@@ -145,16 +153,16 @@
 	}
 }
 
-// applySnapshot takes a chunk of a shard's full snapshot, and reports whether it is the first
-// or follows the chunk before. Once it has all chunks it compares the snapshot with what was
-// dispatched to the shard: what is neither on one of its machines nor waits there for
-// capacity was lost with an earlier link and will never be read.
+// applySnapshot applies a chunk of a shard's full snapshot. It reports false for a chunk that is not the
+// first and does not follow the last one received. After the last chunk, the snapshot is compared with
+// the dispatches to the shard: a task that is neither on one of the shard's machines nor waits in the
+// shard for capacity was lost with an earlier link, and the shard will never read its dispatch.
 //
-// Guards against taking a dispatch for lost that is still on its way: a snapshot made before
-// the shard had read it once had hundreds of tasks started twice.
+// A dispatch that the shard had not yet read when it made the snapshot must not count as lost. This
+// once caused hundreds of tasks to be started twice.
 func (s *scheduler) applySnapshot(member *shardView, message *peerproto.Message) bool {
 	if message.Chunk > 0 && (member.snapshotTasks == nil || message.Chunk != member.snapshotChunk+1) {
-		return false // its first chunks came before we were in this epoch: it is asked again
+		return false // the first chunks arrived before this leader entered the epoch; a new snapshot is requested on entering
 	}
 	member.snapshotChunk = message.Chunk
 	if message.Chunk == 0 {
@@ -174,7 +182,8 @@
 	return true
 }
 
-// beginSnapshot prepares for the chunks of a full snapshot.
+// beginSnapshot prepares for the chunks of a full snapshot: the member's machines count as unlisted until
+// a chunk lists them.
 func (s *scheduler) beginSnapshot(member *shardView, message *peerproto.Message) {
 	member.snapshotTasks, member.snapshotReadSeq = map[string]bool{}, message.ReadSeq
 	for _, view := range s.machines.All() {
@@ -184,7 +193,8 @@
 	}
 }
 
-// endSnapshot drops the dispatches that a full snapshot shows to be lost.
+// endSnapshot drops the dispatches that a complete snapshot shows to be lost, and marks the member as
+// synced.
 func (s *scheduler) endSnapshot(member *shardView) {
 	for _, task := range sortedKeys(s.unplacedAttempts) {
 		attempt := s.unplacedAttempts[task]
@@ -197,10 +207,11 @@
 	}
 	member.snapshotTasks = nil
 	member.syncedEpoch = s.epoch
-	s.lastScheduling = 0 // its machines are waiting for work
+	s.lastScheduling = 0 // run a scheduling round now, as tasks can be dispatched to its machines
 }
 
-// applyChanges takes what a message says of a shard's machines, full snapshot or not.
+// applyChanges applies the changes in a message: released machines, machine states and returned tasks.
+// This holds for a delta as well as for a chunk of a full snapshot.
 func (s *scheduler) applyChanges(member *shardView, message *peerproto.Message) {
 	for _, name := range message.Released {
 		if view := s.machines.Get(name); view != nil && view.shard == member.label {
@@ -219,18 +230,18 @@
 	s.resolveUnlocated()
 }
 
-// applyMachineState takes a shard's state of one machine.
+// applyMachineState applies the state of one machine as published by its shard.
 func (s *scheduler) applyMachineState(member *shardView, state *peerproto.MachineState) {
 	if s.core.fleet.wasDeleted(state.Name) {
-		return // the shard has yet to hear of it
+		return // the shard has not learned of the deletion yet
 	}
 	view := s.ensureMachine(state.Name)
 	view.listedEpoch = s.epoch
 	if state.Partial {
 		s.completePartial(member, view, state)
 	}
-	// Only now: a partial state names no type, and a machine that was first published before
-	// the types were known got no work for ever.
+	// This must follow completePartial, because a partial state does not name the type. Otherwise a
+	// machine that was first published before the types were known would never be given tasks.
 	if view.machineType == nil {
 		view.machineType = s.core.machineTypes()[state.Type]
 	}
@@ -255,18 +266,19 @@
 	}
 }
 
-// completePartial fills in what a partial state leaves out because it never changes.
+// completePartial fills in the fields that a partial state omits because they never change.
 func (s *scheduler) completePartial(member *shardView, view *machineView, state *peerproto.MachineState) {
 	known := &view.state
 	state.Addr, state.Type, state.Zone, state.Spot = known.Addr, known.Type, known.Zone, known.Spot
 	if state.Type == "" {
-		// We have no full state of the machine, and would never be sent one again: it would
-		// be up and get no work for ever.
+		// This leader has no full state of the machine, and without a request the shard would not
+		// send it again: the machine would be up but never be given tasks.
 		member.outbox.Resync, member.outboxDue = true, true
 	}
 }
 
-// applyImages takes which images a machine has, if the state tells.
+// applyImages updates the images cached on a machine. A partial state without images leaves them
+// unchanged.
 func (s *scheduler) applyImages(view *machineView, state *peerproto.MachineState) {
 	if state.Images == nil && state.Partial {
 		return
@@ -277,15 +289,15 @@
 	}
 }
 
-// machineCameUp notes that a machine is up for the first time.
+// machineCameUp handles a machine that accepts tasks for the first time.
 func (s *scheduler) machineCameUp(view *machineView, typeName string) {
 	view.upSince = s.core.now.Monotonic
 	delete(s.core.fleet.failedBoots, typeName)
 	view.emptySince = s.core.now.Monotonic
 }
 
-// releaseUnlisted takes back the claims of a machine, whose list is complete, on tasks that
-// it no longer has.
+// releaseUnlisted releases a machine's claims on tasks that it no longer has. The machine's task list
+// must be complete.
 func (s *scheduler) releaseUnlisted(view *machineView, state *peerproto.MachineState) {
 	if state.Partial {
 		for _, task := range state.RemovedTasks {
@@ -308,7 +320,7 @@
 	}
 }
 
-// applyTaskState takes the state of one task on a machine.
+// applyTaskState applies the state of one task on a machine.
 func (s *scheduler) applyTaskState(member *shardView, view *machineView, machine *peerproto.MachineState, task *peerproto.TaskState) {
 	jobID, taskIndex, err := protocol.ParseTaskName(task.Task)
 	if err != nil {
@@ -316,8 +328,8 @@
 	}
 	job := s.core.records.acceptedJob(jobID)
 	if job == nil {
-		// The shard's mirror is ahead of ours. It publishes a task once, so it must be
-		// asked again.
+		// The shard's mirror is ahead of this leader's. The shard publishes a task only once, so
+		// it must be asked for a new snapshot.
 		member.outbox.Resync, member.outboxDue = true, true
 		return
 	}
@@ -333,9 +345,9 @@
 			return
 		}
 	}
-	// Whatever lists a task holds it, even if another machine is thought to have it: an old
-	// list of a dead machine once hid the machine that really ran it, and the task was
-	// started again when the dead one was deleted.
+	// Every machine that lists a task claims it, even if the task is believed to be on another
+	// machine. An outdated list of a dead machine once hid the machine that actually ran the task, and
+	// the task was started again when the dead machine was deleted.
 	attempt.claimants[machine.Name] = true
 	view.claim(task.Task, attempt, s.core.now.Monotonic)
 	if attempt.number != task.Attempt && !s.supersedes(machine, attempt) {
@@ -349,8 +361,8 @@
 	}
 }
 
-// discoverAttempt begins to keep an attempt that a machine lists and this leader did not know.
-// It returns nil for a job that is neither queued nor over.
+// discoverAttempt starts tracking an attempt that a machine lists but that this leader did not know. It
+// returns nil if the job is unfinished but not in the queue.
 func (s *scheduler) discoverAttempt(job *jobEntry, taskIndex int, task *peerproto.TaskState) *inflightAttempt {
 	jobID := job.record.Spec.ID
 	queued := s.queue.Get(jobID)
@@ -366,8 +378,9 @@
 	return attempt
 }
 
-// supersedes reports whether a machine's list counts for more than what is known of an attempt,
-// although it names another number of it.
+// supersedes reports whether a machine's list of a task replaces what is known of an attempt of it,
+// although the list names a different attempt number. It does so if the list is complete, the attempt
+// is not awaiting placement, and no other machine with a complete list is believed to have it.
 func (s *scheduler) supersedes(machine *peerproto.MachineState, attempt *inflightAttempt) bool {
 	if attempt.location == locationDispatched || !machine.TasksComplete {
 		return false
@@ -376,14 +389,14 @@
 	return other == nil || !other.state.TasksComplete || attempt.machine == machine.Name
 }
 
-// recordStartLatency notes how long a job has waited for a task that is now running.
+// recordStartLatency records how long a job had waited when one of its tasks began to run.
 func (s *scheduler) recordStartLatency(job *jobEntry) {
 	millis := int64((s.core.now.Wall - job.waitingSince()) * 1000)
 	latencies := s.startLatencies[urgencyLevel(job.record.Spec.Urgency)]
-	_ = latencies.RecordValue(min(max(millis, 1), maxStartLatencyMillis)) // within bounds
+	_ = latencies.RecordValue(min(max(millis, 1), maxStartLatencyMillis)) // the only error is a value out of range, which the bounds exclude
 }
 
-// taskExited takes a task that has ended on its machine.
+// taskExited handles a task that has ended on its machine, unless its job is already finished.
 func (s *scheduler) taskExited(view *machineView, job *jobEntry, taskIndex int, task *peerproto.TaskState, attempt *inflightAttempt) {
 	queued := s.queue.Get(job.record.Spec.ID)
 	if queued == nil || job.isFinal() {
@@ -398,7 +411,7 @@
 	case protocol.ExitStopped:
 		queued.stoppedTasks[taskIndex] = true
 	case protocol.ExitFailed:
-		// Not if this is what remains of an earlier attempt.
+		// An earlier attempt of the task may still be listed; its failure is not counted.
 		if attempt != nil && attempt.number == task.Attempt {
 			s.taskFailed(view, queued, taskIndex)
 		}
@@ -408,7 +421,8 @@
 	}
 }
 
-// taskCompleted takes a task that has completed and has yet to be made durable.
+// taskCompleted handles a completed task: it schedules the write that makes the completion durable and
+// updates the duration estimate and the machine's failure record.
 func (s *scheduler) taskCompleted(view *machineView, job *queuedJob, taskIndex int, task *peerproto.TaskState) {
 	job.unsavedTasks[taskIndex] = true
 	s.unsavedJobs[job.id] = job
@@ -422,7 +436,8 @@
 	view.failedJobs = map[string]bool{}
 }
 
-// publishJobViews lets every node know what to tell users of the jobs that have changed.
+// publishJobViews sends every connected controller the views of the jobs that have changed, from which
+// the controllers respond to users.
 func (s *scheduler) publishJobViews() {
 	var views []peerproto.JobView
 	for _, job := range s.queue.All() {
@@ -435,12 +450,13 @@
 	for _, member := range s.shards {
 		if member.session != 0 {
 			member.outbox.Views = append(member.outbox.Views, views...)
-			member.outboxDue = true // also tells the shard that its leader lives
+			member.outboxDue = true // also sent without views, to confirm that the leader is alive
 		}
 	}
 }
 
-// jobView is what users are told of a job. It notes how long its longest task has run.
+// jobView returns the part of a job's status that only the leader knows. As a side effect it updates the
+// job's longestRunning.
 func (s *scheduler) jobView(job *queuedJob) peerproto.JobView {
 	view := peerproto.JobView{Job: job.id, Reason: job.reason}
 	job.longestRunning = 0
