--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -16,7 +16,7 @@
 	canary    bool // the job is unproven, so only one of its tasks is tried at a time
 
 	machines    []*candidateMachine // with capacity for its tasks, in the order in which they are filled
-	nextMachine int                 // index into machines; those before it have no capacity for the tasks or are avoided by the job
+	nextMachine int                 // index into machines: those before it lack capacity or are avoided
 	// avoidedMachineFits is set if a machine before nextMachine has capacity for the tasks but the job
 	// avoids it.
 	avoidedMachineFits bool
@@ -162,7 +162,8 @@
 // idle.
 func (d *jobDispatch) findMachine(index int) (machine *candidateMachine, onlyAvoidedFit bool) {
 	if d.spec.Spread {
-		d.nextMachine, d.avoidedMachineFits = 0, false // its tasks are tied to different zones, so each may fit on other machines
+		// Its tasks are tied to different zones, so each may fit on other machines.
+		d.nextMachine, d.avoidedMachineFits = 0, false
 	}
 	// All tasks of any other job need the same resources, and capacity only shrinks within a round:
 	// a machine without capacity for one task has none for the next.
@@ -204,7 +205,8 @@
 }
 
 // handleNoCapacity sets the job's reason after a task found no capacity. If the job is entitled to it,
-// tasks of other jobs are preempted or machines are reserved for the task.
+// tasks of other jobs are preempted or machines are reserved for the task. If the task's zone stays full
+// for long enough, reassignZone ties the zone's tasks to another zone.
 func (d *jobDispatch) handleNoCapacity(index int) {
 	q, s := d.job, d.scheduler
 	s.reassignZone(q, index)
@@ -214,7 +216,8 @@
 	if q.stopCount > 0 {
 		q.reason = q.stopReason + "; " + q.reason
 	}
-	if !q.startsEarly { // a first task that starts ahead of its job's rank waits for free capacity and preempts nothing
+	// A first task that starts ahead of its job's rank waits for free capacity and preempts nothing.
+	if !q.startsEarly {
 		s.preemptFor(q, d.round)
 	}
 	if d.dispatched == 0 {
--- a/internal/core/feasible.go
+++ b/internal/core/feasible.go
@@ -63,11 +63,13 @@
 }
 
 // reservedForPreemptor reports whether a task of the given shape must not use this machine because
-// tasks are being stopped here for a more urgent job.
+// tasks are being stopped here for another job, and the task is best-effort or less urgent than that
+// job.
 //
-// Otherwise small tasks would gradually take the capacity for which others were preempted. Further
-// tasks of a best-effort team did so. Tasks of two less urgent jobs were also preempted in turn on the
-// only machine that an urgent job could use, once per round for half an hour.
+// Otherwise small tasks would gradually take the capacity for which others were preempted. This
+// happened with further tasks of a best-effort team, and with the tasks of two less urgent jobs, which
+// were preempted in turn on the only machine that an urgent job could use, once per round for half an
+// hour.
 func (m *candidateMachine) reservedForPreemptor(shape taskShape) bool {
 	return m.preempting && (shape.bestEffort || shape.urgency > m.preemptorUrgency)
 }
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -5,9 +5,9 @@
 // attemptLocation says where an attempt may be, apart from the machines that claim it.
 //
 // An attempt begins as locationDispatched, or as locationClaimed if a machine lists it before this
-// leader knows of it. It becomes locationClaimed when a machine lists it or its shard returns it. If a
-// new epoch begins while it is locationDispatched, it becomes locationUnknown until every machine has
-// been seen.
+// leader knows of it. It becomes locationClaimed when a machine lists it, when its shard returns it, or
+// when a snapshot shows that the shard never received it. If a new epoch begins while it is
+// locationDispatched, it becomes locationUnknown until every machine has been seen.
 type attemptLocation int
 
 const (
@@ -38,7 +38,7 @@
 	dispatchSession uint64 // the session of the link used
 	dispatchSeq     uint64 // sequence number of the message on that link
 	plannedMachine  string // the machine on which the scheduling round allocated capacity for it
-	recordVersion   uint64 // version of the job's record on which the dispatch is based, 0: it does not depend on it
+	recordVersion   uint64 // of the job's record on which the dispatch is based, 0: none
 
 	// Preemption.
 	stopRequested bool
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -139,7 +139,8 @@
 }
 
 // placeAssigned finds machines for the attempts that the leader has dispatched to this shard. It does
-// nothing if capacity has not changed and the next periodic placement is not due.
+// nothing unless something may fit that did not fit before (placementDue) or the next periodic
+// placement is due.
 func (s *shard) placeAssigned() {
 	now := s.core.now.Monotonic
 	if len(s.unplaced) == 0 || !s.placementDue && now < s.nextPlacementAt {
--- a/internal/core/queued_job.go
+++ b/internal/core/queued_job.go
@@ -20,8 +20,8 @@
 	// Its tasks, by index.
 	inflight     map[int]*inflightAttempt
 	unsavedTasks map[int]bool          // completed, but not yet stored durably
-	stoppedTasks map[int]bool          // were stopped, so the run time of their next attempt does not show their full duration
-	retryAt      map[int]time.Duration // earliest time of the next attempt after a failure
+	stoppedTasks map[int]bool          // were stopped: the next run time is not their full duration
+	retryAt      map[int]time.Duration // earliest time at which a task is tried again
 	firstWaiting int                   // no task with a smaller index is waiting
 
 	// Its tasks as a whole.
@@ -38,7 +38,7 @@
 	// Its rank, computed again in each round.
 	predictedSeconds   float64 // predicted duration of one of its tasks
 	effectiveUrgency   int     // level of its own urgency, or that of the most urgent job that depends on it
-	dependentsDeadline float64 // time of day (seconds) by which it must be done for its dependents to meet their deadlines, +Inf for none
+	dependentsDeadline float64 // time of day (seconds) by which its dependents need it done, +Inf: none
 	withinGuarantee    bool    // it fits into its team's guarantee, together with the team's earlier jobs
 	rankBand           int     // primary sort key, the smallest first
 	rankInBand         float64 // secondary sort key, the smallest first
@@ -54,7 +54,7 @@
 	stopReason string
 
 	// Gangs.
-	gangReleased bool          // the shards were told to start its held tasks
+	gangReleased bool          // the shards were instructed to start its held tasks
 	gangHeldAt   time.Duration // when capacity for its tasks was last requested
 
 	reason        string            // why it waits, as shown to its owner
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -138,7 +138,8 @@
 	}
 }
 
-// enqueue adds a job to the queue.
+// enqueue adds a job to the queue and registers it with the estimator. The autoscaler counts it into its
+// inflow only if no earlier leader can have dispatched it.
 func (s *scheduler) enqueue(id string, entry *jobEntry) {
 	q := newQueuedJob(entry)
 	q.unlocated = entry.version <= s.electionRevision && !entry.readyThisTerm
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -24,7 +24,7 @@
 	syncedEpoch     uint64          // the epoch of its last full snapshot, 0: none on this link in the current epoch
 	snapshotTasks   map[string]bool // tasks named by the chunks received so far, nil: no snapshot is in progress
 	snapshotChunk   int             // number of the last chunk received
-	snapshotReadSeq uint64          // sequence number of the last leader message that the member had read before the snapshot
+	snapshotReadSeq uint64          // sequence number of the last leader message read before the snapshot
 
 	messagesSent uint64 // number of messages sent over the link
 	outbox       peerproto.Message
@@ -162,7 +162,9 @@
 // once caused hundreds of tasks to be started twice.
 func (s *scheduler) applySnapshot(member *shardView, message *peerproto.Message) bool {
 	if message.Chunk > 0 && (member.snapshotTasks == nil || message.Chunk != member.snapshotChunk+1) {
-		return false // the first chunks arrived before this leader entered the epoch; a new snapshot is requested on entering
+		// The first chunks arrived before this leader entered the epoch. It requests a new snapshot
+		// when it enters.
+		return false
 	}
 	member.snapshotChunk = message.Chunk
 	if message.Chunk == 0 {
@@ -393,7 +395,7 @@
 func (s *scheduler) recordStartLatency(job *jobEntry) {
 	millis := int64((s.core.now.Wall - job.waitingSince()) * 1000)
 	latencies := s.startLatencies[urgencyLevel(job.record.Spec.Urgency)]
-	_ = latencies.RecordValue(min(max(millis, 1), maxStartLatencyMillis)) // the only error is a value out of range, which the bounds exclude
+	_ = latencies.RecordValue(min(max(millis, 1), maxStartLatencyMillis)) // fails only for values out of range
 }
 
 // taskExited handles a task that has ended on its machine, unless its job is already finished.
