--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -125,7 +125,7 @@
 		if view.machineType == nil {
 			view.machineType = s.core.machineTypes()[view.state.Type]
 		}
-		s.quarantineIfFaulty(view) // jobs that failed here may since have run successfully elsewhere
+		s.quarantineIfUnhealthy(view) // jobs that failed here may since have run successfully elsewhere
 		if s.isTerminated(name, view) {
 			for _, task := range sortedKeys(view.attempts) {
 				s.releaseClaim(task, view.attempts[task], view)
