--- a/internal/core/acceptance.go
+++ b/internal/core/acceptance.go
@@ -46,7 +46,7 @@
 // their names, so an earlier acceptance may come after a later one.
 func (r *storedRecords) applyBatchedJob(record *records.Job, dependent bool, version uint64) {
 	id := record.Spec.ID
-	if _, over := r.archive.jobs[id]; over {
+	if _, ended := r.archive.jobs[id]; ended {
 		return
 	}
 	j := r.entry(id)
--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -58,7 +58,7 @@
 	if h.first.Spec.ID == "" {
 		h.first = record
 	}
-	prefix := map[bool]string{false: keyBatch, true: keyDependentBatch}[dependent]
+	prefix := map[bool]string{false: keyAdmissionBatch, true: keyDependentBatch}[dependent]
 	if alone && rapid.Bool().Draw(t, "in chunks") {
 		nonce := fmt.Sprint("n-", h.revision)
 		h.put(chunkKey(acceptedTwiceID, nonce, 0), records.Chunk{Text: packRecord(record)})
--- a/internal/core/archive.go
+++ b/internal/core/archive.go
@@ -45,7 +45,7 @@
 // add takes the record of a job that is over. It may come again, in a newer version.
 func (a *jobArchive) add(record *records.Job, version uint64) {
 	spec, done := &record.Spec, record.State == protocol.JobDone
-	if former, known := a.jobs[spec.ID]; done && (!known || !former.done) {
+	if previous, known := a.jobs[spec.ID]; done && (!known || !previous.done) {
 		a.served.RecordCompleted(fairshare.Account{Team: spec.Team, Class: spec.Class}, record.SubmittedAt, &a.rules)
 	}
 	a.jobs[spec.ID] = archivedJob{
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -49,8 +49,8 @@
 	}
 	e.savedVersion, e.saving, e.savedAt = e.Version(), true, c.now.Monotonic
 	// A write that is carried out late must not take the place of a newer one.
-	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyEstimate)}
-	ops := []protocol.Operation{{Put: keyEstimate, Value: e.Record(c.maxValueBytes())}}
+	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyEstimates)}
+	ops := []protocol.Operation{{Put: keyEstimates, Value: e.Record(c.maxValueBytes())}}
 	c.commit(guards, ops, func(result CommitResult) {
 		e.saving = false
 		if result.Outcome != Committed {
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -72,21 +72,21 @@
 
 // replyJob answers with a job as the mirror and the leader's view of it have it.
 func (q *jobQueries) replyJob(id RequestID, j *jobEntry) {
-	answer := protocol.JobResponse{ID: j.record.Spec.ID, State: j.record.State, Done: j.doneCount, Reason: j.record.StopReason}
+	response := protocol.JobResponse{ID: j.record.Spec.ID, State: j.record.State, Done: j.doneCount, Reason: j.record.StopReason}
 	if !j.isFinal() {
-		answer.Running = j.leaderView.Running
-		answer.Reason = j.leaderView.Reason
-		if q.core.records.dependencies.IsWaiting(answer.ID) {
-			answer.Reason = q.core.records.dependencyReason(answer.ID)
+		response.Running = j.leaderView.Running
+		response.Reason = j.leaderView.Reason
+		if q.core.records.dependencies.IsWaiting(response.ID) {
+			response.Reason = q.core.records.dependencyReason(response.ID)
 		}
-		if answer.Running > 0 {
-			answer.State = protocol.JobRunning
+		if response.Running > 0 {
+			response.State = protocol.JobRunning
 		}
-		if answer.Reason == "" && answer.Running == 0 {
-			answer.Reason = "waits for the scheduler's next round"
+		if response.Reason == "" && response.Running == 0 {
+			response.Reason = "waits for the scheduler's next round"
 		}
 	}
-	q.core.emit(Reply{ID: id, Status: ReplyOK, Body: answer})
+	q.core.emit(Reply{ID: id, Status: ReplyOK, Body: response})
 }
 
 // retryAfter is when a user whose request could not be decided is asked to come again.
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -146,7 +146,7 @@
 	if !s.isZoneFullForLong(q, index) {
 		return
 	}
-	if c.records.olderController() != "" || protocol.JSONSize(q.entry.record) > c.maxValueBytes()-batchOverhead {
+	if c.records.olderController() != "" || protocol.JSONSize(q.entry.record) > c.maxValueBytes()-batchOverheadBytes {
 		return
 	}
 	former := q.entry.record.Zones[index]
