--- a/internal/core/acceptance.go
+++ b/internal/core/acceptance.go
@@ -7,26 +7,26 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// acceptance tells which of a job's stored records accepted it. Two nodes may accept one
-// submission, in two batches, or in a batch and then with the job's own key, since neither write
-// is guarded by the other. The first of them counts, on every node; a later one is void. What a
-// later record of the job's own key says (see records.Job.IsAcceptance) rests on the first one,
-// so it counts whatever was stored before.
+// acceptance records which of a job's stored records accepted it. Two controllers may accept one
+// submission, in two batches, or in a batch and then under the job's own key, because neither write
+// is guarded by the other. On every controller the first acceptance counts and later ones are void.
+// A record under the job's own key that is no acceptance (see records.Job.IsAcceptance) is a change
+// that was derived from the first acceptance, so it always counts.
 type acceptance struct {
-	version    uint64 // of the record that counts, 0: the job's own key has been changed since
-	ownKeyVoid bool   // the job's own key holds a later acceptance, which does not count
+	version    uint64 // of the acceptance that counts; 0 if a later change of the job's own key replaced it
+	ownKeyVoid bool   // the job's own key holds a later acceptance, which is void
 }
 
-// isAcceptedBefore reports whether an accepting record of a version comes after the one that
-// counts, so that it is void.
+// isAcceptedBefore reports whether the job was accepted before the given version, so that an
+// acceptance of that version is void.
 func (j *jobEntry) isAcceptedBefore(version uint64) bool {
 	return j.version > 0 && j.acceptance.version < version
 }
 
-// hasOwnRecord reports whether the job's own key holds the record that counts.
+// hasOwnRecord reports whether the record that counts is the one under the job's own key.
 func (j *jobEntry) hasOwnRecord() bool { return j.recordVersion > 0 && !j.acceptance.ownKeyVoid }
 
-// applyBatch takes a key that holds several jobs.
+// applyBatch applies a stored admission batch.
 func (r *storedRecords) applyBatch(key string, value protocol.Raw, version uint64) error {
 	var record records.AdmissionBatch
 	if err := protocol.Decode(value, &record); err != nil {
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// applyBatchedJob takes what a batch says of one of its jobs. Batches are loaded in the order of
-// their names, so an earlier acceptance may come after a later one.
+// applyBatchedJob applies the record of one job in a batch. A load reads batches in the order of
+// their keys, so an earlier acceptance may be read after a later one, and then replaces it.
 func (r *storedRecords) applyBatchedJob(record *records.Job, dependent bool, version uint64) {
 	id := record.Spec.ID
 	if _, ended := r.archive.jobs[id]; ended {
@@ -60,13 +60,12 @@
 		j.dependent = dependent
 	}
 	r.jobUpdated(j)
-	if j.isFinal() { // an older version accepts the dependent of a cancelled job like that
+	if j.isFinal() { // older versions accept a job with a cancelled dependency as already cancelled
 		r.derivedAborts[id] = true
 		r.archiveJob(j)
 	}
 }
 
-// logVoidAcceptance says that a job was accepted once more by a later record.
 func (r *storedRecords) logVoidAcceptance(j *jobEntry, version uint64) {
 	r.core.logDebug("job accepted twice: the first record counts",
 		"job", j.record.Spec.ID, "first", j.acceptance.version, "void", version)
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -7,11 +7,11 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// admission accepts users' jobs. A submission is an idempotent request: whoever repeats one, at
-// any controller, is told of the job that was accepted first.
+// admission accepts users' jobs. A submission is idempotent: if it is repeated, at any controller,
+// the response describes the job that was accepted first.
 //
-// A job is accepted once its record is durable: as a key of its own, as part of an admission
-// batch, or as chunks that its own key names.
+// A job is accepted once its record is durable. The record is stored under a key of the job's own,
+// in an admission batch together with other jobs, or in chunks that the job's own key refers to.
 type admission struct {
 	core    *Core
 	batches *admissionBatches
@@ -22,15 +22,15 @@
 	return &admission{core: c, batches: &admissionBatches{core: c}, chunked: &chunkedRecords{core: c}}
 }
 
-// submission is a job that its user asks to accept.
+// submission is a job that a user has submitted and that is not stored yet.
 type submission struct {
 	requestID         RequestID
 	record            records.Job
-	namesDependencies bool // its user named jobs that it needs, even if all of those are over
-	jsonSize          int  // of the record, as text
+	namesDependencies bool // the user named dependencies, even if all of them are done already
+	jsonSize          int  // of the record, in bytes of JSON, as the store counts its limits
 }
 
-// Reasons of a refusal that asks the user to come again.
+// Reasons given in 503 responses, after which the user is to repeat the request.
 const (
 	reasonStoreBusy     = "the state service is busy"
 	reasonStoreDown     = "the state service does not answer"
@@ -38,7 +38,7 @@
 	reasonRecordPending = "its description is long and is being stored: repeat this in a moment"
 )
 
-// submit decides on a user's job.
+// submit accepts or rejects a user's job, or asks the user to repeat the request.
 func (a *admission) submit(id RequestID, spec protocol.Job) {
 	c := a.core
 	if c.records.acceptedJob(spec.ID) != nil {
@@ -61,9 +61,11 @@
 	a.admit(submission{requestID: id, record: record})
 }
 
-// reject answers that a job can never run, once no node can have accepted one of its name.
+// reject responds that a job can never run, after a read barrier has shown that no controller has
+// accepted a job with this id.
 //
-// Guards against a refusal of what another node has accepted, by a mirror that is older.
+// Without the barrier a controller whose mirror is stale could reject a job that another controller
+// has accepted.
 func (a *admission) reject(id RequestID, jobID, reason string) {
 	c := a.core
 	c.mirror.Barrier(func(ok bool) {
@@ -78,7 +80,8 @@
 	})
 }
 
-// admit writes a submission that is to be accepted.
+// admit stores a submission that has passed all checks: in chunks if it is too large for one value,
+// under its own key if a write token is left, and otherwise with the next batch.
 func (a *admission) admit(s submission) {
 	s.jsonSize = protocol.JSONSize(s.record)
 	if s.jsonSize > a.core.maxValueBytes()-batchOverheadBytes {
@@ -92,7 +95,7 @@
 	a.writeIndividually(s)
 }
 
-// writeIndividually writes a submission as a key of its own.
+// writeIndividually writes a submission under the job's own key.
 func (a *admission) writeIndividually(s submission) {
 	c, jobID := a.core, s.record.Spec.ID
 	key := (&jobEntry{record: s.record, dependent: len(s.record.Spec.Dependencies) > 0}).recordKey()
@@ -101,28 +104,30 @@
 		case Committed:
 			a.replyCommitted(&s, result.Answer.Revision)
 		case CommitConflict:
-			c.queries.replyCurrent(s.requestID, jobID) // another node was first, or an earlier try of ours
+			// Another controller, or an earlier request to this one, has accepted the job.
+			c.queries.replyCurrent(s.requestID, jobID)
 		case CommitUnknown:
-			// The transaction may have been applied, or may be later. If it has
-			// been, say so; if not, 503 promises nothing either way.
+			// The transaction may have been applied already, or may be applied later. If
+			// the mirror has the job after a barrier, the response says so. Otherwise it is
+			// a 503, which leaves open whether the job is accepted.
 			c.queries.replyAfterCommit(s.requestID, jobID, unknownRevision)
 		case CommitThrottled:
 			a.batches.writeTokens = 0
-			a.batches.enqueue(s) // once more, with others
+			a.batches.enqueue(s) // tries again together with other submissions
 		default:
 			c.queries.replyRetry(s.requestID, reasonStoreBusy)
 		}
 	})
 }
 
-// replyCommitted answers a submission whose record was written at a revision.
+// replyCommitted responds to a submission whose record was written at the given revision.
 //
-// The write may have come second, after a batch of another node (see acceptance). Of a job that
-// names no others nothing can have been said that contradicts "queued": it is over only with a
-// record of its own key, and the write is guarded by that key's absence. A dependent is over as soon
-// as one that it needs is cancelled, without a record of its own, so its first acceptance may have
-// been answered with "aborted" before this one was written. It is answered from the mirror, once
-// that has everything up to here.
+// Another controller may have accepted the same job earlier, in a batch (see acceptance). For a job
+// that names no dependencies "queued" is still correct: such a job ends only when a final record is
+// written to its own key, and this write was guarded by the absence of that key. A job with
+// dependencies ends as soon as one of them is cancelled, without a record of its own, so the
+// response to its first acceptance may have been "aborted" before this write. The response to such
+// a job therefore comes from the mirror, after a read barrier.
 func (a *admission) replyCommitted(s *submission, revision uint64) {
 	if s.namesDependencies {
 		a.core.queries.replyAfterCommit(s.requestID, s.record.Spec.ID, revision)
@@ -131,25 +136,27 @@
 	}
 }
 
-// guardsPerJob is how many notAcceptedGuards a job has.
+// guardsPerJob is the number of guards that notAcceptedGuards returns.
 const guardsPerJob = 2
 
-// notAcceptedGuards hold as long as the job has no key of its own, below either prefix: it depends
-// on the submission, and on which of the jobs that it names are over, below which it is kept.
+// notAcceptedGuards returns guards that hold as long as the job has no key of its own under either
+// prefix. Which prefix a controller uses depends on the submission and on which of the named
+// dependencies are done at that moment, so two controllers may choose differently.
 //
-// Guards against two keys of one job, whose changes would not exclude each other.
+// With a guard on one prefix only, a job could get two keys, and changes to one key would not
+// conflict with changes to the other.
 func notAcceptedGuards(id string) []protocol.Guard {
 	return []protocol.Guard{{Key: keyJob + id}, {Key: keyDependentJob + id}}
 }
 
-// infeasibleReason says why a job can never run, empty if it may.
+// infeasibleReason returns the reason why a job can never run, or "" if it can.
 func (a *admission) infeasibleReason(spec *protocol.Job) string {
 	team := a.core.team(spec.Team)
 	if team == nil {
 		if len(a.core.settings.Site.Teams) > 0 {
 			return "unknown team " + spec.Team
 		}
-		team = &config.Team{} // a site that names no team limits none
+		team = &config.Team{} // a site that configures no teams limits none
 	}
 	zones := a.feasibleZones(spec)
 	if len(zones) == 0 {
@@ -164,7 +171,8 @@
 	return ""
 }
 
-// feasibleZones are the zones of the machine types on which a job's tasks could run.
+// feasibleZones returns the zones in which a machine type exists that a job's tasks fit on and may
+// use.
 func (a *admission) feasibleZones(spec *protocol.Job) map[string]bool {
 	zones := map[string]bool{}
 	for _, machineType := range a.core.records.machineTypes {
@@ -180,8 +188,8 @@
 	return zones
 }
 
-// exceedsLimit reports whether the tasks of a job that must run at the same time need more than
-// their team may use at all: those of an array may run one by one.
+// exceedsLimit reports whether the tasks of a job that must run at the same time need more than the
+// team's quota. Tasks of an array may run one by one, so only one of them counts.
 func exceedsLimit(team *config.Team, spec *protocol.Job) bool {
 	tasks := 1.0
 	if spec.Kind != protocol.KindArray {
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -9,52 +9,53 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// admissionBatches accepts many jobs with one write. A job of its own key costs a write when it is
-// accepted; when more come in a moment than the state service takes changes, those that
-// would have to wait share a key.
+// admissionBatches accepts several jobs with one write. A job that gets a key of its own costs one
+// write. When jobs arrive faster than the state service accepts writes, the submissions that would
+// have to wait are stored together under one key.
 //
-// Guards against seconds of 503 for the hundreds who submit in the first moment of a day
-// or after an outage, at a service of some dozens of changes a second.
+// Without batches, hundreds of users who submit in the first moment of a day or after an outage
+// would get 503 for seconds, since the state service accepts only some dozens of changes a second.
 //
-// A job's first own change (its zones, or its end) writes its own key, which must not be
-// there yet; what its batch says of it is void from then on. Two nodes may accept one submission
-// twice: the first counts (see acceptance).
+// The first change of a batched job (its zones are chosen, or it ends) writes the job's own key,
+// guarded by the absence of that key. From then on the job's entry in the batch no longer counts.
+// Two controllers may both accept one submission; the first acceptance counts (see acceptance).
 type admissionBatches struct {
 	core           *Core
-	writeTokens    float64 // writes that submissions may take now
+	writeTokens    float64 // number of writes that submissions may use now
 	refilledAt     time.Duration
 	waiting        []submission
-	flushScheduled bool // a flush waits for a write token
-	writeCount     int  // makes the batches' keys differ
+	flushScheduled bool // a timer is set that flushes once a write token is available
+	writeCount     int  // makes the keys of batches unique within this process
 }
 
-// admissionBatch is a stored key that holds several jobs.
+// admissionBatch describes a stored key that holds several accepted jobs.
 type admissionBatch struct {
 	version uint64
-	jobs    []string
+	jobs    []string // ids
 }
 
-// guardsPerTxnOp is how many guards the protocol allows for each operation that a transaction may
-// have at the most.
+// guardsPerTxnOp times the maximum number of operations in a transaction is the maximum number of
+// its guards, according to the state service's protocol.
 const guardsPerTxnOp = 4
 
-// Sizes of a batch, in bytes as limits are counted.
+// Sizes of a batch's value, in bytes of JSON, as the store counts its limits.
 const (
-	maxBatchBytes   = 32 << 10 // however large a value may be
-	batchFrameBytes = 16       // around the jobs
+	maxBatchBytes   = 32 << 10 // upper bound even if the store accepts larger values
+	batchFrameBytes = 16       // what encloses the list of jobs
 	separatorBytes  = 2        // ", " between two jobs
 )
 
-// writeRate is how many writes a second this node's submissions may take: its share of what
-// progress leaves.
+// writeRate returns how many writes a second this controller may use for submissions. The part of
+// the store's write rate that is not reserved for progress is divided evenly among all controllers.
 func (b *admissionBatches) writeRate() float64 {
 	return b.core.writeRate() * (1 - b.core.policy.ProgressShare) / float64(len(b.core.settings.Siblings)+1)
 }
 
-// takeToken takes a write, or says how long until one may be taken if there is none.
+// takeToken takes a write token and returns 0. If none is left it takes nothing and returns the time
+// until the next one is available.
 func (b *admissionBatches) takeToken() (wait time.Duration) {
 	now, rate := b.core.now.Monotonic, b.writeRate()
-	burst := max(rate/2, 1) // half a second's writes
+	burst := max(rate/2, 1) // the writes of half a second
 	b.writeTokens = min(b.writeTokens+(now-b.refilledAt).Seconds()*rate, burst)
 	b.refilledAt = now
 	if b.writeTokens < 1 {
@@ -64,18 +65,20 @@
 	return 0
 }
 
-// takeIndividualWrite reports whether a job may have a write of its own now, and takes it.
+// takeIndividualWrite takes a write token for a job that is to be written under its own key. It
+// reports false if no token is left or if earlier submissions still wait for a batch.
 func (b *admissionBatches) takeIndividualWrite() bool {
 	return len(b.waiting) == 0 && b.takeToken() == 0
 }
 
-// enqueue has a job accepted with the next batch.
+// enqueue adds a submission to those that the next batches accept.
 func (b *admissionBatches) enqueue(s submission) {
 	b.waiting = append(b.waiting, s)
 	b.flush()
 }
 
-// flush writes what waits as soon as a write may be taken.
+// flush writes the waiting submissions in batches, one for each write token. If no token is left it
+// sets a timer to continue.
 func (b *admissionBatches) flush() {
 	if b.flushScheduled || len(b.waiting) == 0 {
 		return
@@ -89,9 +92,9 @@
 	b.flush()
 }
 
-// nextBatch takes from the waiting submissions what fits into one value, and into the guards that
-// a transaction may have. Jobs that need others go into batches of their own, which older versions
-// do not read.
+// nextBatch removes from the waiting submissions as many as fit into one value and into the guards
+// of one transaction, and returns them. Jobs with dependencies go into separate batches, whose keys
+// older versions of the controller ignore.
 func (b *admissionBatches) nextBatch() []submission {
 	var batch, rest []submission
 	maxSize, maxGuards := min(b.core.maxValueBytes(), maxBatchBytes), guardsPerTxnOp*b.core.storeLimits.MaxTxnOps
@@ -110,7 +113,7 @@
 	return batch
 }
 
-// batchPrefix is the prefix of the batch that a submission may go into.
+// batchPrefix returns the key prefix of the batches that may hold the submission.
 func (s *submission) batchPrefix() string {
 	if len(s.record.Spec.Dependencies) > 0 {
 		return keyDependentBatch
@@ -118,7 +121,6 @@
 	return keyAdmissionBatch
 }
 
-// write writes a batch.
 func (b *admissionBatches) write(batch []submission) {
 	b.writeCount++
 	key := fmt.Sprintf("%s%s-%d", batch[0].batchPrefix(), b.core.bootID, b.writeCount)
@@ -127,7 +129,7 @@
 	for i := range batch {
 		jobGuards := notAcceptedGuards(batch[i].record.Spec.ID)
 		if slices.Contains(guards, jobGuards[0]) {
-			continue // the same submission twice
+			continue // the batch has this job already: it was submitted twice
 		}
 		guards = append(guards, jobGuards...)
 		record.Jobs = append(record.Jobs, batch[i].record)
@@ -135,7 +137,7 @@
 	b.core.commit(guards, []protocol.Operation{{Put: key, Value: record}}, func(result CommitResult) { b.handleWritten(batch, result) })
 }
 
-// handleWritten answers the users whose submissions were in a batch.
+// handleWritten responds to the users whose submissions were in a batch.
 func (b *admissionBatches) handleWritten(batch []submission, result CommitResult) {
 	queries := b.core.queries
 	switch result.Outcome {
@@ -156,7 +158,8 @@
 	}
 }
 
-// retryUnaccepted writes those of a batch again that nobody has accepted elsewhere.
+// retryUnaccepted handles a batch that was not written because some of its jobs have keys of their
+// own: those jobs are accepted already, and the others go into the next batch.
 func (b *admissionBatches) retryUnaccepted(batch []submission, failedKeys []string) {
 	for _, s := range batch {
 		id := s.record.Spec.ID
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -5,11 +5,13 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// cancellation cancels users' jobs, and remembers the cancellations that this node may have told
-// somebody of: degraded mode needs those that other controllers' mirrors may have missed.
+// cancellation cancels users' jobs, and remembers the cancellations that this controller may have
+// confirmed to users. Degraded mode needs those that the mirrors of other controllers may have
+// missed.
 //
-// A job is cancelled once its final record is durable. The guard on the job's own key settles a
-// race with its completion the same way everywhere.
+// A job is cancelled once its final record is durable. If the job completes at the same time, the
+// guard on the job's own key lets exactly one of the two writes succeed, so all controllers see the
+// same outcome.
 type cancellation struct {
 	core *Core
 	log  degraded.CancellationLog
@@ -19,18 +21,18 @@
 	return &cancellation{core: c, log: degraded.NewCancellationLog(c.cancelsPerLease())}
 }
 
-// cancelsPerLease is how many jobs can be cancelled, a change each, while a mirror falls behind
-// by a worker's lease: longer than any that degraded mode takes account of. The limit in force
-// is the larger one.
+// cancelsPerLease returns how many jobs can be cancelled during one worker lease, at one change
+// each. No mirror that degraded mode takes into account is further behind than that. The result is
+// an upper bound because it uses the write rate in force now, which is at least the announced one.
 func (c *Core) cancelsPerLease() int {
 	return int(c.settings.Site.Store.WriteRPS * c.intervals.workerLease.Seconds())
 }
 
-// maxCancelAttempts is how often a cancellation is tried that lost a race, or whose outcome is
-// open, before its user is asked to repeat it.
+// maxCancelAttempts is how often a cancellation is tried whose write failed a guard or has an
+// unknown outcome, before the user is asked to repeat the request.
 const maxCancelAttempts = 4
 
-// cancel cancels a job for its user.
+// cancel cancels a job and responds to the user.
 func (x *cancellation) cancel(id RequestID, jobID string) { x.try(id, jobID, 1) }
 
 func (x *cancellation) try(id RequestID, jobID string, attempt int) {
@@ -54,7 +56,7 @@
 	})
 }
 
-// write writes a job's final record.
+// write writes the final record of a cancelled job and responds to the user.
 func (x *cancellation) write(id RequestID, j *jobEntry, attempt int) {
 	c, jobID := x.core, j.record.Spec.ID
 	final := finalRecord(j, protocol.JobCancelled, "cancelled by its user")
@@ -66,15 +68,15 @@
 			c.degraded.cancellationConfirmed(jobID)
 			c.emit(Reply{ID: id, Status: ReplyOK, Body: protocol.JobResponse{ID: jobID, State: protocol.JobCancelled, Done: j.doneCount}})
 		case (result.Outcome == CommitConflict || result.Outcome == CommitUnknown) && attempt < maxCancelAttempts:
-			x.try(id, jobID, attempt+1) // done came first, or the outcome is open: look again
+			x.try(id, jobID, attempt+1) // another write came first, or the outcome is unknown: read the job again
 		default:
 			c.queries.replyRetry(id, reasonStoreDown)
 		}
 	})
 }
 
-// observed notes a cancellation that the mirror has brought. What a load brought need not be noted:
-// whoever asks compares the load's revision.
+// observed records a cancellation that the mirror has read. Cancellations that came with the last
+// load need no record: a vote in degraded mode contains the revision of that load.
 func (x *cancellation) observed(jobID string, version uint64) {
 	if version > x.core.mirror.LoadRevision() {
 		x.log.Record(jobID, version)
