--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -12,20 +12,22 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Jobs that need others: how they are accepted, and what the graph of package dag
-// says of them to the stored records and the leader.
+// Jobs with dependencies: how they are accepted, and how events of the dependency graph (package
+// dag) reach the stored records and the leader's scheduler.
 
-// dependencyCheck is what the mirror says of the jobs that a submission names.
+// dependencyCheck is the state, according to the mirror, of the dependencies that a submission
+// names.
 type dependencyCheck struct {
-	// unmet are those that are not done. What is done stays done. A cancelled one is unmet: that the
-	// job is aborted follows from that one's record on every node, and its own acceptance says no
-	// more than any other of it would.
+	// unmet are the dependencies that are not done. The others need not be stored, since a job that
+	// is done stays done. A cancelled dependency counts as unmet: every controller derives from its
+	// record that the new job is aborted, so the acceptance of the new job does not state that, and
+	// two acceptances of it by different controllers cannot contradict each other.
 	unmet   []string
-	unknown string // one that was not accepted, as far as the mirror goes, empty: none
-	service string // one that is a service, which is never done, empty: none
+	unknown string // a dependency that the mirror does not have as accepted; "" if there is none
+	service string // a dependency that is a service, which is never done; "" if there is none
 }
 
-// checkDependencies looks the named jobs up.
+// checkDependencies looks up the named jobs in the mirror.
 func (r *storedRecords) checkDependencies(names []string) (check dependencyCheck) {
 	for _, name := range names {
 		j := r.acceptedJob(name)
@@ -41,8 +43,8 @@
 	return check
 }
 
-// submitDependent accepts a job that names others. If the mirror does not hold all of them it looks
-// again once it holds what was accepted before the request came.
+// submitDependent accepts or rejects a job that names dependencies. If the mirror does not hold all
+// of them, it decides after a read barrier.
 func (a *admission) submitDependent(id RequestID, record records.Job) {
 	check := a.core.records.checkDependencies(record.Spec.Dependencies)
 	if check.unknown != "" {
@@ -52,7 +54,7 @@
 	a.decideDependent(id, record, check)
 }
 
-// decideDependent accepts or rejects a job by what is known of those that it names.
+// decideDependent accepts or rejects a job according to the state of its dependencies.
 func (a *admission) decideDependent(id RequestID, record records.Job, check dependencyCheck) {
 	switch {
 	case a.replyIfUpgrading(id, "jobs that need others"):
@@ -66,8 +68,8 @@
 	}
 }
 
-// submitAfterBarrier looks again for the jobs that one needs once the mirror holds all that was
-// accepted before the request came.
+// submitAfterBarrier looks up the dependencies of a job again after a read barrier, when the mirror
+// holds every job that was accepted before the request arrived.
 func (a *admission) submitAfterBarrier(id RequestID, record records.Job) {
 	c := a.core
 	c.mirror.Barrier(func(ok bool) {
@@ -82,11 +84,11 @@
 	})
 }
 
-// replyIfUpgrading has a user come again with what only this version knows, if a controller lives
-// that says that it is older. It reports whether it did.
+// replyIfUpgrading asks the user to repeat a submission later if it needs a feature that a live
+// controller of an older version lacks. what names the feature. It reports whether it responded.
 //
-// Guards against a job in the hands of a version that would not even find it, since it
-// passes its key over, and call it unknown.
+// A controller of an older version ignores the keys of such jobs, so it would respond to queries
+// that the job does not exist, and as leader it would not run it.
 func (a *admission) replyIfUpgrading(id RequestID, what string) bool {
 	label := a.core.records.olderController()
 	if label != "" {
@@ -99,10 +101,10 @@
 	return "it needs " + dependency + ", which was cancelled"
 }
 
-// maxNamedDependencies is how many of the jobs that one waits for are named to its user.
+// maxNamedDependencies is the number of unmet dependencies that the reason shown to users names.
 const maxNamedDependencies = 5
 
-// dependencyReason says for its user what a job waits for.
+// dependencyReason returns the text shown to users that names the dependencies a job waits for.
 func (r *storedRecords) dependencyReason(id string) string {
 	names, more := r.dependencies.UnmetDependencies(id, maxNamedDependencies)
 	slices.Sort(names)
@@ -113,7 +115,7 @@
 	return reason
 }
 
-// jobUpdated passes a job's new record on to the graph and the leader.
+// jobUpdated passes a job's new record on to the dependency graph and the scheduler.
 func (r *storedRecords) jobUpdated(j *jobEntry) {
 	if !j.isFinal() {
 		r.addToGraph(j)
@@ -121,8 +123,9 @@
 	r.core.scheduler.jobChanged(j)
 }
 
-// addToGraph adds an unfinished job to the graph; during a load, once all records are read, since
-// an earlier acceptance of the job may be among those that are to come.
+// addToGraph adds an unfinished job to the dependency graph. During a load, jobs with dependencies
+// are added only after all records are read, because an earlier acceptance of the job, with other
+// dependencies, may be read later, and the graph never changes the dependencies of a job.
 func (r *storedRecords) addToGraph(j *jobEntry) {
 	spec := &j.record.Spec
 	switch {
@@ -135,7 +138,7 @@
 	}
 }
 
-// addLoadedDependents adds to the graph the jobs with dependencies that a load has read.
+// addLoadedDependents adds the jobs with dependencies that a load has read to the graph.
 func (r *storedRecords) addLoadedDependents() {
 	for _, id := range r.loadedDependents {
 		if j := r.jobs[id]; j != nil && len(j.record.Spec.Dependencies) > 0 {
@@ -145,7 +148,8 @@
 	r.loadedDependents = nil
 }
 
-// dependencyState says how a job stands, for the graph, and if it is done since when.
+// dependencyState returns a job's state for the graph. If the job is done it also returns the time
+// of day, in seconds, when it was done.
 func (r *storedRecords) dependencyState(id string) (dag.State, float64) {
 	if archived, ok := r.archive.jobs[id]; ok {
 		if archived.done {
@@ -159,8 +163,8 @@
 	return dag.Unknown, 0
 }
 
-// applyDependencyChanges takes what the graph has found out since: jobs that are ready, and those
-// that are aborted because of another one.
+// applyDependencyChanges handles the graph's events since the last call: jobs that are ready, and
+// jobs that are aborted because one of their dependencies is.
 func (r *storedRecords) applyDependencyChanges() {
 	for _, event := range r.dependencies.TakeEvents() {
 		j := r.jobs[event.Job]
@@ -174,7 +178,8 @@
 	}
 }
 
-// dependentReady has a job scheduled whose dependencies are done since a time of day.
+// dependentReady lets the scheduler run a job whose dependencies are all done. since is the time of
+// day, in seconds, when the last of them was done.
 func (r *storedRecords) dependentReady(j *jobEntry, since float64) {
 	c := r.core
 	j.readyAt, j.readyThisTerm = since, c.membership.leading
@@ -182,12 +187,12 @@
 		c.logDebug("job ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
 	}
 	c.scheduler.jobChanged(j)
-	c.scheduler.lastScheduling = 0 // its first tasks start at once
+	c.scheduler.lastScheduling = 0 // makes a scheduling round due now, to dispatch its first tasks
 }
 
-// abortDependent ends a job that needs one that was cancelled. It never had a task, so there is
-// nothing to stop, and its own record need not say so: whoever reads that of the cause comes to
-// this again.
+// abortDependent ends a job because one of its dependencies was cancelled. The job never had a task,
+// so there is nothing to stop. Its stored record does not change: every controller that reads the
+// record of the cancelled job derives the same abort.
 func (r *storedRecords) abortDependent(j *jobEntry, cause string) {
 	j.record = finalRecord(j, protocol.JobCancelled, dependencyCancelledReason(cause))
 	r.core.scheduler.jobChanged(j)
@@ -195,8 +200,8 @@
 	r.archiveJob(j)
 }
 
-// updateDependencyWeights has the graph work out anew how urgent jobs are for the sake of those
-// that need them.
+// updateDependencyWeights lets the graph recompute the priorities that jobs inherit from the jobs
+// that depend on them, at most once per maintenance interval.
 func (s *scheduler) updateDependencyWeights() {
 	c := s.core
 	if s.dependencyWeightsAt > 0 && c.now.Monotonic-s.dependencyWeightsAt < c.intervals.maintenance {
@@ -206,7 +211,7 @@
 	c.records.dependencies.UpdatePriorities(s.dependencyWeight)
 }
 
-// dependencyWeight is a job's own part in the urgency of those that it needs.
+// dependencyWeight returns the priority of a job by itself, which its dependencies inherit.
 func (s *scheduler) dependencyWeight(id string) dag.Priority {
 	weight := dag.Priority{Urgency: lowestUrgency, LatestFinish: math.Inf(1)}
 	j := s.core.records.jobs[id]
@@ -220,16 +225,17 @@
 	}
 	weight.Duration = s.core.estimator.Predict(spec) + s.core.fleet.imagePullSeconds(spec)
 	if q := s.queue.Get(id); q != nil && q.waitingTasks() == 0 {
-		weight.Duration /= 2 // all that is left of it is under way
+		weight.Duration /= 2 // all its remaining tasks are in flight, so part of the predicted time has passed
 	}
 	return weight
 }
 
-// hasDeadline reports whether a job of a dependency graph has a deadline, or one that needs it has.
+// hasDeadline reports whether a job in the dependency graph has a deadline itself or is needed by a
+// job that has one.
 func (q *queuedJob) hasDeadline() bool { return !math.IsInf(q.dependentsDeadline, 1) }
 
-// imagePullSeconds is how many seconds a job's image takes on the machine type that is the fastest
-// at that.
+// imagePullSeconds returns how many seconds it takes to fetch a job's image on the fastest machine
+// type that the job can run on.
 func (f *fleet) imagePullSeconds(spec *protocol.Job) float64 {
 	rate := 0.0
 	for _, machineType := range f.core.machineTypes() {
--- a/internal/core/job_entry.go
+++ b/internal/core/job_entry.go
@@ -8,22 +8,23 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// jobEntry is what the mirror holds of a job that is not over.
+// jobEntry is what the mirror holds of an unfinished job. For a finished job, jobArchive.get makes
+// one on request.
 type jobEntry struct {
 	record        records.Job
-	version       uint64            // of the newest key whose word on the job counts, 0: it is not accepted
-	recordVersion uint64            // of the job's own key, 0: there is none yet
+	version       uint64            // of the key that record comes from: a batch or the job's own key; 0: the job is not accepted
+	recordVersion uint64            // of the job's own key; 0: the key does not exist yet
 	acceptance    acceptance        // which stored record accepted it
-	doneBlocks    []records.TaskSet // durably completed tasks, by progressBlockTasks
-	doneCount     int               // of tasks in doneBlocks
-	ownedKeys     []string          // keys to delete when the job is over: progress, chunks, zones
-	leaderView    peerproto.JobView // as the leader published it last
-	dependent     bool              // its own key is below keyDependentJob
-	readyThisTerm bool              // it became ready while this node led, so no earlier leader started a task of it
-	readyAt       float64           // time of day, in seconds, when the last job that it needs was done
+	doneBlocks    []records.TaskSet // durably completed tasks, progressBlockTasks tasks to a set
+	doneCount     int               // number of tasks in doneBlocks
+	ownedKeys     []string          // keys to delete when the job ends: progress, chunks, zones
+	leaderView    peerproto.JobView // running tasks and waiting reason that the leader published last
+	dependent     bool              // its own key has the prefix keyDependentJob
+	readyThisTerm bool              // it became ready while this controller led, so no earlier leader started a task of it
+	readyAt       float64           // time of day, in seconds, when the last of its dependencies was done
 }
 
-// recordKey is where the job's own record is, or will be.
+// recordKey returns the job's own key, whether or not it exists yet.
 func (j *jobEntry) recordKey() string {
 	if j.dependent {
 		return keyDependentJob + j.record.Spec.ID
@@ -31,16 +32,17 @@
 	return keyJob + j.record.Spec.ID
 }
 
-// recordGuard ties a write to what the mirror holds of the job's own record.
+// recordGuard returns a guard that holds as long as the job's own key has the version that the
+// mirror holds.
 func (j *jobEntry) recordGuard() protocol.Guard {
 	return protocol.Guard{Key: j.recordKey(), Version: j.recordVersion}
 }
 
-// waitingSince is the time of day, in seconds, from which a job's waiting counts: its submission,
-// or when the last job that it needs was done.
+// waitingSince returns the time of day, in seconds, from which a job's waiting time counts: when it
+// was submitted or when the last of its dependencies was done, whichever is later.
 func (j *jobEntry) waitingSince() float64 { return max(j.record.SubmittedAt, j.readyAt) }
 
-// isFinal reports whether the job is done or cancelled; it stays so.
+// isFinal reports whether the job is done or cancelled. A final state never changes.
 func (j *jobEntry) isFinal() bool { return j.record.State != protocol.JobQueued }
 
 // isTaskDone reports whether a task's completion is durable.
@@ -49,8 +51,9 @@
 	return block < len(j.doneBlocks) && j.doneBlocks[block].Has(index%progressBlockTasks)
 }
 
-// doneRange is which of a job's tasks are durably done, of size from a first one on: both
-// whole bytes of the sets.
+// doneRange returns the durably completed tasks among the size tasks that start at first, as a set
+// relative to first. Both must be multiples of 8, and the range must lie in one block of
+// progressBlockTasks.
 func (j *jobEntry) doneRange(first, size int) records.TaskSet {
 	block, offset := first/progressBlockTasks, first%progressBlockTasks/8
 	if block >= len(j.doneBlocks) || offset >= len(j.doneBlocks[block]) {
@@ -60,8 +63,8 @@
 	return slices.Clone(set[:min(len(set), size/8)])
 }
 
-// mergeDone adds completed tasks from a first one on. A task that was done stays so, whichever
-// key says it.
+// mergeDone adds a set of completed tasks, whose numbers are relative to first. A completed task
+// stays completed, even if another progress key of the job does not contain it.
 func (j *jobEntry) mergeDone(first int, set records.TaskSet) {
 	block, offset := first/progressBlockTasks, first%progressBlockTasks/8
 	for block >= len(j.doneBlocks) {
@@ -70,14 +73,15 @@
 	j.doneCount += j.doneBlocks[block].Merge(set, offset)
 }
 
-// addOwnedKey notes a key that is to be deleted when the job is over.
+// addOwnedKey records a key that is to be deleted when the job ends.
 func (j *jobEntry) addOwnedKey(key string) {
 	if !slices.Contains(j.ownedKeys, key) {
 		j.ownedKeys = append(j.ownedKeys, key)
 	}
 }
 
-// finalRecord is what is kept of a job that is over.
+// finalRecord returns the record that is stored for a job that has ended, with only those fields of
+// its description that are still needed.
 func finalRecord(j *jobEntry, state, reason string) records.Job {
 	spec := j.record.Spec
 	return records.Job{
@@ -87,8 +91,8 @@
 	}
 }
 
-// finalOps writes a job's final state and deletes what else is kept of it, as far as one
-// transaction of so many operations goes; the garbage collector deletes the rest.
+// finalOps returns the operations that write a job's final record and delete its other keys, at
+// most maxOps in total. The garbage collector deletes the keys that are left.
 func finalOps(j *jobEntry, final records.Job, maxOps int) []protocol.Operation {
 	ops := []protocol.Operation{{Put: j.recordKey(), Value: final}}
 	for _, key := range j.ownedKeys[:min(len(j.ownedKeys), maxOps-1)] {
--- a/internal/core/job_records.go
+++ b/internal/core/job_records.go
@@ -9,10 +9,10 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// The records of jobs: a job's own key, and the keys of its progress and its zones. Those that
-// accept jobs are in acceptance.go and chunked_records.go.
+// How stored records of jobs are applied: those under a job's own key, and its progress and zones.
+// Batches are in acceptance.go, chunks in chunked_records.go.
 
-// applyJob takes a job's own record.
+// applyJob applies the record under a job's own key.
 func (r *storedRecords) applyJob(id string, dependent bool, value protocol.Raw, version uint64) error {
 	var record records.Job
 	if err := protocol.Decode(value, &record); err != nil {
@@ -30,7 +30,9 @@
 	}
 	j := r.entry(id)
 	if j.recordVersion >= version {
-		return nil // nothing new: the chunks of a long record are read once
+		// This version is applied already. A chunked record can't be assembled again, because
+		// the texts of its chunks are dropped afterwards.
+		return nil
 	}
 	if record.IsAcceptance() && j.isAcceptedBefore(version) {
 		r.logVoidAcceptance(j, version)
@@ -46,10 +48,10 @@
 	return nil
 }
 
-// updateJob takes a newer version of a job's own record, and archives the job if that is final.
+// updateJob applies a newer version of a job's own record, and archives the job if it is final.
 func (r *storedRecords) updateJob(j *jobEntry, record records.Job, dependent bool, version uint64) {
 	if len(record.Zones) == 0 {
-		record.Zones = j.record.Zones // they may have a key of their own
+		record.Zones = j.record.Zones // the zones may be stored under a separate key, see applyZones
 	}
 	ends := !j.isFinal() && record.State != protocol.JobQueued
 	j.record, j.version, j.recordVersion, j.dependent = record, version, version, dependent
@@ -69,7 +71,8 @@
 	}
 }
 
-// archiveJob moves a job that has ended to the archive.
+// archiveJob moves a finished job to the archive, stops its tasks on this controller's machines and
+// hands its remaining keys to the garbage collector.
 func (r *storedRecords) archiveJob(j *jobEntry) {
 	c, id := r.core, j.record.Spec.ID
 	for _, key := range j.ownedKeys {
@@ -84,8 +87,8 @@
 	r.dependencies.MarkFinished(id, j.record.State == protocol.JobDone, j.record.DoneAt)
 }
 
-// addOwnedKey notes a key that is to be deleted when a job is over. It returns nil, and leaves the key
-// to the garbage collector, if the job is over already.
+// addOwnedKey records a key that is to be deleted when the job ends, and returns the job's entry. If
+// the job has ended already it hands the key to the garbage collector and returns nil.
 func (r *storedRecords) addOwnedKey(id, key string) *jobEntry {
 	if _, ended := r.archive.jobs[id]; ended {
 		r.core.garbage.add(key)
@@ -96,13 +99,13 @@
 	return j
 }
 
-// applyProgress takes a block of a job's completed tasks, so many to a block. name is the job and
-// the number of the block.
+// applyProgress applies the completed tasks of one block of a job. name has the form "job/block
+// number", and a block covers blockTasks tasks.
 func (r *storedRecords) applyProgress(key, name string, blockTasks int, value protocol.Raw) error {
 	id, number, _ := strings.Cut(name, "/")
 	block, err := strconv.Atoi(number)
 	if err != nil || block < 0 || block > protocol.MaxTasks/blockTasks {
-		return fmt.Errorf("progress key %q", name)
+		return fmt.Errorf("parse progress key: invalid block number in %q", name)
 	}
 	var record records.Progress
 	if err := protocol.Decode(value, &record); err != nil {
@@ -119,7 +122,8 @@
 	return nil
 }
 
-// applyZones takes the zones of a job whose record could not be written again.
+// applyZones applies the zones of a job that are stored under a separate key, because the job's
+// record with its zones is larger than a value may be.
 func (r *storedRecords) applyZones(key string, value protocol.Raw) error {
 	var record records.Job
 	if err := protocol.Decode(value, &record); err != nil {
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -7,14 +7,14 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// jobQueries answers users about their jobs.
+// jobQueries responds to users' requests about their jobs.
 //
-// Invariant: reads are linearizable across controllers. What a user was told, by whichever
-// controller, no later answer takes back; so a state that may still change is answered after a
-// read barrier only.
+// Invariant: reads are linearizable across controllers. No response contradicts an earlier one,
+// whichever controllers sent them. A state that may still change is therefore reported only after a
+// read barrier.
 type jobQueries struct{ core *Core }
 
-// query answers how a job stands.
+// query responds with the current state of a job.
 func (q *jobQueries) query(id RequestID, jobID string) {
 	if !protocol.ValidJobID(jobID) {
 		q.replyUnknownJob(id)
@@ -23,7 +23,8 @@
 	q.replyCurrent(id, jobID)
 }
 
-// replyCurrent answers for a job once nothing newer can have been said elsewhere.
+// replyCurrent responds with a job's state, at once if it is final and otherwise after a read
+// barrier, so that no other controller can have reported a newer one before.
 func (q *jobQueries) replyCurrent(id RequestID, jobID string) {
 	stored := q.core.records
 	if j := stored.acceptedJob(jobID); j != nil && j.isFinal() {
@@ -43,11 +44,11 @@
 	})
 }
 
-// unknownRevision is the revision of a write that had no answer.
+// unknownRevision stands for the revision of a write whose response was lost.
 const unknownRevision = 0
 
-// replyAfterCommit answers a submission that was written at a revision, once the mirror has read
-// what became of it: another acceptance of the job may have been the first.
+// replyAfterCommit responds to a submission that was written at the given revision, after a read
+// barrier. If another acceptance of the job came first, the response describes that one.
 func (q *jobQueries) replyAfterCommit(id RequestID, jobID string, revision uint64) {
 	q.core.mirror.Barrier(func(ok bool) {
 		j := q.core.records.acceptedJob(jobID)
@@ -62,7 +63,7 @@
 	})
 }
 
-// replyAccepted tells a user that a job is accepted.
+// replyAccepted responds that a job is accepted.
 func (q *jobQueries) replyAccepted(id RequestID, record *records.Job) {
 	spec := &record.Spec
 	q.core.logDebug("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "urgency", spec.Urgency,
@@ -70,7 +71,8 @@
 	q.core.emit(Reply{ID: id, Status: ReplyAccepted, Body: protocol.JobResponse{ID: spec.ID, State: record.State, Reason: record.StopReason}})
 }
 
-// replyJob answers with a job as the mirror and the leader's view of it have it.
+// replyJob responds with a job's state from the mirror. For an unfinished job it adds what the
+// leader last published about it: the number of running tasks, and why the job waits.
 func (q *jobQueries) replyJob(id RequestID, j *jobEntry) {
 	response := protocol.JobResponse{ID: j.record.Spec.ID, State: j.record.State, Done: j.doneCount, Reason: j.record.StopReason}
 	if !j.isFinal() {
@@ -89,10 +91,11 @@
 	q.core.emit(Reply{ID: id, Status: ReplyOK, Body: response})
 }
 
-// retryAfter is when a user whose request could not be decided is asked to come again.
+// retryAfter is how long a user is asked to wait before repeating a request that could not be
+// served.
 const retryAfter = time.Second
 
-// replyRetry answers that the request must be repeated, and when.
+// replyRetry responds with 503 that the request must be repeated after retryAfter.
 func (q *jobQueries) replyRetry(id RequestID, reason string) {
 	q.core.emit(Reply{ID: id, Status: ReplyUnavailable, Body: protocol.ErrorResponse{Error: reason}, RetryAfter: retryAfter})
 }
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -9,33 +9,36 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// storedRecords are the decoded records of the state service, as the mirror feeds them: the
-// jobs, the leader and the shard map, the machines' registry and what goes with them. It tells
-// the scheduler and the shard what changes. Nothing else changes it.
+// storedRecords holds the decoded records of the state service: jobs, controllers, the leader, the
+// shard map, the machine registry, machine types and estimates. It is the replica that the mirror
+// updates, and nothing else changes it. It passes changes on to the scheduler and the shard.
 //
 // Invariant: a job is either in jobs or in the archive, never in both.
 type storedRecords struct {
 	core *Core
 
-	jobs             map[string]*jobEntry // that are not over
-	archive          *jobArchive          // of those that are
-	batches          map[string]*admissionBatch
-	chunks           map[string]map[string]string // of chunked records, by job and key
-	dependencies     *dag.Graph
-	derivedAborts    map[string]bool // jobs that are over because of another one; true: a batch holds the record that counts
-	loadedDependents []string        // jobs with dependencies, read by the load that is under way
+	jobs         map[string]*jobEntry // unfinished ones
+	archive      *jobArchive          // finished ones
+	batches      map[string]*admissionBatch
+	chunks       map[string]map[string]string // of chunked records, by job and key
+	dependencies *dag.Graph
+	// derivedAborts holds the jobs that were aborted because a dependency was cancelled. The value
+	// says whether the record that counts is in a batch, which must then be kept.
+	derivedAborts    map[string]bool
+	loadedDependents []string // jobs with dependencies that the load in progress has read
 
 	nodes          map[string]records.Node // controllers, by label
 	leader         *records.Leader
 	shardMap       *records.ShardMap
 	machineRecords *orderedmap.Map[*records.Machine]
-	registryPages  *orderedmap.Map[[]string]        // the registry's keys, and the machines that each holds
-	machineTypes   map[string]*protocol.MachineType // empty until all are known
-	partialTypes   map[string]*protocol.MachineType // those that have been read so far
+	registryPages  *orderedmap.Map[[]string]        // names of the machines on each page of the machine registry
+	machineTypes   map[string]*protocol.MachineType // empty until the records of all types are read
+	partialTypes   map[string]*protocol.MachineType // types read so far
 	estimates      *records.Estimates
 }
 
-// newStoredRecords makes empty records; a worker's heartbeat may come before the first load.
+// newStoredRecords returns empty records. They must be usable at once because a worker's heartbeat
+// may arrive before the first load.
 func newStoredRecords(c *Core) *storedRecords {
 	r := &storedRecords{core: c}
 	r.Reset()
@@ -55,8 +58,8 @@
 	r.machineTypes, r.partialTypes = map[string]*protocol.MachineType{}, map[string]*protocol.MachineType{}
 }
 
-// Loaded implements mirror.Replica. The leader's state rests on the job records of the mirror
-// that is gone: it begins anew, in an epoch of its own.
+// Loaded implements mirror.Replica. The leader's queue refers to job entries that the load has
+// replaced, so a leader discards its state and starts again in a new epoch.
 func (r *storedRecords) Loaded() {
 	c := r.core
 	if c.membership.leading {
@@ -74,17 +77,18 @@
 	r.applyDependencyChanges()
 }
 
-// Put implements mirror.Replica. A value that can't be decoded is logged and left out.
+// Put implements mirror.Replica. A value that can't be decoded is logged and ignored.
 func (r *storedRecords) Put(key string, value protocol.Raw, version uint64) (rememberVersion bool) {
 	if id, dependent, ok := jobOfKey(key); ok {
 		r.logDecodeError(key, r.applyJob(id, dependent, value, version))
-		return false // entries and the archive hold the versions of jobs
+		return false // the versions of jobs' keys are kept in their entries and in the archive
 	}
 	r.logDecodeError(key, r.apply(key, value, version))
 	return true
 }
 
-// jobOfKey is the job whose own record a key holds, if it is such a key.
+// jobOfKey returns the id of the job whose own record is stored under a key, and whether the key is
+// one of jobs with dependencies. ok is false if the key is not a job's own.
 func jobOfKey(key string) (id string, dependent, ok bool) {
 	if id, ok = strings.CutPrefix(key, keyJob); ok {
 		return id, false, true
@@ -93,7 +97,7 @@
 	return id, true, ok
 }
 
-// apply takes a key that is not a job's own.
+// apply decodes and applies the value of a key that is not a job's own.
 func (r *storedRecords) apply(key string, value protocol.Raw, version uint64) error {
 	switch {
 	case isBatchKey(key):
@@ -119,10 +123,9 @@
 	case key == keyEstimates:
 		return decodeAndApply(value, func(estimates *records.Estimates) { r.estimates = estimates })
 	}
-	return nil // of a newer version
+	return nil // unknown keys were written by a newer version of the controller
 }
 
-// decodeAndApply passes a decoded value on.
 func decodeAndApply[Record any](value protocol.Raw, apply func(*Record)) error {
 	decoded := new(Record)
 	if err := protocol.Decode(value, decoded); err != nil {
@@ -157,8 +160,8 @@
 	}
 }
 
-// entry returns a job that is not over, a new entry if there is none: keys that belong to a job
-// may be read before its own.
+// entry returns the entry of an unfinished job and creates it if there is none. Progress, zones and
+// chunks of a job may be read before the record that accepts it.
 func (r *storedRecords) entry(id string) *jobEntry {
 	j := r.jobs[id]
 	if j == nil {
@@ -169,7 +172,8 @@
 	return j
 }
 
-// acceptedJob returns the job if the state service holds it.
+// acceptedJob returns the entry of a job, finished or not, or nil if the mirror holds no record that
+// accepts it.
 func (r *storedRecords) acceptedJob(id string) *jobEntry {
 	if j := r.jobs[id]; j != nil {
 		if j.version == 0 {
@@ -180,7 +184,8 @@
 	return r.archive.get(id)
 }
 
-// olderController is a live controller that says that its version is older, empty: there is none.
+// olderController returns the label of a live controller of a version with an older record format,
+// or "" if there is none.
 func (r *storedRecords) olderController() string {
 	for _, label := range sortedKeys(r.nodes) {
 		if r.nodes[label].Level < records.FormatLevel {
