--- a/internal/core/archive.go
+++ b/internal/core/archive.go
@@ -8,31 +8,32 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// jobArchive keeps what users may still ask of jobs that are over, some eighty bytes a
-// job: they are asked about for ever, and at a busy site there are soon a hundred
-// thousand of them on every controller.
+// jobArchive keeps what users may still query about finished jobs, in some eighty bytes a job.
+// Finished jobs can be queried for ever, and on a busy site every controller soon holds a hundred
+// thousand of them.
 type jobArchive struct {
 	jobs        map[string]archivedJob
-	shapes      []protocol.Job // what jobs of one shape share, without id and tasks
+	shapes      []protocol.Job // one for each jobShape, without id and number of tasks
 	shapeIndex  map[jobShape]uint32
-	reasons     []string // why jobs were cancelled, empty for those that are done
+	reasons     []string // why jobs were cancelled; "" for jobs that are done
 	reasonIndex map[string]uint32
 	rules       fairshare.Rules
-	served      fairshare.Accounting // what was served, of each class of each team
+	served      fairshare.Accounting // completed jobs of each class of each team
 }
 
-// archivedJob is a job that is over.
+// archivedJob is a finished job.
 type archivedJob struct {
-	version     uint64
+	version     uint64 // of the record that it was read from
 	submittedAt uint32 // time of day, in seconds
-	doneAt      uint32 // the same, 0: it was cancelled, or an older version wrote it
+	doneAt      uint32 // time of day, in seconds; 0: it was cancelled, or an older version of the controller wrote it
 	tasks       uint32
 	shape       uint32 // index into shapes
 	reason      uint32 // index into reasons
-	done        bool   // if not, it was cancelled
+	done        bool   // false: it was cancelled
 }
 
-// jobShape is what of a job's description is kept when it is over.
+// jobShape is the part of a finished job's description that is kept, except its id and number of
+// tasks. Jobs with equal values share one shape.
 type jobShape struct {
 	class, team, kind, urgency string
 	cpus, gpus, memoryGB       float64
@@ -42,7 +43,7 @@
 	return &jobArchive{rules: rules, jobs: map[string]archivedJob{}, shapeIndex: map[jobShape]uint32{}, reasonIndex: map[string]uint32{}}
 }
 
-// add takes the record of a job that is over. It may come again, in a newer version.
+// add stores the record of a finished job. It replaces an older version of the same record.
 func (a *jobArchive) add(record *records.Job, version uint64) {
 	spec, done := &record.Spec, record.State == protocol.JobDone
 	if previous, known := a.jobs[spec.ID]; done && (!known || !previous.done) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// internShape returns the index of a job's shape.
+// internShape returns the index of a job's shape, and adds the shape if it is new.
 func (a *jobArchive) internShape(spec *protocol.Job) uint32 {
 	shape := jobShape{spec.Class, spec.Team, spec.Kind, spec.Urgency, spec.CPUs, spec.GPUs, spec.MemoryGB}
 	index, ok := a.shapeIndex[shape]
@@ -67,7 +68,7 @@
 	return index
 }
 
-// internReason returns the index of a reason.
+// internReason returns the index of a reason, and adds the reason if it is new.
 func (a *jobArchive) internReason(reason string) uint32 {
 	index, ok := a.reasonIndex[reason]
 	if !ok {
@@ -78,11 +79,11 @@
 	return index
 }
 
-// seconds32 rounds a time of day down to whole seconds.
+// seconds32 rounds a time of day, in seconds, down to whole seconds and limits it to 32 bits.
 func seconds32(seconds float64) uint32 { return uint32(min(max(seconds, 0), math.MaxUint32)) }
 
-// get returns a job that is over as the mirror would hold it, nil if it has none of
-// that name. Each call makes a new one: a job that is over no longer changes.
+// get returns the entry of a finished job, or nil if the archive has no job with this id. Each call
+// returns a new entry; that is safe because a finished job no longer changes.
 func (a *jobArchive) get(id string) *jobEntry {
 	archived, ok := a.jobs[id]
 	if !ok {
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -14,37 +14,40 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// chunkedRecords accepts jobs whose records are larger than a value: a user may name thousands of
-// jobs that one needs, or dozens of machine types. The record goes into chunks, each below a
-// key that is written once, by one write of one controller; then the job's own key says
-// how many there are and whose. The job is accepted with that, and with nothing before.
+// chunkedRecords accepts jobs whose records are larger than a value may be, for example because a
+// user names thousands of dependencies or dozens of machine types. The record is split into chunks
+// that are stored under separate keys. Each of these keys is written once, by one controller as part
+// of one chunked write. After them the job's own key is written, with the number of chunks and the
+// nonce of the chunked write. Only this last write accepts the job.
 //
-// A write goes on after its request was answered with 503: at a small write rate it takes
-// longer than a user waits for one answer, and the next try finds the job accepted.
+// A chunked write continues after its request was answered with 503. At a low write rate it takes
+// longer than a user waits for one response; when the user repeats the submission, the job is
+// accepted already.
 type chunkedRecords struct {
 	core       *Core
-	writeCount int           // makes the writes' nonces differ
-	current    *chunkedWrite // under way, nil: none
+	writeCount int           // makes the nonces of chunked writes unique within this process
+	current    *chunkedWrite // in progress; nil if there is none
 }
 
-// chunkedWrite is a record on its way into the state service.
+// chunkedWrite is a chunked record that is being written to the state service.
 type chunkedWrite struct {
-	record             records.Job // the whole
-	nonce              string
+	record             records.Job // complete
+	nonce              string      // part of the chunks' keys, unique for each chunked write
 	chunks             []string
-	sentChunks         int
-	firstChunkRevision uint64 // of the first chunk, 0: it is not stored
-	deadline           time.Duration
+	sentChunks         int           // number of chunks that have been written or are being written
+	firstChunkRevision uint64        // at which the first chunk was written; 0: not yet
+	deadline           time.Duration // monotonic time after which the write is given up
 }
 
-// batchOverheadBytes is what a batch takes beside its jobs, generously: a record that is larger than a
-// value less this is written in chunks.
+// batchOverheadBytes is an upper bound of what a batch takes in addition to its jobs. A record is
+// written in chunks if it does not fit into a value together with this overhead.
 const batchOverheadBytes = 32
 
-// maxUnpackedRecordBytes bounds a record that is put together from chunks.
+// maxUnpackedRecordBytes limits the decompressed size of a record that is assembled from chunks.
 const maxUnpackedRecordBytes = 4 * protocol.MaxBody
 
-// admit begins a write, one at a time, and has the user come again.
+// admit starts a chunked write unless another one is in progress, and asks the user to repeat the
+// request.
 func (x *chunkedRecords) admit(id RequestID, record records.Job) {
 	if x.core.admission.replyIfUpgrading(id, "descriptions of this size") {
 		return
@@ -62,18 +65,18 @@
 		nonce:    fmt.Sprintf("%s-%d", x.core.bootID, x.writeCount),
 		deadline: x.core.now.Monotonic + x.writeTimeout(),
 	}
-	// A quarter of a value is left for the chunk's frame.
+	// Chunks take three quarters of the largest value; the rest is for what encloses the text.
 	for chunk := range slices.Chunk([]byte(packRecord(record)), x.core.maxValueBytes()*3/4) {
 		x.current.chunks = append(x.current.chunks, string(chunk))
 	}
 	x.writeNext()
 }
 
-// packRecord compresses a record into text; unpackRecord is its inverse.
+// packRecord compresses a record and encodes it as base64. unpackRecord is its inverse.
 func packRecord(record records.Job) string {
 	var packed bytes.Buffer
-	w, _ := flate.NewWriter(&packed, flate.BestCompression) // fails for unknown levels only
-	_, _ = w.Write(protocol.Encode(record))                 // a buffer takes all
+	w, _ := flate.NewWriter(&packed, flate.BestCompression) // fails only for an invalid level
+	_, _ = w.Write(protocol.Encode(record))                 // writes to a bytes.Buffer never fail
 	_ = w.Close()
 	return base64.RawStdEncoding.EncodeToString(packed.Bytes())
 }
@@ -92,10 +95,12 @@
 	return record, err
 }
 
-// writeTimeout is how long a write may take; so long users repeat a submission.
+// writeTimeout returns how long a chunked write may take, which is as long as users keep repeating
+// a submission.
 func (x *chunkedRecords) writeTimeout() time.Duration { return 3 * x.core.intervals.workerLease }
 
-// writeNext writes some of the chunks, or after the last of them the job's own key.
+// writeNext continues the current write with the next chunks or, after the last one, with the job's
+// own key. If no write token is left it sets a timer to try again.
 func (x *chunkedRecords) writeNext() {
 	c, write := x.core, x.current
 	if wait := c.admission.batches.takeToken(); wait > 0 {
@@ -103,7 +108,8 @@
 		return
 	}
 	if c.now.Monotonic > write.deadline || c.records.acceptedJob(write.record.Spec.ID) != nil || !c.mirror.IsFresh() {
-		x.current = nil // in vain: another one was first, or it takes too long
+		// The write took too long, the job is accepted already, or the mirror is stale.
+		x.current = nil
 		return
 	}
 	if write.sentChunks == len(write.chunks) {
@@ -113,7 +119,8 @@
 	}
 }
 
-// writeChunks writes as many chunks as a transaction, and the rate of writes, allows.
+// writeChunks writes, in one transaction, as many chunks as the limits of a transaction and the
+// write tokens allow.
 func (x *chunkedRecords) writeChunks(write *chunkedWrite) {
 	c, jobID := x.core, write.record.Spec.ID
 	var guards []protocol.Guard
@@ -131,8 +138,9 @@
 		case Committed:
 			x.chunksStored(result.Answer.Revision)
 		case CommitUnknown:
-			// Guards against chunks written anew, and in vain again, as long as answers
-			// are lost: the mirror says what became of these.
+			// The response was lost, so the mirror has to show whether the chunks were
+			// written. Giving up here would make the next request write all chunks again,
+			// without ever finishing while responses are lost.
 			lastKey := chunkKey(jobID, write.nonce, write.sentChunks-1)
 			c.mirror.Barrier(func(bool) { x.chunksStored(c.mirror.Version(lastKey)) })
 		default:
@@ -141,7 +149,8 @@
 	})
 }
 
-// chunksStored goes on after chunks that were written at a revision; 0: they were not.
+// chunksStored continues the current write after a transaction wrote chunks at the given revision.
+// Revision 0 means that they were not written, and ends the write.
 func (x *chunkedRecords) chunksStored(revision uint64) {
 	if revision == 0 {
 		x.current = nil
@@ -153,8 +162,8 @@
 	x.writeNext()
 }
 
-// writeJob writes the job's own key, which accepts it. As long as the first chunk is there none was
-// deleted as garbage: the first goes first.
+// writeJob writes the job's own key, which accepts the job. The guard on the first chunk makes sure
+// that all chunks still exist, because the garbage collector deletes the first chunk before others.
 func (x *chunkedRecords) writeJob(write *chunkedWrite) {
 	jobID := write.record.Spec.ID
 	firstChunk := protocol.Guard{Key: chunkKey(jobID, write.nonce, 0), Version: write.firstChunkRevision}
@@ -167,7 +176,7 @@
 	x.core.commit(guards, ops, func(CommitResult) { x.current = nil })
 }
 
-// applyChunk takes a chunk of a job's record.
+// applyChunk applies a stored chunk of a job's record.
 func (r *storedRecords) applyChunk(key string, value protocol.Raw) error {
 	var record records.Chunk
 	if err := protocol.Decode(value, &record); err != nil {
@@ -181,7 +190,7 @@
 	return nil
 }
 
-// removeChunk takes the deletion of a chunk.
+// removeChunk applies the deletion of a chunk.
 func (r *storedRecords) removeChunk(key string) {
 	id := jobOfChunk(key)
 	if delete(r.chunks[id], key); len(r.chunks[id]) == 0 {
@@ -189,8 +198,9 @@
 	}
 }
 
-// assembleRecord makes a job's record whole. Its chunks are read before its own key, since they
-// were written before it and their keys come first.
+// assembleRecord replaces a record that only refers to chunks by the complete record. The chunks
+// have been read already: they are written before the job's own key, and a load, which reads keys
+// in order, reaches them first.
 func (r *storedRecords) assembleRecord(record *records.Job) error {
 	id := record.Spec.ID
 	var text strings.Builder
@@ -198,11 +208,11 @@
 		key := chunkKey(id, record.ChunkNonce, n)
 		chunk, ok := r.chunks[id][key]
 		if !ok {
-			return fmt.Errorf("chunk %d of %d of its record is missing", n+1, record.Chunks)
+			return fmt.Errorf("assemble chunked record: chunk %d of %d is missing", n+1, record.Chunks)
 		}
 		text.WriteString(chunk)
 		r.addOwnedKey(id, key)
-		r.chunks[id][key] = "" // it is in the job's record now
+		r.chunks[id][key] = "" // frees the text; the key itself is kept for the garbage collector
 	}
 	assembled, err := unpackRecord(text.String())
 	if err != nil {
--- a/internal/core/garbage.go
+++ b/internal/core/garbage.go
@@ -7,20 +7,20 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// garbageCollector deletes, on the leader, keys of the state service that nothing refers to any
-// more: keys of jobs that are over, batches all of whose jobs have records of their own, and
-// chunks that no record refers to. Each kind has one delete under way at a time, and each delete
-// is guarded by the version that was looked at.
+// garbageCollector runs on the leader and deletes keys of the state service that are no longer
+// needed: keys of finished jobs, batches whose jobs all have records of their own or are finished,
+// and chunks that no record refers to. At most one delete of each of these kinds is in flight, and
+// each delete is guarded by the version of the key that the decision was based on.
 type garbageCollector struct {
 	core *Core
 
-	keys         map[string]bool // of jobs that are over
-	deletingKeys bool
+	keys         map[string]bool // keys to delete, mostly of finished jobs
+	deletingKeys bool            // a transaction is in flight; the same for the other kinds below
 
 	nextBatchScan time.Duration
 	deletingBatch bool
 
-	orphanedSince map[string]time.Duration // chunks of jobs that were not accepted, since when they are known
+	orphanedSince map[string]time.Duration // keys of chunks whose job is not accepted, and when this was first seen
 	deletingChunk bool
 }
 
@@ -28,29 +28,29 @@
 	return &garbageCollector{core: c, keys: map[string]bool{}, orphanedSince: map[string]time.Duration{}}
 }
 
-// reset forgets the keys to delete, which the next load brings again.
+// reset forgets the keys to delete. The next load adds those that still exist again.
 func (g *garbageCollector) reset() { g.keys = map[string]bool{} }
 
-// add has a key deleted whose job is over.
+// add schedules a key for deletion.
 func (g *garbageCollector) add(key string) { g.keys[key] = true }
 
-// remove notes that a key is deleted.
+// remove records that a key has been deleted.
 func (g *garbageCollector) remove(key string) { delete(g.keys, key) }
 
-// collect begins the deletes that are due, as far as the budget of writes goes.
+// collect starts the deletes that are due, as far as write tokens are left.
 func (g *garbageCollector) collect() {
 	g.collectBatch()
 	g.collectChunk()
 	g.collectKeys()
 }
 
-// hasWriteToken reports whether a write may be taken from the leader's budget.
+// hasWriteToken reports whether a write token is left. Garbage collection shares the tokens with the
+// leader's progress writes.
 func (g *garbageCollector) hasWriteToken() bool { return g.core.scheduler.progressWriteTokens >= 1 }
 
 func (g *garbageCollector) takeWriteToken() { g.core.scheduler.progressWriteTokens-- }
 
-// deleteKeys deletes keys in one transaction and calls done once the mirror shows what became of
-// it.
+// deleteKeys deletes keys in one transaction and calls done once the mirror shows its outcome.
 func (g *garbageCollector) deleteKeys(guards []protocol.Guard, keys []string, done func()) {
 	ops := make([]protocol.Operation, 0, len(keys))
 	for _, key := range keys {
@@ -62,7 +62,7 @@
 	})
 }
 
-// collectBatch deletes a batch all of whose jobs have keys of their own, or are over.
+// collectBatch deletes one batch whose jobs all have records of their own or are finished.
 func (g *garbageCollector) collectBatch() {
 	c := g.core
 	if g.deletingBatch || c.now.Monotonic < g.nextBatchScan {
@@ -82,14 +82,15 @@
 	}
 }
 
-// needsBatch reports whether the record of a job that counts is in a batch.
+// needsBatch reports whether the record of a job that counts is in a batch, which must then be kept.
 func (r *storedRecords) needsBatch(id string) bool {
 	j := r.jobs[id]
 	return j != nil && !j.hasOwnRecord() || r.derivedAborts[id]
 }
 
-// collectChunk deletes a chunk of a write that came to nothing: the job was accepted without it,
-// or it is older than any write under way can be.
+// collectChunk deletes chunks of chunked writes that were not completed. If the job was accepted
+// without a chunk, or has ended, the chunk is added to the keys to delete. If the job is not
+// accepted, one chunk is deleted that is too old to belong to a write in progress.
 func (g *garbageCollector) collectChunk() {
 	c := g.core
 	if len(c.records.chunks) == 0 || g.deletingChunk {
@@ -112,8 +113,8 @@
 	}
 }
 
-// isOrphan reports whether a chunk of a job that was not accepted is older than any write under
-// way can be, as far as this leader has seen.
+// isOrphan reports whether a chunk of a job that is not accepted is too old to belong to a write in
+// progress. Its age counts from when this controller first saw it as leader.
 func (g *garbageCollector) isOrphan(key string) bool {
 	now := g.core.now.Monotonic
 	since, known := g.orphanedSince[key]
@@ -124,8 +125,10 @@
 	return now-since >= 2*g.core.admission.chunked.writeTimeout()
 }
 
-// deleteOrphan deletes a chunk of a job that was not accepted. The first chunk goes first, and
-// the job's own key is guarded: it may be on its way.
+// deleteOrphan deletes a chunk of a job that is not accepted. The guards include the absence of the
+// job's own key, since the write that accepts the job may still arrive. Orphans are deleted in the
+// order of their keys, so the first chunk of a record is deleted before the others, which
+// chunkedRecords.writeJob relies on.
 func (g *garbageCollector) deleteOrphan(id, key string) {
 	g.takeWriteToken()
 	g.deletingChunk = true
@@ -134,7 +137,7 @@
 	g.deleteKeys(guards, []string{key}, func() { g.deletingChunk = false })
 }
 
-// collectKeys deletes keys of jobs that are over, as many as one transaction takes.
+// collectKeys deletes as many of the scheduled keys as one transaction and the write tokens allow.
 func (g *garbageCollector) collectKeys() {
 	c := g.core
 	if g.deletingKeys || len(g.keys) == 0 {
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -9,12 +9,13 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// saveProgress makes completed tasks durable: jobs that are complete first, then
-// progress, as far as the write budget goes.
+// saveProgress makes completed tasks durable. It writes the final records of complete jobs first,
+// and then progress of other jobs while write tokens are left.
 func (s *scheduler) saveProgress() {
 	s.refillWriteTokens()
 	due := s.saveCompleted()
-	// Those that have waited longest first, or the first names would take all.
+	// The jobs that have waited longest come first. In the order of ids, the first jobs would use
+	// all write tokens.
 	sort.SliceStable(due, func(a, b int) bool { return due[a].saveDueAt < due[b].saveDueAt })
 	for _, q := range due {
 		if s.progressWriteTokens < 1 {
@@ -24,15 +25,16 @@
 	}
 }
 
-// refillWriteTokens adds the writes that progress may take since the last call, a second's at the most.
+// refillWriteTokens adds the write tokens for progress that have accrued since the last call. At most
+// those of one second accumulate.
 func (s *scheduler) refillWriteTokens() {
 	rate := s.core.writeRate() * s.core.policy.ProgressShare
 	s.progressWriteTokens = min(s.progressWriteTokens+(s.core.now.Monotonic-s.progressTokensAt).Seconds()*rate, rate)
 	s.progressTokensAt = s.core.now.Monotonic
 }
 
-// saveCompleted writes the completion of jobs all of whose tasks are done, and returns those whose
-// progress is due.
+// saveCompleted writes the final records of jobs whose tasks are all done, and returns the jobs whose
+// progress is due to be written.
 func (s *scheduler) saveCompleted() (due []*queuedJob) {
 	for _, id := range sortedKeys(s.unsavedJobs) {
 		q := s.unsavedJobs[id]
@@ -49,21 +51,21 @@
 	return due
 }
 
-// writeCompletion writes that a job is done. The answer "done" is given only from the
-// mirror, so it is durable before it is said; the guard on the job's key settles
-// a race with a cancellation the same way everywhere.
+// writeCompletion writes that a job is done. Users see "done" only once the mirror has it, when it
+// is durable. If the job is cancelled at the same time, the guard on the job's own key lets exactly
+// one of the two writes succeed, so all controllers see the same outcome.
 func (s *scheduler) writeCompletion(q *queuedJob) {
 	c, j := s.core, q.entry
 	q.beginWrite(pendingCompletion)
 	final := finalRecord(j, protocol.JobDone, "")
-	final.DoneAt = math.Floor(c.now.Wall) // as the archive keeps it, so that it is the same for every leader
+	final.DoneAt = math.Floor(c.now.Wall) // whole seconds, as in the archive, so that every leader has the same value
 	guards := []protocol.Guard{c.membership.leaderGuard(), j.recordGuard()}
 	c.commit(guards, finalOps(j, final, c.maxTxnOps()), func(result CommitResult) {
 		c.mirror.AwaitOutcome(result.Outcome.Decided(), c.intervals.maintenance/4, q.endWrite)
 	})
 }
 
-// writeProgress writes the completed tasks of a job that are not durable yet.
+// writeProgress writes the blocks of a job that contain completed tasks which are not durable yet.
 func (s *scheduler) writeProgress(q *queuedJob) {
 	c := s.core
 	blockTasks, prefix := progressBlockTasks, keyProgress
@@ -72,9 +74,10 @@
 	}
 	blocks := unsavedBlocks(q, blockTasks)
 	q.saveDueAt = 0
-	// The guard on the job's key keeps progress from outliving the job, those on
-	// the blocks keep a write that is applied late from taking back what a later
-	// one has added: a task was once missing from both and never started again.
+	// The guard on the job's own key prevents progress from being written after the job has ended.
+	// The guards on the blocks prevent a write that is applied late from overwriting a newer one:
+	// without them a completed task was missing from both the stored block and unsavedTasks, and was
+	// never started again.
 	guards := []protocol.Guard{c.membership.leaderGuard(), q.entry.recordGuard()}
 	var ops []protocol.Operation
 	for _, block := range sortedKeys(blocks) {
@@ -92,8 +95,8 @@
 	})
 }
 
-// unsavedBlocks are the blocks of a job's tasks, by number, that have completed tasks which are not
-// durable yet, each together with those that are.
+// unsavedBlocks returns, by block number, the blocks of a job that contain completed tasks which are
+// not durable yet. Each set also contains the tasks of the block that are durable.
 func unsavedBlocks(q *queuedJob, blockTasks int) map[int]records.TaskSet {
 	blocks := map[int]records.TaskSet{}
 	for index := range q.unsavedTasks {
