--- a/internal/core/mirror_host.go
+++ b/internal/core/mirror_host.go
@@ -6,7 +6,7 @@
 	"github.com/chalkhub/chalkhub/internal/mirror"
 )
 
-// mirrorHost connects the mirror of the state service to the core's clock, timers and effects.
+// mirrorHost implements mirror.Host with the core's clock, timers, log and effects.
 type mirrorHost struct{ core *Core }
 
 func newMirror(c *Core) *mirror.Mirror {
@@ -27,10 +27,10 @@
 	h.core.emit(Watch{Since: since, Hold: hold, Barrier: barrier})
 }
 
-// handlePage passes a page of a load on to the mirror.
+// handlePage passes one page of a load to the mirror.
 func (c *Core) handlePage(result LoadResult) { c.mirror.HandlePage(mirror.Page(result)) }
 
-// handleChanges passes the answer to a watch or a barrier on to the mirror.
+// handleChanges passes the response to a watch or a read barrier to the mirror.
 func (c *Core) handleChanges(result WatchResult) {
 	changes := mirror.Changes{Barrier: result.Barrier, SentAt: result.SentAt, Answer: result.Answer}
 	switch result.Outcome {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -9,7 +9,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Status is what a node tells its operators about itself. The JSON names are a public interface.
+// Status is what a controller reports about itself to operators. Its JSON names are a public
+// interface. Fields that only the leader knows are empty on other controllers.
 type Status struct {
 	Label            string                    `json:"label"`
 	Epoch            uint64                    `json:"epoch"`
@@ -25,20 +26,20 @@
 	DesiredCPUs      float64                   `json:"desired_cpus,omitempty"`
 	Estimates        map[string]float64        `json:"estimates,omitempty"`
 	StartLatencies   map[string]LatencySummary `json:"task_waits_ms,omitempty"`
-	ResponseTimes    LatencySummary            `json:"answers_ms"` // of this node, filled in by the engine
+	ResponseTimes    LatencySummary            `json:"answers_ms"` // of this controller's HTTP responses; filled in by the engine
 	RejectedRequests map[string]int64          `json:"refused_requests,omitempty"`
 
-	// Problems, which only the leader knows: what somebody on call looks for first.
-	AbsentControllers map[string]float64 `json:"nodes_away_s,omitempty"`     // controllers outside the shard map, for how long
-	CrashLoopingJobs  map[string]string  `json:"faulty_jobs,omitempty"`      // jobs that seem to fail wherever they run
-	UnhealthyMachines map[string]string  `json:"faulty_machines,omitempty"`  // machines in quarantine
-	UnseenMachines    int                `json:"machines_unseen,omitempty"`  // that a failover still waits for
-	PartitionedZones  map[string]float64 `json:"silent_zones_s,omitempty"`   // zones most of which is silent, for how long
-	DrainingMachines  []string           `json:"machines_leaving,omitempty"` // being drained and returned
-	FairShareBoosts   []FairShareBoost   `json:"classes_short,omitempty"`    // classes that are served too little, and are boosted
+	// Problems that an operator on call looks for first. Only the leader knows them.
+	AbsentControllers map[string]float64 `json:"nodes_away_s,omitempty"`     // controllers outside the shard map, and for how many seconds
+	CrashLoopingJobs  map[string]string  `json:"faulty_jobs,omitempty"`      // jobs that seem to fail on every machine, and why
+	UnhealthyMachines map[string]string  `json:"faulty_machines,omitempty"`  // machines in quarantine, and why
+	UnseenMachines    int                `json:"machines_unseen,omitempty"`  // machines that may run tasks this leader does not know of yet; a failover waits for them
+	PartitionedZones  map[string]float64 `json:"silent_zones_s,omitempty"`   // zones most of whose machines are unreachable, and for how many seconds
+	DrainingMachines  []string           `json:"machines_leaving,omitempty"` // machines that are being drained before they are returned
+	FairShareBoosts   []FairShareBoost   `json:"classes_short,omitempty"`    // classes that got less than their fair share and are boosted
 }
 
-// LatencySummary is what a histogram holds, in short.
+// LatencySummary summarizes a histogram of latencies, in the unit of the histogram.
 type LatencySummary struct {
 	Count int64 `json:"n"`
 	P50   int64 `json:"p50"`
@@ -47,7 +48,7 @@
 	Max   int64 `json:"max"`
 }
 
-// Summarize sums up a histogram.
+// Summarize returns the count, the maximum and three quantiles of a histogram.
 func Summarize(h *hdrhistogram.Histogram) LatencySummary {
 	return LatencySummary{
 		Count: h.TotalCount(), Max: h.Max(),
@@ -55,35 +56,35 @@
 	}
 }
 
-// MachineStatus is one of this member's machines.
+// MachineStatus describes one of the machines in this controller's shard.
 type MachineStatus struct {
 	Type         string `json:"type"`
 	Zone         string `json:"zone"`
 	Spot         bool   `json:"spot"`
-	Trusted      bool   `json:"trusted"`
-	LeaseExpired bool   `json:"silent"`
+	Trusted      bool   `json:"trusted"` // its list of tasks is confirmed: the worker's last message had the current fencing token
+	LeaseExpired bool   `json:"silent"`  // its worker's lease has surely expired, so it runs no tasks
 	Draining     bool   `json:"draining"`
 	Tasks        int    `json:"tasks"`
 }
 
-// FairShareBoost is a class of a team of which too little was served.
+// FairShareBoost describes a class of a team's jobs that got less than its fair share and is boosted.
 type FairShareBoost struct {
 	Team          string  `json:"team"`
-	Class         string  `json:"class"` // empty: names that do not recur, together
-	Served        float64 `json:"served_jobs"`
-	Overdue       float64 `json:"overdue_jobs"`
-	AheadOfUrgent bool    `json:"before_urgent"` // it ranks before urgent work, not only before the rest
+	Class         string  `json:"class"`         // "" stands for the team's classes with few jobs, which are counted together
+	Served        float64 `json:"served_jobs"`   // number of served jobs, with older ones decayed
+	Overdue       float64 `json:"overdue_jobs"`  // number of waiting jobs that are overdue
+	AheadOfUrgent bool    `json:"before_urgent"` // it ranks ahead of urgent work too, not only ahead of other work
 }
 
-// QueuedJobStatus is a job in the leader's queue.
+// QueuedJobStatus describes a job in the leader's queue.
 type QueuedJobStatus struct {
 	JobID    string `json:"job"`
-	Waiting  int    `json:"waiting"`
-	InFlight int    `json:"placed"`
-	Reason   string `json:"reason,omitempty"`
+	Waiting  int    `json:"waiting"`          // number of tasks that are neither completed nor dispatched
+	InFlight int    `json:"placed"`           // number of dispatched tasks that have not ended
+	Reason   string `json:"reason,omitempty"` // why it waits
 }
 
-// status describes this node as it is now.
+// status returns the current status of this controller.
 func (c *Core) status() *Status {
 	s := &Status{
 		Label: c.settings.Label, Epoch: c.membership.epoch(), MayServe: c.membership.mayServe(),
@@ -108,7 +109,7 @@
 	return s
 }
 
-// addJobCounts counts the jobs by state, those that have ended too.
+// addJobCounts adds the number of jobs by state, including finished ones.
 func (c *Core) addJobCounts(s *Status) {
 	s.DependentJobs = c.records.dependencies.WaitingCount()
 	for _, entry := range c.records.jobs {
@@ -123,7 +124,8 @@
 	}
 }
 
-// addSchedulerStatus adds what the leader plans with.
+// addSchedulerStatus adds what the leader bases its decisions on: usage, demand, estimates, latencies
+// and the queue.
 func (c *Core) addSchedulerStatus(s *Status) {
 	s.TeamCPUs = map[string]float64{}
 	for team, usage := range c.scheduler.computeTeamUsage() {
@@ -148,8 +150,8 @@
 	}
 }
 
-// addJobProblems adds the jobs that fail wherever they run and the classes that are served too
-// little.
+// addJobProblems adds the crash-looping jobs and the classes that are boosted because they got less
+// than their fair share.
 func (c *Core) addJobProblems(s *Status) {
 	s.CrashLoopingJobs = map[string]string{}
 	for id, job := range c.scheduler.queue.All() {
@@ -167,7 +169,8 @@
 	}
 }
 
-// addMachineProblems adds the controllers, machines and zones that are not as they should be.
+// addMachineProblems adds controllers outside the shard map, unhealthy, unseen and draining machines,
+// and partitioned zones.
 func (c *Core) addMachineProblems(s *Status) {
 	s.AbsentControllers, s.UnhealthyMachines, s.PartitionedZones = map[string]float64{}, map[string]string{}, map[string]float64{}
 	for label, since := range c.membership.absentSince {
@@ -191,5 +194,5 @@
 	}
 }
 
-// IsLeader reports whether this node leads.
+// IsLeader reports whether this controller is the leader.
 func (c *Core) IsLeader() bool { return c.membership.leading }
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -1,14 +1,16 @@
 package core
 
-// maxTxnOps is how many keys one transaction may change: what the settings allow, and half of
-// a second's changes, since a larger one would never pass the rate limit while others write too.
+// maxTxnOps returns how many keys one transaction may change: at most the limit in the settings and
+// the changes that the store accepts in half a second. A larger transaction would never pass the rate
+// limit while other clients write too.
 func (c *Core) maxTxnOps() int {
 	return max(min(c.storeLimits.MaxTxnOps, int(c.storeLimits.WriteRPS/2)), 1)
 }
 
-// writeRate is the rate of changes that this node paces itself by: the present one until the
-// state service refuses a change for its rate, then the smaller of that and the one to come,
-// for good. If our own pace was the reason, nothing but some of that pace is lost.
+// writeRate returns the number of changes a second that this controller limits itself to. It is the
+// store's present limit until the store first refuses a change because of its rate. From then on it
+// is the smaller of the present and the announced future limit, for the lifetime of the process. If
+// the refusal had another cause than the announced change, the only cost is a lower write rate.
 func (c *Core) writeRate() float64 {
 	if c.throttled {
 		return c.storeLimits.WriteRPS
@@ -16,5 +18,6 @@
 	return c.settings.Site.Store.WriteRPS
 }
 
-// maxValueBytes is how many bytes a value may have, in the form in which limits are counted.
+// maxValueBytes returns how many bytes a value may have as JSON, in which the store counts its
+// limits.
 func (c *Core) maxValueBytes() int { return int(c.storeLimits.ValueKB * 1024) }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// timer calls run once the monotonic clock has reached its deadline.
+// timer is a function that is called once the monotonic clock has reached a deadline.
 type timer struct {
 	deadline time.Duration
-	sequence uint64 // timers of the same deadline run in the order in which they were set
+	sequence uint64 // timers with equal deadlines run in the order in which they were set
 	run      func()
 }
 
-// afterFunc calls run in the first batch that is applied after the delay.
+// afterFunc lets the first call of Apply after the delay call run.
 func (c *Core) afterFunc(delay time.Duration, run func()) {
 	c.lastTimerID++
 	heap.Push(&c.timers, timer{deadline: c.now.Monotonic + delay, sequence: c.lastTimerID, run: run})
 }
 
-// runTimers calls what is due, and what that sets without a delay.
+// runTimers runs all timers that are due, including those that are set without a delay meanwhile.
 func (c *Core) runTimers() {
 	for len(c.timers) > 0 && c.timers[0].deadline <= c.now.Monotonic {
 		heap.Pop(&c.timers).(timer).run()
 	}
 }
 
-// NextDeadline is when Apply is to be called even if no command has come: at the next timer,
-// and often enough for the periodic work.
+// NextDeadline returns the monotonic time by which Apply must be called again even if no command
+// arrives: the deadline of the next timer, or earlier if periodic work is due.
 func (c *Core) NextDeadline() time.Duration {
 	next := c.now.Monotonic + min(c.intervals.maintenance/4, c.intervals.scheduling)
 	if len(c.timers) > 0 && c.timers[0].deadline < next {
@@ -51,7 +51,7 @@
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // or its closure would be kept alive
+	old[len(old)-1] = timer{} // releases the closure, which the array would keep alive
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/core/transactions.go
+++ b/internal/core/transactions.go
@@ -4,22 +4,22 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// transactions are the compare-and-swap transactions that wait for their result.
+// transactions holds the compare-and-swap transactions that wait for their result.
 type transactions struct {
 	lastID  uint64
-	pending map[uint64]func(CommitResult)
+	pending map[uint64]func(CommitResult) // callbacks by transaction id
 }
 
-// commit runs a transaction: the operations are applied together if all guards hold. done gets the
-// result.
+// commit sends a transaction to the state service, which applies all operations together if all
+// guards hold, and none otherwise. done is called with the result.
 func (c *Core) commit(guards []protocol.Guard, ops []protocol.Operation, done func(CommitResult)) {
 	c.transactions.lastID++
 	c.transactions.pending[c.transactions.lastID] = done
 	c.emit(Commit{ID: c.transactions.lastID, Txn: protocol.Transaction{If: guards, Then: ops}})
 }
 
-// handleCommit passes on the result of a transaction. A node whose transaction was throttled paces
-// itself by the smaller rate from then on.
+// handleCommit passes the result of a transaction to its callback. Once a transaction has been
+// throttled, the controller limits itself to the lower write rate (see writeRate).
 func (c *Core) handleCommit(result CommitResult) {
 	done := c.transactions.pending[result.ID]
 	delete(c.transactions.pending, result.ID)
