--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -34,8 +34,8 @@
 	jobs    []string // ids
 }
 
-// guardsPerTxnOp times the maximum number of operations in a transaction is the maximum number of
-// its guards, according to the state service's protocol.
+// guardsPerTxnOp is how many guards the state service allows in a transaction for each operation
+// that it allows: with a limit of n operations, a transaction may have guardsPerTxnOp * n guards.
 const guardsPerTxnOp = 4
 
 // Sizes of a batch's value, in bytes of JSON, as the store counts its limits.
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -65,7 +65,7 @@
 		nonce:    fmt.Sprintf("%s-%d", x.core.bootID, x.writeCount),
 		deadline: x.core.now.Monotonic + x.writeTimeout(),
 	}
-	// Chunks take three quarters of the largest value; the rest is for what encloses the text.
+	// A chunk takes up to three quarters of the largest value; a quarter is left for what encloses it.
 	for chunk := range slices.Chunk([]byte(packRecord(record)), x.core.maxValueBytes()*3/4) {
 		x.current.chunks = append(x.current.chunks, string(chunk))
 	}
--- a/internal/core/garbage.go
+++ b/internal/core/garbage.go
@@ -114,7 +114,8 @@
 }
 
 // isOrphan reports whether a chunk of a job that is not accepted is too old to belong to a write in
-// progress. Its age counts from when this controller first saw it as leader.
+// progress: older than twice the time that a chunked write may take. Its age counts from when this
+// controller first saw it as leader.
 func (g *garbageCollector) isOrphan(key string) bool {
 	now := g.core.now.Monotonic
 	since, known := g.orphanedSince[key]
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -48,7 +48,8 @@
 const unknownRevision = 0
 
 // replyAfterCommit responds to a submission that was written at the given revision, after a read
-// barrier. If another acceptance of the job came first, the response describes that one.
+// barrier. If another acceptance of the job came first, the response describes that one. If the
+// mirror has none, the user is asked to repeat the request.
 func (q *jobQueries) replyAfterCommit(id RequestID, jobID string, revision uint64) {
 	q.core.mirror.Barrier(func(ok bool) {
 		j := q.core.records.acceptedJob(jobID)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// entry returns the entry of an unfinished job and creates it if there is none. Progress, zones and
-// chunks of a job may be read before the record that accepts it.
+// entry returns the entry of an unfinished job and creates it if there is none. Progress and zones
+// of a job may be read before the record that accepts it.
 func (r *storedRecords) entry(id string) *jobEntry {
 	j := r.jobs[id]
 	if j == nil {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -26,7 +26,7 @@
 	DesiredCPUs      float64                   `json:"desired_cpus,omitempty"`
 	Estimates        map[string]float64        `json:"estimates,omitempty"`
 	StartLatencies   map[string]LatencySummary `json:"task_waits_ms,omitempty"`
-	ResponseTimes    LatencySummary            `json:"answers_ms"` // of this controller's HTTP responses; filled in by the engine
+	ResponseTimes    LatencySummary            `json:"answers_ms"` // of the requests to this controller; filled in by the engine
 	RejectedRequests map[string]int64          `json:"refused_requests,omitempty"`
 
 	// Problems that an operator on call looks for first. Only the leader knows them.
