--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -113,7 +113,7 @@
 // follow reads what has changed since.
 func (r replica) follow(h *storeHistory) {
 	changes := protocol.WatchResponse{Revision: h.revision, Events: h.events}
-	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Answer: changes})
+	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Response: changes})
 }
 
 // requireFirst fails unless the replica holds the first acceptance and what was changed of it.
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -102,7 +102,7 @@
 	c.commit(notAcceptedGuards(jobID), []protocol.Operation{{Put: key, Value: s.record}}, func(result CommitResult) {
 		switch result.Outcome {
 		case Committed:
-			a.replyCommitted(&s, result.Answer.Revision)
+			a.replyCommitted(&s, result.Response.Revision)
 		case CommitConflict:
 			// Another controller, or an earlier request to this one, has accepted the job.
 			c.queries.replyCurrent(s.requestID, jobID)
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -143,10 +143,10 @@
 	switch result.Outcome {
 	case Committed:
 		for i := range batch {
-			b.core.admission.replyCommitted(&batch[i], result.Answer.Revision)
+			b.core.admission.replyCommitted(&batch[i], result.Response.Revision)
 		}
 	case CommitConflict:
-		b.retryUnaccepted(batch, result.Answer.Failed)
+		b.retryUnaccepted(batch, result.Response.Failed)
 	case CommitUnknown:
 		for i := range batch {
 			queries.replyAfterCommit(batch[i].requestID, batch[i].record.Spec.ID, unknownRevision)
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -136,7 +136,7 @@
 	c.commit(guards, ops, func(result CommitResult) {
 		switch result.Outcome {
 		case Committed:
-			x.chunksStored(result.Answer.Revision)
+			x.chunksStored(result.Response.Revision)
 		case CommitUnknown:
 			// The response was lost, so the mirror has to show whether the chunks were
 			// written. Giving up here would make the next request write all chunks again,
--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -38,9 +38,9 @@
 
 // handleMachineTypes takes the cloud's answer, or has it asked again after a while.
 func (f *fleet) handleMachineTypes(result MachineTypesResult) {
-	if result.Outcome == CloudDone && len(result.Answer.Types) > 0 {
+	if result.Outcome == CloudDone && len(result.Response.Types) > 0 {
 		f.typesRequested = false
-		f.cloudTypes = &result.Answer
+		f.cloudTypes = &result.Response
 		return
 	}
 	f.core.afterFunc(f.core.intervals.maintenance, func() { f.typesRequested = false })
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -71,8 +71,8 @@
 	c.logInfo("state loaded", "keys", c.mirror.VersionCount()+len(r.jobs)+ended, "ended jobs", ended, "revision", c.mirror.Revision())
 }
 
-// Settle implements mirror.Replica.
-func (r *storedRecords) Settle() {
+// EndBatch implements mirror.Replica.
+func (r *storedRecords) EndBatch() {
 	r.addLoadedDependents()
 	r.applyDependencyChanges()
 }
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -23,9 +23,9 @@
 // been given tasks: only those are given work, so that a failover knows which machines it must
 // see. Package registry lays it out on pages.
 type machineRegistry struct {
-	core             *Core
-	writeInFlight    bool
-	nextCollectionAt time.Duration // when machines that are gone may be taken out again
+	core          *Core
+	writeInFlight bool
+	nextRemovalAt time.Duration // when machines that are gone may be taken out again
 }
 
 // reconcile writes the machines that have come up since, and takes out those that are gone.
@@ -35,14 +35,14 @@
 		return
 	}
 	added := r.unregistered()
-	if len(added) == 0 && c.now.Monotonic < r.nextCollectionAt {
+	if len(added) == 0 && c.now.Monotonic < r.nextRemovalAt {
 		return
 	}
-	r.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
+	r.nextRemovalAt = c.now.Monotonic + c.intervals.maintenance
 	pages := c.records.registryPages
 	changed := registry.Plan(registry.Registry{
 		Pages: pages.All(), Page: pages.Get, PageCount: pages.Len(),
-		Record: r.record, Removed: r.isRemoved,
+		Record: r.record, Removed: r.shouldRemove,
 	}, added, r.limits())
 	if len(changed) > 0 {
 		r.commitPages(changed)
@@ -52,15 +52,15 @@
 // unregistered lists the machines that are up and not in the registry.
 func (r *machineRegistry) unregistered() (names []string) {
 	for name, view := range r.core.scheduler.machines.All() {
-		if view.state.AcceptsTasks && !view.registered && !view.leaving {
+		if view.state.AcceptsTasks && !view.registered && !view.terminating {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// isRemoved reports whether a machine is to be taken out of the registry.
-func (r *machineRegistry) isRemoved(name string) bool {
+// shouldRemove reports whether a machine is to be taken out of the registry.
+func (r *machineRegistry) shouldRemove(name string) bool {
 	return r.core.fleet.wasDeleted(name) || r.core.fleet.mayDeregister(name)
 }
 
@@ -121,7 +121,7 @@
 		l.core.scheduler.setRegistered(name, true)
 	}
 	// Most of a page's machines stay on it: only the others are looked for elsewhere.
-	l.removeUnlisted(slices.DeleteFunc(slices.Clone(before), func(name string) bool {
+	l.removeUnregistered(slices.DeleteFunc(slices.Clone(before), func(name string) bool {
 		_, stays := slices.BinarySearch(names, name)
 		return stays
 	}))
@@ -131,13 +131,13 @@
 func (l *storedRecords) removeRegistryPage(page string) {
 	before := l.registryPages.Get(page)
 	l.registryPages.Delete(page)
-	l.removeUnlisted(before)
+	l.removeUnregistered(before)
 }
 
-// removeUnlisted drops those machines that no page of the registry holds any more.
-func (l *storedRecords) removeUnlisted(names []string) {
+// removeUnregistered drops those machines that no page of the registry holds any more.
+func (l *storedRecords) removeUnregistered(names []string) {
 	for _, name := range names {
-		if l.isListed(name) {
+		if l.isRegistered(name) {
 			continue
 		}
 		l.machineRecords.Delete(name)
@@ -146,8 +146,8 @@
 	}
 }
 
-// isListed reports whether any page of the registry holds a machine.
-func (l *storedRecords) isListed(name string) bool {
+// isRegistered reports whether any page of the registry holds a machine.
+func (l *storedRecords) isRegistered(name string) bool {
 	for _, names := range l.registryPages.All() {
 		if _, listed := slices.BinarySearch(names, name); listed {
 			return true
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -55,8 +55,8 @@
 	return s.onDemand > max(s.total, s.maxOnTime-s.planned.total-s.created, 0)
 }
 
-// in is how many CPUs are missing that machines of an offer would be worth renting for.
-func (s *shortage) in(o *offer) float64 {
+// forOffer is how many CPUs are missing that machines of an offer would be worth renting for.
+func (s *shortage) forOffer(o *offer) float64 {
 	if o.spot {
 		return s.total
 	}
@@ -94,7 +94,7 @@
 		if jobLacks > 0 && zone != "" && o.zone != zone {
 			continue
 		}
-		lack := missing.in(o)
+		lack := missing.forOffer(o)
 		if lack < o.machineType.CPUs/2 && jobLacks <= 0 {
 			continue
 		}
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -107,12 +107,12 @@
 	}
 }
 
-// isWithinItsZone reports whether no task of a job of one zone can be in another than its record
+// isConfinedToZone reports whether no task of a job of one zone can be in another than its record
 // names.
 //
 // Guards against a reassignment that is carried out late: the job's tasks ran in the former zone
 // again, and the next ones were started in the new one.
-func (s *scheduler) isWithinItsZone(q *queuedJob) bool {
+func (s *scheduler) isConfinedToZone(q *queuedJob) bool {
 	if !q.entry.record.Spec.OneZone || len(q.entry.record.Zones) != 1 {
 		return true
 	}
@@ -220,7 +220,7 @@
 	if len(q.entry.record.Zones) == 1 {
 		return len(q.inflight) == 0
 	}
-	if slices.Contains(q.entry.record.Zones, zone) && hasOpenTaskElsewhere(q, index) {
+	if slices.Contains(q.entry.record.Zones, zone) && hasUnfinishedTaskElsewhere(q, index) {
 		return false
 	}
 	for task, attempt := range q.inflight {
@@ -239,9 +239,9 @@
 	return true
 }
 
-// hasOpenTaskElsewhere reports whether a task that is tied to another of its job's zones is not
+// hasUnfinishedTaskElsewhere reports whether a task that is tied to another of its job's zones is not
 // done durably: if it is done only for this leader, a crash may start it again.
-func hasOpenTaskElsewhere(q *queuedJob, index int) bool {
+func hasUnfinishedTaskElsewhere(q *queuedJob, index int) bool {
 	for task := range q.entry.record.Spec.Tasks {
 		if zoneIndex(q, task) != index && !q.entry.isTaskDone(task) {
 			return true
