--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -38,17 +38,17 @@
 // longest task runs, and moving costs a checkpoint and an image pull.
 func (f *fleet) evictFromCordoned(running []*instance) {
 	c := f.core
-	room := f.freeCPUs(running)
+	freeCPUs := f.freeCPUs(running)
 	for _, inst := range running {
 		view := c.scheduler.machines.Get(inst.name)
 		shard := c.scheduler.shards[view.shard]
 		// The wait lets short tasks end by themselves, and a load that comes back finds the
 		// machine as it was.
 		waited := view.cordoned && c.now.Monotonic-view.cordonedAt >= c.intervals.workerLease
-		if !waited || shard == nil || shard.session == 0 || view.used.cpus > room || !canEvictAll(view) {
+		if !waited || shard == nil || shard.session == 0 || view.used.cpus > freeCPUs || !canEvictAll(view) {
 			continue
 		}
-		room -= view.used.cpus
+		freeCPUs -= view.used.cpus
 		f.evictAll(shard, view, inst.name)
 	}
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -34,7 +34,7 @@
 type demandSum struct {
 	capacityDemand
 	totalByTeam map[string]float64
-	ahead       float64 // CPU seconds of work that ranks before the job at hand, and its own
+	workAhead   float64 // CPU seconds of work that ranks before the job at hand, and its own
 	onDemand    float64 // CPUs for jobs that must not run on spot machines
 }
 
@@ -89,7 +89,7 @@
 		}
 		return
 	}
-	sum.ahead += work
+	sum.workAhead += work
 	if !spec.AllowSpot {
 		sum.onDemand += min(cpus, work/f.completionHorizon(job))
 	}
@@ -102,7 +102,7 @@
 // addOnTimeDemand raises the capacity to what lets a job be done in time.
 func (f *fleet) addOnTimeDemand(sum *demandSum, job *queuedJob) {
 	left := f.completionHorizon(job)
-	cpus := sum.ahead/left + f.inflowBefore(job)
+	cpus := sum.workAhead/left + f.inflowBefore(job)
 	sum.onTime = max(sum.onTime, cpus)
 	for name, machineType := range f.core.machineTypes() {
 		if left >= machineType.BootS*f.core.policy.RushBoots {
@@ -128,14 +128,14 @@
 
 // Spans of completionHorizon.
 const (
-	// hastePerMiss is how much of a job's time one miss in a hundred gives back: an objective
+	// horizonPerMissShare is how much of a job's time one miss in a hundred gives back: an objective
 	// that allows more misses is worth less haste.
-	hastePerMiss = 6
-	// patientLeases is in how many worker leases work without an objective is to be done.
-	patientLeases = 10
-	// guaranteeBoots is in how many of the shortest useful times guaranteed work is to be done.
+	horizonPerMissShare = 6
+	// defaultHorizonLeases is in how many worker leases work without an objective is to be done.
+	defaultHorizonLeases = 10
+	// guaranteeHorizonFactor is in how many of the shortest useful times guaranteed work is to be done.
 	// It starts late whatever is rented; it should not wait much longer than a boot.
-	guaranteeBoots = 2
+	guaranteeHorizonFactor = 2
 )
 
 // completionHorizon is the time in which a job's queued work must be done to be in time, in
@@ -146,13 +146,13 @@
 	for i := range f.core.settings.Site.Objectives {
 		objective := &f.core.settings.Site.Objectives[i]
 		if objective.Kind == objectiveGuarantee && job.withinGuarantee {
-			horizon = min(horizon, guaranteeBoots*f.minUsefulSeconds(spec))
+			horizon = min(horizon, guaranteeHorizonFactor*f.minUsefulSeconds(spec))
 		}
 		if objective.Class != spec.Class {
 			continue
 		}
 		if left := f.timeLeft(objective, job); left > 0 {
-			horizon = min(horizon, left*min(policy.HorizonShare+hastePerMiss*(1-objective.Share), 1))
+			horizon = min(horizon, left*min(policy.HorizonShare+horizonPerMissShare*(1-objective.Share), 1))
 		}
 	}
 	// What others depend on has what is left before the last of them is late.
@@ -160,7 +160,7 @@
 		horizon = min(horizon, left*policy.HorizonShare)
 	}
 	if math.IsInf(horizon, 1) {
-		horizon = patientLeases * f.core.intervals.workerLease.Seconds()
+		horizon = defaultHorizonLeases * f.core.intervals.workerLease.Seconds()
 	}
 	return max(horizon, f.minUsefulSeconds(spec))
 }
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -73,7 +73,7 @@
 	switch {
 	case q.unlocated:
 		q.reason = "waits until every machine has been seen after a change of leader"
-	case !s.isWithinItsZone(q):
+	case !s.isConfinedToZone(q):
 		q.reason = "waits until its tasks in another zone have ended"
 	case (spec.OneZone || spec.Spread) && len(q.entry.record.Zones) == 0:
 		s.chooseZones(q, round.machines)
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -69,15 +69,15 @@
 	default:
 		q.retryAt[index] = now + intervals.maintenance<<min(len(q.failures.machines)-1, maxRetryDoublings)
 	}
-	s.quarantineIfFaulty(view)
+	s.quarantineIfUnhealthy(view)
 }
 
-// quarantineIfFaulty quarantines a machine on which several jobs have failed since its last
+// quarantineIfUnhealthy quarantines a machine on which several jobs have failed since its last
 // success, if they work elsewhere, or have had two leases to fail on a third machine and have not.
 //
 // Guards against blaming a machine on which two faulty jobs happen to fail first: with three such
 // jobs a sound machine was quarantined in nearly every simulation.
-func (s *scheduler) quarantineIfFaulty(view *machineView) {
+func (s *scheduler) quarantineIfUnhealthy(view *machineView) {
 	if view.unhealthy || len(view.failedJobs) < s.core.policy.QuarantineJobs {
 		return
 	}
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// servedMemory is for how many times the span after which an account is overdue what was
+	// servedDecayFactor is for how many times the span after which an account is overdue what was
 	// served is remembered.
-	servedMemory = 8
+	servedDecayFactor = 8
 
-	// boostedAging is how many times as slowly waiting counts within a boosted account as in the
+	// boostedAgingFactor is how many times as slowly waiting counts within a boosted account as in the
 	// ordinary order, since half of the account's jobs is what counts.
-	boostedAging = 4
+	boostedAgingFactor = 4
 )
 
 // newFairShareRules turns the operators' policy into spans of seconds.
@@ -29,8 +29,8 @@
 	return fairshare.Rules{
 		MinShare:     c.policy.FairShare,
 		OverdueAfter: overdueAfter,
-		DecayTime:    servedMemory * overdueAfter,
-		AgingTime:    boostedAging * c.policy.AgingLeases * lease,
+		DecayTime:    servedDecayFactor * overdueAfter,
+		AgingTime:    boostedAgingFactor * c.policy.AgingLeases * lease,
 	}
 }
 
@@ -114,11 +114,11 @@
 
 const (
 	// largestPart: one in so many jobs of an account is among its largest,
-	largestPart = 4
+	largestDivisor = 4
 
-	// largestPartBoosted is the same where the account is boosted: jobs that are completed count
+	// largestDivisorBoosted is the same where the account is boosted: jobs that are completed count
 	// for more there than jobs that have begun.
-	largestPartBoosted = 8
+	largestDivisorBoosted = 8
 )
 
 // largestJobs tells which of the unfinished jobs are the largest of their account, by tasks. An
@@ -132,12 +132,12 @@
 	largest := map[*queuedJob]bool{}
 	for account, list := range byAccount {
 		slices.SortStableFunc(list, func(a, b *queuedJob) int { return cmp.Compare(b.spec().Tasks, a.spec().Tasks) })
-		part := largestPart
+		divisor := largestDivisor
 		if boosted[account] {
-			part = largestPartBoosted
+			divisor = largestDivisorBoosted
 		}
 		median := list[len(list)/2].spec().Tasks
-		for _, q := range list[:(len(list)+part-1)/part] {
+		for _, q := range list[:(len(list)+divisor-1)/divisor] {
 			largest[q] = q.spec().Tasks > median
 		}
 	}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -30,10 +30,10 @@
 	requestCounter   int
 
 	// What is known of the zones.
-	silentZones     map[string]time.Duration // zones most of which is silent, since when
-	recoveredZones  map[string]time.Duration // zones that were silent, when they came back
-	reachableByZone map[string]int           // machines that are heard and up,
-	machinesByZone  map[string]int           // of so many
+	zonePartitionedSince map[string]time.Duration // zones most of which is silent, since when
+	zoneRecoveredAt      map[string]time.Duration // zones that were silent, when they came back
+	reachableByZone      map[string]int           // machines that are heard and up,
+	machinesByZone       map[string]int           // of so many
 
 	// The last round's results.
 	usableByPool map[pool]int    // machines that are or will be of use
@@ -44,7 +44,7 @@
 	inflowByUrgency  map[int]float64 // CPUs
 	guaranteedInflow float64         // CPUs, of teams that are not best-effort
 	decayedAt        time.Duration
-	burstAt          time.Duration
+	lastBurstAt      time.Duration
 	burstReserve     float64 // CPUs to keep free for jobs that must not wait
 
 	// The machine types, on their way from the cloud to the state service.
@@ -65,7 +65,7 @@
 	f.instances = orderedmap.New[*instance]()
 	f.createRequests = map[string]*createRequest{}
 	f.deletedNames = map[string]bool{}
-	f.silentZones, f.recoveredZones = map[string]time.Duration{}, map[string]time.Duration{}
+	f.zonePartitionedSince, f.zoneRecoveredAt = map[string]time.Duration{}, map[string]time.Duration{}
 	f.inflowByUrgency = map[int]float64{}
 	f.burstReserve = 0
 	f.poolBackoffUntil = map[pool]time.Duration{}
@@ -109,7 +109,7 @@
 // maintenance round. ranked is every unfinished job and waiting those that had tasks to
 // dispatch, both in rank order.
 func (f *fleet) autoscale(ranked, waiting []*queuedJob) {
-	f.adoptSeenMachines()
+	f.adoptUnlistedMachines()
 	f.budget.scalingDeferred = false
 	f.decayInflow()
 	f.trackZones()
@@ -124,9 +124,9 @@
 	f.returnInstances()
 }
 
-// adoptSeenMachines takes over machines that the list does not show yet: those that report, or
+// adoptUnlistedMachines takes over machines that the list does not show yet: those that report, or
 // that an earlier leader has registered.
-func (f *fleet) adoptSeenMachines() {
+func (f *fleet) adoptUnlistedMachines() {
 	c := f.core
 	for name, view := range c.scheduler.machines.All() {
 		unknown := f.instances.Get(name) == nil && !f.deletedNames[name]
--- a/internal/core/inflow.go
+++ b/internal/core/inflow.go
@@ -11,18 +11,20 @@
 // have arrived, each of which counts for less with the time since then.
 
 const (
-	// inflowLeases is the time constant of the inflow, in worker leases.
-	inflowLeases = 8
-	// inflowMemory is how many time constants back a job still counts when the inflow is worked
+	// inflowDecayLeases is the time constant of the inflow, in worker leases.
+	inflowDecayLeases = 8
+	// inflowCutoffFactor is how many time constants back a job still counts when the inflow is worked
 	// out anew.
-	inflowMemory = 8
-	// burstLeases is for how many worker leases after the last such job capacity is kept for
+	inflowCutoffFactor = 8
+	// burstReserveLeases is for how many worker leases after the last such job capacity is kept for
 	// jobs that must not wait.
-	burstLeases = 3
+	burstReserveLeases = 3
 )
 
 // inflowSeconds is the time constant of the inflow.
-func (f *fleet) inflowSeconds() float64 { return inflowLeases * f.core.intervals.workerLease.Seconds() }
+func (f *fleet) inflowSeconds() float64 {
+	return inflowDecayLeases * f.core.intervals.workerLease.Seconds()
+}
 
 // jobInflow is what a job adds to the inflow as it arrives.
 func (f *fleet) jobInflow(spec *protocol.Job) float64 {
@@ -49,7 +51,7 @@
 		objective := &f.core.settings.Site.Objectives[i]
 		if objective.Kind == objectiveWait && objective.Class == spec.Class {
 			f.burstReserve = max(f.burstReserve, float64(spec.Tasks)*spec.CPUs)
-			f.burstAt = f.core.now.Monotonic
+			f.lastBurstAt = f.core.now.Monotonic
 		}
 	}
 	cpus := f.jobInflow(spec)
@@ -89,7 +91,7 @@
 func (f *fleet) recentlyEnded() []string {
 	var recent []string
 	for id, ended := range f.core.records.archive.jobs {
-		if f.core.now.Wall-float64(ended.submittedAt) < inflowMemory*f.inflowSeconds() {
+		if f.core.now.Wall-float64(ended.submittedAt) < inflowCutoffFactor*f.inflowSeconds() {
 			recent = append(recent, id)
 		}
 	}
@@ -104,7 +106,7 @@
 	f.decayedAt = now
 	f.burstReserve *= factor
 	f.guaranteedInflow *= factor
-	if now-f.burstAt > burstLeases*f.core.intervals.workerLease {
+	if now-f.lastBurstAt > burstReserveLeases*f.core.intervals.workerLease {
 		f.burstReserve = 0
 	}
 	for urgency := range f.inflowByUrgency {
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -14,25 +14,25 @@
 const (
 	returnIdle         returnReason = "idle"
 	returnFailed       returnReason = "failed"          // by the cloud's word
-	returnTakenBack    returnReason = "taken back"      // the list no longer has it
-	returnFaulty       returnReason = "faulty"          // jobs fail there that run elsewhere
-	returnNeverUp      returnReason = "did not come up" // it boots for too long
+	returnUnlisted     returnReason = "taken back"      // the list no longer has it
+	returnUnhealthy    returnReason = "faulty"          // jobs fail there that run elsewhere
+	returnBootTimeout  returnReason = "did not come up" // it boots for too long
 	returnSilent       returnReason = "silent"          // long after it has dropped its tasks
 	returnDead         returnReason = "dead"            // silent while its zone is heard
 	returnUnresponsive returnReason = "does not answer" // nor did it since the shard map changed
 )
 
 // beginReturn drains a machine; it is deleted once that is done.
-func (f *fleet) beginReturn(inst *instance, why returnReason) {
+func (f *fleet) beginReturn(inst *instance, reason returnReason) {
 	if inst.returnReason != "" {
 		return
 	}
-	inst.returnReason = why
+	inst.returnReason = reason
 	if view := f.core.scheduler.machines.Get(inst.name); view != nil {
 		view.leaving = true
 	}
 	f.core.logInfo("draining instance", "machine", inst.name, "type", inst.typeName, "zone", inst.zone,
-		"spot", inst.spot, "why", string(why))
+		"spot", inst.spot, "why", string(reason))
 }
 
 // returnInstances gives up machines that are of no use any more, and deletes those that are
@@ -40,7 +40,7 @@
 func (f *fleet) returnInstances() {
 	var names []string
 	for name, inst := range f.instances.All() {
-		f.giveUp(inst)
+		f.returnIfUnusable(inst)
 		if inst.returnReason == "" || inst.deleteInFlight {
 			continue
 		}
@@ -57,25 +57,25 @@
 	f.core.emit(DeleteInstances{Names: names})
 }
 
-// giveUp begins to return a machine that never came up, failed, vanished or is faulty.
-func (f *fleet) giveUp(inst *instance) {
+// returnIfUnusable begins to return a machine that never came up, failed, vanished or is faulty.
+func (f *fleet) returnIfUnusable(inst *instance) {
 	if inst.returnReason != "" {
 		return
 	}
-	why, forced := f.uselessReason(inst)
-	if why == "" {
+	reason, forced := f.unusableReason(inst)
+	if reason == "" {
 		return
 	}
-	if why == returnNeverUp {
+	if reason == returnBootTimeout {
 		f.failedBoots[inst.typeName]++
 	}
-	f.beginReturn(inst, why)
-	inst.forced = forced
+	f.beginReturn(inst, reason)
+	inst.forceDelete = forced
 }
 
-// uselessReason says why a machine is of no use any more, if so, and whether it is to be deleted
+// unusableReason says why a machine is of no use any more, if so, and whether it is to be deleted
 // without waiting for its tasks to end.
-func (f *fleet) uselessReason(inst *instance) (why returnReason, forced bool) {
+func (f *fleet) unusableReason(inst *instance) (reason returnReason, forced bool) {
 	c := f.core
 	view, machineType := c.scheduler.machines.Get(inst.name), c.machineTypes()[inst.typeName]
 	up := view != nil && view.state.AcceptsTasks
@@ -84,12 +84,12 @@
 	case inst.cloudState == protocol.MachineFailed:
 		return returnFailed, false
 	case inst.missedLists >= missedListsUntilLost && !up && age > 4*f.listLag():
-		return returnTakenBack, true // the cloud's answer says that its tasks are gone
+		return returnUnlisted, true // the cloud's answer says that its tasks are gone
 	case view != nil && view.unhealthy:
-		return returnFaulty, false
+		return returnUnhealthy, false
 	case view == nil:
 		if machineType != nil && age > max(f.bootTimeout(machineType), minBootTimeout) {
-			return returnNeverUp, false
+			return returnBootTimeout, false
 		}
 		return "", false
 	case !up && view.state.TasksComplete && c.now.Monotonic-view.emptySince > f.silenceBeforeReturn(inst.zone):
@@ -114,8 +114,8 @@
 // among a thousand spot machines there nearly always is one that was taken back without notice.
 func (f *fleet) isUnresponsive(view *machineView) bool {
 	c := f.core
-	patience := max(c.intervals.heartbeat, c.intervals.workerLease/5)
-	return !view.state.TasksComplete && view.state.Silent && c.now.Monotonic-view.unsureSince > patience
+	timeout := max(c.intervals.heartbeat, c.intervals.workerLease/5)
+	return !view.state.TasksComplete && view.state.Silent && c.now.Monotonic-view.unsureSince > timeout
 }
 
 // minBootTimeout is how long any machine may boot, however fast its type is.
@@ -141,12 +141,12 @@
 	view, registered := c.scheduler.machines.Get(inst.name), c.records.machineRecords.Get(inst.name) != nil
 	if view != nil && view.state.AcceptsTasks && !view.state.Draining && registered {
 		f.requestDrain(view, inst.name)
-		if !inst.forced && !view.unhealthy {
+		if !inst.forceDelete && !view.unhealthy {
 			return false
 		}
 	}
-	waits := !inst.forced && inst.returnReason != returnFaulty && inst.cloudState != protocol.MachineFailed
-	if waits && view != nil && len(view.attempts) > 0 {
+	awaitsTasks := !inst.forceDelete && inst.returnReason != returnUnhealthy && inst.cloudState != protocol.MachineFailed
+	if awaitsTasks && view != nil && len(view.attempts) > 0 {
 		return false
 	}
 	return !f.mayDeregister(inst.name) || !registered // out of the registry first
@@ -166,7 +166,7 @@
 // just before it ended.
 func (f *fleet) mayDeregister(name string) bool {
 	inst, view := f.instances.Get(name), f.core.scheduler.machines.Get(name)
-	return inst != nil && inst.returnReason != "" && !inst.forced &&
+	return inst != nil && inst.returnReason != "" && !inst.forceDelete &&
 		view != nil && view.listedEpoch == f.core.scheduler.epoch &&
 		view.state.TasksComplete && view.state.AcceptsTasks && view.state.Draining && len(view.attempts) == 0
 }
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -21,9 +21,9 @@
 	createdAt      time.Duration // by the list's word or our own request
 	wasListed      bool
 	missedLists    int          // lists in a row that lacked it after it was listed
-	cpuShare       float64      // share of its CPUs that is taken
+	cpuUtilization float64      // share of its CPUs that is taken
 	returnReason   returnReason // empty: it is not being returned
-	forced         bool         // to be deleted without waiting for its tasks to end
+	forceDelete    bool         // to be deleted without waiting for its tasks to end
 	deleteInFlight bool
 }
 
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -124,7 +124,7 @@
 		if view.machineType == nil {
 			view.machineType = s.core.machineTypes()[view.state.Type]
 		}
-		s.quarantineIfFaulty(view) // jobs that failed here may have shown since that they work
+		s.quarantineIfUnhealthy(view) // jobs that failed here may have shown since that they work
 		if s.isGone(name, view) {
 			for _, task := range sortedKeys(view.attempts) {
 				s.releaseClaim(task, view.attempts[task], view)
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -16,14 +16,14 @@
 	cost        float64
 }
 
-// usualStayLeases is for how many worker leases a machine usually stays: boot and first image
+// typicalLifetimeLeases is for how many worker leases a machine usually stays: boot and first image
 // pull are paid for as well, and are spread over that.
-const usualStayLeases = 6
+const typicalLifetimeLeases = 6
 
 // offers lists the pools that could serve a job, cheapest first, and among those of the same
 // cost the zones with the fewest machines first.
 func (f *fleet) offers(spec *protocol.Job, onDemandOnly bool) []offer {
-	staySeconds := usualStayLeases * f.core.intervals.workerLease.Seconds()
+	lifetimeSeconds := typicalLifetimeLeases * f.core.intervals.workerLease.Seconds()
 	machinesInZone := map[string]int{}
 	for p, count := range f.usableByPool {
 		machinesInZone[p.zone] += count
@@ -38,7 +38,7 @@
 			price = machineType.SpotPrice
 		}
 		pullSeconds := spec.ImageGB / max(machineType.FetchGBps, minFetchGBps)
-		overhead := 1 + (machineType.BootS+pullSeconds)/staySeconds
+		overhead := 1 + (machineType.BootS+pullSeconds)/lifetimeSeconds
 		offers = append(offers, offer{pool: p, machineType: machineType, cost: price / tasksPerMachine(machineType, spec) * overhead})
 	}
 	sort.SliceStable(offers, func(a, b int) bool {
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -23,9 +23,9 @@
 // been given tasks: only those are given work, so that a failover knows which machines it must
 // see. Package registry lays it out on pages.
 type machineRegistry struct {
-	core             *Core
-	writeInFlight    bool
-	nextCollectionAt time.Duration // when machines that are gone may be taken out again
+	core          *Core
+	writeInFlight bool
+	nextRemovalAt time.Duration // when machines that are gone may be taken out again
 }
 
 // reconcile writes the machines that have come up since, and takes out those that are gone.
@@ -35,14 +35,14 @@
 		return
 	}
 	added := r.unregistered()
-	if len(added) == 0 && c.now.Monotonic < r.nextCollectionAt {
+	if len(added) == 0 && c.now.Monotonic < r.nextRemovalAt {
 		return
 	}
-	r.nextCollectionAt = c.now.Monotonic + c.intervals.maintenance
+	r.nextRemovalAt = c.now.Monotonic + c.intervals.maintenance
 	pages := c.records.registryPages
 	changed := registry.Plan(registry.Registry{
 		Pages: pages.All(), Page: pages.Get, PageCount: pages.Len(),
-		Record: r.record, Removed: r.isRemoved,
+		Record: r.record, Removed: r.shouldRemove,
 	}, added, r.limits())
 	if len(changed) > 0 {
 		r.commitPages(changed)
@@ -59,8 +59,8 @@
 	return names
 }
 
-// isRemoved reports whether a machine is to be taken out of the registry.
-func (r *machineRegistry) isRemoved(name string) bool {
+// shouldRemove reports whether a machine is to be taken out of the registry.
+func (r *machineRegistry) shouldRemove(name string) bool {
 	return r.core.fleet.wasDeleted(name) || r.core.fleet.mayDeregister(name)
 }
 
@@ -104,51 +104,51 @@
 		}
 	}
 	r.writeInFlight = true
-	c.commit(guards, ops, func(d CommitResult) {
-		c.mirror.AwaitOutcome(d.Outcome == Committed, c.intervals.maintenance/4, func() { r.writeInFlight = false })
+	c.commit(guards, ops, func(result CommitResult) {
+		c.mirror.AwaitOutcome(result.Outcome == Committed, c.intervals.maintenance/4, func() { r.writeInFlight = false })
 	})
 }
 
 // putRegistryPage takes a page of the registry into the mirror.
-func (l *storedRecords) putRegistryPage(page string, record *records.RegistryPage) {
-	before := l.registryPages.Get(page)
+func (r *storedRecords) putRegistryPage(page string, record *records.RegistryPage) {
+	before := r.registryPages.Get(page)
 	names := sortedKeys(record.Machines)
-	l.registryPages.Set(page, names)
+	r.registryPages.Set(page, names)
 	for _, name := range names {
 		machine := record.Machines[name]
-		l.machineRecords.Set(name, &machine)
-		l.core.shard.adoptRegistered(name, &machine)
-		l.core.scheduler.setRegistered(name, true)
+		r.machineRecords.Set(name, &machine)
+		r.core.shard.adoptRegistered(name, &machine)
+		r.core.scheduler.setRegistered(name, true)
 	}
 	// Most of a page's machines stay on it: only the others are looked for elsewhere.
-	l.removeUnlisted(slices.DeleteFunc(slices.Clone(before), func(name string) bool {
+	r.removeUnregistered(slices.DeleteFunc(slices.Clone(before), func(name string) bool {
 		_, stays := slices.BinarySearch(names, name)
 		return stays
 	}))
 }
 
 // removeRegistryPage takes a page that was deleted out of the mirror.
-func (l *storedRecords) removeRegistryPage(page string) {
-	before := l.registryPages.Get(page)
-	l.registryPages.Delete(page)
-	l.removeUnlisted(before)
+func (r *storedRecords) removeRegistryPage(page string) {
+	before := r.registryPages.Get(page)
+	r.registryPages.Delete(page)
+	r.removeUnregistered(before)
 }
 
-// removeUnlisted drops those machines that no page of the registry holds any more.
-func (l *storedRecords) removeUnlisted(names []string) {
+// removeUnregistered drops those machines that no page of the registry holds any more.
+func (r *storedRecords) removeUnregistered(names []string) {
 	for _, name := range names {
-		if l.isListed(name) {
+		if r.isRegistered(name) {
 			continue
 		}
-		l.machineRecords.Delete(name)
-		l.core.shard.nextCheckAt = 0
-		l.core.scheduler.setRegistered(name, false)
+		r.machineRecords.Delete(name)
+		r.core.shard.nextCheckAt = 0
+		r.core.scheduler.setRegistered(name, false)
 	}
 }
 
-// isListed reports whether any page of the registry holds a machine.
-func (l *storedRecords) isListed(name string) bool {
-	for _, names := range l.registryPages.All() {
+// isRegistered reports whether any page of the registry holds a machine.
+func (r *storedRecords) isRegistered(name string) bool {
+	for _, names := range r.registryPages.All() {
 		if _, listed := slices.BinarySearch(names, name); listed {
 			return true
 		}
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -39,7 +39,7 @@
 		if f.isNeeded(inst, constrained) || !demand.canSpare(cpus, inst.spot, capacity, wanted) {
 			continue
 		}
-		f.takeOut(inst, len(planned[inst.name]) > 0, isClearSurplus(capacity.total-cpus, wanted))
+		f.cordonOrReturn(inst, len(planned[inst.name]) > 0, isClearSurplus(capacity.total-cpus, wanted))
 		capacity.add(-cpus, inst.spot)
 	}
 	f.publishCordons()
@@ -67,13 +67,13 @@
 // emptiest first.
 func (f *fleet) sortForReturn(running []*instance) {
 	for _, inst := range running {
-		inst.cpuShare = f.core.scheduler.machines.Get(inst.name).used.cpus / f.core.machineTypes()[inst.typeName].CPUs
+		inst.cpuUtilization = f.core.scheduler.machines.Get(inst.name).used.cpus / f.core.machineTypes()[inst.typeName].CPUs
 	}
 	sort.SliceStable(running, func(a, b int) bool {
 		if running[a].spot != running[b].spot {
 			return running[b].spot
 		}
-		return running[a].cpuShare < running[b].cpuShare
+		return running[a].cpuUtilization < running[b].cpuUtilization
 	})
 }
 
@@ -87,19 +87,19 @@
 	return !needed
 }
 
-// takeOut has a machine that can be spared get no new tasks, and returns it if it is idle. With
+// cordonOrReturn has a machine that can be spared get no new tasks, and returns it if it is idle. With
 // a clear surplus its shard is told not to fill it, and an idle spot machine is not kept for
 // work that may come. planned: tasks have been dispatched for the room on it.
 //
 // Guards against a machine that is returned in the round in which a job's last tasks were dispatched
 // to it: nothing of the job waited any more, and nothing of it was there yet.
-func (f *fleet) takeOut(inst *instance, planned, surplus bool) {
+func (f *fleet) cordonOrReturn(inst *instance, planned, surplus bool) {
 	c := f.core
 	view := c.scheduler.machines.Get(inst.name)
 	idle := len(view.attempts) == 0 && !planned
 	if inst.spot {
-		keep := config.Seconds(c.machineTypes()[inst.typeName].BootS * c.policy.IdleBoots)
-		idle = idle && (surplus || c.now.Monotonic-view.emptySince >= keep)
+		idleTime := config.Seconds(c.machineTypes()[inst.typeName].BootS * c.policy.IdleBoots)
+		idle = idle && (surplus || c.now.Monotonic-view.emptySince >= idleTime)
 	}
 	view.unschedulable = surplus || !inst.spot
 	f.cordoned[inst.name] = surplus
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -55,8 +55,8 @@
 	return s.onDemand > max(s.total, s.maxOnTime-s.planned.total-s.created, 0)
 }
 
-// in is how many CPUs are missing that machines of an offer would be worth renting for.
-func (s *shortage) in(o *offer) float64 {
+// forOffer is how many CPUs are missing that machines of an offer would be worth renting for.
+func (s *shortage) forOffer(o *offer) float64 {
 	if o.spot {
 		return s.total
 	}
@@ -87,24 +87,24 @@
 // scaleOutFor creates instances that a job may use: for the common demand, and for what the job
 // itself lacks where few machines can serve it.
 func (f *fleet) scaleOutFor(job *queuedJob, missing *shortage) {
-	zone, jobLacks := f.missingCapacity(job)
+	zone, jobMissing := f.missingCapacity(job)
 	offers := f.offers(&job.entry.record.Spec, missing.onDemandOnly())
 	for i := range offers {
 		o := &offers[i]
-		if jobLacks > 0 && zone != "" && o.zone != zone {
+		if jobMissing > 0 && zone != "" && o.zone != zone {
 			continue
 		}
-		lack := missing.in(o)
-		if lack < o.machineType.CPUs/2 && jobLacks <= 0 {
+		cpusMissing := missing.forOffer(o)
+		if cpusMissing < o.machineType.CPUs/2 && jobMissing <= 0 {
 			continue
 		}
 		if f.requestPending(o.pool) || !f.takeScalingCall() {
 			continue
 		}
-		count := machinesFor(o.machineType, max(lack, jobLacks), zone == "")
-		f.createInstances(o.pool, count, lack)
+		count := machinesFor(o.machineType, max(cpusMissing, jobMissing), zone == "")
+		f.createInstances(o.pool, count, cpusMissing)
 		cpus := float64(count) * o.machineType.CPUs
-		jobLacks -= cpus
+		jobMissing -= cpus
 		missing.reduce(cpus, o.spot)
 	}
 }
@@ -120,7 +120,7 @@
 }
 
 // createInstances asks the cloud for machines, under a name that no other request has.
-func (f *fleet) createInstances(p pool, count int, lack float64) {
+func (f *fleet) createInstances(p pool, count int, cpusMissing float64) {
 	c := f.core
 	f.requestCounter++
 	body := protocol.CreateMachinesRequest{
@@ -130,7 +130,7 @@
 	f.createRequests[body.Request] = &createRequest{body: body}
 	c.emit(CreateInstances{Request: body})
 	c.logDebug("creating instances", "request", body.Request, "type", p.typeName, "zone", p.zone, "spot", p.spot,
-		"count", count, "cpus_missing", lack)
+		"count", count, "cpus_missing", cpusMissing)
 }
 
 func (f *fleet) requestPending(p pool) bool {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -181,7 +181,7 @@
 	for range c.scheduler.unseenMachines() {
 		s.UnseenMachines++
 	}
-	for zone, since := range c.fleet.silentZones {
+	for zone, since := range c.fleet.zonePartitionedSince {
 		s.SilentZones[zone] = (c.now.Monotonic - since).Seconds()
 	}
 	for name, inst := range c.fleet.instances.All() {
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -107,12 +107,12 @@
 	}
 }
 
-// isWithinItsZone reports whether no task of a job of one zone can be in another than its record
+// isConfinedToZone reports whether no task of a job of one zone can be in another than its record
 // names.
 //
 // Guards against a reassignment that is carried out late: the job's tasks ran in the former zone
 // again, and the next ones were started in the new one.
-func (s *scheduler) isWithinItsZone(q *queuedJob) bool {
+func (s *scheduler) isConfinedToZone(q *queuedJob) bool {
 	if !q.entry.record.Spec.OneZone || len(q.entry.record.Zones) != 1 {
 		return true
 	}
@@ -149,12 +149,12 @@
 	if c.records.olderController() != "" || protocol.JSONSize(q.entry.record) > c.maxValueBytes()-batchOverhead {
 		return
 	}
-	former := q.entry.record.Zones[index]
-	for _, zone := range s.candidateZones(q, former) {
-		if zone != former && s.mayReassignZone(q, index, zone) {
+	current := q.entry.record.Zones[index]
+	for _, zone := range s.candidateZones(q, current) {
+		if zone != current && s.mayReassignZone(q, index, zone) {
 			zones := slices.Clone(q.entry.record.Zones)
 			zones[index] = zone
-			c.logInfo("job reassigned to another zone: its zone has no room", "job", q.id, "from", former, "to", zone)
+			c.logInfo("job reassigned to another zone: its zone has no room", "job", q.id, "from", current, "to", zone)
 			delete(q.zoneFullSince, index)
 			s.writeZones(q, zones)
 			return
@@ -179,18 +179,18 @@
 // candidateZones lists where a job's tasks might go: the zones whose machines have room for the
 // next of them, or for all of a gang, the roomiest first; then, if the former zone can get no
 // machines, those that can.
-func (s *scheduler) candidateZones(q *queuedJob, former string) []string {
+func (s *scheduler) candidateZones(q *queuedJob, current string) []string {
 	spec := &q.entry.record.Spec
 	freeCPUs, freeSlots := s.freeByZone(spec)
 	zones := slices.DeleteFunc(zonesByFreeCPUs(freeCPUs), func(zone string) bool {
 		return spec.Kind == protocol.KindGang && freeSlots[zone] < float64(q.waitingTasks())
 	})
-	hirable := map[string]bool{}
+	rentable := map[string]bool{}
 	for pool := range s.core.fleet.eligiblePools(spec) {
-		hirable[pool.zone] = true
+		rentable[pool.zone] = true
 	}
-	if !hirable[former] {
-		zones = append(zones, sortedKeys(hirable)...)
+	if !rentable[current] {
+		zones = append(zones, sortedKeys(rentable)...)
 	}
 	return zones
 }
@@ -220,7 +220,7 @@
 	if len(q.entry.record.Zones) == 1 {
 		return len(q.inflight) == 0
 	}
-	if slices.Contains(q.entry.record.Zones, zone) && hasOpenTaskElsewhere(q, index) {
+	if slices.Contains(q.entry.record.Zones, zone) && hasUnfinishedTaskElsewhere(q, index) {
 		return false
 	}
 	for task, attempt := range q.inflight {
@@ -239,9 +239,9 @@
 	return true
 }
 
-// hasOpenTaskElsewhere reports whether a task that is tied to another of its job's zones is not
+// hasUnfinishedTaskElsewhere reports whether a task that is tied to another of its job's zones is not
 // done durably: if it is done only for this leader, a crash may start it again.
-func hasOpenTaskElsewhere(q *queuedJob, index int) bool {
+func hasUnfinishedTaskElsewhere(q *queuedJob, index int) bool {
 	for task := range q.entry.record.Spec.Tasks {
 		if zoneIndex(q, task) != index && !q.entry.isTaskDone(task) {
 			return true
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -23,7 +23,7 @@
 // the network that fails, and machines hired instead would boot for longer than
 // most partitions last.
 func (f *fleet) isZonePartitioned(zone string) bool {
-	since, ok := f.silentZones[zone]
+	since, ok := f.zonePartitionedSince[zone]
 	return ok && f.core.now.Monotonic-since < 4*f.core.intervals.workerLease
 }
 
@@ -31,15 +31,15 @@
 func (f *fleet) trackZones() {
 	lost, all := f.countByZone()
 	for zone, machines := range all {
-		_, partitioned := f.silentZones[zone]
+		_, partitioned := f.zonePartitionedSince[zone]
 		mostLost := machines >= minPartitionMachines && lost[zone]*partitionDivisor > machines
 		switch {
 		case mostLost && !partitioned:
-			f.silentZones[zone] = f.core.now.Monotonic
+			f.zonePartitionedSince[zone] = f.core.now.Monotonic
 			f.core.logInfo("zone partitioned: most of its machines are silent", "zone", zone, "silent", lost[zone], "machines", machines)
 		case partitioned && lost[zone]*recoveryDivisor < machines:
-			delete(f.silentZones, zone)
-			f.recoveredZones[zone] = f.core.now.Monotonic
+			delete(f.zonePartitionedSince, zone)
+			f.zoneRecoveredAt[zone] = f.core.now.Monotonic
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	f.reachableByZone, f.machinesByZone = map[string]int{}, map[string]int{}
 	for _, v := range f.core.scheduler.machines.All() {
 		f.machinesByZone[v.state.Zone]++
-		if isHeardAndUp(v) {
+		if isConfirmedUp(v) {
 			f.reachableByZone[v.state.Zone]++
 		}
 		// Machines in the registry have been up, whoever led then. Guards against a leader
@@ -67,8 +67,8 @@
 	return lost, all
 }
 
-// isHeardAndUp reports whether a machine is known for sure to be up.
-func isHeardAndUp(v *machineView) bool {
+// isConfirmedUp reports whether a machine is known for sure to be up.
+func isConfirmedUp(v *machineView) bool {
 	return v.state.TasksComplete && v.state.AcceptsTasks && !v.state.Silent
 }
 
@@ -80,10 +80,10 @@
 // been silent so long, the others because half of their zone was heard before them, and
 // were rented and booted anew.
 func (f *fleet) isZoneRecovering(zone string) bool {
-	if _, partitioned := f.silentZones[zone]; partitioned {
+	if _, partitioned := f.zonePartitionedSince[zone]; partitioned {
 		return true
 	}
-	recoveredAt, ok := f.recoveredZones[zone]
+	recoveredAt, ok := f.zoneRecoveredAt[zone]
 	return ok && f.core.now.Monotonic-recoveredAt < f.core.intervals.machineLeaseExpiry
 }
 
@@ -102,9 +102,9 @@
 	if f.isZoneRecovering(v.state.Zone) {
 		return false
 	}
-	heard, others := f.reachableByZone[v.state.Zone], f.machinesByZone[v.state.Zone]-1
-	if isHeardAndUp(v) {
-		heard--
+	reachable, others := f.reachableByZone[v.state.Zone], f.machinesByZone[v.state.Zone]-1
+	if isConfirmedUp(v) {
+		reachable--
 	}
-	return heard > 0 && heard*2 >= others
+	return reachable > 0 && reachable*2 >= others
 }
