--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -11,36 +11,36 @@
 
 // Kinds of objectives in the settings.
 const (
-	objectiveGuarantee = "guarantee" // guaranteed work starts at once
-	objectiveFinished  = "finished"  // jobs of a class are done within a time
-	objectiveDeadline  = "deadline"  // jobs of a class are done by their own deadlines
-	objectiveWait      = "wait"      // jobs of a class start within a time
+	objectiveGuarantee = "guarantee" // work within a guarantee starts at once
+	objectiveFinished  = "finished"  // jobs of a class complete within a given time
+	objectiveDeadline  = "deadline"  // jobs of a class complete by their own deadlines
+	objectiveWait      = "wait"      // jobs of a class start within a given time
 )
 
-// capacityDemand is how many CPUs the unfinished work should have.
+// capacityDemand is the number of CPUs that the unfinished work needs.
 type capacityDemand struct {
-	inUse          float64 // what tasks take now
-	total          float64 // for work to be done as soon as a spot machine pays
-	totalOnDemand  float64 // the share of total that must not run on spot machines
-	onTime         float64 // for work to meet its objectives, which is worth an on-demand machine
-	onTimeOnDemand float64 // the share of onTime that must not rest on spot machines
+	inUse          float64 // used by tasks in flight
+	total          float64 // for all work that is worth the boot of a spot machine
+	totalOnDemand  float64 // the part of total that must not run on spot machines
+	onTime         float64 // for work to meet its objectives, for which on-demand machines are rented as well
+	onTimeOnDemand float64 // the part of onTime that must not depend on spot machines
 
-	// onTimeByType is what to rent on-demand machines of a type up to: a machine helps only
-	// once it has booted, and types differ in that.
+	// onTimeByType is, by machine type, the number of CPUs up to which on-demand machines of that
+	// type are rented. It differs between types because a machine is of use only once it has booted.
 	onTimeByType map[string]float64
 }
 
-// demandSum adds up a capacityDemand over the jobs in rank order.
+// demandSum accumulates a capacityDemand over the jobs in rank order.
 type demandSum struct {
 	capacityDemand
 	totalByTeam map[string]float64
-	workAhead   float64 // CPU seconds of work that ranks before the job at hand, and its own
+	workAhead   float64 // CPU seconds of the current job and of all array jobs that rank before it
 	onDemand    float64 // CPUs for jobs that must not run on spot machines
 }
 
-// computeDemand adds up what each unfinished job needs. Work is done in rank order, so what a
-// job waits for is all that ranks before it, and what of that kind still comes in while it
-// waits: onTime is the capacity at which the worst-off job is just in time.
+// computeDemand adds up what each unfinished job needs. Work is done in rank order, so a job waits for
+// all work that ranks before it, and for more such work that arrives while it waits. onTime is the
+// capacity at which the job that is closest to missing its objective just meets it.
 func (f *fleet) computeDemand(ranked []*queuedJob) capacityDemand {
 	sum := demandSum{
 		capacityDemand: capacityDemand{onTimeByType: map[string]float64{}},
@@ -59,17 +59,17 @@
 	return demand
 }
 
-// addJobDemand adds what one job needs.
+// addJobDemand adds the demand of one job.
 func (f *fleet) addJobDemand(sum *demandSum, job *queuedJob) {
 	spec := &job.entry.record.Spec
 	waiting, inflight := float64(max(job.waitingTasks(), 0)), float64(len(job.inflight))
 	seconds := job.predictedSeconds
 	cpus := (waiting + inflight) * spec.CPUs
-	work := (waiting*seconds + inflight*seconds/2) * spec.CPUs // what runs is half done on average
+	work := (waiting*seconds + inflight*seconds/2) * spec.CPUs // tasks in flight are half done on average
 	sum.inUse += inflight * spec.CPUs
 	if spec.Kind == protocol.KindArray {
 		if f.core.scheduler.isCrashLooping(job) {
-			waiting = min(waiting, 1) // it is only tried
+			waiting = min(waiting, 1) // only its canary is started
 			work = waiting * seconds * spec.CPUs
 		}
 		cpus = min(waiting+inflight, math.Ceil(work/spec.CPUs/max(f.minUsefulSeconds(spec), seconds, 1))) * spec.CPUs
@@ -83,7 +83,7 @@
 		sum.totalOnDemand += cpus
 	}
 	if spec.Kind != protocol.KindArray {
-		sum.onTime += cpus // replicas run for ever: their room is never free
+		sum.onTime += cpus // the tasks of a gang run all at once, and those of a service never end
 		if !spec.AllowSpot {
 			sum.onDemand += cpus
 		}
@@ -93,13 +93,13 @@
 	if !spec.AllowSpot {
 		sum.onDemand += min(cpus, work/f.completionHorizon(job))
 	}
-	// What has no objective is worth spot machines only.
+	// Work without an objective justifies spot machines only.
 	if waiting > 0 && (job.withinGuarantee || f.hasObjective(spec) || job.hasDeadline()) {
 		f.addOnTimeDemand(sum, job)
 	}
 }
 
-// addOnTimeDemand raises the capacity to what lets a job be done in time.
+// addOnTimeDemand raises the demand to the capacity at which a job completes in time.
 func (f *fleet) addOnTimeDemand(sum *demandSum, job *queuedJob) {
 	left := f.completionHorizon(job)
 	cpus := sum.workAhead/left + f.inflowBefore(job)
@@ -111,8 +111,8 @@
 	}
 }
 
-// minUsefulSeconds is the shortest time in which queued work is worth a spot machine: its boot
-// is paid for as well.
+// minUsefulSeconds is the shortest time, in seconds, for which a spot machine is worth renting to
+// serve queued work, considering that its boot is paid for as well.
 func (f *fleet) minUsefulSeconds(spec *protocol.Job) float64 {
 	boot := math.Inf(1)
 	for _, machineType := range f.core.machineTypes() {
@@ -126,20 +126,22 @@
 	return boot * f.core.policy.SoonBoots
 }
 
-// Spans of completionHorizon.
+// Parameters of completionHorizon.
 const (
-	// horizonPerMissShare is how much of a job's time one miss in a hundred gives back: an objective
-	// that allows more misses is worth less haste.
+	// horizonPerMissShare: for each percent of jobs that may miss an objective, the horizon grows by
+	// this many percent of the time left. An objective that allows more misses justifies less capacity.
 	horizonPerMissShare = 6
-	// defaultHorizonLeases is in how many worker leases work without an objective is to be done.
+	// defaultHorizonLeases is the horizon of work without an objective, in worker leases.
 	defaultHorizonLeases = 10
-	// guaranteeHorizonFactor is in how many of the shortest useful times guaranteed work is to be done.
-	// It starts late whatever is rented; it should not wait much longer than a boot.
+	// guaranteeHorizonFactor is the horizon of work within a guarantee, in multiples of
+	// minUsefulSeconds. Such work starts late if a machine has to boot for it, whatever is rented, but
+	// it should not wait much longer than one boot.
 	guaranteeHorizonFactor = 2
 )
 
-// completionHorizon is the time in which a job's queued work must be done to be in time, in
-// seconds. Once it is too late for that, a spot machine is all that it is worth.
+// completionHorizon is the time, in seconds, within which a job's queued work must be done for the job
+// to meet its objectives. Objectives that it has already missed do not count. A horizon that is too
+// short for a machine type to boot justifies no on-demand machines of it: see addOnTimeDemand.
 func (f *fleet) completionHorizon(job *queuedJob) float64 {
 	spec, policy := &job.entry.record.Spec, &f.core.policy
 	horizon := math.Inf(1)
@@ -155,7 +157,7 @@
 			horizon = min(horizon, left*min(policy.HorizonShare+horizonPerMissShare*(1-objective.Share), 1))
 		}
 	}
-	// What others depend on has what is left before the last of them is late.
+	// A job that others depend on must complete early enough for them to meet their deadlines.
 	if left := job.dependentsDeadline - f.core.now.Wall; left > 0 && job.hasDeadline() {
 		horizon = min(horizon, left*policy.HorizonShare)
 	}
@@ -165,8 +167,8 @@
 	return max(horizon, f.minUsefulSeconds(spec))
 }
 
-// timeLeft is how many seconds a job has left to meet an objective of its class, +Inf if that
-// sets no time for it.
+// timeLeft is the number of seconds that a job has left to meet an objective of its class, +Inf if the
+// objective sets no time for the job.
 func (f *fleet) timeLeft(objective *config.Objective, job *queuedJob) float64 {
 	spec, now := &job.entry.record.Spec, f.core.now.Wall
 	switch objective.Kind {
@@ -182,7 +184,7 @@
 	return math.Inf(1)
 }
 
-// hasObjective reports whether the users have set an objective for a job's class.
+// hasObjective reports whether the settings have an objective for a job's class.
 func (f *fleet) hasObjective(spec *protocol.Job) bool {
 	return slices.ContainsFunc(f.core.settings.Site.Objectives, func(o config.Objective) bool { return o.Class == spec.Class })
 }
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -13,16 +13,18 @@
 )
 
 const (
-	// servedDecayFactor is for how many times the span after which an account is overdue what was
-	// served is remembered.
+	// servedDecayFactor times Rules.OverdueAfter is the time in which the weight of a served job
+	// decays.
 	servedDecayFactor = 8
 
-	// boostedAgingFactor is how many times as slowly waiting counts within a boosted account as in the
-	// ordinary order, since half of the account's jobs is what counts.
+	// boostedAgingFactor is how many times longer a job must wait to gain the same rank within a
+	// boosted account as in the ordinary order. Waiting counts for less there because only about
+	// half of the account's jobs have to be served, which favors small jobs over old ones.
 	boostedAgingFactor = 4
 )
 
-// newFairShareRules turns the operators' policy into spans of seconds.
+// newFairShareRules converts the fair-share settings of the policy, which are in worker leases, to
+// seconds.
 func (c *Core) newFairShareRules() fairshare.Rules {
 	lease := c.intervals.workerLease.Seconds()
 	overdueAfter := c.policy.OverdueLeases * lease
@@ -34,8 +36,8 @@
 	}
 }
 
-// applyFairShare boosts the jobs of accounts that are underserved, and lets the first tasks of
-// large jobs start early.
+// applyFairShare boosts jobs of underserved accounts and lets the first tasks of large jobs start
+// early.
 func (s *scheduler) applyFairShare(ranked []*queuedJob) {
 	jobs := make([]fairshare.Job, 0, len(ranked))
 	for _, q := range ranked {
@@ -43,7 +45,7 @@
 	}
 	s.fairShareStates = s.core.records.archive.served.Evaluate(s.core.now.Wall, jobs, &s.core.fairShareRules)
 	s.logBoosts()
-	var largest map[*queuedJob]bool // looked for only where a job has waited for long enough
+	var largest map[*queuedJob]bool // computed only if a job has waited long enough
 	if age := s.earlyStartAge(); slices.ContainsFunc(jobs, func(j fairshare.Job) bool { return j.Age >= age }) {
 		largest = largestJobs(ranked, s.boostedAccounts())
 	}
@@ -55,7 +57,7 @@
 	}
 }
 
-// fairShareJob is what the account of a job is judged by.
+// fairShareJob returns what the fair-share accounting needs to know about a job.
 func (s *scheduler) fairShareJob(q *queuedJob) fairshare.Job {
 	spec := q.spec()
 	service := spec.Kind == protocol.KindService
@@ -66,12 +68,12 @@
 		StartedShare:  1 - float64(max(q.waitingTasks(), 0))/float64(spec.Tasks),
 		RemainingWork: left * taskWidth(spec) * s.core.estimator.predictForJob(q),
 		CPUsInUse:     float64(len(q.inflight)) * spec.CPUs,
-		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services never end, whoever else waits
+		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services are excluded: they never end, whether or not others wait
 		Ineligible:    s.isCrashLooping(q) || service,
 	}
 }
 
-// accountOf is the account that a job is served from.
+// accountOf returns the account in which a job is counted.
 func accountOf(spec *protocol.Job) fairshare.Account {
 	return fairshare.Account{Team: spec.Team, Class: spec.Class}
 }
@@ -89,7 +91,7 @@
 	}
 }
 
-// boostedAccounts are those that are underserved in this round.
+// boostedAccounts maps each account to whether it is underserved in this round.
 func (s *scheduler) boostedAccounts() map[fairshare.Account]bool {
 	boosted := map[fairshare.Account]bool{}
 	for i := range s.fairShareStates {
@@ -99,8 +101,9 @@
 	return boosted
 }
 
-// applyBoost moves a job of an underserved account up: behind what a guarantee covers and before
-// all ordinary work; or, if that did not help, before urgent work too, and behind services only.
+// applyBoost moves a job of an underserved account up, either behind the work covered by a guarantee
+// and ahead of all ordinary work, or, if that was not enough, ahead of urgent work as well, so that
+// only services rank before it.
 func (q *queuedJob) applyBoost(job *fairshare.Job) {
 	q.protected, q.startsEarly = job.Protected, false
 	q.boost = job.Boost
@@ -113,16 +116,17 @@
 }
 
 const (
-	// largestPart: one in so many jobs of an account is among its largest,
+	// largestDivisor: one job in this many of an account is among its largest.
 	largestDivisor = 4
 
-	// largestDivisorBoosted is the same where the account is boosted: jobs that are completed count
-	// for more there than jobs that have begun.
+	// largestDivisorBoosted is the same for a boosted account. It is higher because a boost serves
+	// jobs that complete before jobs that have merely started.
 	largestDivisorBoosted = 8
 )
 
-// largestJobs tells which of the unfinished jobs are the largest of their account, by tasks. An
-// account whose jobs are alike has none.
+// largestJobs returns those unfinished jobs that are the largest of their account by number of tasks.
+// They must also have more tasks than the account's median job, so an account whose jobs are all of
+// one size has none.
 func largestJobs(jobs []*queuedJob, boosted map[fairshare.Account]bool) map[*queuedJob]bool {
 	byAccount := map[fairshare.Account][]*queuedJob{}
 	for _, q := range jobs {
@@ -144,8 +148,8 @@
 	return largest
 }
 
-// earlyStartAge is how many seconds a large job waits until its first task goes ahead: two thirds
-// of the time within which it is to begin.
+// earlyStartAge is how many seconds a large job waits until its first task may start early: two thirds
+// of the time within which the policy wants it to start. It is +Inf if the policy sets no such time.
 func (s *scheduler) earlyStartAge() float64 {
 	if s.core.policy.LargestStartS <= 0 {
 		return math.Inf(1)
@@ -153,12 +157,13 @@
 	return s.core.policy.LargestStartS * 2 / 3
 }
 
-// startEarly lets the first task of an array that is among the largest of its account go before all
-// but services once its job has waited for long enough. It is one task; the rest has its ordinary
-// rank, and the first is not preempted.
+// startEarly ranks the first task of an array behind services only, if the array is among the largest
+// of its account and has waited long enough. Only one task is moved up; the others keep the ordinary
+// rank. The task is protected from preemption.
 //
-// Guards against the largest jobs of a class that never begin, since smaller ones of the same class
-// come all the time: counted by jobs the class is served well.
+// It prevents the largest jobs of a class from never starting while smaller jobs of the same class
+// keep arriving. Fair share does not notice that, because it counts jobs, and by that count the class
+// is served well.
 func (s *scheduler) startEarly(q *queuedJob, age float64) {
 	if age < s.earlyStartAge() || q.spec().Kind != protocol.KindArray || q.completedTasks() > 0 || s.isCrashLooping(q) {
 		return
@@ -169,11 +174,12 @@
 	}
 }
 
-// reserveQuota keeps what gets free of a team's limit for so many tasks of a job of an underserved
-// account, if that can ever be enough.
+// reserveQuota reserves the quota that a team's tasks release for the given number of tasks of a job
+// of an underserved account, unless the job could not start even with all of the team's quota that
+// services do not use.
 //
-// Guards against tasks of four CPUs that never start because each CPU that gets free goes to a task
-// of one, and against gangs that would need half of the limit at once.
+// It prevents tasks of four CPUs from never starting because each CPU that is released goes to a task
+// of one CPU. The same would happen to gangs that need half of the quota at once.
 func (s *scheduler) reserveQuota(q *queuedJob, tasks int, round *schedulingRound) {
 	spec := q.spec()
 	team := s.core.team(spec.Team)
@@ -182,7 +188,7 @@
 	}
 	var needed usage
 	needed.add(spec, float64(tasks))
-	for _, other := range s.queue.All() { // what endless services use never gets free
+	for _, other := range s.queue.All() { // services never release what they use
 		if other.spec().Kind == protocol.KindService && other.spec().Team == spec.Team {
 			needed.add(other.spec(), float64(len(other.inflight)))
 		}
@@ -196,14 +202,15 @@
 	round.quotaReservedFor[spec.Team] = q
 }
 
-// maxMachineReservations bounds for how many jobs machines are reserved in one round.
+// maxMachineReservations is the maximum number of jobs for which machines are reserved in one round.
 const maxMachineReservations = 4
 
-// reserveMachines keeps the machines with most room from the jobs that rank behind one of an
-// underserved account, as many as so many of its tasks need once the machines are drained.
+// reserveMachines withholds machines from the jobs that rank behind a job of an underserved account.
+// It takes the machines with the most free capacity first, and as many as the given number of the
+// job's tasks need once the machines are drained.
 //
-// Guards against a task that needs a whole machine and never starts because there is always
-// something small to fill each of them up with.
+// It prevents a task that needs a whole machine from never starting because small tasks keep filling
+// every machine.
 func (s *scheduler) reserveMachines(q *queuedJob, tasks int, round *schedulingRound) {
 	if round.machineReservations >= maxMachineReservations || !s.mayReserve(q, tasks, round) {
 		return
@@ -224,7 +231,7 @@
 }
 
 // reservableMachines lists the machines that a job's tasks could use once they are drained, those
-// with most room first.
+// with the most free CPUs first.
 func (s *scheduler) reservableMachines(q *queuedJob, round *schedulingRound) []*candidateMachine {
 	var machines []*candidateMachine
 	mayUse := q.machineFilter()
@@ -239,8 +246,8 @@
 	return machines
 }
 
-// drainedCapacity is the room that a machine will have once all tasks but those of services have
-// left it.
+// drainedCapacity is the capacity that a machine will have once all tasks except those of services
+// have ended.
 func (m *candidateMachine) drainedCapacity() *binpacking.Capacity {
 	free := m.Capacity
 	free.CPUs, free.GPUs, free.MemoryGB = m.view.machineType.CPUs, m.view.machineType.GPUs, m.view.machineType.MemoryGB
@@ -252,12 +259,13 @@
 	return &free
 }
 
-// mayReserve reports whether anything is to be reserved for so many tasks of a job in this round:
-// if its account is boosted, or its first task is to start early, and if they need more at once
-// than any other task that waits, since whatever gets free is offered to them first. They have it
-// reserved for as long as an account takes to be overdue, and then not for as long again, so that
-// a reservation that can't be used for a reason nobody foresaw holds up the others for half of the
-// time at most.
+// mayReserve reports whether quota or machines may be reserved for the given number of a job's tasks
+// in this round. The job must be boosted, or its first task must be due to start early. The tasks must
+// also need more CPUs than the smallest waiting task: otherwise they need no reservation, because
+// released capacity is offered to them first.
+//
+// A reservation lasts for Rules.OverdueAfter and is then suspended for as long again, so that one that
+// can't be used for an unforeseen reason blocks the other jobs for at most half of the time.
 func (s *scheduler) mayReserve(q *queuedJob, tasks int, round *schedulingRound) bool {
 	if q.boost == fairshare.NoBoost && !q.startsEarly {
 		return false
@@ -267,7 +275,7 @@
 	}
 	now, span := s.core.now.Monotonic, config.Seconds(s.core.fairShareRules.OverdueAfter)
 	if q.reservedAt == 0 || now-q.reservedAt > 2*span {
-		q.reservedAt = max(now, time.Nanosecond) // 0 is for none
+		q.reservedAt = max(now, time.Nanosecond) // 0 means no reservation
 	}
 	return now-q.reservedAt <= span
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -8,48 +8,48 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// fleet is the autoscaler: it rents machines that the queued work needs (scale out) and drains
-// and returns those that it does not (scale in). Only the leader's acts.
+// fleet is the autoscaler of the leader: it rents the machines that the queued work needs (scale out),
+// and drains and returns those that the work does not need (scale in). On followers it does nothing.
 //
-// Prices decide how: a spot machine is rented as soon as it pays, an on-demand machine only for
-// work that would else miss its objective.
+// The choice between spot and on-demand follows the price: a spot machine is rented as soon as the work
+// is worth its boot time, an on-demand machine only for work that would otherwise miss its objective.
 type fleet struct {
 	core *Core
 
-	// What is rented.
+	// Rented machines.
 	instances      *orderedmap.Map[*instance]
-	deletedNames   map[string]bool // deleted, by the cloud's word
+	deletedNames   map[string]bool // machines whose deletion the cloud has confirmed
 	listing        instanceListing
 	budget         cloudBudget
 	createRequests map[string]*createRequest
 
-	// Where new machines can be had.
+	// Availability in the cloud.
 	poolBackoffUntil map[pool]time.Duration
-	poolRefusals     map[pool]int   // in a row
-	failedBoots      map[string]int // by type: boots given up since one was up
+	poolRefusals     map[pool]int   // consecutive refusals
+	failedBoots      map[string]int // by type: boots that timed out since a machine of the type last came up
 	requestCounter   int
 
-	// What is known of the zones.
-	zonePartitionedSince map[string]time.Duration // zones most of which is silent, since when
-	zoneRecoveredAt      map[string]time.Duration // zones that were silent, when they came back
-	reachableByZone      map[string]int           // machines that are heard and up,
-	machinesByZone       map[string]int           // of so many
+	// State of the zones.
+	zonePartitionedSince map[string]time.Duration // when a zone was found partitioned; only zones that are
+	zoneRecoveredAt      map[string]time.Duration // when a zone was last found to have recovered
+	reachableByZone      map[string]int           // machines confirmed up
+	machinesByZone       map[string]int           // all known machines
 
-	// The last round's results.
-	usableByPool map[pool]int    // machines that are or will be of use
-	cordoned     map[string]bool // machines that are to get no more tasks, as there is clearly too much
+	// Results of the last round.
+	usableByPool map[pool]int    // machines that are, or will be, able to run tasks
+	cordoned     map[string]bool // machines that get no more tasks because of a clear surplus
 	desiredCPUs  float64
 
-	// The work that comes in, as decaying sums; see decayInflow.
+	// Inflow of work, as sums that decay over time; see decayInflow.
 	inflowByUrgency  map[int]float64 // CPUs
 	guaranteedInflow float64         // CPUs, of teams that are not best-effort
 	decayedAt        time.Duration
 	lastBurstAt      time.Duration
-	burstReserve     float64 // CPUs to keep free for jobs that must not wait
+	burstReserve     float64 // CPUs kept free for jobs with an objective for their waiting time
 
-	// The machine types, on their way from the cloud to the state service.
+	// Machine types, which are read from the cloud and written to the state service.
 	typesRequested     bool
-	cloudTypes         *protocol.MachineTypes // as the cloud told them, nil: not yet
+	cloudTypes         *protocol.MachineTypes // as the cloud returned them, nil until then
 	typesWriteInFlight bool
 }
 
@@ -59,8 +59,8 @@
 	return f
 }
 
-// reset begins a leader's term without any memory of an earlier one. Calls to the cloud that are
-// under way, and its call budget, outlast the term.
+// reset discards all state of an earlier term when a leader's term begins. Calls to the cloud that are
+// in flight, and the budget for such calls, carry over.
 func (f *fleet) reset() {
 	f.instances = orderedmap.New[*instance]()
 	f.createRequests = map[string]*createRequest{}
@@ -76,7 +76,7 @@
 	f.cloudTypes = nil
 }
 
-// reconcile makes the calls that do not wait for a scheduling round: for the machine types and
+// reconcile makes the calls that do not depend on scheduling rounds: those for the machine types and
 // for the list of instances.
 func (f *fleet) reconcile() {
 	c := f.core
@@ -90,14 +90,14 @@
 	f.requestList()
 }
 
-// cpuCapacity is how many CPUs there are, or will be once all that is under way is up.
+// cpuCapacity is the number of CPUs of machines that are up, requested or booting.
 type cpuCapacity struct {
 	total, spot float64
 }
 
 func (c cpuCapacity) onDemand() float64 { return c.total - c.spot }
 
-// add counts an instance, or with a negative number of CPUs takes one out.
+// add counts the CPUs of an instance; a negative number removes them.
 func (c *cpuCapacity) add(cpus float64, spot bool) {
 	c.total += cpus
 	if spot {
@@ -105,9 +105,8 @@
 	}
 }
 
-// autoscale compares the work that is queued with the machines there are, after each
-// maintenance round. ranked is every unfinished job and waiting those that had tasks to
-// dispatch, both in rank order.
+// autoscale compares the queued work with the existing machines. It runs after each maintenance round.
+// ranked has every unfinished job, waiting those that had tasks to dispatch; both are in rank order.
 func (f *fleet) autoscale(ranked, waiting []*queuedJob) {
 	f.adoptUnlistedMachines()
 	f.budget.scalingDeferred = false
@@ -124,8 +123,8 @@
 	f.returnInstances()
 }
 
-// adoptUnlistedMachines takes over machines that the list does not show yet: those that report, or
-// that an earlier leader has registered.
+// adoptUnlistedMachines adds the machines that the cloud's list does not show yet but that report to a
+// shard and accept tasks, or that an earlier leader has registered.
 func (f *fleet) adoptUnlistedMachines() {
 	c := f.core
 	for name, view := range c.scheduler.machines.All() {
@@ -146,7 +145,7 @@
 	}
 }
 
-// plannedCapacity adds up the machines that are or will be of use.
+// plannedCapacity adds up the machines that can run tasks now or later, including requested ones.
 func (f *fleet) plannedCapacity() cpuCapacity {
 	var planned cpuCapacity
 	for p, count := range f.plannedByPool() {
@@ -157,8 +156,8 @@
 	return planned
 }
 
-// plannedByPool iterates over the pools with their usable machines, and then over those that are
-// being created. A pool may come several times.
+// plannedByPool iterates over the pools and their numbers of usable machines, then over the machines
+// that are being created. A pool may occur more than once.
 func (f *fleet) plannedByPool() iter.Seq2[pool, int] {
 	return func(yield func(pool, int) bool) {
 		for p, count := range f.usableByPool {
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -8,34 +8,34 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// createRequest is a call to create instances that is under way.
+// createRequest is a call to create instances that is in flight.
 type createRequest struct {
 	body     protocol.CreateMachinesRequest
-	attempts int // that had no answer, or were above the cloud's limit
+	attempts int // attempts without a response, or above the cloud's rate limit
 }
 
 func (r *createRequest) pool() pool { return pool{r.body.Type, r.body.Zone, r.body.Spot} }
 
-// maxCreateAttempts is after how many attempts without a result a request is given up. What it
-// has created all the same shows up in the list.
+// maxCreateAttempts is the number of attempts without a result after which a request is abandoned.
+// Instances that it created nevertheless show up in the cloud's list.
 const maxCreateAttempts = 5
 
-// mayScaleOut reports whether the leader knows what it has: after a failover not until the list
-// shows what the last leader rented, or it would be rented twice.
+// mayScaleOut reports whether the leader knows all rented machines. After a failover it must wait
+// until the list shows what the last leader rented, or the same capacity would be rented twice.
 func (f *fleet) mayScaleOut() bool {
 	c := f.core
 	return c.scheduler.epochAtElection == 0 || f.listing.completed > 0 && c.now.Monotonic-c.membership.leaderSince > f.listLag()*3/2
 }
 
-// shortage is how many CPUs are missing while machines are being created for one job after
-// another.
+// shortage is the number of CPUs that are missing. It is updated while machines are created for one
+// job after another.
 type shortage struct {
 	demand    *capacityDemand
-	planned   cpuCapacity // before this round
-	created   float64     // in this round, spot or not
+	planned   cpuCapacity // at the start of this round
+	created   float64     // in this round, spot and on-demand
 	total     float64     // missing for all work
-	onDemand  float64     // missing for work that must not rest on spot machines
-	maxOnTime float64     // the largest need of any type that is to be on time
+	onDemand  float64     // missing for work that must not depend on spot machines
+	maxOnTime float64     // the largest value of demand.onTimeByType
 }
 
 func newShortage(demand *capacityDemand, planned cpuCapacity) *shortage {
@@ -50,12 +50,13 @@
 	return s
 }
 
-// onDemandOnly reports whether what is missing most must not rest on spot machines.
+// onDemandOnly reports whether the largest shortage is of capacity that must not depend on spot
+// machines.
 func (s *shortage) onDemandOnly() bool {
 	return s.onDemand > max(s.total, s.maxOnTime-s.planned.total-s.created, 0)
 }
 
-// forOffer is how many CPUs are missing that machines of an offer would be worth renting for.
+// forOffer is how many CPUs are missing for which machines of an offer are worth renting.
 func (s *shortage) forOffer(o *offer) float64 {
 	if o.spot {
 		return s.total
@@ -63,7 +64,7 @@
 	return max(s.demand.onTimeByType[o.typeName]-s.planned.total-s.created, s.onDemand)
 }
 
-// reduce counts machines that are being created.
+// reduce deducts machines that are being created.
 func (s *shortage) reduce(cpus float64, spot bool) {
 	s.total -= cpus
 	s.created += cpus
@@ -72,8 +73,8 @@
 	}
 }
 
-// scaleOut creates instances for the waiting jobs, in rank order, as far as the demand exceeds
-// what is planned.
+// scaleOut creates instances for the waiting jobs, in rank order, until the planned capacity meets the
+// demand.
 func (f *fleet) scaleOut(waiting []*queuedJob, demand capacityDemand, planned cpuCapacity) {
 	if len(waiting) == 0 || !f.mayScaleOut() {
 		return
@@ -84,8 +85,8 @@
 	}
 }
 
-// scaleOutFor creates instances that a job may use: for the common demand, and for what the job
-// itself lacks where few machines can serve it.
+// scaleOutFor creates instances that a job may use: for the overall demand, and for what the job itself
+// lacks if few machines can serve it.
 func (f *fleet) scaleOutFor(job *queuedJob, missing *shortage) {
 	zone, jobMissing := f.missingCapacity(job)
 	offers := f.offers(&job.entry.record.Spec, missing.onDemandOnly())
@@ -109,8 +110,8 @@
 	}
 }
 
-// machinesFor is how many machines of a type to ask for in one zone. Spread over the zones, none
-// gets more than its share at once.
+// machinesFor is the number of machines of a type to request in one zone. With spread, the CPUs are
+// divided evenly over all zones of the type.
 func machinesFor(machineType *protocol.MachineType, cpus float64, spread bool) int {
 	count := max(int(math.Ceil(cpus/machineType.CPUs)), 1)
 	if zones := len(machineType.Zones); spread {
@@ -119,7 +120,7 @@
 	return min(count, protocol.MaxCreate)
 }
 
-// createInstances asks the cloud for machines, under a name that no other request has.
+// createInstances requests machines from the cloud, under a request name that is never used twice.
 func (f *fleet) createInstances(p pool, count int, cpusMissing float64) {
 	c := f.core
 	f.requestCounter++
@@ -142,8 +143,9 @@
 	return false
 }
 
-// missingCapacity says in which zone (empty: any) a job lacks machines that may take its tasks,
-// however many there are for others, and how many CPUs it lacks there.
+// missingCapacity returns the first zone (empty: any zone) in which too few planned machines may take
+// the job's tasks, and the CPUs that are missing there. It leaves out of account that other jobs use
+// these machines too. It returns 0 CPUs if the job lacks none.
 func (f *fleet) missingCapacity(job *queuedJob) (zone string, cpus float64) {
 	spec := &job.entry.record.Spec
 	zones := []string{spec.Zone}
@@ -159,7 +161,7 @@
 	return "", 0
 }
 
-// slotsWanted is for how many tasks of a job there should be room in each of its zones.
+// slotsWanted is the number of a job's tasks that should fit into each of its zones.
 func (f *fleet) slotsWanted(job *queuedJob, zones []string) float64 {
 	spec := &job.entry.record.Spec
 	tasks := math.Ceil(float64(job.waitingTasks()+len(job.inflight)) / float64(len(zones)))
@@ -168,13 +170,13 @@
 	}
 	slots := math.Ceil(tasks * job.predictedSeconds / max(f.minUsefulSeconds(spec), job.predictedSeconds, 1))
 	if len(spec.MachineTypes) == 0 && zones[0] == "" && spec.AllowSpot {
-		slots = 1 // any machine will do: it takes part in the common demand
+		slots = 1 // any machine can serve the job, so the overall demand covers it
 	}
 	return min(tasks, slots)
 }
 
-// plannedSlots is how many tasks of a job the planned machines of a zone (empty: of all) hold
-// when they are empty.
+// plannedSlots is how many tasks of a job fit on the planned machines of a zone (empty: of all zones)
+// when these are empty.
 func (f *fleet) plannedSlots(spec *protocol.Job, zone string) float64 {
 	total := 0.0
 	for p, count := range f.plannedByPool() {
@@ -188,7 +190,7 @@
 	return total
 }
 
-// handleCreate takes the result of a create request.
+// handleCreate handles the result of a create request.
 func (f *fleet) handleCreate(result CreateInstancesResult) {
 	request := f.createRequests[result.Request]
 	if request == nil {
@@ -210,8 +212,8 @@
 	}
 }
 
-// adoptCreated takes the machines that a request has created. Fewer than were asked for are a
-// refusal of the rest.
+// adoptCreated adds the machines that a request has created. Fewer machines than requested mean that
+// the cloud refused the rest.
 func (f *fleet) adoptCreated(request *createRequest, names []string) {
 	p := request.pool()
 	for _, name := range names {
@@ -229,8 +231,8 @@
 	}
 }
 
-// retryCreate sends a request again that had no answer or was above the cloud's limit. It has
-// the same name and creates nothing twice.
+// retryCreate repeats a request that got no response or was above the cloud's rate limit. The request
+// keeps its name, so nothing is created twice.
 func (f *fleet) retryCreate(request *createRequest) {
 	c := f.core
 	name := request.body.Request
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -10,15 +10,15 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Jobs tied to zones: the tasks of a job of one zone run in a single one, those of a spread job by
-// halves in two. Which zones these are is part of the job's record.
+// Zone assignment: all tasks of a one-zone job run in one zone, and the tasks of a spread job run half
+// in one zone and half in another. The assigned zones are part of the job's record.
 
-// spreadZones is over how many zones the tasks of a spread job are distributed.
+// spreadZones is the number of zones over which the tasks of a spread job are distributed.
 const spreadZones = 2
 
-// chooseZones writes down where the tasks of a job tied to a zone may run,
-// before the first of them starts, so that every later leader keeps to it: the zones with the most
-// free CPUs that the job may use.
+// chooseZones assigns zones to a one-zone or spread job and stores them before its first task starts,
+// so that every later leader uses the same ones. It picks the zones with the most free CPUs among
+// those that the job may use.
 func (s *scheduler) chooseZones(q *queuedJob, machines []*candidateMachine) {
 	if q.pendingWrite != noPendingWrite {
 		return
@@ -36,13 +36,13 @@
 	}
 	count := 1
 	if spec.Spread && spec.Tasks > 1 {
-		count = min(spreadZones, len(zones)) // with one zone it runs by halves
+		count = min(spreadZones, len(zones)) // with only one possible zone, at most half of its tasks run at a time
 	}
 	s.writeZones(q, zones[:count])
 }
 
-// possibleZones has a zero for each zone in which a machine could be hired that a task of a job
-// fits on.
+// possibleZones has a zero entry for each zone in which a machine that fits a task of the job can be
+// rented.
 func (s *scheduler) possibleZones(spec *protocol.Job) map[string]float64 {
 	zones := map[string]float64{}
 	for _, machineType := range s.core.machineTypes() {
@@ -58,15 +58,14 @@
 	return zones
 }
 
-// zonesByFreeCPUs lists zones, those with the most free CPUs first, by name where they have as
-// many.
+// zonesByFreeCPUs lists the zones by free CPUs in descending order, ties by name.
 func zonesByFreeCPUs(freeCPUs map[string]float64) []string {
 	zones := sortedKeys(freeCPUs)
 	sort.SliceStable(zones, func(a, b int) bool { return freeCPUs[zones[a]] > freeCPUs[zones[b]] })
 	return zones
 }
 
-// writeZones writes a job's zones; the mirror says when they hold.
+// writeZones stores a job's zones. They take effect when the mirror shows them.
 func (s *scheduler) writeZones(q *queuedJob, zones []string) {
 	c, record := s.core, q.entry.record
 	record.Zones = zones
@@ -74,7 +73,7 @@
 	guards := []protocol.Guard{c.membership.leaderGuard(), q.entry.recordGuard()}
 	op := protocol.Operation{Put: q.entry.recordKey(), Value: record}
 	if protocol.JSONSize(record) > c.maxValueBytes() {
-		// It was written when values could be larger, or in chunks.
+		// The record was written in chunks, or while the limit on values was higher.
 		op = protocol.Operation{Put: keyJobZones + q.id, Value: records.Job{Zones: record.Zones}}
 		guards = append(guards, c.mirror.Guard(op.Put))
 	}
@@ -83,14 +82,15 @@
 	})
 }
 
-// zoneIndex is which of its job's zones a task is tied to.
+// zoneIndex is the index, among its job's zones, of the zone to which a task is tied.
 func zoneIndex(q *queuedJob, task int) int { return task % max(len(q.entry.record.Zones), 1) }
 
-// machineFilter tells for which machines' type, zone and kind a job has a waiting task.
+// machineFilter returns a predicate on a machine's type, zone and kind (spot or on-demand): whether
+// a waiting task of the job may run there.
 //
-// Guards against room that is made, or kept, where the job's zones don't let it be used: the
-// task of a gang was stopped every three seconds for an urgent job of another zone, and then
-// its machine was kept for that one for minutes.
+// It prevents capacity from being freed or reserved where the job's zones do not let the job use it:
+// the task of a gang was preempted every three seconds for an urgent job tied to another zone, and its
+// machine was then reserved for that job for minutes.
 func (q *queuedJob) machineFilter() func(typeName, zone string, spot bool) bool {
 	spec := &q.entry.record.Spec
 	if !spec.OneZone && !spec.Spread {
@@ -107,11 +107,11 @@
 	}
 }
 
-// isConfinedToZone reports whether no task of a job of one zone can be in another than its record
-// names.
+// isConfinedToZone reports whether every task of a one-zone job is certain to be in the zone that the
+// job's record names. It is true for all other jobs.
 //
-// Guards against a reassignment that is carried out late: the job's tasks ran in the former zone
-// again, and the next ones were started in the new one.
+// It guards against a write of a new zone that is applied late: by then, tasks of the job were running
+// in the former zone again, and the next ones were started in the new zone.
 func (s *scheduler) isConfinedToZone(q *queuedJob) bool {
 	if !q.entry.record.Spec.OneZone || len(q.entry.record.Zones) != 1 {
 		return true
@@ -129,15 +129,17 @@
 	return true
 }
 
-// reassignZone ties the tasks that share a zone with a given one to another zone, once they have
-// found no room for a lease and another has some, or could get machines while theirs can't. It
-// waits until none of them can break the job's rule there: for a job of one zone until no task of
-// it can be anywhere, for a spread one until none of the other half can be in the new zone.
+// reassignZone moves the tasks that are tied to the same zone as the given one to another zone. It
+// does so once they have found no capacity for the length of a worker lease, if another zone has
+// capacity, or can get machines while theirs can't. It waits until no attempt can violate the job's
+// placement rule: a one-zone job must have no task in flight, and a spread job must have no task of
+// its other half that may be in the new zone.
 //
-// Guards against waiting for ever for a zone without machines, beside machines that stand idle.
-// What is dispatched names the version of the record that it rests on, and shards place nothing by
-// another one; a version before Level 1 does not look at that, and nothing moves beside it. The
-// write may be carried out late, when tasks run in the former zone again: see isWithinItsZone.
+// It prevents a job from waiting forever for a zone without machines while machines elsewhere are
+// idle. A dispatch carries the version of the job's record that it rests on, and a shard places no
+// task by any other version. Controllers older than Level 1 do not check the version, so no zone is
+// reassigned while one of them is live. The write may be applied late, when tasks run in the former
+// zone again: see isConfinedToZone.
 func (s *scheduler) reassignZone(q *queuedJob, task int) {
 	c, index := s.core, zoneIndex(q, task)
 	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.pendingWrite != noPendingWrite || s.hasUnlocated {
@@ -154,7 +156,7 @@
 		if zone != current && s.mayReassignZone(q, index, zone) {
 			zones := slices.Clone(q.entry.record.Zones)
 			zones[index] = zone
-			c.logInfo("job reassigned to another zone: its zone has no room", "job", q.id, "from", current, "to", zone)
+			c.logInfo("job reassigned to another zone: its zone has no capacity", "job", q.id, "from", current, "to", zone)
 			delete(q.zoneFullSince, index)
 			s.writeZones(q, zones)
 			return
@@ -162,8 +164,8 @@
 	}
 }
 
-// isZoneFullForLong reports whether the tasks of one of a job's zones have found no room for a
-// lease, and notes when they first found none.
+// isZoneFullForLong reports whether the tasks tied to one of a job's zones have found no capacity for
+// the length of a worker lease. It records when they first found none.
 func (s *scheduler) isZoneFullForLong(q *queuedJob, index int) bool {
 	if q.zoneFullSince == nil {
 		q.zoneFullSince = map[int]time.Duration{}
@@ -176,9 +178,9 @@
 	return s.core.now.Monotonic-since >= s.core.intervals.workerLease
 }
 
-// candidateZones lists where a job's tasks might go: the zones whose machines have room for the
-// next of them, or for all of a gang, the roomiest first; then, if the former zone can get no
-// machines, those that can.
+// candidateZones lists the zones to which a job's tasks may be reassigned. First come the zones whose
+// machines have capacity for its next task, or for all tasks of a gang, by free CPUs in descending
+// order; then, if the current zone can get no machines, the zones that can.
 func (s *scheduler) candidateZones(q *queuedJob, current string) []string {
 	spec := &q.entry.record.Spec
 	freeCPUs, freeSlots := s.freeByZone(spec)
@@ -195,9 +197,9 @@
 	return zones
 }
 
-// freeByZone sums up, by zone, what is free on machines that a task of a job fits on now: CPUs,
-// and for how many tasks there is room. Unschedulable machines count too: nobody could use them as
-// it was.
+// freeByZone adds up, by zone, the free CPUs of machines that currently have capacity for a task of a
+// job, and the number of such tasks that fit. Unschedulable machines count as well: a machine may be
+// unschedulable only because the waiting jobs are tied to other zones and could not use it.
 func (s *scheduler) freeByZone(spec *protocol.Job) (freeCPUs, freeSlots map[string]float64) {
 	freeCPUs, freeSlots = map[string]float64{}, map[string]float64{}
 	for _, v := range s.machines.All() {
@@ -214,8 +216,8 @@
 	return freeCPUs, freeSlots
 }
 
-// mayReassignZone reports whether one of a job's zones, by its index, may be another one from now
-// on.
+// mayReassignZone reports whether the zone at the given index of a job's zones may be replaced by
+// another one now.
 func (s *scheduler) mayReassignZone(q *queuedJob, index int, zone string) bool {
 	if len(q.entry.record.Zones) == 1 {
 		return len(q.inflight) == 0
@@ -239,8 +241,9 @@
 	return true
 }
 
-// hasUnfinishedTaskElsewhere reports whether a task that is tied to another of its job's zones is not
-// done durably: if it is done only for this leader, a crash may start it again.
+// hasUnfinishedTaskElsewhere reports whether any task that is tied to another of the job's zones is
+// not durably completed. A completion that only this leader knows of does not count, because after a
+// crash the task may be started again.
 func hasUnfinishedTaskElsewhere(q *queuedJob, index int) bool {
 	for task := range q.entry.record.Spec.Tasks {
 		if zoneIndex(q, task) != index && !q.entry.isTaskDone(task) {
