--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -13,16 +13,16 @@
 // Reasons to return a machine.
 const (
 	returnIdle         returnReason = "idle"
-	returnFailed       returnReason = "failed"          // by the cloud's word
-	returnUnlisted     returnReason = "taken back"      // the list no longer has it
+	returnFailed       returnReason = "failed"          // the cloud reports that it failed
+	returnUnlisted     returnReason = "taken back"      // the cloud's list no longer has it
 	returnUnhealthy    returnReason = "faulty"          // jobs fail there that run elsewhere
-	returnBootTimeout  returnReason = "did not come up" // it boots for too long
-	returnSilent       returnReason = "silent"          // long after it has dropped its tasks
-	returnDead         returnReason = "dead"            // silent while its zone is heard
-	returnUnresponsive returnReason = "does not answer" // nor did it since the shard map changed
+	returnBootTimeout  returnReason = "did not come up" // its boot timed out
+	returnSilent       returnReason = "silent"          // silent for long after its tasks were dropped
+	returnDead         returnReason = "dead"            // silent although most of its zone is reachable
+	returnUnresponsive returnReason = "does not answer" // no heartbeat since the shard map changed
 )
 
-// beginReturn drains a machine; it is deleted once that is done.
+// beginReturn drains a machine, which is deleted once it is drained.
 func (f *fleet) beginReturn(inst *instance, reason returnReason) {
 	if inst.returnReason != "" {
 		return
@@ -35,7 +35,7 @@
 		"spot", inst.spot, "why", string(reason))
 }
 
-// returnInstances gives up machines that are of no use any more, and deletes those that are
+// returnInstances begins to return machines that are of no use any more, and deletes those that are
 // drained.
 func (f *fleet) returnInstances() {
 	var names []string
@@ -57,7 +57,7 @@
 	f.core.emit(DeleteInstances{Names: names})
 }
 
-// returnIfUnusable begins to return a machine that never came up, failed, vanished or is faulty.
+// returnIfUnusable begins to return a machine that can't be used: see unusableReason.
 func (f *fleet) returnIfUnusable(inst *instance) {
 	if inst.returnReason != "" {
 		return
@@ -73,8 +73,8 @@
 	inst.forceDelete = forced
 }
 
-// unusableReason says why a machine is of no use any more, if so, and whether it is to be deleted
-// without waiting for its tasks to end.
+// unusableReason returns why a machine is of no use any more, empty if it is of use, and whether it is
+// to be deleted without waiting for its tasks to end.
 func (f *fleet) unusableReason(inst *instance) (reason returnReason, forced bool) {
 	c := f.core
 	view, machineType := c.scheduler.machines.Get(inst.name), c.machineTypes()[inst.typeName]
@@ -84,7 +84,7 @@
 	case inst.cloudState == protocol.MachineFailed:
 		return returnFailed, false
 	case inst.missedLists >= missedListsUntilLost && !up && age > 4*f.listLag():
-		return returnUnlisted, true // the cloud's answer says that its tasks are gone
+		return returnUnlisted, true // the cloud's list shows that it no longer exists, nor do its tasks
 	case view != nil && view.unhealthy:
 		return returnUnhealthy, false
 	case view == nil:
@@ -95,8 +95,8 @@
 	case !up && view.state.TasksComplete && c.now.Monotonic-view.emptySince > f.silenceBeforeReturn(inst.zone):
 		return returnSilent, false
 	case view.state.Silent && view.upSince >= 0 && f.isZoneReachable(view):
-		// Waiting for its lease to end would hold its tasks up for as long again; once the
-		// cloud has deleted it they are surely gone.
+		// Waiting for its lease to expire would delay its tasks for as long again. Once the cloud
+		// has deleted it, its tasks have certainly ended.
 		return returnDead, true
 	case f.isUnresponsive(view) && f.isZoneReachable(view):
 		return returnUnresponsive, true
@@ -104,38 +104,38 @@
 	return "", false
 }
 
-// isUnresponsive reports whether a machine has not answered since the shard map changed, so that
-// nobody knows what may be running there and everything that may be is held up. Each has its own
-// time to answer.
+// isUnresponsive reports whether a machine has not responded since the shard map changed. It is then
+// unknown what runs on it, which blocks everything that may be running there. The timeout of each
+// machine begins when its own task list became incomplete.
 //
-// Guards against two ways of choosing that time. Counted from the change of the map alone, a
-// quarter of the machines that came up later were deleted at their first heartbeat. With three
-// heartbeats, 15 to 18 s, no earlier job started anything for as long at each failover, since
-// among a thousand spot machines there nearly always is one that was taken back without notice.
+// Two other choices of the timeout failed. Counted from the change of the shard map, a quarter of the
+// machines that came up later were deleted at their first heartbeat. With three heartbeats, 15 to 18 s,
+// no job from before a failover started anything for that long, since among a thousand spot machines
+// there nearly always is one that was reclaimed without notice.
 func (f *fleet) isUnresponsive(view *machineView) bool {
 	c := f.core
 	timeout := max(c.intervals.heartbeat, c.intervals.workerLease/5)
 	return !view.state.TasksComplete && view.state.Silent && c.now.Monotonic-view.unsureSince > timeout
 }
 
-// minBootTimeout is how long any machine may boot, however fast its type is.
+// minBootTimeout is how long any machine may boot, however fast its type usually boots.
 const minBootTimeout = time.Minute
 
-// maxBootDoublings bounds how often failed boots double the time allowed.
+// maxBootDoublings bounds how often failed boots double the boot timeout.
 const maxBootDoublings = 2
 
-// bootTimeout is how long a machine may boot. It doubles with each that is given up while none
-// of its type comes up, up to four times as long.
+// bootTimeout is how long a machine of a type may boot. It doubles with each boot that times out while
+// no machine of the type comes up, up to four times the original timeout.
 //
-// Guards against giving up every machine just before it is up where all boots take several
-// times as long as usual, one after another for twenty minutes.
+// If all boots take several times as long as usual, a fixed timeout would give up each machine just
+// before it is up. This went on for twenty minutes, one machine after another.
 func (f *fleet) bootTimeout(machineType *protocol.MachineType) time.Duration {
 	factor := float64(int(1) << min(f.failedBoots[machineType.Name], maxBootDoublings))
 	return config.Seconds(machineType.BootS * f.core.policy.BootTimeoutFactor * factor)
 }
 
-// isDrained reports whether a machine that is being returned may be deleted. If its shard has
-// not been told to drain it, it is told.
+// isDrained reports whether a machine that is being returned may be deleted. If its shard has not
+// drained it yet, it requests that.
 func (f *fleet) isDrained(inst *instance) bool {
 	c := f.core
 	view, registered := c.scheduler.machines.Get(inst.name), c.records.machineRecords.Get(inst.name) != nil
@@ -149,7 +149,7 @@
 	if awaitsTasks && view != nil && len(view.attempts) > 0 {
 		return false
 	}
-	return !f.mayDeregister(inst.name) || !registered // out of the registry first
+	return !f.mayDeregister(inst.name) || !registered // it must leave the registry first
 }
 
 func (f *fleet) requestDrain(view *machineView, name string) {
@@ -159,11 +159,11 @@
 	}
 }
 
-// mayDeregister reports whether a machine that is being returned is empty, and its shard has
-// said that it gives it nothing more: then it can leave the registry before it is deleted.
+// mayDeregister reports whether a machine that is being returned is empty and its shard has confirmed
+// that it places nothing more there. Such a machine can leave the registry before it is deleted.
 //
-// Guards against a new leader that waited 13 s for 35 machines which the last one had returned
-// just before it ended.
+// Otherwise the next leader waits for it: one waited 13 s for 35 machines that the last leader had
+// returned just before it ended.
 func (f *fleet) mayDeregister(name string) bool {
 	inst, view := f.instances.Get(name), f.core.scheduler.machines.Get(name)
 	return inst != nil && inst.returnReason != "" && !inst.forceDelete &&
@@ -171,8 +171,8 @@
 		view.state.TasksComplete && view.state.AcceptsTasks && view.state.Draining && len(view.attempts) == 0
 }
 
-// handleDelete takes the result of deleting machines. Those that were not deleted are tried
-// again in the next round.
+// handleDelete handles the result of deleting machines. Deletions that failed are repeated in the next
+// round.
 func (f *fleet) handleDelete(result DeleteInstancesResult) {
 	for _, name := range result.Names {
 		if result.Outcome != CloudDone {
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -7,39 +7,39 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// pool is where machines are rented: capacity is refused for one type, zone and kind alone.
+// pool identifies where machines are rented: a refusal concerns one type, zone and kind only.
 type pool struct {
 	typeName, zone string
 	spot           bool
 }
 
-// instance is a machine that is rented, as far as the leader knows.
+// instance is the leader's record of a rented machine.
 type instance struct {
 	pool
 	name           string
-	cloudState     string        // as the list has it: booting, running or failed
-	createdAt      time.Duration // by the list's word or our own request
+	cloudState     string        // as last listed: booting, running or failed
+	createdAt      time.Duration // estimated from the age in the list, or when this leader first knew of it
 	wasListed      bool
-	missedLists    int          // lists in a row that lacked it after it was listed
-	cpuUtilization float64      // share of its CPUs that is taken
-	returnReason   returnReason // empty: it is not being returned
-	forceDelete    bool         // to be deleted without waiting for its tasks to end
+	missedLists    int          // consecutive lists without it, if it was listed or should be by now
+	cpuUtilization float64      // share of its CPUs that tasks use, 0 to 1
+	returnReason   returnReason // empty while it is not being returned
+	forceDelete    bool         // delete it without waiting for its tasks to end
 	deleteInFlight bool
 }
 
-// missedListsUntilLost is how many lists in a row must lack a machine before it counts as gone.
+// missedListsUntilLost is how many consecutive lists must lack a machine before it counts as lost.
 const missedListsUntilLost = 2
 
 // instanceListing is the progress through the pages of the cloud's list.
 type instanceListing struct {
 	inFlight  bool
 	nextAt    time.Duration
-	after     string          // the last machine of the pages read so far, empty: none yet
-	names     map[string]bool // the machines of these pages
-	completed int             // whole lists read in this term
+	after     string          // name of the last machine on the pages read so far, empty before the first page
+	names     map[string]bool // machines on these pages
+	completed int             // complete lists read in this term
 }
 
-// restart forgets what was listed; a call that is under way stays so.
+// restart discards what was listed. A call that is in flight remains in flight.
 func (l *instanceListing) restart() {
 	l.nextAt, l.completed = 0, 0
 	l.after, l.names = "", map[string]bool{}
@@ -47,13 +47,13 @@
 
 func (f *fleet) wasDeleted(name string) bool { return f.deletedNames[name] }
 
-// isReturning reports whether a machine is being drained and returned, or is gone.
+// isReturning reports whether a machine is being drained and returned, or was deleted.
 func (f *fleet) isReturning(name string) bool {
 	inst := f.instances.Get(name)
 	return f.deletedNames[name] || inst != nil && inst.returnReason != ""
 }
 
-// isUsable reports whether a machine is or will be of use.
+// isUsable reports whether a machine is, or will be, able to run tasks.
 func (f *fleet) isUsable(inst *instance) bool {
 	if inst.returnReason != "" || inst.cloudState == protocol.MachineFailed || inst.missedLists >= missedListsUntilLost {
 		return false
@@ -68,20 +68,20 @@
 	return !view.state.InterruptionNotice && !view.unhealthy
 }
 
-// adopt takes a machine among the rented ones.
+// adopt adds a machine to the rented ones.
 func (f *fleet) adopt(name string, p pool) *instance {
 	inst := &instance{pool: p, name: name, createdAt: f.core.now.Monotonic}
 	f.instances.Set(name, inst)
 	return inst
 }
 
-// listLag is how far the cloud's list may be behind.
+// listLag is the longest time by which the cloud's list may be out of date.
 func (f *fleet) listLag() time.Duration { return config.Seconds(f.core.settings.Site.Cloud.ListLagS) }
 
-// requestList asks for the next page of the list once it is due.
+// requestList requests the next page of the list once it is due.
 //
-// Guards against a list of twenty pages asked for at once, which went beyond the cloud's limit
-// and never came to an end: each page is a call of its own.
+// Each page is a call of its own. When a list of twenty pages was requested at once, it exceeded the
+// cloud's rate limit and was never completed.
 func (f *fleet) requestList() {
 	if f.listing.inFlight || f.core.now.Monotonic < f.listing.nextAt || !f.takeListCall() {
 		return
@@ -90,12 +90,12 @@
 	f.core.emit(ListInstances{After: f.listing.after})
 }
 
-// handleList takes a page of the list, and ends the list with the last one.
+// handleList handles a page of the list, and completes the list with the last page.
 func (f *fleet) handleList(result ListInstancesResult) {
 	c := f.core
 	f.listing.inFlight = false
 	if result.Outcome != CloudDone {
-		f.listing.nextAt = c.now.Monotonic + 2*c.intervals.maintenance // the same page again
+		f.listing.nextAt = c.now.Monotonic + 2*c.intervals.maintenance // the same page is requested again
 		return
 	}
 	if !c.membership.leading {
@@ -127,11 +127,11 @@
 	inst.wasListed, inst.cloudState, inst.missedLists = true, machine.State, 0
 }
 
-// countMissed notes which machines a whole list lacked.
+// countMissed counts, for each machine, the consecutive complete lists that lack it.
 //
-// Guards against waiting for ever for machines that died before this leader came: their owners
-// heard none of them, and left the shard map in turn before any lease could expire. One that is
-// known from the registry alone would be listed by now if it were there.
+// It prevents the leader from waiting forever for machines that died before its term: the controllers
+// that owned them never heard from them, and left the shard map one after another before any lease
+// could expire. A machine that is known from the registry alone would be listed by now if it existed.
 func (f *fleet) countMissed() {
 	for name, inst := range f.instances.All() {
 		if !f.listing.names[name] && (inst.wasListed || f.core.now.Monotonic-inst.createdAt > 4*f.listLag()) {
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -9,19 +9,19 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// offer is a pool with what a unit of a job's work costs there.
+// offer is a pool together with the cost of a unit of a job's work there.
 type offer struct {
 	pool
 	machineType *protocol.MachineType
 	cost        float64
 }
 
-// typicalLifetimeLeases is for how many worker leases a machine usually stays: boot and first image
-// pull are paid for as well, and are spread over that.
+// typicalLifetimeLeases is how long a machine is typically rented, in worker leases. The cost of its
+// boot and its first image pull is spread over that time.
 const typicalLifetimeLeases = 6
 
-// offers lists the pools that could serve a job, cheapest first, and among those of the same
-// cost the zones with the fewest machines first.
+// offers lists the pools that could serve a job, cheapest first. Pools of the same cost are ordered by
+// the number of usable machines in their zone, lowest first.
 func (f *fleet) offers(spec *protocol.Job, onDemandOnly bool) []offer {
 	lifetimeSeconds := typicalLifetimeLeases * f.core.intervals.workerLease.Seconds()
 	machinesInZone := map[string]int{}
@@ -50,10 +50,11 @@
 	return offers
 }
 
-// minFetchGBps stands in for a type's rate of image pulls that is not set.
+// minFetchGBps is the image pull rate, in gigabytes per second, of a machine type without a set rate.
+// It is also the lowest rate that is assumed.
 const minFetchGBps = 0.01
 
-// eligiblePools iterates over the pools that could serve a job and have not refused lately.
+// eligiblePools iterates over the pools that could serve a job and are not in backoff after a refusal.
 func (f *fleet) eligiblePools(spec *protocol.Job) iter.Seq2[pool, *protocol.MachineType] {
 	return func(yield func(pool, *protocol.MachineType) bool) {
 		for _, name := range sortedKeys(f.core.machineTypes()) {
@@ -71,8 +72,8 @@
 	}
 }
 
-// poolsOf iterates over the pools of a type, in each zone spot before on-demand. A type without
-// a spot price is not rented so.
+// poolsOf iterates over the pools of a type, in each zone spot before on-demand. A type without a spot
+// price is not rented as spot.
 func poolsOf(machineType *protocol.MachineType) iter.Seq[pool] {
 	return func(yield func(pool) bool) {
 		for _, zone := range machineType.Zones {
@@ -86,7 +87,7 @@
 	}
 }
 
-// tasksPerMachine is how many tasks of a job an empty machine holds.
+// tasksPerMachine is the number of a job's tasks that fit on an empty machine.
 func tasksPerMachine(machineType *protocol.MachineType, spec *protocol.Job) float64 {
 	slots := math.Inf(1)
 	limit := func(has, needs float64) {
@@ -103,14 +104,14 @@
 	return slots
 }
 
-// A pool that has refused is left alone for poolBackoffRounds maintenance rounds, twice as long
-// after each further refusal, up to 1<<maxBackoffDoublings times as long.
+// A pool that has refused a request is skipped for poolBackoffRounds maintenance rounds. Each further
+// refusal doubles that, up to 1<<maxBackoffDoublings times as long.
 const (
 	poolBackoffRounds   = 5
 	maxBackoffDoublings = 3
 )
 
-// backOffPool leaves a pool alone for a while after it refused.
+// backOffPool skips a pool for a while after a refusal.
 func (f *fleet) backOffPool(p pool) {
 	f.poolRefusals[p]++
 	wait := poolBackoffRounds * f.core.intervals.maintenance << min(f.poolRefusals[p]-1, maxBackoffDoublings)
@@ -118,7 +119,8 @@
 	f.core.logDebug("capacity refused", "type", p.typeName, "zone", p.zone, "spot", p.spot, "wait", wait)
 }
 
-// noCapacityReason says that every pool that could serve a job has refused, if so.
+// noCapacityReason returns the reason for users if every pool that could serve a job is in backoff
+// after a refusal, and an empty string otherwise.
 func (f *fleet) noCapacityReason(spec *protocol.Job) string {
 	for range f.eligiblePools(spec) {
 		return ""
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -10,20 +10,20 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// minInstanceAge is how old a machine gets before it is returned for being idle: the cloud
-// charges a minute at least.
+// minInstanceAge is how old a machine must be before it is returned for being idle. The cloud charges
+// for at least a minute.
 const minInstanceAge = 55 * time.Second
 
-// isClearSurplus reports whether so many CPUs are a quarter more than what is wanted, or above.
+// isClearSurplus reports whether a number of CPUs exceeds what is wanted by a quarter or more.
 func isClearSurplus(cpus, wanted float64) bool { return cpus >= wanted*5/4 }
 
-// scaleIn returns machines that are not needed. An on-demand machine that the work due does not
-// need is made unschedulable: the leader plans nothing for it, and it is returned when its last
-// task ends. A spot machine is made unschedulable when there is clearly too much, and returned
-// when it has been idle for a while.
+// scaleIn returns machines that are not needed. An on-demand machine that no due work needs is made
+// unschedulable: the leader plans no tasks for it, and it is returned when its last task ends. A spot
+// machine is made unschedulable only if there is a clear surplus, and is returned after it has been
+// idle for a while.
 //
-// Guards against machines that were taken out for the sake of those that still booted, which
-// left a full queue and empty machines: only machines that are up count.
+// Only machines that are up count as capacity. When booting machines counted as well, machines that
+// were up were withdrawn in their favor, which left a full queue beside empty machines.
 func (f *fleet) scaleIn(demand capacityDemand, waiting []*queuedJob) {
 	f.cordoned = map[string]bool{}
 	for _, view := range f.core.scheduler.machines.All() {
@@ -46,7 +46,8 @@
 	f.evictFromCordoned(running)
 }
 
-// runningInstances lists the machines that are up and of a known type, and adds up those of use.
+// runningInstances lists the machines that are up and of a known type, and adds up the CPUs of those
+// that can run tasks.
 func (f *fleet) runningInstances() ([]*instance, cpuCapacity) {
 	var running []*instance
 	var capacity cpuCapacity
@@ -63,8 +64,8 @@
 	return running, capacity
 }
 
-// sortForReturn puts the machines to be returned first in front: on-demand before spot, and the
-// emptiest first.
+// sortForReturn sorts the machines so that those to be returned first come first: on-demand before
+// spot, and within each kind by CPU utilization, lowest first.
 func (f *fleet) sortForReturn(running []*instance) {
 	for _, inst := range running {
 		inst.cpuUtilization = f.core.scheduler.machines.Get(inst.name).used.cpus / f.core.machineTypes()[inst.typeName].CPUs
@@ -77,8 +78,8 @@
 	})
 }
 
-// canSpare reports whether the demand is met without a machine of so many CPUs. A spot machine
-// serves none of the work that must not run on one.
+// canSpare reports whether the demand is met without a machine of so many CPUs. Spot machines do not
+// count for work that must not run on them.
 func (d *capacityDemand) canSpare(cpus float64, spot bool, capacity cpuCapacity, wanted float64) bool {
 	if !spot {
 		return capacity.total-cpus >= d.onTime && capacity.onDemand()-cpus >= d.onTimeOnDemand
@@ -87,12 +88,13 @@
 	return !needed
 }
 
-// cordonOrReturn has a machine that can be spared get no new tasks, and returns it if it is idle. With
-// a clear surplus its shard is told not to fill it, and an idle spot machine is not kept for
-// work that may come. planned: tasks have been dispatched for the room on it.
+// cordonOrReturn keeps new tasks off a machine that can be spared, and returns the machine if it is
+// idle. In a clear surplus its shard is ordered to place no tasks on it, and an idle spot machine is
+// not kept for work that may arrive. planned says that tasks were dispatched because of the free
+// capacity on the machine and are not placed yet.
 //
-// Guards against a machine that is returned in the round in which a job's last tasks were dispatched
-// to it: nothing of the job waited any more, and nothing of it was there yet.
+// It guards against returning a machine in the round in which the last tasks of a job are dispatched
+// to it: no task of the job waits any more, and none is on the machine yet.
 func (f *fleet) cordonOrReturn(inst *instance, planned, surplus bool) {
 	c := f.core
 	view := c.scheduler.machines.Get(inst.name)
@@ -108,18 +110,18 @@
 	}
 }
 
-// isConstrained reports whether few machines can serve a job, or it needs many at once, or no
+// isConstrained reports whether only few machines can serve a job, or it needs many at once, or no
 // spot machine can serve it.
 //
-// Guards against an on-demand machine that was rented for a job without an objective, taken out
-// and replaced by a new one, for ever, where nothing is rented as spot.
+// The last case prevents an endless cycle where no machine type is rented as spot: an on-demand machine
+// that was rented for a job without an objective was withdrawn and replaced by a new one.
 func (f *fleet) isConstrained(job *queuedJob) bool {
 	spec := &job.entry.record.Spec
 	return len(spec.MachineTypes) > 0 || spec.Zone != "" || spec.OneZone || spec.Spread || !spec.AllowSpot ||
 		spec.Kind == protocol.KindGang || !f.hasSpotType(spec)
 }
 
-// hasSpotType reports whether a machine type that holds a task of a job is rented as spot.
+// hasSpotType reports whether any machine type that fits a task of a job is rented as spot.
 func (f *fleet) hasSpotType(spec *protocol.Job) bool {
 	for _, machineType := range f.core.machineTypes() {
 		if machineType.SpotPrice > 0 && binpacking.AllowsType(spec, machineType.Name) && binpacking.FitsMachineType(machineType, spec) {
@@ -129,8 +131,8 @@
 	return false
 }
 
-// isNeeded reports whether a waiting constrained job could use a machine: however much room
-// there is elsewhere, it is not returned then.
+// isNeeded reports whether a waiting constrained job could use a machine. The machine is then not
+// returned, however much free capacity there is elsewhere.
 func (f *fleet) isNeeded(inst *instance, constrained []*queuedJob) bool {
 	machineType := f.core.machineTypes()[inst.typeName]
 	if machineType == nil {
