--- a/internal/core/cloud_budget.go
+++ b/internal/core/cloud_budget.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// cloudBudget is a token bucket for calls to the cloud. It is shared by the list, which is asked
-// for again and again, and by the calls that create and delete machines.
+// cloudBudget is a token bucket that limits the rate of calls to the cloud. The repeated calls that list
+// instances share it with the calls that create and delete instances.
 type cloudBudget struct {
 	tokens           float64
 	refilledAt       time.Duration
-	scalingDeferred  bool // a call to create or delete was due in this round and found no token
-	scalingSinceList int  // calls to create or delete since the last for the list
+	scalingDeferred  bool // in this round a call to create or delete was due and there was no token
+	scalingSinceList int  // calls to create or delete since the last call to list
 }
 
-// scalingCallsPerList is how many deferred calls to create or delete machines go before the
-// next page of the list.
+// scalingCallsPerList is how many calls to create or delete instances go ahead of the next call for a
+// page of the list, if such calls were deferred.
 const scalingCallsPerList = 2
 
-// take takes a token, if there is one at a rate of so many a second.
+// take takes a token if there is one. Tokens are added at the given rate per second.
 func (b *cloudBudget) take(now time.Duration, rate float64) bool {
-	// At least one fits in, or a cloud that takes a call a second would never get any.
+	// The bucket holds at least one token. Otherwise a cloud that allows one call per second would
+	// never be called, since the rate is then below 1.
 	b.tokens = min(b.tokens+(now-b.refilledAt).Seconds()*rate, max(rate, 1))
 	b.refilledAt = now
 	if b.tokens < 1 {
@@ -27,16 +28,17 @@
 	return true
 }
 
-// takeCallToken takes a call to the cloud, of whose limit the leader uses three fifths.
+// takeCallToken takes a token for a call to the cloud. The leader uses three fifths of the cloud's rate
+// limit.
 func (f *fleet) takeCallToken() bool {
 	return f.budget.take(f.core.now.Monotonic, f.core.settings.Site.Cloud.RPS*3/5)
 }
 
-// takeScalingCall takes a call to create or delete machines, or notes that one was due. The
-// list then lets scalingCallsPerList of them pass.
+// takeScalingCall takes a token for a call to create or delete instances. If there is none, it notes
+// that such a call is due, and the list then lets scalingCallsPerList of them go ahead.
 //
-// Guards against a list that took every call that a slow cloud allows, just before the round
-// that had a machine to create.
+// Otherwise the list took every call that a slow cloud allows, just before the round that had an
+// instance to create.
 func (f *fleet) takeScalingCall() bool {
 	if !f.takeCallToken() {
 		f.budget.scalingDeferred = true
@@ -46,7 +48,7 @@
 	return true
 }
 
-// takeListCall takes a call for a page of the list, unless calls to create or delete go first.
+// takeListCall takes a token for a page of the list, unless calls to create or delete go ahead of it.
 func (f *fleet) takeListCall() bool {
 	if f.budget.scalingDeferred && f.budget.scalingSinceList < scalingCallsPerList || !f.takeCallToken() {
 		return false
--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -5,16 +5,16 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// A machine is cordoned while there is clearly more than the work needs and it is among the
-// dearest or the emptiest: it gets no new tasks and is returned once its last one has ended.
+// A machine is cordoned during a clear surplus of machines if it is among those to be returned first
+// (see sortForReturn). It gets no new tasks and is returned once its last task has ended.
 
-// evictionReason is what a job's user reads of tasks that are moved.
+// evictionReason is the reason shown to a job's user when its tasks are moved.
 const evictionReason = "tasks moved off a machine that is no longer needed"
 
-// publishCordons tells the shards which of their machines are cordoned, and which no longer.
+// publishCordons informs the shards which of their machines have become cordoned or uncordoned.
 //
-// Guards against shards that went on filling them: long after a burst twice the machines that
-// were needed stayed, each with a few tasks.
+// Otherwise the shards keep filling these machines: long after a burst, twice the number of machines
+// that were needed remained, each with a few tasks.
 func (f *fleet) publishCordons() {
 	c := f.core
 	for name, view := range c.scheduler.machines.All() {
@@ -33,17 +33,17 @@
 	}
 }
 
-// evictFromCordoned stops the last tasks on cordoned machines if all of them save checkpoints
-// and there is room for them elsewhere: a machine of dozens of CPUs is paid for as long as its
-// longest task runs, and moving costs a checkpoint and an image pull.
+// evictFromCordoned stops the last tasks on cordoned machines if all of them save checkpoints and
+// there is free capacity for them elsewhere. Otherwise a machine of dozens of CPUs is paid for as long
+// as its longest task runs, while moving a task costs only a checkpoint and an image pull.
 func (f *fleet) evictFromCordoned(running []*instance) {
 	c := f.core
 	freeCPUs := f.freeCPUs(running)
 	for _, inst := range running {
 		view := c.scheduler.machines.Get(inst.name)
 		shard := c.scheduler.shards[view.shard]
-		// The wait lets short tasks end by themselves, and a load that comes back finds the
-		// machine as it was.
+		// The wait lets short tasks end by themselves, and leaves the machine unchanged if the load
+		// returns soon.
 		waited := view.cordoned && c.now.Monotonic-view.cordonedAt >= c.intervals.workerLease
 		if !waited || shard == nil || shard.session == 0 || view.used.cpus > freeCPUs || !canEvictAll(view) {
 			continue
@@ -53,7 +53,7 @@
 	}
 }
 
-// freeCPUs adds up what is free on the machines that may be given tasks.
+// freeCPUs adds up the free CPUs of the machines that may be given tasks.
 func (f *fleet) freeCPUs(running []*instance) float64 {
 	free := 0.0
 	for _, inst := range running {
@@ -74,7 +74,8 @@
 	}
 }
 
-// canEvictAll reports whether every task on a machine can be stopped without loss.
+// canEvictAll reports whether there are tasks on a machine and all of them can resume elsewhere from a
+// checkpoint.
 func canEvictAll(view *machineView) bool {
 	for _, attempt := range view.attempts {
 		spec := &attempt.job.entry.record.Spec
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -7,15 +7,15 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// estimatesSaveRounds is how many maintenance rounds lie between two writes of the history.
+// estimatesSaveRounds is the minimum interval between two writes of the history, in maintenance rounds.
 const estimatesSaveRounds = 10
 
-// taskEstimator predicts the durations of tasks and keeps the leader's history of them in the
-// store, so that the next leader begins with it.
+// taskEstimator predicts the durations of tasks. The leader saves its history of durations in the state
+// service, so that the next leader starts from it.
 type taskEstimator struct {
 	*estimator.Estimator
 	core         *Core
-	savedVersion uint64 // the version of the history that was written last
+	savedVersion uint64 // version of the history that was last written
 	saving       bool
 	savedAt      time.Duration
 }
@@ -24,37 +24,37 @@
 	return &taskEstimator{Estimator: estimator.New(c.policy.HistoryTasks), core: c}
 }
 
-// load takes over the stored history when this controller becomes the leader.
+// load loads the stored history when this controller becomes the leader.
 func (e *taskEstimator) load() {
 	e.Load(e.core.records.estimates)
 	e.savedAt = e.core.now.Monotonic
 }
 
-// taskCompleted observes how long a task of a queued job ran.
+// taskCompleted records how long a completed task ran, in seconds.
 func (e *taskEstimator) taskCompleted(q *queuedJob, seconds float64) {
 	first := q.durations.Empty() && q.entry.doneCount == 0
 	e.TaskCompleted(&q.entry.record.Spec, &q.durations, first, seconds, e.core.now.Wall)
 }
 
-// predictForJob predicts a task of one job, as distinct from others like it.
+// predictForJob predicts, in seconds, how long a task of this particular job runs.
 func (e *taskEstimator) predictForJob(q *queuedJob) float64 {
 	return e.PredictForJob(&q.entry.record.Spec, q.predictedSeconds, q.durations)
 }
 
-// save writes the history as one value, if it has changed and the last write is long enough ago.
+// save writes the history as one value if it has changed and the last write was long enough ago.
 func (e *taskEstimator) save() {
 	c := e.core
 	if e.Version() == e.savedVersion || e.saving || c.now.Monotonic-e.savedAt < estimatesSaveRounds*c.intervals.maintenance {
 		return
 	}
 	e.savedVersion, e.saving, e.savedAt = e.Version(), true, c.now.Monotonic
-	// A write that is carried out late must not take the place of a newer one.
+	// The guard on the key's version prevents a write that is applied late from replacing a newer one.
 	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyEstimate)}
 	ops := []protocol.Operation{{Put: keyEstimate, Value: e.Record(c.maxValueBytes())}}
 	c.commit(guards, ops, func(result CommitResult) {
 		e.saving = false
 		if result.Outcome != Committed {
-			e.savedVersion = 0 // it is written again: a history that was written has a later version
+			e.savedVersion = 0 // forces another write, since the version of a history that was written is never 0
 		}
 	})
 }
--- a/internal/core/inflow.go
+++ b/internal/core/inflow.go
@@ -7,32 +7,31 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// The inflow is how many CPUs the work that comes in takes. It is a sum over the jobs that
-// have arrived, each of which counts for less with the time since then.
+// The inflow is the number of CPUs that newly arriving work takes on average. It is a sum over the jobs
+// that have arrived, in which the weight of each job decays with the time since its arrival.
 
 const (
-	// inflowDecayLeases is the time constant of the inflow, in worker leases.
+	// inflowDecayLeases is the time constant of the decay, in worker leases.
 	inflowDecayLeases = 8
-	// inflowCutoffFactor is how many time constants back a job still counts when the inflow is worked
-	// out anew.
+	// inflowCutoffFactor is the age up to which a job is included when the inflow is recomputed, in
+	// time constants.
 	inflowCutoffFactor = 8
-	// burstReserveLeases is for how many worker leases after the last such job capacity is kept for
-	// jobs that must not wait.
+	// burstReserveLeases is how long capacity is reserved after the last arrival of a job with an
+	// objective for its waiting time, in worker leases.
 	burstReserveLeases = 3
 )
 
-// inflowSeconds is the time constant of the inflow.
+// inflowSeconds is the time constant of the decay, in seconds.
 func (f *fleet) inflowSeconds() float64 {
 	return inflowDecayLeases * f.core.intervals.workerLease.Seconds()
 }
 
-// jobInflow is what a job adds to the inflow as it arrives.
+// jobInflow is what a job adds to the inflow on arrival, in CPUs.
 func (f *fleet) jobInflow(spec *protocol.Job) float64 {
 	return float64(spec.Tasks) * spec.CPUs * f.core.estimator.Predict(spec) / f.inflowSeconds()
 }
 
-// inflowBefore is how many CPUs the work takes that keeps coming in and is more urgent than a
-// job.
+// inflowBefore is the inflow of work that is more urgent than a job, in CPUs.
 func (f *fleet) inflowBefore(job *queuedJob) float64 {
 	var sum float64
 	for urgency, cpus := range f.inflowByUrgency {
@@ -43,8 +42,8 @@
 	return sum
 }
 
-// jobArrived counts a new job into the inflow, and keeps capacity for more like it if its class
-// must not wait.
+// jobArrived adds a new job to the inflow. If its class has an objective for its waiting time, it also
+// reserves capacity for further jobs of the same size.
 func (f *fleet) jobArrived(job *queuedJob) {
 	spec := &job.entry.record.Spec
 	for i := range f.core.settings.Site.Objectives {
@@ -61,8 +60,8 @@
 	}
 }
 
-// restoreInflow works out, for a new leader, what came in before it led. Only that of teams
-// that are not best-effort is restored.
+// restoreInflow recomputes, for a new leader, the inflow before its term. It restores only the inflow
+// of teams that are not best-effort.
 func (f *fleet) restoreInflow() {
 	f.guaranteedInflow = 0
 	stored := f.core.records
@@ -79,7 +78,7 @@
 	}
 }
 
-// restoreJobInflow counts a job that arrived at a time of day.
+// restoreJobInflow adds a job that arrived at a given time of day, in seconds.
 func (f *fleet) restoreJobInflow(spec *protocol.Job, at float64) {
 	if !f.core.bestEffortTeams[spec.Team] {
 		age := max(f.core.now.Wall-at, 0)
@@ -87,7 +86,7 @@
 	}
 }
 
-// recentlyEnded lists the jobs that have ended and still count, in order of their names.
+// recentlyEnded lists, in order of their ids, the ended jobs that are recent enough to count.
 func (f *fleet) recentlyEnded() []string {
 	var recent []string
 	for id, ended := range f.core.records.archive.jobs {
@@ -99,7 +98,7 @@
 	return recent
 }
 
-// decayInflow lets the inflow fall with the time since it came.
+// decayInflow reduces the inflow by the time since it was last reduced.
 func (f *fleet) decayInflow() {
 	now := f.core.now.Monotonic
 	factor := math.Exp(-(now - f.decayedAt).Seconds() / f.inflowSeconds())
--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -7,8 +7,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// storeMachineTypes learns the machine types from the cloud once and keeps them in the state
-// service, so that every node can judge submissions even while the cloud is out.
+// storeMachineTypes reads the machine types from the cloud once and stores them in the state service,
+// so that every controller can validate submissions even while the cloud is unavailable.
 func (f *fleet) storeMachineTypes() {
 	c := f.core
 	if len(c.records.machineTypes) > 0 || f.typesWriteInFlight {
@@ -36,7 +36,7 @@
 	})
 }
 
-// handleMachineTypes takes the cloud's answer, or has it asked again after a while.
+// handleMachineTypes handles the cloud's response. If it has no types, they are requested again later.
 func (f *fleet) handleMachineTypes(result MachineTypesResult) {
 	if result.Outcome == CloudDone && len(result.Answer.Types) > 0 {
 		f.typesRequested = false
@@ -46,10 +46,10 @@
 	f.core.afterFunc(f.core.intervals.maintenance, func() { f.typesRequested = false })
 }
 
-// Generous sizes of parts of a machine type's description, in bytes.
+// Upper estimates for the encoded size of parts of a machine type, in bytes.
 const (
 	machineTypeBytes = 300 // without its name and zones
-	zoneNameBytes    = 4   // beside the name itself
+	zoneNameBytes    = 4   // in addition to the name itself
 )
 
 func estimatedBytes(machineType *protocol.MachineType) int {
@@ -60,8 +60,8 @@
 	return size
 }
 
-// paginateTypes divides machine types over keys, each value at most limit bytes: there are
-// sites with more of them than one value holds.
+// paginateTypes distributes machine types over keys, each with a value of at most limit bytes, since
+// some sites have more types than fit into one value.
 func paginateTypes(types []protocol.MachineType, limit int) iter.Seq2[string, protocol.MachineTypes] {
 	return func(yield func(string, protocol.MachineTypes) bool) {
 		total := len(types)
@@ -79,7 +79,7 @@
 	}
 }
 
-// typesOnPage is how many of the first types fit into so many bytes, at least one.
+// typesOnPage is how many of the first types fit into limit bytes, at least one.
 func typesOnPage(types []protocol.MachineType, limit int) int {
 	size := 0
 	for i := range types {
@@ -91,10 +91,8 @@
 	return len(types)
 }
 
-// applyMachineTypes takes one key of the machine types into the records. They are used once all
-// of them are there.
-//
-// Guards against a job that was refused for a type that was still to be read.
+// applyMachineTypes adds the machine types of one key to the records. The types are used only once all
+// of them have been read: jobs were refused before because of a type that had yet to be read.
 func (r *storedRecords) applyMachineTypes(record *protocol.MachineTypes) {
 	for i := range record.Types {
 		r.partialTypes[record.Types[i].Name] = &record.Types[i]
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// maxPageBytes bounds a page where values may be large: the whole of it is written
-	// whenever one of its machines comes or goes.
+	// maxPageBytes bounds a page if values may be large, because a whole page is rewritten whenever
+	// one of its machines is added or removed.
 	maxPageBytes = 8 << 10
 
-	// maxTransactionBytes bounds what one transaction writes: three quarters of the 64 KiB
-	// that it may have.
+	// maxTransactionBytes bounds what one transaction writes. It is three quarters of the maximum
+	// of 64 KiB.
 	maxTransactionBytes = 48 << 10
 )
 
-// machineRegistry is the leader's list, in the state service, of the machines that may have
-// been given tasks: only those are given work, so that a failover knows which machines it must
-// see. Package registry lays it out on pages.
+// machineRegistry is the leader's list of the machines that may have been given tasks. It is kept in the
+// state service. Only registered machines are given work, so that after a failover the new leader knows
+// which machines it must see. Package registry divides the list into pages.
 type machineRegistry struct {
 	core          *Core
 	writeInFlight bool
-	nextRemovalAt time.Duration // when machines that are gone may be taken out again
+	nextRemovalAt time.Duration // when deleted or drained machines may next be removed
 }
 
-// reconcile writes the machines that have come up since, and takes out those that are gone.
+// reconcile adds the machines that have come up, and removes those that were deleted or drained.
 func (r *machineRegistry) reconcile() {
 	c := r.core
 	if r.writeInFlight {
@@ -49,7 +49,7 @@
 	}
 }
 
-// unregistered lists the machines that are up and not in the registry.
+// unregistered lists the machines that are up, not in the registry and not being returned.
 func (r *machineRegistry) unregistered() (names []string) {
 	for name, view := range r.core.scheduler.machines.All() {
 		if view.state.AcceptsTasks && !view.registered && !view.leaving {
@@ -59,12 +59,12 @@
 	return names
 }
 
-// shouldRemove reports whether a machine is to be taken out of the registry.
+// shouldRemove reports whether a machine is to be removed from the registry.
 func (r *machineRegistry) shouldRemove(name string) bool {
 	return r.core.fleet.wasDeleted(name) || r.core.fleet.mayDeregister(name)
 }
 
-// record is a machine's record: the one in the registry, or that of a machine to be added.
+// record returns a machine's record: the registered one, or a new one for a machine to be added.
 func (r *machineRegistry) record(name string) records.Machine {
 	if record := r.core.records.machineRecords.Get(name); record != nil {
 		return *record
@@ -73,23 +73,23 @@
 	return records.Machine{Addr: state.Addr, Type: state.Type, Zone: state.Zone, Spot: state.Spot}
 }
 
-// limits are what the settings allow now.
+// limits returns the limits that follow from the present settings.
 func (r *machineRegistry) limits() registry.Limits {
 	return registry.Limits{ValueBytes: r.core.maxValueBytes(), PageBytes: r.pageLimit(), PagesPerPlan: r.maxPagesPerWrite()}
 }
 
-// pageLimit is up to how many bytes a page is filled.
+// pageLimit is the maximum number of bytes on a page.
 func (r *machineRegistry) pageLimit() int { return min(r.core.maxValueBytes()*3/4, maxPageBytes) }
 
-// maxPagesPerWrite is how many pages one transaction may change.
+// maxPagesPerWrite is the maximum number of pages that one transaction changes.
 func (r *machineRegistry) maxPagesPerWrite() int {
 	return max(min(r.core.maxTxnOps(), maxTransactionBytes/r.pageLimit()), 1)
 }
 
-// commitPages writes pages. Each key is guarded by its version: a transaction that is applied
-// late must not take a machine out that was written since. The shard map's version guards too:
-// the shard keeps a machine that is taken out empty in this epoch, and whoever owns it in a
-// later one has seen that it is out.
+// commitPages writes pages. Each key is guarded by its version, because a transaction that is applied
+// late must not remove a machine that was added since. The version of the shard map is a guard, too: a
+// machine that is removed stays empty in this epoch, since its shard places nothing on it, and its
+// owner in a later epoch has seen that it was removed.
 func (r *machineRegistry) commitPages(changed map[string]*registry.Page) {
 	c := r.core
 	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyShardMap)}
@@ -109,7 +109,7 @@
 	})
 }
 
-// putRegistryPage takes a page of the registry into the mirror.
+// putRegistryPage applies a registry page to the records of the mirror.
 func (r *storedRecords) putRegistryPage(page string, record *records.RegistryPage) {
 	before := r.registryPages.Get(page)
 	names := sortedKeys(record.Machines)
@@ -120,21 +120,21 @@
 		r.core.shard.adoptRegistered(name, &machine)
 		r.core.scheduler.setRegistered(name, true)
 	}
-	// Most of a page's machines stay on it: only the others are looked for elsewhere.
+	// Most machines of a page stay on it. Only the others must be looked up on the other pages.
 	r.removeUnregistered(slices.DeleteFunc(slices.Clone(before), func(name string) bool {
 		_, stays := slices.BinarySearch(names, name)
 		return stays
 	}))
 }
 
-// removeRegistryPage takes a page that was deleted out of the mirror.
+// removeRegistryPage removes a deleted page from the records of the mirror.
 func (r *storedRecords) removeRegistryPage(page string) {
 	before := r.registryPages.Get(page)
 	r.registryPages.Delete(page)
 	r.removeUnregistered(before)
 }
 
-// removeUnregistered drops those machines that no page of the registry holds any more.
+// removeUnregistered removes those of the machines that are no longer on any page of the registry.
 func (r *storedRecords) removeUnregistered(names []string) {
 	for _, name := range names {
 		if r.isRegistered(name) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// isRegistered reports whether any page of the registry holds a machine.
+// isRegistered reports whether any page of the registry contains a machine.
 func (r *storedRecords) isRegistered(name string) bool {
 	for _, names := range r.registryPages.All() {
 		if _, listed := slices.BinarySearch(names, name); listed {
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -2,32 +2,31 @@
 
 import "time"
 
-// Zones whose machines fall silent together: then the network between them and the controllers has
-// failed, not the machines.
+// Zone partitions: if most machines of a zone become silent together, the network between them and the
+// controllers has failed, not the machines.
 
-// A zone counts as partitioned while more than half of its machines are lost, and no longer once
-// less than a quarter is: it does not go back and forth as machines come back one after another.
+// A zone becomes partitioned when more than half of its machines are lost, and recovers when less than
+// a quarter is. The gap prevents it from alternating while machines come back one after another.
 const (
 	partitionDivisor = 2
 	recoveryDivisor  = 4
-	// minPartitionMachines keeps one silent machine from passing for a silent zone.
+	// minPartitionMachines prevents a single silent machine from counting as a silent zone.
 	minPartitionMachines = 2
 )
 
-// isLost reports whether a machine is neither heard nor able to do work.
+// isLost reports whether a machine is silent, or has dropped its tasks and accepts no new ones.
 func (f *fleet) isLost(v *machineView) bool {
 	return v.state.Silent || v.state.TasksComplete && !v.state.AcceptsTasks
 }
 
-// isZonePartitioned reports whether most of a zone went silent a short while ago: then it is
-// the network that fails, and machines hired instead would boot for longer than
-// most partitions last.
+// isZonePartitioned reports whether a zone became partitioned less than four worker leases ago. Its
+// machines are then not replaced, because new ones would take longer to boot than most partitions last.
 func (f *fleet) isZonePartitioned(zone string) bool {
 	since, ok := f.zonePartitionedSince[zone]
 	return ok && f.core.now.Monotonic-since < 4*f.core.intervals.workerLease
 }
 
-// trackZones follows which zones are partitioned.
+// trackZones updates which zones are partitioned.
 func (f *fleet) trackZones() {
 	lost, all := f.countByZone()
 	for zone, machines := range all {
@@ -44,8 +43,8 @@
 	}
 }
 
-// countByZone counts the machines of each zone: those that were ever up, how many of them are lost,
-// and for isZoneReachable those that are known and heard.
+// countByZone counts, by zone, the machines that have ever been up and how many of them are lost. For
+// isZoneReachable it also counts all known machines and those that are confirmed up.
 func (f *fleet) countByZone() (lost, all map[string]int) {
 	lost, all = map[string]int{}, map[string]int{}
 	f.reachableByZone, f.machinesByZone = map[string]int{}, map[string]int{}
@@ -54,8 +53,8 @@
 		if isConfirmedUp(v) {
 			f.reachableByZone[v.state.Zone]++
 		}
-		// Machines in the registry have been up, whoever led then. Guards against a leader
-		// that has never seen a zone's machines: it took the partition for 382 dead machines.
+		// Registered machines have been up, perhaps under an earlier leader. Without this rule, a
+		// leader that had never seen a zone's machines took a partition for 382 dead machines.
 		if v.state.Type == "" || v.upSince < 0 && !v.registered {
 			continue
 		}
@@ -67,18 +66,18 @@
 	return lost, all
 }
 
-// isConfirmedUp reports whether a machine is known for sure to be up.
+// isConfirmedUp reports whether a machine is certain to be up and is not silent.
 func isConfirmedUp(v *machineView) bool {
 	return v.state.TasksComplete && v.state.AcceptsTasks && !v.state.Silent
 }
 
-// isZoneRecovering reports whether a zone is partitioned, or was until its machines can only just
-// have come back one after another.
+// isZoneRecovering reports whether a zone is partitioned, or recovered so recently that some of its
+// machines may still be coming back, one after another.
 //
-// Guards against giving up machines that are about to be heard again: when a partition of 95 s
-// ended, 266 of a zone's 387 machines were returned within five seconds, some for having
-// been silent so long, the others because half of their zone was heard before them, and
-// were rented and booted anew.
+// It prevents machines from being returned that are about to be reachable again. When a partition of
+// 95 s ended, 266 of a zone's 387 machines were returned within five seconds and replaced by new ones
+// that had to boot: some because they had been silent for so long, the others because half of their
+// zone was reachable before they were.
 func (f *fleet) isZoneRecovering(zone string) bool {
 	if _, partitioned := f.zonePartitionedSince[zone]; partitioned {
 		return true
@@ -88,7 +87,7 @@
 }
 
 // silenceBeforeReturn is how long a machine of a zone may be silent after it has dropped its tasks
-// before it is returned. In a zone that is partitioned another one would be as silent.
+// before it is returned. It is longer in a partitioned zone, where a new machine would be silent, too.
 func (f *fleet) silenceBeforeReturn(zone string) time.Duration {
 	if f.isZoneRecovering(zone) {
 		return 10 * f.core.intervals.machineLeaseExpiry
@@ -96,8 +95,8 @@
 	return 3 * f.core.intervals.machineLeaseExpiry
 }
 
-// isZoneReachable reports whether most of a machine's zone is heard, so that its
-// own silence means that it is dead and not that the network is.
+// isZoneReachable reports whether at least half of the other machines in a machine's zone are up and
+// reachable, so that its silence means that the machine is dead and not that the network has failed.
 func (f *fleet) isZoneReachable(v *machineView) bool {
 	if f.isZoneRecovering(v.state.Zone) {
 		return false
