--- a/internal/core/cloud_budget.go
+++ b/internal/core/cloud_budget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// cloudBudget is a token bucket that limits the rate of calls to the cloud. The repeated calls that list
-// instances share it with the calls that create and delete instances.
+// cloudBudget is a token bucket that limits the rate of calls to the cloud. The repeated calls that
+// list instances share it with the calls that create and delete instances.
 type cloudBudget struct {
 	tokens           float64
 	refilledAt       time.Duration
@@ -11,8 +11,8 @@
 	scalingSinceList int  // calls to create or delete since the last call to list
 }
 
-// scalingCallsPerList is how many calls to create or delete instances go ahead of the next call for a
-// page of the list, if such calls were deferred.
+// scalingCallsPerList is how many calls to create or delete instances go ahead of the next call for
+// a page of the list, if such calls were deferred.
 const scalingCallsPerList = 2
 
 // take takes a token if there is one. Tokens are added at the given rate per second.
@@ -28,17 +28,17 @@
 	return true
 }
 
-// takeCallToken takes a token for a call to the cloud. The leader uses three fifths of the cloud's rate
-// limit.
+// takeCallToken takes a token for a call to the cloud. The leader uses three fifths of the cloud's
+// rate limit.
 func (f *fleet) takeCallToken() bool {
 	return f.budget.take(f.core.now.Monotonic, f.core.settings.Site.Cloud.RPS*3/5)
 }
 
-// takeScalingCall takes a token for a call to create or delete instances. If there is none, it notes
-// that such a call is due, and the list then lets scalingCallsPerList of them go ahead.
+// takeScalingCall takes a token for a call to create or delete instances. If there is none, it
+// notes that such a call is due, and the list then lets scalingCallsPerList of them go ahead.
 //
-// Otherwise the list took every call that a slow cloud allows, just before the round that had an
-// instance to create.
+// Without this, the list used up every call that a slow cloud allows, just before the round that
+// had an instance to create.
 func (f *fleet) takeScalingCall() bool {
 	if !f.takeCallToken() {
 		f.budget.scalingDeferred = true
@@ -48,7 +48,8 @@
 	return true
 }
 
-// takeListCall takes a token for a page of the list, unless calls to create or delete go ahead of it.
+// takeListCall takes a token for a page of the list, unless calls to create or delete go ahead of
+// it.
 func (f *fleet) takeListCall() bool {
 	if f.budget.scalingDeferred && f.budget.scalingSinceList < scalingCallsPerList || !f.takeCallToken() {
 		return false
--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -5,16 +5,16 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// A machine is cordoned during a clear surplus of machines if it is among those to be returned first
-// (see sortForReturn). It gets no new tasks and is returned once its last task has ended.
+// A machine is cordoned during a clear surplus of machines if it is among those to be returned
+// first (see sortForReturn). It gets no new tasks and is returned once its last task has ended.
 
 // evictionReason is the reason shown to a job's user when its tasks are moved.
 const evictionReason = "tasks moved off a machine that is no longer needed"
 
 // publishCordons informs the shards which of their machines have become cordoned or uncordoned.
 //
-// Otherwise the shards keep filling these machines: long after a burst, twice the number of machines
-// that were needed remained, each with a few tasks.
+// Without this, the shards kept filling these machines: long after a burst, twice the number of
+// machines that were needed remained, each with a few tasks.
 func (f *fleet) publishCordons() {
 	c := f.core
 	for name, view := range c.scheduler.machines.All() {
@@ -34,8 +34,8 @@
 }
 
 // evictFromCordoned stops the last tasks on cordoned machines if all of them save checkpoints and
-// there is free capacity for them elsewhere. Otherwise a machine of dozens of CPUs is paid for as long
-// as its longest task runs, while moving a task costs only a checkpoint and an image pull.
+// there is free capacity for them elsewhere. Otherwise a machine of dozens of CPUs is paid for as
+// long as its longest task runs, while moving a task costs only a checkpoint and an image pull.
 func (f *fleet) evictFromCordoned(running []*instance) {
 	c := f.core
 	freeCPUs := f.freeCPUs(running)
@@ -74,8 +74,8 @@
 	}
 }
 
-// canEvictAll reports whether there are tasks on a machine and all of them can resume elsewhere from a
-// checkpoint.
+// canEvictAll reports whether there are tasks on a machine, and each of them runs, or is being
+// stopped, and can resume elsewhere from a checkpoint.
 func canEvictAll(view *machineView) bool {
 	for _, attempt := range view.attempts {
 		spec := &attempt.job.entry.record.Spec
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -22,11 +22,12 @@
 	inUse          float64 // used by tasks in flight
 	total          float64 // for all work that is worth the boot of a spot machine
 	totalOnDemand  float64 // the part of total that must not run on spot machines
-	onTime         float64 // for work to meet its objectives, for which on-demand machines are rented as well
+	onTime         float64 // for work to meet its objectives, worth on-demand machines
 	onTimeOnDemand float64 // the part of onTime that must not depend on spot machines
 
 	// onTimeByType is, by machine type, the number of CPUs up to which on-demand machines of that
-	// type are rented. It differs between types because a machine is of use only once it has booted.
+	// type are rented. It differs between types because a machine is of use only once it has
+	// booted.
 	onTimeByType map[string]float64
 }
 
@@ -38,9 +39,9 @@
 	onDemand    float64 // CPUs for jobs that must not run on spot machines
 }
 
-// computeDemand adds up what each unfinished job needs. Work is done in rank order, so a job waits for
-// all work that ranks before it, and for more such work that arrives while it waits. onTime is the
-// capacity at which the job that is closest to missing its objective just meets it.
+// computeDemand adds up what each unfinished job needs. Work is done in rank order, so a job waits
+// for all work that ranks before it, and for more such work that arrives while it waits. onTime is
+// the capacity at which the job that is closest to missing its objective just meets it.
 func (f *fleet) computeDemand(ranked []*queuedJob) capacityDemand {
 	sum := demandSum{
 		capacityDemand: capacityDemand{onTimeByType: map[string]float64{}},
@@ -128,20 +129,21 @@
 
 // Parameters of completionHorizon.
 const (
-	// horizonPerMissShare: for each percent of jobs that may miss an objective, the horizon grows by
-	// this many percent of the time left. An objective that allows more misses justifies less capacity.
+	// horizonPerMissShare: for each percent of jobs that may miss an objective, the horizon grows
+	// by this many percent of the time left. An objective that allows more misses justifies less
+	// capacity.
 	horizonPerMissShare = 6
 	// defaultHorizonLeases is the horizon of work without an objective, in worker leases.
 	defaultHorizonLeases = 10
 	// guaranteeHorizonFactor is the horizon of work within a guarantee, in multiples of
-	// minUsefulSeconds. Such work starts late if a machine has to boot for it, whatever is rented, but
-	// it should not wait much longer than one boot.
+	// minUsefulSeconds. Such work starts late if a machine has to boot for it, whatever is rented,
+	// but it should not wait much longer than one boot.
 	guaranteeHorizonFactor = 2
 )
 
-// completionHorizon is the time, in seconds, within which a job's queued work must be done for the job
-// to meet its objectives. Objectives that it has already missed do not count. A horizon that is too
-// short for a machine type to boot justifies no on-demand machines of it: see addOnTimeDemand.
+// completionHorizon is the time, in seconds, within which a job's queued work must be done for the
+// job to meet its objectives. Objectives that it has already missed do not count. A horizon that is
+// too short for a machine type to boot justifies no on-demand machines of it: see addOnTimeDemand.
 func (f *fleet) completionHorizon(job *queuedJob) float64 {
 	spec, policy := &job.entry.record.Spec, &f.core.policy
 	horizon := math.Inf(1)
@@ -167,8 +169,8 @@
 	return max(horizon, f.minUsefulSeconds(spec))
 }
 
-// timeLeft is the number of seconds that a job has left to meet an objective of its class, +Inf if the
-// objective sets no time for the job.
+// timeLeft is the number of seconds that a job has left to meet an objective of its class, +Inf if
+// the objective sets no time for the job.
 func (f *fleet) timeLeft(objective *config.Objective, job *queuedJob) float64 {
 	spec, now := &job.entry.record.Spec, f.core.now.Wall
 	switch objective.Kind {
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -7,11 +7,12 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// estimatesSaveRounds is the minimum interval between two writes of the history, in maintenance rounds.
+// estimatesSaveRounds is the minimum interval between two writes of the history, in maintenance
+// rounds.
 const estimatesSaveRounds = 10
 
-// taskEstimator predicts the durations of tasks. The leader saves its history of durations in the state
-// service, so that the next leader starts from it.
+// taskEstimator predicts the durations of tasks. The leader saves its history of durations in the
+// state service, so that the next leader starts from it.
 type taskEstimator struct {
 	*estimator.Estimator
 	core         *Core
@@ -48,7 +49,8 @@
 		return
 	}
 	e.savedVersion, e.saving, e.savedAt = e.Version(), true, c.now.Monotonic
-	// The guard on the key's version prevents a write that is applied late from replacing a newer one.
+	// The guard on the key's version prevents a write that is applied late from replacing a newer
+	// one.
 	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyEstimate)}
 	ops := []protocol.Operation{{Put: keyEstimate, Value: e.Record(c.maxValueBytes())}}
 	c.commit(guards, ops, func(result CommitResult) {
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -27,31 +27,34 @@
 	nextCanaryAt time.Duration
 }
 
-// provenToRun reports whether a job has shown that it can run: one of its tasks has completed, or has
-// been running for more than two heartbeats.
+// provenToRun reports whether a job has shown that it can run: one of its tasks has completed, or
+// has been running for more than two heartbeats.
 func (q *queuedJob) provenToRun(t *intervals) bool {
 	return q.completedTasks() > 0 || q.longestRunning > 2*t.heartbeat
 }
 
-// isCrashLooping reports whether a job seems to fail wherever it runs. Until one of its tasks works, it
-// is tried by one task at a time, the canary, at growing intervals, and the demand for machines includes
-// no more than one task of an array. Canaries are never given up, since the machines may be at fault.
+// isCrashLooping reports whether a job seems to fail wherever it runs. Until one of its tasks
+// works, it is tried by one task at a time, the canary, at growing intervals, and the demand for
+// machines includes no more than one task of an array. Canaries are never given up, since the
+// machines may be at fault.
 //
-// Without this limit, each such job caused hundreds of starts and image pulls, ahead of others' work.
+// Without this limit, each such job caused hundreds of starts and image pulls, ahead of others'
+// work.
 func (s *scheduler) isCrashLooping(q *queuedJob) bool {
 	return len(q.failures.machines) >= crashLoopMachines && !q.provenToRun(&s.core.intervals)
 }
 
-// isUnproven reports whether a failure on one more machine would make a job crash-looping. Such a job
-// is tried by one task at a time as well, but not at growing intervals.
+// isUnproven reports whether a failure on one more machine would make a job crash-looping. Such a
+// job is tried by one task at a time as well, but not at growing intervals.
 //
-// Otherwise, all tasks of a job that fails everywhere are started once more: the first tasks of such a
-// job had failed on two machines, and then all of them were sent to two other machines at once.
+// Without this, all tasks of a job that fails everywhere are started once more: the first tasks of
+// such a job had failed on two machines, and then all of them were sent to two others at once.
 func (s *scheduler) isUnproven(q *queuedJob) bool {
 	return len(q.failures.machines) >= crashLoopMachines-1 && !q.provenToRun(&s.core.intervals)
 }
 
-// taskFailed sets the backoff of a failed task and checks whether the machine or the job is at fault.
+// taskFailed sets the backoff of a failed task and checks whether the machine or the job is at
+// fault.
 func (s *scheduler) taskFailed(view *machineView, q *queuedJob, index int) {
 	now, intervals := s.core.now.Monotonic, &s.core.intervals
 	if len(q.failures.machines) == 0 {
@@ -71,12 +74,12 @@
 	s.quarantineIfUnhealthy(view)
 }
 
-// quarantineIfUnhealthy quarantines a machine on which several jobs have failed since its last success.
-// Only those jobs count that work elsewhere, or that within two leases have not failed on a third
-// machine.
+// quarantineIfUnhealthy quarantines a machine on which several jobs have failed since its last
+// success. Only those jobs count that work elsewhere, or that within two leases have not failed on
+// a third machine.
 //
-// This prevents a machine from being quarantined because two faulty jobs happened to fail there first.
-// With three such jobs, a healthy machine was quarantined in nearly every simulation.
+// This prevents a machine from being quarantined because two faulty jobs happened to fail there
+// first. With three such jobs, a healthy machine was quarantined in nearly every simulation.
 func (s *scheduler) quarantineIfUnhealthy(view *machineView) {
 	if view.unhealthy || len(view.failedJobs) < s.core.policy.QuarantineJobs {
 		return
@@ -102,8 +105,8 @@
 	return len(q.failures.machines) < crashLoopMachines && sinceFirst > 2*s.core.intervals.workerLease
 }
 
-// mayStartCanary reports whether a job that is tried by one task at a time may start the next one now.
-// If not, it sets the job's waiting reason.
+// mayStartCanary reports whether a job that is tried by one task at a time may start the next one
+// now. If not, it sets the job's waiting reason.
 func (s *scheduler) mayStartCanary(q *queuedJob) bool {
 	if len(q.inflight) > 0 || s.core.now.Monotonic < q.failures.nextCanaryAt {
 		q.reason = s.failureReason(q)
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -23,8 +23,8 @@
 	boostedAgingFactor = 4
 )
 
-// newFairShareRules converts the fair-share settings of the policy, which are in worker leases, to
-// seconds.
+// newFairShareRules returns the fair-share rules of the policy, with the times that it gives in
+// worker leases converted to seconds.
 func (c *Core) newFairShareRules() fairshare.Rules {
 	lease := c.intervals.workerLease.Seconds()
 	overdueAfter := c.policy.OverdueLeases * lease
@@ -68,7 +68,7 @@
 		StartedShare:  1 - float64(max(q.waitingTasks(), 0))/float64(spec.Tasks),
 		RemainingWork: left * taskWidth(spec) * s.core.estimator.predictForJob(q),
 		CPUsInUse:     float64(len(q.inflight)) * spec.CPUs,
-		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services are excluded: they never end, whether or not others wait
+		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services never end, so they do not count
 		Ineligible:    s.isCrashLooping(q) || service,
 	}
 }
@@ -101,9 +101,9 @@
 	return boosted
 }
 
-// applyBoost moves a job of an underserved account up, either behind the work covered by a guarantee
-// and ahead of all ordinary work, or, if that was not enough, ahead of urgent work as well, so that
-// only services rank before it.
+// applyBoost moves a job of an underserved account up, either behind the work covered by a
+// guarantee and ahead of all ordinary work, or, if that was not enough, ahead of urgent work as
+// well, so that only services rank before it.
 func (q *queuedJob) applyBoost(job *fairshare.Job) {
 	q.protected, q.startsEarly = job.Protected, false
 	q.boost = job.Boost
@@ -116,17 +116,17 @@
 }
 
 const (
-	// largestDivisor: one job in this many of an account is among its largest.
+	// largestDivisor: one in this many jobs of an account is among its largest.
 	largestDivisor = 4
 
-	// largestDivisorBoosted is the same for a boosted account. It is higher because a boost serves
-	// jobs that complete before jobs that have merely started.
+	// largestDivisorBoosted is the same for a boosted account. It is higher because there
+	// completing jobs matters more than starting them.
 	largestDivisorBoosted = 8
 )
 
-// largestJobs returns those unfinished jobs that are the largest of their account by number of tasks.
-// They must also have more tasks than the account's median job, so an account whose jobs are all of
-// one size has none.
+// largestJobs returns those unfinished jobs that are the largest of their account by number of
+// tasks. They must also have more tasks than the account's median job, so an account whose jobs are
+// all of one size has none.
 func largestJobs(jobs []*queuedJob, boosted map[fairshare.Account]bool) map[*queuedJob]bool {
 	byAccount := map[fairshare.Account][]*queuedJob{}
 	for _, q := range jobs {
@@ -148,8 +148,9 @@
 	return largest
 }
 
-// earlyStartAge is how many seconds a large job waits until its first task may start early: two thirds
-// of the time within which the policy wants it to start. It is +Inf if the policy sets no such time.
+// earlyStartAge is how many seconds a large job waits until its first task may start early: two
+// thirds of the time within which the policy wants it to start. It is +Inf if the policy sets no
+// such time.
 func (s *scheduler) earlyStartAge() float64 {
 	if s.core.policy.LargestStartS <= 0 {
 		return math.Inf(1)
@@ -157,13 +158,13 @@
 	return s.core.policy.LargestStartS * 2 / 3
 }
 
-// startEarly ranks the first task of an array behind services only, if the array is among the largest
-// of its account and has waited long enough. Only one task is moved up; the others keep the ordinary
-// rank. The task is protected from preemption.
+// startEarly ranks the first task of an array behind services only, if the array is among the
+// largest of its account and has waited long enough. Only one task is moved up; the others keep the
+// ordinary rank. The task is protected from preemption.
 //
 // It prevents the largest jobs of a class from never starting while smaller jobs of the same class
-// keep arriving. Fair share does not notice that, because it counts jobs, and by that count the class
-// is served well.
+// keep arriving. Fair share does not notice that, because it counts jobs, and by that count the
+// class is served well.
 func (s *scheduler) startEarly(q *queuedJob, age float64) {
 	if age < s.earlyStartAge() || q.spec().Kind != protocol.KindArray || q.completedTasks() > 0 || s.isCrashLooping(q) {
 		return
@@ -174,12 +175,12 @@
 	}
 }
 
-// reserveQuota reserves the quota that a team's tasks release for the given number of tasks of a job
-// of an underserved account, unless the job could not start even with all of the team's quota that
-// services do not use.
+// reserveQuota reserves the quota that a team's tasks release for the given number of tasks of a
+// job of an underserved account, unless the job could not start even with all of the team's quota
+// that services do not use.
 //
-// It prevents tasks of four CPUs from never starting because each CPU that is released goes to a task
-// of one CPU. The same would happen to gangs that need half of the quota at once.
+// It prevents tasks of four CPUs from never starting because each CPU that is released goes to a
+// task of one CPU. The same would happen to gangs that need half of the quota at once.
 func (s *scheduler) reserveQuota(q *queuedJob, tasks int, round *schedulingRound) {
 	spec := q.spec()
 	team := s.core.team(spec.Team)
@@ -202,15 +203,16 @@
 	round.quotaReservedFor[spec.Team] = q
 }
 
-// maxMachineReservations is the maximum number of jobs for which machines are reserved in one round.
+// maxMachineReservations is the maximum number of jobs for which machines are reserved in one
+// round.
 const maxMachineReservations = 4
 
-// reserveMachines withholds machines from the jobs that rank behind a job of an underserved account.
-// It takes the machines with the most free capacity first, and as many as the given number of the
-// job's tasks need once the machines are drained.
+// reserveMachines withholds machines from the jobs that rank behind a job of an underserved
+// account. It takes the machines with the most free capacity first, and as many as the given number
+// of the job's tasks need once the machines are drained.
 //
-// It prevents a task that needs a whole machine from never starting because small tasks keep filling
-// every machine.
+// It prevents a task that needs a whole machine from never starting because small tasks keep
+// filling every machine.
 func (s *scheduler) reserveMachines(q *queuedJob, tasks int, round *schedulingRound) {
 	if round.machineReservations >= maxMachineReservations || !s.mayReserve(q, tasks, round) {
 		return
@@ -259,13 +261,13 @@
 	return &free
 }
 
-// mayReserve reports whether quota or machines may be reserved for the given number of a job's tasks
-// in this round. The job must be boosted, or its first task must be due to start early. The tasks must
-// also need more CPUs than the smallest waiting task: otherwise they need no reservation, because
-// released capacity is offered to them first.
+// mayReserve reports whether quota or machines may be reserved for the given number of a job's
+// tasks in this round. The job must be boosted, or its first task must be due to start early. The
+// tasks must also need more CPUs than the smallest waiting task: otherwise they need no
+// reservation, because released capacity is offered to them first.
 //
-// A reservation lasts for Rules.OverdueAfter and is then suspended for as long again, so that one that
-// can't be used for an unforeseen reason blocks the other jobs for at most half of the time.
+// A reservation lasts for Rules.OverdueAfter and is then suspended for as long again, so that one
+// that can't be used for an unforeseen reason blocks the other jobs for at most half of the time.
 func (s *scheduler) mayReserve(q *queuedJob, tasks int, round *schedulingRound) bool {
 	if q.boost == fairshare.NoBoost && !q.startsEarly {
 		return false
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -8,11 +8,13 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// fleet is the autoscaler of the leader: it rents the machines that the queued work needs (scale out),
-// and drains and returns those that the work does not need (scale in). On followers it does nothing.
+// fleet is the autoscaler of the leader: it rents the machines that the queued work needs (scale
+// out), and drains and returns those that the work does not need (scale in). On followers it does
+// nothing.
 //
-// The choice between spot and on-demand follows the price: a spot machine is rented as soon as the work
-// is worth its boot time, an on-demand machine only for work that would otherwise miss its objective.
+// The choice between spot and on-demand follows the price: a spot machine is rented as soon as the
+// work is worth its boot time, an on-demand machine only for work that would otherwise miss its
+// objective.
 type fleet struct {
 	core *Core
 
@@ -26,12 +28,12 @@
 	// Availability in the cloud.
 	poolBackoffUntil map[pool]time.Duration
 	poolRefusals     map[pool]int   // consecutive refusals
-	failedBoots      map[string]int // by type: boots that timed out since a machine of the type last came up
+	failedBoots      map[string]int // by type: boots that timed out since one succeeded
 	requestCounter   int
 
 	// State of the zones.
-	zonePartitionedSince map[string]time.Duration // when a zone was found partitioned; only zones that are
-	zoneRecoveredAt      map[string]time.Duration // when a zone was last found to have recovered
+	zonePartitionedSince map[string]time.Duration // when each partitioned zone became so
+	zoneRecoveredAt      map[string]time.Duration // when a zone last recovered from a partition
 	reachableByZone      map[string]int           // machines confirmed up
 	machinesByZone       map[string]int           // all known machines
 
@@ -59,8 +61,8 @@
 	return f
 }
 
-// reset discards all state of an earlier term when a leader's term begins. Calls to the cloud that are
-// in flight, and the budget for such calls, carry over.
+// reset discards all state of an earlier term when a leader's term begins. Calls to the cloud that
+// are in flight, and the budget for such calls, carry over.
 func (f *fleet) reset() {
 	f.instances = orderedmap.New[*instance]()
 	f.createRequests = map[string]*createRequest{}
@@ -76,8 +78,8 @@
 	f.cloudTypes = nil
 }
 
-// reconcile makes the calls that do not depend on scheduling rounds: those for the machine types and
-// for the list of instances.
+// reconcile makes the calls that do not depend on scheduling rounds: those for the machine types
+// and for the list of instances.
 func (f *fleet) reconcile() {
 	c := f.core
 	if !c.membership.leading || !c.membership.mayServe() {
@@ -105,8 +107,9 @@
 	}
 }
 
-// autoscale compares the queued work with the existing machines. It runs after each maintenance round.
-// ranked has every unfinished job, waiting those that had tasks to dispatch; both are in rank order.
+// autoscale compares the queued work with the existing machines. It runs after each maintenance
+// round. ranked has every unfinished job, waiting those that had tasks to dispatch; both are in
+// rank order.
 func (f *fleet) autoscale(ranked, waiting []*queuedJob) {
 	f.adoptUnlistedMachines()
 	f.budget.scalingDeferred = false
@@ -123,8 +126,8 @@
 	f.returnInstances()
 }
 
-// adoptUnlistedMachines adds the machines that the cloud's list does not show yet but that report to a
-// shard and accept tasks, or that an earlier leader has registered.
+// adoptUnlistedMachines adds the machines that the cloud's list does not show yet but that report
+// to a shard and accept tasks, or that an earlier leader has registered.
 func (f *fleet) adoptUnlistedMachines() {
 	c := f.core
 	for name, view := range c.scheduler.machines.All() {
@@ -156,8 +159,8 @@
 	return planned
 }
 
-// plannedByPool iterates over the pools and their numbers of usable machines, then over the machines
-// that are being created. A pool may occur more than once.
+// plannedByPool iterates over the pools and their numbers of usable machines, then over the
+// machines that are being created. A pool may occur more than once.
 func (f *fleet) plannedByPool() iter.Seq2[pool, int] {
 	return func(yield func(pool, int) bool) {
 		for p, count := range f.usableByPool {
--- a/internal/core/inflow.go
+++ b/internal/core/inflow.go
@@ -7,8 +7,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// The inflow is the number of CPUs that newly arriving work takes on average. It is a sum over the jobs
-// that have arrived, in which the weight of each job decays with the time since its arrival.
+// The inflow is the number of CPUs that newly arriving work takes on average. It is a sum over the
+// jobs that have arrived, in which the weight of each job decays with the time since its arrival.
 
 const (
 	// inflowDecayLeases is the time constant of the decay, in worker leases.
@@ -42,8 +42,8 @@
 	return sum
 }
 
-// jobArrived adds a new job to the inflow. If its class has an objective for its waiting time, it also
-// reserves capacity for further jobs of the same size.
+// jobArrived adds a new job to the inflow. If its class has an objective for its waiting time, it
+// also reserves capacity for further jobs of the same size.
 func (f *fleet) jobArrived(job *queuedJob) {
 	spec := &job.entry.record.Spec
 	for i := range f.core.settings.Site.Objectives {
@@ -60,8 +60,8 @@
 	}
 }
 
-// restoreInflow recomputes, for a new leader, the inflow before its term. It restores only the inflow
-// of teams that are not best-effort.
+// restoreInflow recomputes, for a new leader, the inflow before its term. It restores only the
+// inflow of teams that are not best-effort.
 func (f *fleet) restoreInflow() {
 	f.guaranteedInflow = 0
 	stored := f.core.records
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -19,10 +19,10 @@
 	returnBootTimeout  returnReason = "did not come up" // its boot timed out
 	returnSilent       returnReason = "silent"          // silent for long after its tasks were dropped
 	returnDead         returnReason = "dead"            // silent although most of its zone is reachable
-	returnUnresponsive returnReason = "does not answer" // no heartbeat since the shard map changed
+	returnUnresponsive returnReason = "does not answer" // no response since the shard map changed
 )
 
-// beginReturn drains a machine, which is deleted once it is drained.
+// beginReturn starts to drain a machine. It is deleted once it is drained.
 func (f *fleet) beginReturn(inst *instance, reason returnReason) {
 	if inst.returnReason != "" {
 		return
@@ -73,8 +73,8 @@
 	inst.forceDelete = forced
 }
 
-// unusableReason returns why a machine is of no use any more, empty if it is of use, and whether it is
-// to be deleted without waiting for its tasks to end.
+// unusableReason returns why a machine is of no use any more, empty if it is of use, and whether it
+// is to be deleted without waiting for its tasks to end.
 func (f *fleet) unusableReason(inst *instance) (reason returnReason, forced bool) {
 	c := f.core
 	view, machineType := c.scheduler.machines.Get(inst.name), c.machineTypes()[inst.typeName]
@@ -104,14 +104,14 @@
 	return "", false
 }
 
-// isUnresponsive reports whether a machine has not responded since the shard map changed. It is then
-// unknown what runs on it, which blocks everything that may be running there. The timeout of each
-// machine begins when its own task list became incomplete.
+// isUnresponsive reports whether a machine has not responded since the shard map changed. It is
+// then unknown what runs on it, which blocks everything that may be running there. The timeout of
+// each machine begins when its own task list became incomplete.
 //
-// Two other choices of the timeout failed. Counted from the change of the shard map, a quarter of the
-// machines that came up later were deleted at their first heartbeat. With three heartbeats, 15 to 18 s,
-// no job from before a failover started anything for that long, since among a thousand spot machines
-// there nearly always is one that was reclaimed without notice.
+// Two other choices of the timeout failed. Counted from the change of the shard map, a quarter of
+// the machines that came up later were deleted at their first heartbeat. With three heartbeats, 15
+// to 18 s, no job from before a failover started anything for that long, since among a thousand
+// spot machines there nearly always is one that was reclaimed without notice.
 func (f *fleet) isUnresponsive(view *machineView) bool {
 	c := f.core
 	timeout := max(c.intervals.heartbeat, c.intervals.workerLease/5)
@@ -124,8 +124,8 @@
 // maxBootDoublings bounds how often failed boots double the boot timeout.
 const maxBootDoublings = 2
 
-// bootTimeout is how long a machine of a type may boot. It doubles with each boot that times out while
-// no machine of the type comes up, up to four times the original timeout.
+// bootTimeout is how long a machine of a type may boot. It doubles with each boot that times out
+// while no machine of the type comes up, up to four times the original timeout.
 //
 // If all boots take several times as long as usual, a fixed timeout would give up each machine just
 // before it is up. This went on for twenty minutes, one machine after another.
@@ -159,11 +159,12 @@
 	}
 }
 
-// mayDeregister reports whether a machine that is being returned is empty and its shard has confirmed
-// that it places nothing more there. Such a machine can leave the registry before it is deleted.
+// mayDeregister reports whether a machine that is being returned is empty and its shard has
+// confirmed that it places nothing more there. Such a machine can leave the registry before it is
+// deleted.
 //
-// Otherwise the next leader waits for it: one waited 13 s for 35 machines that the last leader had
-// returned just before it ended.
+// If such a machine stayed registered, a new leader would wait for it: one waited 13 s for 35
+// machines that the last leader had returned just before it ended.
 func (f *fleet) mayDeregister(name string) bool {
 	inst, view := f.instances.Get(name), f.core.scheduler.machines.Get(name)
 	return inst != nil && inst.returnReason != "" && !inst.forceDelete &&
@@ -171,8 +172,8 @@
 		view.state.TasksComplete && view.state.AcceptsTasks && view.state.Draining && len(view.attempts) == 0
 }
 
-// handleDelete handles the result of deleting machines. Deletions that failed are repeated in the next
-// round.
+// handleDelete handles the result of deleting machines. Deletions that failed are repeated in the
+// next round.
 func (f *fleet) handleDelete(result DeleteInstancesResult) {
 	for _, name := range result.Names {
 		if result.Outcome != CloudDone {
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -18,7 +18,7 @@
 	pool
 	name           string
 	cloudState     string        // as last listed: booting, running or failed
-	createdAt      time.Duration // estimated from the age in the list, or when this leader first knew of it
+	createdAt      time.Duration // by its age in the list, or when the leader first knew of it
 	wasListed      bool
 	missedLists    int          // consecutive lists without it, if it was listed or should be by now
 	cpuUtilization float64      // share of its CPUs that tasks use, 0 to 1
@@ -34,7 +34,7 @@
 type instanceListing struct {
 	inFlight  bool
 	nextAt    time.Duration
-	after     string          // name of the last machine on the pages read so far, empty before the first page
+	after     string          // last machine on the pages read so far, empty: none read
 	names     map[string]bool // machines on these pages
 	completed int             // complete lists read in this term
 }
@@ -80,8 +80,8 @@
 
 // requestList requests the next page of the list once it is due.
 //
-// Each page is a call of its own. When a list of twenty pages was requested at once, it exceeded the
-// cloud's rate limit and was never completed.
+// Each page is a call of its own. When a list of twenty pages was requested at once, it exceeded
+// the cloud's rate limit and was never completed.
 func (f *fleet) requestList() {
 	if f.listing.inFlight || f.core.now.Monotonic < f.listing.nextAt || !f.takeListCall() {
 		return
@@ -129,9 +129,10 @@
 
 // countMissed counts, for each machine, the consecutive complete lists that lack it.
 //
-// It prevents the leader from waiting forever for machines that died before its term: the controllers
-// that owned them never heard from them, and left the shard map one after another before any lease
-// could expire. A machine that is known from the registry alone would be listed by now if it existed.
+// It prevents the leader from waiting forever for machines that died before its term: the
+// controllers that owned them never heard from them, and left the shard map one after another
+// before any lease could expire. A machine that is known from the registry alone would be listed by
+// now if it existed.
 func (f *fleet) countMissed() {
 	for name, inst := range f.instances.All() {
 		if !f.listing.names[name] && (inst.wasListed || f.core.now.Monotonic-inst.createdAt > 4*f.listLag()) {
--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -7,8 +7,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// storeMachineTypes reads the machine types from the cloud once and stores them in the state service,
-// so that every controller can validate submissions even while the cloud is unavailable.
+// storeMachineTypes reads the machine types from the cloud once and stores them in the state
+// service, so that every controller can validate submissions even while the cloud is unavailable.
 func (f *fleet) storeMachineTypes() {
 	c := f.core
 	if len(c.records.machineTypes) > 0 || f.typesWriteInFlight {
@@ -36,7 +36,8 @@
 	})
 }
 
-// handleMachineTypes handles the cloud's response. If it has no types, they are requested again later.
+// handleMachineTypes handles the cloud's response. If it has no types, they are requested again
+// later.
 func (f *fleet) handleMachineTypes(result MachineTypesResult) {
 	if result.Outcome == CloudDone && len(result.Answer.Types) > 0 {
 		f.typesRequested = false
@@ -60,8 +61,8 @@
 	return size
 }
 
-// paginateTypes distributes machine types over keys, each with a value of at most limit bytes, since
-// some sites have more types than fit into one value.
+// paginateTypes distributes machine types over keys, each with a value of at most limit bytes,
+// since some sites have more types than fit into one value.
 func paginateTypes(types []protocol.MachineType, limit int) iter.Seq2[string, protocol.MachineTypes] {
 	return func(yield func(string, protocol.MachineTypes) bool) {
 		total := len(types)
@@ -91,8 +92,9 @@
 	return len(types)
 }
 
-// applyMachineTypes adds the machine types of one key to the records. The types are used only once all
-// of them have been read: jobs were refused before because of a type that had yet to be read.
+// applyMachineTypes adds the machine types of one key to the records. The types are used only once
+// all of them have been read: with only some of them, a job was refused because of a type that had
+// yet to be read.
 func (r *storedRecords) applyMachineTypes(record *protocol.MachineTypes) {
 	for i := range record.Types {
 		r.partialTypes[record.Types[i].Name] = &record.Types[i]
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -16,12 +16,12 @@
 	cost        float64
 }
 
-// typicalLifetimeLeases is how long a machine is typically rented, in worker leases. The cost of its
-// boot and its first image pull is spread over that time.
+// typicalLifetimeLeases is how long a machine is typically rented, in worker leases. The cost of
+// its boot and its first image pull is spread over that time.
 const typicalLifetimeLeases = 6
 
-// offers lists the pools that could serve a job, cheapest first. Pools of the same cost are ordered by
-// the number of usable machines in their zone, lowest first.
+// offers lists the pools that could serve a job, cheapest first. Pools of the same cost are ordered
+// by the number of usable machines in their zone, lowest first.
 func (f *fleet) offers(spec *protocol.Job, onDemandOnly bool) []offer {
 	lifetimeSeconds := typicalLifetimeLeases * f.core.intervals.workerLease.Seconds()
 	machinesInZone := map[string]int{}
@@ -50,11 +50,12 @@
 	return offers
 }
 
-// minFetchGBps is the image pull rate, in gigabytes per second, of a machine type without a set rate.
-// It is also the lowest rate that is assumed.
+// minFetchGBps is the image pull rate, in gigabytes per second, of a machine type without a set
+// rate. It is also the lowest rate that is assumed.
 const minFetchGBps = 0.01
 
-// eligiblePools iterates over the pools that could serve a job and are not in backoff after a refusal.
+// eligiblePools iterates over the pools that could serve a job and are not in backoff after a
+// refusal.
 func (f *fleet) eligiblePools(spec *protocol.Job) iter.Seq2[pool, *protocol.MachineType] {
 	return func(yield func(pool, *protocol.MachineType) bool) {
 		for _, name := range sortedKeys(f.core.machineTypes()) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// poolsOf iterates over the pools of a type, in each zone spot before on-demand. A type without a spot
-// price is not rented as spot.
+// poolsOf iterates over the pools of a type, in each zone spot before on-demand. A type without a
+// spot price is not rented as spot.
 func poolsOf(machineType *protocol.MachineType) iter.Seq[pool] {
 	return func(yield func(pool) bool) {
 		for _, zone := range machineType.Zones {
@@ -104,8 +105,8 @@
 	return slots
 }
 
-// A pool that has refused a request is skipped for poolBackoffRounds maintenance rounds. Each further
-// refusal doubles that, up to 1<<maxBackoffDoublings times as long.
+// A pool that has refused a request is skipped for poolBackoffRounds maintenance rounds. Each
+// further refusal doubles that, up to 1<<maxBackoffDoublings times as long.
 const (
 	poolBackoffRounds   = 5
 	maxBackoffDoublings = 3
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -19,9 +19,9 @@
 	maxTransactionBytes = 48 << 10
 )
 
-// machineRegistry is the leader's list of the machines that may have been given tasks. It is kept in the
-// state service. Only registered machines are given work, so that after a failover the new leader knows
-// which machines it must see. Package registry divides the list into pages.
+// machineRegistry is the leader's list of the machines that may have been given tasks. It is kept
+// in the state service. Only registered machines are given work, so that after a failover the new
+// leader knows which machines it must see. Package registry divides the list into pages.
 type machineRegistry struct {
 	core          *Core
 	writeInFlight bool
@@ -86,10 +86,10 @@
 	return max(min(r.core.maxTxnOps(), maxTransactionBytes/r.pageLimit()), 1)
 }
 
-// commitPages writes pages. Each key is guarded by its version, because a transaction that is applied
-// late must not remove a machine that was added since. The version of the shard map is a guard, too: a
-// machine that is removed stays empty in this epoch, since its shard places nothing on it, and its
-// owner in a later epoch has seen that it was removed.
+// commitPages writes pages. Each key is guarded by its version, because a transaction that is
+// applied late must not remove a machine that was added since. The version of the shard map is a
+// guard, too: a machine that is removed stays empty in this epoch, since its shard places nothing
+// on it, and its owner in a later epoch has seen that it was removed.
 func (r *machineRegistry) commitPages(changed map[string]*registry.Page) {
 	c := r.core
 	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyShardMap)}
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -10,17 +10,17 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// minInstanceAge is how old a machine must be before it is returned for being idle. The cloud charges
-// for at least a minute.
+// minInstanceAge is how old a machine must be before it is returned for being idle. The cloud
+// charges for at least a minute.
 const minInstanceAge = 55 * time.Second
 
 // isClearSurplus reports whether a number of CPUs exceeds what is wanted by a quarter or more.
 func isClearSurplus(cpus, wanted float64) bool { return cpus >= wanted*5/4 }
 
-// scaleIn returns machines that are not needed. An on-demand machine that no due work needs is made
-// unschedulable: the leader plans no tasks for it, and it is returned when its last task ends. A spot
-// machine is made unschedulable only if there is a clear surplus, and is returned after it has been
-// idle for a while.
+// scaleIn returns machines that are not needed. An on-demand machine that is not needed to meet
+// objectives is made unschedulable: the leader plans no tasks for it, and it is returned when its
+// last task ends. A spot machine is made unschedulable only if there is a clear surplus, and is
+// returned after it has been idle for a while.
 //
 // Only machines that are up count as capacity. When booting machines counted as well, machines that
 // were up were withdrawn in their favor, which left a full queue beside empty machines.
@@ -46,8 +46,8 @@
 	f.evictFromCordoned(running)
 }
 
-// runningInstances lists the machines that are up and of a known type, and adds up the CPUs of those
-// that can run tasks.
+// runningInstances lists the machines that are up and of a known type, and adds up the CPUs of
+// those that can run tasks.
 func (f *fleet) runningInstances() ([]*instance, cpuCapacity) {
 	var running []*instance
 	var capacity cpuCapacity
@@ -78,8 +78,8 @@
 	})
 }
 
-// canSpare reports whether the demand is met without a machine of so many CPUs. Spot machines do not
-// count for work that must not run on them.
+// canSpare reports whether the demand is met without a machine of so many CPUs. Spot machines do
+// not count for work that must not run on them.
 func (d *capacityDemand) canSpare(cpus float64, spot bool, capacity cpuCapacity, wanted float64) bool {
 	if !spot {
 		return capacity.total-cpus >= d.onTime && capacity.onDemand()-cpus >= d.onTimeOnDemand
@@ -89,12 +89,12 @@
 }
 
 // cordonOrReturn keeps new tasks off a machine that can be spared, and returns the machine if it is
-// idle. In a clear surplus its shard is ordered to place no tasks on it, and an idle spot machine is
-// not kept for work that may arrive. planned says that tasks were dispatched because of the free
+// idle. In a clear surplus its shard is ordered to place no tasks on it, and an idle spot machine
+// is not kept for work that may arrive. planned says that tasks were dispatched because of the free
 // capacity on the machine and are not placed yet.
 //
-// It guards against returning a machine in the round in which the last tasks of a job are dispatched
-// to it: no task of the job waits any more, and none is on the machine yet.
+// It guards against returning a machine in the round in which the last tasks of a job are
+// dispatched to it: no task of the job waits any more, and none is on the machine yet.
 func (f *fleet) cordonOrReturn(inst *instance, planned, surplus bool) {
 	c := f.core
 	view := c.scheduler.machines.Get(inst.name)
@@ -113,8 +113,8 @@
 // isConstrained reports whether only few machines can serve a job, or it needs many at once, or no
 // spot machine can serve it.
 //
-// The last case prevents an endless cycle where no machine type is rented as spot: an on-demand machine
-// that was rented for a job without an objective was withdrawn and replaced by a new one.
+// The last case prevents an endless cycle where no machine type is rented as spot: an on-demand
+// machine that was rented for a job without an objective was withdrawn and replaced by a new one.
 func (f *fleet) isConstrained(job *queuedJob) bool {
 	spec := &job.entry.record.Spec
 	return len(spec.MachineTypes) > 0 || spec.Zone != "" || spec.OneZone || spec.Spread || !spec.AllowSpot ||
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// scaleOut creates instances for the waiting jobs, in rank order, until the planned capacity meets the
-// demand.
+// scaleOut creates instances for the waiting jobs, in rank order, until the planned capacity meets
+// the demand.
 func (f *fleet) scaleOut(waiting []*queuedJob, demand capacityDemand, planned cpuCapacity) {
 	if len(waiting) == 0 || !f.mayScaleOut() {
 		return
@@ -85,8 +85,8 @@
 	}
 }
 
-// scaleOutFor creates instances that a job may use: for the overall demand, and for what the job itself
-// lacks if few machines can serve it.
+// scaleOutFor creates instances that a job may use: for the overall demand, and for what the job
+// itself lacks if few machines can serve it.
 func (f *fleet) scaleOutFor(job *queuedJob, missing *shortage) {
 	zone, jobMissing := f.missingCapacity(job)
 	offers := f.offers(&job.entry.record.Spec, missing.onDemandOnly())
@@ -143,9 +143,9 @@
 	return false
 }
 
-// missingCapacity returns the first zone (empty: any zone) in which too few planned machines may take
-// the job's tasks, and the CPUs that are missing there. It leaves out of account that other jobs use
-// these machines too. It returns 0 CPUs if the job lacks none.
+// missingCapacity returns the first zone (empty: any zone) in which too few planned machines may
+// take the job's tasks, and the CPUs that are missing there. It leaves out of account that other
+// jobs use these machines too. It returns 0 CPUs if the job lacks none.
 func (f *fleet) missingCapacity(job *queuedJob) (zone string, cpus float64) {
 	spec := &job.entry.record.Spec
 	zones := []string{spec.Zone}
@@ -175,8 +175,8 @@
 	return min(tasks, slots)
 }
 
-// plannedSlots is how many tasks of a job fit on the planned machines of a zone (empty: of all zones)
-// when these are empty.
+// plannedSlots is how many tasks of a job fit on the planned machines of a zone (empty: of all
+// zones) when these are empty.
 func (f *fleet) plannedSlots(spec *protocol.Job, zone string) float64 {
 	total := 0.0
 	for p, count := range f.plannedByPool() {
@@ -212,8 +212,8 @@
 	}
 }
 
-// adoptCreated adds the machines that a request has created. Fewer machines than requested mean that
-// the cloud refused the rest.
+// adoptCreated adds the machines that a request has created. Fewer machines than requested mean
+// that the cloud refused the rest.
 func (f *fleet) adoptCreated(request *createRequest, names []string) {
 	p := request.pool()
 	for _, name := range names {
@@ -231,8 +231,8 @@
 	}
 }
 
-// retryCreate repeats a request that got no response or was above the cloud's rate limit. The request
-// keeps its name, so nothing is created twice.
+// retryCreate repeats a request that got no response or was above the cloud's rate limit. The
+// request keeps its name, so nothing is created twice.
 func (f *fleet) retryCreate(request *createRequest) {
 	c := f.core
 	name := request.body.Request
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -10,15 +10,15 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Zone assignment: all tasks of a one-zone job run in one zone, and the tasks of a spread job run half
-// in one zone and half in another. The assigned zones are part of the job's record.
+// Zone assignment: all tasks of a one-zone job run in one zone, and the tasks of a spread job run
+// half in one zone and half in another. The assigned zones are part of the job's record.
 
 // spreadZones is the number of zones over which the tasks of a spread job are distributed.
 const spreadZones = 2
 
-// chooseZones assigns zones to a one-zone or spread job and stores them before its first task starts,
-// so that every later leader uses the same ones. It picks the zones with the most free CPUs among
-// those that the job may use.
+// chooseZones assigns zones to a one-zone or spread job and stores them before its first task
+// starts, so that every later leader uses the same ones. It picks the zones with the most free CPUs
+// among those that the job may use.
 func (s *scheduler) chooseZones(q *queuedJob, machines []*candidateMachine) {
 	if q.pendingWrite != noPendingWrite {
 		return
@@ -36,13 +36,13 @@
 	}
 	count := 1
 	if spec.Spread && spec.Tasks > 1 {
-		count = min(spreadZones, len(zones)) // with only one possible zone, at most half of its tasks run at a time
+		count = min(spreadZones, len(zones)) // with one zone, at most half of its tasks run at a time
 	}
 	s.writeZones(q, zones[:count])
 }
 
-// possibleZones has a zero entry for each zone in which a machine that fits a task of the job can be
-// rented.
+// possibleZones returns a map with a zero entry for each zone in which a machine that fits a task
+// of the job can be rented.
 func (s *scheduler) possibleZones(spec *protocol.Job) map[string]float64 {
 	zones := map[string]float64{}
 	for _, machineType := range s.core.machineTypes() {
@@ -88,9 +88,9 @@
 // machineFilter returns a predicate on a machine's type, zone and kind (spot or on-demand): whether
 // a waiting task of the job may run there.
 //
-// It prevents capacity from being freed or reserved where the job's zones do not let the job use it:
-// the task of a gang was preempted every three seconds for an urgent job tied to another zone, and its
-// machine was then reserved for that job for minutes.
+// It prevents capacity from being freed or reserved where the job's zones do not let the job use
+// it: the task of a gang was preempted every three seconds for an urgent job tied to another zone,
+// and its machine was then reserved for that job for minutes.
 func (q *queuedJob) machineFilter() func(typeName, zone string, spot bool) bool {
 	spec := &q.entry.record.Spec
 	if !spec.OneZone && !spec.Spread {
@@ -107,11 +107,11 @@
 	}
 }
 
-// isConfinedToZone reports whether every task of a one-zone job is certain to be in the zone that the
-// job's record names. It is true for all other jobs.
+// isConfinedToZone reports whether every task of a one-zone job is certain to be in the zone that
+// the job's record names. It is true for all other jobs.
 //
-// It guards against a write of a new zone that is applied late: by then, tasks of the job were running
-// in the former zone again, and the next ones were started in the new zone.
+// It guards against a write of a new zone that is applied late: by then, tasks of the job were
+// running in the former zone again, and the next ones were started in the new zone.
 func (s *scheduler) isConfinedToZone(q *queuedJob) bool {
 	if !q.entry.record.Spec.OneZone || len(q.entry.record.Zones) != 1 {
 		return true
@@ -136,10 +136,10 @@
 // its other half that may be in the new zone.
 //
 // It prevents a job from waiting forever for a zone without machines while machines elsewhere are
-// idle. A dispatch carries the version of the job's record that it rests on, and a shard places no
-// task by any other version. Controllers older than Level 1 do not check the version, so no zone is
-// reassigned while one of them is live. The write may be applied late, when tasks run in the former
-// zone again: see isConfinedToZone.
+// idle. A dispatch carries the version of the job's record that it is based on, and a shard places
+// no task by any other version. Controllers older than Level 1 do not check the version, so no zone
+// is reassigned while one of them is live. The write may be applied late, when tasks run in the
+// former zone again: see isConfinedToZone.
 func (s *scheduler) reassignZone(q *queuedJob, task int) {
 	c, index := s.core, zoneIndex(q, task)
 	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.pendingWrite != noPendingWrite || s.hasUnlocated {
@@ -164,8 +164,8 @@
 	}
 }
 
-// isZoneFullForLong reports whether the tasks tied to one of a job's zones have found no capacity for
-// the length of a worker lease. It records when they first found none.
+// isZoneFullForLong reports whether the tasks tied to one of a job's zones have found no capacity
+// for the length of a worker lease. It records when they first found none.
 func (s *scheduler) isZoneFullForLong(q *queuedJob, index int) bool {
 	if q.zoneFullSince == nil {
 		q.zoneFullSince = map[int]time.Duration{}
@@ -178,9 +178,9 @@
 	return s.core.now.Monotonic-since >= s.core.intervals.workerLease
 }
 
-// candidateZones lists the zones to which a job's tasks may be reassigned. First come the zones whose
-// machines have capacity for its next task, or for all tasks of a gang, by free CPUs in descending
-// order; then, if the current zone can get no machines, the zones that can.
+// candidateZones lists the zones to which a job's tasks may be reassigned. First come the zones
+// whose machines have capacity for its next task, or for all tasks of a gang, by free CPUs in
+// descending order; then, if the current zone can get no machines, the zones that can.
 func (s *scheduler) candidateZones(q *queuedJob, current string) []string {
 	spec := &q.entry.record.Spec
 	freeCPUs, freeSlots := s.freeByZone(spec)
@@ -197,9 +197,9 @@
 	return zones
 }
 
-// freeByZone adds up, by zone, the free CPUs of machines that currently have capacity for a task of a
-// job, and the number of such tasks that fit. Unschedulable machines count as well: a machine may be
-// unschedulable only because the waiting jobs are tied to other zones and could not use it.
+// freeByZone adds up, by zone, the free CPUs of machines that currently have capacity for a task of
+// a job, and the number of such tasks that fit. Unschedulable machines count as well: a machine may
+// be unschedulable only because the waiting jobs are tied to other zones and could not use it.
 func (s *scheduler) freeByZone(spec *protocol.Job) (freeCPUs, freeSlots map[string]float64) {
 	freeCPUs, freeSlots = map[string]float64{}, map[string]float64{}
 	for _, v := range s.machines.All() {
@@ -242,8 +242,8 @@
 }
 
 // hasUnfinishedTaskElsewhere reports whether any task that is tied to another of the job's zones is
-// not durably completed. A completion that only this leader knows of does not count, because after a
-// crash the task may be started again.
+// not durably completed. A completion that only this leader knows of does not count, because after
+// a crash the task may be started again.
 func hasUnfinishedTaskElsewhere(q *queuedJob, index int) bool {
 	for task := range q.entry.record.Spec.Tasks {
 		if zoneIndex(q, task) != index && !q.entry.isTaskDone(task) {
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Zone partitions: if most machines of a zone become silent together, the network between them and the
-// controllers has failed, not the machines.
+// Zone partitions: if most machines of a zone become silent together, the network between them and
+// the controllers has failed, not the machines.
 
-// A zone becomes partitioned when more than half of its machines are lost, and recovers when less than
-// a quarter is. The gap prevents it from alternating while machines come back one after another.
+// A zone becomes partitioned when more than half of its machines are lost, and recovers when less
+// than a quarter of them are. The gap prevents it from alternating while machines come back one
+// after another.
 const (
 	partitionDivisor = 2
 	recoveryDivisor  = 4
@@ -20,7 +21,8 @@
 }
 
 // isZonePartitioned reports whether a zone became partitioned less than four worker leases ago. Its
-// machines are then not replaced, because new ones would take longer to boot than most partitions last.
+// machines are then not replaced, because new ones would take longer to boot than most partitions
+// last.
 func (f *fleet) isZonePartitioned(zone string) bool {
 	since, ok := f.zonePartitionedSince[zone]
 	return ok && f.core.now.Monotonic-since < 4*f.core.intervals.workerLease
@@ -43,8 +45,8 @@
 	}
 }
 
-// countByZone counts, by zone, the machines that have ever been up and how many of them are lost. For
-// isZoneReachable it also counts all known machines and those that are confirmed up.
+// countByZone counts, by zone, the machines that have ever been up and how many of them are lost.
+// For isZoneReachable it also counts all known machines and those that are confirmed up.
 func (f *fleet) countByZone() (lost, all map[string]int) {
 	lost, all = map[string]int{}, map[string]int{}
 	f.reachableByZone, f.machinesByZone = map[string]int{}, map[string]int{}
@@ -74,10 +76,10 @@
 // isZoneRecovering reports whether a zone is partitioned, or recovered so recently that some of its
 // machines may still be coming back, one after another.
 //
-// It prevents machines from being returned that are about to be reachable again. When a partition of
-// 95 s ended, 266 of a zone's 387 machines were returned within five seconds and replaced by new ones
-// that had to boot: some because they had been silent for so long, the others because half of their
-// zone was reachable before they were.
+// It prevents machines from being returned that are about to be reachable again. When a partition
+// of 95 s ended, 266 of a zone's 387 machines were returned within five seconds and replaced by new
+// ones that had to boot: some because they had been silent for so long, the others because half of
+// their zone was reachable before they were.
 func (f *fleet) isZoneRecovering(zone string) bool {
 	if _, partitioned := f.zonePartitionedSince[zone]; partitioned {
 		return true
@@ -87,7 +89,8 @@
 }
 
 // silenceBeforeReturn is how long a machine of a zone may be silent after it has dropped its tasks
-// before it is returned. It is longer in a partitioned zone, where a new machine would be silent, too.
+// before it is returned. It is longer in a partitioned zone, where a new machine would be silent,
+// too.
 func (f *fleet) silenceBeforeReturn(zone string) time.Duration {
 	if f.isZoneRecovering(zone) {
 		return 10 * f.core.intervals.machineLeaseExpiry
@@ -95,8 +98,9 @@
 	return 3 * f.core.intervals.machineLeaseExpiry
 }
 
-// isZoneReachable reports whether at least half of the other machines in a machine's zone are up and
-// reachable, so that its silence means that the machine is dead and not that the network has failed.
+// isZoneReachable reports whether at least half of the other machines in a machine's zone are up
+// and reachable, so that its silence means that the machine is dead and not that the network has
+// failed.
 func (f *fleet) isZoneReachable(v *machineView) bool {
 	if f.isZoneRecovering(v.state.Zone) {
 		return false
