--- a/cmd/chalkhubctl/chalkhubctl_test.go
+++ b/cmd/chalkhubctl/chalkhubctl_test.go
@@ -29,13 +29,13 @@
 		t.Errorf("before anything is known:\n%s", text)
 	}
 	now := time.Now()
-	lead := core.Status{Label: "ctl-1", Leader: "ctl-1", Epoch: 4, Entitled: true, TeamCPUs: map[string]float64{"main": 12},
+	lead := core.Status{Label: "ctl-1", Leader: "ctl-1", Epoch: 4, MayServe: true, TeamCPUs: map[string]float64{"main": 12},
 		Machines: map[string]core.MachineStatus{"n-1": {Zone: "a", Tasks: 3}}, Jobs: map[string]int{"running": 40, "done": 9}}
 	for i := range 40 {
 		lead.Queue = append(lead.Queue, core.QueuedJobStatus{JobID: fmt.Sprintf("job-%017d", i), Waiting: i, Reason: strings.Repeat("waits for room ", 9)})
 	}
 	away := errors.New("connection refused")
-	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, Entitled: true}, at: now}, {status: lead, at: now}, {err: away}})
+	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, MayServe: true}, at: now}, {status: lead, at: now}, {err: away}})
 	view.update([]controllerView{{err: away}, {err: away}, {err: away}})
 	text := view.render(now.Add(7 * time.Second))
 	for _, want := range []string{"away, seen 7 s ago", "the leader is away; below is what it said 7 s ago", "ctl-2     not seen yet", "main                12.0      16.0      40.0", "job-00000000000000039", "more"} {
@@ -53,7 +53,7 @@
 		}
 	}
 	// A new leader's page takes over from the old one's.
-	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, Entitled: true, UnseenMachines: 2}, at: now}, {err: away}, {err: away}})
+	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, MayServe: true, UnseenMachines: 2}, at: now}, {err: away}, {err: away}})
 	if text := view.render(now); !strings.Contains(text, "a take-over waits for 2 machines") || strings.Contains(text, "the leader is away") {
 		t.Errorf("after a take-over:\n%s", text)
 	}
--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -123,7 +123,7 @@
 func (m *controllerMetrics) sendOwn(s *core.Status) {
 	m.gauge(epochDesc, float64(s.Epoch))
 	m.flag(leadsDesc, s.Leader == s.Label)
-	m.flag(entitledDesc, s.Entitled)
+	m.flag(entitledDesc, s.MayServe)
 	for state, count := range s.Jobs {
 		m.gauge(jobsDesc, float64(count), state)
 	}
--- a/cmd/chalkhubctl/top_view.go
+++ b/cmd/chalkhubctl/top_view.go
@@ -83,7 +83,7 @@
 	switch {
 	case v.leads():
 		return "leader"
-	case !v.status.Entitled:
+	case !v.status.MayServe:
 		return "outside"
 	}
 	return "member"
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -42,7 +42,7 @@
 // ListMachineTypes asks for the machine types.
 func (c *Client) ListMachineTypes() core.MachineTypesResult {
 	var result core.MachineTypesResult
-	status := c.rpc.Call(fasthttp.MethodGet, c.address, "/machine_types", nil, &result.Answer, timeout, fasthttp.StatusOK)
+	status := c.rpc.Call(fasthttp.MethodGet, c.address, "/machine_types", nil, &result.Response, timeout, fasthttp.StatusOK)
 	result.Outcome = engine.CloudOutcome(status)
 	return result
 }
--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -58,7 +58,7 @@
 	if h.first.Spec.ID == "" {
 		h.first = record
 	}
-	prefix := map[bool]string{false: keyBatch, true: keyDependentBatch}[dependent]
+	prefix := map[bool]string{false: keyAdmissionBatch, true: keyDependentBatch}[dependent]
 	if alone && rapid.Bool().Draw(t, "in chunks") {
 		nonce := fmt.Sprint("n-", h.revision)
 		h.put(chunkKey(acceptedTwiceID, nonce, 0), records.Chunk{Text: packRecord(record)})
@@ -113,7 +113,7 @@
 // follow reads what has changed since.
 func (r replica) follow(h *storeHistory) {
 	changes := protocol.WatchResponse{Revision: h.revision, Events: h.events}
-	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Answer: changes})
+	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Response: changes})
 }
 
 // requireFirst fails unless the replica holds the first acceptance and what was changed of it.
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -27,7 +27,7 @@
 	requestID         RequestID
 	record            records.Job
 	namesDependencies bool // its user named jobs that it needs, even if all of those are over
-	size              int  // of the record, as text
+	jsonSize          int  // of the record, as text
 }
 
 // Reasons of a refusal that asks the user to come again.
@@ -49,7 +49,7 @@
 		c.queries.replyRetry(id, reasonCannotDecide)
 		return
 	}
-	if reason := a.infeasible(&spec); reason != "" {
+	if reason := a.infeasibleReason(&spec); reason != "" {
 		a.reject(id, spec.ID, reason)
 		return
 	}
@@ -80,26 +80,26 @@
 
 // admit writes a submission that is to be accepted.
 func (a *admission) admit(s submission) {
-	s.size = protocol.JSONSize(s.record)
-	if s.size > a.core.maxValueBytes()-batchOverhead {
+	s.jsonSize = protocol.JSONSize(s.record)
+	if s.jsonSize > a.core.maxValueBytes()-batchOverheadBytes {
 		a.chunked.admit(s.requestID, s.record)
 		return
 	}
-	if !a.batches.mayWriteAlone() {
+	if !a.batches.takeIndividualWrite() {
 		a.batches.enqueue(s)
 		return
 	}
-	a.writeAlone(s)
+	a.writeIndividually(s)
 }
 
-// writeAlone writes a submission as a key of its own.
-func (a *admission) writeAlone(s submission) {
+// writeIndividually writes a submission as a key of its own.
+func (a *admission) writeIndividually(s submission) {
 	c, jobID := a.core, s.record.Spec.ID
 	key := (&jobEntry{record: s.record, dependent: len(s.record.Spec.Dependencies) > 0}).recordKey()
 	c.commit(notAcceptedGuards(jobID), []protocol.Operation{{Put: key, Value: s.record}}, func(result CommitResult) {
 		switch result.Outcome {
 		case Committed:
-			a.replyCommitted(&s, result.Answer.Revision)
+			a.replyCommitted(&s, result.Response.Revision)
 		case CommitConflict:
 			c.queries.replyCurrent(s.requestID, jobID) // another node was first, or an earlier try of ours
 		case CommitUnknown:
@@ -142,8 +142,8 @@
 	return []protocol.Guard{{Key: keyJob + id}, {Key: keyDependentJob + id}}
 }
 
-// infeasible says why a job can never run, empty if it may.
-func (a *admission) infeasible(spec *protocol.Job) string {
+// infeasibleReason says why a job can never run, empty if it may.
+func (a *admission) infeasibleReason(spec *protocol.Job) string {
 	team := a.core.team(spec.Team)
 	if team == nil {
 		if len(a.core.settings.Site.Teams) > 0 {
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -40,9 +40,9 @@
 
 // Sizes of a batch, in bytes as limits are counted.
 const (
-	maxBatchSize   = 32 << 10 // however large a value may be
-	batchFrameSize = 16       // around the jobs
-	separatorSize  = 2        // ", " between two jobs
+	maxBatchBytes   = 32 << 10 // however large a value may be
+	batchFrameBytes = 16       // around the jobs
+	separatorBytes  = 2        // ", " between two jobs
 )
 
 // writeRate is how many writes a second this node's submissions may take: its share of what
@@ -64,8 +64,10 @@
 	return 0
 }
 
-// mayWriteAlone reports whether a job may have a write of its own now, and takes it.
-func (b *admissionBatches) mayWriteAlone() bool { return len(b.waiting) == 0 && b.takeToken() == 0 }
+// takeIndividualWrite reports whether a job may have a write of its own now, and takes it.
+func (b *admissionBatches) takeIndividualWrite() bool {
+	return len(b.waiting) == 0 && b.takeToken() == 0
+}
 
 // enqueue has a job accepted with the next batch.
 func (b *admissionBatches) enqueue(s submission) {
@@ -92,17 +94,17 @@
 // do not read.
 func (b *admissionBatches) nextBatch() []submission {
 	var batch, rest []submission
-	maxSize, maxGuards := min(b.core.maxValueBytes(), maxBatchSize), guardsPerTxnOp*b.core.storeLimits.MaxTxnOps
-	size, guards := batchFrameSize, 1
+	maxSize, maxGuards := min(b.core.maxValueBytes(), maxBatchBytes), guardsPerTxnOp*b.core.storeLimits.MaxTxnOps
+	size, guards := batchFrameBytes, 1
 	for i := range b.waiting {
 		s := &b.waiting[i]
-		fits := size+s.size+separatorSize <= maxSize && guards+guardsPerJob <= maxGuards
+		fits := size+s.jsonSize+separatorBytes <= maxSize && guards+guardsPerJob <= maxGuards
 		if len(batch) > 0 && (s.batchPrefix() != batch[0].batchPrefix() || !fits) {
 			rest = append(rest, *s)
 			continue
 		}
 		batch = append(batch, *s)
-		size, guards = size+s.size+separatorSize, guards+guardsPerJob
+		size, guards = size+s.jsonSize+separatorBytes, guards+guardsPerJob
 	}
 	b.waiting = rest
 	return batch
@@ -113,7 +115,7 @@
 	if len(s.record.Spec.Dependencies) > 0 {
 		return keyDependentBatch
 	}
-	return keyBatch
+	return keyAdmissionBatch
 }
 
 // write writes a batch.
@@ -130,19 +132,19 @@
 		guards = append(guards, own...)
 		record.Jobs = append(record.Jobs, batch[i].record)
 	}
-	b.core.commit(guards, []protocol.Operation{{Put: key, Value: record}}, func(result CommitResult) { b.written(batch, result) })
+	b.core.commit(guards, []protocol.Operation{{Put: key, Value: record}}, func(result CommitResult) { b.handleWritten(batch, result) })
 }
 
-// written answers the users whose submissions were in a batch.
-func (b *admissionBatches) written(batch []submission, result CommitResult) {
+// handleWritten answers the users whose submissions were in a batch.
+func (b *admissionBatches) handleWritten(batch []submission, result CommitResult) {
 	queries := b.core.queries
 	switch result.Outcome {
 	case Committed:
 		for i := range batch {
-			b.core.admission.replyCommitted(&batch[i], result.Answer.Revision)
+			b.core.admission.replyCommitted(&batch[i], result.Response.Revision)
 		}
 	case CommitConflict:
-		b.retryWithout(batch, result.Answer.Failed)
+		b.retryUnaccepted(batch, result.Response.Failed)
 	case CommitUnknown:
 		for i := range batch {
 			queries.replyAfterCommit(batch[i].requestID, batch[i].record.Spec.ID, unknownRevision)
@@ -154,8 +156,8 @@
 	}
 }
 
-// retryWithout writes those of a batch again that nobody has accepted elsewhere.
-func (b *admissionBatches) retryWithout(batch []submission, failedKeys []string) {
+// retryUnaccepted writes those of a batch again that nobody has accepted elsewhere.
+func (b *admissionBatches) retryUnaccepted(batch []submission, failedKeys []string) {
 	for _, s := range batch {
 		id := s.record.Spec.ID
 		if slices.Contains(failedKeys, keyJob+id) || slices.Contains(failedKeys, keyDependentJob+id) {
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -62,7 +62,7 @@
 	c.commit([]protocol.Guard{j.recordGuard()}, ops, func(result CommitResult) {
 		switch {
 		case result.Outcome == Committed:
-			x.log.Record(jobID, result.Answer.Revision)
+			x.log.Record(jobID, result.Response.Revision)
 			c.degraded.cancellationConfirmed(jobID)
 			c.emit(Reply{ID: id, Status: ReplyOK, Body: protocol.JobResponse{ID: jobID, State: protocol.JobCancelled, Done: j.doneCount}})
 		case (result.Outcome == CommitConflict || result.Outcome == CommitUnknown) && attempt < maxCancelAttempts:
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -29,20 +29,20 @@
 
 // chunkedWrite is a record on its way into the state service.
 type chunkedWrite struct {
-	record        records.Job // the whole
-	nonce         string
-	chunks        []string
-	sentChunks    int
-	firstRevision uint64 // of the first chunk, 0: it is not stored
-	deadline      time.Duration
+	record             records.Job // the whole
+	nonce              string
+	chunks             []string
+	sentChunks         int
+	firstChunkRevision uint64 // of the first chunk, 0: it is not stored
+	deadline           time.Duration
 }
 
-// batchOverhead is what a batch takes beside its jobs, generously: a record that is larger than a
+// batchOverheadBytes is what a batch takes beside its jobs, generously: a record that is larger than a
 // value less this is written in chunks.
-const batchOverhead = 32
+const batchOverheadBytes = 32
 
-// maxUnpackedRecord bounds a record that is put together from chunks.
-const maxUnpackedRecord = 4 * protocol.MaxBody
+// maxUnpackedRecordBytes bounds a record that is put together from chunks.
+const maxUnpackedRecordBytes = 4 * protocol.MaxBody
 
 // admit begins a write, one at a time, and has the user come again.
 func (x *chunkedRecords) admit(id RequestID, record records.Job) {
@@ -84,7 +84,7 @@
 	if err != nil {
 		return record, err
 	}
-	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedRecord))
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedRecordBytes))
 	if err != nil {
 		return record, err
 	}
@@ -129,7 +129,7 @@
 	c.commit(guards, ops, func(result CommitResult) {
 		switch result.Outcome {
 		case Committed:
-			x.chunksStored(result.Answer.Revision)
+			x.chunksStored(result.Response.Revision)
 		case CommitUnknown:
 			// Guards against chunks written anew, and in vain again, as long as answers
 			// are lost: the mirror says what became of these.
@@ -147,8 +147,8 @@
 		x.current = nil
 		return
 	}
-	if x.current.firstRevision == 0 {
-		x.current.firstRevision = revision
+	if x.current.firstChunkRevision == 0 {
+		x.current.firstChunkRevision = revision
 	}
 	x.writeNext()
 }
@@ -157,7 +157,7 @@
 // deleted as garbage: the first goes first.
 func (x *chunkedRecords) writeJob(write *chunkedWrite) {
 	jobID := write.record.Spec.ID
-	firstChunk := protocol.Guard{Key: chunkKey(jobID, write.nonce, 0), Version: write.firstRevision}
+	firstChunk := protocol.Guard{Key: chunkKey(jobID, write.nonce, 0), Version: write.firstChunkRevision}
 	guards := append(notAcceptedGuards(jobID), firstChunk)
 	head := records.Job{
 		Spec: protocol.Job{ID: jobID}, State: write.record.State, SubmittedAt: write.record.SubmittedAt,
@@ -201,7 +201,7 @@
 			return fmt.Errorf("chunk %d of %d of its record is missing", n+1, record.Chunks)
 		}
 		text.WriteString(chunk)
-		r.ownKey(id, key)
+		r.addOwnedKey(id, key)
 		r.chunks[id][key] = "" // it is in the job's record now
 	}
 	whole, err := unpackRecord(text.String())
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -49,9 +49,9 @@
 type (
 	// CommitResult answers Commit.
 	CommitResult struct {
-		ID      uint64
-		Outcome CommitOutcome
-		Answer  protocol.TransactionResult
+		ID       uint64
+		Outcome  CommitOutcome
+		Response protocol.TransactionResult
 	}
 	// LoadResult answers LoadPage. Without OK the rest means nothing.
 	LoadResult struct {
@@ -63,10 +63,10 @@
 	}
 	// WatchResult answers Watch. SentAt is when the request left: the answer is at least as new.
 	WatchResult struct {
-		Barrier bool
-		SentAt  time.Duration
-		Outcome WatchOutcome
-		Answer  protocol.WatchResponse
+		Barrier  bool
+		SentAt   time.Duration
+		Outcome  WatchOutcome
+		Response protocol.WatchResponse
 	}
 	// LeaseResult answers RenewLease. The lease runs from SentAt at the least.
 	LeaseResult struct {
@@ -97,8 +97,8 @@
 type (
 	// MachineTypesResult answers ListMachineTypes.
 	MachineTypesResult struct {
-		Outcome CloudOutcome
-		Answer  protocol.MachineTypes
+		Outcome  CloudOutcome
+		Response protocol.MachineTypes
 	}
 	// ListInstancesResult answers ListInstances with a page.
 	ListInstancesResult struct {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -116,7 +116,7 @@
 // relies on those before it.
 func (c *Core) reconcile() {
 	c.membership.reconcile()
-	c.degraded.react()
+	c.degraded.reconcile()
 	c.scheduler.reconcile()
 	c.fleet.reconcile()
 	c.shard.reconcile()
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -54,8 +54,8 @@
 	return d.member.MayServeUntil()
 }
 
-// react asks the next round, on the leader, and notes when an outage is over.
-func (d *degradedMode) react() {
+// reconcile asks the next round, on the leader, and notes when an outage is over.
+func (d *degradedMode) reconcile() {
 	c := d.core
 	if !c.mirror.IsReady() {
 		return
@@ -65,7 +65,7 @@
 	maps.DeleteFunc(d.cancelledJobs, func(_ string, learntAt time.Duration) bool { return learntAt < c.mirror.FreshAt() })
 	d.logTransition()
 	if c.membership.leading && d.isStoreUnavailable() && d.epoch != 0 && d.epoch == c.scheduler.epoch {
-		d.askRound()
+		d.startRound()
 	}
 }
 
@@ -90,9 +90,9 @@
 	}
 }
 
-// askRound asks all controllers for their votes, if the next round is due. It takes all of them:
+// startRound asks all controllers for their votes, if the next round is due. It takes all of them:
 // one that can't be asked may be served by the state service.
-func (d *degradedMode) askRound() {
+func (d *degradedMode) startRound() {
 	c := d.core
 	others := c.controllerLabels[1:]
 	for _, label := range others {
@@ -107,7 +107,7 @@
 	for _, label := range others {
 		c.emit(SendToPeer{Session: c.scheduler.shards[label].session, Message: peerproto.Message{Epoch: d.epoch, Round: &round}})
 	}
-	d.handleVote(c.settings.Label, d.vote(&round))
+	d.handleVote(c.settings.Label, d.castVote(&round))
 }
 
 // handleRound answers the leader's question.
@@ -116,14 +116,14 @@
 	if !c.mirror.IsReady() || epoch != d.epoch || epoch != c.membership.epoch() {
 		return
 	}
-	vote := d.vote(round)
+	vote := d.castVote(round)
 	d.member.HandleRound(c.now.Monotonic, c.intervals.maxStaleness, *round)
 	d.cancelJobs(round.Cancelled)
 	c.emit(SendToPeer{Session: c.shard.leaderLink, Message: peerproto.Message{Epoch: epoch, Vote: &vote}})
 }
 
-// vote is what this node says in a round.
-func (d *degradedMode) vote(round *degraded.Round) degraded.Vote {
+// castVote is what this node says in a round.
+func (d *degradedMode) castVote(round *degraded.Round) degraded.Vote {
 	m := d.core.mirror
 	vote := degraded.Vote{Round: round.Number, Epoch: d.epoch, StoreDown: d.isStoreUnavailable(), MirrorRevision: m.Revision(), LoadedRevision: m.LoadRevision(), IncludesMirror: true}
 	vote.CancelledSince, vote.Cancelled = d.core.cancellation.log.Since(round.CancelledSince)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -95,7 +95,7 @@
 	return label != ""
 }
 
-func dependencyCancelled(dependency string) string {
+func dependencyCancelledReason(dependency string) string {
 	return "it needs " + dependency + ", which was cancelled"
 }
 
@@ -131,18 +131,18 @@
 	case r.core.mirror.IsReady():
 		r.dependencies.AddJob(spec.ID, spec.Dependencies, r.dependencyState)
 	default:
-		r.loadedJobs = append(r.loadedJobs, spec.ID)
+		r.loadedDependents = append(r.loadedDependents, spec.ID)
 	}
 }
 
-// addLoadedJobs adds to the graph the jobs with dependencies that a load has read.
-func (r *storedRecords) addLoadedJobs() {
-	for _, id := range r.loadedJobs {
+// addLoadedDependents adds to the graph the jobs with dependencies that a load has read.
+func (r *storedRecords) addLoadedDependents() {
+	for _, id := range r.loadedDependents {
 		if j := r.jobs[id]; j != nil && len(j.record.Spec.Dependencies) > 0 {
 			r.dependencies.AddJob(id, j.record.Spec.Dependencies, r.dependencyState)
 		}
 	}
-	r.loadedJobs = nil
+	r.loadedDependents = nil
 }
 
 // dependencyState says how a job stands, for the graph, and if it is done since when.
@@ -189,7 +189,7 @@
 // nothing to stop, and its own record need not say so: whoever reads that of the cause comes to
 // this again.
 func (r *storedRecords) abortDependent(j *jobEntry, cause string) {
-	j.record = finalRecord(j, protocol.JobCancelled, dependencyCancelled(cause))
+	j.record = finalRecord(j, protocol.JobCancelled, dependencyCancelledReason(cause))
 	r.core.scheduler.jobChanged(j)
 	r.derivedAborts[j.record.Spec.ID] = !j.hasOwnRecord()
 	r.archiveJob(j)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -15,13 +15,13 @@
 	spec      *protocol.Job
 	canary    bool // of an unproven job one task is tried at a time
 
-	machines []*candidateMachine // feasible for its tasks, in the order in which they are filled
-	next     int                 // the machines before this one have no room for its tasks, or it avoids them
+	machines    []*candidateMachine // feasible for its tasks, in the order in which they are filled
+	nextMachine int                 // the machines before this one have no room for its tasks, or it avoids them
 	// avoidedHaveRoom: one of the machines before next has room for its tasks and is avoided.
-	avoidedHaveRoom bool
-	fullZones       []bool // by zone of a spread job: a task found no room there
-	sent            int
-	backedOff       int // tasks that wait because they failed
+	avoidedMachineFits bool
+	fullZones          []bool // by zone of a spread job: a task found no room there
+	dispatched         int
+	backedOff          int // tasks that wait because they failed
 }
 
 // dispatch sends the waiting tasks of a job to shards that own machines with room for them, and
@@ -49,10 +49,10 @@
 		fullZones: make([]bool, max(len(q.entry.record.Zones), 1)),
 	}
 	d.run()
-	if s.core.debug && (d.sent > 0 || q.reason != "") {
+	if s.core.debug && (d.dispatched > 0 || q.reason != "") {
 		s.core.logDebug("ranked",
 			"job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee,
-			"dispatched", d.sent, "waiting", q.waitingTasks(), "machines", len(d.machines), "avoided", d.countAvoided(), "reason", q.reason)
+			"dispatched", d.dispatched, "waiting", q.waitingTasks(), "machines", len(d.machines), "avoided", d.countAvoided(), "reason", q.reason)
 	}
 }
 
@@ -91,7 +91,7 @@
 	// the processor.
 	waiting := q.waitingTasks()
 	q.firstWaiting = q.nextWaiting(q.firstWaiting)
-	for index := q.firstWaiting; index < d.spec.Tasks && d.sent < waiting; index = q.nextWaiting(index + 1) {
+	for index := q.firstWaiting; index < d.spec.Tasks && d.dispatched < waiting; index = q.nextWaiting(index + 1) {
 		if !d.tryTask(index) {
 			return
 		}
@@ -100,7 +100,7 @@
 	case d.backedOff > 0:
 		q.reason = d.scheduler.failureReason(q)
 	case slices.Contains(d.fullZones, true) && q.reason == "":
-		q.reason = d.scheduler.noRoomReason(d.spec)
+		q.reason = d.scheduler.noCapacityReason(d.spec)
 	}
 }
 
@@ -118,16 +118,16 @@
 	machine, roomIsAvoided := d.findMachine(index)
 	switch {
 	case machine != nil:
-		return d.send(index, machine)
+		return d.dispatchTask(index, machine)
 	case roomIsAvoided:
 		d.job.retryAt[index] = now + d.scheduler.core.intervals.maintenance
 		d.backedOff++
 		return true
-	case d.otherZoneHasRoom(index):
+	case d.otherZoneMayHaveCapacity(index):
 		d.markZoneFull(index)
 		return true
 	}
-	d.handleNoRoom(index)
+	d.handleNoCapacity(index)
 	return false
 }
 
@@ -139,7 +139,7 @@
 		q.reason = reason
 		if slices.ContainsFunc(d.machines, func(m *candidateMachine) bool { return m.Fits(d.spec) }) {
 			d.scheduler.reserveQuota(q, 1, d.round)
-		} else if d.sent == 0 {
+		} else if d.dispatched == 0 {
 			d.scheduler.reserveMachines(q, 1, d.round)
 		}
 		return true
@@ -158,20 +158,20 @@
 // shard of the first only.
 func (d *jobDispatch) findMachine(index int) (machine *candidateMachine, roomIsAvoided bool) {
 	if d.spec.Spread {
-		d.next, d.avoidedHaveRoom = 0, false // its tasks may use different machines
+		d.nextMachine, d.avoidedMachineFits = 0, false // its tasks may use different machines
 	}
 	// The tasks of other jobs are alike, and within a round room only shrinks: a machine
 	// without room for one task has none for the next.
-	for ; d.next < len(d.machines); d.next++ {
-		switch machine := d.machines[d.next]; {
+	for ; d.nextMachine < len(d.machines); d.nextMachine++ {
+		switch machine := d.machines[d.nextMachine]; {
 		case !d.fits(index, machine):
 		case d.scheduler.isAvoided(machine, d.job):
-			d.avoidedHaveRoom = true
+			d.avoidedMachineFits = true
 		default:
 			return machine, false
 		}
 	}
-	return nil, d.avoidedHaveRoom
+	return nil, d.avoidedMachineFits
 }
 
 // fits reports whether a machine has room for a task and the task may be there.
@@ -179,11 +179,11 @@
 	return machine.Fits(d.spec) && machine.AllowsTask(&d.job.entry.record, index)
 }
 
-// otherZoneHasRoom reports whether tasks of a spread job that are tied to its other zone may go on
+// otherZoneMayHaveCapacity reports whether tasks of a spread job that are tied to its other zone may go on
 // although one has found no room.
 //
 // Guards against the first task without room holding up all, with machines idle in the other zone.
-func (d *jobDispatch) otherZoneHasRoom(index int) bool {
+func (d *jobDispatch) otherZoneMayHaveCapacity(index int) bool {
 	return d.spec.Spread && !d.fullZones[(index+1)%len(d.fullZones)]
 }
 
@@ -198,13 +198,13 @@
 	d.scheduler.reassignZone(d.job, index)
 }
 
-// handleNoRoom notes that a task has found no room, and has room made or reserved for it if its
+// handleNoCapacity notes that a task has found no room, and has room made or reserved for it if its
 // job may have that.
-func (d *jobDispatch) handleNoRoom(index int) {
+func (d *jobDispatch) handleNoCapacity(index int) {
 	q, s := d.job, d.scheduler
 	s.reassignZone(q, index)
 	if q.reason == "" {
-		q.reason = s.noRoomReason(d.spec)
+		q.reason = s.noCapacityReason(d.spec)
 	}
 	if q.stopCount > 0 {
 		q.reason = q.stopReason + "; " + q.reason
@@ -212,17 +212,17 @@
 	if !q.startsEarly { // a first task that goes before its rank waits for room, nothing is preempted for it
 		s.preemptFor(q, d.round)
 	}
-	if d.sent == 0 {
+	if d.dispatched == 0 {
 		s.reserveMachines(q, 1, d.round)
 	}
 }
 
-// send dispatches a task and reports whether the job's next tasks are to be tried.
-func (d *jobDispatch) send(index int, machine *candidateMachine) bool {
+// dispatchTask dispatches a task and reports whether the job's next tasks are to be tried.
+func (d *jobDispatch) dispatchTask(index int, machine *candidateMachine) bool {
 	q, s := d.job, d.scheduler
 	machine.Allocate(d.spec)
-	s.send(d.round, taskDispatch{job: q, index: index, attempt: s.nextAttemptNumber(), machine: machine})
-	d.sent++
+	s.queueDispatch(d.round, taskDispatch{job: q, index: index, attempt: s.nextAttemptNumber(), machine: machine})
+	d.dispatched++
 	q.reservedAt = 0
 	switch {
 	case d.canary:
@@ -254,8 +254,8 @@
 	return s.epoch<<attemptBits | s.attemptCounter
 }
 
-// send dispatches a task and counts it against its team's quota.
-func (s *scheduler) send(round *schedulingRound, d taskDispatch) {
+// queueDispatch dispatches a task and counts it against its team's quota.
+func (s *scheduler) queueDispatch(round *schedulingRound, d taskDispatch) {
 	q, member := d.job, d.machine.shard
 	round.addUsage(q.spec(), s.core.bestEffortTeams[q.spec().Team])
 	attempt := &inflightAttempt{
@@ -285,8 +285,8 @@
 	member.outboxDue = true
 }
 
-// noRoomReason says why no machine has room for a task.
-func (s *scheduler) noRoomReason(spec *protocol.Job) string {
+// noCapacityReason says why no machine has room for a task.
+func (s *scheduler) noCapacityReason(spec *protocol.Job) string {
 	if reason := s.core.fleet.noCapacityReason(spec); reason != "" {
 		return reason
 	}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -59,7 +59,7 @@
 	if leader != nil {
 		m.leaderSeenAt = c.now.Monotonic
 	}
-	if leader == nil && m.staysBack() {
+	if leader == nil && m.abstainsFromElection() {
 		return true
 	}
 	if leader != nil && (leader.Label != c.settings.Label || leader.BootID == c.bootID) {
@@ -70,18 +70,18 @@
 	return true
 }
 
-// staysBack reports whether this node leaves the leader's place to others for a while: it has
+// abstainsFromElection reports whether this node leaves the leader's place to others for a while: it has
 // just stepped down, or one who reaches machines should lead.
-func (m *membership) staysBack() bool {
+func (m *membership) abstainsFromElection() bool {
 	c := m.core
 	others, vacant := len(c.records.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
 	return m.stepdown.ShouldAbstain(c.now.Monotonic, others, vacant, c.intervals.memberLease) ||
 		c.shard.reachability.Unreachable() && others && vacant < c.intervals.maintenance
 }
 
-// stepDownIfIdle gives the leader key up once this leader has been able to serve nobody for a
+// stepDownIfUnable gives the leader key up once this leader has been able to serve nobody for a
 // while, and reports whether it does so.
-func (m *membership) stepDownIfIdle(idle bool) bool {
+func (m *membership) stepDownIfUnable(idle bool) bool {
 	c := m.core
 	if !m.stepdown.ShouldStepDown(c.now.Monotonic, idle, c.intervals.maintenance) || m.keyWriteInFlight {
 		return false
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -51,8 +51,8 @@
 	e.savedVersion, e.saving, e.savedAt = e.Version(), true, c.now.Monotonic
 	// The guard on the key's version prevents a write that is applied late from replacing a newer
 	// one.
-	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyEstimate)}
-	ops := []protocol.Operation{{Put: keyEstimate, Value: e.Record(c.maxValueBytes())}}
+	guards := []protocol.Guard{c.membership.leaderGuard(), c.mirror.Guard(keyEstimates)}
+	ops := []protocol.Operation{{Put: keyEstimates, Value: e.Record(c.maxValueBytes())}}
 	c.commit(guards, ops, func(result CommitResult) {
 		e.saving = false
 		if result.Outcome != Committed {
--- a/internal/core/feasible.go
+++ b/internal/core/feasible.go
@@ -40,20 +40,20 @@
 	spec := q.spec()
 	var feasible []*candidateMachine
 	freeByShard := map[*shardView]float64{}
-	withRoom := round.withRoom[:0]
-	for _, machine := range round.withRoom {
+	withRoom := round.withCapacity[:0]
+	for _, machine := range round.withCapacity {
 		if machine.CPUs <= binpacking.RoundingSlack {
 			continue
 		}
 		withRoom = append(withRoom, machine)
-		if !machine.Fits(spec) || !machine.AllowsJob(spec) || machine.keptForPreemptor(shape) {
+		if !machine.Fits(spec) || !machine.AllowsJob(spec) || machine.reservedForPreemptor(shape) {
 			continue
 		}
 		machine.imageCached = machine.HasImage(spec.Image)
 		feasible = append(feasible, machine)
 		freeByShard[machine.shard] += machine.CPUs
 	}
-	round.withRoom = withRoom
+	round.withCapacity = withRoom
 	if len(feasible) == 0 {
 		round.infeasible[shape] = true
 	}
@@ -61,13 +61,13 @@
 	return feasible
 }
 
-// keptForPreemptor reports whether the room that tasks are being stopped for here is not for such a
+// reservedForPreemptor reports whether the room that tasks are being stopped for here is not for such a
 // task.
 //
 // Guards against small tasks that take, bit by bit, the room that others were preempted for: the
 // next ones of a best-effort team did, and those of two less urgent jobs that were preempted in
 // turn on the only machine that an urgent one could use, once a round for half an hour.
-func (m *candidateMachine) keptForPreemptor(shape taskShape) bool {
+func (m *candidateMachine) reservedForPreemptor(shape taskShape) bool {
 	return m.preempting && (shape.bestEffort || shape.urgency > m.preemptorUrgency)
 }
 
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -9,10 +9,10 @@
 // How a shard fences its machines, calls them, and expires their leases.
 
 const (
-	// fencingShare and minFencingCalls bound the calls without commands that are under way
+	// machinesPerFencingCall and minFencingCalls bound the calls without commands that are under way
 	// at once: one for so many machines of the shard, but so many at least.
-	fencingShare    = 16
-	minFencingCalls = 4
+	machinesPerFencingCall = 16
+	minFencingCalls        = 4
 
 	// maxUnansweredCalls is how many calls in a row an unconfirmed machine may leave
 	// unanswered before it counts as silent: it is most likely dead, and holds up all that
@@ -32,7 +32,7 @@
 // fenced or was not heard.
 func (s *shard) checkMachine(m *machine) {
 	c := s.core
-	if s.dropIfGone(m) {
+	if s.releaseIfMissing(m) {
 		return
 	}
 	if m.machineType == nil {
@@ -40,7 +40,7 @@
 			s.markChanged(m)
 		}
 	}
-	if !m.leaseExpired() && c.now.Monotonic-m.lastAnsweredAt > c.intervals.machineLeaseExpiry {
+	if !m.leaseExpired() && c.now.Monotonic-m.leaseRenewedAt > c.intervals.machineLeaseExpiry {
 		s.expireLease(m)
 	}
 	unresponsive := !m.isTrusted() && m.unansweredCalls >= maxUnansweredCalls
@@ -51,9 +51,9 @@
 	s.fenceIfDue(m)
 }
 
-// dropIfGone releases a machine that has left the registry, or that was never in it and is
+// releaseIfMissing releases a machine that has left the registry, or that was never in it and is
 // no longer heard.
-func (s *shard) dropIfGone(m *machine) bool {
+func (s *shard) releaseIfMissing(m *machine) bool {
 	c := s.core
 	switch {
 	case m.registered && c.records.machineRecords.Get(m.name) == nil:
@@ -127,7 +127,7 @@
 
 // mayFence reports whether one more call without commands may be under way.
 func (s *shard) mayFence() bool {
-	return len(s.fencingCalls) < max(s.machines.Len()/fencingShare, minFencingCalls)
+	return len(s.fencingCalls) < max(s.machines.Len()/machinesPerFencingCall, minFencingCalls)
 }
 
 // fenceNext calls the machines that had to wait, as one has answered.
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -108,7 +108,7 @@
 	for index := range q.spec().Tasks {
 		if machine := machines[index]; machine != nil {
 			machine.Allocate(q.spec())
-			s.send(round, taskDispatch{job: q, index: index, attempt: attempt, machine: machine, hold: true})
+			s.queueDispatch(round, taskDispatch{job: q, index: index, attempt: attempt, machine: machine, hold: true})
 		}
 	}
 	q.gangReleased, q.gangHeldAt = false, s.core.now.Monotonic
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -40,12 +40,12 @@
 		s.refuseHeartbeat(id) // somebody has a newer shard map than we do
 		return
 	}
-	s.answerHeartbeat(id, m, report, current, mayServe)
+	s.respondToHeartbeat(id, m, report, current, mayServe)
 }
 
-// answerHeartbeat takes what a heartbeat says of a machine of ours, and answers it with what the
+// respondToHeartbeat takes what a heartbeat says of a machine of ours, and answers it with what the
 // worker must do.
-func (s *shard) answerHeartbeat(id RequestID, m *machine, report *protocol.Heartbeat, current, mayServe bool) {
+func (s *shard) respondToHeartbeat(id RequestID, m *machine, report *protocol.Heartbeat, current, mayServe bool) {
 	c := s.core
 	newest := report.Newer(m.session, m.seq)
 	if current {
@@ -53,12 +53,12 @@
 	}
 	if newest {
 		s.applyReport(m, report, 0, true)
-		if !m.fenced && !m.leaseExpired() && c.now.Monotonic-m.maybeAnsweredUntil > c.intervals.machineLeaseExpiry {
+		if !m.fenced && !m.leaseExpired() && c.now.Monotonic-m.maybeRenewedUntil > c.intervals.machineLeaseExpiry {
 			s.expireLease(m)
 		}
 	}
 	if current {
-		m.lastAnsweredAt = max(m.lastAnsweredAt, c.now.Monotonic)
+		m.leaseRenewedAt = max(m.leaseRenewedAt, c.now.Monotonic)
 	}
 	answer := protocol.HeartbeatResponse{Commands: s.heartbeatCommands(m, report, newest, mayServe)}
 	answer.Token = m.token // which the commands may have raised
@@ -134,7 +134,7 @@
 // last session, just after tasks have been started on it.
 func (s *shard) beginSession(m *machine, report *protocol.Heartbeat) {
 	if m.fenced || report.Token >= m.minToken {
-		m.lastAnsweredAt = max(m.lastAnsweredAt, s.core.now.Monotonic)
+		m.leaseRenewedAt = max(m.leaseRenewedAt, s.core.now.Monotonic)
 	}
 	s.retainAttempts(m, func(a *taskAttempt) bool { return a.phase <= phaseQueued })
 	s.markChanged(m)
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -69,18 +69,18 @@
 			attempt.machine = claimant
 		}
 	}
-	s.retireIfGone(task, attempt)
+	s.removeIfUnclaimed(task, attempt)
 }
 
-// notPlaced notes that a shard has not placed an attempt and will not.
-func (s *scheduler) notPlaced(task string, attempt *inflightAttempt) {
+// handleNotPlaced notes that a shard has not placed an attempt and will not.
+func (s *scheduler) handleNotPlaced(task string, attempt *inflightAttempt) {
 	attempt.location = locationClaimed
-	s.retireIfGone(task, attempt)
+	s.removeIfUnclaimed(task, attempt)
 }
 
-// retireIfGone drops an attempt, and what it counts against its team's limit, if it is
+// removeIfUnclaimed drops an attempt, and what it counts against its team's limit, if it is
 // surely on no machine and on its way to none.
-func (s *scheduler) retireIfGone(task string, attempt *inflightAttempt) {
+func (s *scheduler) removeIfUnclaimed(task string, attempt *inflightAttempt) {
 	if attempt.location != locationClaimed || len(attempt.claimants) > 0 {
 		return
 	}
@@ -125,7 +125,7 @@
 	for _, task := range sortedKeys(s.attempts) {
 		if attempt := s.attempts[task]; attempt.location == locationUnknown {
 			attempt.location = locationClaimed
-			s.retireIfGone(task, attempt)
+			s.removeIfUnclaimed(task, attempt)
 		}
 	}
 	s.lastScheduling = 0
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -29,7 +29,7 @@
 	}
 	inst.returnReason = reason
 	if view := f.core.scheduler.machines.Get(inst.name); view != nil {
-		view.leaving = true
+		view.terminating = true
 	}
 	f.core.logInfo("draining instance", "machine", inst.name, "type", inst.typeName, "zone", inst.zone,
 		"spot", inst.spot, "why", string(reason))
@@ -115,7 +115,7 @@
 func (f *fleet) isUnresponsive(view *machineView) bool {
 	c := f.core
 	timeout := max(c.intervals.heartbeat, c.intervals.workerLease/5)
-	return !view.state.TasksComplete && view.state.Silent && c.now.Monotonic-view.unsureSince > timeout
+	return !view.state.TasksComplete && view.state.Silent && c.now.Monotonic-view.incompleteSince > timeout
 }
 
 // minBootTimeout is how long any machine may boot, however fast its type usually boots.
@@ -185,7 +185,7 @@
 		f.instances.Delete(name)
 		f.deletedNames[name] = true
 		if view := f.core.scheduler.machines.Get(name); view != nil {
-			view.leaving = true
+			view.terminating = true
 		}
 	}
 }
--- a/internal/core/intervals.go
+++ b/internal/core/intervals.go
@@ -6,8 +6,8 @@
 	"github.com/chalkhub/chalkhub/internal/config"
 )
 
-// clockDrift is how far two monotonic clocks may part, as a share of the span measured.
-const clockDrift = 0.0005
+// maxClockDriftRatio is how far two monotonic clocks may part, as a share of the span measured.
+const maxClockDriftRatio = 0.0005
 
 // intervals are the spans that the rules rest on. They are ratios to the site's settings, so
 // that a site with other leases keeps the same order between them.
@@ -43,7 +43,7 @@
 	memberLease := min(lease*2/5, (config.Seconds(site.Workers.CancelS)-lease)*4/5)
 	maxStaleness := memberLease * 17 / 20
 	// A worker counts its lease on its own clock, from an answer that may be maxStaleness old.
-	driftMargin := time.Duration(4 * clockDrift * float64(lease+maxStaleness))
+	driftMargin := time.Duration(4 * maxClockDriftRatio * float64(lease+maxStaleness))
 	// All nodes' watches and barriers together take at most half of the requests.
 	nodes := float64(len(settings.Siblings) + 1)
 	readSpacing := time.Duration(4 * nodes / site.Store.Lowest().RPS * float64(time.Second))
--- a/internal/core/job_entry.go
+++ b/internal/core/job_entry.go
@@ -70,8 +70,8 @@
 	j.doneCount += j.doneBlocks[block].Merge(set, offset)
 }
 
-// own notes a key that is to be deleted when the job is over.
-func (j *jobEntry) own(key string) {
+// addOwnedKey notes a key that is to be deleted when the job is over.
+func (j *jobEntry) addOwnedKey(key string) {
 	if !slices.Contains(j.ownedKeys, key) {
 		j.ownedKeys = append(j.ownedKeys, key)
 	}
--- a/internal/core/job_records.go
+++ b/internal/core/job_records.go
@@ -84,15 +84,15 @@
 	r.dependencies.MarkFinished(id, j.record.State == protocol.JobDone, j.record.DoneAt)
 }
 
-// ownKey notes a key that is to be deleted when a job is over. It returns nil, and leaves the key
+// addOwnedKey notes a key that is to be deleted when a job is over. It returns nil, and leaves the key
 // to the garbage collector, if the job is over already.
-func (r *storedRecords) ownKey(id, key string) *jobEntry {
+func (r *storedRecords) addOwnedKey(id, key string) *jobEntry {
 	if _, over := r.archive.jobs[id]; over {
 		r.core.garbage.add(key)
 		return nil
 	}
 	j := r.entry(id)
-	j.own(key)
+	j.addOwnedKey(key)
 	return j
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	if j := r.ownKey(id, key); j != nil {
+	if j := r.addOwnedKey(id, key); j != nil {
 		j.mergeDone(block*blockTasks, set)
 		r.core.scheduler.progressSaved(id)
 	}
@@ -125,7 +125,7 @@
 	if err := protocol.Decode(value, &record); err != nil {
 		return err
 	}
-	if j := r.ownKey(key[len(keyJobZones):], key); j != nil {
+	if j := r.addOwnedKey(key[len(keyJobZones):], key); j != nil {
 		j.record.Zones = record.Zones
 	}
 	return nil
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -7,16 +7,16 @@
 
 // Keys in the state service. All share one prefix, so one watch sees them all.
 const (
-	keyPrefix       = "c/"
-	keyBatch        = "c/accepted/" // several jobs that were accepted with one write; loaded before the jobs' own keys
-	keyEstimate     = "c/est"
-	keyJob          = "c/job/"
-	keyLeader       = "c/leader"
-	keyNode         = "c/node/"
-	keyProgress     = "c/prog/" // completed tasks, progressBlockTasks to a key
-	keyRegistryPage = "c/rigs/"
-	keyShardMap     = "c/map"
-	keyMachineTypes = "c/types"
+	keyPrefix         = "c/"
+	keyAdmissionBatch = "c/accepted/" // several jobs that were accepted with one write; loaded before the jobs' own keys
+	keyEstimates      = "c/est"
+	keyJob            = "c/job/"
+	keyLeader         = "c/leader"
+	keyNode           = "c/node/"
+	keyProgress       = "c/prog/" // completed tasks, progressBlockTasks to a key
+	keyRegistryPage   = "c/rigs/"
+	keyShardMap       = "c/map"
+	keyMachineTypes   = "c/types"
 
 	// Controllers of versions before Level 1 ignore these.
 	keyChunk          = "c/long/"     // chunks of jobs' records that are larger than a value may be
@@ -55,5 +55,5 @@
 
 // isBatchKey reports whether a key holds several jobs.
 func isBatchKey(key string) bool {
-	return strings.HasPrefix(key, keyBatch) || strings.HasPrefix(key, keyDependentBatch)
+	return strings.HasPrefix(key, keyAdmissionBatch) || strings.HasPrefix(key, keyDependentBatch)
 }
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -145,7 +145,7 @@
 	// A leader of an older version takes any full snapshot of this label for the member's.
 	full := s.fullSnapshotDue && !c.membership.labelHeldByOther(c.settings.Label, c.bootID)
 	message := s.nextMessage(full)
-	if !full && !hasNews(&message) && c.now.Monotonic-s.lastPublishedAt < c.intervals.maintenance {
+	if !full && !hasChanges(&message) && c.now.Monotonic-s.lastPublishedAt < c.intervals.maintenance {
 		return
 	}
 	s.fullSnapshotDue = s.fullSnapshotDue && !full
@@ -204,8 +204,8 @@
 	return message
 }
 
-// hasNews reports whether a message holds anything but that its sender lives.
-func hasNews(message *peerproto.Message) bool {
+// hasChanges reports whether a message holds anything but that its sender lives.
+func hasChanges(message *peerproto.Message) bool {
 	return len(message.Cancelled) > 0 || len(message.Machines) > 0 || len(message.Returned) > 0 || len(message.Released) > 0
 }
 
@@ -214,7 +214,7 @@
 	state := peerproto.MachineState{
 		Name:               m.name,
 		TasksComplete:      m.trust != listUnconfirmed,
-		TasksBounded:       m.keptFromLastEpoch,
+		TasksBounded:       m.ownedSinceConfirmed,
 		AcceptsTasks:       m.isTrusted() && m.machineType != nil,
 		InterruptionNotice: m.interruptionNotice,
 		Draining:           m.draining,
@@ -229,7 +229,7 @@
 	}
 	state.Tasks = m.publishTasks()
 	if !m.fullStateDue {
-		state.RemovedTasks = m.tasksLeft()
+		state.RemovedTasks = m.removedTasks()
 	}
 	m.fullStateDue, m.imagesChanged, m.droppedTasks = false, false, nil
 	return state
@@ -254,8 +254,8 @@
 	return tasks
 }
 
-// tasksLeft lists the dropped tasks of which the machine has no other live attempt.
-func (m *machine) tasksLeft() []string {
+// removedTasks lists the dropped tasks of which the machine has no other live attempt.
+func (m *machine) removedTasks() []string {
 	var left []string
 	for _, task := range m.droppedTasks {
 		isLive := func(a *taskAttempt) bool { return a.task == task && a.live() }
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -15,21 +15,21 @@
 func (m *membership) renewLease() {
 	c := m.core
 	due := m.leaseID == 0 || c.now.Monotonic-m.renewedAt >= c.intervals.memberLease/renewalsPerLease
-	if m.renewing || !due || m.letsLeaseExpire() {
+	if m.renewing || !due || m.shouldLetLeaseExpire() {
 		return
 	}
 	m.renewing, m.renewalSentAt = true, c.now.Monotonic
 	c.emit(RenewLease{LeaseID: m.leaseID, TTL: c.intervals.memberLease})
 }
 
-// letsLeaseExpire reports whether the lease is better left to expire: nothing has come back
+// shouldLetLeaseExpire reports whether the lease is better left to expire: nothing has come back
 // from the state service for so long that this node may do nothing, and its renewals may
 // arrive all the same. It asks again once the lease must have expired, or when the mirror
 // hears the service.
 //
 // Guards against a leader whose requests arrive and whose answers do not: its renewals kept
 // its keys alive, so that nobody led and its machines stood still for as long as that lasted.
-func (m *membership) letsLeaseExpire() bool {
+func (m *membership) shouldLetLeaseExpire() bool {
 	c := m.core
 	if m.leaseID == 0 || !m.renewalUnanswered || c.mirror.IsFresh() {
 		return false
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -43,19 +43,19 @@
 	token    uint64 // the fencing token that commands to it carry
 	minToken uint64 // the least token that confirms its list
 	fenced   bool   // it has shown a token of this epoch
-	// keptFromLastEpoch says that its list was confirmed in the last epoch, in which this
+	// ownedSinceConfirmed says that its list was confirmed in the last epoch, in which this
 	// member owned it too: no other controller has started anything on it since.
-	keptFromLastEpoch bool
+	ownedSinceConfirmed bool
 
 	lastHeardAt    time.Duration
-	lastAnsweredAt time.Duration // when its worker's lease was last renewed, at the latest
-	// maybeAnsweredUntil is until when a former owner may have renewed the worker's lease.
-	maybeAnsweredUntil time.Duration
-	silent             bool // not heard for a while, as published to the leader
-	unansweredCalls    int  // in a row
-	callInFlight       uint64
-	nextCallAt         time.Duration
-	queuedForFencing   bool
+	leaseRenewedAt time.Duration // when its worker's lease was last renewed, at the latest
+	// maybeRenewedUntil is until when a former owner may have renewed the worker's lease.
+	maybeRenewedUntil time.Duration
+	silent            bool // not heard for a while, as published to the leader
+	unansweredCalls   int  // in a row
+	callInFlight      uint64
+	nextCallAt        time.Duration
+	queuedForFencing  bool
 
 	interruptionNotice bool // the cloud will reclaim it soon
 	draining           bool
@@ -90,7 +90,7 @@
 // whether it answers or not. Guards against a failover that waits for dead machines whose
 // owner has never changed.
 func (m *machine) resetForEpoch(epoch uint64, ownedBefore bool) {
-	m.keptFromLastEpoch = ownedBefore && (m.isTrusted() || m.keptFromLastEpoch)
+	m.ownedSinceConfirmed = ownedBefore && (m.isTrusted() || m.ownedSinceConfirmed)
 	m.token = epoch << tokenBits
 	m.minToken = m.token
 	m.fenced = false
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -31,10 +31,10 @@
 		{name: "epoch of another owner renews an expired lease", from: listExpired, transition: reset(false), want: listUnconfirmed},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			m := &machine{trust: tt.from, token: token, minToken: token, keptFromLastEpoch: tt.keptBefore}
+			m := &machine{trust: tt.from, token: token, minToken: token, ownedSinceConfirmed: tt.keptBefore}
 			tt.transition(m)
-			if m.trust != tt.want || m.fenced != tt.wantFenced || m.keptFromLastEpoch != tt.wantKept {
-				t.Errorf("trust %v fenced %v kept %v, want %v %v %v", m.trust, m.fenced, m.keptFromLastEpoch, tt.want, tt.wantFenced, tt.wantKept)
+			if m.trust != tt.want || m.fenced != tt.wantFenced || m.ownedSinceConfirmed != tt.wantKept {
+				t.Errorf("trust %v fenced %v kept %v, want %v %v %v", m.trust, m.fenced, m.ownedSinceConfirmed, tt.want, tt.wantFenced, tt.wantKept)
 			}
 		})
 	}
--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -39,9 +39,9 @@
 // handleMachineTypes handles the cloud's response. If it has no types, they are requested again
 // later.
 func (f *fleet) handleMachineTypes(result MachineTypesResult) {
-	if result.Outcome == CloudDone && len(result.Answer.Types) > 0 {
+	if result.Outcome == CloudDone && len(result.Response.Types) > 0 {
 		f.typesRequested = false
-		f.cloudTypes = &result.Answer
+		f.cloudTypes = &result.Response
 		return
 	}
 	f.core.afterFunc(f.core.intervals.maintenance, func() { f.typesRequested = false })
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -24,11 +24,11 @@
 	registered  bool                   // in the machine registry
 	images      map[string]bool        // in its cache
 
-	attempts map[string]*inflightAttempt // that it claims, by task name
-	used     usage                       // by these
-	plan     candidateMachine            // scratch space of the scheduling round
+	attempts       map[string]*inflightAttempt // that it claims, by task name
+	used           usage                       // by these
+	roundCandidate candidateMachine            // scratch space of the scheduling round
 
-	leaving       bool // being scaled in, or gone
+	terminating   bool // being scaled in, or gone
 	unschedulable bool // not counted on for new tasks
 	cordoned      bool // its shard was ordered to place nothing there
 	cordonedAt    time.Duration
@@ -36,10 +36,10 @@
 	failedJobs    map[string]bool          // that failed here since the last success
 	backoffUntil  map[string]time.Duration // by job: its shard places no task of it here before
 
-	emptySince    time.Duration
-	lastClaimedAt time.Duration
-	upSince       time.Duration // when it first was up, -1: never
-	unsureSince   time.Duration // since when its list is not complete, if it is not
+	emptySince      time.Duration
+	lastClaimedAt   time.Duration
+	upSince         time.Duration // when it first was up, -1: never
+	incompleteSince time.Duration // since when its list is not complete, if it is not
 }
 
 // listComplete reports whether no task but those that it lists can be on the machine.
@@ -49,7 +49,7 @@
 func (v *machineView) acceptsTasks() bool {
 	state := &v.state
 	return state.AcceptsTasks && state.TasksComplete && !state.InterruptionNotice && !state.Draining &&
-		v.machineType != nil && v.registered && !v.unhealthy && !v.leaving
+		v.machineType != nil && v.registered && !v.unhealthy && !v.terminating
 }
 
 // free is what the attempts on the machine leave of it.
@@ -89,14 +89,14 @@
 	}
 	now := s.core.now.Monotonic
 	view := &machineView{
-		attempts:      map[string]*inflightAttempt{},
-		failedJobs:    map[string]bool{},
-		backoffUntil:  map[string]time.Duration{},
-		emptySince:    now,
-		lastClaimedAt: now,
-		upSince:       -1,
-		unsureSince:   now,
-		leaving:       s.core.fleet.isReturning(name),
+		attempts:        map[string]*inflightAttempt{},
+		failedJobs:      map[string]bool{},
+		backoffUntil:    map[string]time.Duration{},
+		emptySince:      now,
+		lastClaimedAt:   now,
+		upSince:         -1,
+		incompleteSince: now,
+		terminating:     s.core.fleet.isReturning(name),
 	}
 	if record := s.core.records.machineRecords.Get(name); record != nil {
 		view.registered = true
@@ -116,16 +116,16 @@
 	}
 }
 
-// removeGoneMachines drops the views of machines that are surely gone, and completes those of
+// removeTerminatedMachines drops the views of machines that are surely gone, and completes those of
 // the others. A machine that was published before its type was known, and had no news since,
 // would get no work for ever.
-func (s *scheduler) removeGoneMachines() {
+func (s *scheduler) removeTerminatedMachines() {
 	for name, view := range s.machines.All() {
 		if view.machineType == nil {
 			view.machineType = s.core.machineTypes()[view.state.Type]
 		}
 		s.quarantineIfUnhealthy(view) // jobs that failed here may have shown since that they work
-		if s.isGone(name, view) {
+		if s.isTerminated(name, view) {
 			for _, task := range sortedKeys(view.attempts) {
 				s.releaseClaim(task, view.attempts[task], view)
 			}
@@ -134,14 +134,14 @@
 	}
 }
 
-// isGone reports whether a machine and its tasks are gone: the cloud says that it is deleted,
+// isTerminated reports whether a machine and its tasks are gone: the cloud says that it is deleted,
 // or no shard lists it and it is out of the registry, so that an earlier leader deleted it.
 //
 // Guards against waiting for ever for tasks that such a machine was thought to run. The delay
 // lets the mirror catch up with the registry.
-func (s *scheduler) isGone(name string, view *machineView) bool {
+func (s *scheduler) isTerminated(name string, view *machineView) bool {
 	forgotten := view.listedEpoch != s.epoch && !view.registered && s.core.now.Monotonic-s.epochEnteredAt > 2*s.core.intervals.maxStaleness
-	return forgotten || view.leaving && s.core.fleet.wasDeleted(name)
+	return forgotten || view.terminating && s.core.fleet.wasDeleted(name)
 }
 
 // unseenMachines walks over the registered machines that may hold tasks that this leader does
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if m.leading {
-		m.logAbsentMembers()
+		m.logMembershipChanges()
 		m.reconcileShardMap()
 	}
 }
--- a/internal/core/mirror_host.go
+++ b/internal/core/mirror_host.go
@@ -11,7 +11,7 @@
 
 func newMirror(c *Core) *mirror.Mirror {
 	return mirror.New(mirrorHost{c}, c.records, mirror.Options{
-		Fresh: c.intervals.maxStaleness, ReadInterval: c.intervals.readSpacing, PageInterval: c.intervals.pageSpacing,
+		MaxStaleness: c.intervals.maxStaleness, ReadInterval: c.intervals.readSpacing, PageInterval: c.intervals.pageSpacing,
 	})
 }
 
@@ -32,7 +32,7 @@
 
 // handleChanges passes the answer to a watch or a barrier on to the mirror.
 func (c *Core) handleChanges(result WatchResult) {
-	changes := mirror.Changes{Barrier: result.Barrier, SentAt: result.SentAt, Answer: result.Answer}
+	changes := mirror.Changes{Barrier: result.Barrier, SentAt: result.SentAt, Response: result.Response}
 	switch result.Outcome {
 	case WatchServed:
 		changes.Outcome = mirror.Served
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -59,7 +59,7 @@
 	if s.isCrashLooping(q) {
 		needed = 1 // the rest of it would only fail
 	}
-	needed -= p.tasksComing()
+	needed -= p.tasksWithCapacityPending()
 	for _, set := range p.cheapestSets() {
 		if needed <= 0 {
 			return
@@ -79,11 +79,11 @@
 	return q.withinGuarantee && (s.core.policy.PreemptForGuarantee || len(s.core.bestEffortTeams) > 0)
 }
 
-// tasksComing is for how many of the job's tasks room is on its way.
+// tasksWithCapacityPending is for how many of the job's tasks room is on its way.
 //
 // Guards against preempting far more than is needed: what was asked to stop already is room on its
 // way, whichever job that was for.
-func (p *preemption) tasksComing() (tasks int) {
+func (p *preemption) tasksWithCapacityPending() (tasks int) {
 	for i := range p.victims {
 		v := &p.victims[i]
 		if v.attempt.stopRequested && p.isUsable(v) {
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -12,7 +12,7 @@
 // saveProgress makes completed tasks durable: jobs that are complete first, then
 // progress, as far as the write budget goes.
 func (s *scheduler) saveProgress() {
-	s.refillWrites()
+	s.refillWriteTokens()
 	due := s.saveCompleted()
 	// Those that have waited longest first, or the first names would take all.
 	sort.SliceStable(due, func(a, b int) bool { return due[a].saveDueAt < due[b].saveDueAt })
@@ -24,8 +24,8 @@
 	}
 }
 
-// refillWrites adds the writes that progress may take since the last call, a second's at the most.
-func (s *scheduler) refillWrites() {
+// refillWriteTokens adds the writes that progress may take since the last call, a second's at the most.
+func (s *scheduler) refillWriteTokens() {
 	rate := s.core.writeRate() * s.core.policy.ProgressShare
 	s.progressWriteTokens = min(s.progressWriteTokens+(s.core.now.Monotonic-s.progressTokensAt).Seconds()*rate, rate)
 	s.progressTokensAt = s.core.now.Monotonic
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -60,7 +60,7 @@
 	var unseen usage
 	for name, view := range s.machines.All() { // every machine of the registry has a view
 		switch {
-		case !view.registered || view.listComplete() || view.leaving && s.core.fleet.wasDeleted(name):
+		case !view.registered || view.listComplete() || view.terminating && s.core.fleet.wasDeleted(name):
 		case view.machineType == nil:
 			unseen.cpus, unseen.gpus = math.Inf(1), math.Inf(1)
 		default:
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -13,7 +13,7 @@
 	urgencyHigh
 	urgencyNormal
 	urgencyLow
-	urgencyLevels // how many there are
+	numUrgencyLevels // how many there are
 
 	lowestUrgency = urgencyLow
 )
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -17,13 +17,13 @@
 type storedRecords struct {
 	core *Core
 
-	jobs          map[string]*jobEntry // that are not over
-	archive       *jobArchive          // of those that are
-	batches       map[string]*admissionBatch
-	chunks        map[string]map[string]string // of chunked records, by job and key
-	dependencies  *dag.Graph
-	derivedAborts map[string]bool // jobs that are over because of another one; true: a batch holds the record that counts
-	loadedJobs    []string        // jobs with dependencies, read by the load that is under way
+	jobs             map[string]*jobEntry // that are not over
+	archive          *jobArchive          // of those that are
+	batches          map[string]*admissionBatch
+	chunks           map[string]map[string]string // of chunked records, by job and key
+	dependencies     *dag.Graph
+	derivedAborts    map[string]bool // jobs that are over because of another one; true: a batch holds the record that counts
+	loadedDependents []string        // jobs with dependencies, read by the load that is under way
 
 	nodes          map[string]records.Node // controllers, by label
 	leader         *records.Leader
@@ -47,7 +47,7 @@
 	r.jobs, r.archive = map[string]*jobEntry{}, newJobArchive(r.core.fairShareRules)
 	r.batches, r.chunks = map[string]*admissionBatch{}, map[string]map[string]string{}
 	r.dependencies, r.derivedAborts = dag.New(), map[string]bool{}
-	r.loadedJobs = nil
+	r.loadedDependents = nil
 	r.core.garbage.reset()
 	r.nodes = map[string]records.Node{}
 	r.leader, r.shardMap, r.estimates = nil, nil, nil
@@ -68,19 +68,19 @@
 	c.logInfo("state loaded", "keys", c.mirror.VersionCount()+len(r.jobs)+ended, "ended jobs", ended, "revision", c.mirror.Revision())
 }
 
-// Settle implements mirror.Replica.
-func (r *storedRecords) Settle() {
-	r.addLoadedJobs()
+// EndBatch implements mirror.Replica.
+func (r *storedRecords) EndBatch() {
+	r.addLoadedDependents()
 	r.applyDependencyChanges()
 }
 
 // Put implements mirror.Replica. A value that can't be decoded is logged and left out.
 func (r *storedRecords) Put(key string, value protocol.Raw, version uint64) (rememberVersion bool) {
 	if id, dependent, ok := jobOfKey(key); ok {
-		r.logUnreadable(key, r.applyJob(id, dependent, value, version))
+		r.logDecodeError(key, r.applyJob(id, dependent, value, version))
 		return false // entries and the archive hold the versions of jobs
 	}
-	r.logUnreadable(key, r.apply(key, value, version))
+	r.logDecodeError(key, r.apply(key, value, version))
 	return true
 }
 
@@ -107,23 +107,23 @@
 	case strings.HasPrefix(key, keyJobZones):
 		return r.applyZones(key, value)
 	case strings.HasPrefix(key, keyNode):
-		return decodeAnd(value, func(node *records.Node) { r.nodes[key[len(keyNode):]] = *node })
+		return decodeAndApply(value, func(node *records.Node) { r.nodes[key[len(keyNode):]] = *node })
 	case strings.HasPrefix(key, keyRegistryPage):
-		return decodeAnd(value, func(page *records.RegistryPage) { r.putRegistryPage(key[len(keyRegistryPage):], page) })
+		return decodeAndApply(value, func(page *records.RegistryPage) { r.putRegistryPage(key[len(keyRegistryPage):], page) })
 	case strings.HasPrefix(key, keyMachineTypes):
-		return decodeAnd(value, r.applyMachineTypes)
+		return decodeAndApply(value, r.applyMachineTypes)
 	case key == keyLeader:
-		return decodeAnd(value, func(leader *records.Leader) { r.leader = leader })
+		return decodeAndApply(value, func(leader *records.Leader) { r.leader = leader })
 	case key == keyShardMap:
-		return decodeAnd(value, func(shardMap *records.ShardMap) { r.shardMap = shardMap })
-	case key == keyEstimate:
-		return decodeAnd(value, func(estimates *records.Estimates) { r.estimates = estimates })
+		return decodeAndApply(value, func(shardMap *records.ShardMap) { r.shardMap = shardMap })
+	case key == keyEstimates:
+		return decodeAndApply(value, func(estimates *records.Estimates) { r.estimates = estimates })
 	}
 	return nil // of a newer version
 }
 
-// decodeAnd passes a decoded value on.
-func decodeAnd[Record any](value protocol.Raw, apply func(*Record)) error {
+// decodeAndApply passes a decoded value on.
+func decodeAndApply[Record any](value protocol.Raw, apply func(*Record)) error {
 	decoded := new(Record)
 	if err := protocol.Decode(value, decoded); err != nil {
 		return err
@@ -151,7 +151,7 @@
 	}
 }
 
-func (r *storedRecords) logUnreadable(key string, err error) {
+func (r *storedRecords) logDecodeError(key string, err error) {
 	if err != nil {
 		r.core.emit(Log{Level: LevelError, Text: "cannot decode a key of the state service", Args: []any{"key", key, "error", err}})
 	}
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -52,7 +52,7 @@
 // unregistered lists the machines that are up, not in the registry and not being returned.
 func (r *machineRegistry) unregistered() (names []string) {
 	for name, view := range r.core.scheduler.machines.All() {
-		if view.state.AcceptsTasks && !view.registered && !view.leaving {
+		if view.state.AcceptsTasks && !view.registered && !view.terminating {
 			names = append(names, name)
 		}
 	}
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -11,10 +11,10 @@
 // schedulingRound is what one round works with: the room on every machine that can be given work,
 // and what each team uses. The round fills both up as it dispatches.
 type schedulingRound struct {
-	machines   []*candidateMachine
-	withRoom   []*candidateMachine // those with any room left
-	infeasible map[taskShape]bool  // no machine has room for such a task any more
-	teamUsage  map[string]*usage
+	machines     []*candidateMachine
+	withCapacity []*candidateMachine // those with any room left
+	infeasible   map[taskShape]bool  // no machine has room for such a task any more
+	teamUsage    map[string]*usage
 
 	bestEffortCPUs  float64 // CPUs that the tasks of best-effort teams may be taking,
 	bestEffortLimit float64 // of so many that they may take
@@ -86,7 +86,7 @@
 		}
 		round.machines = append(round.machines, machine)
 		if machine.CPUs > binpacking.RoundingSlack {
-			round.withRoom = append(round.withRoom, machine)
+			round.withCapacity = append(round.withCapacity, machine)
 		}
 	}
 	s.limitBestEffort(round)
@@ -126,7 +126,7 @@
 // candidate makes the machine's entry of a new round, in the place of the last one's: ten thousand
 // of them for each round were most of what the leader allocated.
 func (v *machineView) candidate(name string, member *shardView) *candidateMachine {
-	v.plan = candidateMachine{
+	v.roundCandidate = candidateMachine{
 		name:             name,
 		shard:            member,
 		view:             v,
@@ -141,7 +141,7 @@
 			CachedImages: v.images,
 		},
 	}
-	return &v.plan
+	return &v.roundCandidate
 }
 
 // quotaReservedReason says why a job starts nothing in this round although it could: its team's
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -54,7 +54,7 @@
 	lastMaintenance     time.Duration // the slow round: fleet, garbage, what the members are told
 	dependencyWeightsAt time.Duration // when the priorities of dependencies were last worked out
 	fairShareStates     []fairshare.AccountState
-	startLatencies      [urgencyLevels]*hdrhistogram.Histogram // ms from submission to running
+	startLatencies      [numUrgencyLevels]*hdrhistogram.Histogram // ms from submission to running
 }
 
 const (
@@ -181,7 +181,7 @@
 	first := s.epoch == 0
 	s.epoch, s.epochEnteredAt = shardMap.Epoch, s.core.now.Monotonic
 	s.attemptCounter = 0
-	s.distrustMachines()
+	s.invalidateMachineStates()
 	s.markDispatchedUnlocated()
 	for _, member := range s.shards {
 		// It may have entered this epoch, and sent its snapshot, before we did.
@@ -193,12 +193,12 @@
 	}
 }
 
-// distrustMachines forgets what the shards of the last epoch told: a machine may have another
+// invalidateMachineStates forgets what the shards of the last epoch told: a machine may have another
 // owner now. Those of the registry that no shard has told of count as not seen yet.
-func (s *scheduler) distrustMachines() {
+func (s *scheduler) invalidateMachineStates() {
 	for _, view := range s.machines.All() {
 		view.state.TasksComplete, view.state.TasksBounded, view.state.AcceptsTasks = false, false, false
-		view.unsureSince = s.core.now.Monotonic
+		view.incompleteSince = s.core.now.Monotonic
 		view.cordoned = false
 	}
 	for name := range s.core.records.machineRecords.All() {
@@ -230,7 +230,7 @@
 // schedule is the quick round, and the slow one if that is due.
 func (s *scheduler) schedule() {
 	s.lastScheduling = s.core.now.Monotonic
-	s.removeGoneMachines()
+	s.removeTerminatedMachines()
 	s.core.registry.reconcile()
 	s.resolveUnlocated()
 	ranked, waiting := s.runRound()
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -49,9 +49,9 @@
 	s.retainAttempts(m, func(a *taskAttempt) bool { return a.phase > phaseQueued })
 	if !m.leaseExpired() {
 		// Whoever owned it before may have answered it until its mirror was too old to.
-		m.lastAnsweredAt = max(m.lastAnsweredAt, c.now.Monotonic+c.intervals.maxStaleness)
+		m.leaseRenewedAt = max(m.leaseRenewedAt, c.now.Monotonic+c.intervals.maxStaleness)
 	}
-	m.maybeAnsweredUntil = m.lastAnsweredAt
+	m.maybeRenewedUntil = m.leaseRenewedAt
 	m.fullStateDue = true
 	s.markChanged(m)
 }
@@ -69,8 +69,8 @@
 	}
 	m := s.addMachine(name)
 	m.addr, m.typeName, m.zone, m.spot = record.Addr, record.Type, record.Zone, record.Spot
-	m.lastAnsweredAt += s.core.intervals.maxStaleness
-	m.maybeAnsweredUntil = m.lastAnsweredAt
+	m.leaseRenewedAt += s.core.intervals.maxStaleness
+	m.maybeRenewedUntil = m.leaseRenewedAt
 	m.registered = true
 }
 
@@ -78,14 +78,14 @@
 func (s *shard) addMachine(name string) *machine {
 	now := s.core.now.Monotonic
 	m := &machine{
-		name:               name,
-		fullStateDue:       true,
-		token:              s.epoch << tokenBits,
-		minToken:           s.epoch << tokenBits,
-		lastHeardAt:        now,
-		lastAnsweredAt:     now,
-		maybeAnsweredUntil: now + s.core.intervals.maxStaleness,
-		backoffUntil:       map[string]time.Duration{},
+		name:              name,
+		fullStateDue:      true,
+		token:             s.epoch << tokenBits,
+		minToken:          s.epoch << tokenBits,
+		lastHeardAt:       now,
+		leaseRenewedAt:    now,
+		maybeRenewedUntil: now + s.core.intervals.maxStaleness,
+		backoffUntil:      map[string]time.Duration{},
 	}
 	s.machines.Set(name, m)
 	s.markChanged(m)
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -24,7 +24,7 @@
 	missing, unheard := m.surveyMembers()
 	desired := m.desiredMembers
 	idle := len(desired) == 0 && unheard
-	if m.stepDownIfIdle(idle) {
+	if m.stepDownIfUnable(idle) {
 		return
 	}
 	// A map of this node alone would take the machines from those who may well serve them,
@@ -60,7 +60,7 @@
 			if !c.shard.reachability.Unreachable() || len(c.records.nodes) == 1 {
 				m.desiredMembers[label] = node.BootID
 			}
-		case c.scheduler.hearsMember(label, node.BootID):
+		case c.scheduler.reportsReachable(label, node.BootID):
 			m.desiredMembers[label] = node.BootID
 		default:
 			missing = true
@@ -85,8 +85,8 @@
 	})
 }
 
-// logAbsentMembers notes which controllers are outside the shard map, for those on call.
-func (m *membership) logAbsentMembers() {
+// logMembershipChanges notes which controllers are outside the shard map, for those on call.
+func (m *membership) logMembershipChanges() {
 	c := m.core
 	shardMap := c.records.shardMap
 	if shardMap == nil || shardMap == m.observedMap {
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -15,10 +15,10 @@
 
 // shardView is a member and its shard as the leader hears them.
 type shardView struct {
-	label, boot string
-	session     uint64 // of the link, 0: none
-	lastHeardAt time.Duration
-	unreachable bool // it reports that it reaches no machine
+	label, bootID string
+	session       uint64 // of the link, 0: none
+	lastHeardAt   time.Duration
+	unreachable   bool // it reports that it reaches no machine
 
 	syncedEpoch     uint64          // the epoch of the last full snapshot
 	snapshotTasks   map[string]bool // named by the chunks of a snapshot so far, nil: none is under way
@@ -63,7 +63,7 @@
 		s.core.emit(ClosePeer{Session: member.session})
 		delete(s.shardLabels, member.session)
 	}
-	member.boot, member.session, member.lastHeardAt = hello.BootID, session, s.core.now.Monotonic
+	member.bootID, member.session, member.lastHeardAt = hello.BootID, session, s.core.now.Monotonic
 	member.syncedEpoch, member.snapshotTasks = 0, nil
 	member.messagesSent, member.outbox, member.outboxDue = 0, peerproto.Message{}, false
 	for _, view := range s.machines.All() {
@@ -74,8 +74,8 @@
 	}
 }
 
-// hearsMember reports whether a member's link is alive and the member reaches its machines.
-func (s *scheduler) hearsMember(label, boot string) bool {
+// reportsReachable reports whether a member's link is alive and the member reaches its machines.
+func (s *scheduler) reportsReachable(label, boot string) bool {
 	member := s.shards[label]
 	return member.alive(s.core, boot) && !member.unreachable
 }
@@ -88,7 +88,7 @@
 
 // alive reports whether the link of this very process of a member was heard lately.
 func (p *shardView) alive(c *Core, boot string) bool {
-	return p != nil && p.session != 0 && p.boot == boot && c.now.Monotonic-p.lastHeardAt < c.peerTimeout()
+	return p != nil && p.session != 0 && p.bootID == boot && c.now.Monotonic-p.lastHeardAt < c.peerTimeout()
 }
 
 // handleVote takes a controller's vote in a round of the degraded mode.
@@ -127,7 +127,7 @@
 		s.relayCancellations(message.Cancelled, label)
 	}
 	s.enterEpoch()
-	if s.epoch == 0 || message.Epoch != s.epoch || s.core.membership.labelHeldByOther(label, member.boot) {
+	if s.epoch == 0 || message.Epoch != s.epoch || s.core.membership.labelHeldByOther(label, member.bootID) {
 		return
 	}
 	if message.Snapshot && !s.applySnapshot(member, message) || member.syncedEpoch != s.epoch && !message.Snapshot {
@@ -192,7 +192,7 @@
 			continue
 		}
 		if attempt.dispatchSession != member.session || attempt.dispatchSeq <= member.snapshotReadSeq {
-			s.notPlaced(task, attempt)
+			s.handleNotPlaced(task, attempt)
 		}
 	}
 	member.snapshotTasks = nil
@@ -213,7 +213,7 @@
 	for _, returned := range message.Returned {
 		attempt := s.attempts[returned.Task]
 		if attempt != nil && attempt.number == returned.Attempt && attempt.location == locationDispatched {
-			s.notPlaced(returned.Task, attempt)
+			s.handleNotPlaced(returned.Task, attempt)
 		}
 	}
 	s.resolveUnlocated()
@@ -236,7 +236,7 @@
 	}
 	s.applyImages(view, state)
 	if view.state.TasksComplete && !state.TasksComplete {
-		view.unsureSince = s.core.now.Monotonic
+		view.incompleteSince = s.core.now.Monotonic
 	}
 	wasUp, tasks := view.state.AcceptsTasks, state.Tasks
 	view.state, view.shard = *state, member.label
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -15,7 +15,7 @@
 	Epoch            uint64                    `json:"epoch"`
 	Leader           string                    `json:"leader"`
 	Members          []string                  `json:"members"`
-	Entitled         bool                      `json:"entitled"`
+	MayServe         bool                      `json:"entitled"`
 	Revision         uint64                    `json:"revision"`
 	Jobs             map[string]int            `json:"jobs"`
 	DependentJobs    int                       `json:"jobs_waiting_for_jobs,omitempty"`
@@ -33,7 +33,7 @@
 	CrashLoopingJobs  map[string]string  `json:"faulty_jobs,omitempty"`      // jobs that seem to fail wherever they run
 	UnhealthyMachines map[string]string  `json:"faulty_machines,omitempty"`  // machines in quarantine
 	UnseenMachines    int                `json:"machines_unseen,omitempty"`  // that a failover still waits for
-	SilentZones       map[string]float64 `json:"silent_zones_s,omitempty"`   // zones most of which is silent, for how long
+	PartitionedZones  map[string]float64 `json:"silent_zones_s,omitempty"`   // zones most of which is silent, for how long
 	DrainingMachines  []string           `json:"machines_leaving,omitempty"` // being drained and returned
 	FairShareBoosts   []FairShareBoost   `json:"classes_short,omitempty"`    // classes that are served too little, and are boosted
 }
@@ -57,13 +57,13 @@
 
 // MachineStatus is one of this member's machines.
 type MachineStatus struct {
-	Type     string `json:"type"`
-	Zone     string `json:"zone"`
-	Spot     bool   `json:"spot"`
-	Trusted  bool   `json:"trusted"`
-	Silent   bool   `json:"silent"`
-	Draining bool   `json:"draining"`
-	Tasks    int    `json:"tasks"`
+	Type         string `json:"type"`
+	Zone         string `json:"zone"`
+	Spot         bool   `json:"spot"`
+	Trusted      bool   `json:"trusted"`
+	LeaseExpired bool   `json:"silent"`
+	Draining     bool   `json:"draining"`
+	Tasks        int    `json:"tasks"`
 }
 
 // FairShareBoost is a class of a team of which too little was served.
@@ -86,7 +86,7 @@
 // status describes this node as it is now.
 func (c *Core) status() *Status {
 	s := &Status{
-		Label: c.settings.Label, Epoch: c.membership.epoch(), Entitled: c.membership.mayServe(),
+		Label: c.settings.Label, Epoch: c.membership.epoch(), MayServe: c.membership.mayServe(),
 		Revision: c.mirror.Revision(), Jobs: map[string]int{}, Machines: map[string]MachineStatus{},
 	}
 	if c.records.leader != nil {
@@ -98,7 +98,7 @@
 	c.addJobCounts(s)
 	for name, m := range c.shard.machines.All() {
 		s.Machines[name] = MachineStatus{Type: m.typeName, Zone: m.zone, Spot: m.spot, Trusted: m.isTrusted(),
-			Silent: m.leaseExpired(), Draining: m.draining, Tasks: len(m.attempts)}
+			LeaseExpired: m.leaseExpired(), Draining: m.draining, Tasks: len(m.attempts)}
 	}
 	if c.membership.leading {
 		c.addSchedulerStatus(s)
@@ -169,7 +169,7 @@
 
 // addMachineProblems adds the controllers, machines and zones that are not as they should be.
 func (c *Core) addMachineProblems(s *Status) {
-	s.AbsentControllers, s.UnhealthyMachines, s.SilentZones = map[string]float64{}, map[string]string{}, map[string]float64{}
+	s.AbsentControllers, s.UnhealthyMachines, s.PartitionedZones = map[string]float64{}, map[string]string{}, map[string]float64{}
 	for label, since := range c.membership.absentSince {
 		s.AbsentControllers[label] = (c.now.Monotonic - since).Seconds()
 	}
@@ -182,7 +182,7 @@
 		s.UnseenMachines++
 	}
 	for zone, since := range c.fleet.zonePartitionedSince {
-		s.SilentZones[zone] = (c.now.Monotonic - since).Seconds()
+		s.PartitionedZones[zone] = (c.now.Monotonic - since).Seconds()
 	}
 	for name, inst := range c.fleet.instances.All() {
 		if inst.returnReason != "" {
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -148,7 +148,7 @@
 	if !s.isZoneFullForLong(q, index) {
 		return
 	}
-	if c.records.olderController() != "" || protocol.JSONSize(q.entry.record) > c.maxValueBytes()-batchOverhead {
+	if c.records.olderController() != "" || protocol.JSONSize(q.entry.record) > c.maxValueBytes()-batchOverheadBytes {
 		return
 	}
 	current := q.entry.record.Zones[index]
--- a/internal/degraded/cancellation_log.go
+++ b/internal/degraded/cancellation_log.go
@@ -41,13 +41,13 @@
 		l.jobs = map[string]bool{}
 	}
 	if len(l.entries) >= max(l.capacity, minLogCapacity) {
-		l.forgetOldest()
+		l.dropOldest()
 	}
 	l.entries = append(l.entries, cancellation{job, revision})
 	l.jobs[job] = true
 }
 
-func (l *CancellationLog) forgetOldest() {
+func (l *CancellationLog) dropOldest() {
 	oldest := l.entries[0]
 	l.completeSince = max(l.completeSince, oldest.revision)
 	delete(l.jobs, oldest.job)
--- a/internal/degraded/cancellation_log_test.go
+++ b/internal/degraded/cancellation_log_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestCancellationLogReportsItsHorizon(t *testing.T) {
+func TestCancellationLogReportsCompleteSince(t *testing.T) {
 	var log CancellationLog
 	for _, revision := range []uint64{7, 5, 6, 5} {
 		log.Record(fmt.Sprint("job-", revision), revision)
@@ -23,7 +23,7 @@
 }
 
 // A log holds what it was made for, and takes the same cancellation once.
-func TestCancellationLogHoldsWhatItIsMadeFor(t *testing.T) {
+func TestCancellationLogHoldsItsCapacity(t *testing.T) {
 	for _, capacity := range []uint64{10, 8000, 16000} {
 		t.Run(fmt.Sprint(capacity), func(t *testing.T) {
 			log := NewCancellationLog(int(capacity))
--- a/internal/degraded/cancellation_test.go
+++ b/internal/degraded/cancellation_test.go
@@ -35,20 +35,20 @@
 	}
 }
 
-// cancelling plays the argument "why no task of a cancelled job is kept running" of the
+// cancellationSimulation plays the argument "why no task of a cancelled job is kept running" of the
 // package comment. Users cancel jobs at any controller before an outage; some writes get no
 // answer, answers and watches from before the outage still arrive in it, and controllers
 // acknowledge a cancellation by whatever they know.
-type cancelling struct {
-	t             *rapid.T
-	labels        []string
-	controllers   map[string]*simulatedController
-	voters        map[string]*Voter
-	coordinator   Coordinator
-	now           time.Duration
-	events        []event
-	jobs          []string      // cancelled; that of revision r is jobs[r-1]
-	leaderRefused time.Duration // when the store stops serving the leader
+type cancellationSimulation struct {
+	t               *rapid.T
+	labels          []string
+	controllers     map[string]*simulatedController
+	voters          map[string]*Voter
+	coordinator     Coordinator
+	now             time.Duration
+	events          []event
+	jobs            []string      // cancelled; that of revision r is jobs[r-1]
+	leaderRefusedAt time.Duration // when the store stops serving the leader
 }
 
 type event struct {
@@ -56,43 +56,43 @@
 	run func()
 }
 
-func newCancelling(t *rapid.T) *cancelling {
-	s := &cancelling{t: t, labels: drawLabels(t), controllers: map[string]*simulatedController{}, voters: map[string]*Voter{}}
+func newCancellationSimulation(t *rapid.T) *cancellationSimulation {
+	s := &cancellationSimulation{t: t, labels: drawLabels(t), controllers: map[string]*simulatedController{}, voters: map[string]*Voter{}}
 	for _, label := range s.labels {
 		s.controllers[label] = &simulatedController{learned: map[string]bool{}, acknowledgedAt: map[string]time.Duration{}}
 		s.voters[label] = &Voter{}
 	}
-	s.leaderRefused = time.Duration(rapid.IntRange(0, 800).Draw(t, "the leader is refused at")) * time.Millisecond
+	s.leaderRefusedAt = time.Duration(rapid.IntRange(0, 800).Draw(t, "the leader is refused at")) * time.Millisecond
 	return s
 }
 
 // oneIn draws true once in n times.
-func (s *cancelling) oneIn(n int, what string) bool {
+func (s *cancellationSimulation) oneIn(n int, what string) bool {
 	return rapid.IntRange(0, n-1).Draw(s.t, what) == 0
 }
 
 // schedule runs something after a delay of up to so many milliseconds.
-func (s *cancelling) schedule(mostMillis int, run func()) {
+func (s *cancellationSimulation) schedule(mostMillis int, run func()) {
 	delay := time.Duration(rapid.IntRange(1, mostMillis).Draw(s.t, "ms")) * time.Millisecond
 	s.events = append(s.events, event{s.now + delay, run})
 }
 
-// served reports whether the store serves a controller.
-func (s *cancelling) served(label string) bool {
-	return s.now < outageBegins && (label != "a" || s.now < s.leaderRefused)
+// isServed reports whether the store serves a controller.
+func (s *cancellationSimulation) isServed(label string) bool {
+	return s.now < outageBegins && (label != "a" || s.now < s.leaderRefusedAt)
 }
 
-func (s *cancelling) mayServe(label string) bool {
+func (s *cancellationSimulation) mayServe(label string) bool {
 	if label == "a" {
 		return s.now < s.coordinator.MayServeUntil()
 	}
 	return s.now < s.voters[label].MayServeUntil()
 }
 
-func (s *cancelling) step() {
+func (s *cancellationSimulation) step() {
 	s.runDueEvents()
 	for _, label := range s.labels {
-		s.actBeforeOutage(label)
+		s.stepController(label)
 	}
 	if round, due := s.coordinator.NextRound(s.now, interval, window); due {
 		s.openRound(round)
@@ -100,7 +100,7 @@
 	s.controllers["a"].learn(s.coordinator.CancelledJobs())
 }
 
-func (s *cancelling) runDueEvents() {
+func (s *cancellationSimulation) runDueEvents() {
 	for n := 0; n < len(s.events); n++ {
 		if due := s.events[n]; due.at <= s.now {
 			s.events = slices.Delete(s.events, n, n+1)
@@ -110,14 +110,14 @@
 	}
 }
 
-// actBeforeOutage lets a controller write cancellations, read its watch, and acknowledge what
+// stepController lets a controller write cancellations, read its watch, and acknowledge what
 // its mirror holds, the last in the outage, too.
-func (s *cancelling) actBeforeOutage(label string) {
+func (s *cancellationSimulation) stepController(label string) {
 	controller := s.controllers[label]
-	if s.served(label) && s.oneIn(12, "cancels") {
+	if s.isServed(label) && s.oneIn(12, "cancels") {
 		s.writeCancellation(controller)
 	}
-	if s.served(label) && s.oneIn(4, "reads") {
+	if s.isServed(label) && s.oneIn(4, "reads") {
 		revision := uint64(len(s.jobs))
 		s.schedule(300, func() { s.readWatch(controller, revision) })
 	}
@@ -127,7 +127,7 @@
 	}
 }
 
-func (s *cancelling) writeCancellation(controller *simulatedController) {
+func (s *cancellationSimulation) writeCancellation(controller *simulatedController) {
 	job, revision := fmt.Sprint("job-", len(s.jobs)), uint64(len(s.jobs)+1)
 	s.jobs = append(s.jobs, job)
 	if s.oneIn(3, "no answer") {
@@ -139,13 +139,13 @@
 	})
 }
 
-func (s *cancelling) readWatch(controller *simulatedController, revision uint64) {
+func (s *cancellationSimulation) readWatch(controller *simulatedController, revision uint64) {
 	for ; controller.mirrorRevision < revision; controller.mirrorRevision++ {
 		controller.log.Record(s.jobs[controller.mirrorRevision], controller.mirrorRevision+1)
 	}
 }
 
-func (s *cancelling) openRound(round Round) {
+func (s *cancellationSimulation) openRound(round Round) {
 	s.coordinator.ReceiveVote("a", s.voteOf("a", round), leaderEpoch, window, s.labels)
 	for _, label := range s.labels[1:] {
 		s.schedule(60, func() {
@@ -159,10 +159,10 @@
 
 // voteOf is a controller's vote. Revisions in votes are one more than here, since an empty
 // mirror votes with revision 1.
-func (s *cancelling) voteOf(label string, round Round) Vote {
+func (s *cancellationSimulation) voteOf(label string, round Round) Vote {
 	controller := s.controllers[label]
 	vote := permittingVote(round.Number, controller.mirrorRevision+1)
-	vote.StoreDown = !s.served(label)
+	vote.StoreDown = !s.isServed(label)
 	vote.CancelledSince, vote.Cancelled = controller.log.Since(max(round.CancelledSince, 1) - 1)
 	vote.CancelledSince++
 	return vote
@@ -170,7 +170,7 @@
 
 // checkServing fails if a controller serves and does not know of a cancellation that a user
 // was told of more than a window ago. It returns how many controllers serve.
-func (s *cancelling) checkServing() (serving int) {
+func (s *cancellationSimulation) checkServing() (serving int) {
 	for _, label := range s.labels {
 		if !s.mayServe(label) {
 			continue
@@ -187,7 +187,7 @@
 	return serving
 }
 
-func (s *cancelling) knows(label, job string) bool {
+func (s *cancellationSimulation) knows(label, job string) bool {
 	controller := s.controllers[label]
 	return controller.learned[job] || slices.Contains(s.jobs[:controller.mirrorRevision], job)
 }
@@ -195,7 +195,7 @@
 func TestAcknowledgedCancellationIsKnownToWhoeverServes(t *testing.T) {
 	servingSteps := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := newCancelling(t)
+		s := newCancellationSimulation(t)
 		for ; s.now < outageEnds; s.now += 20 * time.Millisecond {
 			s.step()
 			servingSteps += s.checkServing()
--- a/internal/degraded/degraded_test.go
+++ b/internal/degraded/degraded_test.go
@@ -38,9 +38,9 @@
 	return Vote{Round: round, Epoch: leaderEpoch, StoreDown: true, MirrorRevision: mirrorRevision, IncludesMirror: true}
 }
 
-// playRounds plays so many rounds among the leader, one voter, and a third controller whose
+// runRounds plays so many rounds among the leader, one voter, and a third controller whose
 // votes are given.
-func playRounds(rounds int, thirdVote func(round uint64) Vote) (coordinator Coordinator, voter Voter) {
+func runRounds(rounds int, thirdVote func(round uint64) Vote) (coordinator Coordinator, voter Voter) {
 	labels := controllerLabels[:3]
 	for now := time.Duration(0); rounds > 0; now += interval {
 		round, due := coordinator.NextRound(now, interval, window)
@@ -57,7 +57,7 @@
 }
 
 func TestServingContinuesWhenAllVotesAgree(t *testing.T) {
-	coordinator, voter := playRounds(4, func(round uint64) Vote { return permittingVote(round, 50) })
+	coordinator, voter := runRounds(4, func(round uint64) Vote { return permittingVote(round, 50) })
 	if got, want := coordinator.MayServeUntil(), 300*time.Millisecond+window; got != want {
 		t.Errorf("the leader may serve until %v, not %v", got, want)
 	}
@@ -80,7 +80,7 @@
 		{"it lists its own writes alone", func(v *Vote) { v.IncludesMirror = false }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			coordinator, voter := playRounds(4, func(round uint64) Vote {
+			coordinator, voter := runRounds(4, func(round uint64) Vote {
 				vote := permittingVote(round, 50)
 				test.change(&vote)
 				return vote
@@ -104,7 +104,7 @@
 }
 
 func TestCancellationsArePassedOn(t *testing.T) {
-	coordinator, _ := playRounds(3, func(round uint64) Vote {
+	coordinator, _ := runRounds(3, func(round uint64) Vote {
 		vote := permittingVote(round, 50)
 		vote.CancelledSince, vote.Cancelled = 40, []string{"job-2", "job-1", "job-2"}
 		return vote
--- a/internal/degraded/takeover_test.go
+++ b/internal/degraded/takeover_test.go
@@ -8,19 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// takeover plays the argument "why no machine is served by two owners" of the package
+// takeoverSimulation plays the argument "why no machine is served by two owners" of the package
 // comment: controllers enter a later epoch at any moment, while messages are late or lost.
-type takeover struct {
+type takeoverSimulation struct {
 	t           *rapid.T
 	labels      []string
-	enters      map[string]time.Duration // when each controller enters the later epoch
+	entersAt    map[string]time.Duration // when each controller enters the later epoch
 	coordinator Coordinator
 	voters      map[string]*Voter
-	network     []packet
+	network     []message
 }
 
-// packet is a round on its way to a voter or, if from is set, a vote on its way back.
-type packet struct {
+// message is a round on its way to a voter or, if from is set, a vote on its way back.
+type message struct {
 	arrives time.Duration
 	to      string
 	round   Round
@@ -28,17 +28,17 @@
 	vote    Vote
 }
 
-func (p *packet) equal(q *packet) bool {
+func (p *message) equal(q *message) bool {
 	return p.arrives == q.arrives && p.to == q.to && p.round.Number == q.round.Number &&
 		p.from == q.from && p.vote.Round == q.vote.Round
 }
 
-func newTakeover(t *rapid.T) *takeover {
-	s := &takeover{t: t, labels: drawLabels(t), enters: map[string]time.Duration{}, voters: map[string]*Voter{}}
+func newTakeoverSimulation(t *rapid.T) *takeoverSimulation {
+	s := &takeoverSimulation{t: t, labels: drawLabels(t), entersAt: map[string]time.Duration{}, voters: map[string]*Voter{}}
 	for _, label := range s.labels {
-		s.enters[label] = time.Hour // never, within the test
+		s.entersAt[label] = time.Hour // never, within the test
 		if rapid.IntRange(0, 2).Draw(t, "enters") == 1 {
-			s.enters[label] = s.drawDelay("at", 4000)
+			s.entersAt[label] = s.drawDelay("at", 4000)
 		}
 	}
 	for _, label := range s.labels[1:] {
@@ -47,43 +47,43 @@
 	return s
 }
 
-func (s *takeover) drawDelay(what string, mostMillis int) time.Duration {
+func (s *takeoverSimulation) drawDelay(what string, mostMillis int) time.Duration {
 	return time.Duration(rapid.IntRange(0, mostMillis).Draw(s.t, what)) * time.Millisecond
 }
 
-func (s *takeover) drawLost() bool { return rapid.IntRange(0, 19).Draw(s.t, "lost") == 7 }
+func (s *takeoverSimulation) drawLost() bool { return rapid.IntRange(0, 19).Draw(s.t, "lost") == 7 }
 
-func (s *takeover) voteOf(label string, now time.Duration, round uint64) Vote {
+func (s *takeoverSimulation) voteOf(label string, now time.Duration, round uint64) Vote {
 	vote := permittingVote(round, 40)
-	if now >= s.enters[label] {
+	if now >= s.entersAt[label] {
 		vote.Epoch = laterEpoch
 	}
 	return vote
 }
 
-func (s *takeover) step(now time.Duration) {
+func (s *takeoverSimulation) step(now time.Duration) {
 	if round, due := s.coordinator.NextRound(now, interval, window); due {
 		s.openRound(now, round)
 	}
 	for _, p := range slices.Clone(s.network) {
 		if p.arrives <= now {
-			s.network = slices.DeleteFunc(s.network, func(q packet) bool { return q.equal(&p) })
+			s.network = slices.DeleteFunc(s.network, func(q message) bool { return q.equal(&p) })
 			s.deliver(now, &p)
 		}
 	}
 }
 
-func (s *takeover) openRound(now time.Duration, round Round) {
+func (s *takeoverSimulation) openRound(now time.Duration, round Round) {
 	leader := s.labels[0]
 	s.coordinator.ReceiveVote(leader, s.voteOf(leader, now, round.Number), leaderEpoch, window, s.labels)
 	for _, label := range s.labels[1:] {
 		if !s.drawLost() {
-			s.network = append(s.network, packet{arrives: now + s.drawDelay("there", 1600), to: label, round: round})
+			s.network = append(s.network, message{arrives: now + s.drawDelay("there", 1600), to: label, round: round})
 		}
 	}
 }
 
-func (s *takeover) deliver(now time.Duration, p *packet) {
+func (s *takeoverSimulation) deliver(now time.Duration, p *message) {
 	if p.from != "" {
 		s.coordinator.ReceiveVote(p.from, p.vote, leaderEpoch, window, s.labels)
 		return
@@ -91,14 +91,14 @@
 	s.voters[p.to].HandleRound(now, window, p.round)
 	if !s.drawLost() {
 		vote := s.voteOf(p.to, now, p.round.Number)
-		s.network = append(s.network, packet{arrives: now + s.drawDelay("back", 300), from: p.to, vote: vote})
+		s.network = append(s.network, message{arrives: now + s.drawDelay("back", 300), from: p.to, vote: vote})
 	}
 }
 
 // firstEntry is when the first controller enters the later epoch.
-func (s *takeover) firstEntry() time.Duration {
-	first := s.enters[s.labels[0]]
-	for _, entered := range s.enters {
+func (s *takeoverSimulation) firstEntry() time.Duration {
+	first := s.entersAt[s.labels[0]]
+	for _, entered := range s.entersAt {
 		first = min(first, entered)
 	}
 	return first
@@ -106,7 +106,7 @@
 
 func TestNoControllerServesPastANewOwnersWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newTakeover(t)
+		s := newTakeoverSimulation(t)
 		for now := time.Duration(0); now < 6*time.Second; now += 10 * time.Millisecond {
 			s.step(now)
 		}
--- a/internal/engine/clients_test.go
+++ b/internal/engine/clients_test.go
@@ -52,7 +52,7 @@
 
 // Each call to the outside goes to the client that can answer it, and its result is the
 // command that answers it. All other effects are no such calls.
-func TestCallOfEachEffect(t *testing.T) {
+func TestEachOutsideCallGoesToItsClient(t *testing.T) {
 	clients := Clients{Store: fakeClients{}, Cloud: fakeClients{}, Workers: fakeClients{}}
 	for _, test := range []struct {
 		effect core.Effect
--- a/internal/engine/outcomes.go
+++ b/internal/engine/outcomes.go
@@ -7,13 +7,13 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// NoAnswer is the status of a call that got no whole answer.
-const NoAnswer = rpc.NoAnswer
+// NoResponse is the status of a call that got no whole answer.
+const NoResponse = rpc.NoAnswer
 
 // CommitOutcome decodes the state service's answer to a transaction.
 func CommitOutcome(status int) core.CommitOutcome {
 	switch status {
-	case NoAnswer:
+	case NoResponse:
 		return core.CommitUnknown
 	case fasthttp.StatusOK:
 		return core.Committed
@@ -31,7 +31,7 @@
 // LeaseOutcome decodes the state service's answer to a request or a renewal of a lease.
 func LeaseOutcome(status int) core.LeaseOutcome {
 	switch status {
-	case NoAnswer:
+	case NoResponse:
 		return core.LeaseUnknown
 	case fasthttp.StatusOK:
 		return core.LeaseGranted
@@ -45,7 +45,7 @@
 // WatchOutcome decodes the state service's answer to a watch or a barrier.
 func WatchOutcome(status int) core.WatchOutcome {
 	switch status {
-	case NoAnswer:
+	case NoResponse:
 		return core.WatchUnknown
 	case fasthttp.StatusOK:
 		return core.WatchServed
@@ -61,7 +61,7 @@
 // DirectOutcome decodes a worker's answer to direct commands.
 func DirectOutcome(status int) core.DirectOutcome {
 	switch status {
-	case NoAnswer:
+	case NoResponse:
 		return core.DirectUnknown
 	case fasthttp.StatusOK:
 		return core.DirectExecuted
@@ -75,7 +75,7 @@
 // CloudOutcome decodes the cloud's answer to any of its calls.
 func CloudOutcome(status int) core.CloudOutcome {
 	switch status {
-	case NoAnswer:
+	case NoResponse:
 		return core.CloudUnknown
 	case fasthttp.StatusOK:
 		return core.CloudDone
--- a/internal/engine/outcomes_test.go
+++ b/internal/engine/outcomes_test.go
@@ -9,17 +9,17 @@
 // outcomes are what the answers to one kind of call mean: some codes have a meaning of their
 // own, all others share one.
 type outcomes[T comparable] struct {
-	decode func(status int) T
-	own    map[int]T
-	others T
+	decode    func(status int) T
+	byStatus  map[int]T
+	otherwise T
 }
 
 // check decodes every code that can come, and some that should not.
 func (o outcomes[T]) check(t *testing.T) {
 	for status := range 1000 {
-		want, ok := o.own[status]
+		want, ok := o.byStatus[status]
 		if !ok {
-			want = o.others
+			want = o.otherwise
 		}
 		if got := o.decode(status); got != want {
 			t.Errorf("status %d means %v, not %v", status, got, want)
@@ -66,9 +66,9 @@
 }
 
 // The zero value of each outcome is what a command without one stands for.
-func TestNoAnswerIsTheZeroOutcome(t *testing.T) {
-	if CommitOutcome(NoAnswer) != 0 || LeaseOutcome(NoAnswer) != 0 || WatchOutcome(NoAnswer) != 0 ||
-		DirectOutcome(NoAnswer) != 0 || CloudOutcome(NoAnswer) != 0 {
+func TestNoResponseIsTheZeroOutcome(t *testing.T) {
+	if CommitOutcome(NoResponse) != 0 || LeaseOutcome(NoResponse) != 0 || WatchOutcome(NoResponse) != 0 ||
+		DirectOutcome(NoResponse) != 0 || CloudOutcome(NoResponse) != 0 {
 		t.Error("no answer is decoded to something else than the zero value")
 	}
 }
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -56,7 +56,7 @@
 		txn.If = []protocol.Guard{} // the protocol wants a list
 	}
 	result := core.CommitResult{ID: request.ID}
-	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/commit", txn, &result.Answer, c.timeout,
+	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/commit", txn, &result.Response, c.timeout,
 		fasthttp.StatusOK, fasthttp.StatusConflict)
 	result.Outcome = engine.CommitOutcome(status)
 	return result
@@ -86,7 +86,7 @@
 	path := "/follow?Starts=" + url.QueryEscape(core.KeyPrefix) +
 		"&Since=" + strconv.FormatUint(request.Since, 10) +
 		"&HoldMs=" + strconv.FormatInt(request.Hold.Milliseconds(), 10)
-	status := c.get(path, &result.Answer, c.timeout+request.Hold)
+	status := c.get(path, &result.Response, c.timeout+request.Hold)
 	result.Outcome = engine.WatchOutcome(status)
 	return result
 }
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -86,7 +86,7 @@
 			"commit", func(c *Client) any { return c.Commit(core.Commit{ID: 5}) },
 			protocol.TransactionResult{Revision: 9},
 			sent{"POST", "/commit", string(protocol.Encode(protocol.Transaction{If: []protocol.Guard{}}))},
-			core.CommitResult{ID: 5, Outcome: core.Committed, Answer: protocol.TransactionResult{Revision: 9}},
+			core.CommitResult{ID: 5, Outcome: core.Committed, Response: protocol.TransactionResult{Revision: 9}},
 		},
 		{
 			"first page", func(c *Client) any { return c.LoadPage(core.LoadPage{}) },
@@ -101,7 +101,7 @@
 		{
 			"watch", func(c *Client) any { return c.Watch(core.Watch{Since: 8, Hold: 2 * time.Second, Barrier: true}) },
 			events, sent{"GET", "/follow?Starts=c%2F&Since=8&HoldMs=2000", ""},
-			core.WatchResult{Barrier: true, SentAt: now, Outcome: core.WatchServed, Answer: events},
+			core.WatchResult{Barrier: true, SentAt: now, Outcome: core.WatchServed, Response: events},
 		},
 		{
 			"grant lease", func(c *Client) any { return c.RenewLease(core.RenewLease{TTL: 3 * time.Second}) },
--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -157,7 +157,7 @@
 		p99 = max(p99, status.ResponseTimes.P99)
 		for _, m := range status.Machines {
 			machines++
-			if m.Silent {
+			if m.LeaseExpired {
 				silent++
 			}
 		}
--- a/internal/mirror/barrier.go
+++ b/internal/mirror/barrier.go
@@ -9,8 +9,8 @@
 // share the next.
 type barriers struct {
 	pacer    pacer
-	underWay bool            // a barrier waits for its turn, or was sent and its callbacks have not all run
-	sent     []func(ok bool) // served by the barrier that was sent
+	active   bool            // a barrier waits for its turn, or was sent and its callbacks have not all run
+	inFlight []func(ok bool) // served by the barrier that was sent
 	waiting  []func(ok bool) // served by the next one to leave
 }
 
@@ -23,7 +23,7 @@
 		return
 	}
 	m.barriers.waiting = append(m.barriers.waiting, done)
-	if !m.barriers.underWay {
+	if !m.barriers.active {
 		m.startBarrier()
 	}
 }
@@ -33,17 +33,17 @@
 	if len(m.barriers.waiting) == 0 {
 		return
 	}
-	m.barriers.underWay = true
+	m.barriers.active = true
 	m.barriers.pacer.send(m.host, m.options.ReadInterval, m.sendBarrier)
 }
 
 // sendBarrier sends the request. Whoever asked before it leaves is served by it.
 func (m *Mirror) sendBarrier() {
 	if len(m.barriers.waiting) == 0 { // failed meanwhile
-		m.barriers.underWay = false
+		m.barriers.active = false
 		return
 	}
-	m.barriers.sent, m.barriers.waiting = m.barriers.waiting, nil
+	m.barriers.inFlight, m.barriers.waiting = m.barriers.waiting, nil
 	m.host.RequestChanges(m.revision, 0, true)
 }
 
@@ -53,20 +53,20 @@
 // that asks for another one: it started that one before its turn, and the end of the answer
 // started one more, in which those that the first was to serve were lost.
 func (m *Mirror) finishBarrier(ok bool) {
-	served := m.barriers.sent
-	m.barriers.sent = nil
+	served := m.barriers.inFlight
+	m.barriers.inFlight = nil
 	for _, done := range served {
 		done(ok)
 	}
-	m.barriers.underWay = false
+	m.barriers.active = false
 	m.startBarrier()
 }
 
 // failBarriers calls everyone that asked: the replica is no longer complete. The answer to a
 // request that is under way serves nobody then, and the next one waits for it.
 func (m *Mirror) failBarriers() {
-	failed := slices.Concat(m.barriers.sent, m.barriers.waiting)
-	m.barriers.sent, m.barriers.waiting = nil, nil
+	failed := slices.Concat(m.barriers.inFlight, m.barriers.waiting)
+	m.barriers.inFlight, m.barriers.waiting = nil, nil
 	for _, done := range failed {
 		done(false)
 	}
--- a/internal/mirror/barrier_property_test.go
+++ b/internal/mirror/barrier_property_test.go
@@ -25,26 +25,26 @@
 	*harness
 	t *rapid.T
 
-	requestsSeen  int // requests of the harness that the model has looked at
-	barriersSent  int
-	openBarriers  int
-	openWatches   int
-	losses        int // how often the replica had to be loaded anew
-	asked, called int
-	loadSentAt    time.Duration // when the last load began
+	requestsSeen      int // requests of the harness that the model has looked at
+	barriersSent      int
+	openBarriers      int
+	openWatches       int
+	reloads           int // how often the replica had to be loaded anew
+	requested, called int
+	loadSentAt        time.Duration // when the last load began
 }
 
-// ask asks for a barrier; its callback asks for more of them, nested to a depth.
-func (m *barrierModel) ask(nested, depth int) {
-	m.asked++
-	calls, sentBefore, lossesBefore, ready := 0, m.barriersSent, m.losses, m.IsReady()
+// requestBarrier asks for a barrier; its callback asks for more of them, nested to a depth.
+func (m *barrierModel) requestBarrier(nested, depth int) {
+	m.requested++
+	calls, sentBefore, lossesBefore, ready := 0, m.barriersSent, m.reloads, m.IsReady()
 	m.Barrier(func(ok bool) {
 		if calls++; calls > 1 {
 			m.t.Fatalf("a callback is called %d times", calls)
 		}
 		m.called++
-		m.look()
-		if ok && (!ready || m.losses > lossesBefore) {
+		m.observeRequests()
+		if ok && (!ready || m.reloads > lossesBefore) {
 			m.t.Fatal("a callback is served although the replica was loaded anew meanwhile")
 		}
 		if ok && m.barriersSent <= sentBefore {
@@ -52,15 +52,15 @@
 		}
 		if depth > 0 {
 			for range nested {
-				m.ask(nested, depth-1)
+				m.requestBarrier(nested, depth-1)
 			}
 		}
 	})
-	m.look()
+	m.observeRequests()
 }
 
-// look counts the requests that have left since it was called last.
-func (m *barrierModel) look() {
+// observeRequests counts the requests that have left since it was called last.
+func (m *barrierModel) observeRequests() {
 	for ; m.requestsSeen < len(m.changes); m.requestsSeen++ {
 		if request := m.changes[m.requestsSeen]; request.barrier {
 			m.barriersSent++
@@ -83,23 +83,23 @@
 	}
 	wasReady := m.IsReady()
 	if wasReady && outcome == mirror.Compacted && sentAt >= m.loadSentAt {
-		m.losses++
+		m.reloads++
 	}
-	m.HandleChanges(mirror.Changes{Barrier: barrier, SentAt: sentAt, Outcome: outcome, Answer: protocol.WatchResponse{Revision: m.Revision() + 1}})
-	m.look()
+	m.HandleChanges(mirror.Changes{Barrier: barrier, SentAt: sentAt, Outcome: outcome, Response: protocol.WatchResponse{Revision: m.Revision() + 1}})
+	m.observeRequests()
 	m.Maintain()
-	m.look()
+	m.observeRequests()
 }
 
-// page answers a page of a load, if one is asked for.
-func (m *barrierModel) page() {
+// servePage answers a page of a load, if one is asked for.
+func (m *barrierModel) servePage() {
 	if len(m.pages) == 0 || m.IsReady() {
 		return
 	}
 	m.pages, m.loadSentAt = nil, m.now
 	m.HandlePage(mirror.Page{OK: true, SentAt: m.now, Revision: m.Revision() + 1})
 	m.Maintain()
-	m.look()
+	m.observeRequests()
 }
 
 // Whatever is asked for, from callbacks too, answered, refused or compacted in whatever order: every
@@ -109,7 +109,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &barrierModel{harness: newHarness(), t: rt}
 		m.Maintain()
-		m.page()
+		m.servePage()
 		var barrierSentAt, watchSentAt time.Duration
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			if m.openBarriers == 0 {
@@ -122,30 +122,30 @@
 			outcome := rapid.SampledFrom([]mirror.ChangesOutcome{mirror.Served, mirror.Served, mirror.Failed, mirror.Compacted}).Draw(rt, "outcome")
 			switch {
 			case step == "ask":
-				m.ask(0, 0)
+				m.requestBarrier(0, 0)
 			case step == "nested":
-				m.ask(rapid.IntRange(1, 2).Draw(rt, "nested"), rapid.IntRange(1, 2).Draw(rt, "depth"))
+				m.requestBarrier(rapid.IntRange(1, 2).Draw(rt, "nested"), rapid.IntRange(1, 2).Draw(rt, "depth"))
 			case step == "pass":
-				m.pass(time.Duration(rapid.IntRange(0, 300).Draw(rt, "ms")) * time.Millisecond)
-				m.look()
+				m.advance(time.Duration(rapid.IntRange(0, 300).Draw(rt, "ms")) * time.Millisecond)
+				m.observeRequests()
 			case step == "barrier" && m.openBarriers > 0:
 				m.respond(true, outcome, barrierSentAt)
 			case step == "watch" && m.openWatches > 0:
 				m.respond(false, outcome, watchSentAt)
 			case step == "page":
-				m.page()
+				m.servePage()
 			}
 		}
 		for range 100 { // all is answered in the end
-			m.page()
-			m.pass(readInterval)
-			m.look()
+			m.servePage()
+			m.advance(readInterval)
+			m.observeRequests()
 			if m.openBarriers > 0 {
 				m.respond(true, mirror.Served, m.now)
 			}
 		}
-		if m.called != m.asked {
-			rt.Fatalf("%d of %d callbacks were called", m.called, m.asked)
+		if m.called != m.requested {
+			rt.Fatalf("%d of %d callbacks were called", m.called, m.requested)
 		}
 	})
 }
--- a/internal/mirror/load.go
+++ b/internal/mirror/load.go
@@ -22,7 +22,7 @@
 // beginning anew whenever one of its pages is refused.
 func (m *Mirror) HandlePage(page Page) {
 	if !page.OK {
-		m.host.After(m.options.Fresh/retryDivisor, m.requestPage)
+		m.host.After(m.options.MaxStaleness/retryDivisor, m.requestPage)
 		return
 	}
 	if m.load.afterKey == "" {
@@ -47,7 +47,7 @@
 
 func (m *Mirror) finishLoad() {
 	m.load.afterKey = ""
-	m.replica.Settle()
+	m.replica.EndBatch()
 	m.phase = following
 	m.revision, m.freshAt = m.load.revision, m.load.sentAt
 	m.replica.Loaded()
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -28,8 +28,8 @@
 	Put(key string, value protocol.Raw, version uint64) (rememberVersion bool)
 	// Delete takes the deletion of a key.
 	Delete(key string)
-	// Settle follows each batch of Put and Delete; a load is one batch.
-	Settle()
+	// EndBatch follows each batch of Put and Delete; a load is one batch.
+	EndBatch()
 	// Loaded follows the last page of a load.
 	Loaded()
 }
@@ -52,7 +52,7 @@
 
 // Options are the spans that a Mirror keeps to.
 type Options struct {
-	Fresh        time.Duration // how long an answered watch lets the replica count as fresh
+	MaxStaleness time.Duration // how long an answered watch lets the replica count as fresh
 	ReadInterval time.Duration // the shortest time between two barriers, and between two watches
 	PageInterval time.Duration // the shortest time between two pages of a load
 }
@@ -112,7 +112,7 @@
 
 // IsFresh reports whether the replica is young enough to act on.
 func (m *Mirror) IsFresh() bool {
-	return m.IsReady() && m.host.Now()-m.freshAt < m.options.Fresh
+	return m.IsReady() && m.host.Now()-m.freshAt < m.options.MaxStaleness
 }
 
 // FreshAt is when the newest answered watch or barrier left.
@@ -157,7 +157,7 @@
 	}
 	m.watching = true
 	m.watchPacer.send(m.host, m.options.ReadInterval, func() {
-		m.host.RequestChanges(m.revision, m.options.Fresh/watchHoldDivisor, false)
+		m.host.RequestChanges(m.revision, m.options.MaxStaleness/watchHoldDivisor, false)
 	})
 }
 
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -22,13 +22,13 @@
 	now    time.Duration
 	timers []timer
 
-	pages   []string       // keys after which pages were asked for
-	changes []changesAsked // watches and barriers
+	pages   []string         // keys after which pages were asked for
+	changes []changesRequest // watches and barriers
 	logs    []string
 
 	keys    map[string]string
 	resets  int
-	settled int
+	batches int
 	loaded  int
 }
 
@@ -37,7 +37,7 @@
 	run func()
 }
 
-type changesAsked struct {
+type changesRequest struct {
 	since   uint64
 	hold    time.Duration
 	barrier bool
@@ -45,7 +45,7 @@
 
 func newHarness() *harness {
 	h := &harness{keys: map[string]string{}}
-	h.Mirror = mirror.New(h, h, mirror.Options{Fresh: fresh, ReadInterval: readInterval, PageInterval: pageInterval})
+	h.Mirror = mirror.New(h, h, mirror.Options{MaxStaleness: fresh, ReadInterval: readInterval, PageInterval: pageInterval})
 	return h
 }
 
@@ -60,7 +60,7 @@
 func (h *harness) RequestPage(afterKey string) { h.pages = append(h.pages, afterKey) }
 
 func (h *harness) RequestChanges(since uint64, hold time.Duration, barrier bool) {
-	h.changes = append(h.changes, changesAsked{since, hold, barrier})
+	h.changes = append(h.changes, changesRequest{since, hold, barrier})
 }
 
 func (h *harness) Reset() { h.resets++; clear(h.keys) }
@@ -73,12 +73,12 @@
 
 func (h *harness) Delete(key string) { delete(h.keys, key) }
 
-func (h *harness) Settle() { h.settled++ }
+func (h *harness) EndBatch() { h.batches++ }
 
 func (h *harness) Loaded() { h.loaded++ }
 
-// pass lets time pass and runs the timers that are due.
-func (h *harness) pass(span time.Duration) {
+// advance lets time pass and runs the timers that are due.
+func (h *harness) advance(span time.Duration) {
 	end := h.now + span
 	for {
 		next := -1
@@ -105,8 +105,8 @@
 	h.Maintain() // opens the watch
 }
 
-func (h *harness) answer(barrier bool, revision uint64, events ...protocol.WatchEvent) {
-	h.HandleChanges(mirror.Changes{Barrier: barrier, SentAt: h.now, Outcome: mirror.Served, Answer: protocol.WatchResponse{Revision: revision, Events: events}})
+func (h *harness) serveChanges(barrier bool, revision uint64, events ...protocol.WatchEvent) {
+	h.HandleChanges(mirror.Changes{Barrier: barrier, SentAt: h.now, Outcome: mirror.Served, Response: protocol.WatchResponse{Revision: revision, Events: events}})
 }
 
 func item(key, value string, version uint64) protocol.KeyValue {
@@ -124,14 +124,14 @@
 	}
 }
 
-func TestLoadGoesOnAfterARefusedPage(t *testing.T) {
+func TestLoadResumesAfterFailedPage(t *testing.T) {
 	h := newHarness()
 	h.Maintain()
 	h.Maintain() // a load is under way: nothing more is asked
 	h.HandlePage(mirror.Page{OK: true, Items: []protocol.KeyValue{item("a", "1", 3), item("b", "1", 4)}, More: true, Revision: 5})
 	h.HandlePage(mirror.Page{})
 	requireEqual(t, "ready after half a load", h.IsReady(), false)
-	h.pass(fresh)
+	h.advance(fresh)
 	h.HandlePage(mirror.Page{OK: true, Items: []protocol.KeyValue{item("c", "1", 7)}, Revision: 8})
 	if want := []string{"", "b", "b"}; !slices.Equal(h.pages, want) {
 		t.Fatalf("pages after %q, want %q", h.pages, want)
@@ -146,22 +146,22 @@
 	}
 }
 
-func TestNoKeyStepsBack(t *testing.T) {
+func TestNoKeyRevertsToAnOlderVersion(t *testing.T) {
 	h := newHarness()
 	h.load(5, item("a", "new", 9)) // a later page brought what came after the first
-	h.answer(false, 10, put("a", "old", 6), put("b", "1", 7), protocol.WatchEvent{Delete: "a", Version: 8})
+	h.serveChanges(false, 10, put("a", "old", 6), put("b", "1", 7), protocol.WatchEvent{Delete: "a", Version: 8})
 	requireEqual(t, "a", h.keys["a"], "new")
-	h.answer(true, 7, put("b", "older", 6)) // a barrier that a watch has overtaken
+	h.serveChanges(true, 7, put("b", "older", 6)) // a barrier that a watch has overtaken
 	requireEqual(t, "b", h.keys["b"], "1")
 	requireEqual(t, "revision", h.Revision(), 10)
 	requireEqual(t, "guard", h.Guard("a"), protocol.Guard{Key: "a", Version: 9})
 	requireEqual(t, "version of a missing key", h.Version("x"), 0)
-	h.answer(false, 11, protocol.WatchEvent{Delete: "a", Version: 11}, put("own/x", "1", 11))
+	h.serveChanges(false, 11, protocol.WatchEvent{Delete: "a", Version: 11}, put("own/x", "1", 11))
 	requireEqual(t, "version of a deleted key", h.Version("a"), 0)
 	requireEqual(t, "version that the replica keeps", h.Version("own/x"), 0)
 }
 
-func TestMirrorTooFarBehindLoadsAnew(t *testing.T) {
+func TestMirrorReloadsAfterCompaction(t *testing.T) {
 	h := newHarness()
 	h.load(5, item("a", "1", 3))
 	h.HandleChanges(mirror.Changes{Outcome: mirror.Compacted})
@@ -178,7 +178,7 @@
 }
 
 // The watch and a barrier both come too late; one load makes up for it.
-func TestOneLoadFollowsSeveralCompactedAnswers(t *testing.T) {
+func TestSeveralCompactedResponsesCauseOneLoad(t *testing.T) {
 	h := newHarness()
 	h.load(5)
 	h.pages = nil
@@ -189,18 +189,18 @@
 	requireEqual(t, "pages asked for", len(h.pages), 1)
 }
 
-func TestFreshnessEndsWithoutAnswers(t *testing.T) {
+func TestFreshnessExpiresWithoutResponses(t *testing.T) {
 	h := newHarness()
 	h.load(5)
-	h.pass(fresh - 1)
+	h.advance(fresh - 1)
 	requireEqual(t, "fresh", h.IsFresh(), true)
 	h.HandleChanges(mirror.Changes{SentAt: h.now})
-	h.pass(1)
+	h.advance(1)
 	requireEqual(t, "fresh after a failed watch", h.IsFresh(), false)
 	requireEqual(t, "ready all the same", h.IsReady(), true)
 	requireEqual(t, "unavailable", h.IsUnavailable(), true)
 	h.HandleChanges(mirror.Changes{}) // is logged once
-	h.answer(false, 6)
+	h.serveChanges(false, 6)
 	requireEqual(t, "fresh again", h.IsFresh(), true)
 	if want := []string{"state service does not answer", "state service is back"}; !slices.Equal(h.logs, want) {
 		t.Fatalf("logs %q, want %q", h.logs, want)
@@ -214,24 +214,24 @@
 		h.Maintain()
 	}
 	requireEqual(t, "watches", len(h.changes), 1)
-	requireEqual(t, "watch", h.changes[0], changesAsked{since: 5, hold: fresh / 8})
+	requireEqual(t, "watch", h.changes[0], changesRequest{since: 5, hold: fresh / 8})
 	for revision := range uint64(10) { // answered at once, each time
-		h.answer(false, 6+revision)
+		h.serveChanges(false, 6+revision)
 		h.Maintain()
 	}
 	requireEqual(t, "watches within an interval", len(h.changes), 1)
-	h.pass(readInterval)
+	h.advance(readInterval)
 	requireEqual(t, "watches after it", len(h.changes), 2)
 	requireEqual(t, "watch", h.changes[1].since, 15)
 }
 
-func TestFailedWatchIsRepeatedAfterAPause(t *testing.T) {
+func TestFailedWatchIsRetriedAfterDelay(t *testing.T) {
 	h := newHarness()
 	h.load(5)
 	h.HandleChanges(mirror.Changes{})
 	h.Maintain()
 	requireEqual(t, "watches", len(h.changes), 1)
-	h.pass(fresh)
+	h.advance(fresh)
 	requireEqual(t, "watches after the pause", len(h.changes), 2)
 }
 
@@ -251,20 +251,20 @@
 	ask("b") // while a's is on its way
 	ask("c")
 	requireEqual(t, "barriers", len(h.changes), 1)
-	h.answer(true, 6)
+	h.serveChanges(true, 6)
 	if want := []string{"a"}; !slices.Equal(served, want) {
 		t.Fatalf("served %q, want %q: who asked later needs a later barrier", served, want)
 	}
 	ask("d") // before the next one leaves
-	h.pass(readInterval)
+	h.advance(readInterval)
 	requireEqual(t, "barriers", len(h.changes), 2)
-	h.answer(true, 6)
+	h.serveChanges(true, 6)
 	if want := []string{"a", "b", "c", "d"}; !slices.Equal(served, want) {
 		t.Fatalf("served %q, want %q", served, want)
 	}
 }
 
-func TestFailedBarrierSaysSo(t *testing.T) {
+func TestFailedBarrierReportsFailure(t *testing.T) {
 	h := newHarness()
 	h.load(5)
 	called, served := false, true
@@ -274,23 +274,23 @@
 	requireEqual(t, "served", served, false)
 }
 
-func TestUndecidedOutcomeIsLookedAtAfterAPause(t *testing.T) {
+func TestUndecidedOutcomeIsReadAfterDelay(t *testing.T) {
 	h := newHarness()
 	h.load(5)
 	h.changes = nil
 	h.AwaitOutcome(false, time.Second, func() {})
 	requireEqual(t, "barriers", len(h.changes), 0)
-	h.pass(time.Second)
+	h.advance(time.Second)
 	requireEqual(t, "barriers after the pause", len(h.changes), 1)
-	h.answer(true, 6)
-	h.pass(time.Second)
+	h.serveChanges(true, 6)
+	h.advance(time.Second)
 	h.AwaitOutcome(true, time.Second, func() {})
 	requireEqual(t, "barriers", len(h.changes), 2)
 }
 
 // Callbacks of a barrier that ask for another one, while a third waits. Each is served, by one
 // barrier at a time, however long the answers take.
-func TestBarrierAskedForByACallbackIsServed(t *testing.T) {
+func TestBarrierRequestedByCallbackIsServed(t *testing.T) {
 	h := newHarness()
 	h.load(5)
 	h.changes = nil
@@ -299,14 +299,14 @@
 		h.Barrier(func(bool) { h.Barrier(func(bool) { served++ }) })
 	}
 	for range 4 {
-		h.pass(3 * readInterval)
+		h.advance(3 * readInterval)
 		asked := len(h.changes)
 		if asked > 1 {
 			t.Fatalf("%d barriers are under way", asked)
 		}
 		h.changes = nil
 		if asked == 1 {
-			h.answer(true, 6)
+			h.serveChanges(true, 6)
 		}
 	}
 	requireEqual(t, "served", served, 3)
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -18,11 +18,11 @@
 
 // Changes answers RequestChanges.
 type Changes struct {
-	Barrier bool
-	SentAt  time.Duration // when the request left
-	Outcome ChangesOutcome
-	Failure string // names the outcome in the log if it is Failed
-	Answer  protocol.WatchResponse
+	Barrier  bool
+	SentAt   time.Duration // when the request left
+	Outcome  ChangesOutcome
+	Failure  string // names the outcome in the log if it is Failed
+	Response protocol.WatchResponse
 }
 
 // HandleChanges takes the answer to a watch or a barrier.
@@ -34,18 +34,18 @@
 	case Served:
 		m.applyChanges(&changes)
 	case Compacted:
-		m.fallBehind(&changes)
+		m.handleCompaction(&changes)
 	default:
-		m.changesFailed(&changes)
+		m.handleFailure(&changes)
 	}
 	if changes.Barrier {
 		m.finishBarrier(changes.Outcome == Served && m.IsReady())
 	}
 }
 
-// fallBehind has the replica loaded anew, unless that is under way already, or was done after the
+// handleCompaction has the replica loaded anew, unless that is under way already, or was done after the
 // request left.
-func (m *Mirror) fallBehind(changes *Changes) {
+func (m *Mirror) handleCompaction(changes *Changes) {
 	if m.phase != following || changes.SentAt < m.load.sentAt {
 		return
 	}
@@ -61,7 +61,7 @@
 	if !m.IsReady() {
 		return // a load is under way, and the watch after it brings these changes again
 	}
-	for _, event := range changes.Answer.Events {
+	for _, event := range changes.Response.Events {
 		// A watch and a barrier overlap: what an earlier answer brought is not taken
 		// again, or the replica would step back.
 		if event.Version <= m.revision {
@@ -73,12 +73,12 @@
 			m.remove(event.Delete, event.Version)
 		}
 	}
-	m.replica.Settle()
-	m.revision = max(m.revision, changes.Answer.Revision)
+	m.replica.EndBatch()
+	m.revision = max(m.revision, changes.Response.Revision)
 	m.freshAt = max(m.freshAt, changes.SentAt)
 }
 
-func (m *Mirror) changesFailed(changes *Changes) {
+func (m *Mirror) handleFailure(changes *Changes) {
 	if !m.unavailable {
 		m.unavailable = true
 		m.host.Info("state service does not answer", "outcome", changes.Failure)
@@ -87,7 +87,7 @@
 		return
 	}
 	m.watching = true // until the pause is over
-	m.host.After(m.options.Fresh/retryDivisor, func() {
+	m.host.After(m.options.MaxStaleness/retryDivisor, func() {
 		m.watching = false
 		m.Maintain()
 	})
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -189,7 +189,7 @@
 	if outcome != core.CloudDone {
 		return core.MachineTypesResult{Outcome: outcome}
 	}
-	return core.MachineTypesResult{Outcome: core.CloudDone, Answer: protocol.MachineTypes{Types: c.types}}
+	return core.MachineTypesResult{Outcome: core.CloudDone, Response: protocol.MachineTypes{Types: c.types}}
 }
 
 // list gives a page of the machines, those with names after the given one, as they were a
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -93,7 +93,7 @@
 	callFrom(n, endpointStore, serviceTimeout, func(reply func(core.CommitResult)) {
 		outcome, answer := n.cluster.Store.Commit(n.Label, previousVersion, effect.Txn)
 		if outcome != core.CommitUnknown {
-			reply(core.CommitResult{ID: effect.ID, Outcome: outcome, Answer: answer})
+			reply(core.CommitResult{ID: effect.ID, Outcome: outcome, Response: answer})
 		}
 	}, core.CommitResult{ID: effect.ID})
 }
@@ -109,7 +109,7 @@
 	sentAt := n.clock()
 	callFrom(n, endpointStore, serviceTimeout+effect.Hold, func(reply func(core.WatchResult)) {
 		n.cluster.Store.handleWatch(n.Label, effect, func(outcome core.WatchOutcome, answer protocol.WatchResponse) {
-			reply(core.WatchResult{Barrier: effect.Barrier, SentAt: sentAt, Outcome: outcome, Answer: answer})
+			reply(core.WatchResult{Barrier: effect.Barrier, SentAt: sentAt, Outcome: outcome, Response: answer})
 		})
 	}, core.WatchResult{Barrier: effect.Barrier, SentAt: sentAt})
 }
--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -31,7 +31,7 @@
 		command.Items = previousVersionItems(command)
 		return command
 	case core.WatchResult:
-		command.Answer.Events = previousVersionEvents(command.Answer.Events)
+		command.Response.Events = previousVersionEvents(command.Response.Events)
 		return command
 	}
 	return command
--- a/internal/stepdown/stepdown.go
+++ b/internal/stepdown/stepdown.go
@@ -29,30 +29,30 @@
 	// also bounds how often step-downs happen: see MaxStepDownsPerHour.
 	BaseBackoff time.Duration
 
-	unable       bool          // it leads and can serve nobody
-	unableSince  time.Duration // when unable last changed
-	ableSince    time.Duration // when unable last changed, or when the last back-off ended
-	stepDowns    int           // since it last led well for long
-	backoffUntil time.Duration
+	cannotServe      bool          // it leads and can serve nobody
+	cannotServeSince time.Duration // when unable last changed
+	canServeSince    time.Duration // when unable last changed, or when the last back-off ended
+	stepDowns        int           // since it last led well for long
+	backoffUntil     time.Duration
 }
 
 // ShouldStepDown records whether this leader can serve nobody, and reports whether that has
 // lasted for patience.
 func (t *Tracker) ShouldStepDown(now time.Duration, unable bool, patience time.Duration) bool {
-	if unable != t.unable {
-		t.unable, t.unableSince, t.ableSince = unable, now, now
+	if unable != t.cannotServe {
+		t.cannotServe, t.cannotServeSince, t.canServeSince = unable, now, now
 	}
-	if !unable && now-t.ableSince >= t.maxBackoff() {
+	if !unable && now-t.canServeSince >= t.maxBackoff() {
 		t.stepDowns = 0
 	}
-	return unable && now-t.unableSince >= patience
+	return unable && now-t.cannotServeSince >= patience
 }
 
 // SteppedDown records that the controller has stepped down, which starts its back-off.
 func (t *Tracker) SteppedDown(now time.Duration) {
 	t.backoffUntil = now + t.BaseBackoff<<min(t.stepDowns, maxDoublings)
 	t.stepDowns++
-	t.unable, t.ableSince = false, t.backoffUntil
+	t.cannotServe, t.canServeSince = false, t.backoffUntil
 }
 
 // ShouldAbstain reports whether this controller should leave a vacant lead to others. It
--- a/internal/stepdown/stepdown_test.go
+++ b/internal/stepdown/stepdown_test.go
@@ -7,14 +7,14 @@
 
 const (
 	baseBackoff  = 16 * time.Second
-	patience     = 4 * time.Second
+	gracePeriod  = 4 * time.Second
 	takeoverTime = 4 * time.Second
 	step         = time.Second / 4
 )
 
-// playFlapping plays an hour of a link that changes every period, and counts the step-downs.
+// simulateFlapping plays an hour of a link that changes every period, and counts the step-downs.
 // Whoever takes the lead is as badly off and loses it at once.
-func playFlapping(tracker *Tracker, period time.Duration) (stepDowns int) {
+func simulateFlapping(tracker *Tracker, period time.Duration) (stepDowns int) {
 	leads := true
 	for now := time.Duration(0); now < time.Hour; now += step {
 		if !leads {
@@ -22,7 +22,7 @@
 			continue
 		}
 		unable := now/period%2 == 0
-		if tracker.ShouldStepDown(now, unable, patience) {
+		if tracker.ShouldStepDown(now, unable, gracePeriod) {
 			tracker.SteppedDown(now)
 			stepDowns++
 			leads = false
@@ -43,12 +43,12 @@
 	} {
 		t.Run(test.period.String(), func(t *testing.T) {
 			tracker := &Tracker{BaseBackoff: baseBackoff}
-			stepDowns := playFlapping(tracker, test.period)
+			stepDowns := simulateFlapping(tracker, test.period)
 			if stepDowns > tracker.MaxStepDownsPerHour() || (stepDowns > 0) != test.stepDown {
 				t.Errorf("%d step-downs in an hour, bound %d", stepDowns, tracker.MaxStepDownsPerHour())
 			}
 			checkVacantLeadIsTaken(t, tracker)
-			checkRecordIsCleared(t, tracker)
+			checkBackoffIsReset(t, tracker)
 		})
 	}
 }
@@ -64,12 +64,12 @@
 	}
 }
 
-// checkRecordIsCleared checks that the back-off is the first again after hours of leading well.
-func checkRecordIsCleared(t *testing.T, tracker *Tracker) {
+// checkBackoffIsReset checks that the back-off is the first again after hours of leading well.
+func checkBackoffIsReset(t *testing.T, tracker *Tracker) {
 	t.Helper()
 	const later = 4 * time.Hour
-	tracker.ShouldStepDown(time.Hour, false, patience)
-	tracker.ShouldStepDown(later, false, patience)
+	tracker.ShouldStepDown(time.Hour, false, gracePeriod)
+	tracker.ShouldStepDown(later, false, gracePeriod)
 	tracker.SteppedDown(later)
 	if !tracker.ShouldAbstain(later+baseBackoff-time.Second, true, 0, takeoverTime) {
 		t.Error("it takes the lead back before its back-off is over")
