--- a/internal/kvfile/file_test.go
+++ b/internal/kvfile/file_test.go
@@ -89,7 +89,7 @@
 
 // A file that was changed anywhere is refused, or the change was in a place that holds
 // nothing; in no case does it read as something else. The error leads to the snapshot.
-func TestCorruptionIsDetected(t *testing.T) {
+func TestVerifyDetectsCorruptFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db")
 	// What a crash left of an earlier first start is no trouble.
@@ -107,12 +107,12 @@
 		t.Fatal(err)
 	}
 	mustClose(t, file)
-	sound, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	corruptPath := filepath.Join(dir, "bad.db")
-	verifyCorruptCopies(t, sound, corruptPath, want)
+	verifyCorruptCopies(t, intact, corruptPath, want)
 	// The way back, with the corrupt file kept.
 	if newest, state := NewestValidSnapshot(snapshots); newest != snapshot || dumpState(state) != want {
 		t.Fatalf("newest valid snapshot: %q", newest)
@@ -124,40 +124,40 @@
 }
 
 // verifyCorruptCopies writes corrupt copies of a sound file to a path and verifies them.
-func verifyCorruptCopies(t *testing.T, sound []byte, path, want string) {
+func verifyCorruptCopies(t *testing.T, intact []byte, path, want string) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
 	refused := 0
 	verify := func(content []byte, format string, args ...any) {
 		t.Helper()
-		what := fmt.Sprintf(format, args...)
+		corruption := fmt.Sprintf(format, args...)
 		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		state, err := Verify(path)
 		switch {
 		case err == nil && dumpState(state) != want:
-			t.Fatalf("%s: read as something else", what)
+			t.Fatalf("%s: read as something else", corruption)
 		case err != nil && !errors.Is(err, ErrCorrupt):
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", corruption, err)
 		case err != nil:
 			refused++
 		}
 	}
 	for range 150 {
-		content := slices.Clone(sound)
+		content := slices.Clone(intact)
 		offset := random.IntN(len(content))
 		content[offset] ^= 1 << random.IntN(8)
 		verify(content, "bit flipped at %d", offset)
 	}
 	for range 40 { // a page that was never written, or is another page's
-		content := slices.Clone(sound)
+		content := slices.Clone(intact)
 		page, other := 4096*random.IntN(len(content)/4096), 4096*random.IntN(len(content)/4096)
 		copy(content[page:page+4096], content[other:other+4096])
 		verify(content, "page %d holds %d", page/4096, other/4096)
 	}
-	for _, n := range []int{0, 1, 4095, 4096, 9000, len(sound) / 2} {
-		verify(sound[:n], "cut to %d bytes", n)
+	for _, n := range []int{0, 1, 4095, 4096, 9000, len(intact) / 2} {
+		verify(intact[:n], "cut to %d bytes", n)
 	}
 	if refused < 10 {
 		t.Fatalf("only %d of the corrupt files were refused", refused)
@@ -166,7 +166,7 @@
 
 // A snapshot is whole while writes go on, and the file of a service that runs is not
 // replaced under it.
-func TestSnapshotsWhileWriting(t *testing.T) {
+func TestSnapshotsAreConsistentDuringWrites(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db")
 	file, state := mustOpen(t, path)
@@ -176,12 +176,12 @@
 	go func() { stopped <- writePairs(file, state, stop) }()
 	snapshots := filepath.Join(dir, "snaps")
 	for range 5 {
-		_, taken, err := file.TakeSnapshot(snapshots)
+		_, snapshotState, err := file.TakeSnapshot(snapshots)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, _ := taken.Get("a")
-		b, _ := taken.Get("b")
+		a, _ := snapshotState.Get("a")
+		b, _ := snapshotState.Get("b")
 		if string(a.Value) != string(b.Value) {
 			t.Fatalf("half a transaction in a snapshot: %x and %x", a.Value, b.Value)
 		}
--- a/internal/kvfile/golden_test.go
+++ b/internal/kvfile/golden_test.go
@@ -84,31 +84,31 @@
 	return b.String()
 }
 
-// TestGoldenStateFile pins the state file, and so the snapshots, which are copies of it: one
+// TestStateFileMatchesGoldenFile pins the state file, and so the snapshots, which are copies of it: one
 // that an earlier version made is read, and the same changes make the same records.
-func TestGoldenStateFile(t *testing.T) {
+func TestStateFileMatchesGoldenFile(t *testing.T) {
 	golden := filepath.Join(goldenDir, "state.db")
-	text, err := os.ReadFile(filepath.Join(goldenDir, "records.txt"))
+	wantRecords, err := os.ReadFile(filepath.Join(goldenDir, "records.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := dumpRecords(t, golden); got != string(text) {
-		t.Fatalf("the golden file holds\n%snot\n%s", got, text)
+	if got := dumpRecords(t, golden); got != string(wantRecords) {
+		t.Fatalf("the golden file holds\n%snot\n%s", got, wantRecords)
 	}
 	path := filepath.Join(t.TempDir(), "state.db")
 	writeGoldenChanges(t, path)
-	if got := dumpRecords(t, path); got != string(text) {
-		t.Errorf("the file is written in another way\n was\n%s now\n%s", text, got)
+	if got := dumpRecords(t, path); got != string(wantRecords) {
+		t.Errorf("the file is written in another way\n was\n%s now\n%s", wantRecords, got)
 	}
-	old, err := Verify(golden)
+	goldenState, err := Verify(golden)
 	if err != nil {
 		t.Fatalf("the golden file is not read: %v", err)
 	}
-	made, err := Verify(path)
+	newState, err := Verify(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want, got := dumpState(made), dumpState(old); got != want {
+	if want, got := dumpState(newState), dumpState(goldenState); got != want {
 		t.Errorf("the golden file is read as\n%q, not\n%q", got, want)
 	}
 	if name := SnapshotFileName(1234); name != "snapshot-0000000000001234.db" {
--- a/internal/kvfile/snapshots.go
+++ b/internal/kvfile/snapshots.go
@@ -112,7 +112,7 @@
 	}
 	defer removeTemp(temp)
 	if _, err := os.Stat(path); err == nil {
-		if replaced, err = setAside(path); err != nil {
+		if replaced, err = renameReplacedFile(path); err != nil {
 			return "", nil, err
 		}
 	}
@@ -141,16 +141,16 @@
 	return out.Name(), nil
 }
 
-// setAside gives a state file that is not in use another name and returns that.
-func setAside(path string) (string, error) {
+// renameReplacedFile gives a state file that is not in use another name and returns that.
+func renameReplacedFile(path string) (string, error) {
 	// A service that runs would go on with the file it has, whatever its name.
 	if _, err := Verify(path); errors.Is(err, ErrInUse) {
 		return "", err
 	}
 	for i := 1; ; i++ {
-		free := fmt.Sprintf("%s.replaced-%d", path, i)
-		if _, err := os.Lstat(free); errors.Is(err, fs.ErrNotExist) {
-			return free, os.Rename(path, free)
+		replacedPath := fmt.Sprintf("%s.replaced-%d", path, i)
+		if _, err := os.Lstat(replacedPath); errors.Is(err, fs.ErrNotExist) {
+			return replacedPath, os.Rename(path, replacedPath)
 		}
 	}
 }
--- a/internal/kvstore/txn.go
+++ b/internal/kvstore/txn.go
@@ -59,8 +59,8 @@
 	if n := len(t.Then); n > limits.MaxTxnOps {
 		return malformed("%d changes in one transaction, at most %d", n, limits.MaxTxnOps)
 	}
-	if n, most := len(t.If), guardsPerOp*limits.MaxTxnOps; n > most {
-		return malformed("%d conditions in one transaction, at most %d", n, most)
+	if n, maxGuards := len(t.If), guardsPerOp*limits.MaxTxnOps; n > maxGuards {
+		return malformed("%d conditions in one transaction, at most %d", n, maxGuards)
 	}
 	for _, guard := range t.If {
 		if err := validateKey(guard.Key); err != nil {
