--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -15,28 +15,29 @@
 	maxLeaseTTLMillis = 600_000
 )
 
-// ErrLeaseNotFound says that a lease does not exist, or no longer.
+// ErrLeaseNotFound is returned for a lease that was never granted or that has ended.
 var ErrLeaseNotFound = errors.New("no such lease")
 
-// ErrLeaseTTL says that a time to live is outside the bounds. LifeMs is the protocol's
-// name for it.
+// ErrLeaseTTL is returned for a time to live that is out of bounds. LifeMs is the name of
+// that field in the protocol.
 var ErrLeaseTTL = fmt.Errorf("LifeMs must be from %d to %d", minLeaseTTLMillis, maxLeaseTTLMillis)
 
-// EntryWrite is an entry that must become durable with a batch.
+// EntryWrite is a change to one key that must become durable with its batch.
 type EntryWrite struct {
 	Key    string
-	Entry  Entry // of a put
+	Entry  Entry // the new entry, unless Delete is set
 	Delete bool
 }
 
-// LeaseWrite is a granted lease or, with a time to live of 0, one that has ended.
+// LeaseWrite is a change to one lease that must become durable with its batch: the lease
+// was granted or, if the time to live is 0, has ended.
 type LeaseWrite struct {
 	ID        uint64
 	TTLMillis int64
 }
 
-// Batch applies changes one after another to a copy of a State, each to what the ones
-// before it have made. One goroutine may use it.
+// Batch applies changes to a copy of a State, one after another. Each change sees the
+// effects of those before it. A Batch must not be used by several goroutines at once.
 type Batch struct {
 	base        *State
 	entries     *iradix.Txn[Entry]
@@ -46,12 +47,13 @@
 	lastLeaseID uint64
 	events      []protocol.WatchEvent
 
-	// EntryWrites and LeaseWrites are what must become durable, in order.
+	// EntryWrites and LeaseWrites are the changes that must become durable, in the order
+	// in which they were made.
 	EntryWrites []EntryWrite
 	LeaseWrites []LeaseWrite
 }
 
-// Begin starts a batch on a state.
+// Begin returns an empty batch that starts from the state.
 func (s *State) Begin() *Batch {
 	return &Batch{
 		base:        s,
@@ -63,26 +65,26 @@
 	}
 }
 
-// IsEmpty reports whether nothing needs to be written.
+// IsEmpty reports whether the batch has nothing that must become durable.
 func (b *Batch) IsEmpty() bool {
 	return len(b.EntryWrites) == 0 && len(b.LeaseWrites) == 0 && b.revision == b.base.Revision
 }
 
-// Events are the events of the batch.
+// Events returns the watch events of the batch's changes, oldest first.
 func (b *Batch) Events() []protocol.WatchEvent { return b.events }
 
-// TxnResult is what became of a transaction.
+// TxnResult is the outcome of a transaction.
 type TxnResult struct {
-	FailedKeys []string // of conditions that did not hold; none: it is committed
-	Revision   uint64   // the store's revision after it
+	FailedKeys []string // keys whose guards did not hold; empty if the transaction committed
+	Revision   uint64   // the store's revision after the transaction
 }
 
-// Committed reports whether the changes of the transaction were made.
+// Committed reports whether all guards held and the changes were made.
 func (r TxnResult) Committed() bool { return len(r.FailedKeys) == 0 }
 
-// Commit applies a transaction that Validate has found well formed. It returns
-// ErrLeaseNotFound, and changes nothing, if a key is attached to a lease that does not
-// exist.
+// Commit applies a transaction that has passed Validate. If a guard does not hold, it
+// changes nothing and reports the failed keys in the result. If a put attaches a key to a
+// lease that does not exist, it changes nothing and returns ErrLeaseNotFound.
 func (b *Batch) Commit(txn *Txn) (TxnResult, error) {
 	for i := range txn.Then {
 		if err := b.checkLease(&txn.Then[i]); err != nil {
@@ -100,7 +102,8 @@
 			b.remove(op.Delete)
 			continue
 		}
-		// The value is copied, for it may lie in the buffer of a request.
+		// The value may point into a request's buffer, which is reused after the request, so
+		// it is copied.
 		value := append(protocol.Raw(nil), op.Value...)
 		b.put(op.Put, Entry{Value: value, Version: b.revision, LeaseID: op.LeaseID})
 	}
@@ -117,8 +120,8 @@
 	return nil
 }
 
-// failedGuards are the keys of the conditions that do not hold. A key that does not exist
-// has version 0.
+// failedGuards returns the keys whose guards do not hold. A key that does not exist has
+// version 0.
 func (b *Batch) failedGuards(guards []protocol.Guard) []string {
 	var failed []string
 	for _, guard := range guards {
@@ -153,7 +156,8 @@
 	b.events = append(b.events, protocol.WatchEvent{Delete: key, Version: b.revision})
 }
 
-// GrantLease begins a lease and returns its number, or ErrLeaseTTL.
+// GrantLease grants a lease and returns its ID. It returns ErrLeaseTTL if the time to live
+// is out of bounds.
 func (b *Batch) GrantLease(ttlMillis int64) (uint64, error) {
 	if ttlMillis < minLeaseTTLMillis || ttlMillis > maxLeaseTTLMillis {
 		return 0, ErrLeaseTTL
@@ -164,11 +168,12 @@
 	return b.lastLeaseID, nil
 }
 
-// LeaseTTL is a lease's time to live in milliseconds; false if there is no such lease.
+// LeaseTTL returns a lease's time to live in milliseconds, and false if the lease does not
+// exist.
 func (b *Batch) LeaseTTL(leaseID uint64) (int64, bool) { return b.leaseTTLs.Get(leaseKey(leaseID)) }
 
-// RevokeLease ends a lease and removes its keys, all with one revision. It returns
-// ErrLeaseNotFound if there is no such lease.
+// RevokeLease ends a lease and deletes the keys that are attached to it, all in one
+// revision. It returns ErrLeaseNotFound if the lease does not exist.
 func (b *Batch) RevokeLease(leaseID uint64) error {
 	if _, existed := b.leaseTTLs.Delete(leaseKey(leaseID)); !existed {
 		return ErrLeaseNotFound
@@ -193,10 +198,11 @@
 	return keys
 }
 
-// Next is the state after the batch. The base stays as it was.
+// Next returns the state after the batch. The base state does not change.
 //
-// Of several batches on one base, only the last one's Next may be used: they share the
-// memory behind the base's events.
+// If several batches were started from one base, only the state that the latest call of
+// Next returned may be used: each call appends its events to the same backing array of the
+// base's events and overwrites those of the call before.
 func (b *Batch) Next() *State {
 	next := &State{
 		Revision:        b.revision,
@@ -206,15 +212,16 @@
 		attachments:     b.attachments.Commit(),
 		compactRevision: b.base.compactRevision,
 	}
-	// The owner makes one state after another, so what lies behind the end of the base's
-	// events is nobody's: those of a batch that was given up are written over.
+	// The store's owner derives states one after another, so no state in use refers to the
+	// backing array beyond the end of the base's events. This append may overwrite events
+	// of an abandoned batch there.
 	next.events = append(b.base.events, b.events...)
 	next.compact()
 	return next
 }
 
-// compact forgets the oldest events above the number that is kept. Those of one revision
-// go together: half of them would be a change that no watch may see.
+// compact drops the oldest events in excess of RetainedEvents. It drops all events of a
+// revision or none, because a watch must never receive only a part of a revision's changes.
 func (s *State) compact() {
 	excess := len(s.events) - RetainedEvents
 	if excess <= 0 {
--- a/internal/kvstore/state.go
+++ b/internal/kvstore/state.go
@@ -1,19 +1,22 @@
 // Package kvstore is the state machine of the key-value store: keys with revisions,
 // compare-and-swap transactions, leases with the keys that are attached to them, and the
-// last events for watches, as the PROTOCOL's "Controller nodes -> state service" has them.
+// latest events for watches, as specified in the PROTOCOL's "Controller nodes -> state
+// service".
 //
-// It owns what the store holds and the rules by which that changes. It has no input,
-// output, clock or goroutine: it does not know when a lease expires, whether a change is
-// durable, or who asks. Those are the business of packages kvserver and kvfile.
+// It owns the contents of the store and the rules by which they change. It does no input or
+// output, reads no clock and starts no goroutine: it does not know when a lease expires,
+// whether a change is durable, or which client sent a request. Packages kvserver and kvfile
+// are responsible for those.
 //
 // Invariants:
 //   - A State never changes and may be read by any number of goroutines.
 //   - A Batch starts from one State, applies changes one after another, and holds the next
-//     State and what must be written to disk for it. Whoever owns the store publishes the
-//     next State only once that is durable, and keeps the earlier one if it never is.
-//   - Each change has a revision of its own, one above the last. A lease's end removes all
-//     keys that are attached to it with one revision.
-//   - Events of one revision are kept or forgotten together.
+//     State and the writes that must reach the disk for it. The store's owner publishes the
+//     next State only once these writes are durable, and keeps the earlier State if they
+//     fail.
+//   - Each transaction with changes has a revision of its own, one above the one before. The
+//     end of a lease deletes all keys that are attached to it in one revision.
+//   - Events of one revision are retained or dropped together.
 package kvstore
 
 import (
@@ -30,7 +33,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// RetainedEvents is how many events are kept for watches (PROTOCOL, GET /follow).
+// RetainedEvents is the number of events that are retained for watches (PROTOCOL, GET
+// /follow).
 const RetainedEvents = 10_000
 
 // Bounds of a page of keys (PROTOCOL, GET /store).
@@ -39,52 +43,52 @@
 	maxPageBytes = 512 << 10
 )
 
-// itemOverheadBytes is what an item of a page takes beside its key and value: field names
-// and numbers.
+// itemOverheadBytes is the encoded size of a page's item without its key and value: field
+// names and numbers.
 const itemOverheadBytes = 32
 
-// ErrCompacted says that a watch asked for events from before the ones that are kept: the
-// caller must read the keys again.
-var ErrCompacted = errors.New("the revision is older than the events that are kept")
+// ErrCompacted is returned to a watch that starts from a revision whose later events are no
+// longer all retained. The caller must read the keys again.
+var ErrCompacted = errors.New("the revision is older than the retained events")
 
-// ErrInconsistent says that saved contents contradict themselves.
-var ErrInconsistent = errors.New("the contents are inconsistent")
+// ErrInconsistent is returned for saved contents that contradict themselves.
+var ErrInconsistent = errors.New("the saved contents are inconsistent")
 
-// Entry is what is stored under a key.
+// Entry is a key's value, its version and the lease that it is attached to.
 type Entry struct {
 	Value   protocol.Raw `msgpack:"v"`
-	Version uint64       `msgpack:"r"`           // the revision of its last change
-	LeaseID uint64       `msgpack:"l,omitempty"` // the lease that it is attached to, 0: none
+	Version uint64       `msgpack:"r"`           // revision of the last change to the key
+	LeaseID uint64       `msgpack:"l,omitempty"` // lease that the key is attached to; 0 means none
 }
 
-// EncodeEntry turns an entry into the form in which it is saved.
+// EncodeEntry encodes an entry for storage.
 func EncodeEntry(entry Entry) []byte { return protocol.Encode(entry) }
 
-// DecodeEntry reads what EncodeEntry made.
+// DecodeEntry decodes the output of EncodeEntry.
 func DecodeEntry(encoded []byte) (entry Entry, err error) {
 	err = msgpack.Unmarshal(encoded, &entry)
 	return entry, err
 }
 
-// State is the store at one revision. It is immutable.
+// State is the contents of the store at one revision. It is immutable.
 type State struct {
 	Revision    uint64
-	LastLeaseID uint64 // leases are numbered from 1
+	LastLeaseID uint64 // the ID granted last; IDs start at 1
 	entries     *iradix.Tree[Entry]
 	leaseTTLs   *iradix.Tree[int64]    // milliseconds, by leaseKey
 	attachments *iradix.Tree[struct{}] // by attachmentKey
-	events      []protocol.WatchEvent  // the last ones, oldest first
+	events      []protocol.WatchEvent  // the retained events, oldest first
 	// compactRevision is the oldest revision that a watch can start from: all events after
-	// it are kept.
+	// it are retained.
 	compactRevision uint64
 }
 
-// NewState is the store before its first change.
+// NewState returns an empty store at revision 0.
 func NewState() *State {
 	return &State{entries: iradix.New[Entry](), leaseTTLs: iradix.New[int64](), attachments: iradix.New[struct{}]()}
 }
 
-// Contents are all that a State holds, as it is saved.
+// Contents is everything that a State holds, in the form in which it is saved.
 type Contents struct {
 	Revision        uint64
 	LastLeaseID     uint64
@@ -94,8 +98,8 @@
 	Events          []protocol.WatchEvent // oldest first
 }
 
-// Restore makes a State of saved contents. The error wraps ErrInconsistent if no sequence
-// of changes could have led to them.
+// Restore creates a State from saved contents, whose events it takes over. The error wraps
+// ErrInconsistent if no sequence of changes could have produced the contents.
 func Restore(contents Contents) (*State, error) {
 	leaseTTLs, err := restoreLeases(&contents)
 	if err != nil {
@@ -123,7 +127,7 @@
 	leaseTTLs := iradix.New[int64]().Txn()
 	for id, ttl := range contents.LeaseTTLs {
 		if id == 0 || id > contents.LastLeaseID {
-			return nil, fmt.Errorf("%w: lease %d is beyond the last one, %d", ErrInconsistent, id, contents.LastLeaseID)
+			return nil, fmt.Errorf("%w: lease ID %d is not between 1 and %d", ErrInconsistent, id, contents.LastLeaseID)
 		}
 		leaseTTLs.Insert(leaseKey(id), ttl)
 	}
@@ -134,7 +138,7 @@
 	entries, attachments := iradix.New[Entry]().Txn(), iradix.New[struct{}]().Txn()
 	for key, entry := range contents.Entries {
 		if entry.Version == 0 || entry.Version > contents.Revision {
-			return nil, nil, fmt.Errorf("%w: key %s has version %d, the store has revision %d",
+			return nil, nil, fmt.Errorf("%w: key %s has version %d, want 1 to the store's revision %d",
 				ErrInconsistent, key, entry.Version, contents.Revision)
 		}
 		if entry.LeaseID != 0 {
@@ -149,43 +153,45 @@
 	return entries.Commit(), attachments.Commit(), nil
 }
 
-// checkEvents checks that versions of events rise, from after the compact revision (0
-// stands for a store that has forgotten none) up to the store's revision.
+// checkEvents checks that the events' versions never decrease, are above the compact
+// revision (0 if no events were dropped yet) and are at most the store's revision.
 func checkEvents(contents *Contents) error {
 	previous := uint64(0)
 	for i := range contents.Events {
 		version := contents.Events[i].Version
 		compacted := version != 0 && version <= contents.CompactRevision
 		if compacted || version > contents.Revision || version < previous {
-			return fmt.Errorf("%w: event %d has revision %d out of order", ErrInconsistent, i, version)
+			return fmt.Errorf("%w: event %d has version %d, which is compacted, above the store's revision or below the version of the event before",
+				ErrInconsistent, i, version)
 		}
 		previous = version
 	}
 	return nil
 }
 
-// leaseKey orders leases by their numbers.
+// leaseKey encodes a lease ID so that keys sort by ID.
 func leaseKey(leaseID uint64) []byte { return binary.BigEndian.AppendUint64(nil, leaseID) }
 
 // leaseKeyBytes is the length of a leaseKey.
 const leaseKeyBytes = 8
 
-// attachmentKey puts the keys of a lease behind each other.
+// attachmentKey begins with the lease's key, so that one prefix walk finds all keys that
+// are attached to a lease.
 func attachmentKey(leaseID uint64, key string) []byte { return append(leaseKey(leaseID), key...) }
 
-// Len is how many keys there are.
+// Len returns the number of keys.
 func (s *State) Len() int { return s.entries.Len() }
 
-// CompactRevision is the oldest revision that a watch can start from.
+// CompactRevision returns the oldest revision that a watch can start from.
 func (s *State) CompactRevision() uint64 { return s.compactRevision }
 
-// Events are the events that are kept, oldest first.
+// Events returns the retained events, oldest first. The caller must not change them.
 func (s *State) Events() []protocol.WatchEvent { return s.events }
 
-// Get is the entry of a key.
+// Get returns the entry of a key, and false if the key does not exist.
 func (s *State) Get(key string) (Entry, bool) { return s.entries.Get([]byte(key)) }
 
-// LeaseTTLs are the times to live of all leases, in milliseconds by number.
+// LeaseTTLs returns the times to live of all leases in milliseconds, by lease ID.
 func (s *State) LeaseTTLs() map[uint64]int64 {
 	ttls := map[uint64]int64{}
 	s.leaseTTLs.Root().Walk(func(key []byte, ttl int64) bool {
@@ -195,18 +201,21 @@
 	return ttls
 }
 
-// LeaseTTL is a lease's time to live in milliseconds; false if there is no such lease.
+// LeaseTTL returns a lease's time to live in milliseconds, and false if the lease does not
+// exist.
 func (s *State) LeaseTTL(leaseID uint64) (int64, bool) { return s.leaseTTLs.Get(leaseKey(leaseID)) }
 
-// All gives every key in order.
+// All iterates over all keys and their entries in key order.
 func (s *State) All() iter.Seq2[string, Entry] {
 	return func(yield func(string, Entry) bool) {
 		s.entries.Root().Walk(func(key []byte, entry Entry) bool { return !yield(string(key), entry) })
 	}
 }
 
-// Range is a page of the keys with a prefix, beginning after the key given as after. A
-// limit of 0, or above the most that a page may hold, stands for that.
+// Range returns a page of the keys with a prefix, in order, starting after the key after.
+// A limit that is not positive or is above the maximum number of items per page means that
+// maximum. A page also ends at the maximum size, but holds at least one item if there is
+// one.
 func (s *State) Range(prefix, after string, limit int) protocol.KeyPage {
 	if limit <= 0 || limit > maxPageItems {
 		limit = maxPageItems
@@ -229,7 +238,7 @@
 	}
 }
 
-// firstKey is the least key with a prefix that can follow after another key.
+// firstKey returns the lowest possible key with a prefix that sorts after the key after.
 func firstKey(prefix, after string) string {
 	if after == "" {
 		return prefix
@@ -237,14 +246,15 @@
 	return max(prefix, after+"\x00")
 }
 
-// itemBytes is what an item counts in a page. Sizes count as text, which is at most a
-// quarter longer for the numbers and quotes that the controllers' values have.
+// itemBytes estimates the size of an item in a page. A value counts with the size of its
+// text form, which for the controllers' values is at most a quarter longer than the stored
+// form, because of their numbers and quotes.
 func itemBytes(key []byte, entry Entry) int {
 	return len(key) + len(entry.Value)*5/4 + itemOverheadBytes
 }
 
-// EventsSince is all events with a prefix after a revision. It returns ErrCompacted if not
-// all of them are kept.
+// EventsSince returns all events after a revision that are about keys with a prefix. It
+// returns ErrCompacted if not all events after that revision are retained.
 func (s *State) EventsSince(prefix string, revision uint64) (protocol.WatchResponse, error) {
 	if revision < s.compactRevision {
 		return protocol.WatchResponse{}, ErrCompacted
@@ -260,7 +270,7 @@
 }
 
 // matchesPrefix reports whether an event is about a key with a prefix. One of Put and Delete
-// is empty, and that one must not match an empty prefix.
+// is empty; without the checks for that, it would match an empty prefix.
 func matchesPrefix(event protocol.WatchEvent, prefix string) bool {
 	return event.Put != "" && strings.HasPrefix(event.Put, prefix) ||
 		event.Delete != "" && strings.HasPrefix(event.Delete, prefix)
--- a/internal/kvstore/state_test.go
+++ b/internal/kvstore/state_test.go
@@ -12,7 +12,7 @@
 	return Op{Put: key, Value: protocol.Encode(value), LeaseID: leaseID}
 }
 
-// mustCommit is the state after one transaction.
+// mustCommit returns the state after one transaction with the operations.
 func mustCommit(t *testing.T, state *State, ops ...Op) *State {
 	t.Helper()
 	batch := state.Begin()
@@ -33,7 +33,7 @@
 		page := state.Range("c/", after, 0)
 		for _, item := range page.Items {
 			if item.Key <= after {
-				t.Fatalf("%s after %s", item.Key, after)
+				t.Fatalf("got key %s after key %s, want ascending order", item.Key, after)
 			}
 			after = item.Key
 			seen++
@@ -42,33 +42,35 @@
 			break
 		}
 		if len(page.Items) > 26 {
-			t.Fatalf("a page of %d items is over 512 KiB", len(page.Items))
+			t.Fatalf("page has %d items of 20 KiB, which exceeds the limit of 512 KiB", len(page.Items))
 		}
 	}
 	if seen != 60 {
-		t.Fatalf("%d keys of 60", seen)
+		t.Fatalf("pages held %d keys, want 60", seen)
 	}
 	if page := state.Range("d/", "", 7); len(page.Items) != 7 || !page.More {
-		t.Fatalf("%d items, more %v", len(page.Items), page.More)
+		t.Fatalf("page with limit 7 has %d items, more = %v; want 7 items and more", len(page.Items), page.More)
 	}
 }
 
-// A batch changes neither its base nor, if it is given up, what follows the base.
+// Two batches start from one base and the first one's state is abandoned. Its changes must
+// appear neither in the base nor in the state and the events of the second, although both
+// append their events to one backing array.
 func TestAbandonedBatchChangesNeitherBaseNorNextBatch(t *testing.T) {
 	base := mustCommit(t, NewState(), put("a", 1, 0))
 	mustCommit(t, base, put("a", "abandoned", 0), put("b", 1, 0))
 	next := mustCommit(t, base, put("c", 1, 0))
 	if _, ok := next.Get("b"); ok || base.Len() != 1 || next.Len() != 2 {
-		t.Errorf("%d keys before and %d after", base.Len(), next.Len())
+		t.Errorf("base has %d keys, want 1; next state has %d, want 2 without key b", base.Len(), next.Len())
 	}
 	events, err := next.EventsSince("", base.Revision)
 	if err != nil || len(events.Events) != 1 || events.Events[0].Put != "c" {
-		t.Errorf("events %+v, %v", events, err)
+		t.Errorf("got events %+v, error %v; want one put of key c", events, err)
 	}
 }
 
-// A failed condition changes nothing, and a transaction that changes nothing has no
-// revision of its own.
+// A transaction with a failed guard changes nothing, and one without operations does not
+// raise the revision.
 func TestCommitAppliesChangesOnlyIfAllGuardsHold(t *testing.T) {
 	state := mustCommit(t, NewState(), put("a", 1, 0))
 	for _, test := range []struct {
@@ -80,7 +82,7 @@
 	}{
 		{"version matches", Txn{If: []protocol.Guard{{Key: "a", Version: 1}}, Then: []Op{put("a", 2, 0)}}, nil, 2, nil},
 		{"key does not exist", Txn{If: []protocol.Guard{{Key: "b"}}, Then: []Op{put("b", 2, 0)}}, nil, 2, nil},
-		{"some fail", Txn{If: []protocol.Guard{{Key: "a"}, {Key: "a", Version: 1}, {Key: "b", Version: 1}}, Then: []Op{put("a", 2, 0)}}, []string{"a", "b"}, 1, nil},
+		{"some guards fail", Txn{If: []protocol.Guard{{Key: "a"}, {Key: "a", Version: 1}, {Key: "b", Version: 1}}, Then: []Op{put("a", 2, 0)}}, []string{"a", "b"}, 1, nil},
 		{"no changes", Txn{If: []protocol.Guard{{Key: "a", Version: 1}}}, nil, 1, nil},
 		{"unknown lease", Txn{Then: []Op{put("a", 2, 7)}}, nil, 0, ErrLeaseNotFound},
 	} {
@@ -88,10 +90,10 @@
 			batch := state.Begin()
 			result, err := batch.Commit(&test.txn)
 			if !errors.Is(err, test.wantErr) || fmt.Sprint(result.FailedKeys) != fmt.Sprint(test.wantFailed) || result.Revision != test.wantRevision {
-				t.Fatalf("%+v, %v", result, err)
+				t.Fatalf("got result %+v, error %v", result, err)
 			}
 			if changed := !batch.IsEmpty(); changed != (err == nil && result.Committed() && len(test.txn.Then) > 0) {
-				t.Fatalf("changes: %v", batch.EntryWrites)
+				t.Fatalf("batch has the wrong writes: %v", batch.EntryWrites)
 			}
 		})
 	}
@@ -108,21 +110,21 @@
 		t.Fatal(err)
 	}
 	state := mustCommit(t, batch.Next(), put("a", 1, revoked), put("b", 1, revoked), put("c", 1, kept), put("d", 1, revoked))
-	state = mustCommit(t, state, put("d", 2, 0)) // detached from its lease
+	state = mustCommit(t, state, put("d", 2, 0)) // detaches d from its lease
 	batch = state.Begin()
 	if err := batch.RevokeLease(revoked); err != nil {
 		t.Fatal(err)
 	}
 	if err := batch.RevokeLease(revoked); !errors.Is(err, ErrLeaseNotFound) {
-		t.Fatalf("a lease that has ended is revoked: %v", err)
+		t.Fatalf("revoking an ended lease: got error %v, want ErrLeaseNotFound", err)
 	}
 	next := batch.Next()
 	if _, ok := next.LeaseTTL(revoked); ok || next.Len() != 2 || next.Revision != state.Revision+1 {
-		t.Fatalf("%d keys at revision %d after %d", next.Len(), next.Revision, state.Revision)
+		t.Fatalf("%d keys at revision %d after revision %d, want 2 keys one revision later and no lease", next.Len(), next.Revision, state.Revision)
 	}
 	for _, ttl := range []int64{99, 600_001} {
 		if _, err := next.Begin().GrantLease(ttl); !errors.Is(err, ErrLeaseTTL) {
-			t.Errorf("a time to live of %d ms: %v", ttl, err)
+			t.Errorf("granting a lease of %d ms: got error %v, want ErrLeaseTTL", ttl, err)
 		}
 	}
 }
@@ -140,20 +142,20 @@
 		t.Fatal(err)
 	}
 	for name, corrupt := range map[string]func(*Contents){
-		"lease beyond the last":           func(c *Contents) { c.LeaseTTLs[3] = 5000 },
-		"lease 0":                         func(c *Contents) { c.LeaseTTLs[0] = 5000 },
+		"lease ID above the last granted": func(c *Contents) { c.LeaseTTLs[3] = 5000 },
+		"lease ID 0":                      func(c *Contents) { c.LeaseTTLs[0] = 5000 },
 		"entry without a version":         func(c *Contents) { c.Entries["b"] = Entry{} },
-		"entry beyond the revision":       func(c *Contents) { c.Entries["b"] = Entry{Version: 10} },
+		"entry above the revision":        func(c *Contents) { c.Entries["b"] = Entry{Version: 10} },
 		"entry of an unknown lease":       func(c *Contents) { c.Entries["b"] = Entry{Version: 9, LeaseID: 2} },
-		"event beyond the revision":       func(c *Contents) { c.Events[1].Version = 10 },
+		"event above the revision":        func(c *Contents) { c.Events[1].Version = 10 },
 		"event of a compacted revision":   func(c *Contents) { c.Events[0].Version = 5 },
-		"events in the order of no store": func(c *Contents) { c.Events[0], c.Events[1] = c.Events[1], c.Events[0] },
+		"events out of order":             func(c *Contents) { c.Events[0], c.Events[1] = c.Events[1], c.Events[0] },
 	} {
 		t.Run(name, func(t *testing.T) {
 			contents := valid()
 			corrupt(&contents)
 			if _, err := Restore(contents); !errors.Is(err, ErrInconsistent) {
-				t.Fatalf("error %v", err)
+				t.Fatalf("got error %v, want ErrInconsistent", err)
 			}
 		})
 	}
--- a/internal/kvstore/txn.go
+++ b/internal/kvstore/txn.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// maxKeyBytes is the longest key (PROTOCOL, POST /commit).
+	// maxKeyBytes is the maximum length of a key (PROTOCOL, POST /commit).
 	maxKeyBytes = 200
-	// guardsPerOp is how many conditions a transaction may have for each of the changes
-	// that it may have.
+	// guardsPerOp is the ratio of the maximum number of guards in a transaction to the
+	// maximum number of its operations.
 	guardsPerOp = 4
 )
 
-// Limits are a site's bounds on transactions.
+// Limits are the configured limits on transactions.
 type Limits struct {
-	MaxValueKiB float64 // of one value
-	MaxTxnOps   int     // puts and deletes in a transaction
+	MaxValueKiB float64 // size of one value
+	MaxTxnOps   int     // number of puts and deletes in one transaction
 }
 
-// Op is one change of a transaction, a put or a delete. Its value is still as it came.
+// Op is one operation of a transaction, a put or a delete. Its value is undecoded.
 type Op struct {
-	Put     string       `msgpack:"Set"`
+	Put     string       `msgpack:"Set"` // key to put; empty for a delete
 	Value   protocol.Raw `msgpack:"Data"`
-	LeaseID uint64       `msgpack:"Permit"` // the lease that the key is attached to, 0: none
-	Delete  string       `msgpack:"Delete"`
+	LeaseID uint64       `msgpack:"Permit"` // lease to attach the key to; 0 means none
+	Delete  string       `msgpack:"Delete"` // key to delete; empty for a put
 }
 
-// key is the key that the change is about.
+// key returns the key that the operation puts or deletes.
 func (o *Op) key() string {
 	if o.Put != "" {
 		return o.Put
@@ -37,14 +37,15 @@
 	return o.Delete
 }
 
-// Txn is a transaction as it came: its changes are made if all its conditions hold.
+// Txn is a transaction as a client sent it: its operations are applied if all its guards
+// hold.
 type Txn struct {
 	If   []protocol.Guard `msgpack:"Guards"`
 	Then []Op             `msgpack:"Then"`
 }
 
-// MalformedTxnError says why a transaction can never be committed, whatever the store
-// holds. The reason goes to the client.
+// MalformedTxnError reports why a transaction can never be committed, whatever the store
+// contains. The reason is sent to the client.
 type MalformedTxnError struct{ Reason string }
 
 func (e *MalformedTxnError) Error() string { return e.Reason }
@@ -53,8 +54,8 @@
 	return &MalformedTxnError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate returns a MalformedTxnError if the transaction is not well formed or is above
-// the limits. Whether its leases exist only a Batch can say.
+// Validate returns a MalformedTxnError if the transaction is malformed or exceeds the
+// limits. It doesn't check whether the leases exist; Batch.Commit does.
 func (t *Txn) Validate(limits Limits) error {
 	if n := len(t.Then); n > limits.MaxTxnOps {
 		return malformed("%d changes in one transaction, at most %d", n, limits.MaxTxnOps)
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// validate checks a change, given the keys that earlier changes of its transaction are
-// about.
+// validate checks an operation. The map changed holds the keys of the operations before it
+// in the transaction, because a transaction may change a key only once.
 func (o *Op) validate(limits Limits, changed map[string]bool) error {
 	if o.Put != "" && o.Delete != "" {
 		return malformed("a change both sets and deletes")
--- a/internal/kvstore/txn_test.go
+++ b/internal/kvstore/txn_test.go
@@ -22,16 +22,16 @@
 	for _, test := range []struct {
 		name       string
 		txn        Txn
-		wantReason string // part of it, empty: well formed
+		wantReason string // empty if the transaction is valid
 	}{
 		{"empty", Txn{}, ""},
 		{"put and delete of two keys", Txn{Then: []Op{{Put: "a", Value: value}, {Delete: "b"}}}, ""},
 		{"value of the largest size", Txn{Then: []Op{{Put: "a", Value: valueOf(1024)}}}, ""},
-		{"most conditions", Txn{If: guards(8)}, ""},
+		{"maximum number of guards", Txn{If: guards(8)}, ""},
 		{"longest key", Txn{Then: []Op{{Delete: strings.Repeat("k", 200)}}}, ""},
 		{"too many changes", Txn{Then: []Op{{Delete: "a"}, {Delete: "b"}, {Delete: "c"}}}, "3 changes in one transaction, at most 2"},
-		{"too many conditions", Txn{If: guards(9)}, "9 conditions in one transaction, at most 8"},
-		{"condition without a key", Txn{If: []protocol.Guard{{}}}, "a key must have 1 to 200 bytes"},
+		{"too many guards", Txn{If: guards(9)}, "9 conditions in one transaction, at most 8"},
+		{"guard without a key", Txn{If: []protocol.Guard{{}}}, "a key must have 1 to 200 bytes"},
 		{"change without a key", Txn{Then: []Op{{}}}, "a key must have 1 to 200 bytes"},
 		{"key too long", Txn{Then: []Op{{Delete: strings.Repeat("k", 201)}}}, "a key must have 1 to 200 bytes"},
 		{"key with a space", Txn{Then: []Op{{Delete: "a b"}}}, "a key must not contain spaces"},
@@ -44,13 +44,13 @@
 			err := test.txn.Validate(limits)
 			if test.wantReason == "" {
 				if err != nil {
-					t.Fatalf("refused: %v", err)
+					t.Fatalf("a valid transaction was rejected: %v", err)
 				}
 				return
 			}
 			var malformedTxn *MalformedTxnError
 			if !errors.As(err, &malformedTxn) || malformedTxn.Reason != test.wantReason {
-				t.Fatalf("error %v, want %q", err, test.wantReason)
+				t.Fatalf("got error %v, want a MalformedTxnError with reason %q", err, test.wantReason)
 			}
 		})
 	}
