--- a/internal/kvfile/bench_test.go
+++ b/internal/kvfile/bench_test.go
@@ -9,7 +9,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// BenchmarkRecovery opens files of so many keys of about 400 bytes:
+// BenchmarkRecovery measures how long Open takes on a file with the given number of keys,
+// each with a value of about 400 bytes:
 //
 //	go test ./internal/kvfile -run XXX -bench Recovery -benchtime 1x
 func BenchmarkRecovery(b *testing.B) {
@@ -40,7 +41,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	file.db.NoSync = true // the making is not measured
+	file.db.NoSync = true // speeds up creating the file, which is not measured
 	value := protocol.Encode(string(make([]byte, 400)))
 	for written := 0; written < keys; {
 		batch := state.Begin()
--- a/internal/kvfile/file.go
+++ b/internal/kvfile/file.go
@@ -1,15 +1,15 @@
-// Package kvfile keeps a kvstore.State in one file, on the embedded key-value library
+// Package kvfile persists a kvstore.State in one file with the embedded key-value library
 // bbolt.
 //
-// It owns the file's layout, its checksums, and the snapshots of it in a folder. It does
-// not know what the records mean, when to write, or when to take a snapshot.
+// It owns the file's layout, its checksums, and the snapshots of the file in a directory.
+// It does not know what the records mean, when to write, or when to take a snapshot.
 //
 // Invariants:
-//   - A batch is one transaction of bbolt: it is in the file whole or not at all.
-//   - What bbolt does not look for, corrupt pages, is found by a checksum in each record
-//     and by a total over all of them. A file that does not match is refused as a whole,
-//     nothing is ever mended in silence.
-//   - A file or snapshot gets its name only when it is whole.
+//   - A batch is one bbolt transaction: the file holds all of it or nothing of it.
+//   - bbolt does not check its pages for corruption. A checksum in each record and a total
+//     of all these checksums detect it. A file that does not match them is rejected as a
+//     whole; nothing is ever repaired silently.
+//   - A file or snapshot gets its final name only when it is complete.
 package kvfile
 
 import (
@@ -30,42 +30,45 @@
 )
 
 const (
-	// fileMode lets only the service's own user read the file: values are users' jobs.
+	// fileMode lets only the user that the service runs as read the file, because its
+	// values contain users' jobs.
 	fileMode = 0o600
-	// lockTimeout is how long to wait for another process to close the file: long enough
-	// for one that is just ending, short enough to be told at once of one that runs.
+	// lockTimeout is how long Open waits for another process to release the file's lock. It
+	// is long enough for a process that is just exiting, and short enough to report a
+	// running one without a noticeable delay.
 	lockTimeout = 200 * time.Millisecond
-	// newFileSuffix is added to the name of a file while it is made.
+	// newFileSuffix is appended to the name of a state file while it is being created.
 	newFileSuffix = ".new"
 )
 
 var (
-	// ErrCorrupt is returned for a file whose content cannot be trusted.
+	// ErrCorrupt is returned for a file whose contents fail a check.
 	ErrCorrupt = errors.New("the file is damaged")
-	// ErrNoSpace is returned for a write that found no space; nothing of it was done.
+	// ErrNoSpace is returned for a write that failed for lack of disk space. Nothing of it
+	// was applied.
 	ErrNoSpace = errors.New("no space is left for the state file")
 	// ErrInUse is returned when another process has the file open.
 	ErrInUse = errors.New("another process has the state file open")
 )
 
-// UnsupportedFormatError is returned for a sound file that another version of the program
-// has written.
+// UnsupportedFormatError is returned for a file that is intact but has the format of another
+// version of the program.
 type UnsupportedFormatError struct{ Version int }
 
 func (e *UnsupportedFormatError) Error() string {
-	return fmt.Sprintf("the file has format %d, this program reads %d", e.Version, formatVersion)
+	return fmt.Sprintf("the file has format version %d, but this program reads only version %d", e.Version, formatVersion)
 }
 
-// File is an open state file. One goroutine may use it, but for TakeSnapshot, which any
-// may call.
+// File is an open state file. It must not be used by several goroutines at once, except
+// for TakeSnapshot, which any goroutine may call.
 type File struct {
 	db       *bolt.DB
 	metadata metadata
 }
 
-// Open opens a state file, or makes an empty one, and reads and checks everything in it.
-// The error wraps ErrCorrupt, ErrNoSpace or ErrInUse, or is an UnsupportedFormatError, if
-// that is the cause.
+// Open opens a state file, creating one without keys if there is none, and reads and checks
+// everything in it. The caller must close the File. The error wraps ErrCorrupt, ErrNoSpace,
+// ErrInUse or an UnsupportedFormatError if that is the cause.
 func Open(path string) (*File, *kvstore.State, error) {
 	switch info, err := os.Stat(path); {
 	case err == nil && info.Size() == 0:
@@ -78,8 +81,9 @@
 	return openFile(path, false)
 }
 
-// Verify reads a state file or snapshot and checks everything in it without changing it.
-// Its errors are those of Open.
+// Verify reads a state file or snapshot, checks everything in it without changing it, and
+// returns the state in it. It returns the same errors as Open, and fails if there is no such
+// file.
 func Verify(path string) (*kvstore.State, error) {
 	switch info, err := os.Stat(path); {
 	case err != nil:
@@ -94,20 +98,22 @@
 	return state, file.Close()
 }
 
-// emptyFileError refuses an empty file, which bbolt would take for a new one.
+// emptyFileError rejects a file of 0 bytes. bbolt would initialize it as a new database, and
+// the loss of the former contents would go unnoticed.
 func emptyFileError(path string) error {
 	return fmt.Errorf("%s: %w: it is empty", path, ErrCorrupt)
 }
 
-// openFile opens and reads a file that is there.
+// openFile opens and reads an existing file.
 func openFile(path string, readOnly bool) (file *File, state *kvstore.State, err error) {
-	// bbolt follows the page numbers that it reads. Guards against a corrupt one that
-	// leads outside the file: that is a panic or a fault of memory, not an error.
+	// bbolt follows page numbers in the file without checking them. A corrupt one that points
+	// outside the file leads to a panic or a memory fault instead of an error; both are
+	// turned into ErrCorrupt here.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if reason := recover(); reason != nil {
 			if file != nil {
-				_ = file.Close() // it was only read, and the error is told below
+				_ = file.Close() // nothing was written, and the cause is returned below
 			}
 			file, state, err = nil, nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, reason)
 		}
@@ -118,7 +124,7 @@
 	}
 	file = &File{db: db}
 	if state, err = file.load(); err != nil {
-		_ = file.Close() // it was only read, and the error is told below
+		_ = file.Close() // nothing was written, and the cause is returned below
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return file, state, nil
@@ -128,8 +134,9 @@
 	db, err := bolt.Open(path, fileMode, &bolt.Options{
 		Timeout:  lockTimeout,
 		ReadOnly: readOnly,
-		// The list of free pages is made anew at each start. Guards against a corrupt one,
-		// from which pages in use would be written over; and it saves a page per write.
+		// The list of free pages is not stored but rebuilt whenever the file is opened. A
+		// corrupt stored list would let writes overwrite pages that are in use. Not storing
+		// it also saves one page per write.
 		NoFreelistSync: true,
 		FreelistType:   bolt.FreelistMapType,
 	})
@@ -147,8 +154,9 @@
 	}
 }
 
-// createFile makes an empty state file. It gets its name when it is whole: one that a
-// crash left half made would be taken for a corrupt one.
+// createFile creates a state file without keys. It writes the file under a temporary name
+// and renames it when it is complete, because a file that a crash left incomplete under the
+// final name would be rejected as corrupt at the next start.
 func createFile(path string) error {
 	newPath := path + newFileSuffix
 	if err := os.Remove(newPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -172,16 +180,17 @@
 	if err := os.Rename(newPath, path); err != nil {
 		return err
 	}
-	return syncDir(filepath.Dir(path)) // the file's name must survive too
+	return syncDir(filepath.Dir(path)) // makes the rename durable
 }
 
-// Close closes the file.
+// Close closes the file and releases its lock. It waits for a snapshot that is being taken.
 func (f *File) Close() error { return f.db.Close() }
 
-// Size is how long the file is in bytes.
+// Size returns the size of the file in bytes, or 0 if it is closed.
 func (f *File) Size() int64 {
 	var size int64
-	// The function returns no error, and a file that is closed has no size.
+	// View can fail only if the file is closed, as the function returns no error. The size
+	// is then 0.
 	_ = f.db.View(func(tx *bolt.Tx) error {
 		size = tx.Size()
 		return nil
@@ -189,7 +198,8 @@
 	return size
 }
 
-// asNoSpace wraps an error in ErrNoSpace if that is what it says.
+// asNoSpace wraps an error in ErrNoSpace if it reports a lack of disk space, and returns
+// other errors unchanged.
 func asNoSpace(err error) error {
 	if isNoSpace(err) {
 		return fmt.Errorf("%w: %w", ErrNoSpace, err)
@@ -197,16 +207,17 @@
 	return err
 }
 
-// isNoSpace reports whether an error says that there is no space. Pages are written, and
-// the file is made longer, before the page that makes them count; that one is as old as
-// the file and needs no space.
+// isNoSpace reports whether an error of bbolt says that disk space ran out. A transaction
+// that failed with such an error has no effect: bbolt grows the file and writes the data
+// pages before it writes the meta page that makes them valid. The meta page has existed
+// since the file was created, so writing it needs no more space.
 func isNoSpace(err error) bool {
-	// bbolt hands on the text alone of an error if it could not make the file longer.
+	// If bbolt cannot grow the file, its error carries only the text of the cause.
 	return strings.HasPrefix(err.Error(), "file resize error") ||
 		errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
-// syncDir makes the names in a folder durable.
+// syncDir makes creations and renames of files in a directory durable.
 func syncDir(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
--- a/internal/kvfile/file_test.go
+++ b/internal/kvfile/file_test.go
@@ -14,7 +14,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// dumpState is everything a state holds, as text.
+// dumpState returns everything that a state holds as text.
 func dumpState(state *kvstore.State) string {
 	var text strings.Builder
 	fmt.Fprintln(&text, state.Revision, state.LastLeaseID, state.CompactRevision(), state.LeaseTTLs())
@@ -60,7 +60,8 @@
 	return leaseID
 }
 
-// createFilledFile makes a file with some hundred keys, changed in so many batches.
+// createFilledFile creates a file with some hundred keys, written in the given number of
+// batches.
 func createFilledFile(t *testing.T, path string, batches int) *kvstore.State {
 	t.Helper()
 	file, state := mustOpen(t, path)
@@ -87,19 +88,22 @@
 	return state
 }
 
-// A file that was changed anywhere is refused, or the change was in a place that holds
-// nothing; in no case does it read as something else. The error leads to the snapshot.
+// Guards against a corrupt file that is read as valid with other contents. A file with a
+// flipped bit, a wrong page or a missing end must be rejected with ErrCorrupt, or give the
+// original state if the corruption hit unused bytes. The newest valid snapshot must then be
+// found and restored.
 func TestVerifyDetectsCorruptFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db")
-	// What a crash left of an earlier first start is no trouble.
+	// An incomplete new file, which a crash in an earlier first start left behind, must not
+	// prevent creating the state file.
 	if err := os.WriteFile(path+".new", []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	want := dumpState(createFilledFile(t, path, 40))
 	file, state := mustOpen(t, path)
 	if dumpState(state) != want {
-		t.Fatal("the file does not read back")
+		t.Fatal("the reopened file has another state than the one written")
 	}
 	snapshots := filepath.Join(dir, "snapshots")
 	snapshot, _, err := file.TakeSnapshot(snapshots)
@@ -113,17 +117,18 @@
 	}
 	corruptPath := filepath.Join(dir, "bad.db")
 	verifyCorruptCopies(t, intact, corruptPath, want)
-	// The way back, with the corrupt file kept.
+	// Recovery from the snapshot must keep the corrupt file under another name.
 	if newest, state := NewestValidSnapshot(snapshots); newest != snapshot || dumpState(state) != want {
-		t.Fatalf("newest valid snapshot: %q", newest)
+		t.Fatalf("newest valid snapshot is %q, want %q with the original state", newest, snapshot)
 	}
 	replaced, state, err := RestoreSnapshot(snapshot, corruptPath)
 	if err != nil || replaced == "" || dumpState(state) != want {
-		t.Fatalf("restore: %q, %v", replaced, err)
+		t.Fatalf("restoring the snapshot: replaced file %q, error %v, or another state than the original", replaced, err)
 	}
 }
 
-// verifyCorruptCopies writes corrupt copies of a sound file to a path and verifies them.
+// verifyCorruptCopies writes corrupt copies of an intact file to a path, one after another,
+// and checks that Verify rejects each or returns the state in want.
 func verifyCorruptCopies(t *testing.T, intact []byte, path, want string) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -137,9 +142,9 @@
 		state, err := Verify(path)
 		switch {
 		case err == nil && dumpState(state) != want:
-			t.Fatalf("%s: read as something else", corruption)
+			t.Fatalf("%s: Verify accepted the file but returned another state", corruption)
 		case err != nil && !errors.Is(err, ErrCorrupt):
-			t.Fatalf("%s: %v", corruption, err)
+			t.Fatalf("%s: got error %v, want ErrCorrupt", corruption, err)
 		case err != nil:
 			refused++
 		}
@@ -148,24 +153,24 @@
 		content := slices.Clone(intact)
 		offset := random.IntN(len(content))
 		content[offset] ^= 1 << random.IntN(8)
-		verify(content, "bit flipped at %d", offset)
+		verify(content, "bit flipped in byte %d", offset)
 	}
-	for range 40 { // a page that was never written, or is another page's
+	for range 40 { // a page write that was lost or went to the wrong place
 		content := slices.Clone(intact)
 		page, other := 4096*random.IntN(len(content)/4096), 4096*random.IntN(len(content)/4096)
 		copy(content[page:page+4096], content[other:other+4096])
-		verify(content, "page %d holds %d", page/4096, other/4096)
+		verify(content, "page %d has the contents of page %d", page/4096, other/4096)
 	}
 	for _, n := range []int{0, 1, 4095, 4096, 9000, len(intact) / 2} {
-		verify(intact[:n], "cut to %d bytes", n)
+		verify(intact[:n], "truncated to %d bytes", n)
 	}
 	if refused < 10 {
-		t.Fatalf("only %d of the corrupt files were refused", refused)
+		t.Fatalf("Verify rejected %d of the corrupt files, want at least 10", refused)
 	}
 }
 
-// A snapshot is whole while writes go on, and the file of a service that runs is not
-// replaced under it.
+// A snapshot that is taken during writes must contain only whole transactions, and
+// RestoreSnapshot must not replace a state file that is in use.
 func TestSnapshotsAreConsistentDuringWrites(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db")
@@ -183,7 +188,7 @@
 		a, _ := snapshotState.Get("a")
 		b, _ := snapshotState.Get("b")
 		if string(a.Value) != string(b.Value) {
-			t.Fatalf("half a transaction in a snapshot: %x and %x", a.Value, b.Value)
+			t.Fatalf("snapshot contains only a part of a transaction: a is %x and b is %x", a.Value, b.Value)
 		}
 	}
 	close(stop)
@@ -191,14 +196,15 @@
 		t.Fatal(err)
 	}
 	if _, _, err := RestoreSnapshot(ListSnapshots(snapshots)[0], path); !errors.Is(err, ErrInUse) {
-		t.Fatalf("restored under a running service: %v", err)
+		t.Fatalf("restoring over a file in use: got error %v, want ErrInUse", err)
 	}
 	if err := PruneSnapshots(snapshots, 1); err != nil || len(ListSnapshots(snapshots)) != 1 {
-		t.Fatalf("%v are left, %v", ListSnapshots(snapshots), err)
+		t.Fatalf("after pruning to 1 snapshot: snapshots %v, error %v", ListSnapshots(snapshots), err)
 	}
 }
 
-// writePairs writes to two keys, which always have the same value, until it is stopped.
+// writePairs repeatedly writes one value to two keys in one transaction until stop is
+// closed.
 func writePairs(file *File, state *kvstore.State, stop <-chan struct{}) error {
 	for i := 0; ; i++ {
 		select {
--- a/internal/kvfile/golden_test.go
+++ b/internal/kvfile/golden_test.go
@@ -15,12 +15,13 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// goldenDir holds a state file that commit 587869a made by the changes of goldenChanges,
-// and its records as text. The commit in production then (4eec271) has the same kvfile.
+// goldenDir contains a state file that commit 587869a wrote with the changes of
+// writeGoldenChanges, and the file's records as text. Package kvfile is the same in commit
+// 4eec271, which was in production at that time.
 const goldenDir = "testdata/golden/587869a"
 
-// writeGoldenChanges makes a file with keys, keys of a lease, a lease that ended, a deleted
-// key, and a change to each.
+// writeGoldenChanges creates a file with a key that is changed, a key that is deleted, a key
+// that is attached to a lease, and a lease that is revoked together with its key.
 func writeGoldenChanges(t *testing.T, path string) {
 	t.Helper()
 	file, state := mustOpen(t, path)
@@ -57,7 +58,8 @@
 	})
 }
 
-// dumpRecords is every record of a file as text, a line each: bucket, key, bytes.
+// dumpRecords returns all records of a file as text, one per line: the bucket's name, then
+// the key and the value in hexadecimal.
 func dumpRecords(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true})
@@ -84,8 +86,9 @@
 	return b.String()
 }
 
-// TestStateFileMatchesGoldenFile pins the state file, and so the snapshots, which are copies of it: one
-// that an earlier version made is read, and the same changes make the same records.
+// Guards against an unintended change of the file format, which would make existing state
+// files and snapshots (copies of state files) unreadable: a file that an earlier version
+// wrote must be readable, and the same changes must write the same records.
 func TestStateFileMatchesGoldenFile(t *testing.T) {
 	golden := filepath.Join(goldenDir, "state.db")
 	wantRecords, err := os.ReadFile(filepath.Join(goldenDir, "records.txt"))
@@ -93,25 +96,25 @@
 		t.Fatal(err)
 	}
 	if got := dumpRecords(t, golden); got != string(wantRecords) {
-		t.Fatalf("the golden file holds\n%snot\n%s", got, wantRecords)
+		t.Fatalf("the golden file has the records\n%swant\n%s", got, wantRecords)
 	}
 	path := filepath.Join(t.TempDir(), "state.db")
 	writeGoldenChanges(t, path)
 	if got := dumpRecords(t, path); got != string(wantRecords) {
-		t.Errorf("the file is written in another way\n was\n%s now\n%s", wantRecords, got)
+		t.Errorf("the written records differ from the golden file's\n want\n%s got\n%s", wantRecords, got)
 	}
 	goldenState, err := Verify(golden)
 	if err != nil {
-		t.Fatalf("the golden file is not read: %v", err)
+		t.Fatalf("reading the golden file: %v", err)
 	}
 	newState, err := Verify(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want, got := dumpState(newState), dumpState(goldenState); got != want {
-		t.Errorf("the golden file is read as\n%q, not\n%q", got, want)
+		t.Errorf("the golden file has the state\n%q, want\n%q", got, want)
 	}
 	if name := SnapshotFileName(1234); name != "snapshot-0000000000001234.db" {
-		t.Errorf("a snapshot is named %s", name)
+		t.Errorf("snapshot at revision 1234 has the name %s", name)
 	}
 }
--- a/internal/kvfile/load.go
+++ b/internal/kvfile/load.go
@@ -12,7 +12,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// load reads everything in the file and checks it against the metadata.
+// load reads everything in the file, checks it against the metadata, and keeps the metadata
+// for later writes.
 func (f *File) load() (*kvstore.State, error) {
 	l := loader{contents: kvstore.Contents{Entries: map[string]kvstore.Entry{}, LeaseTTLs: map[uint64]int64{}}}
 	if err := f.db.View(l.readAll); err != nil {
@@ -29,14 +30,14 @@
 	return state, nil
 }
 
-// loader gathers a file's contents while it is read.
+// loader collects a file's contents while it is read.
 type loader struct {
 	tx            *bolt.Tx
 	metadata      metadata
 	contents      kvstore.Contents
 	checksumTotal uint64
-	// recordCount counts what was read, not what is in the maps of contents: a corrupt tree
-	// may lead to a record twice.
+	// recordCount counts the entries and leases that were read. The sizes of the maps in
+	// contents would not do: a corrupt tree may yield a record twice.
 	recordCount int
 }
 
@@ -44,7 +45,7 @@
 	l.tx = tx
 	for _, bucket := range buckets {
 		if tx.Bucket(bucket) == nil {
-			return fmt.Errorf("%w: it has no bucket %s", ErrCorrupt, bucket)
+			return fmt.Errorf("%w: bucket %s is missing", ErrCorrupt, bucket)
 		}
 	}
 	if err := l.readMetadata(); err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// readRecords checks all records of a bucket and hands their keys and values to add.
+// readRecords checks all records of a bucket and passes their keys and values to add.
 func (l *loader) readRecords(name []byte, add func(key, value []byte) error) error {
 	bucket := l.tx.Bucket(name)
 	return bucket.ForEach(func(key, record []byte) error {
@@ -85,14 +86,15 @@
 		if err != nil {
 			return err
 		}
-		// Guards against a corrupt key in a page above: a walk does not notice it, but a
-		// write would put the key into another place once more.
+		// If a key in a branch page of the tree is corrupt, iteration still reaches the
+		// record, but a lookup misses it, and a write would insert its key a second time in
+		// another place. So each record is also looked up by its key.
 		if found := bucket.Get(key); !bytes.Equal(found, record) {
-			return fmt.Errorf("%w: record %q of %s is not where it is looked for", ErrCorrupt, key, name)
+			return fmt.Errorf("%w: record %q of bucket %s is found by iteration but not by lookup", ErrCorrupt, key, name)
 		}
 		l.checksumTotal += sum
 		if err := add(key, value); err != nil {
-			return fmt.Errorf("%w: record %q of %s: %w", ErrCorrupt, key, name, err)
+			return fmt.Errorf("%w: decoding record %q of bucket %s: %w", ErrCorrupt, key, name, err)
 		}
 		return nil
 	})
@@ -108,7 +110,7 @@
 func (l *loader) addLease(key, value []byte) error {
 	l.recordCount++
 	if len(key) != uint64Bytes || len(value) != uint64Bytes {
-		return errors.New("it has a wrong length")
+		return errors.New("the key and the value must have 8 bytes each")
 	}
 	l.contents.LeaseTTLs[decodeUint64(key)] = int64(decodeUint64(value))
 	return nil
@@ -125,7 +127,7 @@
 	records, events := l.recordCount, len(l.contents.Events)
 	wantRecords, wantEvents := l.metadata.RecordCount, l.metadata.eventCount()
 	if records != wantRecords || uint64(events) != wantEvents || l.checksumTotal != l.metadata.ChecksumTotal {
-		return fmt.Errorf("%w: %d records and %d changes do not add up to the %d and %d it should hold",
+		return fmt.Errorf("%w: found %d records and %d events, want %d and %d with a matching checksum total",
 			ErrCorrupt, records, events, wantRecords, wantEvents)
 	}
 	return nil
--- a/internal/kvfile/records.go
+++ b/internal/kvfile/records.go
@@ -10,10 +10,10 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// formatVersion is raised when the file's layout changes.
+// formatVersion is incremented when the file's layout changes.
 const formatVersion = 1
 
-// The file's buckets. Their names, and metadataKey, are on disk.
+// The file's buckets. Their names and metadataKey are part of the file format.
 var (
 	entriesBucket  = []byte("keys")
 	leasesBucket   = []byte("leases")
@@ -21,20 +21,21 @@
 	metadataBucket = []byte("meta")
 	buckets        = [][]byte{entriesBucket, leasesBucket, eventsBucket, metadataBucket}
 
-	metadataKey = []byte("state") // the only one of its bucket
+	metadataKey = []byte("state") // the only key in metadataBucket
 )
 
-// metadata sums up what else is in the file.
+// metadata describes the other records of the file, so that missing, surplus and outdated
+// records are detected when the file is read.
 type metadata struct {
 	Format          int    `msgpack:"f"`
 	Revision        uint64 `msgpack:"r"`
 	LastLeaseID     uint64 `msgpack:"n"`
 	CompactRevision uint64 `msgpack:"o"`
-	FirstEvent      uint64 `msgpack:"lf"` // number of the oldest event that is kept
-	EndEvent        uint64 `msgpack:"lt"` // number after the newest one
-	RecordCount     int    `msgpack:"c"`  // entries and leases
-	// ChecksumTotal is the sum of the checksums of all records but this one: a page of an
-	// earlier time, whose records are sound by themselves, does not add up to it.
+	FirstEvent      uint64 `msgpack:"lf"` // number of the oldest retained event
+	EndEvent        uint64 `msgpack:"lt"` // number of the newest event plus one
+	RecordCount     int    `msgpack:"c"`  // number of entries and leases
+	// ChecksumTotal is the sum of the checksums of all records except the metadata. It
+	// detects an outdated version of a page, whose records match their own checksums.
 	ChecksumTotal uint64 `msgpack:"s"`
 }
 
@@ -48,8 +49,8 @@
 // checksumBytes is the length of the checksum that each record begins with.
 const checksumBytes = 8
 
-// encodeRecord puts a record's checksum, which covers its bucket and key, in front of its
-// value. It returns the record and the checksum.
+// encodeRecord returns a record, which is a checksum followed by the value, and the
+// checksum. The checksum covers the bucket's name, the key and the value.
 func encodeRecord(bucket, key, value []byte) ([]byte, uint64) {
 	sum := checksum(bucket, key, value)
 	record := make([]byte, 0, checksumBytes+len(value))
@@ -57,34 +58,36 @@
 	return append(record, value...), sum
 }
 
-// decodeRecord returns a record's value and checksum, or ErrCorrupt if they do not match.
+// decodeRecord returns a record's value and checksum. The error wraps ErrCorrupt if they do
+// not match.
 func decodeRecord(bucket, key, record []byte) ([]byte, uint64, error) {
 	if len(record) < checksumBytes {
-		return nil, 0, fmt.Errorf("%w: record %q of %s is cut short", ErrCorrupt, key, bucket)
+		return nil, 0, fmt.Errorf("%w: record %q of bucket %s is shorter than a checksum", ErrCorrupt, key, bucket)
 	}
 	sum, value := storedChecksum(record), record[checksumBytes:]
 	if checksum(bucket, key, value) != sum {
-		return nil, 0, fmt.Errorf("%w: record %q of %s has a wrong checksum", ErrCorrupt, key, bucket)
+		return nil, 0, fmt.Errorf("%w: record %q of bucket %s does not match its checksum", ErrCorrupt, key, bucket)
 	}
 	return value, sum, nil
 }
 
-// storedChecksum is the checksum that a record begins with.
+// storedChecksum returns the checksum that a record begins with.
 func storedChecksum(record []byte) uint64 { return binary.BigEndian.Uint64(record) }
 
 func checksum(bucket, key, value []byte) uint64 {
 	separator := []byte{0}
 	digest := xxhash.New()
 	for _, part := range [][]byte{bucket, separator, key, separator, value} {
-		_, _ = digest.Write(part) // a digest takes everything
+		_, _ = digest.Write(part) // writing to a digest never fails
 	}
 	return digest.Sum64()
 }
 
-// uint64Bytes is the length of a number as a key or value.
+// uint64Bytes is the length of a number that is encoded as a key or value.
 const uint64Bytes = 8
 
-// encodeUint64 turns a number into a key or value; keys sort as their numbers do.
+// encodeUint64 encodes a number as a key or value, in big-endian order so that keys sort by
+// number.
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 func decodeUint64(encoded []byte) uint64 { return binary.BigEndian.Uint64(encoded) }
--- a/internal/kvfile/snapshots.go
+++ b/internal/kvfile/snapshots.go
@@ -18,18 +18,21 @@
 const (
 	snapshotPrefix = "snapshot-"
 	snapshotSuffix = ".db"
-	// snapshotDirMode is fileMode with the right to enter.
+	// snapshotDirMode lets only the user that the service runs as enter the directory, as
+	// fileMode does for the files.
 	snapshotDirMode = 0o700
 )
 
-// SnapshotFileName is the name of a snapshot at a revision; names sort by revision.
+// SnapshotFileName returns the file name of a snapshot at a revision. Names sort by
+// revision.
 func SnapshotFileName(revision uint64) string {
 	return fmt.Sprintf("%s%016d%s", snapshotPrefix, revision, snapshotSuffix)
 }
 
-// TakeSnapshot writes a copy into a folder while the File goes on being used, reads it
-// back, and only then gives it its name. It returns the snapshot's path and the state in
-// it. Any goroutine may call it.
+// TakeSnapshot writes a copy of the file to a directory, which it creates if needed, reads
+// the copy back and checks it, and only then renames it to its final name. It returns the
+// snapshot's path and the state in it. Any goroutine may call it while another one uses the
+// File.
 func (f *File) TakeSnapshot(dir string) (string, *kvstore.State, error) {
 	if err := os.MkdirAll(dir, snapshotDirMode); err != nil {
 		return "", nil, err
@@ -48,7 +51,7 @@
 	}
 	state, err := Verify(temp.Name())
 	if err != nil {
-		return "", nil, fmt.Errorf("the snapshot does not read back: %w", err)
+		return "", nil, fmt.Errorf("verifying the new snapshot: %w", err)
 	}
 	path := filepath.Join(dir, SnapshotFileName(state.Revision))
 	if err := os.Rename(temp.Name(), path); err != nil {
@@ -57,14 +60,15 @@
 	return path, state, syncDir(dir)
 }
 
-// removeTemp removes a temporary file unless it has got its name.
+// removeTemp removes a temporary file unless it has been renamed to its final name.
 func removeTemp(path string) {
-	_ = os.Remove(path) // what stays behind is never taken for anything
+	_ = os.Remove(path) // nothing reads a temporary file that is left behind
 }
 
-// ListSnapshots are the paths of a folder's snapshots, newest first.
+// ListSnapshots returns the paths of the snapshots in a directory, newest first. It returns
+// none if the directory is missing.
 func ListSnapshots(dir string) []string {
-	entries, _ := os.ReadDir(dir) // a folder that is not there has none
+	entries, _ := os.ReadDir(dir) // a directory that cannot be read counts as empty
 	var paths []string
 	for _, entry := range entries {
 		if name := entry.Name(); strings.HasPrefix(name, snapshotPrefix) && strings.HasSuffix(name, snapshotSuffix) {
@@ -76,8 +80,8 @@
 	return paths
 }
 
-// NewestValidSnapshot is the newest snapshot of a folder that reads back whole, and the
-// state in it; the path is empty if there is none.
+// NewestValidSnapshot returns the path of the newest snapshot in a directory that passes
+// Verify, and the state in it. The path is empty and the state nil if there is none.
 func NewestValidSnapshot(dir string) (string, *kvstore.State) {
 	for _, path := range ListSnapshots(dir) {
 		if state, err := Verify(path); err == nil {
@@ -87,7 +91,8 @@
 	return "", nil
 }
 
-// PruneSnapshots removes all but so many of the newest snapshots of a folder.
+// PruneSnapshots removes all snapshots in a directory except the newest ones, as many as
+// keep says. If some cannot be removed, it removes the others and returns all errors.
 func PruneSnapshots(dir string, keep int) error {
 	var errs []error
 	for i, path := range ListSnapshots(dir) {
@@ -98,9 +103,10 @@
 	return errors.Join(errs...)
 }
 
-// RestoreSnapshot puts a snapshot in the place of a state file, and returns the state in
-// it. A file that is there is kept beside it under another name, replaced, unless it is in
-// use: the error then wraps ErrInUse.
+// RestoreSnapshot verifies a snapshot, puts a copy of it in place of the state file at path,
+// and returns the state in it. An existing state file is kept under another name in the same
+// directory, which is returned as replaced. If the state file is in use, nothing changes and
+// the error wraps ErrInUse.
 func RestoreSnapshot(snapshot, path string) (replaced string, state *kvstore.State, err error) {
 	if state, err = Verify(snapshot); err != nil {
 		return "", nil, err
@@ -122,13 +128,14 @@
 	return replaced, state, syncDir(dir)
 }
 
-// copyToTemp copies a file to a temporary one in a folder and returns that one's path.
+// copyToTemp copies a file to a temporary file in a directory and returns the path of the
+// copy.
 func copyToTemp(path, dir string) (string, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = in.Close() }() // it was only read
+	defer func() { _ = in.Close() }() // nothing was written to it
 	out, err := os.CreateTemp(dir, ".restoring-*")
 	if err != nil {
 		return "", err
@@ -141,9 +148,12 @@
 	return out.Name(), nil
 }
 
-// renameReplacedFile gives a state file that is not in use another name and returns that.
+// renameReplacedFile renames a state file to the first unused name for replaced files and
+// returns its new path. The error wraps ErrInUse if another process has the file open.
 func renameReplacedFile(path string) (string, error) {
-	// A service that runs would go on with the file it has, whatever its name.
+	// A running service would go on writing to its open file after the rename, and those
+	// writes would be missing from the restored file. Other errors of Verify don't matter:
+	// a corrupt file may be replaced.
 	if _, err := Verify(path); errors.Is(err, ErrInUse) {
 		return "", err
 	}
--- a/internal/kvfile/write.go
+++ b/internal/kvfile/write.go
@@ -7,10 +7,10 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Write makes a batch durable, whole or not at all, and returns after the disk has said
-// so; next is the state after the batch. An error that wraps ErrNoSpace means that nothing
-// was done and that the next write may succeed. After any other error nobody knows what
-// the disk holds, and the File must not be used any more.
+// Write makes a batch durable, all of it or nothing, and returns once the disk has confirmed
+// it; next is the state after the batch. An error that wraps ErrNoSpace means that nothing
+// was written and that a later write may succeed. After any other error it is unknown what
+// is on disk, and the File must not be used any more.
 func (f *File) Write(batch *kvstore.Batch, next *kvstore.State) error {
 	w := batchWriter{metadata: f.metadata}
 	err := f.db.Update(func(tx *bolt.Tx) error {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// batchWriter writes one batch and keeps the metadata up to date with it.
+// batchWriter writes one batch and updates the metadata to match.
 type batchWriter struct {
 	tx       *bolt.Tx
 	metadata metadata
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// trimEvents removes the oldest events above the number that is kept.
+// trimEvents removes the oldest events until only the given number is left.
 func (w *batchWriter) trimEvents(kept int) error {
 	for w.metadata.eventCount() > uint64(kept) {
 		if _, err := w.remove(eventsBucket, encodeUint64(w.metadata.FirstEvent)); err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// putCounted puts a record of a bucket whose records are counted.
+// putCounted writes a record of a bucket whose records count in metadata.RecordCount.
 func (w *batchWriter) putCounted(bucket, key, value []byte) error {
 	replaced, err := w.put(bucket, key, value)
 	if !replaced {
@@ -97,7 +97,7 @@
 	return err
 }
 
-// removeCounted removes a record of a bucket whose records are counted.
+// removeCounted removes a record of a bucket whose records count in metadata.RecordCount.
 func (w *batchWriter) removeCounted(bucket, key []byte) error {
 	existed, err := w.remove(bucket, key)
 	if existed {
@@ -106,7 +106,7 @@
 	return err
 }
 
-// put writes a record and reports whether there was one with that key.
+// put writes a record and reports whether it replaced one with the same key.
 func (w *batchWriter) put(name, key, value []byte) (replaced bool, err error) {
 	bucket := w.tx.Bucket(name)
 	if old := bucket.Get(key); old != nil {
@@ -118,7 +118,7 @@
 	return replaced, bucket.Put(key, record)
 }
 
-// remove removes a record and reports whether there was one.
+// remove removes a record and reports whether it existed.
 func (w *batchWriter) remove(name, key []byte) (existed bool, err error) {
 	bucket := w.tx.Bucket(name)
 	old := bucket.Get(key)
