--- a/internal/kvfile/file_test.go
+++ b/internal/kvfile/file_test.go
@@ -119,7 +119,7 @@
 	verifyCorruptCopies(t, intact, corruptPath, want)
 	// Recovery from the snapshot must keep the corrupt file under another name.
 	if newest, state := NewestValidSnapshot(snapshots); newest != snapshot || dumpState(state) != want {
-		t.Fatalf("newest valid snapshot is %q, want %q with the original state", newest, snapshot)
+		t.Fatalf("newest valid snapshot is %q, want the only snapshot with the original state", newest)
 	}
 	replaced, state, err := RestoreSnapshot(snapshot, corruptPath)
 	if err != nil || replaced == "" || dumpState(state) != want {
--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -201,8 +201,8 @@
 // Next returns the state after the batch. The base state does not change.
 //
 // If several batches were started from one base, only the state that the latest call of
-// Next returned may be used: each call appends its events to the same backing array of the
-// base's events and overwrites those of the call before.
+// Next returned may be used: each call may append its events to the backing array of the
+// base's events and so overwrite those of the call before.
 func (b *Batch) Next() *State {
 	next := &State{
 		Revision:        b.revision,
--- a/internal/kvstore/state_test.go
+++ b/internal/kvstore/state_test.go
@@ -53,9 +53,8 @@
 	}
 }
 
-// Two batches start from one base and the first one's state is abandoned. Its changes must
-// appear neither in the base nor in the state and the events of the second, although both
-// append their events to one backing array.
+// Two batches start from one base, and the state of the first one is abandoned. Its changes
+// must appear neither in the base nor in the state and the events of the second batch.
 func TestAbandonedBatchChangesNeitherBaseNorNextBatch(t *testing.T) {
 	base := mustCommit(t, NewState(), put("a", 1, 0))
 	mustCommit(t, base, put("a", "abandoned", 0), put("b", 1, 0))
