--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -114,6 +114,6 @@
 }
 
 // get reads a path and returns the status of the answer, which is decoded if that is 200.
-func (c *Client) get(path string, answer any, timeout time.Duration) int {
-	return c.rpc.Call(fasthttp.MethodGet, c.address, path, nil, answer, timeout, fasthttp.StatusOK)
+func (c *Client) get(path string, result any, timeout time.Duration) int {
+	return c.rpc.Call(fasthttp.MethodGet, c.address, path, nil, result, timeout, fasthttp.StatusOK)
 }
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -55,14 +55,14 @@
 			for range requests {
 				go func() { outcomes <- client.Commit(core.Commit{}).Outcome }()
 			}
-			answered := 0
+			committed := 0
 			for range requests {
 				if <-outcomes == core.Committed {
-					answered++
+					committed++
 				}
 			}
-			if answered < requests {
-				t.Fatalf("%d of %d requests were in flight at once, %d were answered", inFlight.Load(), requests, answered)
+			if committed < requests {
+				t.Fatalf("%d of %d requests were in flight at once, %d were answered", inFlight.Load(), requests, committed)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 	for _, test := range []struct {
 		name       string
 		call       func(*Client) any
-		answer     any
+		response   any
 		want       sent
 		wantResult any
 	}{
@@ -119,7 +119,7 @@
 			var got sent
 			address := serve(t, func(ctx *fasthttp.RequestCtx) {
 				got = sent{string(ctx.Method()), string(ctx.RequestURI()), string(ctx.PostBody())}
-				ctx.Response.SetBodyRaw(protocol.Encode(test.answer))
+				ctx.Response.SetBodyRaw(protocol.Encode(test.response))
 			})
 			client := New(address, 4*time.Second, 0, func() time.Duration { return now })
 			result := test.call(client)
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -13,12 +13,12 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// generousQueueBytes is a bound on what waits that no test reaches.
-const generousQueueBytes = 1 << 30
+// unreachableQueueLimit is a bound on what waits that no test reaches.
+const unreachableQueueLimit = 1 << 30
 
 // testSettings retry at once and have the sibling b, if an address is given.
 func testSettings(addressOfB string) Settings {
-	settings := Settings{RetryInterval: 10 * time.Millisecond, Timeout: time.Second, MaxQueuedBytes: generousQueueBytes}
+	settings := Settings{RetryInterval: 10 * time.Millisecond, Timeout: time.Second, MaxQueuedBytes: unreachableQueueLimit}
 	if addressOfB != "" {
 		settings.Siblings = map[string]string{"b": addressOfB}
 	}
@@ -90,7 +90,7 @@
 	}
 	b.CloseSession(atB.Session)
 	waitFor[core.PeerDisconnected](t, postedAtA)
-	if again := waitFor[core.PeerConnected](t, postedAtA); again.Session == atA.Session {
+	if second := waitFor[core.PeerConnected](t, postedAtA); second.Session == atA.Session {
 		t.Fatal("a new session has the number of the old one")
 	}
 	if page := getStatusPage(t, addressOfB); !strings.HasSuffix(page, `{"label":"b"}`) {
@@ -109,11 +109,11 @@
 	if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(conn)
+	response, err := io.ReadAll(conn)
 	// The server closes with the rest of the request unread, which may reset the connection
 	// after the answer.
-	if err != nil && len(answer) == 0 {
+	if err != nil && len(response) == 0 {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(response)
 }
--- a/internal/peerproto/chunks.go
+++ b/internal/peerproto/chunks.go
@@ -32,13 +32,13 @@
 			}
 		}
 		next.Machines, machines = machines[:k], machines[k:]
-		room := maxListBytes
-		next.Assigned = takeFront(&assigned, &room, taskAttemptBytes)
-		next.Returned = takeFront(&returned, &room, taskAttemptBytes)
-		left := len(machines) > 0 || len(assigned) > 0 || len(returned) > 0
-		next.More = m.Snapshot && left
+		budget := maxListBytes
+		next.Assigned = takeFront(&assigned, &budget, taskAttemptBytes)
+		next.Returned = takeFront(&returned, &budget, taskAttemptBytes)
+		remaining := len(machines) > 0 || len(assigned) > 0 || len(returned) > 0
+		next.More = m.Snapshot && remaining
 		out = append(out, next)
-		if !left {
+		if !remaining {
 			return out
 		}
 		next = Message{Epoch: m.Epoch, Unreachable: m.Unreachable, Snapshot: m.Snapshot}
@@ -55,20 +55,20 @@
 // what is still on its way as read, or it would be taken for lost and started twice.
 func (m *Message) LeaderChunks() []Message {
 	var out []Message
-	left := *m
+	rest := *m
 	for {
-		room := maxListBytes
+		budget := maxListBytes
 		next := Message{Epoch: m.Epoch, Seq: m.Seq, Resync: m.Resync, Round: m.Round}
-		next.Views = takeFront(&left.Views, &room, func(v *JobView) int { return len(v.Job) + len(v.Reason) })
-		next.Cancelled = takeFront(&left.Cancelled, &room, nameBytes)
-		next.Dispatch = takeFront(&left.Dispatch, &room, taskAttemptBytes)
-		next.StartHeld = takeFront(&left.StartHeld, &room, taskAttemptBytes)
-		next.ReleaseHeld = takeFront(&left.ReleaseHeld, &room, taskAttemptBytes)
-		next.Stop = takeFront(&left.Stop, &room, func(s *StopTask) int { return len(s.Task) + len(s.Machine) + len(s.Reason) })
-		next.Cordon = takeFront(&left.Cordon, &room, nameBytes)
-		next.Uncordon = takeFront(&left.Uncordon, &room, nameBytes)
-		next.Drain = takeFront(&left.Drain, &room, nameBytes)
-		if left.entryCount() == 0 {
+		next.Views = takeFront(&rest.Views, &budget, func(v *JobView) int { return len(v.Job) + len(v.Reason) })
+		next.Cancelled = takeFront(&rest.Cancelled, &budget, nameBytes)
+		next.Dispatch = takeFront(&rest.Dispatch, &budget, taskAttemptBytes)
+		next.StartHeld = takeFront(&rest.StartHeld, &budget, taskAttemptBytes)
+		next.ReleaseHeld = takeFront(&rest.ReleaseHeld, &budget, taskAttemptBytes)
+		next.Stop = takeFront(&rest.Stop, &budget, func(s *StopTask) int { return len(s.Task) + len(s.Machine) + len(s.Reason) })
+		next.Cordon = takeFront(&rest.Cordon, &budget, nameBytes)
+		next.Uncordon = takeFront(&rest.Uncordon, &budget, nameBytes)
+		next.Drain = takeFront(&rest.Drain, &budget, nameBytes)
+		if rest.entryCount() == 0 {
 			return append(out, next)
 		}
 		next.Seq, next.Resync, next.Round = m.Seq-1, false, nil
@@ -92,15 +92,15 @@
 
 // takeFront cuts from the front of a list what there is room for, and takes that from the
 // room. A message without anything else takes one entry of any size, so a division ends.
-func takeFront[T any](list *[]T, room *int, textBytes func(*T) int) []T {
+func takeFront[T any](list *[]T, budget *int, textBytes func(*T) int) []T {
 	k := 0
 	for ; k < len(*list); k++ {
 		size := entryBytes + textBytes(&(*list)[k])
-		if size > *room && *room < maxListBytes {
-			*room = 0 // what follows in the order of reading comes later, too
+		if size > *budget && *budget < maxListBytes {
+			*budget = 0 // what follows in the order of reading comes later, too
 			break
 		}
-		*room -= size
+		*budget -= size
 	}
 	front := (*list)[:k:k]
 	*list = (*list)[k:]
--- a/internal/records/taskset.go
+++ b/internal/records/taskset.go
@@ -25,13 +25,13 @@
 
 // Merge adds another set, whose first byte is so many behind the first of this one, and
 // returns how many were new.
-func (s *TaskSet) Merge(o TaskSet, at int) (added int) {
-	for at+len(o) > len(*s) {
+func (s *TaskSet) Merge(other TaskSet, offset int) (added int) {
+	for offset+len(other) > len(*s) {
 		*s = append(*s, 0)
 	}
-	for i, b := range o {
-		added += bits.OnesCount8(b &^ (*s)[at+i])
-		(*s)[at+i] |= b
+	for i, b := range other {
+		added += bits.OnesCount8(b &^ (*s)[offset+i])
+		(*s)[offset+i] |= b
 	}
 	return added
 }
--- a/internal/registry/pages_test.go
+++ b/internal/registry/pages_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestPlanKeepsToPagesPerPlan(t *testing.T) {
+func TestPlanChangesAtMostPagesPerPlan(t *testing.T) {
 	s := newStore()
 	limits := Limits{ValueBytes: 1 << 20, PageBytes: 2 * machineBytes, PagesPerPlan: 3}
 	missing := names(0, 20)
@@ -107,7 +107,7 @@
 		s.removed[name] = true
 	}
 	s.apply(Plan(s.registry(), nil, limits))
-	if _, there := s.pages[PageKey(0)]; there {
+	if _, exists := s.pages[PageKey(0)]; exists {
 		t.Error("an empty page stays")
 	}
 	if got := len(s.listed()); got != 3 {
@@ -117,15 +117,15 @@
 
 // A page that can't be written any more is emptied without a moment in which a machine is on no
 // page, however few pages may change at once.
-func TestOversizedPageMoves(t *testing.T) {
+func TestOversizedPageMovesWithoutUnlistingMachines(t *testing.T) {
 	for _, pagesPerPlan := range []int{1, 2, 8} {
 		t.Run(fmt.Sprint(pagesPerPlan), func(t *testing.T) {
 			s := newStore()
-			wide := Limits{ValueBytes: 1 << 20, PageBytes: 12 * machineBytes, PagesPerPlan: 8}
-			s.apply(Plan(s.registry(), names(0, 20), wide))
-			narrow := Limits{ValueBytes: 6 * machineBytes, PageBytes: 4 * machineBytes, PagesPerPlan: pagesPerPlan}
+			initialLimits := Limits{ValueBytes: 1 << 20, PageBytes: 12 * machineBytes, PagesPerPlan: 8}
+			s.apply(Plan(s.registry(), names(0, 20), initialLimits))
+			loweredLimits := Limits{ValueBytes: 6 * machineBytes, PageBytes: 4 * machineBytes, PagesPerPlan: pagesPerPlan}
 			for range 20 {
-				s.apply(Plan(s.registry(), nil, narrow))
+				s.apply(Plan(s.registry(), nil, loweredLimits))
 				if got := len(s.listed()); got != 20 {
 					t.Fatalf("%d machines are listed, want 20 all the time", got)
 				}
