--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -1,100 +1,103 @@
-// Package reachability decides whether a controller reaches the machines that it owns. One
-// that hears the leader but no machine must give its place in the shard map up, since others
-// may reach them, and take it again once machines answer.
+// Package reachability decides whether a controller reaches the machines that it owns. A
+// controller that reaches the leader but no machine must leave the shard map, because other
+// controllers may reach the machines, and may rejoin it once machines respond again.
 //
-// It owns the counts and times of what was heard of machines. It knows machines by name only,
-// and has no clock, input or output: the caller says what happened and when, and carries out
-// what a Verdict asks for.
+// The package owns the counts and times of contacts with machines. It knows machines by name only
+// and has no clock, input or output: the caller reports what happened and when, and carries out
+// what a Verdict requests.
 //
-// Its invariants: silence is believed only after some machines were asked whether they can be
-// reached, and had time to answer; and who has left the map in vain stays away for longer each
-// time.
+// Invariants: silence of its machines makes a member leave only after some of them were probed and
+// had time to respond; and each time a controller leaves without having reached a machine since
+// it last left, it stays outside the map for longer.
 package reachability
 
 import "time"
 
 const (
-	// probesPerRound is how many machines are asked at once whether they can be reached.
+	// probesPerRound is how many machines are probed at once.
 	probesPerRound = 3
 
-	// silenceLeaseDivisor is the share of a worker's lease that a controller may hear no machine: the
-	// rest is for the next owner to reach the machines before their leases run out.
+	// silenceLeaseDivisor divides a worker's lease: for at most a third of it a member may hear
+	// from no machine. The rest leaves the next owner time to reach the machines before their
+	// leases expire.
 	silenceLeaseDivisor = 3
 
-	// probeValidityHeartbeats is for how many heartbeat periods the answer to a probe counts, which is
-	// longer than until the next ones are answered.
+	// probeValidityHeartbeats is for how many heartbeat periods a reply to a probe stays valid.
+	// That is longer than it takes until the next round of probes is answered.
 	probeValidityHeartbeats = 4
 
-	// maxAbsenceDoublings is how often the time to stay outside the map doubles.
+	// maxAbsenceDoublings limits how often the minimum time outside the shard map is doubled.
 	maxAbsenceDoublings = 6
 
-	// minRegisteredMachines is how many machines a member must own for their silence to say
-	// something of the member: a single one may be dead.
+	// minRegisteredMachines is how many registered machines a member must own before their silence
+	// counts against the member: a single silent machine may just be dead.
 	minRegisteredMachines = 2
 
-	// minLostCalls is how many calls in a row must be lost for the direction to the machines
-	// to be in doubt.
+	// minLostCalls is how many consecutive calls to machines must get no reply before the member
+	// suspects that it can't reach machines that still reach it.
 	minLostCalls = 2
 )
 
-// Fleet is what a Tracker may ask about machines.
+// Fleet provides the information about machines that a Tracker needs.
 type Fleet interface {
-	// KnownCount is how many machines the registry holds.
+	// KnownCount returns how many machines the machine registry holds.
 	KnownCount() int
-	// KnownNames are their names in order.
+	// KnownNames returns the names of the machines in the registry, sorted.
 	KnownNames() []string
-	// OwnedCount is how many machines this controller owns.
+	// OwnedCount returns how many machines this controller owns.
 	OwnedCount() int
-	// RegisteredCount is how many of these the registry holds: they surely are expected to
-	// send heartbeats.
+	// RegisteredCount returns how many of the owned machines are in the registry. These are
+	// certain to be expected to send heartbeats.
 	RegisteredCount() int
-	// HeardWithin reports whether any of those was heard within a span, and whether one that
-	// was found to be has confirmed the controller's fencing token.
+	// HeardWithin reports whether any owned, registered machine was heard from within the given
+	// span before now, and whether the one that was found has confirmed the controller's fencing
+	// token.
 	HeardWithin(span time.Duration) (heard, confirmed bool)
 }
 
 // View is the state of the controller at one moment.
 type View struct {
-	Now         time.Duration // on a steady clock, as all times here
-	IsMember    bool          // of the shard map in force
-	MemberSince time.Duration // since when that map is in force
+	Now         time.Duration // on a monotonic clock, like all times in this package
+	IsMember    bool          // whether the controller is in the current shard map
+	MemberSince time.Duration // when the current shard map came into force
 	Fleet       Fleet
 }
 
-// Verdict is what a check asks for, in this order.
+// Verdict is the result of a check. The caller carries it out in the order of the fields.
 type Verdict struct {
-	Probe    []string // machines to ask whether they can be reached
-	Left     bool     // the controller has just become unreachable, and leaves the map
-	Rejoined bool     // it has just become reachable again, and may be a member
+	Probe    []string // names of machines to probe
+	Left     bool     // the controller has just become unreachable and leaves the shard map
+	Rejoined bool     // the controller has just become reachable again and may become a member
 }
 
-// Tracker follows whether a controller reaches its machines. The zero value with its spans set
-// has heard nothing yet.
+// Tracker tracks whether a controller reaches its machines. Lease and Heartbeat must be set; it
+// then starts as a controller that is reachable and has had no contact with a machine yet. It is
+// not safe for concurrent use.
 type Tracker struct {
-	// Lease is the lease of a worker and Heartbeat how often a worker sends a heartbeat.
+	// Lease is the duration of a worker's lease, and Heartbeat the period of its heartbeats.
 	Lease, Heartbeat time.Duration
 
 	unreachable       bool
 	rejoinNotBefore   time.Duration
-	consecutiveLeaves int // without reaching a machine in between
+	consecutiveLeaves int // leaves since a machine last confirmed the fencing token
 
 	nextProbeAt      time.Duration
-	nextProbeIndex   int           // the index of the next to be asked, modulo their number
-	lastProbeReplyAt time.Duration // 0: no answer since the controller became unreachable
+	nextProbeIndex   int           // index of the next machine to probe, modulo the number of known machines
+	lastProbeReplyAt time.Duration // 0: no reply since the controller became unreachable
 
-	lastContactAt        time.Duration // when any machine was last heard, whoever owns it
-	silentSince          time.Duration // since when that is doubtfully long ago, 0: it is not
-	consecutiveLostCalls int           // since a call to a machine was last answered
-	firstLostCallAt      time.Duration // the first of them
+	lastContactAt        time.Duration // last contact with any machine, whoever owns it
+	silentSince          time.Duration // since when Silent has been true, 0: it is not
+	consecutiveLostCalls int           // calls without a reply since the last one with a reply
+	firstLostCallAt      time.Duration // when the first of these calls ended
 }
 
-// Unreachable reports whether the controller reaches no machine.
+// Unreachable reports whether the controller is considered to reach no machine.
 func (t *Tracker) Unreachable() bool { return t.unreachable }
 
-// Contact notes that a machine was heard.
+// Contact records that a machine was heard from, for example by its heartbeat.
 func (t *Tracker) Contact(now time.Duration) { t.lastContactAt = now }
 
-// CallEnded notes whether a call to a machine was answered.
+// CallEnded records the end of a call to a machine and whether the machine replied.
 func (t *Tracker) CallEnded(now time.Duration, replied bool) {
 	switch {
 	case replied:
@@ -106,7 +109,7 @@
 	}
 }
 
-// ProbeEnded notes whether a machine that was asked whether it can be reached has answered.
+// ProbeEnded records the end of a probe and whether the machine replied.
 func (t *Tracker) ProbeEnded(now time.Duration, replied bool) {
 	t.CallEnded(now, replied)
 	if replied {
@@ -114,10 +117,12 @@
 	}
 }
 
-// EnterEpoch begins a new shard map: what was lost under an earlier one says nothing of it.
+// EnterEpoch begins a new epoch of the shard map. Silence and lost calls of an earlier epoch do
+// not count in it.
 func (t *Tracker) EnterEpoch() { t.consecutiveLostCalls, t.silentSince = 0, 0 }
 
-// Check decides whether the controller leaves the shard map, or may join it again.
+// Check decides which machines to probe, and whether the controller leaves the shard map or may
+// rejoin it.
 func (t *Tracker) Check(v View) Verdict {
 	switch {
 	case t.unreachable:
@@ -129,8 +134,9 @@
 	}
 }
 
-// checkUnreachable asks machines until they answer. Joining blindly after a while would cost
-// the machines a change of owner and back while the cut lasts, and a longer absence after it.
+// checkUnreachable probes machines until one replies. If the controller rejoined after a while
+// without a reply, then during a partition its machines would change owner and back for nothing,
+// and the controller would stay outside the map for longer after the partition.
 func (t *Tracker) checkUnreachable(v View) Verdict {
 	verdict := Verdict{Probe: t.probe(v)}
 	recentReply := t.lastProbeReplyAt > 0 && v.Now-t.lastProbeReplyAt < probeValidityHeartbeats*t.Heartbeat
@@ -141,9 +147,10 @@
 	return verdict
 }
 
-// checkNonMember checks a controller that is not a member, and is told of few machines or none.
-// What it has not heard for long it asks first: controllers that came back from a cut took a
-// third of the machines each time, for the seconds in which they found that they reach none.
+// checkNonMember checks a controller that is not a member and therefore hears from few machines
+// or none. If its last contact is too long ago, it has to probe machines before it may join.
+// Without this, a controller that came back from a partition took over a third of the machines
+// each time, for the seconds until it detected that it reaches none of them.
 func (t *Tracker) checkNonMember(v View) Verdict {
 	if v.Fleet.KnownCount() == 0 || v.Now-t.lastContactAt < t.Lease/silenceLeaseDivisor {
 		return Verdict{}
@@ -152,7 +159,7 @@
 	return Verdict{Probe: t.probe(v)}
 }
 
-// checkMember checks a member, which leaves the map if it reaches no machine.
+// checkMember checks a member, which leaves the shard map if it reaches no machine.
 func (t *Tracker) checkMember(v View) (verdict Verdict) {
 	if t.Silent(v) {
 		if t.silentSince == 0 {
@@ -165,8 +172,8 @@
 	} else {
 		t.silentSince = 0
 	}
-	// Machines may be heard, and hear nothing: then each heartbeat is answered in vain, and
-	// their tasks end with their leases while this controller holds on to them.
+	// In a one-way partition heartbeats arrive, but the machines receive neither the responses nor
+	// calls. Their leases expire and their tasks end, while this controller keeps owning them.
 	if t.consecutiveLostCalls >= minLostCalls {
 		verdict.Probe = append(verdict.Probe, t.probe(v)...)
 		if v.Now-t.firstLostCallAt >= t.maxSilence(v)+2*t.Heartbeat && v.Fleet.RegisteredCount() >= minRegisteredMachines {
@@ -186,27 +193,29 @@
 	return verdict
 }
 
-// maxSilence is how long no machine may be heard until the controller leaves the map: a
-// heartbeat period and a quarter, and the time in which one of n machines that send heartbeats
-// at random is heard but once in three thousand; a third of a lease at most.
+// maxSilence returns how long a member may hear from no machine before it leaves the shard map:
+// one and a quarter heartbeat periods plus 8/n of a period for n owned machines, but at most a
+// third of a lease. If n machines send heartbeats at random times, all of them are silent for 8/n
+// of a period in one case out of three thousand.
 func (t *Tracker) maxSilence(v View) time.Duration {
 	owned := time.Duration(max(v.Fleet.OwnedCount(), 1))
 	return min(t.Lease/silenceLeaseDivisor, t.Heartbeat*5/4+8*t.Heartbeat/owned)
 }
 
-// Silent reports whether a member has heard no machine for half of the time that it may. Then
-// some are asked whether they can be reached, and their answer is as good as a heartbeat. Only
-// after as long again is it believed.
+// Silent reports whether a member has heard from no machine for half of maxSilence. Machines are
+// then probed, and a reply counts as contact just like a heartbeat. The member leaves only if the
+// silence lasts for the other half as well.
 //
-// Guards against the word of a process that stood still: it has heard nobody, and all that was
-// sent to it is still to be read.
+// Without this delay, a process that was paused would leave by mistake when it resumes: it has
+// heard from no machine only because what was sent to it meanwhile is still unread.
 func (t *Tracker) Silent(v View) bool {
 	return v.IsMember && v.Now-t.lastContactAt >= t.maxSilence(v)/2 && v.Fleet.RegisteredCount() >= minRegisteredMachines
 }
 
-// leave gives the place in the map up. Each time in vain it is for twice as long: when it is
-// the machines that are dead, leaving and joining in turn kept every new owner from ever
-// finding that out.
+// leave makes the controller leave the shard map for at least a lease, and for twice as long each
+// further time until a machine confirms its fencing token. If the machines themselves are dead,
+// controllers that left and rejoined in turn would otherwise change the owner so often that no
+// owner ever detects it.
 func (t *Tracker) leave(v View, verdict Verdict) Verdict {
 	t.unreachable, t.lastProbeReplyAt = true, 0
 	t.rejoinNotBefore = v.Now + t.Lease<<min(t.consecutiveLeaves, maxAbsenceDoublings)
@@ -215,8 +224,8 @@
 	return verdict
 }
 
-// probe names a few machines, others each time, to be asked whether they can be reached. It
-// names none while the last ones have time to answer.
+// probe returns the names of a few machines to probe, different ones each time. It returns none
+// while the previous probes still have time to be answered.
 func (t *Tracker) probe(v View) []string {
 	if v.Now < t.nextProbeAt {
 		return nil
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -9,7 +9,7 @@
 
 const second = time.Second
 
-// fleet is a Fleet of as many machines as are known, all of them owned and registered.
+// fleet implements Fleet for machines that are all known, owned and registered.
 type fleet struct {
 	known     []string
 	heard     bool
@@ -34,8 +34,9 @@
 
 func newTracker() *Tracker { return &Tracker{Lease: 12 * second, Heartbeat: 2 * second} }
 
-// runChecks checks four times a second from one moment to another, and returns when the
-// tracker left the map or rejoined it, 0: never.
+// runChecks calls Check four times a second from one time to another and passes each verdict to
+// the function each, if there is one. It returns when the tracker first left the shard map and
+// when it first rejoined it, 0: never.
 func runChecks(t *Tracker, f *fleet, from, to time.Duration, member bool, each func(now time.Duration, v Verdict)) (left, rejoined time.Duration) {
 	for now := from; now < to; now += second / 4 {
 		v := t.Check(View{Now: now, IsMember: member, Fleet: f})
@@ -54,7 +55,7 @@
 
 func TestSilentMemberProbesBeforeItLeaves(t *testing.T) {
 	tracker, f, probed := newTracker(), newFleet(20), 0
-	f.heard = true // within a third of a lease, which is longer
+	f.heard = true // within a third of a lease, 4 s, so only the shorter limit of maxSilence applies
 	tracker.Contact(10 * second)
 	left, _ := runChecks(tracker, f, 10*second, 30*second, true, func(_ time.Duration, v Verdict) {
 		if !tracker.Unreachable() {
@@ -62,14 +63,15 @@
 		}
 	})
 	if left < 12*second || left > 14*second {
-		t.Errorf("left after %v of silence, want 2 s to 4 s", left-10*second)
+		t.Errorf("left the shard map after %v of silence, want 2 s to 4 s", left-10*second)
 	}
 	if probed != probesPerRound {
-		t.Errorf("%d machines were probed before, want %d", probed, probesPerRound)
+		t.Errorf("%d machines were probed before leaving, want %d", probed, probesPerRound)
 	}
 }
 
-// The same silence with and without an answer to the probes, until heartbeats come again.
+// Two members hear no heartbeats for 4 s. The one whose probes are answered stays in the shard map,
+// the other one leaves.
 func TestOnlyProbeReplyKeepsSilentMember(t *testing.T) {
 	for _, replied := range []bool{true, false} {
 		tracker, f := newTracker(), newFleet(20)
@@ -84,7 +86,7 @@
 			}
 		})
 		if stayed := left == 0; stayed != replied {
-			t.Errorf("stayed %v with probes answered %v", stayed, replied)
+			t.Errorf("stayed in the shard map: %v, with probes answered: %v; want both equal", stayed, replied)
 		}
 	}
 }
@@ -92,7 +94,7 @@
 func TestSilenceOfSingleMachineIsIgnored(t *testing.T) {
 	tracker, f := newTracker(), newFleet(1)
 	if left, _ := runChecks(tracker, f, 10*second, 100*second, true, nil); left != 0 {
-		t.Errorf("left at %v for the silence of one machine", left)
+		t.Errorf("left the shard map at %v because one machine was silent, want never", left)
 	}
 }
 
@@ -106,7 +108,7 @@
 		}
 	})
 	if left == 0 || left > 18*second {
-		t.Errorf("left at %v, want within 8 s of the first lost call", left)
+		t.Errorf("left the shard map at %v (0s: never), want within 8 s of the first lost call at 10 s", left)
 	}
 }
 
@@ -115,7 +117,7 @@
 	tracker.Contact(10 * second)
 	left, _ := runChecks(tracker, f, 10*second, 20*second, true, nil)
 	if _, rejoined := runChecks(tracker, f, 20*second, 60*second, false, nil); rejoined != 0 {
-		t.Fatalf("rejoined at %v without an answer", rejoined)
+		t.Fatalf("rejoined at %v without a reply to a probe, want never", rejoined)
 	}
 	_, rejoined := runChecks(tracker, f, 60*second, 80*second, false, func(now time.Duration, v Verdict) {
 		for range v.Probe {
@@ -123,7 +125,7 @@
 		}
 	})
 	if rejoined < left+tracker.Lease || rejoined > 65*second {
-		t.Errorf("rejoined at %v, having left at %v", rejoined, left)
+		t.Errorf("rejoined at %v after leaving at %v, want at least a lease later and before 65 s", rejoined, left)
 	}
 }
 
@@ -141,12 +143,12 @@
 		}
 		for range v.Probe {
 			if !member {
-				tracker.ProbeEnded(now, true) // answers calls, and is never heard as a member
+				tracker.ProbeEnded(now, true) // replies to probes, but no machine is heard while a member
 			}
 		}
 	}
 	if len(absences) < 3 || !slices.IsSorted(absences) || absences[1] < 2*absences[0]-5*second {
-		t.Errorf("was away for %v, want each about twice as long as the one before", absences)
+		t.Errorf("times outside the shard map: %v, want each about twice as long as the one before", absences)
 	}
 }
 
@@ -158,6 +160,6 @@
 		}
 	})
 	if len(probed) != 9 {
-		t.Errorf("%d of 9 machines were asked", len(probed))
+		t.Errorf("%d machines were probed, want all 9", len(probed))
 	}
 }
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,6 +1,6 @@
-// Package records holds what controllers keep in the state service: the values below the
-// keys that package core names. Values that any version has written stay readable, so a
-// field is added with omitempty and its absence means that the writer did not know it.
+// Package records defines the values that controllers store in the state service, under the keys
+// that package core defines. Values written by any earlier version must stay readable: a new field
+// is added with omitempty, and its absence means that the writer did not know the field.
 package records
 
 import "github.com/chalkhub/chalkhub/internal/protocol"
@@ -12,60 +12,61 @@
 	SubmittedAt float64      `msgpack:"at"`               // time of day of the submission, in seconds
 	Zones       []string     `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
 	StopReason  string       `msgpack:"why,omitempty"`    // why the job was stopped
-	Chunks      int          `msgpack:"pieces,omitempty"` // the whole record is in so many keys
-	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // of this name; this one has only its id and state
-	DoneAt      float64      `msgpack:"over,omitempty"`   // time of day when it was done, in seconds; 0: an older version wrote it
+	Chunks      int          `msgpack:"pieces,omitempty"` // if not 0, the full record is stored in this many chunks
+	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // part of the chunks' keys; a record with chunks itself has only the job's id and state
+	DoneAt      float64      `msgpack:"over,omitempty"`   // time of day when the job was done, in seconds; 0: written by a version without this field
 }
 
-// IsAcceptance reports whether the record is as it was when the job was accepted. Every later one
-// says that the job is over, or names its zones.
+// IsAcceptance reports whether the record is unchanged since the job was accepted. Every later
+// record either has another state, because the job is over, or names the job's zones.
 func (j *Job) IsAcceptance() bool { return j.State == protocol.JobQueued && len(j.Zones) == 0 }
 
-// Chunk is a part of a record that is larger than a value: of its MessagePack, deflated, as
-// base64.
+// Chunk is one part of a chunked record, which is a record too large for a single value. The
+// record is encoded as MessagePack, deflated and base64-encoded before it is split.
 type Chunk struct {
 	Text string `msgpack:"text"`
 }
 
-// AdmissionBatch holds jobs that were accepted together.
+// AdmissionBatch holds jobs that were accepted in one transaction.
 type AdmissionBatch struct {
 	Jobs []Job `msgpack:"jobs"`
 }
 
-// Progress holds the completed tasks of one block of a job.
+// Progress holds the completed tasks of one block of a job's tasks.
 type Progress struct {
-	Bits string `msgpack:"bits"`
+	Bits string `msgpack:"bits"` // TaskSet.Text of the block
 }
 
-// Node says that a controller is alive.
+// Node states that a controller is alive.
 type Node struct {
 	BootID string `msgpack:"boot"`
-	Level  int    `msgpack:"level,omitempty"` // FormatLevel of its version
+	Level  int    `msgpack:"level,omitempty"` // FormatLevel of the controller's version
 }
 
-// FormatLevel is the newest form of records that this version understands: 1 has dependent jobs.
-// Versions before it say nothing, 0.
+// FormatLevel is the newest record format that this version understands. Level 1 adds dependent
+// jobs. Older versions write no level, which is read as 0.
 const FormatLevel = 1
 
-// Leader says who leads.
+// Leader names the controller that leads.
 type Leader struct {
 	Label  string `msgpack:"label"`
 	BootID string `msgpack:"boot"`
 }
 
-// ShardMap says which controllers divide the machines among themselves.
+// ShardMap lists the controllers that the machines are divided among.
 type ShardMap struct {
 	Epoch   uint64            `msgpack:"epoch"`
 	Leader  string            `msgpack:"leader"`
 	Members map[string]string `msgpack:"members"` // boot id by label
 }
 
-// RegistryPage is one key of the machine registry.
+// RegistryPage is the value of one key of the machine registry, which holds many machines.
 type RegistryPage struct {
 	Machines map[string]Machine `msgpack:"machines"`
 }
 
-// Machine says that a machine may have been given tasks.
+// Machine is a machine's entry in the registry. It states that the machine may have been given
+// tasks.
 type Machine struct {
 	Addr string `msgpack:"addr"`
 	Type string `msgpack:"type"`
@@ -73,12 +74,12 @@
 	Spot bool   `msgpack:"spot"`
 }
 
-// Estimates is the estimator's history.
+// Estimates is the stored history of the duration estimator.
 type Estimates struct {
 	Means []Mean `msgpack:"means"`
 }
 
-// Mean is one running mean.
+// Mean is the running mean of the task durations of one team, class, and number of CPUs and GPUs.
 type Mean struct {
 	Team   string  `msgpack:"team"`
 	Class  string  `msgpack:"class"`
--- a/internal/records/taskset.go
+++ b/internal/records/taskset.go
@@ -5,13 +5,14 @@
 	"math/bits"
 )
 
-// TaskSet is a set of task numbers.
+// TaskSet is a set of task numbers, stored as a bitmap: task i is bit i%8 of byte i/8. The zero
+// value is an empty set.
 type TaskSet []byte
 
 // Has reports whether i is in the set.
 func (s TaskSet) Has(i int) bool { return i>>3 < len(s) && s[i>>3]&(1<<(i&7)) != 0 }
 
-// Add puts i into the set and reports whether it was new.
+// Add adds i to the set and reports whether it was missing before.
 func (s *TaskSet) Add(i int) bool {
 	for i>>3 >= len(*s) {
 		*s = append(*s, 0)
@@ -23,8 +24,8 @@
 	return true
 }
 
-// Merge adds another set, whose first byte is so many behind the first of this one, and
-// returns how many were new.
+// Merge adds the numbers of another set, each increased by 8*offset, and returns how many of them
+// were missing before. The offset is in bytes of the bitmap.
 func (s *TaskSet) Merge(other TaskSet, offset int) (added int) {
 	for offset+len(other) > len(*s) {
 		*s = append(*s, 0)
@@ -36,7 +37,7 @@
 	return added
 }
 
-// Len counts the set.
+// Len returns how many numbers the set holds.
 func (s TaskSet) Len() int {
 	n := 0
 	for _, b := range s {
@@ -45,8 +46,9 @@
 	return n
 }
 
-// Text is the set as text.
+// Text returns the set encoded as unpadded base64.
 func (s TaskSet) Text() string { return base64.RawStdEncoding.EncodeToString(s) }
 
-// ParseTaskSet reads what Text wrote.
+// ParseTaskSet decodes a set that was encoded by Text. It returns an error if the text is not
+// unpadded base64.
 func ParseTaskSet(t string) (TaskSet, error) { return base64.RawStdEncoding.DecodeString(t) }
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -1,13 +1,14 @@
-// Package registry lays the machine registry out on pages: keys of a store that hold many
-// machines each.
+// Package registry divides the machine registry into pages. A page is one key of the state service
+// and holds many machines.
 //
-// With a key for each machine, a wave of machines that came up took the write budget of several
-// seconds, and submissions waited behind it.
+// With a separate key for each machine, many machines that came up at the same time used up the
+// write quota of several seconds, and job submissions were delayed behind them.
 //
-// The package owns the choice of pages: which are written, with what, in one transaction. It
-// knows neither the store nor why machines come and go, and has no clock, input or output. Its
-// invariants: a machine is on some page from when it was added until it is removed, also while
-// it moves between pages, and no plan changes more pages than one transaction may.
+// The package decides which pages one transaction writes, and with which machines. It knows neither
+// the store nor why machines are added and removed, and has no clock, input or output.
+//
+// Invariants: a machine is on at least one page from when it is added until it is removed, even
+// while it moves between pages; and no plan changes more pages than one transaction may.
 package registry
 
 import (
@@ -17,46 +18,49 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// recordOverhead is the encoded size of a machine's record without its texts, rounded up.
+// recordOverhead is an upper bound of a machine record's encoded size in bytes without its strings.
 const recordOverhead = 64
 
-// Limits bound pages and the transactions that write them.
+// Limits limits the size of pages and of the transactions that write them.
 type Limits struct {
-	ValueBytes   int // a page larger than this can't be written
-	PageBytes    int // a page is filled up to this
-	PagesPerPlan int // so many pages may change at once
+	ValueBytes   int // largest value of the store; a larger page can't be written
+	PageBytes    int // machines are added to a page only up to this size
+	PagesPerPlan int // how many pages one plan may change
 }
 
-// Registry is what a plan starts from.
+// Registry describes the current registry, from which a plan starts.
 type Registry struct {
-	// Pages walks over the pages in the order of their keys, each with the names of its
-	// machines. Page is one of them by its key, and PageCount is their number.
+	// Pages iterates over the pages in the order of their keys, each with the names of its
+	// machines. Page returns the names on the page with a key, and PageCount is the number of
+	// pages.
 	Pages     iter.Seq2[string, []string]
 	Page      func(key string) []string
 	PageCount int
-	// Record is the record of a machine that is on a page or to be added.
+	// Record returns the record of a machine that is on a page or is to be added.
 	Record func(name string) records.Machine
-	// Removed reports whether a machine is to be taken out.
+	// Removed reports whether a machine is to be removed from the registry.
 	Removed func(name string) bool
 }
 
-// Page is a page as it is to be written; without machines it is to be deleted.
+// Page is the new content of a page. A page without machines is to be deleted.
 type Page struct {
 	Machines map[string]records.Machine
 	bytes    int
 }
 
-// RecordSize is how many bytes a machine takes on its page, in the form in which limits are
-// counted, or a few more.
+// RecordSize returns an upper bound, a few bytes above the actual number, of the bytes that a
+// machine takes on its page, in the encoding to which the store's limits apply.
 func RecordSize(name string, record *records.Machine) int {
 	return recordOverhead + len(name) + len(record.Addr) + len(record.Type) + len(record.Zone)
 }
 
-// Plan chooses the pages to write for the machines to add, and for those that are removed. What
-// does not fit into one transaction is left for a later plan.
+// Plan returns the pages to write, by key, so that the given machines are added and those for which
+// Removed is true are removed. Changes beyond the limit of one transaction are left for a later
+// plan.
 //
-// A page that is larger than a value may be by now can't be written any more. Its machines are
-// put on others, where they stand twice for a while, and then it is deleted whole.
+// A page may be larger than a value may be now, if that limit was lowered. Such a page can't be
+// written any more. Its machines are first added to other pages, so that they are temporarily on
+// two pages, and then the whole page is deleted.
 func Plan(registry Registry, add []string, limits Limits) map[string]*Page {
 	p := &planner{Registry: registry, limits: limits, toAdd: add, sizes: map[string]int{}, changed: map[string]*Page{}}
 	p.measurePages()
@@ -65,16 +69,16 @@
 	return p.changed
 }
 
-// planner is a plan in the making.
+// planner holds the state of a plan while it is computed.
 type planner struct {
 	Registry
 	limits  Limits
-	toAdd   []string         // machines that still have to be put on a page
-	sizes   map[string]int   // bytes of each page as it is now
+	toAdd   []string         // machines that still have to be added to a page
+	sizes   map[string]int   // current bytes of each page, without the plan's changes
 	changed map[string]*Page // by key
 }
 
-// measurePages notes the size of each page.
+// measurePages computes the current size of each page.
 func (p *planner) measurePages() {
 	for key, names := range p.Pages {
 		size := 0
@@ -86,13 +90,13 @@
 	}
 }
 
-// oversized reports whether a page can't be written any more.
+// oversized reports whether a page is too large to be written.
 func (p *planner) oversized(key string) bool { return p.sizes[key] > p.limits.ValueBytes }
 
-// underPageLimit reports whether one more page may change.
+// underPageLimit reports whether the plan may change one more page.
 func (p *planner) underPageLimit() bool { return len(p.changed) < p.limits.PagesPerPlan }
 
-// edit is a page that changes, as it is now if it has not changed before.
+// edit returns the new content of a page, which starts as a copy of the current content.
 func (p *planner) edit(key string) *Page {
 	if p.changed[key] == nil {
 		page := &Page{Machines: map[string]records.Machine{}, bytes: p.sizes[key]}
@@ -104,8 +108,8 @@
 	return p.changed[key]
 }
 
-// removeMachines takes out what is to be removed, and has the machines of oversized pages added
-// to others.
+// removeMachines removes machines from their pages, and begins or completes the move of machines
+// from oversized pages to others.
 func (p *planner) removeMachines() {
 	onOtherPage := p.findOnOtherPages()
 	for key, names := range p.Pages {
@@ -123,8 +127,8 @@
 	}
 }
 
-// clearOversized has the machines of an oversized page added to other pages, and deletes it
-// once none of them is on it alone.
+// clearOversized schedules the machines of an oversized page to be added to other pages. Once none
+// of its machines is on this page only, it deletes the page.
 func (p *planner) clearOversized(key string, names []string, onOtherPage map[string]bool) {
 	onlyHere := 0
 	for _, name := range names {
@@ -138,7 +142,8 @@
 	}
 }
 
-// findOnOtherPages says of each machine of the oversized pages whether it is on another page too.
+// findOnOtherPages returns, for each machine on an oversized page, whether it is also on a page that
+// is not oversized.
 func (p *planner) findOnOtherPages() map[string]bool {
 	onOtherPage := map[string]bool{}
 	for key, names := range p.Pages {
@@ -161,13 +166,13 @@
 	return onOtherPage
 }
 
-// addMachines puts the machines to add on the first pages with room, and on new ones.
+// addMachines adds machines to the first pages that have space, and then to new pages.
 func (p *planner) addMachines() {
 	for n := 0; len(p.toAdd) > 0; n++ {
 		key := PageKey(n)
 		if p.changed[key] == nil && !p.underPageLimit() {
 			if n > p.PageCount+len(p.changed) {
-				return // the rest goes with the next transaction
+				return // no page that this plan may change has space; the rest is left for a later plan
 			}
 			continue
 		}
@@ -178,13 +183,14 @@
 	}
 }
 
-// full reports whether a page as it is now has no room for the next machine.
+// full reports whether a page that the plan has not changed has no space for the next machine.
 func (p *planner) full(key string) bool {
 	next := p.Record(p.toAdd[0])
 	return p.sizes[key] > 0 && p.sizes[key]+RecordSize(p.toAdd[0], &next) > p.limits.PageBytes
 }
 
-// fill puts machines on a page until it is full. An empty one takes at least one.
+// fill adds machines to a page until it is full. An empty page takes at least one machine, of any
+// size.
 func (p *planner) fill(page *Page) {
 	for len(p.toAdd) > 0 {
 		name, record := p.toAdd[0], p.Record(p.toAdd[0])
@@ -198,5 +204,5 @@
 	}
 }
 
-// PageKey is the key of the n-th page, below the registry's prefix.
+// PageKey returns the key of page n, counted from 0, without the registry's key prefix.
 func PageKey(n int) string { return fmt.Sprintf("%04d", n) }
--- a/internal/registry/pages_test.go
+++ b/internal/registry/pages_test.go
@@ -9,9 +9,9 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// store is what plans are carried out on.
+// store is an in-memory registry to which plans are applied.
 type store struct {
-	pages   map[string][]string
+	pages   map[string][]string // names of the machines on each page, by key
 	removed map[string]bool
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// apply carries a plan out and returns how many pages it changed.
+// apply applies a plan and returns how many pages it changed.
 func (s *store) apply(plan map[string]*Page) int {
 	for key, page := range plan {
 		if len(page.Machines) == 0 {
@@ -47,7 +47,7 @@
 	return len(plan)
 }
 
-// listed are the machines that are on any page.
+// listed returns the set of machines that are on at least one page.
 func (s *store) listed() map[string]bool {
 	listed := map[string]bool{}
 	for _, names := range s.pages {
@@ -65,7 +65,8 @@
 	return out
 }
 
-// One machine takes 64 bytes, its name, its address, its type and its zone.
+// machineBytes is the size of each machine of these tests: 64 bytes plus the lengths of its name,
+// address, type and zone.
 var machineBytes = RecordSize("n-000000", &records.Machine{Addr: "10.0.0.1:80", Type: "box", Zone: "a"})
 
 func TestMachinesFillPagesInOrder(t *testing.T) {
@@ -75,11 +76,11 @@
 		t.Fatalf("%d pages written, want 3", n)
 	}
 	if got := len(s.pages[PageKey(0)]); got != 4 {
-		t.Errorf("%d machines on the first page, want 4", got)
+		t.Errorf("first page has %d machines, want 4", got)
 	}
 	s.apply(Plan(s.registry(), names(10, 12), limits))
 	if got := len(s.pages[PageKey(2)]); got != 4 {
-		t.Errorf("%d machines on the last page, want 4: it had room for two", got)
+		t.Errorf("last page has %d machines, want 4: it had space for the two that were added", got)
 	}
 }
 
@@ -89,13 +90,13 @@
 	missing := names(0, 20)
 	for range 20 {
 		if n := s.apply(Plan(s.registry(), missing, limits)); n > 3 {
-			t.Fatalf("%d pages in one plan, want 3 at most", n)
+			t.Fatalf("one plan changed %d pages, want 3 at most", n)
 		}
 		listed := s.listed()
 		missing = slices.DeleteFunc(missing, func(name string) bool { return listed[name] })
 	}
 	if len(missing) > 0 {
-		t.Errorf("%d machines are on no page in the end", len(missing))
+		t.Errorf("%d machines are on no page after 20 plans, want 0", len(missing))
 	}
 }
 
@@ -108,15 +109,16 @@
 	}
 	s.apply(Plan(s.registry(), nil, limits))
 	if _, exists := s.pages[PageKey(0)]; exists {
-		t.Error("an empty page stays")
+		t.Error("the page whose machines were all removed still exists")
 	}
 	if got := len(s.listed()); got != 3 {
-		t.Errorf("%d machines are listed, want 3", got)
+		t.Errorf("%d machines are on a page, want 3", got)
 	}
 }
 
-// A page that can't be written any more is emptied without a moment in which a machine is on no
-// page, however few pages may change at once.
+// If the limit of a value is lowered, a page may become too large to be written. Its machines move
+// to other pages, however few pages a plan may change, and each of them is on some page after every
+// plan.
 func TestOversizedPageMovesWithoutUnlistingMachines(t *testing.T) {
 	for _, pagesPerPlan := range []int{1, 2, 8} {
 		t.Run(fmt.Sprint(pagesPerPlan), func(t *testing.T) {
@@ -127,12 +129,12 @@
 			for range 20 {
 				s.apply(Plan(s.registry(), nil, loweredLimits))
 				if got := len(s.listed()); got != 20 {
-					t.Fatalf("%d machines are listed, want 20 all the time", got)
+					t.Fatalf("%d machines are on a page, want 20 after every plan", got)
 				}
 			}
 			for key, names := range s.pages {
 				if len(names) > 4 {
-					t.Errorf("page %s still has %d machines", key, len(names))
+					t.Errorf("page %s still has %d machines, want 4 at most", key, len(names))
 				}
 			}
 		})
