--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -1,13 +1,15 @@
-// Package peer is the links between controllers: JSON lines over TCP. A member keeps one
-// link, to the leader; the same port shows the status page to a browser.
+// Package peer implements the links between controllers, which carry lines of JSON over TCP. A
+// member keeps one link, to the leader. The same port serves the status page to browsers.
 //
-// It owns the connections, the messages that wait on them, and the goroutines that read,
-// write and dial. It does not know who leads, what a message means, or when one is due.
+// The package owns the connections, the queues of messages to be written, and the goroutines that
+// read, write and dial. It knows neither who leads, nor what a message means, nor when one is due.
+//
+// A session is one connection of a link.
 //
 // Invariants:
-//   - Messages of a session arrive in the order in which they were sent, or the session
-//     ends: none is left out. What the next session needs, the core sends again.
-//   - What waits on all sessions together takes at most MaxQueuedBytes of memory.
+//   - Messages of a session arrive in the order in which they were sent, and none is skipped. If a
+//     message is lost, the session ends; the core sends again what the next session needs.
+//   - The queued messages of all sessions together take at most MaxQueuedBytes of memory.
 //   - Each session is posted as connected once, before its messages, and as disconnected
 //     once, after them.
 package peer
@@ -23,38 +25,39 @@
 )
 
 const (
-	// readBufferBytes takes most messages whole.
+	// readBufferBytes is enough to hold most messages completely.
 	readBufferBytes = 16 << 10
-	// idleTimeouts is after how many timeouts without a message a session is taken to be
-	// broken.
+	// idleTimeouts is how many timeouts may pass without a message until a session is
+	// considered broken.
 	idleTimeouts = 4
 )
 
-// Settings of a node's links.
+// Settings configures the links of a controller.
 type Settings struct {
-	Siblings       map[string]string // addresses by label
-	RetryInterval  time.Duration     // from a link that broke to the next attempt
-	Timeout        time.Duration     // of a connection's making, and of a write
-	MaxQueuedBytes int               // memory of what waits to be written, on all links together
+	Siblings       map[string]string // addresses of the other controllers, by label
+	RetryInterval  time.Duration     // delay between the end of a connection and the next dial
+	Timeout        time.Duration     // for dialing, for each write, and for the first bytes of an accepted connection
+	MaxQueuedBytes int               // limit on the memory of all messages to be written, on all links together
 }
 
-// Links are the links of a node. Any goroutine may call their methods.
+// Links holds the links of a controller. Its methods are safe for concurrent use.
 type Links struct {
 	settings   Settings
 	post       func(core.Command)
 	statusPage func() (body []byte, ok bool)
 
 	mu          sync.Mutex
-	ctx         context.Context // ends the links; that of Serve once it runs
+	ctx         context.Context // its end closes the dialed links; the context of Serve once that runs
 	lastID      uint64
 	sessions    map[uint64]*session
-	queuedBytes int    // of what waits on all sessions
-	dialTarget  string // the label of the sibling to keep a link to, empty: none
+	queuedBytes int    // memory of the queued messages of all sessions
+	dialTarget  string // label of the sibling to keep a link to, empty: none
 	stopDialing context.CancelFunc
 }
 
-// New makes the links of a node. post takes what comes over them and may wait; statusPage
-// renders the status page.
+// New returns the links of a controller. It opens no connection yet. post receives the events and
+// messages of the links, is called from several goroutines, and may block; statusPage renders the
+// status page and reports whether there is one.
 func New(settings Settings, post func(core.Command), statusPage func() ([]byte, bool)) *Links {
 	return &Links{
 		settings:   settings,
@@ -65,12 +68,15 @@
 	}
 }
 
-// Serve accepts links on a listener, which it closes, until ctx ends; that ends all links.
+// Serve accepts links on a listener until ctx ends, and then returns the context's error. The end
+// of ctx closes the listener and each link that Connect dials after Serve was called. Accepted
+// connections stay open until they break or are closed by CloseSession or Send.
 func (l *Links) Serve(ctx context.Context, listener net.Listener) error {
 	l.mu.Lock()
 	l.ctx = ctx
 	l.mu.Unlock()
-	// Closing is what ends Accept; whether it was closed before does not matter.
+	// Closing the listener makes Accept return. The error can be ignored: it only means that the
+	// listener was already closed.
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
@@ -82,11 +88,12 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		time.Sleep(l.settings.RetryInterval) // no descriptor is free, say
+		time.Sleep(l.settings.RetryInterval) // for example, the process has no free file descriptor
 	}
 }
 
-// handleAccepted runs the session of a connection, or shows a browser the status page.
+// handleAccepted runs the session of an accepted connection, or serves the status page if it comes
+// from a browser.
 func (l *Links) handleAccepted(conn net.Conn) {
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	if err := conn.SetReadDeadline(time.Now().Add(l.settings.Timeout)); err != nil {
@@ -104,8 +111,9 @@
 	}
 }
 
-// Connect names the sibling to keep a link to; an earlier link that this node has made is
-// closed. An empty label stands for none.
+// Connect sets the sibling to keep a link to, by label; an empty label means none. It returns
+// without waiting for the connection. A link that this controller dialed to another sibling is
+// closed.
 func (l *Links) Connect(label string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +134,7 @@
 	go l.keepConnected(ctx, label, address)
 }
 
-// keepConnected dials a sibling, again whenever the link breaks, until ctx ends.
+// keepConnected dials a sibling, and dials it again whenever the link breaks, until ctx ends.
 func (l *Links) keepConnected(ctx context.Context, label, address string) {
 	dialer := net.Dialer{Timeout: l.settings.Timeout}
 	for ctx.Err() == nil {
@@ -143,12 +151,13 @@
 	}
 }
 
-// Send puts a message on its way. It does not wait: each session is written at its own
-// pace. While more waits on all of them than may, the one with the most is closed: the next
-// one starts with a whole snapshot.
+// Send queues a message for a session and does not block. A message for a session that has ended is
+// dropped. While the queues of all sessions together exceed MaxQueuedBytes, the session with the
+// longest queue is closed; the session that replaces it starts with a full snapshot.
 //
-// Guards against a bound by count: a whole snapshot of 3,200 machines with 64 tasks each is
-// more than the 1,024 messages that a link once queued, and closed it at every try.
+// The limit is in bytes and not a number of messages: a full snapshot of 3,200 machines with 64
+// tasks each is more than the 1,024 messages that a link once could queue, so that each attempt to
+// send it closed the link.
 func (l *Links) Send(effect core.SendToPeer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,7 +171,7 @@
 	}
 }
 
-// longestQueue is the session with the longest queue, by bytes. The lock is held.
+// longestQueue returns the session whose queue takes the most memory. The caller holds the lock.
 func (l *Links) longestQueue() (longest *session) {
 	for _, s := range l.sessions {
 		if longest == nil || s.queuedBytes > longest.queuedBytes || s.queuedBytes == longest.queuedBytes && s.id < longest.id {
@@ -172,15 +181,16 @@
 	return longest
 }
 
-// CloseSession ends a session.
+// CloseSession closes the connection of a session. PeerDisconnected is posted for it later, unless
+// the session has already ended.
 func (l *Links) CloseSession(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.sessions[id]; s != nil {
-		closeConn(s.conn) // its reader does the rest
+		closeConn(s.conn) // its reader then fails and removes the session
 	}
 }
 
-// closeConn closes a connection. What was written may be lost all the same, and one that is
-// closed already is no fault, so there is nothing to do about an error.
+// closeConn closes a connection. It ignores the error: the connection may already be closed, and
+// data that was written may be lost even if there is no error.
 func closeConn(conn net.Conn) { _ = conn.Close() }
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -13,10 +13,11 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// unreachableQueueLimit is a bound on what waits that no test reaches.
+// unreachableQueueLimit is a value of MaxQueuedBytes that no test reaches.
 const unreachableQueueLimit = 1 << 30
 
-// testSettings retry at once and have the sibling b, if an address is given.
+// testSettings returns settings with a short retry interval, and with the sibling b if an address
+// is given.
 func testSettings(addressOfB string) Settings {
 	settings := Settings{RetryInterval: 10 * time.Millisecond, Timeout: time.Second, MaxQueuedBytes: unreachableQueueLimit}
 	if addressOfB != "" {
@@ -25,7 +26,7 @@
 	return settings
 }
 
-// newLinks makes links that post to a channel.
+// newLinks returns links that post to the returned channel.
 func newLinks(settings Settings) (*Links, chan core.Command) {
 	posted := make(chan core.Command, 64)
 	statusPage := func() ([]byte, bool) { return []byte(`{"label":"b"}`), true }
@@ -51,13 +52,14 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-stopped; !errors.Is(err, context.Canceled) {
-			t.Errorf("the links ended with %v", err)
+			t.Errorf("Serve returned %v, want context.Canceled", err)
 		}
 	})
 	return listener.Addr().String()
 }
 
-// waitFor waits for a command of a type.
+// waitFor returns the next posted command of type T and drops commands of other types before it. It
+// fails the test after 5 s.
 func waitFor[T core.Command](t *testing.T, posted chan core.Command) T {
 	t.Helper()
 	timeout := time.After(5 * time.Second)
@@ -68,13 +70,13 @@
 				return wanted
 			}
 		case <-timeout:
-			t.Fatalf("no %T came", *new(T))
+			t.Fatalf("no %T was posted within 5 s", *new(T))
 		}
 	}
 }
 
-// Two nodes on loopback: messages arrive, a broken link comes back as a new session, and a
-// browser gets the status page from the same port.
+// Two controllers are connected over loopback. Messages arrive, a link that breaks is dialed again
+// and becomes a new session, and a browser gets the status page from the same port.
 func TestLinkReconnectsAndServesStatusPage(t *testing.T) {
 	b, postedAtB := newLinks(testSettings(""))
 	addressOfB := serveLinks(t, b)
@@ -86,19 +88,19 @@
 	atB := waitFor[core.PeerConnected](t, postedAtB)
 	received := waitFor[core.PeerReceived](t, postedAtB)
 	if received.Session != atB.Session || received.Message.Hello.Label != "a" {
-		t.Fatalf("%+v", received)
+		t.Fatalf("b received %+v, want the hello of a over the session that b has posted", received)
 	}
 	b.CloseSession(atB.Session)
 	waitFor[core.PeerDisconnected](t, postedAtA)
 	if second := waitFor[core.PeerConnected](t, postedAtA); second.Session == atA.Session {
-		t.Fatal("a new session has the number of the old one")
+		t.Fatal("the new session has the same id as the old one")
 	}
 	if page := getStatusPage(t, addressOfB); !strings.HasSuffix(page, `{"label":"b"}`) {
-		t.Fatalf("status page: %q", page)
+		t.Fatalf("response to the browser: %q, want one that ends with the status page", page)
 	}
 }
 
-// getStatusPage is the whole answer to a browser.
+// getStatusPage returns the complete response to a browser's request, with its header.
 func getStatusPage(t *testing.T, address string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
@@ -110,8 +112,8 @@
 		t.Fatal(err)
 	}
 	response, err := io.ReadAll(conn)
-	// The server closes with the rest of the request unread, which may reset the connection
-	// after the answer.
+	// The server closes the connection without reading the whole request, which may reset the
+	// connection after the response.
 	if err != nil && len(response) == 0 {
 		t.Fatal(err)
 	}
--- a/internal/peer/memory.go
+++ b/internal/peer/memory.go
@@ -6,8 +6,8 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// memoryBytes is what a message takes in memory while it waits, or a few more: names count
-// in each place, although most of them are shared with the core.
+// memoryBytes returns an upper bound of the memory that a queued message takes. Names count in each
+// place where they occur, although most of them share their memory with the core.
 func memoryBytes(message *peerproto.Message) int {
 	total := int(unsafe.Sizeof(*message))
 	if hello := message.Hello; hello != nil {
@@ -33,7 +33,8 @@
 	return total
 }
 
-// machineTextBytes is what a machine takes beside its entry in the list.
+// machineTextBytes returns the memory that a machine's state takes in addition to its entry in the
+// list.
 func machineTextBytes(machine *peerproto.MachineState) int {
 	return len(machine.Name) + len(machine.Addr) + len(machine.Type) + len(machine.Zone) +
 		namesBytes(machine.Images) + namesBytes(machine.RemovedTasks) + listBytes(machine.Tasks, taskTextBytes)
@@ -47,7 +48,7 @@
 	return listBytes(names, func(name *string) int { return len(*name) })
 }
 
-// listBytes is what a list takes with the texts of its entries.
+// listBytes returns the memory that a list takes, including the texts of its entries.
 func listBytes[T any](list []T, textBytes func(*T) int) int {
 	var entry T
 	total := len(list) * int(unsafe.Sizeof(entry))
--- a/internal/peer/queue_test.go
+++ b/internal/peer/queue_test.go
@@ -13,10 +13,11 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// tasksPerMachine is how many tasks the machines of snapshotOf have.
+// tasksPerMachine is how many tasks each machine in the messages of snapshotOf has.
 const tasksPerMachine = 64
 
-// snapshotOf is a member's whole snapshot of so many machines, as the messages that carry it.
+// snapshotOf returns a member's full snapshot of the given number of machines, divided into the
+// messages that carry it.
 func snapshotOf(machines int) []peerproto.Message {
 	whole := peerproto.Message{Epoch: 7, Snapshot: true, ReadSeq: 12}
 	for i := range machines {
@@ -33,7 +34,8 @@
 	return whole.MemberChunks()
 }
 
-// connectedPair is two nodes on loopback with a session between them: what a sends, b gets.
+// connectedPair is two controllers, a and b, with a session between them over loopback. The tests
+// send from a to b.
 type connectedPair struct {
 	a         *Links
 	session   uint64
@@ -55,9 +57,10 @@
 	return &connectedPair{a: a, session: session, postedAtA: postedAtA, postedAtB: postedAtB}
 }
 
-// A whole snapshot goes into a link at once, and a second one that was asked for meanwhile.
-// Both arrive over that same link, in order: a count of messages once closed it at every try
-// from 3,200 machines on, mostly before the first line.
+// A full snapshot is queued at once, in one case followed by a second one as if it had been requested
+// meanwhile. All of it arrives over the same link, in order. When the queue was limited by a number
+// of messages, each attempt from 3,200 machines on closed the link, mostly before the first line was
+// written.
 func TestSnapshotOfLargeFleetArrives(t *testing.T) {
 	for _, test := range []struct{ machines, snapshots int }{{4000, 1}, {4000, 2}, {8000, 1}} {
 		t.Run(fmt.Sprintf("%d machines, %d snapshots", test.machines, test.snapshots), func(t *testing.T) {
@@ -76,29 +79,29 @@
 	}
 }
 
-// wantChunk checks that the message with a number is the next that b gets, and that the
-// session stays.
+// wantChunk checks that the next message that b receives, number n, is the wanted chunk, and that
+// the session stays open.
 func (p *connectedPair) wantChunk(t *testing.T, n int, want *peerproto.Message) {
 	t.Helper()
 	select {
 	case command := <-p.postedAtB:
 		received, ok := command.(core.PeerReceived)
 		if !ok {
-			t.Fatalf("%T after %d messages", command, n)
+			t.Fatalf("b posted %T after %d messages, want another message", command, n)
 		}
 		got := &received.Message
 		if got.Chunk != want.Chunk || got.More != want.More || len(got.Machines) != len(want.Machines) ||
 			got.Machines[0].Name != want.Machines[0].Name || len(got.Machines[0].Tasks) != tasksPerMachine {
-			t.Fatalf("message %d is another: chunk %d", n, got.Chunk)
+			t.Fatalf("message %d has the wrong content: got chunk %d", n, got.Chunk)
 		}
 	case command := <-p.postedAtA:
-		t.Fatalf("%T at the sender after %d messages", command, n)
+		t.Fatalf("the sender posted %T after %d messages, want no event", command, n)
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%d messages came", n)
+		t.Fatalf("no further message within 10 s after %d messages", n)
 	}
 }
 
-// listenWithoutReading accepts connections and never reads; it returns the address.
+// listenWithoutReading accepts connections without ever reading from them, and returns the address.
 func listenWithoutReading(t *testing.T) string {
 	t.Helper()
 	listener := mustListen(t)
@@ -119,7 +122,8 @@
 	return listener.Addr().String()
 }
 
-// A peer that reads nothing for the timeout of a link gets it closed, however little waits.
+// If a peer reads nothing for the timeout of a link, the link is closed, even if the queue is far
+// below its limit.
 func TestSessionOfStalledPeerIsClosed(t *testing.T) {
 	settings := testSettings(listenWithoutReading(t))
 	settings.RetryInterval, settings.Timeout = time.Hour, 300*time.Millisecond
@@ -133,16 +137,17 @@
 	}
 	waitFor[core.PeerDisconnected](t, posted)
 	if took := time.Since(begin); took > 4*time.Second {
-		t.Fatalf("closed after %v", took)
+		t.Fatalf("session was closed after %v, want 4 s at most", took)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.queuedBytes != 0 || len(a.sessions) != 0 {
-		t.Fatalf("%d bytes wait for a closed session, of %d", a.queuedBytes, len(a.sessions))
+		t.Fatalf("%d bytes are queued and %d sessions exist, want none after the only session was closed", a.queuedBytes, len(a.sessions))
 	}
 }
 
-// dialAs makes a session with a node that serves links, by a peer that reads or does not.
+// dialAs opens a session, as a peer that reads or as one that never does, with the controller that
+// serves links at an address, and returns the session's id at that controller.
 func dialAs(t *testing.T, address string, posted chan core.Command, reads bool) uint64 {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
@@ -154,13 +159,13 @@
 		t.Fatal(err)
 	}
 	if reads {
-		go func() { _, _ = io.Copy(io.Discard, conn) }() // until it is closed
+		go func() { _, _ = io.Copy(io.Discard, conn) }() // until conn is closed
 	}
 	return waitFor[core.PeerConnected](t, posted).Session
 }
 
-// checkQueues checks that what waits is counted, within a bound, and returns whether a
-// session has ended.
+// checkQueues checks that the counted total of queued bytes equals the sum over the sessions and does
+// not exceed a bound, and returns whether the given session has ended.
 func checkQueues(t *testing.T, links *Links, bound int, session uint64) (ended bool) {
 	t.Helper()
 	links.mu.Lock()
@@ -170,14 +175,14 @@
 		sum += s.queuedBytes
 	}
 	if links.queuedBytes > bound || sum != links.queuedBytes {
-		t.Fatalf("%d bytes wait, %d on the sessions", links.queuedBytes, sum)
+		t.Fatalf("%d bytes are counted as queued, the sessions' sum is %d; want both equal and within the bound", links.queuedBytes, sum)
 	}
 	s := links.sessions[session]
 	return s == nil || s.closed
 }
 
-// Where more waits than may, the session with the longest queue is closed, the others go on,
-// and what waits never passes the bound.
+// When the queued messages exceed the limit, the session with the longest queue is closed and the
+// others continue. The queued bytes never exceed the limit after a call of Send.
 func TestQueuedMemoryIsBounded(t *testing.T) {
 	const bound = 8 << 20
 	settings := testSettings("")
@@ -192,18 +197,19 @@
 		links.Send(core.SendToPeer{Session: reading, Message: peerproto.Message{Epoch: 7}})
 		closed = checkQueues(t, links, bound, stalled)
 		if checkQueues(t, links, bound, reading) {
-			t.Fatal("the session that is read is closed")
+			t.Fatal("the session of the peer that reads was closed, want it open")
 		}
 	}
 	if !closed {
-		t.Fatal("the session that is not read stays open")
+		t.Fatal("the session of the peer that does not read is still open, want it closed")
 	}
 	if down := waitFor[core.PeerDisconnected](t, posted); down.Session != stalled {
-		t.Fatalf("session %d is down, not %d", down.Session, stalled)
+		t.Fatalf("session %d was disconnected, want session %d", down.Session, stalled)
 	}
 }
 
-// No list of a message is left out when what waits is counted.
+// memoryBytes counts every list of a message. A list that it left out would not count towards the
+// limit on queued memory.
 func TestMemoryCountsEveryList(t *testing.T) {
 	var message peerproto.Message
 	value := reflect.ValueOf(&message).Elem()
@@ -215,7 +221,7 @@
 		before := memoryBytes(&message)
 		field.Set(reflect.MakeSlice(field.Type(), 100, 100))
 		if got, least := memoryBytes(&message)-before, 100*int(field.Type().Elem().Size()); got < least {
-			t.Errorf("%s: %d bytes, at least %d", value.Type().Field(i).Name, got, least)
+			t.Errorf("field %s with 100 entries adds %d bytes, want at least %d", value.Type().Field(i).Name, got, least)
 		}
 	}
 }
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -14,24 +14,25 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// session is one connection. What it queues is guarded by the lock of its Links.
+// session is one connection to another controller. The lock of its Links guards its queue and
+// whether it is closed.
 type session struct {
 	id          uint64
 	conn        net.Conn
 	queue       []queuedMessage
 	queuedBytes int
-	changed     *sync.Cond // the queue has grown, or the session is closed
+	changed     *sync.Cond // signaled when the queue grows and when the session is closed
 	closed      bool
 }
 
-// queuedMessage waits to be written.
+// queuedMessage is a message that is not completely written yet.
 type queuedMessage struct {
 	message peerproto.Message
-	bytes   int // of memory
+	bytes   int // memory that it takes, see memoryBytes
 }
 
-// runSession reads a connection until it breaks, and writes what is queued meanwhile. The
-// label is that of the sibling that was dialled, empty if the other side has dialled.
+// runSession reads from a connection until it breaks, while another goroutine writes the queued
+// messages. The label is that of the sibling that was dialed, empty if the other side has dialed.
 func (l *Links) runSession(conn net.Conn, reader *bufio.Reader, label string) {
 	s := l.addSession(conn)
 	l.post(core.PeerConnected{Session: s.id, Label: label})
@@ -57,8 +58,8 @@
 	l.discardSession(s)
 }
 
-// discardSession closes a session and lets go what it has queued; its reader removes it. The
-// lock is held.
+// discardSession closes a session and drops its queued messages. Its reader then fails and removes
+// the session. The caller holds the lock.
 func (l *Links) discardSession(s *session) {
 	closeConn(s.conn)
 	s.closed = true
@@ -67,8 +68,8 @@
 	s.changed.Signal()
 }
 
-// readMessages posts what comes over a connection until that breaks or something else than
-// a message comes.
+// readMessages posts each message that arrives over a connection. It returns when the connection
+// breaks, stays silent for idleTimeouts timeouts, or delivers something other than a message.
 func (l *Links) readMessages(s *session, reader *bufio.Reader) {
 	for {
 		if err := s.conn.SetReadDeadline(time.Now().Add(idleTimeouts * l.settings.Timeout)); err != nil {
@@ -86,10 +87,11 @@
 	}
 }
 
-// errLineTooLong refuses a line that no controller sends.
-var errLineTooLong = errors.New("a line is longer than a message may be")
+// errLineTooLong reports a line longer than any that a controller sends.
+var errLineTooLong = errors.New("read message from peer: line exceeds the maximum length of a message")
 
-// readLine reads a line of any length that a message may have.
+// readLine reads a line and returns it with its line feed. A line longer than a message may be is an
+// error.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -106,8 +108,8 @@
 	}
 }
 
-// writeQueue writes what a session has queued until it is closed. A peer that does not read
-// for the timeout of a link gets it closed.
+// writeQueue writes the queued messages of a session until the session is closed. If the peer does
+// not read, so that a write takes longer than the timeout, it closes the connection.
 func (l *Links) writeQueue(s *session) {
 	for {
 		message, ok := l.nextMessage(s)
@@ -115,7 +117,7 @@
 			return
 		}
 		if err := l.writeMessage(s.conn, &message); err != nil {
-			closeConn(s.conn) // its reader does the rest
+			closeConn(s.conn) // its reader then fails and removes the session
 			return
 		}
 		l.dequeue(s)
@@ -125,8 +127,9 @@
 func (l *Links) writeMessage(conn net.Conn, message *peerproto.Message) error {
 	line, err := json.Marshal(message)
 	if err != nil {
-		// A message is plain data; only a field of another kind could lead here.
-		panic(fmt.Sprintf("peer: encode: %v", err))
+		// A message consists of plain data, which can always be encoded. An error means that a field
+		// was added whose type JSON can't encode.
+		panic(fmt.Sprintf("peer: encode message: %v", err))
 	}
 	if err := conn.SetWriteDeadline(time.Now().Add(l.settings.Timeout)); err != nil {
 		return err
@@ -135,7 +138,7 @@
 	return err
 }
 
-// enqueue adds a message to a session's queue. The lock is held.
+// enqueue appends a message to a session's queue. The caller holds the lock.
 func (l *Links) enqueue(s *session, message peerproto.Message) {
 	bytes := memoryBytes(&message)
 	s.queue = append(s.queue, queuedMessage{message, bytes})
@@ -144,8 +147,8 @@
 	s.changed.Signal()
 }
 
-// nextMessage waits for the message that a session is to write next; it stays queued until
-// it is written. ok is false once the session is closed.
+// nextMessage blocks until a session has a queued message, and returns the first one. The message
+// stays queued until it is written. ok is false once the session is closed.
 func (l *Links) nextMessage(s *session) (message peerproto.Message, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,7 +161,7 @@
 	return s.queue[0].message, true
 }
 
-// dequeue takes the first message of a session, which is written, out of its queue.
+// dequeue removes the first message from a session's queue, after it has been written.
 func (l *Links) dequeue(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,7 +170,7 @@
 	}
 	l.queuedBytes -= s.queue[0].bytes
 	s.queuedBytes -= s.queue[0].bytes
-	s.queue[0] = queuedMessage{} // its memory goes now, the list's when that grows
+	s.queue[0] = queuedMessage{} // frees the message now; its slot is freed when append reallocates the list
 	if s.queue = s.queue[1:]; len(s.queue) == 0 {
 		s.queue = nil
 	}
--- a/internal/peer/statuspage.go
+++ b/internal/peer/statuspage.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// browserRequestPrefix begins every request of a browser, and no message.
+// browserRequestPrefix begins every request of a browser for a page, and no message of a controller.
 const browserRequestPrefix = "GET "
 
-// peekBrowserRequest reports whether a connection begins with a browser's request.
+// peekBrowserRequest reports whether a connection begins with a browser's request. It consumes none
+// of the data.
 func peekBrowserRequest(reader *bufio.Reader) (bool, error) {
 	head, err := reader.Peek(len(browserRequestPrefix))
 	return string(head) == browserRequestPrefix, err
 }
 
-// serveStatusPage answers a browser with the status page, whatever path it asks for, and
-// closes the connection.
+// serveStatusPage responds to a browser with the status page, whatever path it requests, or with 503
+// if there is no status page, and closes the connection.
 func (l *Links) serveStatusPage(conn net.Conn) {
 	defer closeConn(conn)
 	status := "200 OK"
@@ -29,6 +30,6 @@
 		return
 	}
 	header := fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", status, len(body))
-	// A browser that is gone needs no answer.
+	// An error means that the browser has disconnected and needs no response.
 	_, _ = conn.Write(append([]byte(header), body...))
 }
