--- a/internal/peerproto/chunks.go
+++ b/internal/peerproto/chunks.go
@@ -1,24 +1,24 @@
 package peerproto
 
-// MaxLineBytes is how many bytes one line of a peer link may have, in this version and in
-// all before it: a receiver closes a link that brings a longer one.
+// MaxLineBytes is the maximum length of one line of a peer link, in this version and in all earlier
+// ones. A receiver closes a link that delivers a longer line.
 const MaxLineBytes = 16 << 20
 
-// maxListBytes is how many bytes of names and texts one message lists, counted before they
-// are encoded, but for a single entry with more. JSON writes a byte as six at the most, so
-// an eighth leaves room for the rest of the line.
+// maxListBytes limits the bytes that the list entries of one message take before they are encoded,
+// except for a single larger entry. JSON encodes a byte as six bytes at most, so an eighth of a line
+// leaves space for the rest of the line.
 const maxListBytes = MaxLineBytes / 8
 
-// maxChunkEntries is how many machines and tasks one message tells of, at the most, but for
-// a single machine with more: some dozens of KB of text.
+// maxChunkEntries limits the number of machines and tasks that one message describes, except for a
+// single machine with more tasks. That many take some dozens of KB of text.
 const maxChunkEntries = 256
 
-// MemberChunks divides a member's message into several that mean the same one after the other, so
-// that no line of a link grows with the fleet. Only Released and Cancelled stay whole: a leader
-// must read all that is released before the machines.
+// MemberChunks divides a member's message into several that together mean the same when they are
+// read in order, so that the length of a line does not grow with the fleet. Only Released and
+// Cancelled are not divided: a leader must read all released machines before the listed ones.
 //
-// Guards against a snapshot longer than a link takes: with ten thousand machines of sixty tasks
-// each it would have been, and the link closed at every try.
+// An undivided full snapshot can exceed the length limit of a line: with ten thousand machines of
+// sixty tasks each it would, and each attempt to send it would close the link.
 func (m *Message) MemberChunks() []Message {
 	var out []Message
 	next := *m
@@ -48,11 +48,13 @@
 	}
 }
 
-// LeaderChunks divides a leader's message into several that mean the same one after the other, so that no line of a link grows with the fleet. A receiver works through the lists
-// of a message in the order in which they are divided here.
+// LeaderChunks divides a leader's message into several that together mean the same when they are
+// read in order, so that the length of a line does not grow with the fleet. A receiver processes the
+// lists of a message in the order in which they are divided here.
 //
-// All but the last carry the Seq of the message before: a snapshot made in between must not count
-// what is still on its way as read, or it would be taken for lost and started twice.
+// All chunks but the last carry the Seq of the previous message. A member that sends a snapshot
+// between two chunks would otherwise report the whole message as read, and the leader would take
+// dispatches in the chunks still in transit for lost and start their tasks twice.
 func (m *Message) LeaderChunks() []Message {
 	var out []Message
 	rest := *m
@@ -76,28 +78,29 @@
 	}
 }
 
-// entryCount is how many entries the lists of a leader's message have.
+// entryCount returns the total number of entries in the lists of a leader's message.
 func (m *Message) entryCount() int {
 	return len(m.Views) + len(m.Cancelled) + len(m.Dispatch) + len(m.StartHeld) + len(m.ReleaseHeld) +
 		len(m.Stop) + len(m.Cordon) + len(m.Uncordon) + len(m.Drain)
 }
 
-// entryBytes is what an entry of a list takes on a line beside its names and texts, or a few
-// more.
+// entryBytes is an upper bound of what a list entry takes on a line in addition to its names and
+// texts.
 const entryBytes = 96
 
 func taskAttemptBytes(t *TaskAttempt) int { return len(t.Task) + len(t.Machine) }
 
 func nameBytes(name *string) int { return len(*name) }
 
-// takeFront cuts from the front of a list what there is room for, and takes that from the
-// room. A message without anything else takes one entry of any size, so a division ends.
+// takeFront removes as many entries from the front of a list as fit into the budget, in bytes,
+// subtracts their size from the budget, and returns them. If the budget is still untouched, the first
+// entry is taken whatever its size, so that dividing a message always ends.
 func takeFront[T any](list *[]T, budget *int, textBytes func(*T) int) []T {
 	k := 0
 	for ; k < len(*list); k++ {
 		size := entryBytes + textBytes(&(*list)[k])
 		if size > *budget && *budget < maxListBytes {
-			*budget = 0 // what follows in the order of reading comes later, too
+			*budget = 0 // keeps the order: the lists that are read after this one go into later chunks, too
 			break
 		}
 		*budget -= size
--- a/internal/peerproto/chunks_test.go
+++ b/internal/peerproto/chunks_test.go
@@ -12,7 +12,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// The pieces of a member's message tell the same as the message, each in bounds.
+// The chunks of a member's message contain the same as the message, and none exceeds
+// maxChunkEntries unless it describes a single machine.
 func TestMemberChunksPreserveMessage(t *testing.T) {
 	for _, snapshot := range []bool{false, true} {
 		m := Message{Epoch: 7, Snapshot: snapshot, ReadSeq: 3, Assigned: []TaskAttempt{{Task: "job-1/0"}}, Released: []string{"n-9"}}
@@ -32,24 +33,25 @@
 				size += 1 + len(s.Tasks)
 			}
 			if size > maxChunkEntries && len(p.Machines) > 1 {
-				t.Fatalf("piece %d tells of %d", i, size)
+				t.Fatalf("chunk %d has %d machines and tasks, more than the limit", i, size)
 			}
 			if p.Epoch != 7 || p.Snapshot != snapshot || snapshot && (p.Chunk != i || p.More != (i+1 < len(chunks))) {
-				t.Fatalf("piece %d of %d: %+v", i, len(chunks), p)
+				t.Fatalf("chunk %d of %d has a wrong epoch, Snapshot, Chunk or More: %+v", i, len(chunks), p)
 			}
 			got.Machines = append(got.Machines, p.Machines...)
 		}
 		if len(chunks) < 100 || !reflect.DeepEqual(got, m) {
-			t.Fatalf("%d pieces do not add up", len(chunks))
+			t.Fatalf("%d chunks, want at least 100 that together equal the message", len(chunks))
 		}
 	}
 	if empty := (&Message{Epoch: 1}).MemberChunks(); len(empty) != 1 {
-		t.Fatalf("an empty message becomes %d", len(empty))
+		t.Fatalf("an empty message is divided into %d chunks, want 1", len(empty))
 	}
 }
 
-// A member that has work of a whole fleet assigned, and gives as much back, tells so in lines
-// that a link takes, and the last piece alone says that it was the last.
+// A member's message lists 64 returned attempts, and in a snapshot also 64 assigned ones, for each
+// machine of a large fleet. Each line is short enough for a link, no attempt is lost, and in a snapshot
+// all chunks but the last have More set.
 func TestMemberChunksFitLinesWithManyAssignedAndReturned(t *testing.T) {
 	for _, machines := range []int{4000, 8000} {
 		for _, snapshot := range []bool{false, true} {
@@ -65,19 +67,20 @@
 			for i, p := range chunks {
 				checkLineLength(t, p)
 				if p.More != (snapshot && i+1 < len(chunks)) || snapshot && p.Chunk != i {
-					t.Fatalf("piece %d of %d: piece %d, more %v", i, len(chunks), p.Chunk, p.More)
+					t.Fatalf("chunk %d of %d has Chunk %d and More %v", i, len(chunks), p.Chunk, p.More)
 				}
 				assigned, returned = append(assigned, p.Assigned...), append(returned, p.Returned...)
 			}
 			if !reflect.DeepEqual(assigned, m.Assigned) || !reflect.DeepEqual(returned, m.Returned) {
-				t.Fatalf("%d machines, full %v: %d assigned and %d returned", machines, snapshot, len(assigned), len(returned))
+				t.Fatalf("%d machines, snapshot %v: the chunks' %d assigned and %d returned attempts differ from the message's", machines, snapshot, len(assigned), len(returned))
 			}
 		}
 	}
 }
 
-// The pieces of a leader's message ask for the same in the same order, each in bounds, and
-// none but the last counts as a message that was read.
+// The chunks of a leader's message contain the same entries in the same order, and each line is short
+// enough for a link. Only the last chunk has the message's Seq, so a member that has read only some of
+// them does not report the message as read.
 func TestLeaderChunksPreserveEntriesAndOrder(t *testing.T) {
 	for _, test := range []struct {
 		machines int
@@ -90,20 +93,21 @@
 			checkLineLength(t, p)
 			last := i+1 == len(chunks)
 			if p.Epoch != m.Epoch || p.Resync != last || last != (p.Seq == m.Seq) || !last && p.Seq != m.Seq-1 {
-				t.Fatalf("piece %d of %d: epoch %d, seq %d, resync %v", i, len(chunks), p.Epoch, p.Seq, p.Resync)
+				t.Fatalf("chunk %d of %d has wrong fields: epoch %d, seq %d, resync %v", i, len(chunks), p.Epoch, p.Seq, p.Resync)
 			}
 			got = append(got, listEntries(p)...)
 		}
 		if !slices.Equal(got, listEntries(m)) {
-			t.Fatalf("%d machines: the %d pieces ask for something else, or in another order", test.machines, len(chunks))
+			t.Fatalf("%d machines: the entries of the %d chunks differ from the message's, or their order does", test.machines, len(chunks))
 		}
 		if test.machines <= 1 && (len(chunks) != 1 || !reflect.DeepEqual(chunks[0], m)) {
-			t.Fatalf("a small message becomes %d: %+v", len(chunks), chunks[0])
+			t.Fatalf("a small message is divided into %d chunks, want only itself: %+v", len(chunks), chunks[0])
 		}
 	}
 }
 
-// An entry that is larger than a piece goes alone.
+// Entries whose text alone takes maxListBytes are sent in chunks that still fit into a line, and none
+// is lost.
 func TestLeaderChunksKeepOversizedEntry(t *testing.T) {
 	m := leaderMessage(1, strings.Repeat("x", maxListBytes))
 	var got []listEntry
@@ -112,14 +116,16 @@
 		got = append(got, listEntries(p)...)
 	}
 	if !slices.Equal(got, listEntries(m)) {
-		t.Fatalf("%d orders", len(got))
+		t.Fatalf("the chunks' %d entries differ from the message's", len(got))
 	}
 }
 
-// testAttemptBits makes attempts as long as those of a real epoch.
+// testAttemptBits is the number of bits by which an epoch is shifted in an attempt number, so that the
+// numbers of the tests have as many digits as real ones.
 const testAttemptBits = 32
 
-// leaderMessage asks for all that a leader can, of machines with 64 tasks each.
+// leaderMessage returns a leader's message with entries in every list, for the given number of
+// machines with 64 tasks each.
 func leaderMessage(machines int, text string) Message {
 	m := Message{Epoch: 7, Seq: 12, Resync: true}
 	for i := range machines {
@@ -136,13 +142,14 @@
 	return m
 }
 
-// listEntry is one entry of a list of a leader's message.
+// listEntry is one entry of a list in a leader's message.
 type listEntry struct {
 	list  string
 	entry any
 }
 
-// listEntries lists what a member does for a message of its leader, in that order.
+// listEntries returns the entries of all lists of a leader's message, in the order in which a member
+// processes them.
 func listEntries(m Message) (out []listEntry) {
 	add := func(list string, n int, entry func(int) any) {
 		for i := range n {
@@ -161,7 +168,7 @@
 	return out
 }
 
-// checkLineLength fails the test if a message is longer than a line of a link may be.
+// checkLineLength fails the test unless an encoded message is shorter than MaxLineBytes.
 func checkLineLength(t *testing.T, m Message) {
 	t.Helper()
 	line, err := json.Marshal(&m)
@@ -169,6 +176,6 @@
 		t.Fatal(err)
 	}
 	if len(line) >= MaxLineBytes {
-		t.Fatalf("a line of %d bytes", len(line))
+		t.Fatalf("an encoded chunk has %d bytes, want fewer than MaxLineBytes", len(line))
 	}
 }
