--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,8 +1,8 @@
-// Package cloud is the controllers' client of the cloud: it carries out the core's requests
-// over HTTP and turns the answers into typed results.
+// Package cloud is the controllers' client of the cloud's API: it executes the core's requests over
+// HTTP and converts the responses into typed results.
 //
-// It owns the connections to the cloud and the form of the requests. It does not know which
-// machines are wanted; each request is sent once, and repeated by nobody but the core.
+// The package owns the connections to the cloud and the encoding of the requests. It does not know
+// which machines are needed. Each request is sent once, and only the core retries.
 package cloud
 
 import (
@@ -19,27 +19,28 @@
 )
 
 const (
-	// timeout bounds a call. No user waits for one.
+	// timeout limits the duration of a call. No user request waits for a call to the cloud.
 	timeout = 5 * time.Second
-	// maxConnections is far more than the core's few requests at a time take.
+	// maxConnections is far more than needed for the few requests that the core has in flight.
 	maxConnections = 8
-	// listPageMachines is how many machines are read at once.
+	// listPageMachines is the maximum number of machines on one page of the list.
 	listPageMachines = 500
 )
 
-// Client calls the cloud. Its methods block until the answer is there or the time for it is
-// over; any goroutine may call them.
+// Client calls the cloud. Its methods block until the response arrives, for timeout at most, and
+// report a failure as the result's Outcome, which is core.CloudUnknown if there was no response. It is
+// safe for concurrent use.
 type Client struct {
 	rpc     *rpc.Client
 	address string
 }
 
-// New makes a client.
+// New returns a client for the cloud at an address. It opens no connection yet.
 func New(address string) *Client {
 	return &Client{rpc: rpc.New(maxConnections, timeout), address: address}
 }
 
-// ListMachineTypes asks for the machine types.
+// ListMachineTypes requests the machine types that the cloud offers.
 func (c *Client) ListMachineTypes() core.MachineTypesResult {
 	var result core.MachineTypesResult
 	status := c.rpc.Call(fasthttp.MethodGet, c.address, "/machine_types", nil, &result.Response, timeout, fasthttp.StatusOK)
@@ -47,7 +48,7 @@
 	return result
 }
 
-// ListInstances reads a page of the machines that are rented.
+// ListInstances reads one page of the rented machines, beginning after request.After.
 func (c *Client) ListInstances(request core.ListInstances) core.ListInstancesResult {
 	path := "/machines?Page=" + strconv.Itoa(listPageMachines)
 	if request.After != "" {
@@ -58,14 +59,14 @@
 	return core.ListInstancesResult{Outcome: engine.CloudOutcome(status), Machines: page.Machines, More: page.More}
 }
 
-// CreateInstances rents machines.
+// CreateInstances rents machines. The result has their names.
 func (c *Client) CreateInstances(request core.CreateInstances) core.CreateInstancesResult {
 	var names protocol.MachineNames
 	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/machines", request.Request, &names, timeout, fasthttp.StatusOK)
 	return core.CreateInstancesResult{Request: request.Request.Request, Outcome: engine.CloudOutcome(status), Names: names.Machines}
 }
 
-// DeleteInstances returns machines.
+// DeleteInstances returns rented machines to the cloud.
 func (c *Client) DeleteInstances(request core.DeleteInstances) core.DeleteInstancesResult {
 	names := protocol.MachineNames{Machines: request.Names}
 	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/machines/delete", names, nil, timeout)
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -1,9 +1,9 @@
-// Package kvclient is the controllers' client of the state service: it carries out the
-// core's requests over HTTP and turns the answers into typed results.
+// Package kvclient is the controllers' client of the state service: it executes the core's requests
+// over HTTP and converts the responses into typed results.
 //
-// It owns the connections to the service and the form of the requests. It keeps nothing
-// of what it reads and does not know when a request is due, or what follows from a result:
-// each one is sent once, and repeated by nobody but the core.
+// The package owns the connections to the service and the encoding of the requests. It caches nothing
+// and does not know when a request is due or what follows from a result: each request is sent once,
+// and only the core retries.
 package kvclient
 
 import (
@@ -20,20 +20,20 @@
 )
 
 const (
-	// loadPageKeys is how many keys are read at once: the most that the service gives.
+	// loadPageKeys is how many keys are read at once, the maximum that the service returns.
 	loadPageKeys = 1000
-	// minConnections is how many connections a client may open at the least.
+	// minConnections is the least value of the limit on a client's connections.
 	minConnections = 64
-	// socketsPerConnection is how many of a process's sockets allow one connection to the
-	// state service: what a site of 1,454 machines, with 2,885 sockets and 250 requests a
-	// second, has at the least, and a larger site in proportion. While the service answers
-	// slowly, requests in flight are as many as its requests a second times the seconds
-	// that it takes.
+	// socketsPerConnection is for how many of a process's sockets one connection to the state
+	// service is allowed. Larger sites need more connections: while the service responds slowly,
+	// the number of requests in flight is the number of requests per second times the response
+	// time in seconds. With this ratio, a site of 1,454 machines with 2,885 sockets and 250
+	// requests per second gets about minConnections, and a larger site more in proportion.
 	socketsPerConnection = 48
 )
 
-// Client calls the state service. Its methods block until the answer is there or the time
-// for it is over; any goroutine may call them.
+// Client calls the state service. Its methods block until the response arrives or the timeout
+// passes. It is safe for concurrent use.
 type Client struct {
 	rpc     *rpc.Client
 	address string
@@ -41,19 +41,19 @@
 	clock   func() time.Duration
 }
 
-// New makes a client of a process that may open maxSockets. A call may take the timeout,
-// a watch that and the time for which the service holds its answer back. The clock is the
-// core's.
+// New returns a client for the state service at an address, in a process that may open maxSockets
+// sockets. The timeout applies to each call; a watch may in addition take the time for which the
+// service may delay its response. clock is the core's monotonic clock, which the results' SentAt uses.
 func New(address string, timeout time.Duration, maxSockets int, clock func() time.Duration) *Client {
 	connections := max(maxSockets/socketsPerConnection, minConnections)
 	return &Client{rpc: rpc.New(connections, timeout), address: address, timeout: timeout, clock: clock}
 }
 
-// Commit runs a transaction.
+// Commit sends a transaction. The result's Outcome is core.CommitUnknown if there is no response.
 func (c *Client) Commit(request core.Commit) core.CommitResult {
 	txn := request.Txn
 	if txn.If == nil {
-		txn.If = []protocol.Guard{} // the protocol wants a list
+		txn.If = []protocol.Guard{} // the protocol requires a list
 	}
 	result := core.CommitResult{ID: request.ID}
 	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/commit", txn, &result.Response, c.timeout,
@@ -62,7 +62,8 @@
 	return result
 }
 
-// LoadPage reads a page of the controllers' keys.
+// LoadPage reads one page of the controllers' keys, beginning after request.After. If that fails, the
+// result has OK false.
 func (c *Client) LoadPage(request core.LoadPage) core.LoadResult {
 	result := core.LoadResult{SentAt: c.clock()}
 	path := "/store?Starts=" + url.QueryEscape(core.KeyPrefix) + "&Page=" + strconv.Itoa(loadPageKeys)
@@ -80,7 +81,8 @@
 	return result
 }
 
-// Watch waits for changes of the controllers' keys.
+// Watch requests the changes of the controllers' keys since a revision. The service delays its
+// response until there is a change, for request.Hold at most.
 func (c *Client) Watch(request core.Watch) core.WatchResult {
 	result := core.WatchResult{Barrier: request.Barrier, SentAt: c.clock()}
 	path := "/follow?Starts=" + url.QueryEscape(core.KeyPrefix) +
@@ -91,7 +93,7 @@
 	return result
 }
 
-// RenewLease renews a lease, or asks for one if the request names none.
+// RenewLease renews a lease, or requests a new one if the request's LeaseID is 0.
 func (c *Client) RenewLease(request core.RenewLease) core.LeaseResult {
 	if request.LeaseID == 0 {
 		return c.grantLease(request.TTL)
@@ -113,7 +115,8 @@
 	return result
 }
 
-// get reads a path and returns the status of the answer, which is decoded if that is 200.
+// get requests a path and returns the status of the response, whose body is decoded into result if the
+// status is 200.
 func (c *Client) get(path string, result any, timeout time.Duration) int {
 	return c.rpc.Call(fasthttp.MethodGet, c.address, path, nil, result, timeout, fasthttp.StatusOK)
 }
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// serve answers with a handler until the test ends, and returns the address.
+// serve runs an HTTP server with a handler until the test ends, and returns its address.
 func serve(t *testing.T, handler fasthttp.RequestHandler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	server := &fasthttp.Server{Handler: handler}
-	go func() { _ = server.Serve(listener) }() // ends with its listener
+	go func() { _ = server.Serve(listener) }() // returns when the listener is closed
 	t.Cleanup(func() {
 		if err := listener.Close(); err != nil {
 			t.Error(err)
@@ -30,9 +30,9 @@
 	return listener.Addr().String()
 }
 
-// While the state service takes a fifth of a second to answer, all that a large site may ask
-// of it in that time is in flight at once. The site is one of 1,454 machines with 2,885 sockets
-// and 250 requests a second, made larger in proportion.
+// While the state service takes a fifth of a second to respond, all requests that a large site may
+// send in that time must be in flight at once. The site's sockets and requests per second are those of
+// a site of 1,454 machines, 2,885 sockets and 250 requests per second, scaled up in proportion.
 func TestRequestsOfLargeSiteAreInFlightAtOnce(t *testing.T) {
 	for _, machines := range []int{4000, 8000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -62,14 +62,14 @@
 				}
 			}
 			if committed < requests {
-				t.Fatalf("%d of %d requests were in flight at once, %d were answered", inFlight.Load(), requests, committed)
+				t.Fatalf("%d of %d requests reached the service, %d were committed, want all", inFlight.Load(), requests, committed)
 			}
 		})
 	}
 }
 
-// Each request has the method, path and body that the PROTOCOL gives, and its answer is
-// decoded.
+// Each request has the method, path and body that the protocol specifies, and its response is
+// decoded into the result.
 func TestRequestsFollowTheProtocol(t *testing.T) {
 	type sent struct{ method, uri, body string }
 	now := 7 * time.Second
@@ -124,10 +124,10 @@
 			client := New(address, 4*time.Second, 0, func() time.Duration { return now })
 			result := test.call(client)
 			if got != test.want {
-				t.Errorf("sent %q, want %q", got, test.want)
+				t.Errorf("request was %q, want %q", got, test.want)
 			}
 			if fmt.Sprintf("%+v", result) != fmt.Sprintf("%+v", test.wantResult) {
-				t.Errorf("result %+v, want %+v", result, test.wantResult)
+				t.Errorf("result is %+v, want %+v", result, test.wantResult)
 			}
 		})
 	}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -1,8 +1,8 @@
-// Package rpc calls the outside systems: MessagePack bodies over HTTP.
+// Package rpc sends requests to external systems, with MessagePack bodies over HTTP.
 //
-// It owns the connections and their number. It does not know what is called, what a status
-// means, or whether a call may be repeated: each request is sent once and never repeated
-// behind the caller's back.
+// The package owns the connections and limits their number. It does not know what is called, what a
+// status means, or whether a call may be retried: each request is sent once and never retried
+// without the caller's knowledge.
 package rpc
 
 import (
@@ -18,24 +18,25 @@
 )
 
 const (
-	// maxIdleTime is how long a connection is kept without a call.
+	// maxIdleTime is how long an idle connection is kept open.
 	maxIdleTime = 20 * time.Second
-	// bufferBytes is enough for the header of any message.
+	// bufferBytes is enough for the header of any request or response.
 	bufferBytes = 4096
 )
 
-// NoResponse stands for the status of a call that got no whole answer.
+// NoResponse is returned in place of a status by a call that got no complete response. Whether the
+// request was processed is then unknown.
 const NoResponse = 0
 
-// Client calls any number of hosts. Any goroutine may use it.
+// Client calls any number of hosts. It is safe for concurrent use.
 type Client struct {
 	http      *fasthttp.Client
 	dialer    net.Dialer
-	maxOpen   int64 // connections that may be open before the idle ones are closed, 0: any
+	maxOpen   int64 // number of open connections from which on idle ones are closed before a dial, 0: no limit
 	openCount atomic.Int64
 }
 
-// countedConn is a connection that counts until it is closed for the first time.
+// countedConn is a connection that is counted as open until Close is first called.
 type countedConn struct {
 	net.Conn
 	once      sync.Once
@@ -47,16 +48,18 @@
 	return c.Conn.Close()
 }
 
-// New makes a client with at most so many connections to each host, for calls to few hosts.
+// New returns a client for calls to few hosts, with at most connsPerHost connections to each of them.
+// dialTimeout limits the time to open a connection, and the time that a call waits for one while all
+// of a host's connections are in use.
 func New(connsPerHost int, dialTimeout time.Duration) *Client {
 	return NewMany(connsPerHost, 0, dialTimeout)
 }
 
-// NewMany makes a client for calls to many hosts: once maxOpen connections are open, idle
-// ones are closed before another is opened.
+// NewMany returns a client for calls to many hosts. Its parameters are those of New, and in addition
+// maxOpen: once that many connections are open, idle ones are closed before another is opened.
 //
-// Guards the process's sockets: a connection is kept to each worker that was called
-// lately, and with a few thousand of them no user or worker could connect any more.
+// Without this limit, a connection stays open to each worker that was called recently. With a few
+// thousand of them the process runs out of sockets, and no user or worker can connect any more.
 func NewMany(connsPerHost, maxOpen int, dialTimeout time.Duration) *Client {
 	c := &Client{dialer: net.Dialer{Timeout: dialTimeout}, maxOpen: int64(maxOpen)}
 	c.http = &fasthttp.Client{
@@ -69,8 +72,8 @@
 		WriteBufferSize:               bufferBytes,
 		NoDefaultUserAgentHeader:      true,
 		DisableHeaderNamesNormalizing: false,
-		// A repeated start or transaction would have an outcome nobody waits
-		// for, so a broken connection is an open outcome, not another try.
+		// Nobody would wait for the outcome of a repeated transaction or start of a task. If the
+		// connection breaks, the outcome is therefore unknown to the caller, and there is no retry.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
@@ -89,11 +92,13 @@
 	return &countedConn{Conn: conn, openCount: &c.openCount}, nil
 }
 
-// OpenConnections is how many connections are open.
+// OpenConnections returns how many connections are open.
 func (c *Client) OpenConnections() int64 { return c.openCount.Load() }
 
-// Call sends one request with a body, if that is not nil, and returns the status of its
-// answer, or NoAnswer. The answer is decoded if its status is among decoded.
+// Call sends one request, with a body unless that is nil, and waits for the response until the timeout.
+// It returns the response's status, or NoResponse if there is no complete response in time or its body
+// can't be decoded. The body of the response is decoded into result if its status is one of
+// decodeStatuses and result is not nil.
 func (c *Client) Call(method, host, path string, body, result any, timeout time.Duration, decodeStatuses ...int) int {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// startHosts starts servers that answer every request with 200, and returns their addresses.
+// startHosts starts servers that respond to every request with status 200, and returns their addresses.
 func startHosts(t *testing.T, count int) []string {
 	t.Helper()
 	var addresses []string
@@ -22,21 +22,21 @@
 				t.Error(err)
 			}
 		})
-		// It ends with its listener.
+		// Serve returns when its listener is closed.
 		go func() { _ = fasthttp.Serve(listener, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(200) }) }()
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses
 }
 
-// Bounds of calls in tests that are not about time: a machine that is busy with builds has been
-// seen to stand still for over two seconds, which is no fault of the client's.
+// Timeouts for tests that do not check timing. They are long because a process on a machine that is
+// busy with builds can be paused for over two seconds, which is no fault of the client.
 const (
 	dialTimeout = 10 * time.Second
 	callTimeout = 20 * time.Second
 )
 
-// Calls to many hosts keep no more connections than they may, and each gets its answer.
+// Calls to 40 hosts never have more than 10 connections open, and each call gets its response.
 func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	const maxOpen = 10
 	hosts := startHosts(t, 40)
@@ -44,10 +44,10 @@
 	for round := range 3 {
 		for _, host := range hosts {
 			if status := client.Call("GET", host, "/inspect", nil, nil, callTimeout); status != 200 {
-				t.Fatalf("round %d: status %d", round, status)
+				t.Fatalf("round %d: status %d, want 200", round, status)
 			}
 			if open := client.OpenConnections(); open > maxOpen {
-				t.Fatalf("round %d: %d connections are open", round, open)
+				t.Fatalf("round %d: %d connections are open, want 10 at most", round, open)
 			}
 		}
 	}
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,8 +1,9 @@
-// Package worker is the controllers' client of the workers' direct commands: it carries out
-// the core's requests over HTTP and turns the answers into typed results.
+// Package worker is the controllers' client for commands sent directly to workers, in contrast to
+// those in the responses to heartbeats: it executes the core's requests over HTTP and converts the
+// responses into typed results.
 //
-// It owns the connections to the workers and their number. It does not know which worker is
-// due for what; each request is sent once, and repeated by nobody but the core.
+// The package owns the connections to the workers and limits their number. It does not know which
+// worker is due for a request. Each request is sent once, and only the core retries.
 package worker
 
 import (
@@ -16,37 +17,38 @@
 )
 
 const (
-	// maxConnsPerWorker leaves room for a probe beside a command.
+	// maxConnsPerWorker allows a probe at the same time as a command.
 	maxConnsPerWorker = 2
-	// dialTimeoutDivisor is the share of a call's time that a connection may take, one in so many. A
-	// machine that is there takes a connection within milliseconds; one that is dead leaves
-	// it hanging, whatever the call's own timeout.
+	// dialTimeoutDivisor divides a call's timeout to give the timeout for opening a connection. A
+	// machine that runs accepts a connection within milliseconds. If the machine is dead, the attempt
+	// stays pending until the timeout for opening a connection, whatever the call's own timeout.
 	dialTimeoutDivisor = 4
-	// queryTimeoutDivisor is the share of a call's time that a call without commands may take, one
-	// in so many: it is only a question, which may be asked again.
+	// queryTimeoutDivisor divides the timeout of a call without commands. Such a call only queries
+	// the worker's state and can be repeated without harm.
 	queryTimeoutDivisor = 4
 )
 
-// Client calls workers. Its methods block until the answer is there or the time for it is
-// over; any goroutine may call them.
+// Client calls workers. Its methods block until the response arrives or the timeout passes. It is
+// safe for concurrent use.
 type Client struct {
 	rpc     *rpc.Client
 	timeout time.Duration
 }
 
-// New makes a client that keeps about as many connections open, to all workers together;
-// timeout bounds a call.
+// New returns a client that keeps about maxOpen connections open at most, to all workers together.
+// timeout limits the duration of a call.
 func New(maxOpen int, timeout time.Duration) *Client {
 	return &Client{rpc: rpc.NewMany(maxConnsPerWorker, maxOpen, timeout/dialTimeoutDivisor), timeout: timeout}
 }
 
-// Probe asks a worker whether it is there.
+// Probe checks whether a worker responds.
 func (c *Client) Probe(request core.ProbeWorker) core.ProbeResult {
 	status := c.rpc.Call(fasthttp.MethodGet, request.Addr, "/inspect", nil, nil, c.timeout)
 	return core.ProbeResult{Machine: request.Machine, OK: status == fasthttp.StatusOK}
 }
 
-// Call sends commands to a worker.
+// Call sends commands to a worker. The result's Outcome is core.DirectUnknown if there is no response;
+// the worker may have executed the commands all the same.
 func (c *Client) Call(request core.CallWorker) core.CallWorkerResult {
 	timeout := c.timeout
 	if len(request.Body.Commands) == 0 {
