--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -46,8 +46,8 @@
 	KnownNames() []string
 	// OwnedCount returns how many machines this controller owns.
 	OwnedCount() int
-	// RegisteredCount returns how many of the owned machines are in the registry. These are
-	// certain to be expected to send heartbeats.
+	// RegisteredCount returns how many of the owned machines are in the registry. Heartbeats are
+	// expected from all of these.
 	RegisteredCount() int
 	// HeardWithin reports whether any owned, registered machine was heard from within the given
 	// span before now, and whether the one that was found has confirmed the controller's fencing
@@ -135,8 +135,8 @@
 }
 
 // checkUnreachable probes machines until one replies. If the controller rejoined after a while
-// without a reply, then during a partition its machines would change owner and back for nothing,
-// and the controller would stay outside the map for longer after the partition.
+// without a reply, then while a partition lasts it would be given machines and lose them again, and
+// after the partition it would have to stay outside the map for longer.
 func (t *Tracker) checkUnreachable(v View) Verdict {
 	verdict := Verdict{Probe: t.probe(v)}
 	recentReply := t.lastProbeReplyAt > 0 && v.Now-t.lastProbeReplyAt < probeValidityHeartbeats*t.Heartbeat
@@ -148,9 +148,10 @@
 }
 
 // checkNonMember checks a controller that is not a member and therefore hears from few machines
-// or none. If its last contact is too long ago, it has to probe machines before it may join.
-// Without this, a controller that came back from a partition took over a third of the machines
-// each time, for the seconds until it detected that it reaches none of them.
+// or none. If its last contact was a third of a lease ago or earlier, one of the machines in the
+// registry must reply to a probe before it may join. Without this, a controller that came back from a
+// partition took over a third of the machines each time, for the seconds until it detected that it
+// reaches none of them.
 func (t *Tracker) checkNonMember(v View) Verdict {
 	if v.Fleet.KnownCount() == 0 || v.Now-t.lastContactAt < t.Lease/silenceLeaseDivisor {
 		return Verdict{}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -9,12 +9,12 @@
 type Job struct {
 	Spec        protocol.Job `msgpack:"spec"`
 	State       string       `msgpack:"state"`
-	SubmittedAt float64      `msgpack:"at"`               // time of day of the submission, in seconds
+	SubmittedAt float64      `msgpack:"at"`               // Unix time of the submission, in seconds
 	Zones       []string     `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
 	StopReason  string       `msgpack:"why,omitempty"`    // why the job was stopped
 	Chunks      int          `msgpack:"pieces,omitempty"` // if not 0, the full record is stored in this many chunks
 	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // part of the chunks' keys; a record with chunks itself has only the job's id and state
-	DoneAt      float64      `msgpack:"over,omitempty"`   // time of day when the job was done, in seconds; 0: written by a version without this field
+	DoneAt      float64      `msgpack:"over,omitempty"`   // Unix time when the job was done, in seconds; 0: written by a version without this field
 }
 
 // IsAcceptance reports whether the record is unchanged since the job was accepted. Every later
@@ -87,5 +87,5 @@
 	GPUs   float64 `msgpack:"gpus"`
 	Mean   float64 `msgpack:"mean"`
 	Count  float64 `msgpack:"n"`
-	LastAt float64 `msgpack:"last"` // time of day of the newest duration
+	LastAt float64 `msgpack:"last"` // Unix time, in seconds, at which the newest duration was observed
 }
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -1,8 +1,8 @@
 // Package registry divides the machine registry into pages. A page is one key of the state service
 // and holds many machines.
 //
-// With a separate key for each machine, many machines that came up at the same time used up the
-// write quota of several seconds, and job submissions were delayed behind them.
+// With a separate key for each machine, many machines that came up at the same time used up all
+// writes that the state service allows in several seconds, and job submissions were delayed.
 //
 // The package decides which pages one transaction writes, and with which machines. It knows neither
 // the store nor why machines are added and removed, and has no clock, input or output.
