--- a/internal/peerproto/chunks.go
+++ b/internal/peerproto/chunks.go
@@ -1,24 +1,24 @@
 package peerproto
 
-// MaxLineBytes is how many bytes one line of a peer link may have, in this version and in
-// all before it: a receiver closes a link that brings a longer one.
+// MaxLineBytes is the maximum length of one line of a peer link, in this version and in all earlier
+// ones. A receiver closes a link that delivers a longer line.
 const MaxLineBytes = 16 << 20
 
-// maxListBytes is how many bytes of names and texts one message lists, counted before they
-// are encoded, but for a single entry with more. JSON writes a byte as six at the most, so
-// an eighth leaves room for the rest of the line.
+// maxListBytes limits the bytes that the list entries of one message take before they are encoded,
+// except for a single larger entry. JSON encodes a byte as six bytes at most, so an eighth of a line
+// leaves space for the rest of the line.
 const maxListBytes = MaxLineBytes / 8
 
-// maxChunkEntries is how many machines and tasks one message tells of, at the most, but for
-// a single machine with more: some dozens of KB of text.
+// maxChunkEntries limits the number of machines and tasks that one message describes, except for a
+// single machine with more tasks. That many take some dozens of KB of text.
 const maxChunkEntries = 256
 
-// MemberChunks divides a member's message into several that mean the same one after the other, so
-// that no line of a link grows with the fleet. Only Released and Cancelled stay whole: a leader
-// must read all that is released before the machines.
+// MemberChunks divides a member's message into several that together mean the same when they are
+// read in order, so that the length of a line does not grow with the fleet. Only Released and
+// Cancelled are not divided: a leader must read all released machines before the listed ones.
 //
-// Guards against a snapshot longer than a link takes: with ten thousand machines of sixty tasks
-// each it would have been, and the link closed at every try.
+// An undivided full snapshot can exceed the length limit of a line: with ten thousand machines of
+// sixty tasks each it would, and each attempt to send it would close the link.
 func (m *Message) MemberChunks() []Message {
 	var out []Message
 	next := *m
@@ -32,13 +32,13 @@
 			}
 		}
 		next.Machines, machines = machines[:k], machines[k:]
-		room := maxListBytes
-		next.Assigned = takeFront(&assigned, &room, taskAttemptBytes)
-		next.Returned = takeFront(&returned, &room, taskAttemptBytes)
-		left := len(machines) > 0 || len(assigned) > 0 || len(returned) > 0
-		next.More = m.Snapshot && left
+		budget := maxListBytes
+		next.Assigned = takeFront(&assigned, &budget, taskAttemptBytes)
+		next.Returned = takeFront(&returned, &budget, taskAttemptBytes)
+		remaining := len(machines) > 0 || len(assigned) > 0 || len(returned) > 0
+		next.More = m.Snapshot && remaining
 		out = append(out, next)
-		if !left {
+		if !remaining {
 			return out
 		}
 		next = Message{Epoch: m.Epoch, Unreachable: m.Unreachable, Snapshot: m.Snapshot}
@@ -48,27 +48,29 @@
 	}
 }
 
-// LeaderChunks divides a leader's message into several that mean the same one after the other, so that no line of a link grows with the fleet. A receiver works through the lists
-// of a message in the order in which they are divided here.
+// LeaderChunks divides a leader's message into several that together mean the same when they are
+// read in order, so that the length of a line does not grow with the fleet. A receiver processes the
+// lists of a message in the order in which they are divided here.
 //
-// All but the last carry the Seq of the message before: a snapshot made in between must not count
-// what is still on its way as read, or it would be taken for lost and started twice.
+// All chunks but the last carry the Seq of the previous message. A member that sends a snapshot
+// between two chunks would otherwise report the whole message as read, and the leader would take
+// dispatches in the chunks still in transit for lost and start their tasks twice.
 func (m *Message) LeaderChunks() []Message {
 	var out []Message
-	left := *m
+	rest := *m
 	for {
-		room := maxListBytes
+		budget := maxListBytes
 		next := Message{Epoch: m.Epoch, Seq: m.Seq, Resync: m.Resync, Round: m.Round}
-		next.Views = takeFront(&left.Views, &room, func(v *JobView) int { return len(v.Job) + len(v.Reason) })
-		next.Cancelled = takeFront(&left.Cancelled, &room, nameBytes)
-		next.Dispatch = takeFront(&left.Dispatch, &room, taskAttemptBytes)
-		next.StartHeld = takeFront(&left.StartHeld, &room, taskAttemptBytes)
-		next.ReleaseHeld = takeFront(&left.ReleaseHeld, &room, taskAttemptBytes)
-		next.Stop = takeFront(&left.Stop, &room, func(s *StopTask) int { return len(s.Task) + len(s.Machine) + len(s.Reason) })
-		next.Cordon = takeFront(&left.Cordon, &room, nameBytes)
-		next.Uncordon = takeFront(&left.Uncordon, &room, nameBytes)
-		next.Drain = takeFront(&left.Drain, &room, nameBytes)
-		if left.entryCount() == 0 {
+		next.Views = takeFront(&rest.Views, &budget, func(v *JobView) int { return len(v.Job) + len(v.Reason) })
+		next.Cancelled = takeFront(&rest.Cancelled, &budget, nameBytes)
+		next.Dispatch = takeFront(&rest.Dispatch, &budget, taskAttemptBytes)
+		next.StartHeld = takeFront(&rest.StartHeld, &budget, taskAttemptBytes)
+		next.ReleaseHeld = takeFront(&rest.ReleaseHeld, &budget, taskAttemptBytes)
+		next.Stop = takeFront(&rest.Stop, &budget, func(s *StopTask) int { return len(s.Task) + len(s.Machine) + len(s.Reason) })
+		next.Cordon = takeFront(&rest.Cordon, &budget, nameBytes)
+		next.Uncordon = takeFront(&rest.Uncordon, &budget, nameBytes)
+		next.Drain = takeFront(&rest.Drain, &budget, nameBytes)
+		if rest.entryCount() == 0 {
 			return append(out, next)
 		}
 		next.Seq, next.Resync, next.Round = m.Seq-1, false, nil
@@ -76,31 +78,32 @@
 	}
 }
 
-// entryCount is how many entries the lists of a leader's message have.
+// entryCount returns the total number of entries in the lists of a leader's message.
 func (m *Message) entryCount() int {
 	return len(m.Views) + len(m.Cancelled) + len(m.Dispatch) + len(m.StartHeld) + len(m.ReleaseHeld) +
 		len(m.Stop) + len(m.Cordon) + len(m.Uncordon) + len(m.Drain)
 }
 
-// entryBytes is what an entry of a list takes on a line beside its names and texts, or a few
-// more.
+// entryBytes is an upper bound of what a list entry takes on a line in addition to its names and
+// texts.
 const entryBytes = 96
 
 func taskAttemptBytes(t *TaskAttempt) int { return len(t.Task) + len(t.Machine) }
 
 func nameBytes(name *string) int { return len(*name) }
 
-// takeFront cuts from the front of a list what there is room for, and takes that from the
-// room. A message without anything else takes one entry of any size, so a division ends.
-func takeFront[T any](list *[]T, room *int, textBytes func(*T) int) []T {
+// takeFront removes as many entries from the front of a list as fit into the budget, in bytes,
+// subtracts their size from the budget, and returns them. If the budget is still untouched, the first
+// entry is taken whatever its size, so that dividing a message always ends.
+func takeFront[T any](list *[]T, budget *int, textBytes func(*T) int) []T {
 	k := 0
 	for ; k < len(*list); k++ {
 		size := entryBytes + textBytes(&(*list)[k])
-		if size > *room && *room < maxListBytes {
-			*room = 0 // what follows in the order of reading comes later, too
+		if size > *budget && *budget < maxListBytes {
+			*budget = 0 // keeps the order: the lists that are read after this one go into later chunks, too
 			break
 		}
-		*room -= size
+		*budget -= size
 	}
 	front := (*list)[:k:k]
 	*list = (*list)[k:]
