--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -51,7 +51,7 @@
 				s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
 				s.Users.OnlyNode = first
 				s.Users.Cancel(cause)
-				s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, cause))
+				s.eventually(second, "the first job is cancelled", lastStateIs(protocol.JobCancelled, cause))
 				s.exhaustSingleWrites(first)
 				dependent := s.Users.Submit(dependentArray(1, cause), 1)
 				s.Run(s.Now + 100*time.Millisecond)
--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -71,7 +71,7 @@
 		s.Run(s.Now + 3*second)
 	}
 	s.eventually(400*second, "the work is done although answers are still lost", s.Users.AllFinal)
-	if !toldState(protocol.JobDone, uncancelled...)() {
+	if !lastStateIs(protocol.JobDone, uncancelled...)() {
 		t.Fatal("a job that nobody cancelled is over and not done")
 	}
 	s.recoverAndFinish(second)
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -45,11 +45,11 @@
 	s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
 	s.Users.OnlyNode = informed
 	s.Users.Cancel(cause)
-	s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, cause))
+	s.eventually(second, "the first job is cancelled", lastStateIs(protocol.JobCancelled, cause))
 
 	s.exhaustSingleWrites(informed)
 	dependent := s.Users.Submit(dependentArray(1, cause), 1)
-	s.eventually(200*time.Millisecond, "its dependent is aborted", toldState(protocol.JobCancelled, dependent))
+	s.eventually(200*time.Millisecond, "its dependent is aborted", lastStateIs(protocol.JobCancelled, dependent))
 
 	prepare(s, late)
 	s.Users.OnlyNode = late
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -151,7 +151,7 @@
 					jobs := s.submitAndCancel(60, variant == 1)
 					s.eventually(s.cancelSpan()+20*second, "all are cancelled", func() bool {
 						s.Store.RefusedNodes = map[string]bool{}
-						return toldState(protocol.JobCancelled, jobs...)()
+						return lastStateIs(protocol.JobCancelled, jobs...)()
 					})
 					s.Run(s.Now + s.cancelSpan() + second)
 					s.requireInvariants()
@@ -226,9 +226,9 @@
 // stays so.
 func TestAllControllersDownPastWorkerLease(t *testing.T) {
 	acrossSeeds(t, 4300, 4, func(t *testing.T, variant, controllers int, seed uint64) {
-		s, toCancel := startFull(t, seed, controllers)
+		s, toCancel := startFullCluster(t, seed, controllers)
 		s.Users.Cancel(toCancel)
-		s.RunUntil(s.Now+2*second, toldState(protocol.JobCancelled, toCancel))
+		s.RunUntil(s.Now+2*second, lastStateIs(protocol.JobCancelled, toCancel))
 		down := time.Duration(8+6*variant) * second // up to well over the lease
 		for i, node := range s.Nodes {
 			node.Crash(down + time.Duration(i)*second*time.Duration(variant%2*3))
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -136,7 +136,7 @@
 // machine's tasks were given up or kept; its own next ones follow.
 func TestHeartbeatsDelayedPastFailover(t *testing.T) {
 	acrossSeeds(t, 4100, 6, func(t *testing.T, variant, controllers int, seed uint64) {
-		s, toCancel := startFull(t, seed, controllers)
+		s, toCancel := startFullCluster(t, seed, controllers)
 		delayed := s.SomeWorkers(9)
 		setLinks := func(link simulation.Link) {
 			for _, machine := range delayed {
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -177,11 +177,11 @@
 		s.Users.OnlyNode = s.Nodes[(slices.Index(s.Nodes, leader)+1)%3]
 		s.Users.Cancel(jobs[0])
 		s.Users.Cancel(jobs[1])
-		s.eventually(10*second, "their users are told", toldState(protocol.JobCancelled, jobs[0], jobs[1]))
+		s.eventually(10*second, "their users are told", lastStateIs(protocol.JobCancelled, jobs[0], jobs[1]))
 		s.Users.OnlyNode = nil
 		s.Run(s.Now + s.cancelSpan() + second)
 		s.Cloud.Down = false
-		s.eventually(300*second, "the others are done", toldState(protocol.JobDone, jobs[2], jobs[3]))
+		s.eventually(300*second, "the others are done", lastStateIs(protocol.JobDone, jobs[2], jobs[3]))
 	}
 }
 
@@ -237,7 +237,7 @@
 			}
 			s.Run(s.Now + 6*second)
 		}
-		s.eventually(30*second, "all are done", toldState(protocol.JobDone, jobs...))
+		s.eventually(30*second, "all are done", lastStateIs(protocol.JobDone, jobs...))
 		if s.Users.RepeatedStarts > 0 {
 			t.Fatalf("%d completed tasks were started again", s.Users.RepeatedStarts)
 		}
@@ -381,7 +381,7 @@
 		delete(s.Store.RefusedNodes, leader.Label)
 		s.Store.ResponseDelay = 0
 		s.Users.FaultsOverAt = s.Now
-		s.eventually(60*second, "the users are told", toldState(protocol.JobCancelled, jobs[:3]...))
+		s.eventually(60*second, "the users are told", lastStateIs(protocol.JobCancelled, jobs[:3]...))
 		s.eventually(300*second, "the work is done", s.Users.AllFinal)
 	}
 }
@@ -459,7 +459,7 @@
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 8 })
 	worker := s.Workers[gone.MachineOf(0)]
 	s.Users.Cancel(gone)
-	s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, gone))
+	s.eventually(10*second, "it is cancelled", lastStateIs(protocol.JobCancelled, gone))
 	old := protocol.Heartbeat{Machine: worker.Info.Name, Addr: worker.Info.Addr, Type: worker.Info.Type, Zone: worker.Info.Zone, Spot: worker.Info.Spot, Session: 1,
 		Tasks: []protocol.TaskStatus{
 			{Task: protocol.TaskName(gone.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
@@ -492,7 +492,7 @@
 		s.Store.RefusedNodes[leader.Label] = true
 		s.Users.OnlyNode = s.follower()
 		s.Users.Cancel(gone)
-		s.eventually(5*second, "its user is told", toldState(protocol.JobCancelled, gone))
+		s.eventually(5*second, "its user is told", lastStateIs(protocol.JobCancelled, gone))
 		s.Store.Outage(60 * second)
 		s.After(3*second+time.Duration(tenths)*second/10, func() { third.Crash(0) })
 		s.Run(s.Now + s.cancelSpan() + second)
@@ -506,7 +506,7 @@
 	// done as queued again, or does not hold it any more.
 	reopened := func(s *scenario, forgets bool) {
 		job := s.Users.Submit(simulation.Array(2), 3)
-		s.eventually(40*second, "it is done", toldState(protocol.JobDone, job))
+		s.eventually(40*second, "it is done", lastStateIs(protocol.JobDone, job))
 		s.Run(s.Now + 4*second) // its admission batch is gone
 		if forgets {
 			s.Store.DeleteKey("c/job/" + job.Spec.ID)
@@ -550,7 +550,7 @@
 		}},
 		"a start after the word": {"late starts", func(s *scenario, red *simulation.Job) {
 			s.Users.Cancel(red)
-			s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, red))
+			s.eventually(10*second, "it is cancelled", lastStateIs(protocol.JobCancelled, red))
 			s.Workers[s.Cloud.AddRunning("box", "b", true)].ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			if s.Users.StartsAfterCancel == 1 {
 				s.Violations = append(s.Violations, "late starts: one")
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -42,7 +42,7 @@
 					}
 				}
 			}
-			leader.Core.AskOf(member.Label, asked, stops)
+			leader.Core.QueueForShard(member.Label, asked, stops)
 			s.eventually(5*second, "all is asked and given back", func() bool { return len(returned) >= len(asked) })
 			if !slices.Equal(got, asked) || !slices.Equal(stopped, stops) {
 				t.Fatalf("%d of %d dispatches and %d stops arrive, or not in their order", len(got), len(asked), len(stopped))
--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -45,11 +45,11 @@
 // machine was deleted between a dispatch and the report of where it was placed, and the leader
 // waited for ever.
 func TestFaultsOverlap(t *testing.T) {
-	days := []uint64{2267, 354, 1280, 51759}
+	allSeeds := []uint64{2267, 354, 1280, 51759}
 	for seed := range *seeds {
-		days = append(days, *firstSeed+seed)
+		allSeeds = append(allSeeds, *firstSeed+seed)
 	}
-	for _, seed := range days {
+	for _, seed := range allSeeds {
 		s := newScenario(t, 100+seed)
 		t.Logf("seed %d", seed)
 		s.Loss = 0.01
@@ -83,10 +83,10 @@
 			case 1:
 				s.After(start, func() { s.Store.Outage(time.Duration(5+random.IntN(25)) * second) })
 			case 2:
-				end := []string{"state", "workers", s.Nodes[random.IntN(3)].Label, "cloud"}[random.IntN(4)]
+				endpoint := []string{"state", "workers", s.Nodes[random.IntN(3)].Label, "cloud"}[random.IntN(4)]
 				keep := random.IntN(2) == 0
-				s.After(start, func() { s.Partition(node.Label, end, keep) })
-				s.After(start+time.Duration(5+random.IntN(30))*second, func() { s.Heal(node.Label, end) })
+				s.After(start, func() { s.Partition(node.Label, endpoint, keep) })
+				s.After(start+time.Duration(5+random.IntN(30))*second, func() { s.Heal(node.Label, endpoint) })
 			case 3:
 				s.After(start, func() {
 					for _, worker := range s.SomeWorkers(2) {
--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -12,8 +12,8 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// fairSharesJudged counts the classes of which half could have been done.
-var fairSharesJudged int
+// classesChecked counts the classes of which half could have been done.
+var classesChecked int
 
 // TestRandomizedFairShare draws teams whose quotas bind, two to four classes for each, and
 // several faults at the beginning. Whatever they are, no invariant is violated, and at the end
@@ -32,25 +32,25 @@
 		for range rapid.IntRange(0, 4).Draw(rt, "troubles") {
 			d.drawFault(rt, s)
 		}
-		s.At(d.lastFaultAt, func() {
+		s.At(d.faultsOverAt, func() {
 			for _, machine := range s.Workers {
 				machine.SlowFactor = 0 // those that were slow would stay so
 			}
 		})
-		up := d.lastFaultAt + config.Seconds(2*d.longestBoot()) // when there are machines at the latest
-		end := up + 6*s.patience()
+		machinesUpAt := d.faultsOverAt + config.Seconds(2*d.longestBoot()) // when there are machines at the latest
+		end := machinesUpAt + 6*s.patience()
 		for i := range d.settings.Site.Teams {
 			d.drawClasses(rt, s, &d.settings.Site.Teams[i], end)
 		}
 		s.Run(end)
 		s.requireInvariants()
 		until := end - 2*s.patience()
-		fairSharesJudged += s.requireHalfOfEachClass(until, d.halfCapacity(machineCPUs, until-up))
+		classesChecked += s.requireHalfOfEachClass(until, d.halfCapacity(machineCPUs, until-machinesUpAt))
 	})
-	if fairSharesJudged == 0 {
+	if classesChecked == 0 {
 		t.Fatal("half of each class was possible nowhere: nothing was shown")
 	}
-	t.Logf("%d classes judged", fairSharesJudged)
+	t.Logf("%d classes judged", classesChecked)
 }
 
 // drawBindingQuotas replaces the teams by up to three with a small quota each.
@@ -68,12 +68,12 @@
 
 // addCapacity lets the cloud have machines of every type in every zone, and adds up their CPUs.
 func (d *deployment) addCapacity(s *scenario) float64 {
-	const machines = 24
+	const machinesPerZone = 24
 	cpus := 0.0
 	for _, machineType := range d.types {
 		for _, zone := range machineType.Zones {
-			s.Cloud.Capacity[machineType.Name+" "+zone] = machines
-			cpus += machines * machineType.CPUs
+			s.Cloud.Capacity[machineType.Name+" "+zone] = machinesPerZone
+			cpus += machinesPerZone * machineType.CPUs
 		}
 	}
 	return cpus
@@ -96,8 +96,8 @@
 			tasks:      rapid.IntRange(1, 8).Draw(rt, "tasks"),
 			cpus:       rapid.SampledFrom([]float64{1, 2, 4}).Draw(rt, "cpus"),
 			runSeconds: drawFloat(rt, "run", 4, 20)}
-		wanted := team.CPUsMax * drawFloat(rt, "wanted share of the limit", 0.2, 0.8)
-		stream.interval = max(config.Seconds(float64(stream.tasks)*stream.cpus*stream.runSeconds/wanted), 6*second)
+		demandCPUs := team.CPUsMax * drawFloat(rt, "wanted share of the limit", 0.2, 0.8)
+		stream.interval = max(config.Seconds(float64(stream.tasks)*stream.cpus*stream.runSeconds/demandCPUs), 6*second)
 		for at := 5 * second; at < end; at += stream.interval {
 			s.At(at, func() { s.submitFrom(stream) })
 		}
@@ -106,25 +106,25 @@
 
 // halfCapacity is, by team, half of the CPU seconds that its quota, or its part of the machines,
 // gives in a span without faults: starts, image pulls, boots and reserved capacity take some.
-func (d *deployment) halfCapacity(machineCPUs float64, span time.Duration) map[string]float64 {
+func (d *deployment) halfCapacity(machineCPUs float64, duration time.Duration) map[string]float64 {
 	quotas, capacity := 0.0, map[string]float64{}
 	for _, team := range d.settings.Site.Teams {
 		quotas += team.CPUsMax
 	}
 	for _, team := range d.settings.Site.Teams {
-		capacity[team.Name] = min(team.CPUsMax, machineCPUs*team.CPUsMax/quotas) / 2 * span.Seconds()
+		capacity[team.Name] = min(team.CPUsMax, machineCPUs*team.CPUsMax/quotas) / 2 * duration.Seconds()
 	}
 	return capacity
 }
 
 // requireHalfOfEachClass fails the test if less than half of a class was done where the capacity
 // allows it, and returns how many classes it has judged.
-func (s *scenario) requireHalfOfEachClass(until time.Duration, capacity map[string]float64) (judged int) {
+func (s *scenario) requireHalfOfEachClass(until time.Duration, capacity map[string]float64) (checked int) {
 	s.t.Helper()
-	broken, judged := s.Users.UnderservedClasses(until, capacity)
-	for _, account := range broken {
+	underserved, checked := s.Users.UnderservedClasses(until, capacity)
+	for _, account := range underserved {
 		share := s.Users.ClassShares(until)[account]
 		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
-	return judged
+	return checked
 }
--- a/internal/core/randomized_test.go
+++ b/internal/core/randomized_test.go
@@ -39,30 +39,30 @@
 			kinds = append(kinds, d.drawFault(rt, s))
 		}
 		drawnPairs.add(kinds)
-		s.Run(d.lastFaultAt)
+		s.Run(d.faultsOverAt)
 		s.Loss, s.Store.DelayedCommitShare, s.Users.FaultsOverAt = 0, 0, s.Now
 		s.requireInvariants()
 		s.Run(s.Now + 3*d.lease())
-		s.requireAnswers(d)
+		s.requireResponses(d)
 		s.cancelEndless(d)
 		timeout := d.completionTimeout(s)
-		over := s.RunUntil(s.Now+timeout, s.Users.AllFinal)
+		allFinal := s.RunUntil(s.Now+timeout, s.Users.AllFinal)
 		s.requireInvariants()
-		if !over {
+		if !allFinal {
 			rt.Fatalf("not over within %v: %s\n%s", timeout, d.unfinished(), s.lastLogs(*logLines))
 		}
 	})
 	t.Log(drawnPairs.String())
 }
 
-// requireAnswers fails the test unless nine of ten requests are answered, or all but one.
-func (s *scenario) requireAnswers(d *deployment) {
+// requireResponses fails the test unless nine of ten requests are answered, or all but one.
+func (s *scenario) requireResponses(d *deployment) {
 	s.t.Helper()
-	asked, served := s.Users.Requests, s.Users.Answered
+	requests, answered := s.Users.Requests, s.Users.Answered
 	s.Run(s.Now + max(2*d.lease(), 20*second))
-	asked, served = s.Users.Requests-asked, s.Users.Answered-served
-	if asked-served > max(asked/10, 1) {
-		s.t.Fatalf("after all faults %d of %d requests are answered\n%s", served, asked, s.lastLogs(*logLines))
+	requests, answered = s.Users.Requests-requests, s.Users.Answered-answered
+	if requests-answered > max(requests/10, 1) {
+		s.t.Fatalf("after all faults %d of %d requests are answered\n%s", answered, requests, s.lastLogs(*logLines))
 	}
 }
 
@@ -95,18 +95,18 @@
 }
 
 func (p faultPairs) String() string {
-	var never []string
+	var notDrawn []string
 	total := 0
 	sorted := slices.Sorted(slices.Values(faultKinds))
 	for i, a := range sorted {
 		for _, b := range sorted[i:] {
 			if total++; p[[2]string{a, b}] == 0 {
-				never = append(never, a+" + "+b)
+				notDrawn = append(notDrawn, a+" + "+b)
 			}
 		}
 	}
 	return fmt.Sprintf("%d of %d pairs of faults were drawn; among those that were not: %s",
-		total-len(never), total, strings.Join(never[:min(len(never), 5)], ", "))
+		total-len(notDrawn), total, strings.Join(notDrawn[:min(len(notDrawn), 5)], ", "))
 }
 
 func TestEveryFaultKindIsDrawnAndInjected(t *testing.T) {
--- a/internal/core/rolling_upgrade_test.go
+++ b/internal/core/rolling_upgrade_test.go
@@ -41,8 +41,8 @@
 		node.Crash(second / 20)
 	}
 	s.Run(s.Now + 30*second)
-	before := s.submitAccepted(simulation.Array(30), 20)
-	var after *simulation.Job
+	first := s.submitAccepted(simulation.Array(30), 20)
+	var dependent *simulation.Job
 	for k := range s.Nodes {
 		node := s.leader()
 		for i := k; !node.PreviousVersion; i++ {
@@ -53,15 +53,15 @@
 		if k == 1 {
 			old := s.Nodes[slices.IndexFunc(s.Nodes, func(node *simulation.Node) bool { return node.PreviousVersion })]
 			s.SetLink("users", old.Label, simulation.Refused) // it would accept the job without its dependencies
-			after = s.Users.Submit(dependentArray(2, before), 3)
+			dependent = s.Users.Submit(dependentArray(2, first), 3)
 			s.Run(s.Now + 6*second)
-			if after.Accepted {
+			if dependent.Accepted {
 				t.Fatal("accepted while a controller of the previous version lives")
 			}
 			s.SetLink("users", old.Label, simulation.Link{})
 		}
 	}
-	s.eventually(200*second, "all is done", toldState(protocol.JobDone, before, after))
+	s.eventually(200*second, "all is done", lastStateIs(protocol.JobDone, first, dependent))
 }
 
 // A rolling upgrade with a controller that is partitioned, one that is paused, limits that are
@@ -97,7 +97,7 @@
 		jobs = append(jobs, s.Users.Submit(simulation.Array(5), 4))
 		s.eventually(60*second, "it is accepted", func() bool { return jobs[8].Accepted })
 		jobs = append(jobs, s.Users.Submit(dependentArray(5, jobs...), 4))
-		s.eventually(400*second, "all is done", toldState(protocol.JobDone, jobs...))
+		s.eventually(400*second, "all is done", lastStateIs(protocol.JobDone, jobs...))
 	}
 }
 
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -37,10 +37,10 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := startLoaded(b, 1, n)
 			b.ReportAllocs()
-			var own time.Duration
-			s.OnApplied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
+			var coreTime time.Duration
+			s.OnApplied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { coreTime += took }
 			b.ResetTimer()
-			defer func() { b.ReportMetric(own.Seconds()*1000/float64(b.N), "core-ms/op") }()
+			defer func() { b.ReportMetric(coreTime.Seconds()*1000/float64(b.N), "core-ms/op") }()
 			for range b.N {
 				s.Users.Submit(simulation.Array(n/2), 30)
 				s.Run(s.Now + second)
@@ -59,10 +59,10 @@
 			first.ID, first.CPUs = "job-900000000", 16
 			s.Store.AddDependentJobs(first, n)
 			s.Run(s.Now + 60*second) // the others read them anew: so many changes are not kept
-			var own time.Duration
-			s.OnApplied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { own += took }
+			var coreTime time.Duration
+			s.OnApplied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { coreTime += took }
 			b.ResetTimer()
-			defer func() { b.ReportMetric(own.Seconds()*1000/float64(b.N), "core-ms/op") }()
+			defer func() { b.ReportMetric(coreTime.Seconds()*1000/float64(b.N), "core-ms/op") }()
 			for range b.N {
 				s.Users.Submit(simulation.Array(500), 30)
 				s.Run(s.Now + second)
@@ -94,8 +94,8 @@
 	s.leader().Crash(3 * second)
 	s.Run(s.Now + 10*second)
 	s.Store.Outage(8 * second)
-	for _, k := range s.SomeWorkers(15) {
-		s.Cloud.Remove(k.Info.Name)
+	for _, worker := range s.SomeWorkers(15) {
+		s.Cloud.Remove(worker.Info.Name)
 	}
 	s.Run(s.Now + 15*second)
 	for _, n := range s.Nodes {
@@ -139,28 +139,28 @@
 	}
 }
 
-// BenchmarkStandstill is how long no task starts after controllers end, with short tasks
+// BenchmarkTaskStartGap is how long no task starts after controllers end, with short tasks
 // waiting all the while, by who ends and how soon they are back: median and most.
-func BenchmarkStandstill(b *testing.B) {
-	for _, end := range []struct {
-		who  string
-		ends func(s *scenario, back time.Duration)
+func BenchmarkTaskStartGap(b *testing.B) {
+	for _, crash := range []struct {
+		name   string
+		inject func(s *scenario, back time.Duration)
 	}{
-		{"leader", func(s *scenario, back time.Duration) { s.leader().Crash(back) }},
-		{"member", func(s *scenario, back time.Duration) { s.follower().Crash(back) }},
-		{"all", func(s *scenario, back time.Duration) {
+		{"leader", func(s *scenario, restartDelay time.Duration) { s.leader().Crash(restartDelay) }},
+		{"member", func(s *scenario, restartDelay time.Duration) { s.follower().Crash(restartDelay) }},
+		{"all", func(s *scenario, restartDelay time.Duration) {
 			for _, n := range s.Nodes {
-				n.Crash(back)
+				n.Crash(restartDelay)
 			}
 		}},
-		{"leader twice", func(s *scenario, back time.Duration) {
+		{"leader twice", func(s *scenario, restartDelay time.Duration) {
 			n := s.leader()
-			n.Crash(back)
-			s.After(back+second/10, func() { n.Crash(back) })
+			n.Crash(restartDelay)
+			s.After(restartDelay+second/10, func() { n.Crash(restartDelay) })
 		}},
 	} {
-		for _, back := range []time.Duration{second / 20, second / 5, second, 8 * second} {
-			b.Run(fmt.Sprint(end.who, " back in ", back), func(b *testing.B) {
+		for _, restartDelay := range []time.Duration{second / 20, second / 5, second, 8 * second} {
+			b.Run(fmt.Sprint(crash.name, " back in ", restartDelay), func(b *testing.B) {
 				gaps := hdrhistogram.New(1, 100_000, 3)
 				for seed := range uint64(5) {
 					s := newScenario(b, 700+seed)
@@ -172,7 +172,7 @@
 						s.Users.Submit(simulation.Array(100), 3+s.Rand.Float64()*3)
 					}
 					s.Run(s.Now + 25*second)
-					end.ends(s, back)
+					crash.inject(s, restartDelay)
 					last, count, worst := s.Now, s.Users.Starts, time.Duration(0)
 					for until := s.Now + 40*second; s.Now < until; s.Run(s.Now + second/50) {
 						if s.Users.Starts > count {
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -55,13 +55,13 @@
 }
 
 // newBusyScenario begins a scenario in which three jobs have been under way for a while.
-func newBusyScenario(t *testing.T, seed uint64, span time.Duration) *scenario {
+func newBusyScenario(t *testing.T, seed uint64, duration time.Duration) *scenario {
 	t.Helper()
 	s := newScenario(t, seed)
 	for range 3 {
 		s.Users.Submit(simulation.Array(12), 15)
 	}
-	s.Run(s.Now + span)
+	s.Run(s.Now + duration)
 	return s
 }
 
@@ -74,11 +74,11 @@
 }
 
 // eventually lets time pass until a condition holds, and fails if it does not within a span.
-func (s *scenario) eventually(span time.Duration, what string, holds func() bool) {
+func (s *scenario) eventually(timeout time.Duration, expectation string, holds func() bool) {
 	s.t.Helper()
-	if !s.RunUntil(s.Now+span, holds) {
+	if !s.RunUntil(s.Now+timeout, holds) {
 		s.requireInvariants()
-		s.t.Fatalf("not within %v: %s\n%s", span, what, s.lastLogs(*logLines))
+		s.t.Fatalf("not within %v: %s\n%s", timeout, expectation, s.lastLogs(*logLines))
 	}
 	s.requireInvariants()
 }
@@ -89,13 +89,13 @@
 }
 
 // partition cuts one end off from others for a while; packets are kept and delivered late.
-func (s *scenario) partition(span time.Duration, end string, others ...string) {
+func (s *scenario) partition(duration time.Duration, endpoint string, others ...string) {
 	for _, other := range others {
-		s.Partition(end, other, true)
+		s.Partition(endpoint, other, true)
 	}
-	s.After(span, func() {
+	s.After(duration, func() {
 		for _, other := range others {
-			s.Heal(end, other)
+			s.Heal(endpoint, other)
 		}
 	})
 }
--- a/internal/core/store_limits_test.go
+++ b/internal/core/store_limits_test.go
@@ -40,10 +40,10 @@
 	for range 40 {
 		s.Cloud.AddRunning("box", "b", false)
 	}
-	s.eventually(300*second, "all is done", toldState(protocol.JobDone, jobs...))
+	s.eventually(300*second, "all is done", lastStateIs(protocol.JobDone, jobs...))
 	s.Run(s.Now + 60*second)
 	s.Users.Cancel(huge)
-	s.eventually(60*second, "the huge one is cancelled", toldState(protocol.JobCancelled, huge))
+	s.eventually(60*second, "the huge one is cancelled", lastStateIs(protocol.JobCancelled, huge))
 	s.crashAll(second / 5)
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
@@ -103,7 +103,7 @@
 	if job.Answer.Done < before {
 		t.Fatalf("%d tasks were done, now %d", before, job.Answer.Done)
 	}
-	s.eventually(900*second, "it is done", toldState(protocol.JobDone, job))
+	s.eventually(900*second, "it is done", lastStateIs(protocol.JobDone, job))
 	s.eventually(100*second, "nothing of it is left", func() bool { return s.Store.CountKeys("c/fine/")+s.Store.CountKeys("c/prog/") == 0 })
 }
 
