--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -4,14 +4,14 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// ForceSchedulingRound has the leader rank, dispatch and do its maintenance with its next batch of
-// commands, however little time has passed since it last did.
+// ForceSchedulingRound makes the leader run a scheduling round and its maintenance with its next batch of
+// commands, however short the time since the last ones is.
 func (c *Core) ForceSchedulingRound() {
 	c.scheduler.lastScheduling, c.scheduler.lastMaintenance = 0, -c.intervals.maintenance
 }
 
-// FullSnapshot is what this member would publish to a leader over a new link. What it still has
-// to publish stays due.
+// FullSnapshot returns the full snapshot that this member would publish to a leader over a new link. It
+// leaves unchanged which state is due to be published.
 func (c *Core) FullSnapshot() peerproto.Message {
 	snapshot := peerproto.Message{Epoch: c.shard.epoch, Snapshot: true}
 	for _, m := range c.shard.machines.All() {
@@ -23,15 +23,16 @@
 	return snapshot
 }
 
-// ApplySnapshot has the leader take a member's full snapshot.
+// ApplySnapshot makes the leader handle a full snapshot of the member with the given label. It does
+// nothing if the leader does not know the member.
 func (c *Core) ApplySnapshot(label string, snapshot peerproto.Message) {
 	if member := c.scheduler.shards[label]; member != nil {
 		c.scheduler.handleShardMessage(member.session, &snapshot)
 	}
 }
 
-// QueueForShard has the leader dispatch tasks to a member, and ask it to stop some, with its next batch
-// of commands.
+// QueueForShard adds dispatches and stop requests to the leader's next message to the member with the
+// given label, which is sent with the leader's next batch of commands.
 func (c *Core) QueueForShard(label string, dispatch []peerproto.TaskAttempt, stop []peerproto.StopTask) {
 	outbox := &c.scheduler.shards[label].outbox
 	outbox.Dispatch, outbox.Stop = append(outbox.Dispatch, dispatch...), append(outbox.Stop, stop...)
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -11,19 +11,20 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// fault is one drawn fault. The fields are drawn for every kind, which uses what it needs.
+// fault is one randomly drawn fault. All fields are drawn for every kind of fault, and each kind uses some
+// of them.
 type fault struct {
 	*deployment
 	rt           *rapid.T
 	s            *scenario
-	at, duration time.Duration // when it begins, and for how long
+	at, duration time.Duration // simulated time at which the fault begins, and its length
 	node         *simulation.Node
-	count        int // of machines or jobs
+	count        int // number of machines or jobs that are affected
 	keepPackets  bool
 	zone         string
 }
 
-// injectors inject a fault of each kind.
+// injectors holds, by kind of fault, the function that schedules it.
 var injectors = mergeInjectors(controllerFaults, storeFaults, networkFaults, machineFaults, cloudFaults, requestFaults)
 
 func mergeInjectors(groups ...map[string]func(*fault)) map[string]func(*fault) {
@@ -34,13 +35,14 @@
 	return all
 }
 
-// faultKinds are the kinds that are drawn. Their order is part of what a seed stands for.
+// faultKinds lists the kinds that are drawn. A kind is drawn by its index, so a change of the order changes
+// the simulation that a seed gives.
 var faultKinds = []string{
-	"all controllers down", "all controllers crash", "commit answers lost", "job burst",
+	"all controllers down", "all controllers crash", "commit responses lost", "job burst",
 	"cancellation while machines hang", "cancellation as store refuses leader", "cancellation at completion",
 	"cancellation during handover", "cloud down", "commands delayed", "packets duplicated", "controller crash",
 	"crash loop", "cancellation then outage", "late commits", "leader partitioned from all but workers and users",
-	"repeated failovers", "link faults", "link faults, again", "one-way partition from machines", "machines die",
+	"repeated failovers", "link faults", "link faults (second entry)", "one-way partition from machines", "machines terminated",
 	"machines hang", "machines cannot reach controllers", "faulty machines", "slow machines", "no cloud capacity",
 	"partition from cloud", "controller isolated", "partition from store", "partition from workers",
 	"invalid requests", "peer connections refused", "poll flood", "controller refused by store",
@@ -49,32 +51,33 @@
 	"two controllers crash", "zone partitioned", "zones partitioned from each other",
 }
 
-// drawFault draws one fault, schedules it and returns its kind.
+// drawFault draws a fault, schedules it and returns its kind.
 func (d *deployment) drawFault(rt *rapid.T, s *scenario) string {
-	f := &fault{deployment: d, rt: rt, s: s, at: drawDuration(rt, "at", 2, 100), duration: drawDuration(rt, "for", 1, 60)}
+	f := &fault{deployment: d, rt: rt, s: s, at: drawDuration(rt, "at", 2, 100), duration: drawDuration(rt, "duration", 1, 60)}
 	f.recordEnd(f.at + f.duration)
 	f.node = rapid.SampledFrom(s.Nodes).Draw(rt, "node")
-	f.count = rapid.IntRange(1, 12).Draw(rt, "some")
-	f.keepPackets = rapid.Bool().Draw(rt, "packets kept")
+	f.count = rapid.IntRange(1, 12).Draw(rt, "affected count")
+	f.keepPackets = rapid.Bool().Draw(rt, "packets held")
 	f.zone = rapid.SampledFrom(d.settings.Site.Zones).Draw(rt, "zone")
-	kind := rapid.SampledFrom(faultKinds).Draw(rt, "trouble")
+	kind := rapid.SampledFrom(faultKinds).Draw(rt, "fault kind")
 	injectors[kind](f)
 	return kind
 }
 
-// recordEnd notes that a fault is over at a time.
+// recordEnd records that the fault lasts until the given time, so that the simulation treats the faults as
+// over no earlier than a second after it.
 func (f *fault) recordEnd(end time.Duration) { f.faultsOverAt = max(f.faultsOverAt, end+second) }
 
-// atStart schedules what happens when the fault begins.
+// atStart schedules a function for the beginning of the fault.
 func (f *fault) atStart(begin func()) { f.s.At(f.at, begin) }
 
-// during schedules the beginning and the end of the fault.
+// during schedules one function for the beginning of the fault and one for its end.
 func (f *fault) during(begin, end func()) {
 	f.s.At(f.at, begin)
 	f.s.At(f.at+f.duration, end)
 }
 
-// onMachines has something happen to some machines when the fault begins.
+// onMachines applies a function to up to f.count random machines at the beginning of the fault.
 func (f *fault) onMachines(apply func(*simulation.Worker)) {
 	f.atStart(func() {
 		for _, machine := range f.s.SomeWorkers(f.count) {
@@ -83,12 +86,13 @@
 	})
 }
 
-// partition cuts two ends off from one another for the time of the fault.
+// partition separates two endpoints from each other for the duration of the fault.
 func (f *fault) partition(a, b string) {
 	f.during(func() { f.s.Partition(a, b, f.keepPackets) }, func() { f.s.Heal(a, b) })
 }
 
-// refuseLeader has the store refuse whoever leads now, for a while.
+// refuseLeader makes the store refuse all requests of the controller that is the leader now, for the given
+// duration.
 func (f *fault) refuseLeader(duration time.Duration) {
 	if leader := f.s.currentLeader(); leader != nil {
 		f.s.Store.RefusedNodes[leader.Label] = true
@@ -96,7 +100,7 @@
 	}
 }
 
-// controllerFaults end, restart and pause controllers.
+// controllerFaults crash, restart and pause controllers.
 var controllerFaults = map[string]func(*fault){
 	"all controllers down": func(f *fault) {
 		down := f.lease() + f.duration/4
@@ -121,7 +125,7 @@
 		f.s.At(f.at+delay/2, func() { other.Crash(delay) })
 	},
 	"all controllers crash": func(f *fault) {
-		for _, node := range f.s.Nodes { // and come back in any order
+		for _, node := range f.s.Nodes { // each restarts after its own delay, so in any order
 			delay := drawRestartDelay(f.rt)
 			f.atStart(func() { node.Crash(delay) })
 		}
@@ -139,7 +143,7 @@
 	},
 	"repeated failovers": func(f *fault) {
 		delay := drawRestartDelay(f.rt)
-		for i := range 4 { // in the middle of what the one before began
+		for i := range 4 { // each new leader crashes while it is still taking over
 			f.s.At(f.at+time.Duration(i)*f.lease()/8, func() { f.s.crashLeader(delay) })
 		}
 	},
@@ -152,9 +156,9 @@
 	},
 }
 
-// storeFaults are those of the state service.
+// storeFaults are outages, refusals, delays and lost responses of the state service.
 var storeFaults = map[string]func(*fault){
-	"commit answers lost": func(f *fault) {
+	"commit responses lost": func(f *fault) {
 		share, store := drawFloat(f.rt, "share", 0.1, 0.7), f.s.Store
 		f.during(func() { store.DelayedCommitShare, store.MaxCommitDelay = share, 0 }, func() { store.DelayedCommitShare, store.MaxCommitDelay = 0.02, 12*second })
 	},
@@ -181,9 +185,9 @@
 			f.s.At(f.at+second, func() { f.s.Store.Outage(f.duration) })
 		}
 	},
-	"cancellation then outage": func(f *fault) { // jobs are cancelled through those who are still served
-		beforeOutage := drawDuration(f.rt, "the leader alone for", 0.5, 4.5)
-		outage := f.s.cancelSpan() + drawDuration(f.rt, "longer by", 1, 30)
+	"cancellation then outage": func(f *fault) { // jobs are cancelled through the controllers that the store still serves
+		beforeOutage := drawDuration(f.rt, "only the leader refused for", 0.5, 4.5)
+		outage := f.s.cancelSpan() + drawDuration(f.rt, "outage beyond the cancellation deadline", 1, 30)
 		f.recordEnd(f.at + beforeOutage + outage)
 		f.atStart(func() {
 			f.refuseLeader(beforeOutage + outage)
@@ -193,7 +197,7 @@
 	},
 }
 
-// networkFaults are partitions, and links that delay, duplicate or refuse.
+// networkFaults are partitions, and links that delay or duplicate packets or refuse connections.
 var networkFaults = map[string]func(*fault){
 	"packets duplicated": func(f *fault) {
 		f.during(func() { f.s.DuplicateShare, f.s.MaxDuplicateDelay = 0.2, f.duration }, func() { f.s.DuplicateShare = 0 })
@@ -229,8 +233,8 @@
 	"slow peer links": func(f *fault) {
 		f.during(func() { f.s.PeerLatency = 400 * time.Millisecond }, func() { f.s.PeerLatency = 0 })
 	},
-	"link faults":        (*fault).drawLinkFaults,
-	"link faults, again": (*fault).drawLinkFaults, // drawn twice as often as the rest
+	"link faults":                (*fault).drawLinkFaults,
+	"link faults (second entry)": (*fault).drawLinkFaults, // link faults are drawn twice as often as any other kind
 	"zone partitioned": func(f *fault) {
 		f.during(func() { f.s.PartitionZone(f.zone, "", f.keepPackets) }, func() { f.s.HealZone(f.zone, "") })
 	},
@@ -241,8 +245,8 @@
 	},
 }
 
-// drawLinkFaults draws up to four faulty links, each in a direction of its own, or both, and
-// mended in any order.
+// drawLinkFaults draws one to four faulty links. Each of them fails in one direction or both, and they are
+// restored in any order.
 func (f *fault) drawLinkFaults() {
 	for range rapid.IntRange(1, 4).Draw(f.rt, "links") {
 		f.drawLinkFault()
@@ -250,10 +254,10 @@
 }
 
 func (f *fault) drawLinkFault() {
-	from := rapid.SampledFrom(f.s.Nodes).Draw(f.rt, "of").Label
-	to := rapid.SampledFrom([]string{"state", "workers", "workers/" + f.zone, "workers/even", "workers/odd", "cloud", "sibling"}).Draw(f.rt, "to")
-	if to == "sibling" {
-		to = rapid.SampledFrom(f.s.Nodes).Draw(f.rt, "sibling").Label
+	from := rapid.SampledFrom(f.s.Nodes).Draw(f.rt, "from").Label
+	to := rapid.SampledFrom([]string{"state", "workers", "workers/" + f.zone, "workers/even", "workers/odd", "cloud", "controller"}).Draw(f.rt, "to")
+	if to == "controller" {
+		to = rapid.SampledFrom(f.s.Nodes).Draw(f.rt, "to controller").Label
 	}
 	link := rapid.SampledFrom([]simulation.Link{simulation.Dropped, simulation.Held, simulation.Refused, simulation.ResetOnSend, simulation.Unread,
 		{Delay: 2 * second}, {Loss: 0.4}, {MaxMessageBytes: 4096}}).Draw(f.rt, "link")
@@ -264,7 +268,7 @@
 		outboundOnly = iota
 		inboundOnly
 	)
-	direction := rapid.IntRange(0, 2).Draw(f.rt, "ways") // forth, back or both
+	direction := rapid.IntRange(0, 2).Draw(f.rt, "direction") // outbound only, inbound only or both
 	begin, end := drawDuration(f.rt, "begins after", 0, 10), drawDuration(f.rt, "ends after", 12, 70)
 	set := func(link simulation.Link) {
 		if direction != inboundOnly {
@@ -279,7 +283,7 @@
 	f.recordEnd(f.at + end)
 }
 
-// machineFaults are those of the workers and of what they send.
+// machineFaults are faults of machines and their workers, and delayed or replayed heartbeats.
 var machineFaults = map[string]func(*fault){
 	"machines cannot reach controllers": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
@@ -295,7 +299,7 @@
 			}
 		})
 	},
-	"machines die": func(f *fault) {
+	"machines terminated": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) { f.s.Cloud.Remove(machine.Info.Name) })
 	},
 	"machines hang": func(f *fault) {
@@ -336,7 +340,8 @@
 	},
 }
 
-// hangMachinesOfJobs hangs some machines that run tasks, in the order of the jobs.
+// hangMachinesOfJobs makes up to f.count machines that run tasks hang for the given duration, beginning with
+// the machines of the first job.
 func (f *fault) hangMachinesOfJobs(duration time.Duration) {
 	remaining := f.count
 	for _, job := range f.jobs {
@@ -350,7 +355,7 @@
 	}
 }
 
-// cloudFaults are those of the cloud.
+// cloudFaults are outages and missing capacity of the cloud.
 var cloudFaults = map[string]func(*fault){
 	"cloud down": func(f *fault) {
 		f.during(func() { f.s.Cloud.Down = true }, func() { f.s.Cloud.Down = false })
@@ -368,7 +373,7 @@
 	},
 }
 
-// requestFaults are what users do at a bad moment, or too often.
+// requestFaults are user requests that are invalid, very frequent or sent at a critical moment.
 var requestFaults = map[string]func(*fault){
 	"cancellation at completion": func(f *fault) {
 		f.during(func() { f.s.Users.CancelAtEndShare = 0.4 }, func() { f.s.Users.CancelAtEndShare = 0 })
@@ -403,8 +408,8 @@
 	},
 }
 
-// sendInvalidRequests has users submit again what is not over, cancel what is done, and submit
-// what can't run.
+// sendInvalidRequests makes users submit a job that can never run, cancel the jobs that are done and submit
+// the other accepted jobs once more. The number k selects what is wrong with the new job.
 func (d *deployment) sendInvalidRequests(s *scenario, k int) {
 	spec := simulation.Array(1)
 	spec.Team = d.teamName(k)
