--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -12,32 +12,34 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// classesChecked counts the classes of which half could have been done.
+// classesChecked counts the classes, over all simulations, for which the capacity of their team was enough
+// to complete half of the jobs.
 var classesChecked int
 
-// TestRandomizedFairShare draws teams whose quotas bind, two to four classes for each, and
-// several faults at the beginning. Whatever they are, no invariant is violated, and at the end
-// no class is less than half done where its team could have done half of each.
+// TestRandomizedFairShare draws teams whose quotas limit them, two to four classes of jobs for each team, and
+// up to four faults, which begin early. No invariant may be violated. At the end, at least half of the jobs
+// of each class must be done, except recent ones, if the capacity of its team was enough for half of the
+// jobs of each of its classes.
 func TestRandomizedFairShare(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		d := drawDeployment(rt)
 		d.drawBindingQuotas(rt)
-		s := &scenario{Cluster: simulation.NewWithSettings(rapid.Uint64().Draw(rt, "luck"), d.settings, d.types), t: rt}
+		s := &scenario{Cluster: simulation.NewWithSettings(rapid.Uint64().Draw(rt, "simulation seed"), d.settings, d.types), t: rt}
 		s.Policy.OverdueLeases = 1.5
 		for _, node := range s.Nodes {
 			node.Start()
 		}
 		machineCPUs := d.addCapacity(s)
-		for range rapid.IntRange(0, 4).Draw(rt, "troubles") {
+		for range rapid.IntRange(0, 4).Draw(rt, "faults") {
 			d.drawFault(rt, s)
 		}
 		s.At(d.faultsOverAt, func() {
 			for _, machine := range s.Workers {
-				machine.SlowFactor = 0 // those that were slow would stay so
+				machine.SlowFactor = 0 // the fault "slow machines" does not end by itself
 			}
 		})
-		machinesUpAt := d.faultsOverAt + config.Seconds(2*d.longestBoot()) // when there are machines at the latest
+		machinesUpAt := d.faultsOverAt + config.Seconds(2*d.longestBoot()) // time by which machines have booted at the latest
 		end := machinesUpAt + 6*s.patience()
 		for i := range d.settings.Site.Teams {
 			d.drawClasses(rt, s, &d.settings.Site.Teams[i], end)
@@ -48,15 +50,15 @@
 		classesChecked += s.requireHalfOfEachClass(until, d.halfCapacity(machineCPUs, until-machinesUpAt))
 	})
 	if classesChecked == 0 {
-		t.Fatal("half of each class was possible nowhere: nothing was shown")
+		t.Fatal("no class was checked: in no simulation was the capacity enough for half of the jobs")
 	}
-	t.Logf("%d classes judged", classesChecked)
+	t.Logf("%d classes checked", classesChecked)
 }
 
-// drawBindingQuotas replaces the teams by up to three with a small quota each.
+// drawBindingQuotas replaces the teams of the site by one to three teams with a small quota each.
 func (d *deployment) drawBindingQuotas(rt *rapid.T) {
 	for i := range d.types {
-		d.types[i].SpotPrice = d.types[i].Price / 4 // or work without an objective is worth few machines
+		d.types[i].SpotPrice = d.types[i].Price / 4 // at a higher price, jobs without an objective would be worth few machines
 	}
 	d.settings.Site.Teams = nil
 	for i := range rapid.IntRange(1, 3).Draw(rt, "teams") {
@@ -66,7 +68,8 @@
 	}
 }
 
-// addCapacity lets the cloud have machines of every type in every zone, and adds up their CPUs.
+// addCapacity sets the capacity of the cloud to 24 machines for each type and zone, and returns the CPUs of
+// all of them.
 func (d *deployment) addCapacity(s *scenario) float64 {
 	const machinesPerZone = 24
 	cpus := 0.0
@@ -79,7 +82,7 @@
 	return cpus
 }
 
-// longestBoot is the usual boot time of the slowest type, in seconds.
+// longestBoot returns the usual boot time of the machine type that boots slowest, in seconds.
 func (d *deployment) longestBoot() float64 {
 	boot := 0.0
 	for _, machineType := range d.types {
@@ -88,7 +91,7 @@
 	return boot
 }
 
-// drawClasses draws the classes of a team and has its users submit jobs of each until the end.
+// drawClasses draws two to four classes for a team and schedules submissions of their jobs until end.
 func (d *deployment) drawClasses(rt *rapid.T, s *scenario, team *config.Team, end time.Duration) {
 	for k := range rapid.IntRange(2, 4).Draw(rt, "classes") {
 		stream := jobStream{team: team.Name, class: fmt.Sprintf("class-%d", k),
@@ -104,8 +107,9 @@
 	}
 }
 
-// halfCapacity is, by team, half of the CPU seconds that its quota, or its part of the machines,
-// gives in a span without faults: starts, image pulls, boots and reserved capacity take some.
+// halfCapacity returns, by team, half of the CPU seconds that the team can use without faults in the given
+// duration, limited by its quota and by its share of the machines. The other half allows for task starts,
+// image pulls, boots and reserved capacity.
 func (d *deployment) halfCapacity(machineCPUs float64, duration time.Duration) map[string]float64 {
 	quotas, capacity := 0.0, map[string]float64{}
 	for _, team := range d.settings.Site.Teams {
@@ -117,14 +121,15 @@
 	return capacity
 }
 
-// requireHalfOfEachClass fails the test if less than half of a class was done where the capacity
-// allows it, and returns how many classes it has judged.
+// requireHalfOfEachClass fails the test if less than half of the jobs of a class were done although the
+// capacity of its team, in CPU seconds, allowed that. Only jobs submitted up to the given time count. It
+// returns the number of classes that it has checked.
 func (s *scenario) requireHalfOfEachClass(until time.Duration, capacity map[string]float64) (checked int) {
 	s.t.Helper()
 	underserved, checked := s.Users.UnderservedClasses(until, capacity)
 	for _, account := range underserved {
 		share := s.Users.ClassShares(until)[account]
-		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
+		s.t.Fatalf("class %s of team %s: %d of %d jobs done, %d started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 	return checked
 }
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -9,38 +9,38 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Controllers that crash and restart within a fraction of a second, at critical moments.
-// In all of these, duplicates of messages arrive later, work goes on, and one job is
-// cancelled in the middle.
+// Controllers crash and restart within a fraction of a second at critical moments. Meanwhile, duplicates of
+// messages arrive up to 100 seconds late, users submit jobs and one job is cancelled. All jobs must reach
+// their final state.
 func TestFastRestarts(t *testing.T) {
 	const restartDelay = second / 20
 	for name, inject := range map[string]func(s *scenario){
 		"the leader restarts before its keys have expired": func(s *scenario) { s.leader().Crash(restartDelay) },
-		"it crashes again as soon as it has the leader key": func(s *scenario) {
+		"the leader crashes each time it has the leader key": func(s *scenario) {
 			node := s.leader()
 			for range 4 {
 				node.Crash(restartDelay)
-				s.eventually(30*second, "it leads again", func() bool { return s.currentLeader() == node })
+				s.eventually(30*second, "the same controller is the leader again", func() bool { return s.currentLeader() == node })
 			}
 		},
-		"it crashes between the shard map and the first dispatch": func(s *scenario) {
+		"the leader crashes between the shard map and the first dispatch": func(s *scenario) {
 			node := s.leader()
 			node.Crash(restartDelay)
 			s.Logs = nil
-			s.eventually(30*second, "there is a new shard map", func() bool { return s.logged(node.Label + " new shard map") })
+			s.eventually(30*second, "the restarted controller takes part in a new shard map", func() bool { return s.logged(node.Label + " new shard map") })
 			node.Crash(restartDelay)
 		},
-		"a member restarts while messages of its former process are delayed": func(s *scenario) {
+		"a follower restarts while messages of its former process are delayed": func(s *scenario) {
 			node := s.follower()
 			s.Partition(node.Label, "state", true)
 			s.Partition(node.Label, "workers", true)
 			s.Run(s.Now + second)
 			node.Crash(restartDelay)
 			s.Run(s.Now + second/2)
-			node.Crash(restartDelay) // none of the three can be heard
+			node.Crash(restartDelay) // no message of its three processes gets through until the partition heals
 			s.After(20*second, func() { s.Heal(node.Label, "state"); s.Heal(node.Label, "workers") })
 		},
-		"all crash and restart in another order": func(s *scenario) {
+		"all controllers crash and restart in another order": func(s *scenario) {
 			for i, node := range s.Nodes {
 				node.Crash(restartDelay * time.Duration(1+(i+2)%3))
 			}
@@ -54,7 +54,7 @@
 		"every new leader crashes": func(s *scenario) {
 			for range 3 {
 				s.leader().Crash(8 * second)
-				s.eventually(30*second, "another one leads", func() bool { return s.currentLeader() != nil })
+				s.eventually(30*second, "another controller is the leader", func() bool { return s.currentLeader() != nil })
 			}
 		},
 	} {
@@ -72,8 +72,8 @@
 				inject(s)
 				s.Users.Cancel(cancelled)
 				s.Users.Submit(simulation.Array(5), 4)
-				s.eventually(300*second, "all come to their end", s.Users.AllFinal)
-				s.Run(s.Now + 100*second) // the last copies arrive
+				s.eventually(300*second, "every job is done or cancelled", s.Users.AllFinal)
+				s.Run(s.Now + 100*second) // the last duplicates arrive
 				s.requireInvariants()
 				if !lastStateIs(protocol.JobDone, long, dependent)() || cancelled.LastState != protocol.JobCancelled {
 					t.Fatal(long.LastState, dependent.LastState, cancelled.LastState)
@@ -83,11 +83,11 @@
 	}
 }
 
-// A member that has restarted while the shard map still names its former process has no
-// machines to report. That says nothing of what its former process was given: its starts
-// may still be on their way, and the leader once took them for lost and had them run twice.
+// A member that has restarted while the shard map still names its former process must not report that it
+// has no machines. Start commands of the former process may still be in flight. The leader once treated
+// these dispatches as lost, dispatched the tasks again and had them run twice.
 func TestNewProcessUnderStaleMapReportsNothing(t *testing.T) {
-	for _, previousVersion := range []bool{false, true} { // the leader, as it is in production
+	for _, previousVersion := range []bool{false, true} { // whether the leader runs the previous version, as in production
 		s := newScenario(t, 90)
 		for range 12 {
 			s.Cloud.AddRunning("box", "b", true)
@@ -104,7 +104,7 @@
 			for _, command := range cmds {
 				received, ok := command.(core.PeerReceived)
 				if ok && crashed && node != member && received.Message.Snapshot && received.Message.Epoch == epoch {
-					t.Error("the new process reports the former one's machines")
+					t.Error("the new process sent a snapshot for the epoch of its former process")
 				}
 				if !ok || node != member {
 					continue
@@ -114,23 +114,23 @@
 				}
 				for _, dispatched := range received.Message.Dispatch {
 					if earlier := dispatchedAttempts[dispatched.Task]; earlier != 0 && earlier != dispatched.Attempt && earlier>>28 == dispatched.Attempt>>28 {
-						t.Errorf("%s is dispatched again under one and the same map", dispatched.Task)
+						t.Errorf("%s was dispatched again in the same epoch of the shard map", dispatched.Task)
 					}
 					dispatchedAttempts[dispatched.Task] = dispatched.Attempt
 				}
 				if len(dispatchedAttempts) > 0 && !crashed {
 					crashed = true
-					s.SetLink(s.leader().Label, "state", simulation.Link{Delay: second / 10}) // the next map takes its time
-					s.After(time.Millisecond/4, func() { node.Crash(second / 50) })           // before anybody hears of it
+					s.SetLink(s.leader().Label, "state", simulation.Link{Delay: second / 10}) // delays the next shard map
+					s.After(time.Millisecond/4, func() { node.Crash(second / 50) })           // before any other process receives a message about the dispatch
 				}
 			}
 		}
 		for range 8 {
 			s.Users.Submit(simulation.Array(4), 10)
 		}
-		s.eventually(30*second, "the member crashes", func() bool { return crashed })
+		s.eventually(30*second, "the member crashes after a dispatch", func() bool { return crashed })
 		s.Run(s.Now + 5*second)
 		s.SetLink(member.Label, "workers", simulation.Link{})
-		s.eventually(200*second, "the work ends", s.Users.AllFinal)
+		s.eventually(200*second, "every job is done or cancelled", s.Users.AllFinal)
 	}
 }
--- a/internal/core/rolling_upgrade_test.go
+++ b/internal/core/rolling_upgrade_test.go
@@ -10,7 +10,6 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// startOldVersion starts all controllers with the previous version.
 func (s *scenario) startOldVersion() {
 	for _, node := range s.Nodes {
 		node.PreviousVersion = true
@@ -18,7 +17,7 @@
 	}
 }
 
-// upgradeAll restarts all controllers with the present version.
+// upgradeAll crashes all controllers, which restart with the present version.
 func (s *scenario) upgradeAll() {
 	for _, node := range s.Nodes {
 		node.PreviousVersion = false
@@ -26,14 +25,15 @@
 	s.crashAll(second / 5)
 }
 
-// upgrade restarts a controller with the present version.
+// upgrade crashes a controller, which restarts with the present version.
 func upgrade(node *simulation.Node) {
 	node.PreviousVersion = false
 	node.Crash(second / 5)
 }
 
-// One controller after another restarts with the present version, the leader first: what is new
-// is rejected while one of the previous version lives, and works at once after.
+// One controller after another restarts with the present version, the leader first. A job with dependencies,
+// which the previous version does not know, is not accepted while a controller of the previous version is
+// alive, and is accepted and done after the last upgrade.
 func TestRollingUpgrade(t *testing.T) {
 	s := newScenario(t, 306)
 	for _, node := range s.Nodes {
@@ -52,20 +52,21 @@
 		s.Run(s.Now + 8*second)
 		if k == 1 {
 			old := s.Nodes[slices.IndexFunc(s.Nodes, func(node *simulation.Node) bool { return node.PreviousVersion })]
-			s.SetLink("users", old.Label, simulation.Refused) // it would accept the job without its dependencies
+			s.SetLink("users", old.Label, simulation.Refused) // the previous version would accept the job without its dependencies
 			dependent = s.Users.Submit(dependentArray(2, first), 3)
 			s.Run(s.Now + 6*second)
 			if dependent.Accepted {
-				t.Fatal("accepted while a controller of the previous version lives")
+				t.Fatal("a job with dependencies was accepted while a controller of the previous version was alive")
 			}
 			s.SetLink("users", old.Label, simulation.Link{})
 		}
 	}
-	s.eventually(200*second, "all is done", lastStateIs(protocol.JobDone, first, dependent))
+	s.eventually(200*second, "both jobs are done", lastStateIs(protocol.JobDone, first, dependent))
 }
 
-// A rolling upgrade with a controller that is partitioned, one that is paused, limits that are
-// lowered during an outage, a wave of machines, and a crash of all when half are upgraded.
+// A rolling upgrade during which one controller is partitioned from the state service and one is paused.
+// When half of the controllers are upgraded, all of them crash during an outage of the state service, in
+// which its limits are lowered and 60 machines start. Every job must be done in the end.
 func TestRollingUpgradeDuringFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		settings := simulation.Settings(4)
@@ -95,14 +96,15 @@
 		}
 		s.Run(s.Now + 30*second)
 		jobs = append(jobs, s.Users.Submit(simulation.Array(5), 4))
-		s.eventually(60*second, "it is accepted", func() bool { return jobs[8].Accepted })
+		s.eventually(60*second, "a job submitted after the upgrade is accepted", func() bool { return jobs[8].Accepted })
 		jobs = append(jobs, s.Users.Submit(dependentArray(5, jobs...), 4))
-		s.eventually(400*second, "all is done", lastStateIs(protocol.JobDone, jobs...))
+		s.eventually(400*second, "all jobs are done", lastStateIs(protocol.JobDone, jobs...))
 	}
 }
 
-// crashAllInOutage crashes all controllers, which come back in an order of the seed, in an outage
-// of the state service in which its limits are lowered and many machines come up.
+// crashAllInOutage crashes all controllers and begins an outage of the state service. The seed determines
+// the order in which the controllers restart. During the outage the limits of the state service are
+// lowered, and 60 machines start.
 func (s *scenario) crashAllInOutage(seed uint64) {
 	for i, node := range s.Nodes {
 		node.Crash(second * time.Duration(1+(i+int(seed))%4) / 10)
