--- a/internal/core/capacity_faults_test.go
+++ b/internal/core/capacity_faults_test.go
@@ -8,8 +8,9 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// There is more work than capacity, urgent and not, over slow links between all ends, and with a
-// failover: urgent work goes first, and in the end all is done that its user does not cancel.
+// Urgent and other jobs need more than the capacity, the links of the controllers to each other and to the
+// workers are slow, and the leader fails over. The urgent jobs go first and must be done soon after the last
+// submission. In the end every job must be done that its user has not cancelled.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	acrossSeeds(t, 4200, 3, func(t *testing.T, _, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
@@ -40,7 +41,7 @@
 			}
 			s.Run(s.Now + 3*second)
 		}
-		s.eventually(32*second, "urgent work is done", lastStateIs(protocol.JobDone, urgent...))
+		s.eventually(32*second, "all urgent jobs are done", lastStateIs(protocol.JobDone, urgent...))
 		s.Heal("node-0", "workers")
 		s.PeerLatency = 0
 		for _, node := range s.Nodes {
@@ -48,13 +49,14 @@
 		}
 		s.recoverAndFinish(300 * second)
 		if !lastStateIs(protocol.JobDone, other...)() {
-			t.Fatal("a job that is not urgent, and that nobody cancelled, is over and not done")
+			t.Fatal("a job that is not urgent and that nobody cancelled ended without being done")
 		}
 	})
 }
 
-// A job that has failed on the only machines with capacity does not block it, round after round,
-// while the machines' shard starts nothing of it there.
+// A job that has failed on the only machines with capacity must not block that capacity for other jobs. The
+// shard of the machines starts none of its tasks there during a backoff, so a leader that dispatched them in
+// every round would keep the capacity idle.
 func TestFailedJobDoesNotBlockCapacity(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 4900+seed)
--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -7,26 +7,28 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// A partition that keeps packets delivers old commands and heartbeats when it heals.
+// A partition that holds packets delivers old commands and heartbeats when it heals. No invariant may be
+// violated by that, and every job must reach its final state.
 func TestPartitionDeliversStalePackets(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 20+seed, 18*second)
 		s.partition(30*second, s.Nodes[seed%3].Label, "state", s.Nodes[(seed+1)%3].Label, s.Nodes[(seed+2)%3].Label)
-		s.eventually(240*second, "the work goes on", s.Users.AllFinal)
+		s.eventually(240*second, "every job is done or cancelled", s.Users.AllFinal)
 	}
 }
 
-// A partitioned machine keeps running its tasks until its lease expires; they are
-// started elsewhere only afterwards.
+// A partitioned machine keeps running its tasks until its lease expires. They may be started on another
+// machine only afterwards.
 func TestPartitionedMachineKeepsTasksUntilLeaseExpiry(t *testing.T) {
 	s := newScenario(t, 30)
 	job := s.Users.Submit(simulation.Array(8), 50)
 	s.eventually(60*second, "every task runs", func() bool { return job.RunningTasks() == 8 })
 	s.partition(60*second, job.MachineOf(0), s.Nodes[0].Label, s.Nodes[1].Label, s.Nodes[2].Label)
-	s.eventually(240*second, "its tasks run elsewhere", s.Users.AllFinal)
+	s.eventually(240*second, "the job is done on other machines", s.Users.AllFinal)
 }
 
-// A worker that hangs and resumes within its lease still has its tasks.
+// A worker that hangs and resumes within its lease still has its tasks, even if the leader crashes in
+// between.
 func TestHungMachineResumes(t *testing.T) {
 	s := newScenario(t, 31)
 	job := s.Users.Submit(simulation.Array(8), 30)
@@ -38,12 +40,13 @@
 	s.eventually(200*second, "the job is done", s.Users.AllFinal)
 }
 
-// Crashes, partitions, lost machines, lost responses and outages that overlap. With seed 72 the
-// stale task list of a dead machine hid where a task really ran, and with 2267 a machine that an
-// earlier leader had deleted held two tasks back. With 354 progress that was applied late took back
-// a completed task; with 1280 a machine that answered /do alone was taken for empty. With 51759 a
-// machine was deleted between a dispatch and the report of where it was placed, and the leader
-// waited for ever.
+// Crashes, partitions, lost machines, lost responses and outages overlap. Some seeds have found faults:
+//   - 72: the stale task list of a dead machine hid the machine on which a task really ran.
+//   - 2267: a machine that an earlier leader had deleted kept two tasks from being dispatched.
+//   - 354: a progress write that was applied late undid the completion of a task.
+//   - 1280: a machine that responded to /do calls but sent nothing else counted as having no tasks.
+//   - 51759: a machine was deleted between a dispatch and the report of its placement there, and the leader
+//     waited for that report forever.
 func TestFaultsOverlap(t *testing.T) {
 	allSeeds := []uint64{2267, 354, 1280, 51759}
 	for seed := range *seeds {
@@ -114,13 +117,13 @@
 			}
 		}
 		s.Run(110 * second)
-		s.eventually(500*second, "every job is over", s.Users.AllFinal)
+		s.eventually(500*second, "every job is done or cancelled", s.Users.AllFinal)
 	}
 }
 
-// A controller that reaches its leader but none of its machines leaves the shard map, so that
-// the work goes on through the others, and joins again once they answer: joining
-// after a while, whether they do or not, changed the map each time.
+// A controller that reaches the leader but none of its machines leaves the shard map, so that the other
+// controllers take over its machines. It rejoins only once its machines respond again. When it rejoined
+// after a fixed time, whether they responded or not, each attempt changed the shard map.
 func TestControllerThatReachesNoWorkerLeavesShardMap(t *testing.T) {
 	for seed, cutLeader := range []bool{false, true} {
 		s := newScenario(t, 75+uint64(seed))
@@ -130,7 +133,7 @@
 		for range 4 {
 			s.Users.Submit(simulation.Array(40), 20)
 		}
-		s.eventually(60*second, "tasks run", func() bool { return s.Users.RunningTasks() > 40 })
+		s.eventually(60*second, "more than 40 tasks run", func() bool { return s.Users.RunningTasks() > 40 })
 		node := s.follower()
 		if cutLeader {
 			node = s.leader()
@@ -139,21 +142,22 @@
 			return func() bool { return s.logged(what) }
 		}
 		s.Partition(node.Label, "workers", false)
-		s.eventually(15*second, "it leaves the map", hasLogged("leaving the shard map"))
+		s.eventually(15*second, "the partitioned controller leaves the shard map", hasLogged("leaving the shard map"))
 		s.Logs = nil
 		s.Run(s.Now + 40*second)
 		if hasLogged("rejoining the shard map")() {
-			t.Fatal("it joins again while it reaches no machine")
+			t.Fatal("the controller rejoined the shard map while it reached no machine")
 		}
 		s.Users.Submit(simulation.Array(100), 30)
 		s.Heal(node.Label, "workers")
-		s.eventually(12*second, "it joins again", hasLogged("rejoining the shard map"))
+		s.eventually(12*second, "the controller rejoins the shard map", hasLogged("rejoining the shard map"))
 		s.eventually(200*second, "every job is done", s.Users.AllFinal)
 	}
 }
 
-// A full snapshot that a shard made before it had read a dispatch must not pass
-// for the loss of that dispatch.
+// A dispatch must not count as lost because it is missing from a full snapshot that the shard made before it
+// had read the dispatch. Otherwise the leader dispatches the task again and it runs twice. The slow links
+// between controllers make this crossing likely.
 func TestSnapshotCrossesDispatch(t *testing.T) {
 	s := newScenario(t, 31)
 	s.PeerLatency = 400 * time.Millisecond
@@ -175,10 +179,9 @@
 	s.requireInvariants()
 }
 
-// Machines of a zone that is partitioned for longer than a silent machine is usually kept are
-// used again when it heals, one after another, also if the leader changed meanwhile: none
-// is returned and booted anew, but for one that fell silent before the others and was
-// taken for dead.
+// The machines of a zone are used again after a partition that lasts longer than a silent machine is usually
+// kept. Their links heal one after another. No machine may be returned and replaced, also if the leader
+// changes during the partition, except for one that became silent before the others and was considered dead.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	for _, changeLeader := range []bool{false, true} {
 		s := newScenario(t, 59)
@@ -189,7 +192,7 @@
 		long := simulation.Array(48)
 		long.CheckpointS, long.SaveS = 4, 1
 		job := s.Users.Submit(long, 400)
-		s.eventually(60*second, "all of it runs", func() bool { return job.RunningTasks() == 48 })
+		s.eventually(60*second, "all 48 tasks run", func() bool { return job.RunningTasks() == 48 })
 		var nodes []string
 		for _, node := range s.Nodes {
 			nodes = append(nodes, node.Label)
@@ -207,21 +210,21 @@
 		}
 		s.Run(s.Now + 150*second)
 		if s.Cloud.Deleted > 1 || s.Cloud.Created > 0 {
-			t.Errorf("leader changed %v: %d machines were returned and %d created", changeLeader, s.Cloud.Deleted, s.Cloud.Created)
+			t.Errorf("leader changed: %v; %d machines were returned, expected at most 1, and %d created, expected 0", changeLeader, s.Cloud.Deleted, s.Cloud.Created)
 		}
-		s.eventually(60*second, "all of it runs again", func() bool { return job.RunningTasks() >= 44 })
+		s.eventually(60*second, "at least 44 tasks run again", func() bool { return job.RunningTasks() >= 44 })
 	}
 }
 
-// Every message is delivered once more, up to two minutes late: a task that a /do started and that
-// was stopped and cleared is not started again by the duplicate.
+// Every message is delivered a second time, up to two minutes late. A task that a /do call started and that
+// was then stopped and removed from the machine must not be started again by the duplicate of the call.
 func TestDuplicatedCommandsAreNotRepeated(t *testing.T) {
 	s := newScenario(t, 900)
 	s.DuplicateShare, s.MaxDuplicateDelay = 1, 120*second
 	job := s.Users.Submit(simulation.Array(4), 300)
-	s.eventually(60*second, "a machine is up", func() bool { return job.RunningTasks() == 4 })
+	s.eventually(60*second, "the first job runs", func() bool { return job.RunningTasks() == 4 })
 	var jobs []*simulation.Job
-	for range 12 { // beside it, so that they start by /do
+	for range 12 { // while the first job runs, so that these start by a /do call and not in a heartbeat response
 		jobs = append(jobs, s.Users.Submit(simulation.Array(2), 300))
 		s.Run(s.Now + 700*time.Millisecond)
 	}
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -87,7 +87,7 @@
 // has no machines. Start commands of the former process may still be in flight. The leader once treated
 // these dispatches as lost, dispatched the tasks again and had them run twice.
 func TestNewProcessUnderStaleMapReportsNothing(t *testing.T) {
-	for _, previousVersion := range []bool{false, true} { // whether the leader runs the previous version, as in production
+	for _, previousVersion := range []bool{false, true} { // whether the leader runs the previous version, the one in production
 		s := newScenario(t, 90)
 		for range 12 {
 			s.Cloud.AddRunning("box", "b", true)
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -11,8 +11,8 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// startLoaded begins a scenario with n machines of 16 CPUs that are full, and as much work again
-// waiting.
+// startLoaded starts a scenario with n machines of 16 CPUs, nearly all of which are occupied, and with as
+// many tasks waiting as run.
 func startLoaded(tb testing.TB, seed uint64, n int) *scenario {
 	tb.Helper()
 	s := newScenario(tb, seed)
@@ -26,12 +26,12 @@
 	for range n / 10 {
 		s.Users.Submit(simulation.Array(16*10*2), 20+s.Rand.Float64()*20)
 	}
-	s.eventually(90*second, "nearly every CPU is taken", func() bool { return s.Users.RunningTasks() >= n*15 })
+	s.eventually(90*second, "nearly every CPU is in use", func() bool { return s.Users.RunningTasks() >= n*15 })
 	return s
 }
 
-// BenchmarkSecond is a second of a busy deployment: heartbeats, rounds and all.
-// The growth between the sizes is what counts.
+// BenchmarkSecond measures one simulated second of a busy deployment, with all heartbeats and scheduling
+// rounds. What matters is how the cost grows with the number of machines.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkDependents is a second of a deployment with thousands of jobs that wait for
-// others: a fan behind one job, and chains of a hundred.
+// BenchmarkDependents measures one simulated second of a deployment with thousands of jobs that wait for
+// others: half of them depend on one job alone, half form chains of a hundred.
 func BenchmarkDependents(b *testing.B) {
 	for _, n := range []int{0, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -58,7 +58,7 @@
 			first := simulation.Array(1)
 			first.ID, first.CPUs = "job-900000000", 16
 			s.Store.AddDependentJobs(first, n)
-			s.Run(s.Now + 60*second) // the others read them anew: so many changes are not kept
+			s.Run(s.Now + 60*second) // the controllers reload everything, since the store does not keep so many events for their watches
 			var coreTime time.Duration
 			s.OnApplied = func(_ *simulation.Node, _ []core.Command, took time.Duration) { coreTime += took }
 			b.ResetTimer()
@@ -71,8 +71,8 @@
 	}
 }
 
-// Hundreds of machines come up at once: the registry must not take the write budget of many seconds,
-// and all of them work soon.
+// When hundreds of machines start at once, their registration must not use up the write budget of many
+// seconds, and all of them must run tasks soon. 200 machines may cause at most 40 writes.
 func TestRegistrationBatchesWrites(t *testing.T) {
 	s := newScenario(t, 33)
 	s.Users.Submit(simulation.Array(3200), 60)
@@ -81,14 +81,14 @@
 	for range 200 {
 		s.Cloud.AddRunning("barn", "a", true)
 	}
-	s.eventually(8*second, "every machine works", func() bool { return s.Users.RunningTasks() >= 3200 })
+	s.eventually(8*second, "every machine is fully occupied", func() bool { return s.Users.RunningTasks() >= 3200 })
 	if n := s.Store.Writes - before; n > 40 {
-		t.Fatalf("%d writes for 200 machines", n)
+		t.Fatalf("registering 200 machines caused %d writes, expected at most 40", n)
 	}
 }
 
-// The invariants hold at scale too: a crash of the leader, an outage of the store, a crash of every
-// node, and machines that are taken away.
+// The invariants hold on 150 machines too when the leader crashes, the store has an outage, machines are
+// removed and all controllers crash. No accepted job may be lost.
 func TestLoadedClusterSurvivesFaults(t *testing.T) {
 	s := startLoaded(t, 34, 150)
 	s.leader().Crash(3 * second)
@@ -101,12 +101,12 @@
 	for _, n := range s.Nodes {
 		n.Crash(4 * second)
 	}
-	s.eventually(60*second, "the machines are full again", func() bool { return s.Users.RunningTasks() >= 130*15 })
-	s.eventually(400*second, "nothing accepted is lost", s.Users.AllFinal)
+	s.eventually(60*second, "nearly every CPU of the remaining machines is in use again", func() bool { return s.Users.RunningTasks() >= 130*15 })
+	s.eventually(400*second, "every accepted job is done or cancelled", s.Users.AllFinal)
 }
 
-// After all nodes have crashed, hundreds of machines are seen again within a few seconds, and none is
-// given up.
+// After all controllers have crashed, hundreds of machines are seen again within a few seconds, and none of
+// them is deleted.
 func TestFailoverAtScale(t *testing.T) {
 	s := startLoaded(t, 37, 300)
 	deleted := s.Cloud.Deleted
@@ -114,17 +114,17 @@
 		n.Crash(3 * second)
 	}
 	s.Logs = nil
-	s.eventually(5*second, "every machine has been seen", func() bool {
+	s.eventually(5*second, "the leader has seen every machine", func() bool {
 		return s.logged("every machine has been seen")
 	})
 	s.Run(s.Now + 10*second)
 	if n := s.Cloud.Deleted - deleted; n > 0 {
-		t.Fatalf("%d machines were given up", n)
+		t.Fatalf("%d machines were deleted after the failover", n)
 	}
 }
 
-// BenchmarkPoll is a poll of an unfinished job, as the core sees it: many share one read of the
-// store.
+// BenchmarkPoll measures how the core handles a user's poll of an unfinished job. Many polls share one read
+// of the store.
 func BenchmarkPoll(b *testing.B) {
 	s := newScenario(b, 1)
 	j := s.Users.Submit(simulation.Array(4), 1e6)
@@ -139,8 +139,9 @@
 	}
 }
 
-// BenchmarkTaskStartGap is how long no task starts after controllers end, with short tasks
-// waiting all the while, by who ends and how soon they are back: median and most.
+// BenchmarkTaskStartGap measures the longest time in which no task starts after controllers have crashed,
+// while short tasks are always waiting. It varies which controllers crash and after how long they restart,
+// and reports the median and the maximum over five seeds.
 func BenchmarkTaskStartGap(b *testing.B) {
 	for _, crash := range []struct {
 		name   string
@@ -160,11 +161,11 @@
 		}},
 	} {
 		for _, restartDelay := range []time.Duration{second / 20, second / 5, second, 8 * second} {
-			b.Run(fmt.Sprint(crash.name, " back in ", restartDelay), func(b *testing.B) {
+			b.Run(fmt.Sprint(crash.name, " restarts after ", restartDelay), func(b *testing.B) {
 				gaps := hdrhistogram.New(1, 100_000, 3)
 				for seed := range uint64(5) {
 					s := newScenario(b, 700+seed)
-					s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // what is up must do
+					s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // no machines can be rented beside the 16 that run
 					for i := range 16 {
 						s.Cloud.AddRunning("box", []string{"a", "b"}[i%2], true)
 					}
@@ -181,7 +182,7 @@
 						worst = max(worst, s.Now-last)
 					}
 					s.requireInvariants()
-					_ = gaps.RecordValue(worst.Milliseconds()) // within bounds
+					_ = gaps.RecordValue(worst.Milliseconds()) // cannot fail: the value is within the bounds of the histogram
 				}
 				b.ReportMetric(float64(gaps.ValueAtQuantile(50)), "median-ms")
 				b.ReportMetric(float64(gaps.Max()), "most-ms")
--- a/internal/core/zone_faults_test.go
+++ b/internal/core/zone_faults_test.go
@@ -8,8 +8,9 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Jobs bound to one zone, by name or by their constraints, arrays and gangs, lose machines there,
-// while the zone has others, or has none for a while, and the leader crashes.
+// Arrays and gangs that are bound to a zone by its name or to zones by a constraint lose machines there,
+// while the zone has or can rent others or, in one variant, gets none for a while. In half of the runs the
+// leader crashes as well. All jobs must be done in the end.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	for _, failover := range []bool{false, true} {
 		acrossSeeds(t, 4000, 3, func(t *testing.T, variant, controllers int, seed uint64) {
@@ -38,13 +39,13 @@
 			s.Run(s.Now + 45*second)
 			s.recoverAndFinish(400 * second)
 			if !lastStateIs(protocol.JobDone, jobs...)() {
-				t.Fatal("not all are done")
+				t.Fatal("not all jobs are done")
 			}
 		})
 	}
 }
 
-// zoneBoundSpec describes the n-th job, bound to zones in one of four ways.
+// zoneBoundSpec returns the n-th job, bound to zones in one of four ways.
 func zoneBoundSpec(n int) protocol.Job {
 	spec := simulation.Array(6)
 	switch n % 4 {
@@ -60,7 +61,7 @@
 	return spec
 }
 
-// zoneConstraints bind a job to zones.
+// zoneConstraints holds, by name, functions that bind a job to zones.
 var zoneConstraints = map[string]func(*protocol.Job){
 	"spread": func(spec *protocol.Job) { spec.Spread = true },
 	"spread service": func(spec *protocol.Job) {
@@ -71,10 +72,10 @@
 	"spread, two zones": func(spec *protocol.Job) { spec.Spread, spec.MachineTypes = true, []string{"cask"} },
 }
 
-// Jobs tied to zones whose zone has lost its machines and gets none go on in another one with
-// capacity, beside controllers that read what was written late, and through a failover: a spread
-// job's half in a third zone, or in the other's once that is done; a job of one zone once none of
-// its tasks can be anywhere.
+// Tasks whose zone has lost its machines and gets no others move to another zone with capacity. Half of a
+// spread job moves to a third zone, or to the zone of the other half once that half is done. A one-zone job
+// moves once none of its tasks can be on any machine. In some variants a controller reads the state service
+// late, in others the leader fails over.
 func TestTasksMoveToZoneWithCapacity(t *testing.T) {
 	for name, constrain := range zoneConstraints {
 		t.Run(name, func(t *testing.T) {
@@ -84,15 +85,15 @@
 				spec := simulation.Array(tasks)
 				constrain(&spec)
 				job := s.Users.Submit(spec, 20)
-				s.eventually(30*second, "some tasks run", func() bool { return job.RunningTasks() > 2 })
-				if variant%3 == 1 { // somebody reads the state service late
+				s.eventually(30*second, "more than two tasks run", func() bool { return job.RunningTasks() > 2 })
+				if variant%3 == 1 { // one controller reads the state service two seconds late
 					s.SetLink("state", s.Nodes[variant%controllers].Label, simulation.Link{Delay: 2 * second})
 				}
 				s.removeZone(s.zoneOfTask(job, variant))
 				if variant%3 == 2 {
 					s.After(18*second, func() { s.crashLeader(second / 5) })
 				}
-				s.eventually(100*second, "all its tasks have started", func() bool {
+				s.eventually(100*second, "all its tasks are running or completed", func() bool {
 					return job.RunningTasks()+s.Users.CompletedTasks(job) == tasks
 				})
 				s.Users.FaultsOverAt = s.Now
@@ -100,13 +101,14 @@
 					s.Run(s.Now + 60*second)
 					s.Users.Cancel(job)
 				}
-				s.eventually(150*second, "it is over", s.Users.AllFinal)
+				s.eventually(150*second, "the job is done or cancelled", s.Users.AllFinal)
 			})
 		})
 	}
 }
 
-// startInThreeZones starts controllers with machines in three zones, those of type cask in two.
+// startInThreeZones starts controllers with machines in zones a, b and c. Machines of type cask exist in zones
+// a and b only.
 func startInThreeZones(t *testing.T, seed uint64, controllers int) *scenario {
 	types := simulation.MachineTypes()
 	types[0].Zones = []string{"a", "b", "c"}
@@ -125,7 +127,8 @@
 	return s
 }
 
-// zoneOfTask is the zone of the first of a job's tasks from one on that is on a machine.
+// zoneOfTask returns the zone of the first task that is on a machine, searching the job's tasks cyclically
+// from index first. It fails the test if there is none.
 func (s *scenario) zoneOfTask(job *simulation.Job, first int) string {
 	for i := range job.Spec.Tasks {
 		if machine := s.Workers[job.MachineOf((first+i)%job.Spec.Tasks)]; machine != nil {
@@ -136,7 +139,7 @@
 	return ""
 }
 
-// removeZone takes all machines of a zone away and lets it have no others.
+// removeZone removes all machines of a zone and the capacity to rent others there.
 func (s *scenario) removeZone(zone string) {
 	for _, machine := range s.SomeWorkers(64) {
 		if machine.Info.Zone == zone {
@@ -148,7 +151,8 @@
 	}
 }
 
-// startFixedMachines has a machine in each of the zones named, and a cloud that has no other.
+// startFixedMachines starts one machine for each of the given zones, which may repeat, and removes the
+// capacity to rent others.
 func (s *scenario) startFixedMachines(zones ...string) {
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for _, zone := range zones {
@@ -157,7 +161,7 @@
 	s.Run(s.Now + 4*second)
 }
 
-// A job of one zone that is full stays there as long as a task of it may be there, however much
+// A one-zone job whose zone is full stays there as long as one of its tasks may be there, however much
 // capacity another zone has.
 func TestSingleZoneJobStaysTogether(t *testing.T) {
 	acrossSeeds(t, 4550, 3, func(t *testing.T, variant, controllers int, seed uint64) {
@@ -166,18 +170,19 @@
 		spec := simulation.Array(14)
 		spec.OneZone = true
 		job := s.Users.Submit(spec, 50)
-		s.eventually(30*second, "its zone is full", func() bool { return job.RunningTasks() == 8 })
+		s.eventually(30*second, "the tasks fill the zone", func() bool { return job.RunningTasks() == 8 })
 		s.Run(s.Now + 10*second)
 		if variant == 1 {
 			s.crashLeader(second / 5)
 		}
 		s.Users.FaultsOverAt = s.Now
-		s.eventually(200*second, "it is done", s.Users.AllFinal)
+		s.eventually(200*second, "the job is done", s.Users.AllFinal)
 	})
 }
 
-// The move of a job of one zone to another is committed late, when its own zone has had machines
-// again and its tasks run there, and more wait: those stay with them.
+// The write that moves a one-zone job to another zone is committed late, when the former zone has machines
+// again and some of the job's tasks run there. The waiting tasks must then stay in the zone of the running
+// ones.
 func TestLateZoneMoveOfSingleZoneJob(t *testing.T) {
 	acrossSeeds(t, 4580, 6, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
@@ -187,15 +192,15 @@
 		spec := simulation.Array(12)
 		spec.OneZone = true
 		job := s.Users.Submit(spec, 40)
-		s.eventually(30*second, "its tasks run", func() bool { return job.RunningTasks() == 4 })
+		s.eventually(30*second, "four tasks run", func() bool { return job.RunningTasks() == 4 })
 		s.Cloud.Remove(first)
 		s.Cloud.AddRunning("box", "b", true)
 		s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = "c/job/", 1, 6*second, time.Duration(8+variant)*second
-		s.eventually(90*second, "it is to move", func() bool { return s.logged("job reassigned to another zone") })
+		s.eventually(90*second, "the leader reassigns the job to another zone", func() bool { return s.logged("job reassigned to another zone") })
 		s.Cloud.AddRunning("box", "a", true)
 		s.Run(s.Now + 5*second)
 		s.Store.DelayedCommitShare = 0
-		if variant%2 == 1 { // and the leader reloads everything
+		if variant%2 == 1 { // the leader reloads everything, because its watch is compacted
 			s.Store.CompactedNodes[s.leader().Label] = true
 		}
 		s.Run(s.Now + 20*second)
@@ -203,8 +208,8 @@
 	})
 }
 
-// An urgent job of one zone that is full preempts nothing in another zone, where it could not
-// run, and keeps no machine there from others.
+// An urgent one-zone job whose zone is full preempts no task in another zone, where it could not run, and
+// reserves no machine there, so that other jobs can use it.
 func TestNoPreemptionInUnusableZone(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 4600+seed)
@@ -212,16 +217,16 @@
 		spec := simulation.Array(12)
 		spec.Class, spec.Urgency, spec.OneZone, spec.CPUs = "alerts", protocol.UrgencyHigh, true, 4
 		urgent := s.Users.Submit(spec, 40)
-		s.eventually(30*second, "it has its zone", func() bool { return urgent.RunningTasks() == 2 })
+		s.eventually(30*second, "two tasks of the urgent job fill its zone", func() bool { return urgent.RunningTasks() == 2 })
 		var small []*simulation.Job
 		for range 8 {
 			spec := simulation.Array(1)
 			spec.Urgency = protocol.UrgencyLow
 			small = append(small, s.Users.Submit(spec, 6))
 		}
-		s.eventually(40*second, "the other zone serves the rest", lastStateIs(protocol.JobDone, small...))
+		s.eventually(40*second, "the small jobs are done in the other zone", lastStateIs(protocol.JobDone, small...))
 		if s.logged("stopping tasks") {
-			t.Fatalf("tasks were stopped in vain\n%s", s.lastLogs(*logLines))
+			t.Fatalf("tasks were stopped in a zone that the urgent job cannot use\n%s", s.lastLogs(*logLines))
 		}
 	}
 }
