--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -100,13 +100,13 @@
 		}
 		member, crashed, epoch, dispatchedAttempts := s.follower(), false, uint64(0), map[string]uint64{}
 		s.SetLink(member.Label, "workers", simulation.Link{Delay: 300 * time.Millisecond})
-		s.OnApplied = func(node *simulation.Node, cmds []core.Command, _ time.Duration) {
+		s.OnApplied = func(receiver *simulation.Node, cmds []core.Command, _ time.Duration) {
 			for _, command := range cmds {
 				received, ok := command.(core.PeerReceived)
-				if ok && crashed && node != member && received.Message.Snapshot && received.Message.Epoch == epoch {
+				if ok && crashed && receiver != member && received.Message.Snapshot && received.Message.Epoch == epoch {
 					t.Error("the new process sent a snapshot for the epoch of its former process")
 				}
-				if !ok || node != member {
+				if !ok || receiver != member {
 					continue
 				}
 				if !crashed {
@@ -121,7 +121,7 @@
 				if len(dispatchedAttempts) > 0 && !crashed {
 					crashed = true
 					s.SetLink(s.leader().Label, "state", simulation.Link{Delay: second / 10}) // delays the next shard map
-					s.After(time.Millisecond/4, func() { node.Crash(second / 50) })           // before any other process receives a message about the dispatch
+					s.After(time.Millisecond/4, func() { receiver.Crash(second / 50) })       // before any other process receives a message about the dispatch
 				}
 			}
 		}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -145,7 +145,7 @@
 func BenchmarkTaskStartGap(b *testing.B) {
 	for _, crash := range []struct {
 		name   string
-		inject func(s *scenario, back time.Duration)
+		inject func(s *scenario, restartDelay time.Duration)
 	}{
 		{"leader", func(s *scenario, restartDelay time.Duration) { s.leader().Crash(restartDelay) }},
 		{"member", func(s *scenario, restartDelay time.Duration) { s.follower().Crash(restartDelay) }},
