--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -62,7 +62,7 @@
 }
 
 // One branch of a diamond is cancelled: the last job is too, the other branch goes on.
-func TestCancelledBranchOfDiamond(t *testing.T) {
+func TestCancelledBranchOfDiamondLeavesOtherBranchRunning(t *testing.T) {
 	s := newScenario(t, 302)
 	jobs := s.submitDiamond()
 	s.Users.Cancel(jobs[1])
@@ -72,7 +72,7 @@
 
 // Whichever of done and cancelled comes first, the dependents follow it, wherever they are asked
 // about; the invariant checker compares the answers.
-func TestCancellationRacesCompletion(t *testing.T) {
+func TestDependentsFollowRacingCancellationAndCompletion(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(60) {
 		s := newScenario(t, 400+seed)
@@ -157,7 +157,7 @@
 
 // The invariant checker itself: three violations that are brought about must be caught, or the
 // scenarios above assert nothing.
-func TestCheckerCatchesDependencyFaults(t *testing.T) {
+func TestInvariantCheckerCatchesDependencyFaults(t *testing.T) {
 	requireCaught := func(s *scenario, invariant string) {
 		t.Helper()
 		if !slices.ContainsFunc(s.Violations, func(b string) bool { return strings.Contains(b, " "+invariant+": ") }) {
@@ -195,7 +195,7 @@
 
 // The first job of a chain fails wherever it runs: its dependents wait, say so and hold nothing,
 // and are cancelled with it when its user gives up.
-func TestDependencyChainWithFailingHead(t *testing.T) {
+func TestDependentsOfFailingJobWaitUntilCancelled(t *testing.T) {
 	s := newScenario(t, 314)
 	head := s.submitAccepted(simulation.Array(4), 5)
 	head.FailsEverywhere = true
@@ -212,7 +212,7 @@
 }
 
 // A chain across teams, one of which is at its quota for long.
-func TestDependencyChainAcrossTeams(t *testing.T) {
+func TestDependencyChainAcrossTeamsCompletes(t *testing.T) {
 	s := newScenario(t, 315)
 	ofRed := func(tasks int, dependencies ...*simulation.Job) protocol.Job {
 		spec := dependentArray(tasks, dependencies...)
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -106,7 +106,7 @@
 // What happens without the mend: a job that failed on three machines, all of them faulty, is tried by
 // one task at growing intervals, up to eight worker leases, here 320 s. When the machines work again
 // the next try is still that far.
-func TestCrashLoopingJobIsTriedSoonAfterRepair(t *testing.T) {
+func TestCrashLoopingJobIsRetriedSoonAfterRepair(t *testing.T) {
 	s, job := newFailingScenario(t, 6, simulation.Array(12))
 	s.Run(s.Now + 400*second)
 	s.repairMachines()
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -14,7 +14,7 @@
 
 // What one round asks of a member with thousands of machines, and what that gives back at
 // once, passes links that take no line of over 16 MiB: by themselves they once were one line.
-func TestOrdersForWholeFleetPassTheLink(t *testing.T) {
+func TestDispatchesForWholeFleetFitLinkLimit(t *testing.T) {
 	const tasks = 64 // of a machine
 	for _, machines := range []int{4000, 8000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -187,7 +187,7 @@
 	},
 	"cancellation then outage": func(f *fault) { // jobs are cancelled through the controllers that the store still serves
 		beforeOutage := drawDuration(f.rt, "only the leader refused for", 0.5, 4.5)
-		outage := f.s.cancelSpan() + drawDuration(f.rt, "outage beyond the cancellation deadline", 1, 30)
+		outage := f.s.cancelTimeout() + drawDuration(f.rt, "outage beyond the cancellation deadline", 1, 30)
 		f.recordEnd(f.at + beforeOutage + outage)
 		f.atStart(func() {
 			f.refuseLeader(beforeOutage + outage)
@@ -218,7 +218,7 @@
 	"leader partitioned from all but workers and users": func(f *fault) {
 		f.atStart(func() {
 			if leader := f.s.currentLeader(); leader != nil {
-				f.s.partition(f.duration, leader.Label, f.s.otherEnds(leader)...)
+				f.s.partition(f.duration, leader.Label, f.s.otherEndpoints(leader)...)
 			}
 			f.s.After(f.duration/4, func() { f.cancelRunning(f.s, f.count) })
 		})
--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -40,13 +40,13 @@
 			}
 		})
 		machinesUpAt := d.faultsOverAt + config.Seconds(2*d.longestBoot()) // time by which machines have booted at the latest
-		end := machinesUpAt + 6*s.patience()
+		end := machinesUpAt + 6*s.overdueAfter()
 		for i := range d.settings.Site.Teams {
 			d.drawClasses(rt, s, &d.settings.Site.Teams[i], end)
 		}
 		s.Run(end)
 		s.requireInvariants()
-		until := end - 2*s.patience()
+		until := end - 2*s.overdueAfter()
 		classesChecked += s.requireHalfOfEachClass(until, d.halfCapacity(machineCPUs, until-machinesUpAt))
 	})
 	if classesChecked == 0 {
