--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -49,7 +49,7 @@
 
 // accept writes an acceptance, in a batch or with the job's own key. Each has its own count of tasks,
 // so that it is known again.
-func (h *storeHistory) accept(t *rapid.T, alone bool) {
+func (h *storeHistory) accept(t *rapid.T, individually bool) {
 	record := records.Job{Spec: protocol.Job{ID: acceptedTwiceID, Kind: protocol.KindArray, Tasks: int(h.revision) + 1}, State: protocol.JobQueued}
 	dependent := rapid.Bool().Draw(t, "dependent")
 	if dependent {
@@ -59,14 +59,14 @@
 		h.first = record
 	}
 	prefix := map[bool]string{false: keyAdmissionBatch, true: keyDependentBatch}[dependent]
-	if alone && rapid.Bool().Draw(t, "in chunks") {
+	if individually && rapid.Bool().Draw(t, "in chunks") {
 		nonce := fmt.Sprint("n-", h.revision)
 		h.put(chunkKey(acceptedTwiceID, nonce, 0), records.Chunk{Text: packRecord(record)})
 		h.ownKey = keyDependentJob + acceptedTwiceID
 		h.put(h.ownKey, records.Job{Spec: protocol.Job{ID: acceptedTwiceID}, State: protocol.JobQueued, Chunks: 1, ChunkNonce: nonce})
 		return
 	}
-	if alone {
+	if individually {
 		h.ownKey = (&jobEntry{record: record, dependent: dependent}).recordKey()
 		h.put(h.ownKey, record)
 		return
@@ -152,7 +152,7 @@
 
 // Whatever records of a job are written in whatever order, and whether a controller follows them or
 // loads them later: the first acceptance counts, and a batch that holds it is not deleted.
-func TestFirstAcceptanceCountsOnEveryNode(t *testing.T) {
+func TestFirstAcceptanceCountsOnEveryController(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := &storeHistory{values: map[string]protocol.KeyValue{}}
 		follower := newReplica()
--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -23,13 +23,13 @@
 	s := newScenario(t, 60)
 	job := s.Users.Submit(simulation.Array(8), 10)
 	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 0 })
-	bad := job.MachineOf(0)
-	s.Workers[bad].Faulty = true
+	faulty := job.MachineOf(0)
+	s.Workers[faulty].Faulty = true
 	for range 5 {
 		s.Users.Submit(simulation.Array(8), 10)
 	}
 	s.eventually(200*second, "every job is done", s.Users.AllFinal)
-	s.eventually(60*second, "the machine is gone", func() bool { return s.Workers[bad] == nil })
+	s.eventually(60*second, "the machine is gone", func() bool { return s.Workers[faulty] == nil })
 }
 
 // Three crash-looping jobs at once quarantine no machine, whichever they fail on first.
@@ -56,26 +56,26 @@
 	}
 	job := s.Users.Submit(simulation.Array(36), 10)
 	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 20 })
-	var sick []*simulation.Worker
-	for i := 0; i < 36 && len(sick) < 4; i += 4 {
+	var faulty []*simulation.Worker
+	for i := 0; i < 36 && len(faulty) < 4; i += 4 {
 		if worker := s.Workers[job.MachineOf(i)]; worker != nil && !worker.Faulty {
 			worker.Faulty = true
-			sick = append(sick, worker)
+			faulty = append(faulty, worker)
 		}
 	}
 	for i := range 10 {
 		s.After(time.Duration(5*i)*second, func() { s.Users.Submit(simulation.Array(60), 10) })
 	}
-	mistaken := s.Users.Submit(simulation.Array(10), 10)
-	mistaken.FailsEverywhere = true
+	crashLooping := s.Users.Submit(simulation.Array(10), 10)
+	crashLooping.FailsEverywhere = true
 	s.eventually(60*second, "every faulty machine is quarantined", func() bool {
-		return strings.Count(strings.Join(s.Logs, "\n"), "quarantined") == len(sick)
+		return strings.Count(strings.Join(s.Logs, "\n"), "quarantined") == len(faulty)
 	})
-	s.Users.Cancel(mistaken)
+	s.Users.Cancel(crashLooping)
 	s.eventually(100*second, "every job is over", s.Users.AllFinal)
 }
 
-func TestMachinesThatNeverBootAreGivenUp(t *testing.T) {
+func TestMachinesThatNeverBootAreDeleted(t *testing.T) {
 	s := newScenario(t, 62)
 	s.Cloud.StuckBoots = 2
 	s.Users.Submit(simulation.Array(8), 10)
@@ -95,7 +95,7 @@
 // A controller is ready as soon as it is entitled. It once waited for the machine types
 // as well, and the load balancer, which probes once a second, had no controller for the
 // first users.
-func TestReadyBeforeTheCloudAnswers(t *testing.T) {
+func TestControllersAreReadyBeforeTheCloudResponds(t *testing.T) {
 	s := &scenario{Cluster: simulation.New(77, 3), t: t}
 	for _, node := range s.Nodes {
 		s.Partition(node.Label, "cloud", false)
@@ -116,7 +116,7 @@
 
 // A machine that has just come up has not shown its token yet. That is no reason
 // to return it to the cloud.
-func TestNewMachinesAreKept(t *testing.T) {
+func TestNewMachinesAreNotReturned(t *testing.T) {
 	s := newScenario(t, 32)
 	for range 10 {
 		s.Cloud.AddRunning("barn", "a", true)
@@ -152,7 +152,7 @@
 
 // Machines that are known before the cloud has listed its types get work once it has:
 // the leader once looked their type up in a snapshot that did not name it.
-func TestMachinesKnownBeforeTheirTypes(t *testing.T) {
+func TestMachinesKnownBeforeTheirTypesGetWork(t *testing.T) {
 	s := newScenario(t, 42)
 	s.Cloud.Down = true
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -169,10 +169,10 @@
 
 // A cloud that allows one call a second is still called, and one list of many pages does
 // not use up its calls.
-func TestRateLimitedCloud(t *testing.T) {
-	set := simulation.Settings(3)
-	set.Site.Cloud.RPS = 1
-	s := &scenario{Cluster: simulation.NewWithSettings(43, set, simulation.MachineTypes()), t: t}
+func TestCloudCallsStayWithinRateLimit(t *testing.T) {
+	settings := simulation.Settings(3)
+	settings.Site.Cloud.RPS = 1
+	s := &scenario{Cluster: simulation.NewWithSettings(43, settings, simulation.MachineTypes()), t: t}
 	s.Users.Submit(simulation.Array(8), 10)
 	s.eventually(90*second, "the job is done", s.Users.AllFinal)
 	for range 1200 {
@@ -192,9 +192,9 @@
 	for range 4 {
 		s.Cloud.AddRunning("box", "b", true)
 	}
-	solid := simulation.Array(40)
-	solid.AllowSpot = false
-	s.Users.Submit(solid, 10)
+	onDemandOnly := simulation.Array(40)
+	onDemandOnly.AllowSpot = false
+	s.Users.Submit(onDemandOnly, 10)
 	s.eventually(200*second, "they are returned", func() bool { return s.Cloud.Deleted == 4 })
 	s.Cloud.Capacity["box"] = 4
 	s.eventually(300*second, "the job is done", s.Users.AllFinal)
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -116,33 +116,33 @@
 	b.ReportMetric(longest.Seconds()*1000, "longest-ms")
 }
 
-// BenchmarkEnded is what archived jobs cost a controller that starts: the time to load the mirror and
+// BenchmarkLoadArchivedJobs is what archived jobs cost a controller that starts: the time to load the mirror and
 // the memory that it then holds.
-func BenchmarkEnded(b *testing.B) {
+func BenchmarkLoadArchivedJobs(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := newScenario(b, 1)
 			s.Store.AddFinishedJobs(n)
 			s.Run(s.Now + 20*second) // the others read them anew: so many changes are not kept
 			for range b.N {
-				nd := s.Nodes[0]
-				nd.Crash(0)
+				restarted := s.Nodes[0]
+				restarted.Crash(0)
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				took, most := time.Duration(0), time.Duration(0)
-				s.OnApplied = func(x *simulation.Node, _ []core.Command, d time.Duration) {
-					if x == nd {
-						took, most = took+d, max(most, d)
+				total, longest := time.Duration(0), time.Duration(0)
+				s.OnApplied = func(node *simulation.Node, _ []core.Command, took time.Duration) {
+					if node == restarted {
+						total, longest = total+took, max(longest, took)
 					}
 				}
-				nd.Start()
-				s.eventually(240*second, "the node is ready", func() bool { return nd.Ready })
+				restarted.Start()
+				s.eventually(240*second, "the node is ready", func() bool { return restarted.Ready })
 				s.OnApplied = nil
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				b.ReportMetric(took.Seconds()*1000, "load-ms")
-				b.ReportMetric(most.Seconds()*1000, "longest-ms")
+				b.ReportMetric(total.Seconds()*1000, "load-ms")
+				b.ReportMetric(longest.Seconds()*1000, "longest-ms")
 				b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/(1<<20), "MB")
 			}
 		})
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -62,7 +62,7 @@
 }
 
 // One branch of a diamond is cancelled: the last job is too, the other branch goes on.
-func TestCancelledBranchOfDiamond(t *testing.T) {
+func TestCancelledBranchOfDiamondLeavesOtherBranchRunning(t *testing.T) {
 	s := newScenario(t, 302)
 	jobs := s.submitDiamond()
 	s.Users.Cancel(jobs[1])
@@ -72,7 +72,7 @@
 
 // Whichever of done and cancelled comes first, the dependents follow it, wherever they are asked
 // about; the invariant checker compares the answers.
-func TestCancellationRacesCompletion(t *testing.T) {
+func TestDependentsFollowRacingCancellationAndCompletion(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(60) {
 		s := newScenario(t, 400+seed)
@@ -103,9 +103,9 @@
 	running := s.submitAccepted(service, 1)
 	self := simulation.Array(1)
 	self.ID, self.Dependencies = "job-777777", []string{"job-777777"}
-	stranger := simulation.Array(1)
-	stranger.Dependencies = []string{"job-888888"}
-	s.requireRejected(self, stranger, dependentArray(1, running))
+	unknown := simulation.Array(1)
+	unknown.Dependencies = []string{"job-888888"}
+	s.requireRejected(self, unknown, dependentArray(1, running))
 	// A repeat is answered by what was accepted, whatever it names.
 	head := s.submitAccepted(simulation.Array(1), 3)
 	dependent := s.submitAccepted(dependentArray(1, head), 3)
@@ -127,14 +127,14 @@
 		dependent.Team, dependent.Urgency = "red", protocol.UrgencyProduction
 		s.submitAccepted(dependent, 5)
 	}
-	free := s.submitAccepted(simulation.Array(8), 5) // team blue's guarantee
-	s.eventually(60*second, "other work is done", toldState(protocol.JobDone, free))
+	unrelated := s.submitAccepted(simulation.Array(8), 5) // team blue's guarantee
+	s.eventually(60*second, "other work is done", toldState(protocol.JobDone, unrelated))
 	s.eventually(400*second, "and in the end all", s.Users.AllFinal)
 }
 
 // What an urgent job depends on is treated as urgent.
 func TestDependenciesInheritUrgency(t *testing.T) {
-	done := func(urgent bool) time.Duration {
+	completionTime := func(urgent bool) time.Duration {
 		s := newScenario(t, 305)
 		for range 6 {
 			s.submitAccepted(simulation.Array(40), 8)
@@ -150,17 +150,17 @@
 		s.eventually(900*second, "the step is done", toldState(protocol.JobDone, step))
 		return s.Now
 	}
-	if plain, urgent := done(false), done(true); urgent*5 > plain*4 {
+	if plain, urgent := completionTime(false), completionTime(true); urgent*5 > plain*4 {
 		t.Fatalf("done after %v with an urgent dependent, after %v without", urgent, plain)
 	}
 }
 
 // The invariant checker itself: three violations that are brought about must be caught, or the
 // scenarios above assert nothing.
-func TestCheckerCatchesDependencyFaults(t *testing.T) {
+func TestInvariantCheckerCatchesDependencyFaults(t *testing.T) {
 	requireCaught := func(s *scenario, invariant string) {
 		t.Helper()
-		if !slices.ContainsFunc(s.Violations, func(b string) bool { return strings.Contains(b, " "+invariant+": ") }) {
+		if !slices.ContainsFunc(s.Violations, func(violation string) bool { return strings.Contains(violation, " "+invariant+": ") }) {
 			t.Errorf("%s was not caught: %v", invariant, s.Violations)
 		}
 	}
@@ -176,9 +176,9 @@
 	// The record of a cancellation is lost, and every controller reloads.
 	s = newScenario(t, 312)
 	first = s.submitAccepted(simulation.Array(2), 600)
-	rest := s.submitAccepted(dependentArray(2, first), 5)
+	dependent := s.submitAccepted(dependentArray(2, first), 5)
 	s.Users.Cancel(first)
-	s.eventually(60*second, "both are cancelled", toldState(protocol.JobCancelled, first, rest))
+	s.eventually(60*second, "both are cancelled", toldState(protocol.JobCancelled, first, dependent))
 	s.Store.ReopenJob(first.Spec)
 	s.crashAll(second)
 	s.Run(s.Now + 100*second)
@@ -195,34 +195,34 @@
 
 // The first job of a chain fails wherever it runs: its dependents wait, say so and hold nothing,
 // and are cancelled with it when its user gives up.
-func TestDependencyChainWithFailingHead(t *testing.T) {
+func TestDependentsOfFailingJobWaitUntilCancelled(t *testing.T) {
 	s := newScenario(t, 314)
 	head := s.submitAccepted(simulation.Array(4), 5)
 	head.FailsEverywhere = true
-	rest := []*simulation.Job{s.submitAccepted(dependentArray(40, head), 5)}
-	rest = append(rest, s.submitAccepted(dependentArray(3, rest[0]), 5))
-	free := s.submitAccepted(simulation.Array(8), 5)
-	s.eventually(100*second, "other work is done", toldState(protocol.JobDone, free))
+	dependents := []*simulation.Job{s.submitAccepted(dependentArray(40, head), 5)}
+	dependents = append(dependents, s.submitAccepted(dependentArray(3, dependents[0]), 5))
+	unrelated := s.submitAccepted(simulation.Array(8), 5)
+	s.eventually(100*second, "other work is done", toldState(protocol.JobDone, unrelated))
 	s.Run(s.Now + 60*second)
-	if reason := rest[1].Answer.Reason; reason != "waits for "+rest[0].Spec.ID {
+	if reason := dependents[1].Answer.Reason; reason != "waits for "+dependents[0].Spec.ID {
 		t.Fatalf("the last says %q", reason)
 	}
 	s.Users.Cancel(head)
-	s.eventually(60*second, "all are cancelled", toldState(protocol.JobCancelled, head, rest[0], rest[1]))
+	s.eventually(60*second, "all are cancelled", toldState(protocol.JobCancelled, head, dependents[0], dependents[1]))
 }
 
 // A chain across teams, one of which is at its quota for long.
-func TestDependencyChainAcrossTeams(t *testing.T) {
+func TestDependencyChainAcrossTeamsCompletes(t *testing.T) {
 	s := newScenario(t, 315)
-	ofRed := func(tasks int, dependencies ...*simulation.Job) protocol.Job {
+	redArray := func(tasks int, dependencies ...*simulation.Job) protocol.Job {
 		spec := dependentArray(tasks, dependencies...)
 		spec.Team = "red"
 		return spec
 	}
-	full := s.submitAccepted(ofRed(24), 150)
+	full := s.submitAccepted(redArray(24), 150)
 	s.eventually(60*second, "its team is at its quota", func() bool { return full.RunningTasks() == 24 })
 	head := s.submitAccepted(simulation.Array(4), 4)
-	middle := s.submitAccepted(ofRed(4, head), 4)
+	middle := s.submitAccepted(redArray(4, head), 4)
 	last := s.submitAccepted(dependentArray(4, middle), 4)
 	s.eventually(60*second, "the first is done", toldState(protocol.JobDone, head))
 	s.Run(s.Now + 8*second)
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -42,9 +42,9 @@
 		return s.logged(faulty[0]+" why error") && s.logged(faulty[1]+" why error")
 	})
 	s.Run(s.Now + 5*second) // the machines have room again
-	sound := s.Cloud.AddRunning("box", "a", false)
+	healthy := s.Cloud.AddRunning("box", "a", false)
 	owner := s.ownerOf(faulty[0])
-	if s.ownerOf(faulty[1]) != owner || s.ownerOf(sound) == owner {
+	if s.ownerOf(faulty[1]) != owner || s.ownerOf(healthy) == owner {
 		t.Fatal("the hash of names has changed: the faulty machines are to be of one shard, the sound one of another")
 	}
 	s.eventually(90*second, "it is done on the sound machine", toldState(protocol.JobDone, job))
@@ -106,7 +106,7 @@
 // What happens without the mend: a job that failed on three machines, all of them faulty, is tried by
 // one task at growing intervals, up to eight worker leases, here 320 s. When the machines work again
 // the next try is still that far.
-func TestCrashLoopingJobIsTriedSoonAfterRepair(t *testing.T) {
+func TestCrashLoopingJobIsRetriedSoonAfterRepair(t *testing.T) {
 	s, job := newFailingScenario(t, 6, simulation.Array(12))
 	s.Run(s.Now + 400*second)
 	s.repairMachines()
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -35,17 +35,17 @@
 }
 
 // startContended begins a scenario on twelve machines in which the streams submit jobs until a time.
-func startContended(t testing.TB, seed uint64, until time.Duration, policy func(*config.Policy), set config.Settings, streams ...jobStream) *scenario {
+func startContended(t testing.TB, seed uint64, until time.Duration, policy func(*config.Policy), settings config.Settings, streams ...jobStream) *scenario {
 	t.Helper()
-	w := simulation.NewWithSettings(seed, set, simulation.MachineTypes())
-	w.Policy.OverdueLeases = 2.5 // a day of minutes shows as much as one of hours
+	cluster := simulation.NewWithSettings(seed, settings, simulation.MachineTypes())
+	cluster.Policy.OverdueLeases = 2.5 // a day of minutes shows as much as one of hours
 	if policy != nil {
-		policy(&w.Policy)
+		policy(&cluster.Policy)
 	}
-	for _, n := range w.Nodes {
+	for _, n := range cluster.Nodes {
 		n.Start() // with this policy
 	}
-	s := &scenario{Cluster: w, t: t}
+	s := &scenario{Cluster: cluster, t: t}
 	for _, zone := range []string{"a", "b"} {
 		for range 6 {
 			s.Cloud.AddRunning("box", zone, false)
@@ -76,8 +76,8 @@
 	return s.Users.Submit(spec, stream.runSeconds)
 }
 
-// patience is after how long an account is overdue.
-func (s *scenario) patience() time.Duration {
+// overdueAfter is after how long an account is overdue.
+func (s *scenario) overdueAfter() time.Duration {
 	return config.Seconds(s.Policy.OverdueLeases * s.Settings.Site.Workers.LeaseS)
 }
 
@@ -86,25 +86,25 @@
 func (s *scenario) checkFairShare(limit float64) {
 	s.t.Helper()
 	s.requireInvariants()
-	until := s.Now - 2*s.patience()
+	until := s.Now - 2*s.overdueAfter()
 	capacity := map[string]float64{}
-	for _, t := range s.Settings.Site.Teams {
-		capacity[t.Name] = limit * until.Seconds()
+	for _, team := range s.Settings.Site.Teams {
+		capacity[team.Name] = limit * until.Seconds()
 	}
-	broken, judged := s.Users.UnderservedClasses(until, capacity)
+	underserved, judged := s.Users.UnderservedClasses(until, capacity)
 	if judged == 0 {
 		s.t.Fatal("half for all was not possible: the scenario shows nothing")
 	}
-	for _, a := range broken {
-		x := s.Users.ClassShares(until)[a]
-		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", a.Class, a.Team, x.Done, x.Jobs, x.Started, s.lastLogs(*logLines))
+	for _, account := range underserved {
+		share := s.Users.ClassShares(until)[account]
+		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 }
 
 // classShare is how much is done of a class of team red, of what came at least two patiences ago.
 func (s *scenario) classShare(class string) *simulation.ClassShare {
 	s.t.Helper()
-	share := s.Users.ClassShares(s.Now - 2*s.patience())[fairshare.Account{Team: "red", Class: class}]
+	share := s.Users.ClassShares(s.Now - 2*s.overdueAfter())[fairshare.Account{Team: "red", Class: class}]
 	if share == nil {
 		s.t.Fatalf("no job of %s", class)
 	}
@@ -123,11 +123,11 @@
 // keeps its place; without fair share it is not.
 func TestFairShareUnderTeamQuota(t *testing.T) {
 	t.Parallel()
-	const day = 400 * second
-	none := func(p *config.Policy) { p.FairShare = 0 }
-	for _, policy := range []func(*config.Policy){none, nil} {
-		s := startContended(t, 501, day, policy, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
-		s.Run(day)
+	const span = 400 * second
+	withoutFairShare := func(p *config.Policy) { p.FairShare = 0 }
+	for _, policy := range []func(*config.Policy){withoutFairShare, nil} {
+		s := startContended(t, 501, span, policy, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
+		s.Run(span)
 		reports := s.classShare("reports")
 		if policy == nil {
 			s.checkFairShare(18)
@@ -144,9 +144,9 @@
 // the jobs' own records.
 func TestFairShareSurvivesFailovers(t *testing.T) {
 	t.Parallel()
-	const day = 450 * second
-	s := startContended(t, 502, day, nil, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
-	for at := 30 * second; at < day; at += 15 * second {
+	const span = 450 * second
+	s := startContended(t, 502, span, nil, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
+	for at := 30 * second; at < span; at += 15 * second {
 		s.At(at, func() {
 			for _, n := range s.Nodes {
 				if n.Alive() && n.Core.IsLeader() {
@@ -155,7 +155,7 @@
 			}
 		})
 	}
-	s.Run(day)
+	s.Run(span)
 	s.requireInvariants()
 	// A failover stands still near a limit, so half for all is not possible.
 	reports, photos := s.classShare("reports"), s.classShare("photos")
@@ -167,13 +167,13 @@
 // A limit that binds for long: what was served long ago is no credit for ever.
 func TestFairShareUnderPersistentQuota(t *testing.T) {
 	t.Parallel()
-	const day = 24 * time.Minute
-	s := startContended(t, 503, day, nil, simulation.Settings(3), reportJobs())
+	const span = 24 * time.Minute
+	s := startContended(t, 503, span, nil, simulation.Settings(3), reportJobs())
 	// For six minutes the reports are alone, and all served; then the rest comes.
 	for _, stream := range []jobStream{photoJobs(), alertJobs()} {
-		s.submitBetween(stream, 6*time.Minute, day)
+		s.submitBetween(stream, 6*time.Minute, span)
 	}
-	for at := 12 * time.Minute; at <= day; at += 4 * time.Minute {
+	for at := 12 * time.Minute; at <= span; at += 4 * time.Minute {
 		s.Run(at)
 		s.checkFairShare(18)
 	}
@@ -182,35 +182,35 @@
 // Every class comes six times as often for a minute.
 func TestFairShareDuringBurst(t *testing.T) {
 	t.Parallel()
-	const day = 520 * second
-	set := simulation.Settings(3)
-	s := startContended(t, 504, 200*second, nil, set, photoJobs(), alertJobs(), reportJobs())
+	const span = 520 * second
+	settings := simulation.Settings(3)
+	s := startContended(t, 504, 200*second, nil, settings, photoJobs(), alertJobs(), reportJobs())
 	for _, stream := range []jobStream{photoJobs(), alertJobs(), reportJobs()} {
 		for k := range 6 * int(60*second/stream.interval) {
 			s.At(60*second+time.Duration(k)*stream.interval/6, func() { s.submitFrom(stream) })
 		}
 	}
-	s.Run(day)
+	s.Run(span)
 	s.checkFairShare(18)
 }
 
 // Forty teams with three classes each, all at their limits.
 func TestFairShareAcrossFortyTeams(t *testing.T) {
 	t.Parallel()
-	const day = 260 * second
-	set := simulation.Settings(5)
-	set.Site.Teams = nil
+	const span = 260 * second
+	settings := simulation.Settings(5)
+	settings.Site.Teams = nil
 	var streams []jobStream
 	for i := range 40 {
 		team := fmt.Sprintf("team-%02d", i)
-		set.Site.Teams = append(set.Site.Teams, config.Team{Name: team, CPUs: 2, CPUsMax: 4})
+		settings.Site.Teams = append(settings.Site.Teams, config.Team{Name: team, CPUs: 2, CPUsMax: 4})
 		streams = append(streams,
 			jobStream{team: team, class: "photos", urgency: protocol.UrgencyNormal, interval: 24 * second, tasks: 8, cpus: 1, runSeconds: 10},
 			jobStream{team: team, class: "alerts", urgency: protocol.UrgencyHigh, interval: 30 * second, tasks: 2, cpus: 1, runSeconds: 6},
 			jobStream{team: team, class: "reports", urgency: protocol.UrgencyLow, interval: 60 * second, tasks: 3, cpus: 2, runSeconds: 10})
 	}
-	s := startContended(t, 505, day, nil, set, streams...)
-	s.Run(day)
+	s := startContended(t, 505, span, nil, settings, streams...)
+	s.Run(span)
 	s.checkFairShare(3)
 }
 
@@ -219,12 +219,12 @@
 // that never end.
 func TestFairShareBesideUnservableJobs(t *testing.T) {
 	t.Parallel()
-	const day = 360 * second
+	const span = 360 * second
 	unservable := jobStream{team: "red", class: "unservable", urgency: protocol.UrgencyLow, interval: 30 * second, tasks: 4, cpus: 4, runSeconds: 12}
 	for name, disturb := range map[string]func(*scenario){
 		"fails everywhere": func(s *scenario) {
 			s.Cloud.Capacity["barn"] = 0 // where two machines hold all, each failure would count for much
-			for at := 5 * second; at < day; at += unservable.interval {
+			for at := 5 * second; at < span; at += unservable.interval {
 				s.At(at, func() { s.submitFrom(unservable).FailsEverywhere = true })
 			}
 		},
@@ -232,13 +232,13 @@
 			s.At(second, func() { s.PartitionZone("b", "", false) })
 			inZone := unservable
 			inZone.customize = func(spec *protocol.Job) { spec.Zone = "b" }
-			s.submitBetween(inZone, 5*second, day)
+			s.submitBetween(inZone, 5*second, span)
 		},
 		"type not to be had": func(s *scenario) {
 			s.Cloud.Capacity["barn"] = 0
 			ofType := unservable
 			ofType.customize = func(spec *protocol.Job) { spec.MachineTypes = []string{"barn"} }
-			s.submitBetween(ofType, 5*second, day)
+			s.submitBetween(ofType, 5*second, span)
 		},
 		"services": func(s *scenario) {
 			service := jobStream{team: "red", class: "gateway", urgency: protocol.UrgencyNormal, tasks: 6, cpus: 1}
@@ -247,9 +247,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startContended(t, 506, day, nil, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
+			s := startContended(t, 506, span, nil, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
 			disturb(s)
-			s.Run(day)
+			s.Run(span)
 			s.requireInvariants()
 			for _, class := range []string{"photos", "alerts", "reports"} {
 				s.checkHalfServed(class)
@@ -278,7 +278,7 @@
 			if served := s.classShare(c.large.class); share > 0 {
 				s.checkHalfServed(c.large.class)
 			} else if 2*served.Done >= served.Jobs {
-				t.Errorf("%s: the scenario shows nothing: without fair share %d of %d %s are done", c.what, served.Done, served.Jobs, c.large.class)
+				t.Errorf("%s: the scenario shows nothing: without fair share %d of %d %s are done", c.name, served.Done, served.Jobs, c.large.class)
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 
 // contention is large jobs beside small ones of the same team that come all the time.
 type contention struct {
-	what     string
+	name     string
 	large    jobStream
 	limit    float64 // CPUs of the team
 	machines int
@@ -297,21 +297,21 @@
 // simulate plays five minutes of it with a fair share.
 func (c *contention) simulate(t *testing.T, share float64) *scenario {
 	t.Helper()
-	const day = 300 * second
-	set := simulation.Settings(3)
-	set.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
+	const span = 300 * second
+	settings := simulation.Settings(3)
+	settings.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
 	streams := []jobStream{c.large}
 	for i := range 4 { // some at a time, that end one by one
 		streams = append(streams, jobStream{team: "red", class: "photos", urgency: protocol.UrgencyNormal,
 			interval: c.interval * time.Duration(20+i) / 20, tasks: c.small, cpus: 1, runSeconds: float64(9 + i)})
 	}
-	s := startContended(t, 507, day, func(p *config.Policy) {
+	s := startContended(t, 507, span, func(p *config.Policy) {
 		p.FairShare = share
 		p.LargestStartS = 0 // it starts one of these large tasks early, with or without fair share
 		p.IdleBoots = 1000  // machines with room are there, as where other teams need them
-	}, set, streams...)
+	}, settings, streams...)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = c.machines, 0
-	s.Run(day)
+	s.Run(span)
 	s.requireInvariants()
 	return s
 }
@@ -320,14 +320,14 @@
 // than its share, and what recurs is served.
 func TestFairShareWithManySingleUseClasses(t *testing.T) {
 	t.Parallel()
-	const day = 360 * second
-	s := startContended(t, 509, day, nil, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
+	const span = 360 * second
+	s := startContended(t, 509, span, nil, simulation.Settings(3), photoJobs(), alertJobs(), reportJobs())
 	for k := range 80 {
 		s.At(time.Duration(10+4*k)*second, func() {
 			s.submitFrom(jobStream{team: "red", class: fmt.Sprintf("once-%d", k), urgency: protocol.UrgencyLow, tasks: 2, cpus: 1, runSeconds: 10})
 		})
 	}
-	s.Run(day)
+	s.Run(span)
 	s.requireInvariants()
 	for _, class := range []string{"photos", "alerts", "reports"} {
 		s.checkHalfServed(class)
@@ -335,19 +335,19 @@
 }
 
 // A job that waits because quota is reserved for another class says so.
-func TestFairShareReservationIsTheReason(t *testing.T) {
+func TestFairShareReservationIsGivenAsReason(t *testing.T) {
 	t.Parallel()
-	const day = 300 * second
-	s := startContended(t, 510, day, nil, simulation.Settings(3), photoJobs(), reportJobs())
+	const span = 300 * second
+	s := startContended(t, 510, span, nil, simulation.Settings(3), photoJobs(), reportJobs())
 	reasons := map[string]bool{}
-	for at := 5 * second; at < day; at += 3 * second {
+	for at := 5 * second; at < span; at += 3 * second {
 		s.At(at, func() {
 			for _, reason := range s.Users.LastReasons() {
 				reasons[reason] = true
 			}
 		})
 	}
-	s.Run(day)
+	s.Run(span)
 	for _, want := range []string{
 		"team red is at its limit, and what is free next is for reports, of which too little was served",
 		"team red is at its limit",
@@ -365,7 +365,7 @@
 	small.interval, small.tasks = 4*second, 10 // more than the limit lets run
 	s := startContended(t, 2100, 300*second, func(p *config.Policy) { p.OverdueLeases, p.LargestStartS = 5, 100 }, simulation.Settings(3), small, alertJobs())
 	var large []*simulation.Job
-	began := map[*simulation.Job]time.Duration{}
+	startedAt := map[*simulation.Job]time.Duration{}
 	for k := range 6 {
 		s.At(time.Duration(30+10*k)*second, func() {
 			stream := small
@@ -376,8 +376,8 @@
 	for at := 30 * second; at < 250*second; at += second {
 		s.At(at, func() {
 			for _, j := range large {
-				if _, ok := began[j]; !ok && j.RunningTasks() > 0 {
-					began[j] = s.Now
+				if _, ok := startedAt[j]; !ok && j.RunningTasks() > 0 {
+					startedAt[j] = s.Now
 				}
 			}
 		})
@@ -385,8 +385,8 @@
 	s.Run(250 * second)
 	s.requireInvariants()
 	for k, j := range large {
-		if came := time.Duration(30+10*k) * second; began[j] == 0 || began[j]-came > 100*second {
-			t.Errorf("job %d of %g CPUs came at %v and began at %v", k, j.Spec.CPUs, came, began[j])
+		if submittedAt := time.Duration(30+10*k) * second; startedAt[j] == 0 || startedAt[j]-submittedAt > 100*second {
+			t.Errorf("job %d of %g CPUs came at %v and began at %v", k, j.Spec.CPUs, submittedAt, startedAt[j])
 		}
 	}
 }
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -47,9 +47,9 @@
 	long.Team, long.CheckpointS, long.SaveS, long.Urgency = "guest", 4, 1, protocol.UrgencyLow
 	bestEffortJob := s.Users.Submit(long, 300)
 	s.eventually(30*second, "the best-effort team fills the machine", func() bool { return bestEffortJob.RunningTasks() == 16 })
-	own := simulation.Array(8)
-	own.Urgency = protocol.UrgencyLow
-	guaranteedJob := s.Users.Submit(own, 10)
+	guaranteed := simulation.Array(8)
+	guaranteed.Urgency = protocol.UrgencyLow
+	guaranteedJob := s.Users.Submit(guaranteed, 10)
 	s.eventually(15*second, "the other team has its guarantee", func() bool { return guaranteedJob.RunningTasks() == 8 })
 	s.eventually(10*second, "the best-effort user is told why", func() bool { return strings.Contains(bestEffortJob.Answer.Reason, "its guarantee") })
 	s.eventually(40*second, "the best-effort job goes on", func() bool { return bestEffortJob.RunningTasks() >= 14 })
@@ -68,9 +68,9 @@
 	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
 	oneJob, otherJob := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
 	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return oneJob.RunningTasks()+otherJob.RunningTasks() >= 14 })
-	own := simulation.Array(2)
-	own.CPUs = 4
-	largeJob := s.Users.Submit(own, 30)
+	large := simulation.Array(2)
+	large.CPUs = 4
+	largeJob := s.Users.Submit(large, 30)
 	s.eventually(6*second, "the large tasks run", func() bool { return largeJob.RunningTasks() == 2 })
 	if n := oneJob.RunningTasks() + otherJob.RunningTasks(); n < 10 {
 		t.Fatalf("only %d of 16 small tasks are left", n)
@@ -106,22 +106,22 @@
 	for range 4 {
 		s.Cloud.AddRunning("barn", "a", true)
 	}
-	bad := simulation.Array(60)
-	bad.Urgency = protocol.UrgencyHigh
-	crashLooping := s.Users.Submit(bad, 10)
+	failing := simulation.Array(60)
+	failing.Urgency = protocol.UrgencyHigh
+	crashLooping := s.Users.Submit(failing, 10)
 	crashLooping.FailsEverywhere = true
 	s.eventually(60*second, "it is known to fail", func() bool { return strings.Contains(crashLooping.Answer.Reason, "one is tried again at") })
 	low := simulation.Array(80)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	lowJob := s.Users.Submit(low, 600)
 	s.eventually(30*second, "the low-urgency job fills the machines", func() bool { return lowJob.RunningTasks() >= 62 })
-	least := 64
+	fewest := 64
 	for range 100 {
 		s.Run(s.Now + second)
-		least = min(least, lowJob.RunningTasks())
+		fewest = min(fewest, lowJob.RunningTasks())
 	}
-	if least < 58 {
-		t.Fatalf("%d of 64 low-urgency tasks were left", least)
+	if fewest < 58 {
+		t.Fatalf("%d of 64 low-urgency tasks were left", fewest)
 	}
 }
 
@@ -149,12 +149,12 @@
 	s := newScenario(t, 49)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.AddRunning("barn", "a", true)
-	bestEffort, own := simulation.Array(40), simulation.Array(2)
+	bestEffort, guaranteed := simulation.Array(40), simulation.Array(2)
 	bestEffort.Team, bestEffort.Urgency, bestEffort.CheckpointS, bestEffort.SaveS = "guest", protocol.UrgencyProduction, 4, 1
-	own.Urgency, own.CPUs = protocol.UrgencyHigh, 4
+	guaranteed.Urgency, guaranteed.CPUs = protocol.UrgencyHigh, 4
 	s.Users.Submit(bestEffort, 20)
 	s.Run(s.Now + 8*second)
-	job := s.Users.Submit(own, 10)
+	job := s.Users.Submit(guaranteed, 10)
 	s.eventually(25*second, "the guaranteed job is done", func() bool { return job.LastState == protocol.JobDone })
 	s.eventually(200*second, "the best-effort one too", s.Users.AllFinal)
 }
@@ -162,16 +162,16 @@
 // Low-urgency work within its team's guarantee ranks before another team's work with an objective,
 // so it is not preempted for that: it would take the room again itself, once a round for ever.
 func TestLowerRankedWorkDoesNotPreempt(t *testing.T) {
-	set := simulation.Settings(3)
-	set.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "alerts", Share: 0.9, Times: 1}}
-	s := &scenario{Cluster: simulation.NewWithSettings(58, set, simulation.MachineTypes()), t: t}
+	settings := simulation.Settings(3)
+	settings.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "alerts", Share: 0.9, Times: 1}}
+	s := &scenario{Cluster: simulation.NewWithSettings(58, settings, simulation.MachineTypes()), t: t}
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	s.Cloud.AddRunning("box", "a", true)
-	idle, late := simulation.Array(8), simulation.Array(40)
-	idle.Urgency = protocol.UrgencyLow
-	late.Team, late.Class, late.DeadlineS = "red", "alerts", 5
-	s.Users.Submit(idle, 9)
+	lowUrgency, withObjective := simulation.Array(8), simulation.Array(40)
+	lowUrgency.Urgency = protocol.UrgencyLow
+	withObjective.Team, withObjective.Class, withObjective.DeadlineS = "red", "alerts", 5
+	s.Users.Submit(lowUrgency, 9)
 	s.Run(s.Now + 12*second)
-	s.Users.Submit(late, 9)
+	s.Users.Submit(withObjective, 9)
 	s.eventually(400*second, "both are done", s.Users.AllFinal)
 }
--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -38,13 +38,13 @@
 			}
 		})
 		up := d.lastFaultAt + config.Seconds(2*d.longestBoot()) // when there are machines at the latest
-		end := up + 6*s.patience()
+		end := up + 6*s.overdueAfter()
 		for i := range d.settings.Site.Teams {
 			d.drawClasses(rt, s, &d.settings.Site.Teams[i], end)
 		}
 		s.Run(end)
 		s.requireInvariants()
-		until := end - 2*s.patience()
+		until := end - 2*s.overdueAfter()
 		fairSharesJudged += s.requireHalfOfEachClass(until, d.halfCapacity(machineCPUs, until-up))
 	})
 	if fairSharesJudged == 0 {
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -19,7 +19,7 @@
 	})
 }
 
-func TestZoneConstraints(t *testing.T) {
+func TestJobsWithZoneConstraintsComplete(t *testing.T) {
 	s := newScenario(t, 53)
 	together, apart, pinned := simulation.Array(9), simulation.Array(9), simulation.Array(5)
 	together.OneZone, apart.Spread, pinned.Zone = true, true, "b"
@@ -36,15 +36,15 @@
 // next; no machine is quarantined, and other work goes on.
 func TestCrashLoopingJobsAreBackedOff(t *testing.T) {
 	s := newScenario(t, 61)
-	var bad []*simulation.Job
+	var failing []*simulation.Job
 	for range 3 {
 		job := s.Users.Submit(simulation.Array(24), 10)
 		job.FailsEverywhere = true
-		bad = append(bad, job)
+		failing = append(failing, job)
 	}
-	good := s.Users.Submit(simulation.Array(12), 25)
-	s.eventually(120*second, "the good job is done", func() bool { return good.LastState == protocol.JobDone })
-	s.eventually(60*second, "a bad one says why", func() bool { return strings.Contains(bad[0].Answer.Reason, "one is tried again at") })
+	working := s.Users.Submit(simulation.Array(12), 25)
+	s.eventually(120*second, "the good job is done", func() bool { return working.LastState == protocol.JobDone })
+	s.eventually(60*second, "a bad one says why", func() bool { return strings.Contains(failing[0].Answer.Reason, "one is tried again at") })
 	s.Run(s.Now + 100*second)
 	failed := 0
 	for _, line := range s.Logs {
@@ -58,10 +58,10 @@
 	if failed > 3*24*3/2 {
 		t.Fatalf("%d failed starts of 72 tasks", failed)
 	}
-	bad[1].FailsEverywhere = false // it was the machines after all
-	s.eventually(200*second, "a job that has been repaired is done", func() bool { return bad[1].LastState == protocol.JobDone })
-	s.Users.Cancel(bad[0])
-	s.Users.Cancel(bad[2])
+	failing[1].FailsEverywhere = false // it was the machines after all
+	s.eventually(200*second, "a job that has been repaired is done", func() bool { return failing[1].LastState == protocol.JobDone })
+	s.Users.Cancel(failing[0])
+	s.Users.Cancel(failing[2])
 	s.eventually(60*second, "all are over", s.Users.AllFinal)
 }
 
@@ -102,13 +102,13 @@
 	long := simulation.Array(64)
 	long.Team = "guest"
 	job := s.Users.Submit(long, 100)
-	most := 0
+	peak := 0
 	for range 25 {
 		s.Run(s.Now + second)
-		most = max(most, job.RunningTasks())
+		peak = max(peak, job.RunningTasks())
 	}
-	if most < 8 || most > 56 {
-		t.Fatalf("the best-effort team took %d of 64 CPUs", most)
+	if peak < 8 || peak > 56 {
+		t.Fatalf("the best-effort team took %d of 64 CPUs", peak)
 	}
 	s.Users.Submit(simulation.Array(16), 18)
 	s.eventually(600*second, "every job is done", s.Users.AllFinal)
@@ -146,7 +146,7 @@
 
 // A job to be spread over two zones runs by halves where there is only one; one whose
 // tasks must run together can't.
-func TestSpreadWithOneZone(t *testing.T) {
+func TestSpreadJobsWhereThereIsOneZone(t *testing.T) {
 	types := simulation.MachineTypes()[:1]
 	types[0].Zones = []string{"a"}
 	s := &scenario{Cluster: simulation.NewWithSettings(44, simulation.Settings(3), types), t: t}
--- a/internal/core/store_limits_test.go
+++ b/internal/core/store_limits_test.go
@@ -12,7 +12,7 @@
 )
 
 // The limits of the state service are lowered without notice, below the sizes of what is stored.
-func TestStoreLimitsAreLowered(t *testing.T) {
+func TestJobsCompleteAfterStoreLimitsAreLowered(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store = config.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 32, MaxTxnOps: 20,
 		Next: &config.StoreLimits{WriteRPS: 28, ValueKB: 2, MaxTxnOps: 5}}
@@ -51,7 +51,7 @@
 
 // A job whose list of dependencies is larger than several values, while every controller crashes
 // again and again: it is accepted once, whole, and nothing of the other attempts is left.
-func TestDependencyListLargerThanAValue(t *testing.T) {
+func TestDependencyListLargerThanAValueIsStored(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2, MaxTxnOps: 5}
 	s := &scenario{Cluster: simulation.NewWithSettings(308, settings, simulation.MachineTypes()), t: t}
@@ -81,7 +81,7 @@
 
 // Progress of a job whose blocks are larger than a value, some of it written before the limits
 // were lowered.
-func TestProgressOfHugeJob(t *testing.T) {
+func TestProgressOfHugeJobSurvivesLoweredLimits(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2, MaxTxnOps: 5}
 	s := &scenario{Cluster: simulation.NewWithSettings(309, settings, simulation.MachineTypes()), t: t}
@@ -109,7 +109,7 @@
 
 // A job whose description no longer fits into a value runs, in the zone that is chosen for it, and
 // ends.
-func TestJobSpecLargerThanAValue(t *testing.T) {
+func TestJobSpecLargerThanAValueRuns(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2}
 	s := &scenario{Cluster: simulation.NewWithSettings(310, settings, simulation.MachineTypes()), t: t}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -58,25 +58,25 @@
 }
 
 // A site that names no team limits none.
-func TestSiteWithoutTeams(t *testing.T) {
-	set := simulation.Settings(1)
-	set.Site.Teams = nil
-	s := &scenario{Cluster: simulation.NewWithSettings(45, set, simulation.MachineTypes()), t: t}
+func TestSiteWithoutTeamsRunsJobs(t *testing.T) {
+	settings := simulation.Settings(1)
+	settings.Site.Teams = nil
+	s := &scenario{Cluster: simulation.NewWithSettings(45, settings, simulation.MachineTypes()), t: t}
 	s.Users.Submit(simulation.Array(8), 10)
 	s.eventually(90*second, "the job is done", s.Users.AllFinal)
 }
 
 // More machine types than one value holds.
-func TestManyMachineTypes(t *testing.T) {
-	set := simulation.Settings(3)
-	set.Site.Store.ValueKB, set.Site.Store.MaxTxnOps, set.Site.Store.WriteRPS = 4, 4, 10
+func TestMachineTypesLargerThanAValueAreUsed(t *testing.T) {
+	settings := simulation.Settings(3)
+	settings.Site.Store.ValueKB, settings.Site.Store.MaxTxnOps, settings.Site.Store.WriteRPS = 4, 4, 10
 	types := simulation.MachineTypes()
 	for i := range 60 {
 		extra := types[0]
 		extra.Name = fmt.Sprintf("box-%d", i)
 		types = append(types, extra)
 	}
-	s := &scenario{Cluster: simulation.NewWithSettings(46, set, types), t: t}
+	s := &scenario{Cluster: simulation.NewWithSettings(46, settings, types), t: t}
 	last := simulation.Array(6)
 	last.MachineTypes = []string{"box-59"}
 	s.Users.Submit(last, 10)
@@ -87,9 +87,9 @@
 // state service of ten changes a second, whatever controller they ask and however often, and
 // the batches are deleted when their jobs are over.
 func TestSubmissionBurstSharesWrites(t *testing.T) {
-	set := simulation.Settings(3)
-	set.Site.Store.WriteRPS = 10
-	s := &scenario{Cluster: simulation.NewWithSettings(54, set, simulation.MachineTypes()), t: t}
+	settings := simulation.Settings(3)
+	settings.Site.Store.WriteRPS = 10
+	s := &scenario{Cluster: simulation.NewWithSettings(54, settings, simulation.MachineTypes()), t: t}
 	for range 8 {
 		s.Cloud.AddRunning("barn", "a", true)
 	}
@@ -104,10 +104,10 @@
 			s.Users.Resubmit(jobs[i]) // at another controller, at the same time
 		}
 	}
-	all := func() bool {
+	allAccepted := func() bool {
 		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return !job.Accepted })
 	}
-	s.eventually(4*second, "all are accepted", all)
+	s.eventually(4*second, "all are accepted", allAccepted)
 	if n := s.Store.Writes - writes; n > 40 {
 		t.Fatalf("%d writes for 120 jobs", n)
 	}
@@ -130,9 +130,9 @@
 // byte too many for each job, and refused as malformed.
 func TestAdmissionBatchesFitValueLimit(t *testing.T) {
 	for i := range 24 {
-		set := simulation.Settings(3)
-		set.Site.Store.WriteRPS, set.Site.Store.ValueKB = 10, 5+float64(i*23)/1024
-		s := &scenario{Cluster: simulation.NewWithSettings(58, set, simulation.MachineTypes()), t: t}
+		settings := simulation.Settings(3)
+		settings.Site.Store.WriteRPS, settings.Site.Store.ValueKB = 10, 5+float64(i*23)/1024
+		s := &scenario{Cluster: simulation.NewWithSettings(58, settings, simulation.MachineTypes()), t: t}
 		s.Run(5 * second)
 		var jobs []*simulation.Job
 		for range 120 {
