--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -14,22 +14,23 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// What happens without the rule that is tested here: two controllers accept one submission, the
-// first in a batch, the second in another batch or with the job's own key. A controller that loads
-// the state anew reads the batches in the order of their names, and takes whichever comes first; and
-// any controller that reads the own key takes that for a change of the job. They then hold
-// different records of one job ("was aborted at 3.100 and is called queued" in
-// TestDependentOfCancelledJobHasOneAnswerOnAllNodes).
-
-// storeHistory is a state service that the records of one job are written to, as the guards of
-// their writers allow it.
+// These tests guard against controllers that hold different records of one job. Two controllers may
+// accept one submission: the first in an admission batch, the second in another batch or under the
+// job's own key. Without the rule that the first acceptance counts, a controller that loads the state
+// anew reads the batches in the order of their keys and takes the first one that it reads, and a
+// controller that reads the job's own key takes the second acceptance for a change of the job. The
+// fault was seen in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, as "was aborted at 3.100 and
+// is called queued".
+
+// storeHistory simulates the state service's history of one job's records. Its methods write only
+// what the guards of the writing controllers allow.
 type storeHistory struct {
 	revision uint64
 	events   []protocol.WatchEvent
 	values   map[string]protocol.KeyValue
 
-	first  records.Job // the first acceptance, as changed since
-	ownKey string      // the job's own key, empty: there is none
+	first  records.Job // the first acceptance, with the changes made to it since
+	ownKey string      // the job's own key; empty while nothing is stored under it
 }
 
 const acceptedTwiceID = "job-000001"
@@ -47,13 +48,13 @@
 	delete(h.values, key)
 }
 
-// accept writes an acceptance, in a batch or with the job's own key. Each has its own count of tasks,
-// so that it is known again.
+// accept writes an acceptance: under the job's own key if individually is set, otherwise in an
+// admission batch. Each acceptance has its own number of tasks, which identifies it.
 func (h *storeHistory) accept(t *rapid.T, individually bool) {
 	record := records.Job{Spec: protocol.Job{ID: acceptedTwiceID, Kind: protocol.KindArray, Tasks: int(h.revision) + 1}, State: protocol.JobQueued}
 	dependent := rapid.Bool().Draw(t, "dependent")
 	if dependent {
-		record.Spec.Dependencies = []string{"job-000009"} // never over
+		record.Spec.Dependencies = []string{"job-000009"} // never finishes
 	}
 	if h.first.Spec.ID == "" {
 		h.first = record
@@ -75,12 +76,13 @@
 	h.put(name, records.AdmissionBatch{Jobs: []records.Job{record}})
 }
 
-// change writes what a controller writes of a job that it knows: to the job's own key.
+// change writes a change of the accepted job, a cancellation or a choice of zones, to the job's own
+// key, as every controller does that knows the job.
 func (h *storeHistory) change(t *rapid.T) {
 	if h.ownKey == "" {
 		h.ownKey = (&jobEntry{record: h.first, dependent: len(h.first.Spec.Dependencies) > 0}).recordKey()
 	}
-	if rapid.Bool().Draw(t, "over") {
+	if rapid.Bool().Draw(t, "cancelled") {
 		h.first.State, h.first.StopReason = protocol.JobCancelled, "cancelled by its user"
 	} else {
 		h.first.Zones = []string{"a"}
@@ -88,7 +90,7 @@
 	h.put(h.ownKey, h.first)
 }
 
-// replica is a controller's mirror of a history.
+// replica is a controller that mirrors a history.
 type replica struct{ *Core }
 
 func newReplica() replica {
@@ -100,7 +102,7 @@
 	return replica{c}
 }
 
-// load reads all keys as they are now, in their order.
+// load reads the present values of all keys, in key order.
 func (r replica) load(h *storeHistory) {
 	var items []protocol.KeyValue
 	for _, item := range h.values {
@@ -110,38 +112,39 @@
 	r.mirror.HandlePage(mirror.Page{OK: true, Items: items, Revision: h.revision})
 }
 
-// follow reads what has changed since.
+// follow delivers the events of the whole history, as a watch does.
 func (r replica) follow(h *storeHistory) {
 	changes := protocol.WatchResponse{Revision: h.revision, Events: h.events}
 	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Response: changes})
 }
 
-// requireFirst fails unless the replica holds the first acceptance and what was changed of it.
+// requireFirst fails unless the replica holds the first acceptance with its later changes. how says
+// whether the replica followed or loaded the history.
 func (r replica) requireFirst(t *rapid.T, h *storeHistory, how string) {
 	j := r.records.acceptedJob(acceptedTwiceID)
 	if h.first.Spec.ID == "" {
 		if j != nil {
-			t.Fatalf("%s: accepted by nobody, and known", how)
+			t.Fatalf("%s: the replica knows a job that no controller accepted", how)
 		}
 		return
 	}
 	if j == nil {
-		t.Fatalf("%s: not known", how)
+		t.Fatalf("%s: the replica does not know the accepted job", how)
 	}
 	got, want := &j.record, &h.first
 	if got.Spec.Tasks != want.Spec.Tasks || got.State != want.State || !slices.Equal(got.Zones, want.Zones) && want.State == protocol.JobQueued {
-		t.Fatalf("%s: %d tasks, %s, zones %v; the first acceptance has %d, %s, %v", how,
+		t.Fatalf("%s: the replica has %d tasks, state %s, zones %v; the first acceptance has %d tasks, state %s, zones %v", how,
 			got.Spec.Tasks, got.State, got.Zones, want.Spec.Tasks, want.State, want.Zones)
 	}
 	if guard := j.recordGuard(); h.ownKey != "" && want.State == protocol.JobQueued && guard != (protocol.Guard{Key: h.ownKey, Version: h.values[h.ownKey].Version}) {
-		t.Fatalf("%s: a change would be guarded by %+v, the job's own key is %+v", how, guard, h.values[h.ownKey])
+		t.Fatalf("%s: a change would be guarded by %+v, but the job's own key holds %+v", how, guard, h.values[h.ownKey])
 	}
 	if waits := r.records.dependencies.IsWaiting(acceptedTwiceID); want.State == protocol.JobQueued && waits != (len(want.Spec.Dependencies) > 0) {
-		t.Fatalf("%s: waits for another job: %v", how, waits)
+		t.Fatalf("%s: the job waits for a dependency: got %v", how, waits)
 	}
 }
 
-// deleteUnneeded deletes the batches that a leader with this replica would.
+// deleteUnneeded deletes the batches that a leader with this replica would delete.
 func (r replica) deleteUnneeded(h *storeHistory) {
 	for _, key := range sortedKeys(r.records.batches) {
 		if !slices.ContainsFunc(r.records.batches[key].jobs, r.records.needsBatch) {
@@ -150,8 +153,9 @@
 	}
 }
 
-// Whatever records of a job are written in whatever order, and whether a controller follows them or
-// loads them later: the first acceptance counts, and a batch that holds it is not deleted.
+// On every controller the first acceptance of a job counts, in whatever order batches, records under
+// the job's own key and changes are written, and whether the controller follows the writes or loads
+// them later. A batch that is still needed for the first acceptance is not deleted.
 func TestFirstAcceptanceCountsOnEveryController(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := &storeHistory{values: map[string]protocol.KeyValue{}}
--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -13,12 +13,12 @@
 	for range 4 {
 		s.Users.Submit(simulation.Array(10), 8)
 	}
-	s.eventually(120*second, "every job is done and its user knows", s.Users.AllFinal)
+	s.eventually(120*second, "every job is final and its user was informed", s.Users.AllFinal)
 	s.eventually(600*second, "idle machines are returned", func() bool { return s.Cloud.Deleted == s.Cloud.Created })
 }
 
-// A machine that fails every task is drained, returned and replaced, and the
-// jobs it failed are done elsewhere.
+// A machine that fails every task is drained, returned and replaced, and the jobs whose tasks failed
+// on it complete on other machines.
 func TestFaultyMachineIsReplaced(t *testing.T) {
 	s := newScenario(t, 60)
 	job := s.Users.Submit(simulation.Array(8), 10)
@@ -29,10 +29,11 @@
 		s.Users.Submit(simulation.Array(8), 10)
 	}
 	s.eventually(200*second, "every job is done", s.Users.AllFinal)
-	s.eventually(60*second, "the machine is gone", func() bool { return s.Workers[faulty] == nil })
+	s.eventually(60*second, "the faulty machine is deleted", func() bool { return s.Workers[faulty] == nil })
 }
 
-// Three crash-looping jobs at once quarantine no machine, whichever they fail on first.
+// Three jobs that crash-loop at the same time get no machine quarantined, on whichever machines their
+// tasks fail first.
 func TestCrashLoopingJobsQuarantineNoMachine(t *testing.T) {
 	for seed := range uint64(12) {
 		s := newScenario(t, 300+seed)
@@ -42,13 +43,13 @@
 		s.Users.Submit(simulation.Array(12), 25)
 		s.Run(s.Now + 100*second)
 		if s.logged("quarantined") {
-			t.Fatalf("a machine is quarantined\n%s", s.lastLogs(*logLines))
+			t.Fatalf("a healthy machine is quarantined\n%s", s.lastLogs(*logLines))
 		}
 	}
 }
 
-// Several machines that fail everything at once are distinguished from faulty jobs: the jobs
-// work elsewhere.
+// Several machines that fail every task at the same time are distinguished from jobs that fail
+// everywhere: the tasks of the jobs succeed on other machines.
 func TestSeveralFaultyMachinesAreQuarantined(t *testing.T) {
 	s := newScenario(t, 68)
 	for range 9 {
@@ -72,7 +73,7 @@
 		return strings.Count(strings.Join(s.Logs, "\n"), "quarantined") == len(faulty)
 	})
 	s.Users.Cancel(crashLooping)
-	s.eventually(100*second, "every job is over", s.Users.AllFinal)
+	s.eventually(100*second, "every job is final", s.Users.AllFinal)
 }
 
 func TestMachinesThatNeverBootAreDeleted(t *testing.T) {
@@ -80,7 +81,7 @@
 	s.Cloud.StuckBoots = 2
 	s.Users.Submit(simulation.Array(8), 10)
 	s.eventually(240*second, "the job is done", s.Users.AllFinal)
-	s.eventually(300*second, "nothing is left", func() bool { return s.Cloud.Deleted == s.Cloud.Created })
+	s.eventually(300*second, "every created machine is deleted", func() bool { return s.Cloud.Deleted == s.Cloud.Created })
 }
 
 func TestUnmanagedMachinesAreUsed(t *testing.T) {
@@ -92,9 +93,9 @@
 	s.eventually(60*second, "the job is done", s.Users.AllFinal)
 }
 
-// A controller is ready as soon as it is entitled. It once waited for the machine types
-// as well, and the load balancer, which probes once a second, had no controller for the
-// first users.
+// A controller is ready as soon as it is entitled. If it waits for the machine types as well, the load
+// balancer, which probes once a second, has no controller for the first users. Until it knows the
+// machine types, a ready controller neither accepts nor rejects a job.
 func TestControllersAreReadyBeforeTheCloudResponds(t *testing.T) {
 	s := &scenario{Cluster: simulation.New(77, 3), t: t}
 	for _, node := range s.Nodes {
@@ -114,8 +115,8 @@
 	s.eventually(60*second, "the job is done", s.Users.AllFinal)
 }
 
-// A machine that has just come up has not shown its token yet. That is no reason
-// to return it to the cloud.
+// A machine that has just booted has not shown its fencing token yet. It must not be returned to the
+// cloud for that.
 func TestNewMachinesAreNotReturned(t *testing.T) {
 	s := newScenario(t, 32)
 	for range 10 {
@@ -128,12 +129,12 @@
 	s.Run(s.Now + 30*second)
 	s.requireInvariants()
 	if s.Cloud.Deleted > 0 {
-		t.Fatalf("%d machines were deleted while work waits", s.Cloud.Deleted)
+		t.Fatalf("%d machines were deleted while tasks wait", s.Cloud.Deleted)
 	}
 }
 
-// After a burst, long tasks with checkpoints must not hold a machine each: they are moved
-// together and the rest of the machines are returned.
+// After a burst, long tasks with checkpoints must not occupy a machine each: they are consolidated on
+// few machines, and the other machines are returned.
 func TestLongTasksAreConsolidated(t *testing.T) {
 	s := newScenario(t, 35)
 	for range 12 {
@@ -145,13 +146,14 @@
 	long := simulation.Array(12)
 	long.CheckpointS, long.SaveS = 5, 1
 	job := s.Users.Submit(long, 400)
-	s.eventually(60*second, "each machine has one of both", func() bool { return s.Users.RunningTasks() == 24 })
+	s.eventually(60*second, "each machine runs a large and a long task", func() bool { return s.Users.RunningTasks() == 24 })
 	s.eventually(150*second, "most machines are returned", func() bool { return len(s.Workers) <= 4 })
-	s.eventually(20*second, "the long tasks go on", func() bool { return job.RunningTasks() == 12 })
+	s.eventually(20*second, "all long tasks run again", func() bool { return job.RunningTasks() == 12 })
 }
 
-// Machines that are known before the cloud has listed its types get work once it has:
-// the leader once looked their type up in a snapshot that did not name it.
+// Machines that are known before the cloud has listed its machine types get work once it has. The
+// test guards against a leader that looks up a machine's type in a snapshot from before that type
+// was listed.
 func TestMachinesKnownBeforeTheirTypesGetWork(t *testing.T) {
 	s := newScenario(t, 42)
 	s.Cloud.Down = true
@@ -167,8 +169,8 @@
 	s.eventually(30*second, "the job is done", s.Users.AllFinal)
 }
 
-// A cloud that allows one call a second is still called, and one list of many pages does
-// not use up its calls.
+// Machines are created within the rate limit of a cloud that allows one call a second, and one
+// machine list of many pages does not use up the calls.
 func TestCloudCallsStayWithinRateLimit(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Cloud.RPS = 1
@@ -181,11 +183,11 @@
 	s.Users.Submit(simulation.Array(2000), 20)
 	s.eventually(200*second, "the job is done", s.Users.AllFinal)
 	if s.Cloud.Throttled > 0 {
-		t.Fatalf("%d calls of the cloud were refused", s.Cloud.Throttled)
+		t.Fatalf("the cloud refused %d calls above its rate limit", s.Cloud.Throttled)
 	}
 }
 
-// Idle spot instances are returned, however much work waits that may not use them.
+// Idle spot instances are returned even if much work waits that must not run on spot instances.
 func TestIdleSpotMachinesAreNotKeptForIneligibleWork(t *testing.T) {
 	s := newScenario(t, 50)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -195,13 +197,14 @@
 	onDemandOnly := simulation.Array(40)
 	onDemandOnly.AllowSpot = false
 	s.Users.Submit(onDemandOnly, 10)
-	s.eventually(200*second, "they are returned", func() bool { return s.Cloud.Deleted == 4 })
+	s.eventually(200*second, "the spot instances are returned", func() bool { return s.Cloud.Deleted == 4 })
 	s.Cloud.Capacity["box"] = 4
 	s.eventually(300*second, "the job is done", s.Users.AllFinal)
 }
 
 // Where there are no spot instances, work without an objective keeps the on-demand machine that was
-// created for it: it was made unschedulable after its first task, and replaced by a new one.
+// created for it. The test guards against a scale-in that made this machine unschedulable after its
+// first task and replaced it with a new one.
 func TestWorkWithoutObjectiveKeepsOnDemandMachine(t *testing.T) {
 	types := simulation.MachineTypes()[:1]
 	types[0].SpotPrice = 0
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -13,10 +13,10 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// BenchmarkCosts says what single things cost a controller, by size of the fleet: a heartbeat, a
-// poll and a scheduling round (medians), a snapshot of a member (to make, to take, and its bytes on
-// the link), and all that a new leader does until it has seen every machine, with the longest single
-// batch of that.
+// BenchmarkCosts measures the cost of single operations of a controller, by fleet size: the median of
+// a heartbeat, a poll and a scheduling round; encoding and applying a member's snapshot, and its size
+// on the link; and the total work of a new leader until it has seen every machine, with the longest
+// single batch of commands.
 func BenchmarkCosts(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -34,20 +34,21 @@
 	}
 }
 
-// maxMeasuredMicros is the longest duration told apart: a minute.
+// maxMeasuredMicros is the longest duration that a histogram distinguishes: a minute.
 const maxMeasuredMicros = 60_000_000
 
-// durationsByName are microseconds by what took them.
+// durationsByName holds a histogram of durations in microseconds for each measured operation.
 type durationsByName map[string]*hdrhistogram.Histogram
 
 func (d durationsByName) record(name string, took time.Duration) {
 	if d[name] == nil {
 		d[name] = hdrhistogram.New(1, maxMeasuredMicros, 3)
 	}
-	_ = d[name].RecordValue(min(max(took.Microseconds(), 1), maxMeasuredMicros)) // within bounds
+	_ = d[name].RecordValue(min(max(took.Microseconds(), 1), maxMeasuredMicros)) // the value is limited to the histogram's range
 }
 
-// measureCommands measures heartbeats and polls that come alone, and ten scheduling rounds.
+// measureCommands measures ten scheduling rounds, and the heartbeats and polls that form a batch of
+// their own.
 func measureCommands(s *scenario, durations durationsByName) {
 	roundDue := false
 	s.OnApplied = func(_ *simulation.Node, commands []core.Command, took time.Duration) {
@@ -61,7 +62,7 @@
 		}
 		switch commands[0].(type) {
 		case core.Heartbeat:
-			durations.record("report", took)
+			durations.record("heartbeat", took)
 		case core.QueryJob:
 			durations.record("poll", took)
 		}
@@ -76,7 +77,7 @@
 	}
 }
 
-// measureSnapshots has a member make five snapshots, and the leader take them.
+// measureSnapshots measures five times how a member encodes a snapshot and the leader applies it.
 func measureSnapshots(b *testing.B, s *scenario, durations durationsByName) {
 	b.Helper()
 	leader, follower := s.leader(), s.follower()
@@ -87,15 +88,16 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		durations.record("picture-made", time.Since(begin))
+		durations.record("snapshot-encode", time.Since(begin))
 		begin = time.Now()
 		leader.Core.ApplySnapshot(follower.Label, snapshot)
-		durations.record("picture-taken", time.Since(begin))
-		b.ReportMetric(float64(len(line))/1024, "picture-KB")
+		durations.record("snapshot-apply", time.Since(begin))
+		b.ReportMetric(float64(len(line))/1024, "snapshot-KB")
 	}
 }
 
-// measureFailover measures what a new leader does until it has seen every machine.
+// measureFailover measures the work of a new leader until it has seen every machine: the total and the
+// longest batch of commands.
 func measureFailover(b *testing.B, s *scenario) {
 	b.Helper()
 	var total, longest time.Duration
@@ -112,18 +114,18 @@
 		allSeen = allSeen || s.logged("every machine has been seen")
 		return allSeen
 	})
-	b.ReportMetric(total.Seconds()*1000, "takeover-ms")
+	b.ReportMetric(total.Seconds()*1000, "failover-ms")
 	b.ReportMetric(longest.Seconds()*1000, "longest-ms")
 }
 
-// BenchmarkLoadArchivedJobs is what archived jobs cost a controller that starts: the time to load the mirror and
-// the memory that it then holds.
+// BenchmarkLoadArchivedJobs measures what archived jobs cost a controller that starts: the time to load
+// the mirror, and the memory that it then occupies.
 func BenchmarkLoadArchivedJobs(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := newScenario(b, 1)
 			s.Store.AddFinishedJobs(n)
-			s.Run(s.Now + 20*second) // the others read them anew: so many changes are not kept
+			s.Run(s.Now + 20*second) // the running controllers reload too: the store's change history is too short for so many changes
 			for range b.N {
 				restarted := s.Nodes[0]
 				restarted.Crash(0)
@@ -137,7 +139,7 @@
 					}
 				}
 				restarted.Start()
-				s.eventually(240*second, "the node is ready", func() bool { return restarted.Ready })
+				s.eventually(240*second, "the restarted controller is ready", func() bool { return restarted.Ready })
 				s.OnApplied = nil
 				runtime.GC()
 				runtime.ReadMemStats(&after)
@@ -149,8 +151,8 @@
 	}
 }
 
-// BenchmarkStoreRequests counts what three controllers ask of the state service in a busy minute: five
-// jobs a second, two of them dependents, whose users poll.
+// BenchmarkStoreRequests counts the requests of three controllers to the state service in a busy minute:
+// five jobs a second, two of them with dependencies, and users who poll.
 func BenchmarkStoreRequests(b *testing.B) {
 	const rounds = 60
 	for range b.N {
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -11,7 +11,7 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// dependentArray describes a job of so many tasks that depends on others.
+// dependentArray describes an array job with the given number of tasks that depends on other jobs.
 func dependentArray(tasks int, dependencies ...*simulation.Job) protocol.Job {
 	spec := simulation.Array(tasks)
 	for _, job := range dependencies {
@@ -20,7 +20,8 @@
 	return spec
 }
 
-// submitDiamond submits a job, two that depend on it, and one that depends on both.
+// submitDiamond submits a job, two jobs that depend on it, and one that depends on both of these. It
+// returns them in this order.
 func (s *scenario) submitDiamond() []*simulation.Job {
 	head := s.submitAccepted(simulation.Array(3), 6)
 	left := s.submitAccepted(dependentArray(4, head), 5)
@@ -31,14 +32,14 @@
 func TestDependentJobsRunInOrder(t *testing.T) {
 	s := newScenario(t, 300)
 	jobs := s.submitDiamond()
-	s.eventually(10*second, "the last says what it waits for", func() bool {
+	s.eventually(10*second, "the last job's reason names its dependency", func() bool {
 		return strings.HasPrefix(jobs[3].Answer.Reason, "waits for "+jobs[1].Spec.ID)
 	})
 	s.leader().Crash(second / 5)
-	s.eventually(200*second, "all are done", toldState(protocol.JobDone, jobs...))
-	// A dependent may also come when all that it depends on is over.
+	s.eventually(200*second, "all jobs are done", toldState(protocol.JobDone, jobs...))
+	// A dependent may also be submitted when all its dependencies are done.
 	last := s.submitAccepted(dependentArray(1, jobs...), 1)
-	s.eventually(60*second, "that one too", toldState(protocol.JobDone, last))
+	s.eventually(60*second, "a dependent of finished jobs is done", toldState(protocol.JobDone, last))
 }
 
 func TestCancellationReachesAllDependents(t *testing.T) {
@@ -52,7 +53,7 @@
 	if !strings.Contains(late.Answer.Reason, jobs[3].Spec.ID) {
 		t.Fatalf("the reason is %q", late.Answer.Reason)
 	}
-	s.crashAll(second / 20) // whoever reloads the records comes to the same
+	s.crashAll(second / 20) // the controllers must reach the same result from the reloaded records
 	s.Run(s.Now + 60*second)
 	for range 60 {
 		s.Users.PollAny()
@@ -61,17 +62,19 @@
 	s.requireInvariants()
 }
 
-// One branch of a diamond is cancelled: the last job is too, the other branch goes on.
+// When one branch of a diamond is cancelled, the last job is cancelled with it, and the other branch
+// completes.
 func TestCancelledBranchOfDiamondLeavesOtherBranchRunning(t *testing.T) {
 	s := newScenario(t, 302)
 	jobs := s.submitDiamond()
 	s.Users.Cancel(jobs[1])
-	s.eventually(60*second, "the end is cancelled", toldState(protocol.JobCancelled, jobs[1], jobs[3]))
+	s.eventually(60*second, "the cancelled branch and the last job are cancelled", toldState(protocol.JobCancelled, jobs[1], jobs[3]))
 	s.eventually(60*second, "the other branch is done", toldState(protocol.JobDone, jobs[0], jobs[2]))
 }
 
-// Whichever of done and cancelled comes first, the dependents follow it, wherever they are asked
-// about; the invariant checker compares the answers.
+// When a job's completion and its cancellation race, the state that it reaches first determines that of
+// its dependents, on every controller. The invariant checker compares the responses of the
+// controllers.
 func TestDependentsFollowRacingCancellationAndCompletion(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(60) {
@@ -85,14 +88,14 @@
 		if seed%4 == 0 {
 			s.leader().Crash(second / 20)
 		}
-		s.eventually(200*second, "all come to the same end", func() bool {
+		s.eventually(200*second, "all jobs reach the same final state", func() bool {
 			final := head.LastState == protocol.JobDone || head.LastState == protocol.JobCancelled
 			return final && toldState(head.LastState, accepted, late)()
 		})
 		outcomes[head.LastState]++
 	}
 	if outcomes[protocol.JobDone] == 0 || outcomes[protocol.JobCancelled] == 0 {
-		t.Fatalf("only one outcome was shown: %v", outcomes)
+		t.Fatalf("only one of the two outcomes occurred: %v", outcomes)
 	}
 }
 
@@ -106,7 +109,7 @@
 	unknown := simulation.Array(1)
 	unknown.Dependencies = []string{"job-888888"}
 	s.requireRejected(self, unknown, dependentArray(1, running))
-	// A repeat is answered by what was accepted, whatever it names.
+	// The response to a repeated submission is that of the accepted job, whatever dependencies it names.
 	head := s.submitAccepted(simulation.Array(1), 3)
 	dependent := s.submitAccepted(dependentArray(1, head), 3)
 	dependent.Spec.Dependencies = []string{"job-888888"}
@@ -115,24 +118,24 @@
 	s.requireInvariants()
 }
 
-// Dependents that wait hold no capacity and no quota: the work of their own team and of others
-// runs as if they were not there.
+// Waiting dependents take up no capacity and no quota: the work of their own team and of other teams
+// runs as if they had not been submitted.
 func TestWaitingDependentsHoldNoCapacity(t *testing.T) {
 	s := newScenario(t, 304)
 	spec := simulation.Array(24)
 	spec.Team = "red"
-	first := s.submitAccepted(spec, 40) // its team's whole quota
+	first := s.submitAccepted(spec, 40) // uses its team's whole quota
 	for range 3 {
 		dependent := dependentArray(24, first)
 		dependent.Team, dependent.Urgency = "red", protocol.UrgencyProduction
 		s.submitAccepted(dependent, 5)
 	}
-	unrelated := s.submitAccepted(simulation.Array(8), 5) // team blue's guarantee
+	unrelated := s.submitAccepted(simulation.Array(8), 5) // within team blue's guarantee
 	s.eventually(60*second, "other work is done", toldState(protocol.JobDone, unrelated))
-	s.eventually(400*second, "and in the end all", s.Users.AllFinal)
+	s.eventually(400*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// What an urgent job depends on is treated as urgent.
+// The dependencies of an urgent job are treated as urgent too.
 func TestDependenciesInheritUrgency(t *testing.T) {
 	completionTime := func(urgent bool) time.Duration {
 		s := newScenario(t, 305)
@@ -151,20 +154,20 @@
 		return s.Now
 	}
 	if plain, urgent := completionTime(false), completionTime(true); urgent*5 > plain*4 {
-		t.Fatalf("done after %v with an urgent dependent, after %v without", urgent, plain)
+		t.Fatalf("the job is done after %v with an urgent dependent, after %v without; want at most 4/5 of that", urgent, plain)
 	}
 }
 
-// The invariant checker itself: three violations that are brought about must be caught, or the
-// scenarios above assert nothing.
+// Tests the invariant checker itself: it must detect three violations that are caused on purpose.
+// Otherwise the scenarios above assert nothing.
 func TestInvariantCheckerCatchesDependencyFaults(t *testing.T) {
 	requireCaught := func(s *scenario, invariant string) {
 		t.Helper()
 		if !slices.ContainsFunc(s.Violations, func(violation string) bool { return strings.Contains(violation, " "+invariant+": ") }) {
-			t.Errorf("%s was not caught: %v", invariant, s.Violations)
+			t.Errorf("violation %s was not detected; recorded violations: %v", invariant, s.Violations)
 		}
 	}
-	// Controllers of the previous version know nothing of dependencies and start at once.
+	// Controllers of the previous version ignore dependencies and start dependents at once.
 	s := newScenario(t, 311)
 	s.startOldVersion()
 	s.Run(s.Now + 5*second)
@@ -173,7 +176,7 @@
 	s.Run(s.Now + 60*second)
 	requireCaught(s, "too_early")
 
-	// The record of a cancellation is lost, and every controller reloads.
+	// The record of a cancellation is lost, and every controller reloads its mirror.
 	s = newScenario(t, 312)
 	first = s.submitAccepted(simulation.Array(2), 600)
 	dependent := s.submitAccepted(dependentArray(2, first), 5)
@@ -184,7 +187,7 @@
 	s.Run(s.Now + 100*second)
 	requireCaught(s, "orphaned")
 
-	// Controllers that were not told of the limits to come write too much.
+	// Controllers that did not know of lower limits in advance write values that exceed them.
 	s = newScenario(t, 313)
 	s.Settings.Site.Store.Next = &config.StoreLimits{ValueKB: 0.25}
 	s.Store.LimitsLowered = true
@@ -193,8 +196,8 @@
 	requireCaught(s, "malformed")
 }
 
-// The first job of a chain fails wherever it runs: its dependents wait, say so and hold nothing,
-// and are cancelled with it when its user gives up.
+// When the first job of a chain fails wherever it runs, its dependents wait, give this as their reason
+// and take up no capacity, and are cancelled with it when its user cancels it.
 func TestDependentsOfFailingJobWaitUntilCancelled(t *testing.T) {
 	s := newScenario(t, 314)
 	head := s.submitAccepted(simulation.Array(4), 5)
@@ -205,13 +208,13 @@
 	s.eventually(100*second, "other work is done", toldState(protocol.JobDone, unrelated))
 	s.Run(s.Now + 60*second)
 	if reason := dependents[1].Answer.Reason; reason != "waits for "+dependents[0].Spec.ID {
-		t.Fatalf("the last says %q", reason)
+		t.Fatalf("the last job's reason is %q", reason)
 	}
 	s.Users.Cancel(head)
 	s.eventually(60*second, "all are cancelled", toldState(protocol.JobCancelled, head, dependents[0], dependents[1]))
 }
 
-// A chain across teams, one of which is at its quota for long.
+// A chain of jobs of two teams completes although one of the teams is at its quota for a long time.
 func TestDependencyChainAcrossTeamsCompletes(t *testing.T) {
 	s := newScenario(t, 315)
 	redArray := func(tasks int, dependencies ...*simulation.Job) protocol.Job {
@@ -220,14 +223,14 @@
 		return spec
 	}
 	full := s.submitAccepted(redArray(24), 150)
-	s.eventually(60*second, "its team is at its quota", func() bool { return full.RunningTasks() == 24 })
+	s.eventually(60*second, "team red is at its quota", func() bool { return full.RunningTasks() == 24 })
 	head := s.submitAccepted(simulation.Array(4), 4)
 	middle := s.submitAccepted(redArray(4, head), 4)
 	last := s.submitAccepted(dependentArray(4, middle), 4)
-	s.eventually(60*second, "the first is done", toldState(protocol.JobDone, head))
+	s.eventually(60*second, "the first job of the chain is done", toldState(protocol.JobDone, head))
 	s.Run(s.Now + 8*second)
 	if !strings.Contains(middle.Answer.Reason, "at its limit") {
-		t.Fatalf("the second is %s and says %q, %d of the first run", middle.LastState, middle.Answer.Reason, full.RunningTasks())
+		t.Fatalf("the second job of the chain is %s with the reason %q; %d tasks of the job that fills the quota run", middle.LastState, middle.Answer.Reason, full.RunningTasks())
 	}
-	s.eventually(300*second, "all are done", toldState(protocol.JobDone, full, head, middle, last))
+	s.eventually(300*second, "all jobs are done", toldState(protocol.JobDone, full, head, middle, last))
 }
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -8,40 +8,40 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// exhaustSingleWrites submits so many jobs at one node that those which follow are accepted
-// in batches, and not with a write for each.
+// exhaustSingleWrites submits so many jobs to one node that it accepts the jobs that follow in
+// admission batches instead of with one write per job. Later requests go to this node only.
 func (s *scenario) exhaustSingleWrites(node *simulation.Node) {
 	s.Users.OnlyNode = node
 	for range 12 {
 		s.Users.Submit(simulation.Array(1), 300)
 	}
-	s.Run(s.Now + 10*time.Millisecond) // all have arrived
+	s.Run(s.Now + 10*time.Millisecond) // until all submissions have arrived
 }
 
-// A job that needs a cancelled one is submitted at a node that knows of the cancellation: it
-// accepts the job in a batch and answers that it is aborted. Then the job is submitted at a
-// node that has read neither the cancellation nor that batch, and which accepts it again. The
-// first record counts, so that node too must answer that the job is aborted, not what its own
-// record says.
+// A job that depends on a cancelled job is submitted to a node that knows of the cancellation. This
+// node accepts the job in a batch and responds that it is cancelled. The job is then submitted to a
+// node that has read neither the cancellation nor the batch, and that accepts it again. The first
+// acceptance counts, so the second node must respond that the job is cancelled too, whatever its own
+// record of the job says.
 func TestDependentOfCancelledJobHasOneAnswerOnAllNodes(t *testing.T) {
 	t.Run("accepted again in a batch", func(t *testing.T) {
 		testAcceptedTwice(t, (*scenario).exhaustSingleWrites)
 	})
-	t.Run("accepted again with a write of its own", func(t *testing.T) {
+	t.Run("accepted again with an individual write", func(t *testing.T) {
 		testAcceptedTwice(t, func(s *scenario, _ *simulation.Node) { s.Run(s.Now + 10*time.Millisecond) })
 	})
 }
 
-// testAcceptedTwice has a dependent of a cancelled job accepted by two nodes; prepare is called
-// before it is submitted at the one that learns of the cancellation late.
+// testAcceptedTwice makes two nodes accept the same dependent of a cancelled job. It calls prepare
+// before it submits the dependent to late, the node that learns of the cancellation late.
 func testAcceptedTwice(t *testing.T, prepare func(s *scenario, late *simulation.Node)) {
 	t.Helper()
 	s := newScenario(t, 9100)
 	dependency := s.submitAccepted(simulation.Array(1), 300)
-	s.Run(s.Now + 2*second) // every node has read it
+	s.Run(s.Now + 2*second) // until every node has read the first job
 	informed, late := s.leader(), s.follower()
 
-	// What the state service says reaches one node late.
+	// Responses of the state service reach one node late.
 	s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
 	s.Users.OnlyNode = informed
 	s.Users.Cancel(dependency)
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -9,25 +9,26 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// What happens without the mend: a job's first choice of a machine is in the shard with most room,
-// or holds its image. Its tasks have failed there, so that machine gets none of it for four worker
-// leases, and the leader looks for another one only among the machines of the same shard. With no
-// other there, the job waits for the four leases, round after round, beside a machine of another
-// shard that stands idle.
+// Guards against a job that waits although a machine of another shard is idle. The first machine
+// chosen for a job is in the shard with the most free capacity, or has the job's image cached. If the
+// job's tasks have failed there, that machine is avoided for four worker leases. The fault was that
+// the leader then looked for another machine in the same shard only, so where that shard had none, the
+// job waited for the four leases in every scheduling round.
 //
-// Seen in RandomizedSimulation, seed 3, the 28th simulation: seven controllers, so few machines to a
-// shard; job-000002 fails on n-000001 and n-000004 at 28.1 and 32.1 s, both of one shard, is ranked
-// 76 times with "dispatched 0 waiting 20 reason its tasks failed on 2 machines, trying again soon",
-// and n-000005, of another shard, has had room since 63.6 s when 90 s are over.
+// Seen in RandomizedSimulation, seed 3, the 28th simulation, with seven controllers and therefore few
+// machines per shard: job-000002 failed on n-000001 and n-000004, both of one shard, at 28.1 and 32.1 s,
+// and was ranked 76 times with "dispatched 0 waiting 20 reason its tasks failed on 2 machines, trying
+// again soon", while n-000005 of another shard had free capacity from 63.6 s on, for more than 90 s.
 //
-// The bound is the rule's: no job waits for 90 s while a machine that fits has room.
+// The time limit is that of the invariant left_waiting: no job waits for 90 s while a suitable machine
+// has free capacity.
 func TestFailedTaskIsRetriedOnMachineOfOtherShard(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Workers.LeaseS, settings.Site.Workers.CancelS = 40, 120
-	settings.Site.Objectives = []config.Objective{{Kind: "wait", Class: "photos", WithinS: 3, Share: 0.8}} // it is worth every machine
+	settings.Site.Objectives = []config.Objective{{Kind: "wait", Class: "photos", WithinS: 3, Share: 0.8}} // so that every machine is used for the job
 	s := &scenario{Cluster: simulation.NewWithSettings(9500, settings, simulation.MachineTypes()), t: t}
-	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // no other machine comes
-	s.Users.FaultsOverAt = 1                                 // no fault but the machines', which the rule leaves out
+	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // no machine is created
+	s.Users.FaultsOverAt = 1                                 // the only faults are those of machines, which left_waiting excludes
 	s.Run(s.Now + 10*second)
 	s.Cloud.AddRunning("box", "a", false)
 	busy := s.submitAccepted(simulation.Array(4), 600)
@@ -41,19 +42,19 @@
 	s.eventually(30*second, "its tasks have failed on both machines", func() bool {
 		return s.logged(faulty[0]+" why error") && s.logged(faulty[1]+" why error")
 	})
-	s.Run(s.Now + 5*second) // the machines have room again
+	s.Run(s.Now + 5*second) // until the machines have free capacity again
 	healthy := s.Cloud.AddRunning("box", "a", false)
 	owner := s.ownerOf(faulty[0])
 	if s.ownerOf(faulty[1]) != owner || s.ownerOf(healthy) == owner {
-		t.Fatal("the hash of names has changed: the faulty machines are to be of one shard, the sound one of another")
+		t.Fatal("the hash of machine names has changed: the test needs both faulty machines in one shard and the healthy one in another")
 	}
-	s.eventually(90*second, "it is done on the sound machine", toldState(protocol.JobDone, job))
+	s.eventually(90*second, "the job is done on the healthy machine", toldState(protocol.JobDone, job))
 }
 
-// ownerOf is the controller whose shard has a machine, once one of them has heard it.
+// ownerOf waits until a controller knows a machine, and returns the controller whose shard owns it.
 func (s *scenario) ownerOf(machine string) (owner *simulation.Node) {
 	s.t.Helper()
-	s.eventually(20*second, "a controller has the machine", func() bool {
+	s.eventually(20*second, "a controller owns the machine", func() bool {
 		for _, node := range s.Nodes {
 			for _, state := range node.Core.FullSnapshot().Machines {
 				if state.Name == machine {
@@ -66,8 +67,8 @@
 	return owner
 }
 
-// newFailingScenario begins a scenario with a long lease and so many machines, all of which fail
-// every task, and a job that is worth every machine. No other machine comes.
+// newFailingScenario starts a scenario with a long worker lease, the given number of machines, all of
+// which fail every task, and a job whose objective justifies every machine. No machine is created.
 func newFailingScenario(t *testing.T, machines int, spec protocol.Job) (s *scenario, job *simulation.Job) {
 	t.Helper()
 	settings := simulation.Settings(3)
@@ -82,7 +83,7 @@
 	return s, s.submitAccepted(spec, 3)
 }
 
-// repairMachines makes all machines work, and says that all faults are over.
+// repairMachines makes all machines work again, and records that all faults are over.
 func (s *scenario) repairMachines() {
 	for _, worker := range s.Workers {
 		worker.Faulty = false
@@ -90,37 +91,39 @@
 	s.Users.FaultsOverAt = s.Now
 }
 
-// What happens without the mend: a machine on which a job's tasks failed got none of it for four
-// worker leases, here 160 s, also where no other machine may take them. The machine works again, has
-// room, and the job waits beside it: "left_waiting ... its tasks failed on 1 machines, trying again
-// soon". Seen in RandomizedSimulation, seed 91004, the 150th simulation, for the half of a spread
-// job whose zone has one machine.
+// Guards against a job that waits although the only machine for it works again. The fault was that a
+// machine on which a job's tasks had failed was avoided for four worker leases, here 160 s, even where
+// no other machine may run them: "left_waiting ... its tasks failed on 1 machines, trying again soon".
+// Seen in RandomizedSimulation, seed 91004, the 150th simulation, for that half of a spread job whose
+// zone had one machine.
 func TestFailedTaskIsRetriedOnTheOnlyMachine(t *testing.T) {
 	s, job := newFailingScenario(t, 1, simulation.Array(4))
 	s.eventually(30*second, "its tasks have failed", func() bool { return s.logged("task failed") })
 	s.repairMachines()
-	s.eventually(90*second, "it runs", func() bool { return job.RunningTasks() > 0 })
-	s.eventually(60*second, "it is done", toldState(protocol.JobDone, job))
+	s.eventually(90*second, "the job runs again", func() bool { return job.RunningTasks() > 0 })
+	s.eventually(60*second, "the job is done", toldState(protocol.JobDone, job))
 }
 
-// What happens without the mend: a job that failed on three machines, all of them faulty, is tried by
-// one task at growing intervals, up to eight worker leases, here 320 s. When the machines work again
-// the next try is still that far.
+// Guards against a crash-looping job that waits long after its machines were repaired. A job that failed
+// on three machines, here all of them faulty, is retried with one task at growing intervals. The fault
+// was that they grew to eight worker leases, here 320 s, so the next retry could be that far away when
+// the machines worked again.
 func TestCrashLoopingJobIsRetriedSoonAfterRepair(t *testing.T) {
 	s, job := newFailingScenario(t, 6, simulation.Array(12))
 	s.Run(s.Now + 400*second)
 	s.repairMachines()
-	s.eventually(90*second, "it runs", func() bool { return job.RunningTasks() > 0 })
-	s.eventually(60*second, "it is done", toldState(protocol.JobDone, job))
+	s.eventually(90*second, "the job runs again", func() bool { return job.RunningTasks() > 0 })
+	s.eventually(60*second, "the job is done", toldState(protocol.JobDone, job))
 }
 
-// What happens without the mend: the first tasks of a job fail on two machines, and then the whole job
-// is sent to two others at once, before a third failure shows that it fails everywhere. Traced for
-// scenario seed 63, of three jobs with 24 tasks: each has 20 failures on two machines within three
-// seconds, and then 24 more on two others, 132 in all.
+// Guards against starting all tasks of a job that fails everywhere once more. The fault was that after
+// the first tasks of a job had failed on two machines, all of its tasks were sent to two other machines
+// at once, before a failure on a third machine could show that the job fails everywhere. In a trace of
+// scenario seed 63, with three jobs of 24 tasks, each job had 20 failures on two machines within three
+// seconds and then 24 more on two others, 132 in all.
 //
-// The bound is that of TestCrashLoopingJobsAreBackedOff, half as many starts again as there are tasks,
-// for 40 orders of failures instead of one.
+// The limit is that of TestCrashLoopingJobsAreBackedOff, one and a half starts per task. This test
+// checks it for 40 seeds, and so for 40 orders of failures instead of one.
 func TestStartsOfJobsThatFailEverywhereAreBounded(t *testing.T) {
 	const jobs, tasks, seeds = 3, 24, 40
 	for seed := range uint64(seeds) {
@@ -132,7 +135,7 @@
 		s.Run(s.Now + 180*second)
 		s.requireInvariants()
 		if failed := strings.Count(strings.Join(s.Logs, "\n"), "task failed"); failed > jobs*tasks*3/2 {
-			t.Errorf("seed %d: %d failed starts of %d tasks", 61+seed, failed, jobs*tasks)
+			t.Errorf("seed %d: %d failed starts of %d tasks, want at most 3/2 as many starts as tasks", 61+seed, failed, jobs*tasks)
 		}
 	}
 }
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -11,17 +11,17 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// jobStream is jobs of one class that are submitted again and again.
+// jobStream describes jobs of one class that are submitted at regular intervals.
 type jobStream struct {
 	team, class, urgency string
 	interval             time.Duration
 	tasks                int
 	cpus, runSeconds     float64
-	customize            func(*protocol.Job) // nil: nothing
+	customize            func(*protocol.Job) // changes the description of each job; may be nil
 }
 
-// The work of team red, whose limit is 24 CPUs: photos and alerts want 22 of them, and
-// the reports, which rank last, 4.8.
+// The streams of team red, whose limit is 24 CPUs: photos and alerts need 22 CPUs on average, and
+// reports, which rank last, need 4.8.
 func photoJobs() jobStream {
 	return jobStream{team: "red", class: "photos", urgency: protocol.UrgencyNormal, interval: 6 * second, tasks: 12, cpus: 1, runSeconds: 10}
 }
@@ -34,16 +34,17 @@
 	return jobStream{team: "red", class: "reports", urgency: protocol.UrgencyLow, interval: 40 * second, tasks: 4, cpus: 4, runSeconds: 12}
 }
 
-// startContended begins a scenario on twelve machines in which the streams submit jobs until a time.
+// startContended starts a scenario on twelve machines in which the streams submit jobs until the given
+// time. policy may be nil; otherwise it changes the policy of all controllers.
 func startContended(t testing.TB, seed uint64, until time.Duration, policy func(*config.Policy), settings config.Settings, streams ...jobStream) *scenario {
 	t.Helper()
 	cluster := simulation.NewWithSettings(seed, settings, simulation.MachineTypes())
-	cluster.Policy.OverdueLeases = 2.5 // a day of minutes shows as much as one of hours
+	cluster.Policy.OverdueLeases = 2.5 // makes jobs overdue early enough for a simulation of minutes
 	if policy != nil {
 		policy(&cluster.Policy)
 	}
 	for _, n := range cluster.Nodes {
-		n.Start() // with this policy
+		n.Start() // restarts the controller with this policy
 	}
 	s := &scenario{Cluster: cluster, t: t}
 	for _, zone := range []string{"a", "b"} {
@@ -57,7 +58,7 @@
 	return s
 }
 
-// submitBetween submits the jobs of a stream from one time on until another.
+// submitBetween schedules the submissions of a stream from one time, inclusive, to another, exclusive.
 func (s *scenario) submitBetween(stream jobStream, from, until time.Duration) {
 	for at := from; at < until; at += stream.interval {
 		s.At(at, func() { s.submitFrom(stream) })
@@ -76,13 +77,14 @@
 	return s.Users.Submit(spec, stream.runSeconds)
 }
 
-// overdueAfter is after how long an account is overdue.
+// overdueAfter returns the waiting time after which a job counts as overdue for its account.
 func (s *scenario) overdueAfter() time.Duration {
 	return config.Seconds(s.Policy.OverdueLeases * s.Settings.Site.Workers.LeaseS)
 }
 
-// checkFairShare fails if less than half is done of the jobs of a class that came at least two
-// patiences ago, where there was room for that in so many CPUs of each team's limit.
+// checkFairShare fails if less than half of a class's jobs are done, counting the jobs that were
+// submitted at least twice overdueAfter ago. It checks the classes of those teams for which limit CPUs
+// would have been enough to complete half of each class.
 func (s *scenario) checkFairShare(limit float64) {
 	s.t.Helper()
 	s.requireInvariants()
@@ -93,34 +95,35 @@
 	}
 	underserved, judged := s.Users.UnderservedClasses(until, capacity)
 	if judged == 0 {
-		s.t.Fatal("half for all was not possible: the scenario shows nothing")
+		s.t.Fatal("half of each class could not be served within the limit of any team: the scenario tests nothing")
 	}
 	for _, account := range underserved {
 		share := s.Users.ClassShares(until)[account]
-		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
+		s.t.Fatalf("class %s of team %s: %d of %d jobs are done, %d have started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 }
 
-// classShare is how much is done of a class of team red, of what came at least two patiences ago.
+// classShare returns how many jobs of a class of team red are done, of those that were submitted at
+// least twice overdueAfter ago.
 func (s *scenario) classShare(class string) *simulation.ClassShare {
 	s.t.Helper()
 	share := s.Users.ClassShares(s.Now - 2*s.overdueAfter())[fairshare.Account{Team: "red", Class: class}]
 	if share == nil {
-		s.t.Fatalf("no job of %s", class)
+		s.t.Fatalf("no job of class %s was submitted early enough", class)
 	}
 	return share
 }
 
-// checkHalfServed fails if less than half of a class of team red is done.
+// checkHalfServed fails if less than half of a class's jobs of team red are done. See classShare.
 func (s *scenario) checkHalfServed(class string) {
 	s.t.Helper()
 	if share := s.classShare(class); 2*share.Done < share.Jobs {
-		s.t.Fatalf("%s: %d of %d are done, %d started\n%s", class, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
+		s.t.Fatalf("class %s: %d of %d jobs are done, %d have started\n%s", class, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 }
 
-// A class whose team's limit is taken by the team's other work is half served, and urgent work
-// keeps its place; without fair share it is not.
+// Half of the jobs of a class are served even if the team's other work takes up the team's limit, and
+// urgent work keeps its precedence. Without fair share, less than half of the class is served.
 func TestFairShareUnderTeamQuota(t *testing.T) {
 	t.Parallel()
 	const span = 400 * second
@@ -135,13 +138,13 @@
 				t.Errorf("%d of %d alerts are done", alerts.Done, alerts.Jobs)
 			}
 		} else if 2*reports.Done >= reports.Jobs {
-			t.Errorf("the scenario shows nothing: without fair share %d of %d reports are done", reports.Done, reports.Jobs)
+			t.Errorf("the scenario tests nothing: without fair share %d of %d reports are done", reports.Done, reports.Jobs)
 		}
 	}
 }
 
-// A leader that crashes every quarter of a minute does not lose the accounts: what was served is in
-// the jobs' own records.
+// The fair-share accounts survive a leader that crashes every quarter of a minute, because they are
+// computed from the jobs' own records.
 func TestFairShareSurvivesFailovers(t *testing.T) {
 	t.Parallel()
 	const span = 450 * second
@@ -157,19 +160,20 @@
 	}
 	s.Run(span)
 	s.requireInvariants()
-	// A failover stands still near a limit, so half for all is not possible.
+	// During a failover no task starts near a team's limit, so half of every class cannot be served.
 	reports, photos := s.classShare("reports"), s.classShare("photos")
 	if photos.Done == 0 || 2*reports.Done*photos.Jobs < photos.Done*reports.Jobs {
-		t.Errorf("%d of %d reports, but %d of %d photos are done", reports.Done, reports.Jobs, photos.Done, photos.Jobs)
+		t.Errorf("%d of %d reports are done, but %d of %d photos", reports.Done, reports.Jobs, photos.Done, photos.Jobs)
 	}
 }
 
-// A limit that binds for long: what was served long ago is no credit for ever.
+// While a team's limit binds for a long time, what a class was served long ago does not count against it
+// forever.
 func TestFairShareUnderPersistentQuota(t *testing.T) {
 	t.Parallel()
 	const span = 24 * time.Minute
 	s := startContended(t, 503, span, nil, simulation.Settings(3), reportJobs())
-	// For six minutes the reports are alone, and all served; then the rest comes.
+	// For six minutes there are only reports, all of which are served. Then the other streams begin.
 	for _, stream := range []jobStream{photoJobs(), alertJobs()} {
 		s.submitBetween(stream, 6*time.Minute, span)
 	}
@@ -179,7 +183,7 @@
 	}
 }
 
-// Every class comes six times as often for a minute.
+// For one minute, the jobs of each class are submitted six times as often.
 func TestFairShareDuringBurst(t *testing.T) {
 	t.Parallel()
 	const span = 520 * second
@@ -194,7 +198,7 @@
 	s.checkFairShare(18)
 }
 
-// Forty teams with three classes each, all at their limits.
+// Half of each class is served for forty teams with three classes each that are all at their limits.
 func TestFairShareAcrossFortyTeams(t *testing.T) {
 	t.Parallel()
 	const span = 260 * second
@@ -214,27 +218,27 @@
 	s.checkFairShare(3)
 }
 
-// What can't be served takes no share, and what can is served beside it: jobs that fail wherever
-// they run, those whose only zone is partitioned, whose only machine type is sold out, and services
-// that never end.
+// Jobs that cannot be served take no share from classes that can: jobs that fail wherever they run, jobs
+// whose only zone is partitioned, jobs whose only machine type is sold out, and services, which never
+// end.
 func TestFairShareBesideUnservableJobs(t *testing.T) {
 	t.Parallel()
 	const span = 360 * second
 	unservable := jobStream{team: "red", class: "unservable", urgency: protocol.UrgencyLow, interval: 30 * second, tasks: 4, cpus: 4, runSeconds: 12}
 	for name, disturb := range map[string]func(*scenario){
 		"fails everywhere": func(s *scenario) {
-			s.Cloud.Capacity["barn"] = 0 // where two machines hold all, each failure would count for much
+			s.Cloud.Capacity["barn"] = 0 // if two machines run all tasks, each failure affects too many
 			for at := 5 * second; at < span; at += unservable.interval {
 				s.At(at, func() { s.submitFrom(unservable).FailsEverywhere = true })
 			}
 		},
-		"zone cut off": func(s *scenario) {
+		"zone partitioned": func(s *scenario) {
 			s.At(second, func() { s.PartitionZone("b", "", false) })
 			inZone := unservable
 			inZone.customize = func(spec *protocol.Job) { spec.Zone = "b" }
 			s.submitBetween(inZone, 5*second, span)
 		},
-		"type not to be had": func(s *scenario) {
+		"machine type sold out": func(s *scenario) {
 			s.Cloud.Capacity["barn"] = 0
 			ofType := unservable
 			ofType.customize = func(spec *protocol.Job) { spec.MachineTypes = []string{"barn"} }
@@ -258,8 +262,9 @@
 	}
 }
 
-// Tasks of four CPUs, and a gang that needs half of a limit, or of the machines that there are, at
-// once, where each CPU that gets free would go to a task of one.
+// Guards against large tasks that never start because each CPU that is released goes to a task of one
+// CPU. Tests tasks of four CPUs, and gangs that need half of the team's limit, or of the machines, at
+// once.
 func TestFairShareForLargeTasksAndGangs(t *testing.T) {
 	t.Parallel()
 	large := jobStream{team: "red", class: "large", urgency: protocol.UrgencyLow, interval: 50 * second, tasks: 1, cpus: 4, runSeconds: 15}
@@ -278,37 +283,37 @@
 			if served := s.classShare(c.large.class); share > 0 {
 				s.checkHalfServed(c.large.class)
 			} else if 2*served.Done >= served.Jobs {
-				t.Errorf("%s: the scenario shows nothing: without fair share %d of %d %s are done", c.name, served.Done, served.Jobs, c.large.class)
+				t.Errorf("%s: the scenario tests nothing: without fair share %d of %d %s are done", c.name, served.Done, served.Jobs, c.large.class)
 			}
 		}
 	}
 }
 
-// contention is large jobs beside small ones of the same team that come all the time.
+// contention describes large jobs that compete with a constant stream of small jobs of the same team.
 type contention struct {
 	name     string
 	large    jobStream
 	limit    float64 // CPUs of the team
 	machines int
-	small    int           // tasks of a small job
-	interval time.Duration // between the small jobs of a stream
+	small    int           // tasks per small job
+	interval time.Duration // between two small jobs of a stream
 }
 
-// simulate plays five minutes of it with a fair share.
+// simulate runs the contention for five minutes under a policy with the given fair share.
 func (c *contention) simulate(t *testing.T, share float64) *scenario {
 	t.Helper()
 	const span = 300 * second
 	settings := simulation.Settings(3)
 	settings.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
 	streams := []jobStream{c.large}
-	for i := range 4 { // some at a time, that end one by one
+	for i := range 4 { // several run at a time and end one after another
 		streams = append(streams, jobStream{team: "red", class: "photos", urgency: protocol.UrgencyNormal,
 			interval: c.interval * time.Duration(20+i) / 20, tasks: c.small, cpus: 1, runSeconds: float64(9 + i)})
 	}
 	s := startContended(t, 507, span, func(p *config.Policy) {
 		p.FairShare = share
-		p.LargestStartS = 0 // it starts one of these large tasks early, with or without fair share
-		p.IdleBoots = 1000  // machines with room are there, as where other teams need them
+		p.LargestStartS = 0 // an early start would run one of these large tasks even without fair share
+		p.IdleBoots = 1000  // idle machines stay, as they do where other teams need them
 	}, settings, streams...)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = c.machines, 0
 	s.Run(span)
@@ -316,8 +321,8 @@
 	return s
 }
 
-// Classes that are each used once count as one account like any other: together they take no more
-// than its share, and what recurs is served.
+// All classes that are used only once count as one account. Together they take no more than the share of
+// one account, and recurring classes are served.
 func TestFairShareWithManySingleUseClasses(t *testing.T) {
 	t.Parallel()
 	const span = 360 * second
@@ -334,7 +339,7 @@
 	}
 }
 
-// A job that waits because quota is reserved for another class says so.
+// The reason of a job that waits because quota is reserved for another class names that class.
 func TestFairShareReservationIsGivenAsReason(t *testing.T) {
 	t.Parallel()
 	const span = 300 * second
@@ -353,16 +358,17 @@
 		"team red is at its limit",
 	} {
 		if !reasons[want] {
-			t.Errorf("no job says %q", want)
+			t.Errorf("no job had the reason %q", want)
 		}
 	}
 }
 
-// The largest jobs of a class begin in time although smaller ones come for ever and take all that
-// gets free: one task of a job that has waited for long goes first, and is not preempted.
+// The largest jobs of a class start in time although smaller ones keep arriving and take all capacity
+// that is released: one task of a large job that has waited long enough is started first, and is not
+// preempted.
 func TestLargestJobsStartEarly(t *testing.T) {
 	small := photoJobs()
-	small.interval, small.tasks = 4*second, 10 // more than the limit lets run
+	small.interval, small.tasks = 4*second, 10 // more than the team's limit allows to run
 	s := startContended(t, 2100, 300*second, func(p *config.Policy) { p.OverdueLeases, p.LargestStartS = 5, 100 }, simulation.Settings(3), small, alertJobs())
 	var large []*simulation.Job
 	startedAt := map[*simulation.Job]time.Duration{}
@@ -386,7 +392,7 @@
 	s.requireInvariants()
 	for k, j := range large {
 		if submittedAt := time.Duration(30+10*k) * second; startedAt[j] == 0 || startedAt[j]-submittedAt > 100*second {
-			t.Errorf("job %d of %g CPUs came at %v and began at %v", k, j.Spec.CPUs, submittedAt, startedAt[j])
+			t.Errorf("job %d with tasks of %g CPUs was submitted at %v and started at %v, want a start within 100 s", k, j.Spec.CPUs, submittedAt, startedAt[j])
 		}
 	}
 }
--- a/internal/core/job_entry_test.go
+++ b/internal/core/job_entry_test.go
@@ -8,12 +8,13 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Progress comes in blocks of two sizes, in any order, and some tasks in both: each counts once.
+// Progress is stored in blocks of two sizes, which may be read in any order. A task that is in blocks of
+// both sizes counts once.
 func TestDoneTasksOfBothBlockSizesAreMerged(t *testing.T) {
 	var coarse, fine records.TaskSet
 	coarse.Add(0)
 	coarse.Add(fineBlockTasks + 5)
-	fine.Add(5) // the same task, in the block that begins with it
+	fine.Add(5) // the same task as coarse has, in a fine block
 	fine.Add(7)
 	j := &jobEntry{}
 	j.mergeDone(progressBlockTasks+fineBlockTasks, fine)
@@ -28,23 +29,24 @@
 		5 * progressBlockTasks:                  false,
 	} {
 		if got := j.isTaskDone(task); got != want {
-			t.Errorf("task %d is done: %v, want %v", task, got, want)
+			t.Errorf("isTaskDone(%d) = %v, want %v", task, got, want)
 		}
 	}
 	if j.doneCount != 3 {
-		t.Errorf("%d tasks are done, want 3", j.doneCount)
+		t.Errorf("doneCount = %d, want 3", j.doneCount)
 	}
 	part := j.doneRange(progressBlockTasks+fineBlockTasks, fineBlockTasks)
 	if !part.Has(5) || !part.Has(7) || part.Has(0) {
-		t.Errorf("the range holds %v", part)
+		t.Errorf("doneRange = %v, want tasks 5 and 7 and not 0", part)
 	}
-	part.Add(1) // a copy
+	part.Add(1) // must change a copy only
 	if j.isTaskDone(progressBlockTasks + fineBlockTasks + 1) {
-		t.Error("a change of the range changes the entry")
+		t.Error("doneRange returned the set of the entry, not a copy: changing it changed the entry")
 	}
 }
 
-// What is kept of a job that is over is what its users may still ask, and jobs of one shape share it.
+// The archive keeps what users may still query about a finished job. Jobs of equal shape share one stored
+// shape.
 func TestArchiveKeepsWhatUsersMayQuery(t *testing.T) {
 	a := newJobArchive((&Core{}).fairShareRules)
 	spec := protocol.Job{Class: "reports", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyLow, Tasks: 7, CPUs: 2, MemoryGB: 3}
@@ -58,16 +60,16 @@
 	}
 	done, cancelled := a.get("job-1"), a.get("job-2")
 	if done.record.State != protocol.JobDone || done.doneCount != 7 || done.version != 11 || done.record.Spec.ID != "job-1" || done.record.Spec.Class != "reports" {
-		t.Errorf("a done job: %+v", done)
+		t.Errorf("archived job that is done: %+v", done)
 	}
 	if cancelled.record.State != protocol.JobCancelled || cancelled.doneCount != 0 || cancelled.record.StopReason != "cancelled by its user" {
-		t.Errorf("a cancelled job: %+v", cancelled)
+		t.Errorf("archived job that was cancelled: %+v", cancelled)
 	}
 	if a.get("job-3") != nil {
-		t.Error("a job that never was")
+		t.Error("the archive returned a job that was never added")
 	}
 	if len(a.shapes) != 1 || len(a.reasons) != 2 {
-		t.Errorf("%d shapes and %d reasons of three jobs", len(a.shapes), len(a.reasons))
+		t.Errorf("three jobs are stored with %d shapes and %d reasons, want 1 and 2", len(a.shapes), len(a.reasons))
 	}
 }
 
@@ -78,15 +80,15 @@
 	}
 	text := packRecord(record)
 	if size := protocol.JSONSize(record); len(text) >= size {
-		t.Errorf("%d bytes are packed into %d", size, len(text))
+		t.Errorf("a record of %d bytes was packed into %d bytes, want fewer", size, len(text))
 	}
 	got, err := unpackRecord(text)
 	if err != nil || len(got.Spec.Dependencies) != 2000 || got.Spec.ID != "job-1" || got.SubmittedAt != 5.5 {
-		t.Errorf("read back: %v, %d dependencies", err, len(got.Spec.Dependencies))
+		t.Errorf("unpacked record: error %v, %d dependencies, want 2000", err, len(got.Spec.Dependencies))
 	}
 	for _, invalid := range []string{"", "?", text[:len(text)/2]} {
 		if _, err := unpackRecord(invalid); err == nil {
-			t.Errorf("%d bytes of a packed record are taken for a whole one", len(invalid))
+			t.Errorf("%d bytes that are not a whole packed record were unpacked without an error", len(invalid))
 		}
 	}
 }
@@ -95,10 +97,10 @@
 	for key, want := range map[string]string{"c/job/a": "a false true", "c/run/a": "a true true", "c/prog/a/0": "c/prog/a/0 true false"} {
 		id, dependent, ok := jobOfKey(key)
 		if got := fmt.Sprint(id, " ", dependent, " ", ok); got != want {
-			t.Errorf("%s: %s, want %s", key, got, want)
+			t.Errorf("key %s parsed as %s, want %s", key, got, want)
 		}
 	}
 	if key := chunkKey("job-1", "n-2", 3); key != "c/long/job-1/n-2/0003" || jobOfChunk(key) != "job-1" {
-		t.Errorf("a chunk's key is %s, of job %s", key, jobOfChunk(key))
+		t.Errorf("chunk key %s, parsed as of job %s; want c/long/job-1/n-2/0003 of job-1", key, jobOfChunk(key))
 	}
 }
