--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -12,17 +12,18 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// What one round asks of a member with thousands of machines, and what that gives back at
-// once, passes links that take no line of over 16 MiB: by themselves they once were one line.
+// The dispatches and stop requests of one round for a member with thousands of machines, and the tasks
+// that the member returns at once, pass a link that accepts no line of over 16 MiB. The test guards
+// against sending either as a single line, which exceeds that limit.
 func TestDispatchesForWholeFleetFitLinkLimit(t *testing.T) {
-	const tasks = 64 // of a machine
+	const tasks = 64 // per machine
 	for _, machines := range []int{4000, 8000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			s := newScenario(t, 95)
 			s.Run(s.Now + 10*second)
 			leader, member := s.leader(), s.follower()
 			s.SetLinks(leader.Label, member.Label, simulation.Link{MaxMessageBytes: peerproto.MaxLineBytes})
-			var dispatches []peerproto.TaskAttempt // of a job that is unknown there: all of them come back
+			var dispatches []peerproto.TaskAttempt // of a job that the member does not know: it returns all of them
 			var stops []peerproto.StopTask
 			for i := range machines * tasks {
 				attempt := peerproto.TaskAttempt{Task: protocol.TaskName("job-900000001", i), Attempt: 1<<40 + uint64(i), Machine: fmt.Sprintf("n-%07d", i/tasks)}
@@ -43,24 +44,24 @@
 				}
 			}
 			leader.Core.AskOf(member.Label, dispatches, stops)
-			s.eventually(5*second, "all is asked and given back", func() bool { return len(returned) >= len(dispatches) })
+			s.eventually(5*second, "the member has returned all dispatches", func() bool { return len(returned) >= len(dispatches) })
 			if !slices.Equal(got, dispatches) || !slices.Equal(stopped, stops) {
-				t.Fatalf("%d of %d dispatches and %d stops arrive, or not in their order", len(got), len(dispatches), len(stopped))
+				t.Fatalf("%d of %d dispatches and %d stop requests arrived, or they arrived out of order", len(got), len(dispatches), len(stopped))
 			}
 			for i := range returned {
 				if returned[i].Task != dispatches[i].Task || returned[i].Attempt != dispatches[i].Attempt {
-					t.Fatalf("%+v is given back for %+v", returned[i], dispatches[i])
+					t.Fatalf("returned attempt %+v does not match dispatch %+v", returned[i], dispatches[i])
 				}
 			}
 		})
 	}
 }
 
-// Jobs are cancelled as fast as the state service of a fleet takes changes while one
-// controller hears nothing of it; then nobody is served. All of these cancellations are
-// listed, so that workers are kept alive and no task is lost. Where a mirror may lag 9 s, 1,024
-// of them were too few from some 1,650 machines on, at the rates of a site of 1,454 machines
-// with 100 changes a second.
+// Jobs are cancelled as fast as the state service accepts changes while one controller is partitioned
+// from it; then the state service serves no controller. The controllers list all of these cancellations
+// to each other, so degraded mode keeps the workers alive and no task is lost. The test guards against a
+// limit on this list: where a mirror may be 9 s old, 1,024 cancellations were too few from about 1,650
+// machines on, at the rates of a site of 1,454 machines with 100 changes per second.
 func TestCancellationsOfWholeFleetAreListed(t *testing.T) {
 	for _, machines := range []int{4000, 8000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -71,7 +72,7 @@
 			s.Run(s.Now + 10*second)
 			long := s.Users.Submit(simulation.Array(12), 150)
 			s.eventually(60*second, "all tasks run", func() bool { return long.RunningTasks() == 12 })
-			s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // the others wait
+			s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0 // the jobs that follow wait
 			perTick := int(settings.Site.Store.WriteRPS * 0.9 / 10)
 			var toCancel []*simulation.Job
 			for range 80 * perTick {
@@ -83,7 +84,7 @@
 			s.Users.OnlyNode = s.leader()
 			lagging := s.follower()
 			s.Partition(lagging.Label, "state", true)
-			for i := range 80 { // 8 s: a mirror is too old to act on after 9
+			for i := range 80 { // 8 s; after 9 s a mirror is too old to be used
 				for _, j := range toCancel[i*perTick : (i+1)*perTick] {
 					s.Users.Cancel(j)
 				}
@@ -96,7 +97,7 @@
 				}
 			}
 			if confirmed < 1500 {
-				t.Fatalf("only %d users were told", confirmed)
+				t.Fatalf("only %d cancellations were confirmed, want at least 1500", confirmed)
 			}
 			s.Store.Outage(40 * second)
 			s.Heal(lagging.Label, "state")
@@ -108,7 +109,7 @@
 			}
 			s.requireInvariants()
 			if fewest < 12 || !s.logged("workers are kept alive") {
-				t.Fatalf("%d of 12 tasks were left after %d cancellations\n%s", fewest, confirmed, s.lastLogs(*logLines))
+				t.Fatalf("%d of 12 tasks were left after %d cancellations, or degraded mode was not entered\n%s", fewest, confirmed, s.lastLogs(*logLines))
 			}
 		})
 	}
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Urgent work does not wait behind a job of low urgency: tasks with checkpoints are
-// preempted, and their user is told why.
+// Urgent work does not wait behind a job of low urgency: tasks with checkpoints are preempted, and their
+// job's reason names the cause.
 func TestUrgentJobPreemptsCheckpointedWork(t *testing.T) {
 	s := newScenario(t, 67)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
@@ -34,11 +34,11 @@
 	high.Urgency = protocol.UrgencyHigh
 	urgentJob := s.Users.Submit(high, 20)
 	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.RunningTasks() == 8 })
-	s.eventually(10*second, "the low-urgency job's user is told why", func() bool { return strings.Contains(lowJob.Answer.Reason, "more urgent work") })
+	s.eventually(10*second, "the low-urgency job's reason names the more urgent work", func() bool { return strings.Contains(lowJob.Answer.Reason, "more urgent work") })
 }
 
-// A best-effort team, one without a guarantee, uses what is idle, but its long tasks are preempted,
-// if they have checkpoints, to give another team its guarantee.
+// A best-effort team, one without a guarantee, uses idle machines, but its long tasks with checkpoints
+// are preempted to give another team its guarantee.
 func TestBestEffortTeamYieldsToGuarantee(t *testing.T) {
 	s := newScenario(t, 37)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -51,19 +51,19 @@
 	guaranteed.Urgency = protocol.UrgencyLow
 	guaranteedJob := s.Users.Submit(guaranteed, 10)
 	s.eventually(15*second, "the other team has its guarantee", func() bool { return guaranteedJob.RunningTasks() == 8 })
-	s.eventually(10*second, "the best-effort user is told why", func() bool { return strings.Contains(bestEffortJob.Answer.Reason, "its guarantee") })
-	s.eventually(40*second, "the best-effort job goes on", func() bool { return bestEffortJob.RunningTasks() >= 14 })
+	s.eventually(10*second, "the best-effort job's reason names the guarantee", func() bool { return strings.Contains(bestEffortJob.Answer.Reason, "its guarantee") })
+	s.eventually(40*second, "the best-effort job uses the remaining capacity", func() bool { return bestEffortJob.RunningTasks() >= 14 })
 }
 
-// Preemption makes room machine by machine: as many small tasks are stopped as a large one
-// needs on its machine, and the best-effort team does not take the room meanwhile.
+// Preemption frees capacity on one machine at a time: it stops as many small tasks as a large task needs
+// on its machine, and the best-effort team does not take the freed capacity meanwhile.
 func TestPreemptionMakesRoomForLargeTasks(t *testing.T) {
 	s := newScenario(t, 39)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 8 {
 		s.Cloud.AddRunning("box", "a", true)
 	}
-	one, other := simulation.Array(8), simulation.Array(8) // a task of each on every machine
+	one, other := simulation.Array(8), simulation.Array(8) // so every machine runs one task of each
 	one.Team, one.CheckpointS, one.SaveS, one.CPUs, one.MemoryGB = "guest", 4, 3, 2, 12
 	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
 	oneJob, otherJob := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
@@ -73,12 +73,12 @@
 	largeJob := s.Users.Submit(large, 30)
 	s.eventually(6*second, "the large tasks run", func() bool { return largeJob.RunningTasks() == 2 })
 	if n := oneJob.RunningTasks() + otherJob.RunningTasks(); n < 10 {
-		t.Fatalf("only %d of 16 small tasks are left", n)
+		t.Fatalf("%d of 16 small tasks still run, want at least 10", n)
 	}
 }
 
-// Stopping one large task makes room for several small ones: no more are stopped than
-// that.
+// Stopping one large task frees capacity for several small ones. No more large tasks are stopped than
+// the small ones need.
 func TestPreemptingOneLargeTaskServesSeveral(t *testing.T) {
 	s := newScenario(t, 40)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -94,11 +94,11 @@
 	urgentJob := s.Users.Submit(high, 20)
 	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.RunningTasks() == 16 })
 	if n := lowJob.RunningTasks(); n < 11 {
-		t.Fatalf("%d of 16 low-urgency tasks are left, four had to go", n)
+		t.Fatalf("%d of 16 low-urgency tasks still run, want at least 11: only four had to be preempted", n)
 	}
 }
 
-// An urgent job that fails everywhere preempts others' tasks for one task of its own, not
+// An urgent job that fails everywhere preempts tasks of other jobs for one of its tasks at a time, not
 // for all of them.
 func TestCrashLoopingJobPreemptsLittle(t *testing.T) {
 	s := newScenario(t, 41)
@@ -110,7 +110,7 @@
 	failing.Urgency = protocol.UrgencyHigh
 	crashLooping := s.Users.Submit(failing, 10)
 	crashLooping.FailsEverywhere = true
-	s.eventually(60*second, "it is known to fail", func() bool { return strings.Contains(crashLooping.Answer.Reason, "one is tried again at") })
+	s.eventually(60*second, "the failing job is treated as crash-looping", func() bool { return strings.Contains(crashLooping.Answer.Reason, "one is tried again at") })
 	low := simulation.Array(80)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	lowJob := s.Users.Submit(low, 600)
@@ -121,12 +121,12 @@
 		fewest = min(fewest, lowJob.RunningTasks())
 	}
 	if fewest < 58 {
-		t.Fatalf("%d of 64 low-urgency tasks were left", fewest)
+		t.Fatalf("at the lowest, %d of 64 low-urgency tasks ran, want at least 58", fewest)
 	}
 }
 
-// Room that preemption made for an urgent task of four CPUs is not taken bit by bit by small tasks
-// that are less urgent: those were preempted in turn, once a round, and neither ever ended.
+// Capacity that preemption freed for an urgent task of four CPUs is not taken by small, less urgent
+// tasks. Otherwise these would be preempted in turn, once per round, and neither job would ever complete.
 func TestPreemptedCapacityIsKeptForUrgentJob(t *testing.T) {
 	s := newScenario(t, 48)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -134,7 +134,7 @@
 	long := simulation.Array(3)
 	long.CheckpointS, long.SaveS = 4, 1
 	longJob := s.Users.Submit(long, 300)
-	s.eventually(30*second, "it leaves one CPU free", func() bool { return longJob.RunningTasks() == 3 })
+	s.eventually(30*second, "the long job leaves one CPU free", func() bool { return longJob.RunningTasks() == 3 })
 	big, small := simulation.Array(1), simulation.Array(1)
 	big.CPUs, big.Urgency = 4, protocol.UrgencyHigh
 	small.CheckpointS, small.SaveS = 4, 1
@@ -143,7 +143,7 @@
 	s.eventually(20*second, "the urgent job is done", func() bool { return urgentJob.LastState == protocol.JobDone })
 }
 
-// A best-effort team's urgent tasks with checkpoints, and another team's urgent ones within its
+// Urgent tasks with checkpoints of a best-effort team, and urgent tasks of another team within its
 // guarantee, do not preempt one another in turn.
 func TestBestEffortAndGuaranteedTeamsDoNotPreemptInTurn(t *testing.T) {
 	s := newScenario(t, 49)
@@ -156,11 +156,12 @@
 	s.Run(s.Now + 8*second)
 	job := s.Users.Submit(guaranteed, 10)
 	s.eventually(25*second, "the guaranteed job is done", func() bool { return job.LastState == protocol.JobDone })
-	s.eventually(200*second, "the best-effort one too", s.Users.AllFinal)
+	s.eventually(200*second, "the best-effort job is final as well", s.Users.AllFinal)
 }
 
-// Low-urgency work within its team's guarantee ranks before another team's work with an objective,
-// so it is not preempted for that: it would take the room again itself, once a round for ever.
+// Low-urgency work within its team's guarantee ranks before another team's work with an objective, so it
+// is not preempted for that work. Otherwise it would take the freed capacity again, once per round,
+// forever.
 func TestLowerRankedWorkDoesNotPreempt(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "alerts", Share: 0.9, Times: 1}}
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -29,11 +29,11 @@
 	s.Users.Submit(apart, 15)
 	s.Users.Submit(pinned, 15)
 	s.After(25*second, func() { s.leader().Crash(3 * second) })
-	s.eventually(240*second, "all are done", s.Users.AllFinal)
+	s.eventually(240*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// Jobs submitted with a mistake fail everywhere: users are told so, and when one task is tried
-// next; no machine is quarantined, and other work goes on.
+// Jobs that fail everywhere, because their users made a mistake, are backed off. Their reason says so,
+// and when the next task is tried. No machine is quarantined, and other work continues.
 func TestCrashLoopingJobsAreBackedOff(t *testing.T) {
 	s := newScenario(t, 61)
 	var failing []*simulation.Job
@@ -43,30 +43,30 @@
 		failing = append(failing, job)
 	}
 	working := s.Users.Submit(simulation.Array(12), 25)
-	s.eventually(120*second, "the good job is done", func() bool { return working.LastState == protocol.JobDone })
-	s.eventually(60*second, "a bad one says why", func() bool { return strings.Contains(failing[0].Answer.Reason, "one is tried again at") })
+	s.eventually(120*second, "the working job is done", func() bool { return working.LastState == protocol.JobDone })
+	s.eventually(60*second, "a failing job's reason names the next try", func() bool { return strings.Contains(failing[0].Answer.Reason, "one is tried again at") })
 	s.Run(s.Now + 100*second)
 	failed := 0
 	for _, line := range s.Logs {
 		if strings.Contains(line, "quarantined") {
-			t.Fatalf("a machine is quarantined: %s", line)
+			t.Fatalf("a healthy machine is quarantined: %s", line)
 		}
 		if strings.Contains(line, "task failed") {
 			failed++
 		}
 	}
 	if failed > 3*24*3/2 {
-		t.Fatalf("%d failed starts of 72 tasks", failed)
+		t.Fatalf("%d failed starts of 72 tasks, want at most 108", failed)
 	}
-	failing[1].FailsEverywhere = false // it was the machines after all
-	s.eventually(200*second, "a job that has been repaired is done", func() bool { return failing[1].LastState == protocol.JobDone })
+	failing[1].FailsEverywhere = false // as if its machines had been at fault
+	s.eventually(200*second, "the repaired job is done", func() bool { return failing[1].LastState == protocol.JobDone })
 	s.Users.Cancel(failing[0])
 	s.Users.Cancel(failing[2])
-	s.eventually(60*second, "all are over", s.Users.AllFinal)
+	s.eventually(60*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// A gang starts only once room for all of its tasks is held; when one is lost,
-// the whole gang starts again.
+// A gang starts only once capacity for all of its tasks is reserved. When one task is lost, the whole
+// gang starts again.
 func TestGangStartsTogether(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newScenario(t, 70+seed)
@@ -90,15 +90,16 @@
 	}
 }
 
-// Long tasks of a best-effort team must not take, in a quiet moment, all that the others' work
-// needs as it comes in; nor does the best-effort team starve.
+// When other teams happen to have no work, long tasks of a best-effort team must not take all the
+// capacity that these teams need for the work that they regularly submit. Nor must the best-effort team
+// starve.
 func TestBestEffortTeamLeavesHeadroom(t *testing.T) {
 	s := newScenario(t, 38)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 4
 	for i := range 6 {
 		s.After(time.Duration(20*i)*second, func() { s.Users.Submit(simulation.Array(60), 18) })
 	}
-	s.Run(s.Now + 125*second) // now nothing of the others runs
+	s.Run(s.Now + 125*second) // until no task of the other teams runs
 	long := simulation.Array(64)
 	long.Team = "guest"
 	job := s.Users.Submit(long, 100)
@@ -108,29 +109,29 @@
 		peak = max(peak, job.RunningTasks())
 	}
 	if peak < 8 || peak > 56 {
-		t.Fatalf("the best-effort team took %d of 64 CPUs", peak)
+		t.Fatalf("the best-effort team used %d of 64 CPUs, want 8 to 56", peak)
 	}
 	s.Users.Submit(simulation.Array(16), 18)
 	s.eventually(600*second, "every job is done", s.Users.AllFinal)
 }
 
-// What the others have left idle for two leases a best-effort team may use, however much of their
-// work came in before.
+// A best-effort team may use capacity that the other teams have left idle for two worker leases, however
+// much work these teams submitted before.
 func TestBestEffortTeamUsesIdleCapacity(t *testing.T) {
 	s := newScenario(t, 39)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
 	burst := simulation.Array(800)
-	burst.EstimateS = 60 // or so it seems
+	burst.EstimateS = 60 // far above the real duration
 	s.Users.Submit(burst, 1)
-	s.eventually(200*second, "the others' work is done", s.Users.AllFinal)
+	s.eventually(200*second, "the other teams' work is done", s.Users.AllFinal)
 	spec := simulation.Array(3)
 	spec.Team, spec.CPUs = "guest", 4 // more than an eighth of the only machine
 	job := s.Users.Submit(spec, 10)
 	s.eventually(45*second, "the best-effort job starts", func() bool { return job.RunningTasks() > 0 })
-	s.eventually(60*second, "it is done", s.Users.AllFinal)
+	s.eventually(60*second, "the best-effort job is done", s.Users.AllFinal)
 }
 
-// Of two jobs of one team and class, the one with less left comes first.
+// Of two jobs of the same team and class, the one with less remaining work runs first.
 func TestSmallerJobOfSameClassRunsFirst(t *testing.T) {
 	s := newScenario(t, 36)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -140,12 +141,12 @@
 	small := s.Users.Submit(simulation.Array(16), 10)
 	s.eventually(40*second, "the small job is done", func() bool { return small.LastState == protocol.JobDone })
 	if large.LastState == protocol.JobDone {
-		t.Fatal("the large job was done first")
+		t.Fatal("the large job was done before the small one")
 	}
 }
 
-// A job to be spread over two zones runs by halves where there is only one; one whose
-// tasks must run together can't.
+// A job that is to be spread over two zones runs one half after the other where there is only one zone.
+// A gang that is to be spread is rejected there, because its tasks must run at the same time.
 func TestSpreadJobsWhereThereIsOneZone(t *testing.T) {
 	types := simulation.MachineTypes()[:1]
 	types[0].Zones = []string{"a"}
@@ -153,14 +154,15 @@
 	halves, gang := simulation.Array(9), simulation.Array(4)
 	halves.Spread, gang.Spread, gang.Kind = true, true, protocol.KindGang
 	halvesJob, gangJob := s.Users.Submit(halves, 10), s.Users.Submit(gang, 10)
-	s.eventually(60*second, "half of it runs", func() bool { return halvesJob.RunningTasks() == 5 })
-	s.eventually(120*second, "it is done", func() bool { return halvesJob.LastState == protocol.JobDone })
+	s.eventually(60*second, "half of the spread job runs", func() bool { return halvesJob.RunningTasks() == 5 })
+	s.eventually(120*second, "the spread job is done", func() bool { return halvesJob.LastState == protocol.JobDone })
 	if gangJob.Rejected != 422 {
-		t.Fatalf("the gang is answered %d", gangJob.Rejected)
+		t.Fatalf("the spread gang was answered with status %d, want 422", gangJob.Rejected)
 	}
 }
 
-// Where the zone of a spread job's first task has no room, those of the other zone start.
+// If there is no capacity in the zone of a spread job's first task, the job's tasks in the other zone
+// start nevertheless.
 func TestSpreadJobUsesZoneWithCapacity(t *testing.T) {
 	s := newScenario(t, 56)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -176,10 +178,10 @@
 		}
 	}
 	before := job.Answer.Done
-	s.eventually(60*second, "the other zone goes on", func() bool { return job.Answer.Done >= before+12 })
+	s.eventually(60*second, "tasks in the other zone complete", func() bool { return job.Answer.Done >= before+12 })
 }
 
-// Long after the others' work has ended, a best-effort team's gang may use every machine.
+// A gang of a best-effort team may use every machine long after the other teams' work has completed.
 func TestBestEffortGangUsesAllIdleCapacity(t *testing.T) {
 	s := newScenario(t, 57)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -187,7 +189,7 @@
 		s.Cloud.AddRunning("box", "a", true)
 	}
 	s.Users.Submit(simulation.Array(2), 5)
-	s.eventually(40*second, "the others' work is done", s.Users.AllFinal)
+	s.eventually(40*second, "the other teams' work is done", s.Users.AllFinal)
 	gang := simulation.Array(8)
 	gang.Team, gang.Kind = "guest", protocol.KindGang
 	s.Users.Submit(gang, 10)
--- a/internal/core/store_limits_test.go
+++ b/internal/core/store_limits_test.go
@@ -11,7 +11,8 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// The limits of the state service are lowered without notice, below the sizes of what is stored.
+// All jobs complete although the limits of the state service are lowered without notice, below the sizes
+// of values that are already stored.
 func TestJobsCompleteAfterStoreLimitsAreLowered(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store = config.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 32, MaxTxnOps: 20,
@@ -21,7 +22,7 @@
 	for range 60 {
 		s.Cloud.AddRunning("box", "a", false)
 	}
-	s.Run(s.Now + 20*second) // controllers of the previous version fill large values
+	s.Run(s.Now + 20*second) // while controllers of the previous version write large values
 	var jobs []*simulation.Job
 	for k := range 80 {
 		spec := simulation.Array(6)
@@ -40,17 +41,18 @@
 	for range 40 {
 		s.Cloud.AddRunning("box", "b", false)
 	}
-	s.eventually(300*second, "all is done", toldState(protocol.JobDone, jobs...))
+	s.eventually(300*second, "all jobs are done", toldState(protocol.JobDone, jobs...))
 	s.Run(s.Now + 60*second)
 	s.Users.Cancel(huge)
-	s.eventually(60*second, "the huge one is cancelled", toldState(protocol.JobCancelled, huge))
+	s.eventually(60*second, "the huge job is cancelled", toldState(protocol.JobCancelled, huge))
 	s.crashAll(second / 5)
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
 }
 
-// A job whose list of dependencies is larger than several values, while every controller crashes
-// again and again: it is accepted once, whole, and nothing of the other attempts is left.
+// A job whose list of dependencies is larger than several values is accepted once and with the complete
+// list, although every controller crashes repeatedly meanwhile. When all jobs are done, none of the
+// chunks that the attempts to store the list have written is left.
 func TestDependencyListLargerThanAValueIsStored(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2, MaxTxnOps: 5}
@@ -63,7 +65,7 @@
 		spec.ID = fmt.Sprintf("job-%018d", 7_919_000_003*(k+1)*(k+7)%1_000_000_007*1_000_003)
 		dependencies = append(dependencies, s.Users.Submit(spec, 2))
 	}
-	s.eventually(300*second, "all are accepted", func() bool {
+	s.eventually(300*second, "all dependencies are accepted", func() bool {
 		return !slices.ContainsFunc(dependencies, func(job *simulation.Job) bool { return !job.Accepted })
 	})
 	first := s.submitAccepted(simulation.Array(1), 90)
@@ -72,15 +74,15 @@
 		s.Run(s.Now + 1500*time.Millisecond)
 		s.Nodes[k%3].Crash(second / 5)
 	}
-	s.eventually(60*second, "the list is accepted", func() bool { return last.Accepted })
-	s.eventually(10*second, "it waits", func() bool { return last.LastState == protocol.JobQueued })
+	s.eventually(60*second, "the job with the long list is accepted", func() bool { return last.Accepted })
+	s.eventually(10*second, "the job is queued", func() bool { return last.LastState == protocol.JobQueued })
 	s.crashAll(second / 5)
-	s.eventually(400*second, "all is done", s.Users.AllFinal)
-	s.eventually(500*second, "nothing of it is left", func() bool { return s.Store.CountKeys("c/long/") == 0 })
+	s.eventually(400*second, "all jobs are final", s.Users.AllFinal)
+	s.eventually(500*second, "all chunks are deleted", func() bool { return s.Store.CountKeys("c/long/") == 0 })
 }
 
-// Progress of a job whose blocks are larger than a value, some of it written before the limits
-// were lowered.
+// No progress is lost of a job whose progress blocks are larger than a value. Some blocks were written
+// before the limits were lowered.
 func TestProgressOfHugeJobSurvivesLoweredLimits(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2, MaxTxnOps: 5}
@@ -93,7 +95,7 @@
 	spec := simulation.Array(18_000)
 	spec.CPUs, spec.MemoryGB, spec.Class = 0.25, 0.1, "grains"
 	job := s.Users.Submit(spec, 4)
-	s.eventually(300*second, "a third is done and written", func() bool { return job.Answer.Done > 6000 })
+	s.eventually(300*second, "a third of the job is done and stored", func() bool { return job.Answer.Done > 6000 })
 	s.upgradeAll()
 	s.Store.LimitsLowered = true
 	s.Run(s.Now + 30*second)
@@ -101,14 +103,14 @@
 	s.crashAll(second / 5)
 	s.Run(s.Now + 10*second)
 	if job.Answer.Done < before {
-		t.Fatalf("%d tasks were done, now %d", before, job.Answer.Done)
+		t.Fatalf("%d tasks were done before all controllers crashed, only %d after", before, job.Answer.Done)
 	}
-	s.eventually(900*second, "it is done", toldState(protocol.JobDone, job))
-	s.eventually(100*second, "nothing of it is left", func() bool { return s.Store.CountKeys("c/fine/")+s.Store.CountKeys("c/prog/") == 0 })
+	s.eventually(900*second, "the job is done", toldState(protocol.JobDone, job))
+	s.eventually(100*second, "all progress blocks are deleted", func() bool { return s.Store.CountKeys("c/fine/")+s.Store.CountKeys("c/prog/") == 0 })
 }
 
-// A job whose description no longer fits into a value runs, in the zone that is chosen for it, and
-// ends.
+// A job whose description no longer fits into a value runs in the zone that is chosen for it, and
+// completes.
 func TestJobSpecLargerThanAValueRuns(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2}
@@ -122,16 +124,16 @@
 	s.startOldVersion()
 	s.Run(s.Now + 5*second)
 	before := s.submitAccepted(spec, 5)
-	s.Cloud.Down = true // it can't start yet
+	s.Cloud.Down = true // so that the job cannot start yet
 	s.upgradeAll()
 	s.Store.LimitsLowered = true
 	s.Run(s.Now + 5*second)
 	s.Cloud.Down = false
 	after := s.Users.Submit(spec, 5)
 	toCancel := s.Users.Submit(spec, 500)
-	s.eventually(100*second, "it is accepted too", func() bool { return after.Accepted && toCancel.Accepted })
+	s.eventually(100*second, "the jobs submitted after the upgrade are accepted", func() bool { return after.Accepted && toCancel.Accepted })
 	s.Users.Cancel(toCancel)
-	s.eventually(200*second, "all come to their end", s.Users.AllFinal)
+	s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 	if before.LastState != protocol.JobDone || after.LastState != protocol.JobDone {
 		t.Fatal(before.LastState, after.LastState)
 	}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -18,7 +18,7 @@
 	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 5 })
 	s.Users.Cancel(job)
 	s.leader().Crash(5 * second)
-	s.eventually(40*second, "no task is left", func() bool { return job.LastState == protocol.JobCancelled && job.RunningTasks() == 0 })
+	s.eventually(40*second, "the job is cancelled and none of its tasks runs", func() bool { return job.LastState == protocol.JobCancelled && job.RunningTasks() == 0 })
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
 	if !strings.Contains(job.Answer.Reason, "cancelled") {
@@ -33,10 +33,10 @@
 	job := s.Users.Submit(spec, 0)
 	s.eventually(60*second, "all replicas run", func() bool { return job.RunningTasks() == 4 })
 	s.Cloud.Remove(job.MachineOf(0))
-	s.eventually(90*second, "lost replicas run again", func() bool { return job.RunningTasks() == 4 })
+	s.eventually(90*second, "the lost replica runs again", func() bool { return job.RunningTasks() == 4 })
 	s.Run(s.Now + 60*second)
 	s.Users.Cancel(job)
-	s.eventually(60*second, "it is over", s.Users.AllFinal)
+	s.eventually(60*second, "the service is final", s.Users.AllFinal)
 }
 
 func TestInfeasibleJobsAreRejected(t *testing.T) {
@@ -49,7 +49,8 @@
 	s.requireRejected(team, size, zone, limit)
 }
 
-// A job of more tasks than one value of the state service can hold.
+// A job with the maximum number of tasks, more than fit into one value of the state service, is accepted
+// and makes progress.
 func TestJobWithMaxTasksIsAccepted(t *testing.T) {
 	s := newScenario(t, 66)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
@@ -57,7 +58,7 @@
 	s.eventually(120*second, "progress is published", func() bool { return job.Answer.Done > 100 })
 }
 
-// A site that names no team limits none.
+// Where the settings name no teams, no team has a limit, and jobs of any team run.
 func TestSiteWithoutTeamsRunsJobs(t *testing.T) {
 	settings := simulation.Settings(1)
 	settings.Site.Teams = nil
@@ -66,7 +67,7 @@
 	s.eventually(90*second, "the job is done", s.Users.AllFinal)
 }
 
-// More machine types than one value holds.
+// Machine types that do not fit into one value of the state service are all usable.
 func TestMachineTypesLargerThanAValueAreUsed(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.ValueKB, settings.Site.Store.MaxTxnOps, settings.Site.Store.WriteRPS = 4, 4, 10
@@ -83,9 +84,9 @@
 	s.eventually(90*second, "the job is done", s.Users.AllFinal)
 }
 
-// Many who submit at once share writes: all are accepted within a second or two at a
-// state service of ten changes a second, whatever controller they ask and however often, and
-// the batches are deleted when their jobs are over.
+// Jobs that many users submit at once share writes. All are accepted within a second or two where the
+// state service allows ten changes per second, whichever controllers the users ask and however often.
+// The admission batches are deleted when their jobs are finished.
 func TestSubmissionBurstSharesWrites(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.WriteRPS = 10
@@ -101,15 +102,15 @@
 		spec.OneZone = i%9 == 0
 		jobs = append(jobs, s.Users.Submit(spec, 5))
 		if i%3 == 0 {
-			s.Users.Resubmit(jobs[i]) // at another controller, at the same time
+			s.Users.Resubmit(jobs[i]) // may reach another controller at the same time
 		}
 	}
 	allAccepted := func() bool {
 		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return !job.Accepted })
 	}
-	s.eventually(4*second, "all are accepted", allAccepted)
+	s.eventually(4*second, "all jobs are accepted", allAccepted)
 	if n := s.Store.Writes - writes; n > 40 {
-		t.Fatalf("%d writes for 120 jobs", n)
+		t.Fatalf("%d writes for 120 jobs, want at most 40", n)
 	}
 	s.Users.Cancel(jobs[7])
 	s.Users.Cancel(jobs[18])
@@ -117,17 +118,17 @@
 	for _, job := range jobs[:20] {
 		s.Users.Resubmit(job)
 	}
-	s.eventually(200*second, "every job is over", s.Users.AllFinal)
+	s.eventually(200*second, "every job is final", s.Users.AllFinal)
 	s.eventually(60*second, "the batches are deleted", func() bool { return s.Store.CountKeys("c/accepted/") == 0 })
 	for _, job := range jobs {
-		s.Users.Resubmit(job) // the answer is its state, however late
+		s.Users.Resubmit(job) // the response must be the job's final state, however late this is
 	}
 	s.Run(s.Now + 20*second)
 	s.requireInvariants()
 }
 
-// An admission batch fits into a value, however large that may be: a batch was once filled by a
-// byte too many for each job, and refused as malformed.
+// Admission batches fit into a value, whatever the limit on its size. The test guards against a size
+// estimate that is one byte too small for each job: the state service refused such batches as malformed.
 func TestAdmissionBatchesFitValueLimit(t *testing.T) {
 	for i := range 24 {
 		settings := simulation.Settings(3)
@@ -138,7 +139,7 @@
 		for range 120 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(1), 5))
 		}
-		s.eventually(8*second, "all are accepted", func() bool {
+		s.eventually(8*second, "all jobs are accepted", func() bool {
 			return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return !job.Accepted })
 		})
 	}
