--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -9,7 +9,7 @@
 	for _, tt := range []struct {
 		name                    string
 		from                    listTrust
-		ownedSinceConfirmed     bool
+		wasOwnedSinceConfirmed  bool
 		transition              func(m *machine)
 		want                    listTrust
 		wantFenced              bool
@@ -25,13 +25,13 @@
 		{name: "lease expiry with a confirmed list", from: listConfirmed, transition: (*machine).expireLease, want: listExpired},
 		{name: "lease expiry with an unconfirmed list", from: listUnconfirmed, transition: (*machine).expireLease, want: listExpired},
 		{name: "new epoch with the same owner remembers the confirmed list", from: listConfirmed, transition: reset(true), want: listUnconfirmed, wantOwnedSinceConfirmed: true},
-		{name: "new epoch with the same owner remembers an earlier confirmed list", from: listUnconfirmed, ownedSinceConfirmed: true, transition: reset(true), want: listUnconfirmed, wantOwnedSinceConfirmed: true},
+		{name: "new epoch with the same owner remembers an earlier confirmed list", from: listUnconfirmed, wasOwnedSinceConfirmed: true, transition: reset(true), want: listUnconfirmed, wantOwnedSinceConfirmed: true},
 		{name: "new epoch with the same owner leaves the lease expired", from: listExpired, transition: reset(true), want: listExpired},
-		{name: "new epoch with a new owner forgets the confirmed list", from: listConfirmed, ownedSinceConfirmed: true, transition: reset(false), want: listUnconfirmed},
+		{name: "new epoch with a new owner forgets the confirmed list", from: listConfirmed, wasOwnedSinceConfirmed: true, transition: reset(false), want: listUnconfirmed},
 		{name: "new epoch with a new owner no longer assumes an expired lease", from: listExpired, transition: reset(false), want: listUnconfirmed},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			m := &machine{trust: tt.from, token: token, minToken: token, ownedSinceConfirmed: tt.ownedSinceConfirmed}
+			m := &machine{trust: tt.from, token: token, minToken: token, ownedSinceConfirmed: tt.wasOwnedSinceConfirmed}
 			tt.transition(m)
 			if m.trust != tt.want || m.fenced != tt.wantFenced || m.ownedSinceConfirmed != tt.wantOwnedSinceConfirmed {
 				t.Errorf("trust %v, fenced %v, owned since confirmed %v; want %v, %v, %v", m.trust, m.fenced, m.ownedSinceConfirmed, tt.want, tt.wantFenced, tt.wantOwnedSinceConfirmed)
