--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -14,16 +14,16 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// These tests guard against controllers that hold different records of one job. Two controllers may
-// accept one submission: the first in an admission batch, the second in another batch or under the
-// job's own key. Without the rule that the first acceptance counts, a controller that loads the state
-// anew reads the batches in the order of their keys and takes the first one that it reads, and a
-// controller that reads the job's own key takes the second acceptance for a change of the job. The
-// fault was seen in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, as "was aborted at 3.100 and
-// is called queued".
-
-// storeHistory simulates the state service's history of one job's records. Its methods write only
-// what the guards of the writing controllers allow.
+// TestFirstAcceptanceCountsOnEveryController guards against controllers that hold different records of
+// one job. Two controllers may accept one submission: the first in an admission batch, the second in
+// another batch or under the job's own key. Without the rule that the first acceptance counts, a
+// controller that loads the state anew reads the batches in the order of their keys and takes the first
+// one that it reads, and a controller that reads the job's own key takes the second acceptance for a
+// change of the job. The fault was seen in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, as "was
+// aborted at 3.100 and is called queued".
+
+// storeHistory simulates the state service's history of one job's records. The test writes only what
+// the guards of the writing controllers allow.
 type storeHistory struct {
 	revision uint64
 	events   []protocol.WatchEvent
--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -32,8 +32,8 @@
 	s.eventually(60*second, "the faulty machine is deleted", func() bool { return s.Workers[faulty] == nil })
 }
 
-// Three jobs that crash-loop at the same time get no machine quarantined, on whichever machines their
-// tasks fail first.
+// Three jobs that crash-loop at the same time do not cause any machine to be quarantined, on whichever
+// machines their tasks fail first.
 func TestCrashLoopingJobsQuarantineNoMachine(t *testing.T) {
 	for seed := range uint64(12) {
 		s := newScenario(t, 300+seed)
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -12,8 +12,8 @@
 // Guards against a job that waits although a machine of another shard is idle. The first machine
 // chosen for a job is in the shard with the most free capacity, or has the job's image cached. If the
 // job's tasks have failed there, that machine is avoided for four worker leases. The fault was that
-// the leader then looked for another machine in the same shard only, so where that shard had none, the
-// job waited for the four leases in every scheduling round.
+// the leader then looked for another machine in the same shard only. Where that shard had none, the job
+// found no machine in any scheduling round until the four leases were over.
 //
 // Seen in RandomizedSimulation, seed 3, the 28th simulation, with seven controllers and therefore few
 // machines per shard: job-000002 failed on n-000001 and n-000004, both of one shard, at 28.1 and 32.1 s,
@@ -116,14 +116,14 @@
 	s.eventually(60*second, "the job is done", toldState(protocol.JobDone, job))
 }
 
-// Guards against starting all tasks of a job that fails everywhere once more. The fault was that after
-// the first tasks of a job had failed on two machines, all of its tasks were sent to two other machines
-// at once, before a failure on a third machine could show that the job fails everywhere. In a trace of
-// scenario seed 63, with three jobs of 24 tasks, each job had 20 failures on two machines within three
-// seconds and then 24 more on two others, 132 in all.
+// Guards against too many starts of a job that fails everywhere. The fault was that after the first tasks
+// of a job had failed on two machines, all of its tasks were sent to two other machines at once, before a
+// failure on a third machine could show that the job fails everywhere. In a trace of scenario seed 63,
+// with three jobs of 24 tasks, each job had 20 failures on two machines within three seconds and then 24
+// more on two others, 132 in all.
 //
-// The limit is that of TestCrashLoopingJobsAreBackedOff, one and a half starts per task. This test
-// checks it for 40 seeds, and so for 40 orders of failures instead of one.
+// The limit is that of TestCrashLoopingJobsAreBackedOff, one and a half failed starts per task. This
+// test checks it for 40 seeds, and so for 40 orders of failures instead of one.
 func TestStartsOfJobsThatFailEverywhereAreBounded(t *testing.T) {
 	const jobs, tasks, seeds = 3, 24, 40
 	for seed := range uint64(seeds) {
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -157,7 +157,7 @@
 	s.eventually(60*second, "half of the spread job runs", func() bool { return halvesJob.RunningTasks() == 5 })
 	s.eventually(120*second, "the spread job is done", func() bool { return halvesJob.LastState == protocol.JobDone })
 	if gangJob.Rejected != 422 {
-		t.Fatalf("the spread gang was answered with status %d, want 422", gangJob.Rejected)
+		t.Fatalf("the spread gang got response status %d, want 422", gangJob.Rejected)
 	}
 }
 
