--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -13,7 +13,7 @@
 // the second acceptance: whatever it is, the job and what depends on it are aborted everywhere. Before
 // the first acceptance counted at its root, a dependent of such a job waited for ever: the record that
 // the batch held was final, and still the dependency graph called the job open.
-func TestNothingRestsOnSecondAcceptance(t *testing.T) {
+func TestSecondAcceptanceHasNoEffect(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		then func(s *scenario, late *simulation.Node, dependent *simulation.Job) (more []*simulation.Job)
@@ -51,7 +51,7 @@
 				s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
 				s.Users.OnlyNode = first
 				s.Users.Cancel(cause)
-				s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, cause))
+				s.eventually(second, "the first job is cancelled", lastStateIs(protocol.JobCancelled, cause))
 				s.exhaustSingleWrites(first)
 				dependent := s.Users.Submit(dependentArray(1, cause), 1)
 				s.Run(s.Now + 100*time.Millisecond)
@@ -80,7 +80,7 @@
 }
 
 // A dependent that is accepted once is answered as accepted, not as known already.
-func TestDependentIsAnsweredAsAccepted(t *testing.T) {
+func TestNewDependentIsReportedAsAccepted(t *testing.T) {
 	s := newScenario(t, 9300)
 	head := s.submitAccepted(simulation.Array(1), 300)
 	spec := dependentArray(1, head)
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -70,7 +70,7 @@
 	leader := s.leader()
 	for range 10 {
 		s.Run(s.Now + second/5)
-		leader.Core.ForceRound()
+		leader.Core.ForceSchedulingRound()
 		roundDue = true
 		leader.Post(core.Tick{})
 		s.Run(s.Now + second/5)
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -36,10 +36,10 @@
 		return strings.HasPrefix(jobs[3].Answer.Reason, "waits for "+jobs[1].Spec.ID)
 	})
 	s.leader().Crash(second / 5)
-	s.eventually(200*second, "all jobs are done", toldState(protocol.JobDone, jobs...))
+	s.eventually(200*second, "all jobs are done", lastStateIs(protocol.JobDone, jobs...))
 	// A dependent may also be submitted when all its dependencies are done.
 	last := s.submitAccepted(dependentArray(1, jobs...), 1)
-	s.eventually(60*second, "a dependent of finished jobs is done", toldState(protocol.JobDone, last))
+	s.eventually(60*second, "a dependent of finished jobs is done", lastStateIs(protocol.JobDone, last))
 }
 
 func TestCancellationReachesAllDependents(t *testing.T) {
@@ -47,9 +47,9 @@
 	jobs := s.submitDiamond()
 	other := s.submitAccepted(simulation.Array(1), 300)
 	s.Users.Cancel(jobs[0])
-	s.eventually(45*second, "all dependents are cancelled", toldState(protocol.JobCancelled, jobs...))
+	s.eventually(45*second, "all dependents are cancelled", lastStateIs(protocol.JobCancelled, jobs...))
 	late := s.submitAccepted(dependentArray(2, other, jobs[3]), 1)
-	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", toldState(protocol.JobCancelled, late))
+	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", lastStateIs(protocol.JobCancelled, late))
 	if !strings.Contains(late.Answer.Reason, jobs[3].Spec.ID) {
 		t.Fatalf("the reason is %q", late.Answer.Reason)
 	}
@@ -68,8 +68,8 @@
 	s := newScenario(t, 302)
 	jobs := s.submitDiamond()
 	s.Users.Cancel(jobs[1])
-	s.eventually(60*second, "the cancelled branch and the last job are cancelled", toldState(protocol.JobCancelled, jobs[1], jobs[3]))
-	s.eventually(60*second, "the other branch is done", toldState(protocol.JobDone, jobs[0], jobs[2]))
+	s.eventually(60*second, "the cancelled branch and the last job are cancelled", lastStateIs(protocol.JobCancelled, jobs[1], jobs[3]))
+	s.eventually(60*second, "the other branch is done", lastStateIs(protocol.JobDone, jobs[0], jobs[2]))
 }
 
 // When a job's completion and its cancellation race, the state that it reaches first determines that of
@@ -90,7 +90,7 @@
 		}
 		s.eventually(200*second, "all jobs reach the same final state", func() bool {
 			final := head.LastState == protocol.JobDone || head.LastState == protocol.JobCancelled
-			return final && toldState(head.LastState, accepted, late)()
+			return final && lastStateIs(head.LastState, accepted, late)()
 		})
 		outcomes[head.LastState]++
 	}
@@ -131,7 +131,7 @@
 		s.submitAccepted(dependent, 5)
 	}
 	unrelated := s.submitAccepted(simulation.Array(8), 5) // within team blue's guarantee
-	s.eventually(60*second, "other work is done", toldState(protocol.JobDone, unrelated))
+	s.eventually(60*second, "other work is done", lastStateIs(protocol.JobDone, unrelated))
 	s.eventually(400*second, "all jobs are final", s.Users.AllFinal)
 }
 
@@ -150,7 +150,7 @@
 			last.Urgency = protocol.UrgencyHigh
 			s.submitAccepted(last, 2)
 		}
-		s.eventually(900*second, "the step is done", toldState(protocol.JobDone, step))
+		s.eventually(900*second, "the step is done", lastStateIs(protocol.JobDone, step))
 		return s.Now
 	}
 	if plain, urgent := completionTime(false), completionTime(true); urgent*5 > plain*4 {
@@ -181,7 +181,7 @@
 	first = s.submitAccepted(simulation.Array(2), 600)
 	dependent := s.submitAccepted(dependentArray(2, first), 5)
 	s.Users.Cancel(first)
-	s.eventually(60*second, "both are cancelled", toldState(protocol.JobCancelled, first, dependent))
+	s.eventually(60*second, "both are cancelled", lastStateIs(protocol.JobCancelled, first, dependent))
 	s.Store.ReopenJob(first.Spec)
 	s.crashAll(second)
 	s.Run(s.Now + 100*second)
@@ -205,13 +205,13 @@
 	dependents := []*simulation.Job{s.submitAccepted(dependentArray(40, head), 5)}
 	dependents = append(dependents, s.submitAccepted(dependentArray(3, dependents[0]), 5))
 	unrelated := s.submitAccepted(simulation.Array(8), 5)
-	s.eventually(100*second, "other work is done", toldState(protocol.JobDone, unrelated))
+	s.eventually(100*second, "other work is done", lastStateIs(protocol.JobDone, unrelated))
 	s.Run(s.Now + 60*second)
 	if reason := dependents[1].Answer.Reason; reason != "waits for "+dependents[0].Spec.ID {
 		t.Fatalf("the last job's reason is %q", reason)
 	}
 	s.Users.Cancel(head)
-	s.eventually(60*second, "all are cancelled", toldState(protocol.JobCancelled, head, dependents[0], dependents[1]))
+	s.eventually(60*second, "all are cancelled", lastStateIs(protocol.JobCancelled, head, dependents[0], dependents[1]))
 }
 
 // A chain of jobs of two teams completes although one of the teams is at its quota for a long time.
@@ -227,10 +227,10 @@
 	head := s.submitAccepted(simulation.Array(4), 4)
 	middle := s.submitAccepted(redArray(4, head), 4)
 	last := s.submitAccepted(dependentArray(4, middle), 4)
-	s.eventually(60*second, "the first job of the chain is done", toldState(protocol.JobDone, head))
+	s.eventually(60*second, "the first job of the chain is done", lastStateIs(protocol.JobDone, head))
 	s.Run(s.Now + 8*second)
 	if !strings.Contains(middle.Answer.Reason, "at its limit") {
 		t.Fatalf("the second job of the chain is %s with the reason %q; %d tasks of the job that fills the quota run", middle.LastState, middle.Answer.Reason, full.RunningTasks())
 	}
-	s.eventually(300*second, "all jobs are done", toldState(protocol.JobDone, full, head, middle, last))
+	s.eventually(300*second, "all jobs are done", lastStateIs(protocol.JobDone, full, head, middle, last))
 }
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -45,11 +45,11 @@
 	s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
 	s.Users.OnlyNode = informed
 	s.Users.Cancel(dependency)
-	s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, dependency))
+	s.eventually(second, "the first job is cancelled", lastStateIs(protocol.JobCancelled, dependency))
 
 	s.exhaustSingleWrites(informed)
 	dependent := s.Users.Submit(dependentArray(1, dependency), 1)
-	s.eventually(200*time.Millisecond, "its dependent is aborted", toldState(protocol.JobCancelled, dependent))
+	s.eventually(200*time.Millisecond, "its dependent is aborted", lastStateIs(protocol.JobCancelled, dependent))
 
 	prepare(s, late)
 	s.Users.OnlyNode = late
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -48,7 +48,7 @@
 	if s.ownerOf(faulty[1]) != owner || s.ownerOf(healthy) == owner {
 		t.Fatal("the hash of machine names has changed: the test needs both faulty machines in one shard and the healthy one in another")
 	}
-	s.eventually(90*second, "the job is done on the healthy machine", toldState(protocol.JobDone, job))
+	s.eventually(90*second, "the job is done on the healthy machine", lastStateIs(protocol.JobDone, job))
 }
 
 // ownerOf waits until a controller knows a machine, and returns the controller whose shard owns it.
@@ -101,7 +101,7 @@
 	s.eventually(30*second, "its tasks have failed", func() bool { return s.logged("task failed") })
 	s.repairMachines()
 	s.eventually(90*second, "the job runs again", func() bool { return job.RunningTasks() > 0 })
-	s.eventually(60*second, "the job is done", toldState(protocol.JobDone, job))
+	s.eventually(60*second, "the job is done", lastStateIs(protocol.JobDone, job))
 }
 
 // Guards against a crash-looping job that waits long after its machines were repaired. A job that failed
@@ -113,7 +113,7 @@
 	s.Run(s.Now + 400*second)
 	s.repairMachines()
 	s.eventually(90*second, "the job runs again", func() bool { return job.RunningTasks() > 0 })
-	s.eventually(60*second, "the job is done", toldState(protocol.JobDone, job))
+	s.eventually(60*second, "the job is done", lastStateIs(protocol.JobDone, job))
 }
 
 // Guards against too many starts of a job that fails everywhere. The fault was that after the first tasks
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -79,7 +79,7 @@
 					}
 					s.requireStarts(waiting)
 					s.Cloud.Down = false
-					s.Run(s.Now + s.cancelSpan())
+					s.Run(s.Now + s.cancelTimeout())
 					s.requireInvariants()
 				})
 			})
@@ -122,7 +122,7 @@
 	"crashes, back soon":    func(s *scenario, owner *simulation.Node) { owner.Crash(3 * second) },
 	"is paused":             func(s *scenario, owner *simulation.Node) { owner.Pause(12 * second) },
 	"isolated": func(s *scenario, owner *simulation.Node) {
-		s.partition(25*second, owner.Label, append(s.otherEnds(owner), "workers")...)
+		s.partition(25*second, owner.Label, append(s.otherEndpoints(owner), "workers")...)
 	},
 	"partitioned from workers": func(s *scenario, owner *simulation.Node) { s.partition(25*second, owner.Label, "workers") },
 	"refused by the store":     func(s *scenario, owner *simulation.Node) { s.Store.RefusedNodes[owner.Label] = true },
@@ -149,11 +149,11 @@
 					}
 					handOver(s, owner)
 					jobs := s.submitAndCancel(60, variant == 1)
-					s.eventually(s.cancelSpan()+20*second, "all are cancelled", func() bool {
+					s.eventually(s.cancelTimeout()+20*second, "all are cancelled", func() bool {
 						s.Store.RefusedNodes = map[string]bool{}
-						return toldState(protocol.JobCancelled, jobs...)()
+						return lastStateIs(protocol.JobCancelled, jobs...)()
 					})
-					s.Run(s.Now + s.cancelSpan() + second)
+					s.Run(s.Now + s.cancelTimeout() + second)
 					s.requireInvariants()
 					s.recoverAndFinish(second)
 					late += s.Users.StartsAfterCancel
@@ -179,7 +179,7 @@
 		through := s.Nodes[k%len(s.Nodes)]
 		s.After(time.Duration(5+k%12*7)*second/10, func() {
 			if through.Alive() && through.Ready {
-				s.abortUnanswered(through, job) // whoever tells of it first
+				s.cancelIgnoringReply(through, job) // whoever tells of it first
 			}
 			s.Users.Cancel(job)
 		})
@@ -226,9 +226,9 @@
 // stays so.
 func TestAllControllersDownPastWorkerLease(t *testing.T) {
 	acrossSeeds(t, 4300, 4, func(t *testing.T, variant, controllers int, seed uint64) {
-		s, toCancel := startFull(t, seed, controllers)
+		s, toCancel := startFullCluster(t, seed, controllers)
 		s.Users.Cancel(toCancel)
-		s.RunUntil(s.Now+2*second, toldState(protocol.JobCancelled, toCancel))
+		s.RunUntil(s.Now+2*second, lastStateIs(protocol.JobCancelled, toCancel))
 		down := time.Duration(8+6*variant) * second // up to well over the lease
 		for i, node := range s.Nodes {
 			node.Crash(down + time.Duration(i)*second*time.Duration(variant%2*3))
@@ -239,7 +239,7 @@
 				s.After(down+5*second, func() { s.Heal(node.Label, machine.Info.Name) })
 			}
 		}
-		s.Run(s.Now + s.cancelSpan() + second)
+		s.Run(s.Now + s.cancelTimeout() + second)
 		s.recoverAndFinish(300 * second)
 	})
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -43,7 +43,7 @@
 					}
 				}
 			}
-			leader.Core.AskOf(member.Label, dispatches, stops)
+			leader.Core.QueueForShard(member.Label, dispatches, stops)
 			s.eventually(5*second, "the member has returned all dispatches", func() bool { return len(returned) >= len(dispatches) })
 			if !slices.Equal(got, dispatches) || !slices.Equal(stopped, stops) {
 				t.Fatalf("%d of %d dispatches and %d stop requests arrived, or they arrived out of order", len(got), len(dispatches), len(stopped))
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -27,8 +27,8 @@
 // The ends of the links of three controllers: the leader, two others, the state service, and
 // all workers as one end. A link is a pair of them.
 var (
-	linkEnds  = []string{"leader", "second", "third", "state", "workers"}
-	linkPairs = [][2]int{{0, 3}, {0, 4}, {1, 3}, {1, 4}, {2, 3}, {2, 4}, {0, 1}, {0, 2}, {1, 2}}
+	linkEndpoints = []string{"leader", "second", "third", "state", "workers"}
+	linkPairs     = [][2]int{{0, 3}, {0, 4}, {1, 3}, {1, 4}, {2, 3}, {2, 4}, {0, 1}, {0, 2}, {1, 2}}
 )
 
 // cutSet is a set of directions that are cut: bit 2i for the one of link i that leaves a
@@ -61,7 +61,7 @@
 	var out []string
 	for i, link := range linkPairs {
 		if sign := []string{"", ">", "<", "-"}[c>>(2*i)&3]; sign != "" {
-			out = append(out, linkEnds[link[0]]+sign+linkEnds[link[1]])
+			out = append(out, linkEndpoints[link[0]]+sign+linkEndpoints[link[1]])
 		}
 	}
 	return strings.Join(out, " ")
@@ -97,7 +97,7 @@
 	}
 	s := &scenario{Cluster: cluster, t: t}
 	s.Run(12 * second)
-	ends := s.actualEnds()
+	ends := s.endpointLabels()
 	set := func(part cutSet, link simulation.Link) {
 		for i, pair := range linkPairs {
 			if part>>(2*i)&1 != 0 {
@@ -140,8 +140,8 @@
 	return result
 }
 
-// actualEnds are the labels that stand for linkEnds in a cluster.
-func (s *scenario) actualEnds() []string {
+// endpointLabels are the labels that stand for linkEnds in a cluster.
+func (s *scenario) endpointLabels() []string {
 	ends := []string{s.leader().Label}
 	for _, node := range s.Nodes {
 		if node.Label != ends[0] {
@@ -182,7 +182,7 @@
 				}
 				simulations.Go(func() error {
 					result := simulateCuts(t, c, how, mode, lowFirst)
-					result.judge(c)
+					result.check(c)
 					mu.Lock()
 					defer mu.Unlock()
 					results = append(results, result)
@@ -236,8 +236,8 @@
 	return sets
 }
 
-// judge notes as a failure what must not happen with a set of cuts.
-func (r *cutResult) judge(c cutSet) {
+// check notes as a failure what must not happen with a set of cuts.
+func (r *cutResult) check(c cutSet) {
 	switch {
 	case r.failure != "":
 	case c.workMustContinue() && r.starts == 0:
@@ -266,7 +266,7 @@
 
 // A leader whose requests arrive at the state service and whose answers are lost lets its lease
 // expire: its renewals kept its keys alive, and nobody led for as long as that lasted.
-func TestLeaderWithoutAnswersLetsItsLeaseExpire(t *testing.T) {
+func TestLeaderWithoutResponsesLetsItsLeaseExpire(t *testing.T) {
 	for seed, how := range []simulation.Link{simulation.Dropped, simulation.Held} {
 		s := newBusyScenario(t, 400+uint64(seed), 10*second)
 		leader := s.leader()
@@ -371,7 +371,7 @@
 
 // A controller that loses the machines notices it soon after a heartbeat period, whatever the
 // lease; one whose process only stood still does not leave the shard map.
-func TestUnreachableMachinesAreNoticedWithinAReportPeriod(t *testing.T) {
+func TestUnreachableMachinesAreDetectedSoonAfterAHeartbeatPeriod(t *testing.T) {
 	s := startWithMachines(t, 440, 60)
 	node := s.follower()
 	node.Pause(5 * second) // less than its lease
@@ -385,7 +385,7 @@
 
 // A member whose machines are heard and hear nothing gives them up before their leases end,
 // whether its calls are lost or their answers.
-func TestOneWayPartitionFromTheMachines(t *testing.T) {
+func TestMemberLeavesShardMapDuringOneWayPartition(t *testing.T) {
 	s := newScenario(t, 450)
 	for range 30 {
 		s.Cloud.AddRunning("box", "b", true)
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -12,7 +12,7 @@
 
 // An outage longer than the workers' lease: controllers must stop answering, workers drop
 // their tasks, and none of them may run twice afterwards.
-func TestStoreOutageBeyondWorkerLease(t *testing.T) {
+func TestNoTaskRunsTwiceAfterStoreOutageBeyondWorkerLease(t *testing.T) {
 	s := newScenario(t, 6)
 	job := s.Users.Submit(simulation.Array(16), 40)
 	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 8 })
@@ -24,7 +24,7 @@
 
 // A controller that is refused by the state service alone still receives its workers' heartbeats;
 // it must stop answering them before the others start their tasks elsewhere.
-func TestControllerRefusedByStore(t *testing.T) {
+func TestControllerRefusedByStoreStopsResponding(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 10+seed, 20*second)
 		node := s.Nodes[seed%3]
--- a/internal/core/store_limits_test.go
+++ b/internal/core/store_limits_test.go
@@ -41,10 +41,10 @@
 	for range 40 {
 		s.Cloud.AddRunning("box", "b", false)
 	}
-	s.eventually(300*second, "all jobs are done", toldState(protocol.JobDone, jobs...))
+	s.eventually(300*second, "all jobs are done", lastStateIs(protocol.JobDone, jobs...))
 	s.Run(s.Now + 60*second)
 	s.Users.Cancel(huge)
-	s.eventually(60*second, "the huge job is cancelled", toldState(protocol.JobCancelled, huge))
+	s.eventually(60*second, "the huge job is cancelled", lastStateIs(protocol.JobCancelled, huge))
 	s.crashAll(second / 5)
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
@@ -105,7 +105,7 @@
 	if job.Answer.Done < before {
 		t.Fatalf("%d tasks were done before all controllers crashed, only %d after", before, job.Answer.Done)
 	}
-	s.eventually(900*second, "the job is done", toldState(protocol.JobDone, job))
+	s.eventually(900*second, "the job is done", lastStateIs(protocol.JobDone, job))
 	s.eventually(100*second, "all progress blocks are deleted", func() bool { return s.Store.CountKeys("c/fine/")+s.Store.CountKeys("c/prog/") == 0 })
 }
 
