--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -13,21 +13,21 @@
 // the second acceptance: whatever it is, the job and what depends on it are aborted everywhere. Before
 // the first acceptance counted at its root, a dependent of such a job waited for ever: the record that
 // the batch held was final, and still the dependency graph called the job open.
-func TestNothingRestsOnSecondAcceptance(t *testing.T) {
+func TestSecondAcceptanceHasNoEffect(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		then func(s *scenario, late *simulation.Node, dependent *simulation.Job) (more []*simulation.Job)
+		name     string
+		followUp func(s *scenario, lagging *simulation.Node, dependent *simulation.Job) (more []*simulation.Job)
 	}{
 		{"a dependent of its own", func(s *scenario, _ *simulation.Node, dependent *simulation.Job) []*simulation.Job {
 			return []*simulation.Job{s.Users.Submit(dependentArray(1, dependent), 1)}
 		}},
-		{"the node that accepted it second restarts", func(_ *scenario, late *simulation.Node, _ *simulation.Job) []*simulation.Job {
-			late.Crash(second / 20)
+		{"the node that accepted it second restarts", func(_ *scenario, lagging *simulation.Node, _ *simulation.Job) []*simulation.Job {
+			lagging.Crash(second / 20)
 			return nil
 		}},
-		{"the node that accepted it second becomes leader", func(s *scenario, late *simulation.Node, _ *simulation.Job) []*simulation.Job {
+		{"the node that accepted it second becomes leader", func(s *scenario, lagging *simulation.Node, _ *simulation.Job) []*simulation.Job {
 			for _, node := range s.Nodes {
-				if node != late {
+				if node != lagging {
 					node.Crash(30 * second)
 				}
 			}
@@ -45,26 +45,26 @@
 		t.Run(tt.name, func(t *testing.T) {
 			for _, batch := range []bool{false, true} {
 				s := newScenario(t, 9200)
-				cause := s.submitAccepted(simulation.Array(1), 300)
+				cancelled := s.submitAccepted(simulation.Array(1), 300)
 				s.Run(s.Now + 2*second)
-				first, late := s.leader(), s.follower()
-				s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
+				first, lagging := s.leader(), s.follower()
+				s.SetLink("state", lagging.Label, simulation.Link{Delay: 500 * time.Millisecond})
 				s.Users.OnlyNode = first
-				s.Users.Cancel(cause)
-				s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, cause))
+				s.Users.Cancel(cancelled)
+				s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, cancelled))
 				s.exhaustSingleWrites(first)
-				dependent := s.Users.Submit(dependentArray(1, cause), 1)
+				dependent := s.Users.Submit(dependentArray(1, cancelled), 1)
 				s.Run(s.Now + 100*time.Millisecond)
 				if batch {
-					s.exhaustSingleWrites(late)
+					s.exhaustSingleWrites(lagging)
 				}
-				s.Users.OnlyNode = late
+				s.Users.OnlyNode = lagging
 				s.Users.Resubmit(dependent)
 				s.Run(s.Now + 30*time.Millisecond) // its write has left, and is not answered
-				jobs := append(tt.then(s, late, dependent), dependent)
+				jobs := append(tt.followUp(s, lagging, dependent), dependent)
 				s.Users.OnlyNode = nil
 				s.Run(s.Now + 2*second)
-				s.SetLink("state", late.Label, simulation.Link{})
+				s.SetLink("state", lagging.Label, simulation.Link{})
 				s.Run(s.Now + 60*second)
 				for _, job := range jobs {
 					if job.LastState != protocol.JobCancelled {
@@ -80,7 +80,7 @@
 }
 
 // A dependent that is accepted once is answered as accepted, not as known already.
-func TestDependentIsAnsweredAsAccepted(t *testing.T) {
+func TestNewDependentIsReportedAsAccepted(t *testing.T) {
 	s := newScenario(t, 9300)
 	head := s.submitAccepted(simulation.Array(1), 300)
 	spec := dependentArray(1, head)
--- a/internal/core/barrier_callback_test.go
+++ b/internal/core/barrier_callback_test.go
@@ -15,8 +15,8 @@
 func TestEverySubmissionBehindSharedBarriersIsAnswered(t *testing.T) {
 	s := newScenario(t, 9400)
 	s.Run(s.Now + 2*second)
-	first, late := s.leader(), s.follower()
-	s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
+	first, lagging := s.leader(), s.follower()
+	s.SetLink("state", lagging.Label, simulation.Link{Delay: 500 * time.Millisecond})
 	s.Users.OnlyNode = first
 	head := s.submitAccepted(simulation.Array(1), 300)
 	var dependents []*simulation.Job
@@ -24,7 +24,7 @@
 		dependents = append(dependents, s.Users.Submit(dependentArray(1, head), 1))
 	}
 	s.Run(s.Now + 100*time.Millisecond) // all are accepted, and the other node has read none of it
-	s.Users.OnlyNode = late
+	s.Users.OnlyNode = lagging
 	timedOut := s.Users.TimedOut
 	for _, dependent := range dependents {
 		s.Users.Resubmit(dependent)
--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -19,14 +19,14 @@
 // Every transaction of one kind is carried out at once and its answer is lost, or half of them
 // are carried out late: others act on what they read, the writer's next attempt finds it, and
 // every job that its user does not cancel is done all the same.
-func TestLostOrLateCommitAnswers(t *testing.T) {
+func TestJobsCompleteDespiteLostOrLateCommitResponses(t *testing.T) {
 	for _, key := range keyPrefixes {
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s late %v", key, late), func(t *testing.T) {
 				t.Parallel()
 				lost := 0
 				for seed := range uint64(2) {
-					lost += simulateLostAnswers(t, 3100+seed, key, late)
+					lost += simulateLostResponses(t, 3100+seed, key, late)
 				}
 				if lost == 0 && key != "c/types" { // which are written once, before any scenario can begin
 					t.Fatal("no answer was lost or late: nothing was shown")
@@ -36,9 +36,9 @@
 	}
 }
 
-// simulateLostAnswers runs a day of jobs, cancellations, failovers and handovers with such
+// simulateLostResponses runs a day of jobs, cancellations, failovers and handovers with such
 // answers, and returns how many there were.
-func simulateLostAnswers(t *testing.T, seed uint64, key string, late bool) int {
+func simulateLostResponses(t *testing.T, seed uint64, key string, late bool) int {
 	s := &scenario{Cluster: simulation.NewWithSettings(seed, simulation.Settings(3), simulation.MachineTypes()), t: t}
 	s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = key, 1
 	if key == "" {
@@ -53,7 +53,7 @@
 	head := s.Users.Submit(simulation.Array(1), 80) // that others depend on
 	uncancelled := []*simulation.Job{head}
 	for k := range 18 {
-		job := s.Users.Submit(lostAnswersSpec(k, head), float64(2+k%4*4))
+		job := s.Users.Submit(lostResponsesSpec(k, head), float64(2+k%4*4))
 		if k%6 == 2 {
 			s.submitMany(48, head)
 		}
@@ -78,9 +78,9 @@
 	return s.Store.DelayedCommits
 }
 
-// lostAnswersSpec describes the k-th job: some depend on head, and some have descriptions that
+// lostResponsesSpec describes the k-th job: some depend on head, and some have descriptions that
 // are stored in chunks.
-func lostAnswersSpec(k int, head *simulation.Job) protocol.Job {
+func lostResponsesSpec(k int, head *simulation.Job) protocol.Job {
 	spec := simulation.Array(1 + k%3*12)
 	spec.Team = []string{"blue", "red"}[k%2]
 	if k%5 == 4 && head.Accepted {
@@ -132,7 +132,7 @@
 // New machines are up within two seconds and get work at once, for teams at their quotas, while
 // writes are slow, late or lose their answers, and the leader crashes at any moment of it: the
 // next one starts nothing twice and exceeds no quota.
-func TestNewMachinesWithSlowStore(t *testing.T) {
+func TestNewMachinesWithSlowStoreKeepInvariants(t *testing.T) {
 	for name, slowDown := range slowStores {
 		t.Run(name, func(t *testing.T) {
 			acrossSeeds(t, 3400, 4, func(t *testing.T, variant, controllers int, seed uint64) {
@@ -160,7 +160,7 @@
 // Jobs of one task come four a second for minutes and a quarter of them is cancelled, with the
 // smallest rate limit for writes, which is lowered, beside longer jobs and during failovers: each
 // is accepted, no more than a few seconds late, and its end is told.
-func TestSmallJobFlood(t *testing.T) {
+func TestSmallJobFloodIsAcceptedInTime(t *testing.T) {
 	acrossSeeds(t, 3600, 2, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, func(site *config.Site) {
 			site.Store = config.StoreLimits{RPS: 350, WriteRPS: 35, ValueKB: 16, MaxTxnOps: 16, Next: &config.StoreLimits{WriteRPS: 8}}
@@ -201,7 +201,7 @@
 
 // Jobs are cancelled at each node, just before, while and just after the state service begins to
 // refuse the leader alone, and it stays refused until the others have acted.
-func TestCancellationAsStoreRefusesLeader(t *testing.T) {
+func TestCancellationHoldsAsStoreRefusesLeader(t *testing.T) {
 	for _, offset := range []time.Duration{-20, 0, 3, 40, 400} { // milliseconds
 		acrossSeeds(t, 4400, 3, func(t *testing.T, variant, controllers int, seed uint64) {
 			s := startScenario(t, seed, controllers, nil)
@@ -216,18 +216,18 @@
 			s.At(at+offset*time.Millisecond, func() {
 				for i, job := range jobs {
 					if i%2 == 0 {
-						s.abortUnanswered(s.Nodes[i/2], job)
+						s.cancelIgnoringReply(s.Nodes[i/2], job)
 					}
 					s.Users.Cancel(job)
 				}
 			})
 			if variant == 2 { // and a second later it serves nobody
-				s.At(at+second, func() { s.Store.Outage(s.cancelSpan() + 10*second) })
+				s.At(at+second, func() { s.Store.Outage(s.cancelTimeout() + 10*second) })
 			}
-			s.Run(at + s.cancelSpan() + 15*second)
+			s.Run(at + s.cancelTimeout() + 15*second)
 			s.Store.RefusedNodes = map[string]bool{}
 			s.recoverAndFinish(60 * second)
-			s.Run(s.Now + s.cancelSpan() + second)
+			s.Run(s.Now + s.cancelTimeout() + second)
 			s.requireInvariants()
 		})
 	}
--- a/internal/core/consistency_faults_test.go
+++ b/internal/core/consistency_faults_test.go
@@ -56,7 +56,7 @@
 // A cancellation, questions at all nodes and a repeated submission come at the very moment at
 // which a job's last task completes, or milliseconds later, without any fault: all nodes tell the
 // same final state at once.
-func TestRequestsAtJobCompletion(t *testing.T) {
+func TestAllNodesAgreeOnFinalStateAtJobCompletion(t *testing.T) {
 	done, cancelled := 0, 0
 	for seed := range uint64(12) {
 		s := newScenario(t, 3800+seed)
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -79,7 +79,7 @@
 					}
 					s.requireStarts(waiting)
 					s.Cloud.Down = false
-					s.Run(s.Now + s.cancelSpan())
+					s.Run(s.Now + s.cancelTimeout())
 					s.requireInvariants()
 				})
 			})
@@ -122,7 +122,7 @@
 	"crashes, back soon":    func(s *scenario, owner *simulation.Node) { owner.Crash(3 * second) },
 	"is paused":             func(s *scenario, owner *simulation.Node) { owner.Pause(12 * second) },
 	"isolated": func(s *scenario, owner *simulation.Node) {
-		s.partition(25*second, owner.Label, append(s.otherEnds(owner), "workers")...)
+		s.partition(25*second, owner.Label, append(s.otherEndpoints(owner), "workers")...)
 	},
 	"partitioned from workers": func(s *scenario, owner *simulation.Node) { s.partition(25*second, owner.Label, "workers") },
 	"refused by the store":     func(s *scenario, owner *simulation.Node) { s.Store.RefusedNodes[owner.Label] = true },
@@ -136,34 +136,34 @@
 // heartbeats and in direct calls; jobs are cancelled through the former owner, a new one and a
 // third, in every tenth of a second of it: none of their tasks is left or starts too late.
 func TestCancellationDuringShardHandover(t *testing.T) {
-	late, starts := 0, 0
+	lateStarts, starts := 0, 0
 	for name, handOver := range handovers {
-		for _, leads := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, leader %v", name, leads), func(t *testing.T) {
+		for _, ownerLeads := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, leader %v", name, ownerLeads), func(t *testing.T) {
 				for variant, controllers := range []int{3, 5} {
 					s := startScenario(t, 3300+uint64(variant), controllers, nil)
 					s.addMachines(24)
 					owner := s.leader()
-					if !leads {
+					if !ownerLeads {
 						owner = s.follower()
 					}
 					handOver(s, owner)
 					jobs := s.submitAndCancel(60, variant == 1)
-					s.eventually(s.cancelSpan()+20*second, "all are cancelled", func() bool {
+					s.eventually(s.cancelTimeout()+20*second, "all are cancelled", func() bool {
 						s.Store.RefusedNodes = map[string]bool{}
 						return toldState(protocol.JobCancelled, jobs...)()
 					})
-					s.Run(s.Now + s.cancelSpan() + second)
+					s.Run(s.Now + s.cancelTimeout() + second)
 					s.requireInvariants()
 					s.recoverAndFinish(second)
-					late += s.Users.StartsAfterCancel
+					lateStarts += s.Users.StartsAfterCancel
 					starts += s.Users.Starts
 				}
 			})
 		}
 	}
-	if late*1000 > starts { // no invariant, but one in a thousand is seen
-		t.Fatalf("%d of %d starts came after a cancellation was confirmed", late, starts)
+	if lateStarts*1000 > starts { // no invariant, but one in a thousand is seen
+		t.Fatalf("%d of %d starts came after a cancellation was confirmed", lateStarts, starts)
 	}
 }
 
@@ -179,7 +179,7 @@
 		through := s.Nodes[k%len(s.Nodes)]
 		s.After(time.Duration(5+k%12*7)*second/10, func() {
 			if through.Alive() && through.Ready {
-				s.abortUnanswered(through, job) // whoever tells of it first
+				s.cancelIgnoringReply(through, job) // whoever tells of it first
 			}
 			s.Users.Cancel(job)
 		})
@@ -239,7 +239,7 @@
 				s.After(down+5*second, func() { s.Heal(node.Label, machine.Info.Name) })
 			}
 		}
-		s.Run(s.Now + s.cancelSpan() + second)
+		s.Run(s.Now + s.cancelTimeout() + second)
 		s.recoverAndFinish(300 * second)
 	})
 }
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -8,7 +8,7 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-func TestLeaderCrash(t *testing.T) {
+func TestWorkCompletesAfterLeaderCrash(t *testing.T) {
 	s := newScenario(t, 3)
 	first, other := s.Users.Submit(simulation.Array(12), 20), s.Users.Submit(simulation.Array(12), 20)
 	s.eventually(60*second, "tasks run", func() bool { return first.RunningTasks()+other.RunningTasks() > 6 })
@@ -16,7 +16,7 @@
 	s.eventually(120*second, "the work goes on", s.Users.AllFinal)
 }
 
-func TestEveryControllerCrashes(t *testing.T) {
+func TestNoAcceptedJobIsLostWhenEveryControllerCrashes(t *testing.T) {
 	s := newScenario(t, 4)
 	for range 3 {
 		s.Users.Submit(simulation.Array(12), 15)
@@ -28,7 +28,7 @@
 	s.eventually(180*second, "nothing accepted is lost", s.Users.AllFinal)
 }
 
-func TestRollingRestart(t *testing.T) {
+func TestWorkCompletesThroughRollingRestart(t *testing.T) {
 	s := newScenario(t, 5)
 	for range 4 {
 		s.Users.Submit(simulation.Array(15), 12)
@@ -41,7 +41,7 @@
 
 // A controller process that is paused and resumes has full queues, old timers and an answer that
 // it was about to send; nobody may act on any of it.
-func TestPausedControllerResumes(t *testing.T) {
+func TestResumedControllerDoesNotActOnStaleState(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 80+seed, 15*second)
 		node := s.leader()
@@ -101,18 +101,18 @@
 		s.Users.Submit(simulation.Array(60), 30)
 	}
 	s.eventually(60*second, "the machines are full", func() bool { return s.Users.RunningTasks() >= 90 })
-	old := s.leader()
-	dead := ""
+	oldLeader := s.leader()
+	terminated := ""
 	s.follower().Request(func(id core.RequestID) core.Command { return core.GetStatus{ID: id} }, func(reply core.Reply) {
 		for name, status := range reply.Body.(*core.Status).Machines {
-			if status.Trusted && (dead == "" || name < dead) {
-				dead = name
+			if status.Trusted && (terminated == "" || name < terminated) {
+				terminated = name
 			}
 		}
 	})
-	s.eventually(second, "a follower owns a machine", func() bool { return dead != "" })
-	s.Cloud.Remove(dead)
-	old.Crash(0)
+	s.eventually(second, "a follower owns a machine", func() bool { return terminated != "" })
+	s.Cloud.Remove(terminated)
+	oldLeader.Crash(0)
 	s.Logs = nil
 	s.eventually(9*second, "every other machine has been seen", func() bool {
 		return s.logged("every machine has been seen")
@@ -122,22 +122,22 @@
 
 // A leader that has to reload the state does not know what it dispatched before: what
 // may be on a machine that it can't reach does not start elsewhere.
-func TestLeaderReloadsState(t *testing.T) {
+func TestLeaderThatReloadsStateStartsNoTaskTwice(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 910+seed)
 		job := s.Users.Submit(simulation.Array(60), 60)
 		s.eventually(90*second, "all run", func() bool { return job.RunningTasks() == 60 })
-		n, machine := s.leader(), job.MachineOf(int(seed)*16)
+		leader, machine := s.leader(), job.MachineOf(int(seed)*16)
 		for _, other := range s.Nodes {
 			s.Partition(other.Label, machine, false)
 		}
-		s.Store.CompactedNodes[n.Label] = true
+		s.Store.CompactedNodes[leader.Label] = true
 		for _, other := range s.Nodes {
-			if other != n { // nor do those who looked after the machine
+			if other != leader { // nor do those who looked after the machine
 				other.Crash(second / 5)
 			}
 		}
-		s.eventually(20*second, "it reloads the state", func() bool { return !s.Store.CompactedNodes[n.Label] })
+		s.eventually(20*second, "it reloads the state", func() bool { return !s.Store.CompactedNodes[leader.Label] })
 		s.Run(s.Now + 10*second)
 		for _, other := range s.Nodes {
 			s.Heal(other.Label, machine)
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-const machinesDieWithLeader = "machines die with the leader"
+const machinesTerminatedWithLeader = "machines die with the leader"
 
 // staleHeartbeats are what happens between a heartbeat and the failover at which it arrives.
 var staleHeartbeats = map[string]func(s *scenario){
@@ -46,7 +46,7 @@
 		s.removeSomeMachines(6)
 		s.Run(s.Now + 20*second)
 	},
-	machinesDieWithLeader: func(s *scenario) { s.removeSomeMachines(6) },
+	machinesTerminatedWithLeader: func(s *scenario) { s.removeSomeMachines(6) },
 	"of partitioned machines": func(s *scenario) { // so that it is the first that anybody hears
 		busy := slices.DeleteFunc(s.SomeWorkers(64), func(machine *simulation.Worker) bool { return len(machine.Tasks) == 0 })
 		s.addMachines(12)   // with room for all that they run
@@ -67,7 +67,7 @@
 // The same old heartbeat of each machine reaches all controllers just as a leader begins.
 // Nothing runs twice, no quota is exceeded, and neither a machine that is gone nor what was said
 // of one holds the failover or the work up.
-func TestStaleHeartbeatsAtFailover(t *testing.T) {
+func TestStaleHeartbeatsAtFailoverLoseNoTasks(t *testing.T) {
 	for name, between := range staleHeartbeats {
 		t.Run(name, func(t *testing.T) {
 			acrossSeeds(t, 3500, 3, func(t *testing.T, variant, controllers int, seed uint64) {
@@ -81,7 +81,7 @@
 				red, blue := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(20), 60)
 				s.eventually(30*second, "all tasks run", func() bool { return red.RunningTasks() == 24 && blue.RunningTasks() == 20 })
 				between(s)
-				kept := red.RunningTasks() + s.Users.CompletedTasks(red)
+				tasksBefore := red.RunningTasks() + s.Users.CompletedTasks(red)
 				s.Logs = nil
 				if variant%2 == 0 {
 					s.crashLeader(second / 5)
@@ -92,7 +92,7 @@
 				more.Team = "red"
 				s.Users.Submit(more, 10)
 				s.eventually(35*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
-				if lost := kept - red.RunningTasks() - s.Users.CompletedTasks(red); name != machinesDieWithLeader && lost > 0 {
+				if lost := tasksBefore - red.RunningTasks() - s.Users.CompletedTasks(red); name != machinesTerminatedWithLeader && lost > 0 {
 					t.Fatalf("%d tasks were lost by a stale heartbeat\n%s", lost, s.lastLogs(*logLines))
 				}
 				s.recoverAndFinish(300 * second)
@@ -104,7 +104,7 @@
 // Some machines can open no connection to a controller, while direct calls reach them: their
 // tasks are lost with their leases and started elsewhere, and cancelled ones stop, once, also
 // through a failover.
-func TestMachinesThatCannotReachControllers(t *testing.T) {
+func TestMachinesThatCannotReachControllersLoseTheirTasksOnce(t *testing.T) {
 	for _, failover := range []bool{false, true} {
 		acrossSeeds(t, 3900, 3, func(t *testing.T, variant, controllers int, seed uint64) {
 			s := startScenario(t, seed, controllers, nil)
@@ -123,7 +123,7 @@
 				s.crashLeader(second / 5)
 			}
 			s.Users.Cancel(toCancel)
-			s.Run(s.Now + s.cancelSpan() + 20*second)
+			s.Run(s.Now + s.cancelTimeout() + 20*second)
 			s.recoverAndFinish(300 * second)
 			if red.LastState != protocol.JobDone {
 				t.Fatalf("the other job is %s", red.LastState)
@@ -134,7 +134,7 @@
 
 // Heartbeats are held back until a new leader has acted, and arrive there then, after the
 // machine's tasks were given up or kept; its own next ones follow.
-func TestHeartbeatsDelayedPastFailover(t *testing.T) {
+func TestHeartbeatsDelayedPastFailoverKeepInvariants(t *testing.T) {
 	acrossSeeds(t, 4100, 6, func(t *testing.T, variant, controllers int, seed uint64) {
 		s, toCancel := startFull(t, seed, controllers)
 		delayed := s.SomeWorkers(9)
@@ -152,7 +152,7 @@
 		s.Users.Submit(simulation.Array(12), 10)
 		s.Run(s.Now + time.Duration(2+variant*6)*second) // from before it has acted to long after
 		setLinks(simulation.Link{})
-		s.Run(s.Now + s.cancelSpan())
+		s.Run(s.Now + s.cancelTimeout())
 		s.recoverAndFinish(300 * second)
 	})
 }
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -14,11 +14,13 @@
 
 // Scenarios in which two faults meet; docs/fault-interleavings.md says what each goes through.
 
-// cancelSpan is the time in which the tasks of a cancelled job must have ended.
-func (s *scenario) cancelSpan() time.Duration { return config.Seconds(s.Settings.Site.Workers.CancelS) }
+// cancelTimeout is the time in which the tasks of a cancelled job must have ended.
+func (s *scenario) cancelTimeout() time.Duration {
+	return config.Seconds(s.Settings.Site.Workers.CancelS)
+}
 
-// abortUnanswered has a user ask a node to cancel a job, and hear nothing of its answer.
-func (s *scenario) abortUnanswered(node *simulation.Node, job *simulation.Job) {
+// cancelIgnoringReply has a user ask a node to cancel a job, and hear nothing of its answer.
+func (s *scenario) cancelIgnoringReply(node *simulation.Node, job *simulation.Job) {
 	s.Users.NoteCancelRequested(job)
 	node.Request(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: job.Spec.ID} }, func(core.Reply) {})
 }
@@ -32,23 +34,23 @@
 // cancellationThenOutage begins a scenario in which the state service refuses the leader alone,
 // a user is told that a job is cancelled, in the way that confirm brings about, and then no
 // controller is served for longer than cancel_s.
-func cancellationThenOutage(t *testing.T, seed uint64, confirm func(s *scenario, gone *simulation.Job)) (s *scenario, long, gone *simulation.Job) {
+func cancellationThenOutage(t *testing.T, seed uint64, confirm func(s *scenario, cancelled *simulation.Job)) (s *scenario, long, cancelled *simulation.Job) {
 	s = newScenario(t, seed)
-	long, gone = s.Users.Submit(simulation.Array(12), 200), s.Users.Submit(simulation.Array(6), 300)
+	long, cancelled = s.Users.Submit(simulation.Array(12), 200), s.Users.Submit(simulation.Array(6), 300)
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 18 })
 	leader := s.leader()
 	s.Store.RefusedNodes[leader.Label] = true
-	confirm(s, gone)
-	s.eventually(5*second, "its user is told", func() bool { return gone.LastState == protocol.JobCancelled })
-	s.Store.Outage(s.cancelSpan() + 20*second)
-	return s, long, gone
+	confirm(s, cancelled)
+	s.eventually(5*second, "its user is told", func() bool { return cancelled.LastState == protocol.JobCancelled })
+	s.Store.Outage(s.cancelTimeout() + 20*second)
+	return s, long, cancelled
 }
 
 // Through an outage of the state service the tasks of every job that any user was told is
 // cancelled are stopped in time, whoever wrote the cancellation and however the one who confirmed
 // it knew; the other tasks run on.
 func TestCancellationSurvivesStoreOutage(t *testing.T) {
-	unanswered := func(s *scenario, f func()) {
+	withoutResponse := func(s *scenario, f func()) {
 		s.Store.DelayedCommitShare, s.Store.MaxCommitDelay = 1, time.Millisecond
 		f()
 		s.Run(s.Now + second/2)
@@ -57,29 +59,29 @@
 	for name, confirm := range map[string]func(*scenario, *simulation.Job){
 		"by who wrote it": func(s *scenario, job *simulation.Job) { s.Users.Cancel(job) },
 		"by who got no answer to its write": func(s *scenario, job *simulation.Job) {
-			unanswered(s, func() { s.Users.Cancel(job) })
+			withoutResponse(s, func() { s.Users.Cancel(job) })
 		},
 		"by another whose mirror holds it": func(s *scenario, job *simulation.Job) {
-			unanswered(s, func() { s.abortUnanswered(s.follower(), job) })
+			withoutResponse(s, func() { s.cancelIgnoringReply(s.follower(), job) })
 			s.Users.OnlyNode = s.otherFollower()
 			s.Users.Cancel(job)
 		},
 		"by a poll": func(s *scenario, job *simulation.Job) {
-			unanswered(s, func() { s.abortUnanswered(s.follower(), job) })
+			withoutResponse(s, func() { s.cancelIgnoringReply(s.follower(), job) })
 			s.Users.OnlyNode = s.otherFollower()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				s, long, gone := cancellationThenOutage(t, 1000+seed, confirm)
+				s, long, cancelled := cancellationThenOutage(t, 1000+seed, confirm)
 				leastRunning := 12
 				for range 50 {
 					s.Run(s.Now + second)
 					leastRunning = min(leastRunning, long.RunningTasks())
 				}
 				s.requireInvariants()
-				if gone.RunningTasks() > 0 || leastRunning < 12 {
-					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", gone.RunningTasks(), leastRunning)
+				if cancelled.RunningTasks() > 0 || leastRunning < 12 {
+					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", cancelled.RunningTasks(), leastRunning)
 				}
 				s.Store.RefusedNodes, s.Users.OnlyNode = map[string]bool{}, nil
 				s.eventually(200*second, "the work goes on", func() bool { return long.LastState == protocol.JobDone })
@@ -90,7 +92,7 @@
 
 // A controller's first write gets no answer; its process crashes and the next one is back at
 // once. Applied late, the former process's write does not displace the new one.
-func TestLateWriteOfAFormerProcessIsVoid(t *testing.T) {
+func TestLateWriteOfPreviousProcessHasNoEffect(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 1100+seed, 10*second)
 		node := s.follower()
@@ -117,7 +119,7 @@
 
 // Most machines die and all controllers crash: the next leader, which knows of those machines
 // from the registry alone, learns from the cloud that they are gone, and waits for none.
-func TestMachinesThatDiedBeforeFailover(t *testing.T) {
+func TestFailoverDoesNotWaitForTerminatedMachines(t *testing.T) {
 	for seed := range uint64(4) {
 		s := startWithMachines(t, 1200+seed, 10)
 		for _, worker := range s.SomeWorkers(len(s.Workers) - 1) {
@@ -140,21 +142,21 @@
 	s.Run(s.Now + 6*second)
 }
 
-// otherEnds are the labels of the state service and of all controllers but one.
-func (s *scenario) otherEnds(except *simulation.Node) []string {
-	out := []string{"state"}
+// otherEndpoints are the labels of the state service and of all controllers but one.
+func (s *scenario) otherEndpoints(except *simulation.Node) []string {
+	labels := []string{"state"}
 	for _, node := range s.Nodes {
 		if node != except {
-			out = append(out, node.Label)
+			labels = append(labels, node.Label)
 		}
 	}
-	return out
+	return labels
 }
 
 // A leader is cut from the state service and the other controllers while its workers and users
 // reach it, and jobs are cancelled through the new leader: the old one ceases to answer workers
 // soon enough for every cancelled task to be gone in time.
-func TestCancellationThroughTheNewLeader(t *testing.T) {
+func TestCancellationThroughNewLeaderStopsTasksInTime(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1300+seed)
 		s.addMachines(12) // on which each controller has some tasks
@@ -172,14 +174,14 @@
 				}
 			}
 		}
-		s.partition(70*second, leader.Label, s.otherEnds(leader)...)
+		s.partition(70*second, leader.Label, s.otherEndpoints(leader)...)
 		s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(leader) })
 		s.Users.OnlyNode = s.Nodes[(slices.Index(s.Nodes, leader)+1)%3]
 		s.Users.Cancel(jobs[0])
 		s.Users.Cancel(jobs[1])
 		s.eventually(10*second, "their users are told", toldState(protocol.JobCancelled, jobs[0], jobs[1]))
 		s.Users.OnlyNode = nil
-		s.Run(s.Now + s.cancelSpan() + second)
+		s.Run(s.Now + s.cancelTimeout() + second)
 		s.Cloud.Down = false
 		s.eventually(300*second, "the others are done", toldState(protocol.JobDone, jobs[2], jobs[3]))
 	}
@@ -187,7 +189,7 @@
 
 // A third of all transactions get no answer and are applied 2 to 12 s later, through two crashes
 // of the leader, while users cancel: each write is void or harmless by then.
-func TestLateWritesDuringFailovers(t *testing.T) {
+func TestLateWritesDuringFailoversAreHarmless(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1400+seed, 5*second)
 		s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 0.35, 2*second, 12*second
@@ -215,7 +217,7 @@
 
 // Jobs of three tasks that end far apart, with a crash of the leader between any two of them: a
 // job is done soon after the last of them, and what has completed is not started again.
-func TestTasksEndingAcrossFailovers(t *testing.T) {
+func TestCompletedTasksAreNotRestartedAfterFailovers(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1500+seed)
 		var jobs []*simulation.Job
@@ -247,7 +249,7 @@
 // The leader crashes while its machines hear no answer, or are not heard either, and the cloud
 // does not delete them: what they run is not started elsewhere, their team gets no further task
 // at its limit until theirs are surely gone, and what is cancelled meanwhile is gone in time.
-func TestLeaderCrashDuringOneWayPartition(t *testing.T) {
+func TestLeaderCrashDuringOneWayPartitionKeepsInvariants(t *testing.T) {
 	for _, team := range []string{"red", "blue"} { // with a limit, and without
 		for seed := range uint64(6) {
 			s := newScenario(t, 1600+seed)
@@ -255,7 +257,7 @@
 			spec := simulation.Array(24) // all that team red may use
 			spec.Team = team
 			s.Users.Submit(spec, 60)
-			gone := s.Users.Submit(simulation.Array(16), 200)
+			cancelled := s.Users.Submit(simulation.Array(16), 200)
 			s.eventually(90*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 40 })
 			leader, unreachable := s.leader(), 0
 			for _, worker := range s.Workers {
@@ -264,12 +266,12 @@
 				}
 				unreachable++
 				for _, node := range s.Nodes {
-					link, back := simulation.Dropped, simulation.Link{}
+					link, reverse := simulation.Dropped, simulation.Link{}
 					if seed%2 == 1 {
-						link, back = simulation.Held, simulation.Held
+						link, reverse = simulation.Held, simulation.Held
 					}
 					s.SetLink(node.Label, worker.Info.Name, link)
-					s.SetLink(worker.Info.Name, node.Label, back)
+					s.SetLink(worker.Info.Name, node.Label, reverse)
 					s.After(time.Duration(4+4*seed)*second, func() { s.Heal(node.Label, worker.Info.Name) })
 				}
 			}
@@ -282,8 +284,8 @@
 			more := simulation.Array(6)
 			more.Team = team
 			s.Users.Submit(more, 10)
-			s.Users.Cancel(gone)
-			s.Run(s.Now + s.cancelSpan() + 10*second)
+			s.Users.Cancel(cancelled)
+			s.Run(s.Now + s.cancelTimeout() + 10*second)
 			s.Cloud.Down = false
 			s.eventually(400*second, "the work is done", s.Users.AllFinal)
 		}
@@ -292,7 +294,7 @@
 
 // A copy of every heartbeat arrives up to two leases late, while short tasks come and go: it
 // tells nothing of the machine's present state.
-func TestStaleHeartbeatsAfterNewerOnes(t *testing.T) {
+func TestStaleHeartbeatsAfterNewerOnesAreIgnored(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1700+seed)
 		s.addMachines(6)
@@ -309,7 +311,7 @@
 // All controllers crash while some machines can't be reached, and the first that the next ones
 // hear of these is a stale heartbeat from before they had tasks: what they run is not started
 // elsewhere until it is surely gone.
-func TestStaleHeartbeatIsTheFirstThatAnOwnerHears(t *testing.T) {
+func TestStaleFirstHeartbeatStartsNoTaskTwice(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newScenario(t, 1750+seed)
 		s.addMachines(8)
@@ -333,7 +335,7 @@
 
 // Every command and every answer to the machines is delayed by some seconds, again and again,
 // while jobs are cancelled and others take their capacity.
-func TestDelayedCommands(t *testing.T) {
+func TestDelayedCommandsKeepInvariants(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1800+seed, 8*second)
 		for _, node := range s.Nodes {
@@ -348,7 +350,7 @@
 			}
 		}
 		s.leader().Crash(second)
-		s.Run(s.Now + s.cancelSpan())
+		s.Run(s.Now + s.cancelTimeout())
 		for _, node := range s.Nodes {
 			s.SetLink(node.Label, "workers", simulation.Link{})
 		}
@@ -358,7 +360,7 @@
 
 // The state service is slow, refuses the leader and then everybody for longer than cancel_s,
 // while users cancel and query: they are answered in the end, and what they were told holds.
-func TestStoreSlowThenRefusingThenDown(t *testing.T) {
+func TestCancellationsHoldThroughSlowThenUnavailableStore(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 1900+seed, 4*second)
 		var jobs []*simulation.Job
@@ -375,9 +377,9 @@
 		s.Run(s.Now + time.Duration(1+seed)*second)
 		s.Users.Cancel(jobs[2])
 		s.Run(s.Now + second/2)
-		out := s.cancelSpan() + 20*second
-		s.Store.Outage(out)
-		s.Run(s.Now + out)
+		outage := s.cancelTimeout() + 20*second
+		s.Store.Outage(outage)
+		s.Run(s.Now + outage)
 		delete(s.Store.RefusedNodes, leader.Label)
 		s.Store.ResponseDelay = 0
 		s.Users.FaultsOverAt = s.Now
@@ -388,16 +390,16 @@
 
 // Leaders fail over and back, all controllers crash, and one returns, within a second or some,
 // with one of the production version among them or none.
-func TestFailoverAndFailback(t *testing.T) {
+func TestWorkCompletesAcrossFailoverAndFailback(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newBusyScenario(t, 2000+seed, 10*second)
-		back := []time.Duration{50 * time.Millisecond, second / 5, second, 4 * second}[seed%4]
+		restartDelay := []time.Duration{50 * time.Millisecond, second / 5, second, 4 * second}[seed%4]
 		s.Nodes[seed%3].PreviousVersion = seed >= 4
 		for range 3 {
 			if leader := s.currentLeader(); leader != nil {
-				leader.Crash(back)
+				leader.Crash(restartDelay)
 			}
-			s.Run(s.Now + back/2)
+			s.Run(s.Now + restartDelay/2)
 		}
 		for _, node := range s.Nodes {
 			node.Crash(20 * second) // the later start is the one that counts
@@ -411,7 +413,7 @@
 			}
 		}
 		s.Run(s.Now + second)
-		s.awaitLeader().Crash(back)
+		s.awaitLeader().Crash(restartDelay)
 		s.eventually(300*second, "the work is done", s.Users.AllFinal)
 	}
 }
@@ -455,23 +457,23 @@
 // and with nothing else: no answer renews the lease of a machine and leaves such a task there.
 func TestEveryHeartbeatResponseStopsCancelledTasks(t *testing.T) {
 	s := newScenario(t, 2300)
-	gone, stays := s.Users.Submit(simulation.Array(4), 100), s.Users.Submit(simulation.Array(4), 100)
+	cancelled, other := s.Users.Submit(simulation.Array(4), 100), s.Users.Submit(simulation.Array(4), 100)
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 8 })
-	worker := s.Workers[gone.MachineOf(0)]
-	s.Users.Cancel(gone)
-	s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, gone))
-	old := protocol.Heartbeat{Machine: worker.Info.Name, Addr: worker.Info.Addr, Type: worker.Info.Type, Zone: worker.Info.Zone, Spot: worker.Info.Spot, Session: 1,
+	worker := s.Workers[cancelled.MachineOf(0)]
+	s.Users.Cancel(cancelled)
+	s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, cancelled))
+	stale := protocol.Heartbeat{Machine: worker.Info.Name, Addr: worker.Info.Addr, Type: worker.Info.Type, Zone: worker.Info.Zone, Spot: worker.Info.Spot, Session: 1,
 		Tasks: []protocol.TaskStatus{
-			{Task: protocol.TaskName(gone.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
-			{Task: protocol.TaskName(gone.Spec.ID, 1), Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone},
-			{Task: protocol.TaskName(stays.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
+			{Task: protocol.TaskName(cancelled.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
+			{Task: protocol.TaskName(cancelled.Spec.ID, 1), Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone},
+			{Task: protocol.TaskName(other.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
 		}}
 	var answer protocol.HeartbeatResponse
-	worker.Controller().Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: old} }, func(r core.Reply) {
+	worker.Controller().Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: stale} }, func(r core.Reply) {
 		answer, _ = r.Body.(protocol.HeartbeatResponse)
 	})
 	s.Run(s.Now + second)
-	stop := protocol.Command{Kind: protocol.CommandStop, Task: old.Tasks[0].Task, Attempt: 1}
+	stop := protocol.Command{Kind: protocol.CommandStop, Task: stale.Tasks[0].Task, Attempt: 1}
 	if len(answer.Commands) != 1 || answer.Commands[0] != stop {
 		t.Fatalf("the answer has %+v", answer.Commands)
 	}
@@ -479,32 +481,32 @@
 
 // Cancellations that were learnt in the degraded mode are not forgotten while this node may serve
 // by a mirror from before: the rounds may end, by a crash of a controller, just when that is over.
-func TestLearntCancellationsOutliveAStaleMirror(t *testing.T) {
+func TestLearntCancellationsOutliveStaleMirror(t *testing.T) {
 	for tenths := range 24 {
 		set := simulation.Settings(3)
 		set.Site.Workers.CancelS = 24 // little more than two times the staleness limit and a lease
 		s := &scenario{Cluster: simulation.NewWithSettings(2400, set, simulation.MachineTypes()), t: t}
 		s.Run(2 * second)
 		s.addMachines(12)
-		gone := s.Users.Submit(simulation.Array(40), 100)
-		s.eventually(60*second, "all tasks run", func() bool { return gone.RunningTasks() == 40 })
+		cancelled := s.Users.Submit(simulation.Array(40), 100)
+		s.eventually(60*second, "all tasks run", func() bool { return cancelled.RunningTasks() == 40 })
 		leader, third := s.leader(), s.otherFollower()
 		s.Store.RefusedNodes[leader.Label] = true
 		s.Users.OnlyNode = s.follower()
-		s.Users.Cancel(gone)
-		s.eventually(5*second, "its user is told", toldState(protocol.JobCancelled, gone))
+		s.Users.Cancel(cancelled)
+		s.eventually(5*second, "its user is told", toldState(protocol.JobCancelled, cancelled))
 		s.Store.Outage(60 * second)
 		s.After(3*second+time.Duration(tenths)*second/10, func() { third.Crash(0) })
-		s.Run(s.Now + s.cancelSpan() + second)
+		s.Run(s.Now + s.cancelTimeout() + second)
 		s.requireInvariants()
 	}
 }
 
 // The invariant checker can fail: each of its rules notices a seeded violation.
-func TestCheckerCatchesInterleavingFaults(t *testing.T) {
+func TestCheckerDetectsSeededViolations(t *testing.T) {
 	// reopened brings about that one node, with a slow link to the users, holds a job that was
 	// done as queued again, or does not hold it any more.
-	reopened := func(s *scenario, forgets bool) {
+	reopen := func(s *scenario, forgets bool) {
 		job := s.Users.Submit(simulation.Array(2), 3)
 		s.eventually(40*second, "it is done", toldState(protocol.JobDone, job))
 		s.Run(s.Now + 4*second) // its admission batch is gone
@@ -533,13 +535,13 @@
 		}},
 		"a start long after": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Cancel(red)
-			s.Run(s.Now + s.cancelSpan() + 10*second)
+			s.Run(s.Now + s.cancelTimeout() + 10*second)
 			s.Workers[s.Cloud.AddRunning("box", "b", true)].ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 5*second)
 		}},
 		"a task goes on as its machine does": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Cancel(red)
-			s.Run(s.Now + s.cancelSpan() - 5*second)
+			s.Run(s.Now + s.cancelTimeout() - 5*second)
 			worker := s.Workers[s.Cloud.AddRunning("box", "b", true)]
 			worker.ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 2*second/10)
@@ -566,17 +568,17 @@
 			}
 			s.Run(s.Now + 5*second)
 		}},
-		"an older word that comes last": {"went_back", func(s *scenario, red *simulation.Job) { reopened(s, false) }},
-		"unknown at one node":           {"forgotten", func(s *scenario, red *simulation.Job) { reopened(s, true) }},
+		"an older word that comes last": {"went_back", func(s *scenario, red *simulation.Job) { reopen(s, false) }},
+		"unknown at one node":           {"forgotten", func(s *scenario, red *simulation.Job) { reopen(s, true) }},
 		"accepted though it can't run": {"wrongly_accepted", func(s *scenario, red *simulation.Job) {
 			s.Users.SubmitInvalid(simulation.Array(1))
 			s.Run(s.Now + second)
 		}},
 		"room, and a limit that only the checker lifts": {"left_waiting", func(s *scenario, red *simulation.Job) {
 			s.Settings.Site.Teams = []config.Team{{Name: "red", CPUsMax: 100}}
-			most := simulation.Array(6) // of which each leaves a CPU of its machine
-			most.CPUs = 3
-			s.Users.Submit(most, 300)
+			filler := simulation.Array(6) // of which each leaves a CPU of its machine
+			filler.CPUs = 3
+			s.Users.Submit(filler, 300)
 			more := simulation.Array(2)
 			more.Team = "red"
 			s.Users.Submit(more, 10)
@@ -601,7 +603,7 @@
 }
 
 // The duration of a task that its owner found running is not known when it ends.
-func TestTasksFoundRunningAreNotTimed(t *testing.T) {
+func TestNoDurationIsReportedForTasksFoundRunning(t *testing.T) {
 	s := newScenario(t, 2600)
 	s.addMachines(8)
 	job := s.Users.Submit(simulation.Array(24), 40)
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -27,8 +27,8 @@
 // The ends of the links of three controllers: the leader, two others, the state service, and
 // all workers as one end. A link is a pair of them.
 var (
-	linkEnds  = []string{"leader", "second", "third", "state", "workers"}
-	linkPairs = [][2]int{{0, 3}, {0, 4}, {1, 3}, {1, 4}, {2, 3}, {2, 4}, {0, 1}, {0, 2}, {1, 2}}
+	linkEndpoints = []string{"leader", "second", "third", "state", "workers"}
+	linkPairs     = [][2]int{{0, 3}, {0, 4}, {1, 3}, {1, 4}, {2, 3}, {2, 4}, {0, 1}, {0, 2}, {1, 2}}
 )
 
 // cutSet is a set of directions that are cut: bit 2i for the one of link i that leaves a
@@ -61,7 +61,7 @@
 	var out []string
 	for i, link := range linkPairs {
 		if sign := []string{"", ">", "<", "-"}[c>>(2*i)&3]; sign != "" {
-			out = append(out, linkEnds[link[0]]+sign+linkEnds[link[1]])
+			out = append(out, linkEndpoints[link[0]]+sign+linkEndpoints[link[1]])
 		}
 	}
 	return strings.Join(out, " ")
@@ -89,7 +89,7 @@
 
 // simulateCuts simulates links that are cut, and mended in two parts, the set's lower links
 // first or last.
-func simulateCuts(t testing.TB, c cutSet, how simulation.Link, mode string, lowFirst bool) (result cutResult) {
+func simulateCuts(t testing.TB, c cutSet, blocked simulation.Link, mode string, lowFirst bool) (result cutResult) {
 	result.name = fmt.Sprintf("%s: %s, mended low first %v", mode, c, lowFirst)
 	cluster := simulation.New(7, 3)
 	for i := range 12 {
@@ -97,8 +97,8 @@
 	}
 	s := &scenario{Cluster: cluster, t: t}
 	s.Run(12 * second)
-	ends := s.actualEnds()
-	set := func(part cutSet, link simulation.Link) {
+	ends := s.endpointLabels()
+	setLinks := func(part cutSet, link simulation.Link) {
 		for i, pair := range linkPairs {
 			if part>>(2*i)&1 != 0 {
 				s.SetLink(ends[pair[0]], ends[pair[1]], link)
@@ -108,8 +108,8 @@
 			}
 		}
 	}
-	const cut, mend, rest = 16 * time.Second, 80 * time.Second, 100 * time.Second
-	for at := 6 * second; at < rest; at += 2 * second {
+	const cutAt, firstHealAt, lastHealAt = 16 * time.Second, 80 * time.Second, 100 * time.Second
+	for at := 6 * second; at < lastHealAt; at += 2 * second {
 		s.At(at, func() {
 			spec := simulation.Array(2)
 			spec.ImageGB, spec.EstimateS = 0.1, 3
@@ -120,17 +120,17 @@
 	if !lowFirst {
 		first, last = last, first
 	}
-	s.Run(cut)
-	set(c, how)
-	s.Run(mend - 20*second)
+	s.Run(cutAt)
+	setLinks(c, blocked)
+	s.Run(firstHealAt - 20*second)
 	before := s.Users.Starts
-	s.Run(mend)
+	s.Run(firstHealAt)
 	result.starts = s.Users.Starts - before
 	result.timedOutUsers = s.Users.TimedOut
-	set(first, simulation.Link{})
-	s.Run(rest)
-	set(last, simulation.Link{})
-	if !s.RunUntil(rest+150*second, s.Users.AllFinal) {
+	setLinks(first, simulation.Link{})
+	s.Run(lastHealAt)
+	setLinks(last, simulation.Link{})
+	if !s.RunUntil(lastHealAt+150*second, s.Users.AllFinal) {
 		result.failure = "the work does not end"
 	}
 	if len(s.Violations) > 0 {
@@ -140,8 +140,8 @@
 	return result
 }
 
-// actualEnds are the labels that stand for linkEnds in a cluster.
-func (s *scenario) actualEnds() []string {
+// endpointLabels are the labels that stand for linkEnds in a cluster.
+func (s *scenario) endpointLabels() []string {
 	ends := []string{s.leader().Label}
 	for _, node := range s.Nodes {
 		if node.Label != ends[0] {
@@ -175,14 +175,14 @@
 	var simulations errgroup.Group
 	simulations.SetLimit(runtime.NumCPU())
 	for _, c := range sets {
-		for mode, how := range map[string]simulation.Link{"held": simulation.Held, "dropped": simulation.Dropped} {
+		for mode, blocked := range map[string]simulation.Link{"held": simulation.Held, "dropped": simulation.Dropped} {
 			for _, lowFirst := range []bool{true, false} {
 				if bits.OnesCount32(uint32(c)) <= 2 && !lowFirst && !*everyCut {
 					continue
 				}
 				simulations.Go(func() error {
-					result := simulateCuts(t, c, how, mode, lowFirst)
-					result.judge(c)
+					result := simulateCuts(t, c, blocked, mode, lowFirst)
+					result.check(c)
 					mu.Lock()
 					defer mu.Unlock()
 					results = append(results, result)
@@ -236,8 +236,8 @@
 	return sets
 }
 
-// judge notes as a failure what must not happen with a set of cuts.
-func (r *cutResult) judge(c cutSet) {
+// check notes as a failure what must not happen with a set of cuts.
+func (r *cutResult) check(c cutSet) {
 	switch {
 	case r.failure != "":
 	case c.workMustContinue() && r.starts == 0:
@@ -266,11 +266,11 @@
 
 // A leader whose requests arrive at the state service and whose answers are lost lets its lease
 // expire: its renewals kept its keys alive, and nobody led for as long as that lasted.
-func TestLeaderWithoutAnswersLetsItsLeaseExpire(t *testing.T) {
-	for seed, how := range []simulation.Link{simulation.Dropped, simulation.Held} {
+func TestLeaderWithoutResponsesLetsItsLeaseExpire(t *testing.T) {
+	for seed, blocked := range []simulation.Link{simulation.Dropped, simulation.Held} {
 		s := newBusyScenario(t, 400+uint64(seed), 10*second)
 		leader := s.leader()
-		s.SetLink("state", leader.Label, how)
+		s.SetLink("state", leader.Label, blocked)
 		s.eventually(40*second, "another leads", func() bool { return s.anotherLeads(leader) })
 		s.Run(s.Now + 30*second)
 		s.SetLink("state", leader.Label, simulation.Link{})
@@ -292,9 +292,9 @@
 	}
 	s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(leader) })
 	for range 600 {
-		was := s.currentLeader()
+		previous := s.currentLeader()
 		s.Run(s.Now + second)
-		if s.currentLeader() != was {
+		if s.currentLeader() != previous {
 			changes++
 		}
 	}
@@ -322,11 +322,11 @@
 // take the machines that they serve meanwhile, whether it knows already that it reaches none or
 // has yet to find out.
 func TestLeaderWithoutReachableMachinesTakesNone(t *testing.T) {
-	for seed, knows := range []bool{true, false} {
+	for seed, detected := range []bool{true, false} {
 		s := startWithMachines(t, 420+uint64(seed), 60)
 		leader := s.leader()
 		s.Partition(leader.Label, "workers", false)
-		if s.Run(s.Now + 2*second); knows {
+		if s.Run(s.Now + 2*second); detected {
 			s.eventually(15*second, "it leaves the shard map", func() bool { return s.logged("leaving the shard map") })
 			s.Run(s.Now + 5*second)
 		}
@@ -371,7 +371,7 @@
 
 // A controller that loses the machines notices it soon after a heartbeat period, whatever the
 // lease; one whose process only stood still does not leave the shard map.
-func TestUnreachableMachinesAreNoticedWithinAReportPeriod(t *testing.T) {
+func TestUnreachableMachinesAreDetectedSoonAfterAHeartbeatPeriod(t *testing.T) {
 	s := startWithMachines(t, 440, 60)
 	node := s.follower()
 	node.Pause(5 * second) // less than its lease
@@ -385,7 +385,7 @@
 
 // A member whose machines are heard and hear nothing gives them up before their leases end,
 // whether its calls are lost or their answers.
-func TestOneWayPartitionFromTheMachines(t *testing.T) {
+func TestMemberLeavesShardMapDuringOneWayPartition(t *testing.T) {
 	s := newScenario(t, 450)
 	for range 30 {
 		s.Cloud.AddRunning("box", "b", true)
@@ -413,15 +413,15 @@
 	s.Heal(node.Label, "state")
 	s.eventually(10*second, "it is ready", func() bool { return node.Ready })
 	s.Store.Outage(20 * second)
-	nobody := time.Duration(0)
+	noneReady := time.Duration(0)
 	for range 200 {
 		s.Run(s.Now + second/10)
 		if !slices.ContainsFunc(s.Nodes, func(n *simulation.Node) bool { return n.Ready }) {
-			nobody += second / 10
+			noneReady += second / 10
 		}
 	}
-	if nobody > second {
-		t.Fatalf("for %v of an outage users find nobody", nobody)
+	if noneReady > second {
+		t.Fatalf("for %v of an outage users find nobody", noneReady)
 	}
 }
 
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -183,7 +183,7 @@
 	},
 	"cancellation then outage": func(f *fault) { // jobs are cancelled through those who are still served
 		alone := drawSpan(f.rt, "the leader alone for", 0.5, 4.5)
-		outage := f.s.cancelSpan() + drawSpan(f.rt, "longer by", 1, 30)
+		outage := f.s.cancelTimeout() + drawSpan(f.rt, "longer by", 1, 30)
 		f.lastsUntil(f.at + alone + outage)
 		f.atStart(func() {
 			f.refuseLeader(alone + outage)
@@ -214,7 +214,7 @@
 	"leader partitioned from all but workers and users": func(f *fault) {
 		f.atStart(func() {
 			if leader := f.s.currentLeader(); leader != nil {
-				f.s.partition(f.span, leader.Label, f.s.otherEnds(leader)...)
+				f.s.partition(f.span, leader.Label, f.s.otherEndpoints(leader)...)
 			}
 			f.s.After(f.span/4, func() { f.cancelRunning(f.s, f.count) })
 		})
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -12,7 +12,7 @@
 
 // An outage longer than the workers' lease: controllers must stop answering, workers drop
 // their tasks, and none of them may run twice afterwards.
-func TestStoreOutageBeyondWorkerLease(t *testing.T) {
+func TestNoTaskRunsTwiceAfterStoreOutageBeyondWorkerLease(t *testing.T) {
 	s := newScenario(t, 6)
 	job := s.Users.Submit(simulation.Array(16), 40)
 	s.eventually(60*second, "tasks run", func() bool { return job.RunningTasks() > 8 })
@@ -24,7 +24,7 @@
 
 // A controller that is refused by the state service alone still receives its workers' heartbeats;
 // it must stop answering them before the others start their tasks elsewhere.
-func TestControllerRefusedByStore(t *testing.T) {
+func TestControllerRefusedByStoreStopsResponding(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 10+seed, 20*second)
 		node := s.Nodes[seed%3]
@@ -120,22 +120,22 @@
 func TestStoreOutageSeenByAllEndsNoTask(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newScenario(t, 520+seed)
-		long, gone := s.Users.Submit(simulation.Array(12), 150), s.Users.Submit(simulation.Array(6), 300)
+		long, cancelled := s.Users.Submit(simulation.Array(12), 150), s.Users.Submit(simulation.Array(6), 300)
 		s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 18 })
-		s.Users.Cancel(gone)
-		s.eventually(second, "its user is told", func() bool { return gone.LastState == protocol.JobCancelled })
+		s.Users.Cancel(cancelled)
+		s.eventually(second, "its user is told", func() bool { return cancelled.LastState == protocol.JobCancelled })
 		s.Store.Outage(70 * second) // the others have not seen it
 		s.Run(s.Now + 12*second)
-		if n := gone.RunningTasks(); n > 0 {
+		if n := cancelled.RunningTasks(); n > 0 {
 			t.Fatalf("%d tasks of the cancelled job run", n)
 		}
-		least := 12
+		leastRunning := 12
 		for range 56 {
 			s.Run(s.Now + second)
-			least = min(least, long.RunningTasks())
+			leastRunning = min(leastRunning, long.RunningTasks())
 		}
-		if least < 12 {
-			t.Fatalf("%d of 12 tasks were left", least)
+		if leastRunning < 12 {
+			t.Fatalf("%d of 12 tasks were left", leastRunning)
 		}
 		s.requireInvariants()
 		s.eventually(120*second, "the job is done", func() bool { return long.LastState == protocol.JobDone })
@@ -145,22 +145,22 @@
 // Where one controller is away, or is served while the others are not, or is of a version that
 // does not list all cancellations that it may have confirmed, nobody enters degraded mode.
 func TestDegradedModeRequiresEveryController(t *testing.T) {
-	for away := range 3 {
-		s := newScenario(t, 530+uint64(away))
+	for variant := range 3 {
+		s := newScenario(t, 530+uint64(variant))
 		job := s.Users.Submit(simulation.Array(12), 150)
 		s.eventually(60*second, "all tasks run", func() bool { return job.RunningTasks() == 12 })
-		one := s.follower()
-		switch away {
+		follower := s.follower()
+		switch variant {
 		case 0:
 			for _, node := range s.Nodes {
-				s.Store.RefusedNodes[node.Label] = node != one
+				s.Store.RefusedNodes[node.Label] = node != follower
 			}
 		case 1:
-			one.Crash(0)
+			follower.Crash(0)
 			s.Store.Outage(60 * second)
 		case 2:
-			one.PreviousVersion = true
-			one.Crash(second / 5)
+			follower.PreviousVersion = true
+			follower.Crash(second / 5)
 			s.Run(s.Now + 15*second)
 			s.Store.Outage(60 * second)
 		}
