--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -14,19 +14,19 @@
 // quotaTeams are the teams of startAtQuota, each with a quota of sixteen CPUs.
 var quotaTeams = []string{"red", "blue", "guest"}
 
-// startAtQuota has every team at its quota with two long jobs, machines full of their tasks, as
-// many free, and more jobs waiting.
+// startAtQuota starts a scenario in which two long jobs of each team use all of its quota and another
+// job of each team waits. Of the 24 machines, the running jobs fill half, and the others are free.
 func startAtQuota(t *testing.T, seed uint64, controllers int) (s *scenario, running, waiting []*simulation.Job) {
 	s = startScenario(t, seed, controllers, func(site *config.Site) {
 		site.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8, CPUsMax: 16}, {Name: "guest", CPUs: 4, CPUsMax: 16}}
 	})
-	s.addMachines(24) // of which half stay free
+	s.addMachines(24) // half of them stay free
 	for _, team := range quotaTeams {
 		spec := simulation.Array(8)
 		spec.Team = team
 		running = append(running, s.Users.Submit(spec, 500), s.Users.Submit(spec, 500))
 	}
-	s.eventually(60*second, "all quotas are reached", func() bool { return s.Users.RunningTasks() == 48 })
+	s.eventually(60*second, "all teams use their quotas", func() bool { return s.Users.RunningTasks() == 48 })
 	for _, team := range quotaTeams {
 		spec := simulation.Array(8)
 		spec.Team = team
@@ -36,7 +36,7 @@
 	return s, running, waiting
 }
 
-// machineFailures are the ways in which machines fail while they hold a quota.
+// machineFailures are the ways in which machines fail while their tasks use a team's quota.
 var machineFailures = map[string]func(s *scenario, machine *simulation.Worker, variant int){
 	"partitioned": func(s *scenario, machine *simulation.Worker, variant int) {
 		for _, node := range s.Nodes {
@@ -56,16 +56,16 @@
 	},
 }
 
-// Every team is at its quota and jobs are cancelled whose machines fail, while the leader
-// crashes once, or three times: no quota is exceeded, and what was freed is used again within a
-// lease and two heartbeats of the last crash.
+// Every team is at its quota. One job of each team is cancelled while its machines fail, and then the
+// leader crashes once, or three times. No quota may be exceeded, and each team must use the freed part of
+// its quota again within a lease and two heartbeats after the last crash.
 func TestQuotasHoldDuringFailovers(t *testing.T) {
 	for name, fail := range machineFailures {
 		for _, crashes := range []int{1, 3} {
 			t.Run(fmt.Sprintf("%s, %d crashes", name, crashes), func(t *testing.T) {
 				acrossSeeds(t, 3200, 2, func(t *testing.T, variant, controllers int, seed uint64) {
 					s, running, waiting := startAtQuota(t, seed, controllers)
-					s.Cloud.Down = true // or the machines would be deleted, which frees them at once
+					s.Cloud.Down = true // otherwise the machines would be deleted, which frees the quota at once
 					for _, job := range []*simulation.Job{running[0], running[2], running[4]} {
 						for i := range 8 {
 							if machine := s.Workers[job.MachineOf(i)]; machine != nil {
@@ -87,8 +87,9 @@
 	}
 }
 
-// crashLeaderAndSubmit crashes the leader and submits a job for the team of each of the running
-// ones, which waits for no machine to be seen.
+// crashLeaderAndSubmit crashes the leader and, once another controller leads, submits a job for the team
+// of each running job. Since these jobs are newer than the leader's term, they do not wait until every
+// machine has been seen.
 func (s *scenario) crashLeaderAndSubmit(running []*simulation.Job) (submitted []*simulation.Job) {
 	s.crashLeader(second / 5)
 	s.Run(s.Now + second)
@@ -101,12 +102,13 @@
 	return submitted
 }
 
-// requireStarts fails the test unless each team starts one of the jobs in the time that the next
-// leader needs for its first shard map, the former owner's last answers, a lease and its drift.
+// requireStarts fails the test unless a task of each team starts among the given jobs within a lease and
+// two heartbeats. That is the time for the next leader's first shard map, the last responses of the
+// machines' former owner, a lease, and the drift of the clocks.
 func (s *scenario) requireStarts(jobs []*simulation.Job) {
 	s.t.Helper()
 	workers := s.Settings.Site.Workers
-	s.eventually(config.Seconds(workers.LeaseS+2*workers.HeartbeatS), "each team starts something again", func() bool {
+	s.eventually(config.Seconds(workers.LeaseS+2*workers.HeartbeatS), "each team starts a task again", func() bool {
 		started := map[string]bool{}
 		for _, job := range jobs {
 			started[job.Spec.Team] = started[job.Spec.Team] || job.RunningTasks()+s.Users.CompletedTasks(job) > 0
@@ -115,26 +117,27 @@
 	})
 }
 
-// handovers are the ways in which the shard of one controller goes to others, and back.
+// handovers are the ways in which the shard of one controller is handed over to others, and back.
 var handovers = map[string]func(s *scenario, owner *simulation.Node){
-	"crashes":               func(s *scenario, owner *simulation.Node) { owner.Crash(30 * second) },
-	"crashes, back at once": func(s *scenario, owner *simulation.Node) { owner.Crash(50 * time.Millisecond) },
-	"crashes, back soon":    func(s *scenario, owner *simulation.Node) { owner.Crash(3 * second) },
-	"is paused":             func(s *scenario, owner *simulation.Node) { owner.Pause(12 * second) },
+	"crashes":                          func(s *scenario, owner *simulation.Node) { owner.Crash(30 * second) },
+	"crashes and restarts after 50 ms": func(s *scenario, owner *simulation.Node) { owner.Crash(50 * time.Millisecond) },
+	"crashes and restarts after 3 s":   func(s *scenario, owner *simulation.Node) { owner.Crash(3 * second) },
+	"is paused":                        func(s *scenario, owner *simulation.Node) { owner.Pause(12 * second) },
 	"isolated": func(s *scenario, owner *simulation.Node) {
 		s.partition(25*second, owner.Label, append(s.otherEndpoints(owner), "workers")...)
 	},
-	"partitioned from workers": func(s *scenario, owner *simulation.Node) { s.partition(25*second, owner.Label, "workers") },
-	"refused by the store":     func(s *scenario, owner *simulation.Node) { s.Store.RefusedNodes[owner.Label] = true },
+	"partitioned from workers":     func(s *scenario, owner *simulation.Node) { s.partition(25*second, owner.Label, "workers") },
+	"refused by the state service": func(s *scenario, owner *simulation.Node) { s.Store.RefusedNodes[owner.Label] = true },
 	"crashes with another": func(s *scenario, owner *simulation.Node) {
 		owner.Crash(second)
 		s.Nodes[(slices.Index(s.Nodes, owner)+1)%len(s.Nodes)].Crash(2 * second)
 	},
 }
 
-// One controller's machines go to others, or back, while starts are dispatched, in answers to
-// heartbeats and in direct calls; jobs are cancelled through the former owner, a new one and a
-// third, in every tenth of a second of it: none of their tasks is left or starts too late.
+// The machines of one controller are handed over to others, or back, while starts are dispatched in
+// responses to heartbeats and in direct calls. Meanwhile, in each tenth of a second a job is submitted
+// that is cancelled later, through the former owner, a new one or a third controller. No task of these
+// jobs may be left running, or start too late.
 func TestCancellationDuringShardHandover(t *testing.T) {
 	lateStarts, starts := 0, 0
 	for name, handOver := range handovers {
@@ -149,7 +152,7 @@
 					}
 					handOver(s, owner)
 					jobs := s.submitAndCancel(60, variant == 1)
-					s.eventually(s.cancelTimeout()+20*second, "all are cancelled", func() bool {
+					s.eventually(s.cancelTimeout()+20*second, "all jobs are cancelled", func() bool {
 						s.Store.RefusedNodes = map[string]bool{}
 						return toldState(protocol.JobCancelled, jobs...)()
 					})
@@ -162,13 +165,15 @@
 			})
 		}
 	}
-	if lateStarts*1000 > starts { // no invariant, but one in a thousand is seen
-		t.Fatalf("%d of %d starts came after a cancellation was confirmed", lateStarts, starts)
+	// A start may arrive at a machine after the cancellation was confirmed, which violates no
+	// invariant, but happens only rarely.
+	if lateStarts*1000 > starts {
+		t.Fatalf("%d of %d starts came after a cancellation was confirmed, more than one in a thousand", lateStarts, starts)
 	}
 }
 
-// submitAndCancel submits a job every tenth of a second and has each cancelled a while later,
-// through one controller after another, perhaps with crashes of the leader.
+// submitAndCancel submits a job every tenth of a second and cancels each 0.5 to 8.2 s later, through one
+// controller after another. With crashes set, the leader crashes at every twentieth job.
 func (s *scenario) submitAndCancel(count int, crashes bool) (jobs []*simulation.Job) {
 	for k := range count {
 		job := s.Users.Submit(simulation.Array(2), 60)
@@ -179,7 +184,7 @@
 		through := s.Nodes[k%len(s.Nodes)]
 		s.After(time.Duration(5+k%12*7)*second/10, func() {
 			if through.Alive() && through.Ready {
-				s.cancelIgnoringReply(through, job) // whoever tells of it first
+				s.cancelIgnoringReply(through, job) // in addition to Cancel, whichever is confirmed first
 			}
 			s.Users.Cancel(job)
 		})
@@ -188,8 +193,8 @@
 	return jobs
 }
 
-// Leaders change ten times in two minutes, also during an outage of the state service that all
-// see, while jobs come, end and are cancelled.
+// The leader crashes up to ten times in two minutes, in half of the runs also during an outage of the
+// state service that affects all controllers, while jobs are submitted, end and are cancelled.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprintf("outage %v", outage), func(t *testing.T) {
@@ -205,7 +210,7 @@
 					if outage && k == 4 {
 						s.Store.Outage(40 * second)
 					}
-					// Whoever leads, or would if the state service answered: any of them may.
+					// During the outage the leader may be one that cannot reach the state service.
 					if leader := s.currentLeader(); leader != nil {
 						leader.Crash([]time.Duration{50 * time.Millisecond, second / 5, 2 * second}[k%3])
 						crashes++
@@ -213,7 +218,7 @@
 					s.Run(s.Now + 12*second)
 				}
 				if crashes < 5 {
-					t.Fatalf("only %d leaders crashed", crashes)
+					t.Fatalf("leaders crashed only %d times, want at least 5", crashes)
 				}
 				s.recoverAndFinish(200 * second)
 			})
@@ -221,19 +226,19 @@
 	}
 }
 
-// All controllers are down for longer than a worker's lease, with machines that were full: what
-// they ran is started again once, each team within its quota, and what was cancelled just before
-// stays so.
+// All controllers are down for 8 to 26 s, up to well over a worker's lease, while all machines are full.
+// The tasks that are lost must be started again only once, and each team must stay within its quota. A
+// job that was cancelled just before must stay cancelled.
 func TestAllControllersDownPastWorkerLease(t *testing.T) {
 	acrossSeeds(t, 4300, 4, func(t *testing.T, variant, controllers int, seed uint64) {
 		s, toCancel := startFull(t, seed, controllers)
 		s.Users.Cancel(toCancel)
 		s.RunUntil(s.Now+2*second, toldState(protocol.JobCancelled, toCancel))
-		down := time.Duration(8+6*variant) * second // up to well over the lease
+		down := time.Duration(8+6*variant) * second // 8 to 26 s, while the lease is 16 s
 		for i, node := range s.Nodes {
 			node.Crash(down + time.Duration(i)*second*time.Duration(variant%2*3))
 		}
-		for _, machine := range s.SomeWorkers(8) { // which come back to them later than the others
+		for _, machine := range s.SomeWorkers(8) { // these are unreachable until 5 s later than the others
 			for _, node := range s.Nodes {
 				s.Partition(node.Label, machine.Info.Name, false)
 				s.After(down+5*second, func() { s.Heal(node.Label, machine.Info.Name) })
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -12,28 +12,29 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Scenarios in which two faults meet; docs/fault-interleavings.md says what each goes through.
+// Scenarios of fault interleavings, in which two faults overlap. docs/fault-interleavings.md describes
+// each of them.
 
-// cancelTimeout is the time in which the tasks of a cancelled job must have ended.
+// cancelTimeout is the time within which the tasks of a cancelled job must have ended.
 func (s *scenario) cancelTimeout() time.Duration {
 	return config.Seconds(s.Settings.Site.Workers.CancelS)
 }
 
-// cancelIgnoringReply has a user ask a node to cancel a job, and hear nothing of its answer.
+// cancelIgnoringReply has a user ask a node to cancel a job. The user does not receive the reply.
 func (s *scenario) cancelIgnoringReply(node *simulation.Node, job *simulation.Job) {
 	s.Users.NoteCancelRequested(job)
 	node.Request(func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: job.Spec.ID} }, func(core.Reply) {})
 }
 
-// otherFollower is the controller that neither leads nor is the follower of this scenario.
+// otherFollower returns a controller that is neither the leader nor the one that follower returns.
 func (s *scenario) otherFollower() *simulation.Node {
 	i := slices.IndexFunc(s.Nodes, func(node *simulation.Node) bool { return !node.Core.IsLeader() && node != s.follower() })
 	return s.Nodes[i]
 }
 
-// cancellationThenOutage begins a scenario in which the state service refuses the leader alone,
-// a user is told that a job is cancelled, in the way that confirm brings about, and then no
-// controller is served for longer than cancel_s.
+// cancellationThenOutage starts a scenario in which the state service refuses only the leader's
+// requests, then a controller confirms to a user that a job is cancelled, for which confirm
+// arranges, and then the state service is down for 20 s longer than cancel_s.
 func cancellationThenOutage(t *testing.T, seed uint64, confirm func(s *scenario, cancelled *simulation.Job)) (s *scenario, long, cancelled *simulation.Job) {
 	s = newScenario(t, seed)
 	long, cancelled = s.Users.Submit(simulation.Array(12), 200), s.Users.Submit(simulation.Array(6), 300)
@@ -41,14 +42,14 @@
 	leader := s.leader()
 	s.Store.RefusedNodes[leader.Label] = true
 	confirm(s, cancelled)
-	s.eventually(5*second, "its user is told", func() bool { return cancelled.LastState == protocol.JobCancelled })
+	s.eventually(5*second, "the cancellation is confirmed to the user", func() bool { return cancelled.LastState == protocol.JobCancelled })
 	s.Store.Outage(s.cancelTimeout() + 20*second)
 	return s, long, cancelled
 }
 
-// Through an outage of the state service the tasks of every job that any user was told is
-// cancelled are stopped in time, whoever wrote the cancellation and however the one who confirmed
-// it knew; the other tasks run on.
+// During an outage of the state service, the tasks of every job whose cancellation was confirmed to a
+// user are stopped in time. This holds whichever controller wrote the cancellation, and however the
+// controller that confirmed it had learnt of it. All other tasks continue to run.
 func TestCancellationSurvivesStoreOutage(t *testing.T) {
 	withoutResponse := func(s *scenario, f func()) {
 		s.Store.DelayedCommitShare, s.Store.MaxCommitDelay = 1, time.Millisecond
@@ -57,16 +58,16 @@
 		s.Store.DelayedCommitShare = 0
 	}
 	for name, confirm := range map[string]func(*scenario, *simulation.Job){
-		"by who wrote it": func(s *scenario, job *simulation.Job) { s.Users.Cancel(job) },
-		"by who got no answer to its write": func(s *scenario, job *simulation.Job) {
+		"confirmed by the controller that wrote it": func(s *scenario, job *simulation.Job) { s.Users.Cancel(job) },
+		"confirmed by the controller whose write got no response": func(s *scenario, job *simulation.Job) {
 			withoutResponse(s, func() { s.Users.Cancel(job) })
 		},
-		"by another whose mirror holds it": func(s *scenario, job *simulation.Job) {
+		"confirmed by another controller whose mirror has it": func(s *scenario, job *simulation.Job) {
 			withoutResponse(s, func() { s.cancelIgnoringReply(s.follower(), job) })
 			s.Users.OnlyNode = s.otherFollower()
 			s.Users.Cancel(job)
 		},
-		"by a poll": func(s *scenario, job *simulation.Job) {
+		"confirmed in response to a poll": func(s *scenario, job *simulation.Job) {
 			withoutResponse(s, func() { s.cancelIgnoringReply(s.follower(), job) })
 			s.Users.OnlyNode = s.otherFollower()
 		},
@@ -81,24 +82,25 @@
 				}
 				s.requireInvariants()
 				if cancelled.RunningTasks() > 0 || leastRunning < 12 {
-					t.Fatalf("%d tasks of the cancelled job run, %d of 12 of the other were left", cancelled.RunningTasks(), leastRunning)
+					t.Fatalf("%d tasks of the cancelled job are running, want none; at one time only %d of the 12 tasks of the other job were running", cancelled.RunningTasks(), leastRunning)
 				}
 				s.Store.RefusedNodes, s.Users.OnlyNode = map[string]bool{}, nil
-				s.eventually(200*second, "the work goes on", func() bool { return long.LastState == protocol.JobDone })
+				s.eventually(200*second, "the other job is done", func() bool { return long.LastState == protocol.JobDone })
 			}
 		})
 	}
 }
 
-// A controller's first write gets no answer; its process crashes and the next one is back at
-// once. Applied late, the former process's write does not displace the new one.
+// The first write of a restarted controller, which registers its process, gets no response. The
+// process crashes, and the next one starts at once. The write is applied late, when the new process
+// is already in the shard map, and must not remove the new process from it.
 func TestLateWriteOfPreviousProcessHasNoEffect(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 1100+seed, 10*second)
 		node := s.follower()
 		node.Crash(second)
 		s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 4*second, 5*second
-		s.eventually(5*second, "its key is being written", func() bool {
+		s.eventually(5*second, "the restarted controller writes its key", func() bool {
 			s.Store.DelayedCommitShare = 0
 			if node.Alive() {
 				s.Store.DelayedCommitShare = 1
@@ -107,18 +109,19 @@
 		})
 		s.Store.DelayedCommitShare = 0
 		node.Crash(second / 5)
-		s.eventually(5*second, "the next process is in the map", func() bool { return s.logged("controller rejoined the shard map") })
+		s.eventually(5*second, "the next process is in the shard map", func() bool { return s.logged("controller rejoined the shard map") })
 		s.Logs = nil
 		s.Run(s.Now + 12*second)
 		if s.logged("controller left the shard map") {
-			t.Fatalf("it lost its place\n%s", s.lastLogs(*logLines))
+			t.Fatalf("a controller was removed from the shard map\n%s", s.lastLogs(*logLines))
 		}
-		s.eventually(120*second, "the work is done", s.Users.AllFinal)
+		s.eventually(120*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// Most machines die and all controllers crash: the next leader, which knows of those machines
-// from the registry alone, learns from the cloud that they are gone, and waits for none.
+// All machines but one are terminated, and all controllers crash. The next leader knows of those
+// machines only from the machine registry. It learns from the cloud that they no longer exist, and must
+// not wait for any of them.
 func TestFailoverDoesNotWaitForTerminatedMachines(t *testing.T) {
 	for seed := range uint64(4) {
 		s := startWithMachines(t, 1200+seed, 10)
@@ -129,12 +132,12 @@
 			node.Crash(second + time.Duration(i)*3*second)
 		}
 		s.Logs = nil
-		s.eventually(45*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
-		s.eventually(200*second, "the work is done", s.Users.AllFinal)
+		s.eventually(45*second, "every machine has been seen", func() bool { return s.logged("every machine has been seen") })
+		s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// addMachines adds machines, and runs until they are heard.
+// addMachines adds running machines, and runs the scenario until their heartbeats have arrived.
 func (s *scenario) addMachines(count int) {
 	for range count {
 		s.Cloud.AddRunning("box", "b", true)
@@ -142,7 +145,7 @@
 	s.Run(s.Now + 6*second)
 }
 
-// otherEndpoints are the labels of the state service and of all controllers but one.
+// otherEndpoints returns the labels of the state service and of all controllers except one.
 func (s *scenario) otherEndpoints(except *simulation.Node) []string {
 	labels := []string{"state"}
 	for _, node := range s.Nodes {
@@ -153,21 +156,23 @@
 	return labels
 }
 
-// A leader is cut from the state service and the other controllers while its workers and users
-// reach it, and jobs are cancelled through the new leader: the old one ceases to answer workers
-// soon enough for every cancelled task to be gone in time.
+// A leader is partitioned from the state service and the other controllers, while its workers and
+// users still reach it. Jobs are cancelled through the new leader. The old leader must stop responding
+// to its workers early enough that every task of a cancelled job has ended in time.
 func TestCancellationThroughNewLeaderStopsTasksInTime(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1300+seed)
-		s.addMachines(12) // on which each controller has some tasks
+		s.addMachines(12) // so many that each controller owns some that run tasks
 		var jobs []*simulation.Job
 		for range 4 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(12), 120))
 		}
 		s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 48 })
 		leader := s.leader()
-		s.Cloud.Down = true                // or the machines that it answers would be given up and deleted
-		for _, worker := range s.Workers { // nor do the others reach its machines, or a raised token would end it
+		s.Cloud.Down = true // otherwise the old leader's machines would be deleted
+		// The others don't reach the old leader's machines either. Otherwise they would fence these with
+		// a newer token, and the old leader's responses would have no effect.
+		for _, worker := range s.Workers {
 			for _, other := range s.Nodes {
 				if worker.Controller() == leader && other != leader {
 					s.partition(70*second, other.Label, worker.Info.Name)
@@ -179,16 +184,17 @@
 		s.Users.OnlyNode = s.Nodes[(slices.Index(s.Nodes, leader)+1)%3]
 		s.Users.Cancel(jobs[0])
 		s.Users.Cancel(jobs[1])
-		s.eventually(10*second, "their users are told", toldState(protocol.JobCancelled, jobs[0], jobs[1]))
+		s.eventually(10*second, "the cancellations are confirmed to the users", toldState(protocol.JobCancelled, jobs[0], jobs[1]))
 		s.Users.OnlyNode = nil
 		s.Run(s.Now + s.cancelTimeout() + second)
 		s.Cloud.Down = false
-		s.eventually(300*second, "the others are done", toldState(protocol.JobDone, jobs[2], jobs[3]))
+		s.eventually(300*second, "the other jobs are done", toldState(protocol.JobDone, jobs[2], jobs[3]))
 	}
 }
 
-// A third of all transactions get no answer and are applied 2 to 12 s later, through two crashes
-// of the leader, while users cancel: each write is void or harmless by then.
+// A third of all transactions get no response and are applied 2 to 12 s later, while users cancel jobs
+// and the leader crashes twice. When such a write is applied, either its guards reject it or it does no
+// harm.
 func TestLateWritesDuringFailoversAreHarmless(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1400+seed, 5*second)
@@ -209,14 +215,14 @@
 		s.Store.DelayedCommitShare = 0
 		s.Run(s.Now + 13*second)
 		s.Users.FaultsOverAt = s.Now
-		s.eventually(300*second, "all is over", s.Users.AllFinal)
+		s.eventually(300*second, "all jobs are final", s.Users.AllFinal)
 		s.Run(s.Now + 20*second)
 		s.requireInvariants()
 	}
 }
 
-// Jobs of three tasks that end far apart, with a crash of the leader between any two of them: a
-// job is done soon after the last of them, and what has completed is not started again.
+// The three tasks of each job end far apart, and the leader crashes between any two of these ends. A
+// job must be done soon after its last task has ended, and completed tasks must not be started again.
 func TestCompletedTasksAreNotRestartedAfterFailovers(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1500+seed)
@@ -228,9 +234,9 @@
 		}
 		s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 15 })
 		ended := 0
-		for ended < 15 { // no write records it before the leader crashes
+		for ended < 15 { // the leader crashes before a write that records an end is applied
 			s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 1, 12*second, 12*second
-			s.eventually(60*second, "another task ends", func() bool { return s.Users.CompletedTasks(jobs...) > ended })
+			s.eventually(60*second, "another task completes", func() bool { return s.Users.CompletedTasks(jobs...) > ended })
 			s.Run(s.Now + 11*second)
 			s.Store.DelayedCommitShare = 0
 			ended = s.Users.CompletedTasks(jobs...)
@@ -239,22 +245,24 @@
 			}
 			s.Run(s.Now + 6*second)
 		}
-		s.eventually(30*second, "all are done", toldState(protocol.JobDone, jobs...))
+		s.eventually(30*second, "all jobs are done", toldState(protocol.JobDone, jobs...))
 		if s.Users.RepeatedStarts > 0 {
-			t.Fatalf("%d completed tasks were started again", s.Users.RepeatedStarts)
+			t.Fatalf("completed tasks were started again %d times", s.Users.RepeatedStarts)
 		}
 	}
 }
 
-// The leader crashes while its machines hear no answer, or are not heard either, and the cloud
-// does not delete them: what they run is not started elsewhere, their team gets no further task
-// at its limit until theirs are surely gone, and what is cancelled meanwhile is gone in time.
+// The leader crashes while its machines are behind a partition, and the cloud deletes no machines. In
+// half of the runs the partition is one-way, and the machines only receive nothing; in the others
+// nothing that they send arrives either. Their tasks must not be started elsewhere. Their team, which is
+// at its quota, must not start further tasks until those on the machines have certainly ended. Tasks of
+// a job that is cancelled meanwhile must have ended in time.
 func TestLeaderCrashDuringOneWayPartitionKeepsInvariants(t *testing.T) {
-	for _, team := range []string{"red", "blue"} { // with a limit, and without
+	for _, team := range []string{"red", "blue"} { // red has a quota, blue has none
 		for seed := range uint64(6) {
 			s := newScenario(t, 1600+seed)
 			s.addMachines(16)
-			spec := simulation.Array(24) // all that team red may use
+			spec := simulation.Array(24) // uses all of team red's quota
 			spec.Team = team
 			s.Users.Submit(spec, 60)
 			cancelled := s.Users.Submit(simulation.Array(16), 200)
@@ -276,24 +284,24 @@
 				}
 			}
 			if unreachable < 2 {
-				t.Fatalf("the leader owns %d machines", unreachable)
+				t.Fatalf("the leader owns %d machines, want at least 2", unreachable)
 			}
 			s.Cloud.Down = true
 			leader.Crash(second / 5)
-			s.Run(s.Now + second) // what comes now waits for no machine to be seen
+			s.Run(s.Now + second) // a job submitted from here on does not wait until every machine has been seen
 			more := simulation.Array(6)
 			more.Team = team
 			s.Users.Submit(more, 10)
 			s.Users.Cancel(cancelled)
 			s.Run(s.Now + s.cancelTimeout() + 10*second)
 			s.Cloud.Down = false
-			s.eventually(400*second, "the work is done", s.Users.AllFinal)
+			s.eventually(400*second, "all jobs are final", s.Users.AllFinal)
 		}
 	}
 }
 
-// A copy of every heartbeat arrives up to two leases late, while short tasks come and go: it
-// tells nothing of the machine's present state.
+// A copy of every heartbeat arrives up to two leases (32 s) late, while short tasks start and end. The
+// copy says nothing about the machine's current state, and must not be taken for it.
 func TestStaleHeartbeatsAfterNewerOnesAreIgnored(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1700+seed)
@@ -304,13 +312,13 @@
 			s.Run(s.Now + 3*second)
 		}
 		s.DuplicateShare = 0
-		s.eventually(200*second, "the work is done", s.Users.AllFinal)
+		s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// All controllers crash while some machines can't be reached, and the first that the next ones
-// hear of these is a stale heartbeat from before they had tasks: what they run is not started
-// elsewhere until it is surely gone.
+// All controllers crash while some machines are unreachable. The first heartbeat of these machines that
+// the restarted controllers receive is a stale one, from before the machines had tasks. The machines'
+// tasks must not be started elsewhere until they have certainly ended.
 func TestStaleFirstHeartbeatStartsNoTaskTwice(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newScenario(t, 1750+seed)
@@ -329,12 +337,12 @@
 			node.Crash(second / 5)
 		}
 		s.addMachines(8)
-		s.eventually(200*second, "the work is done", s.Users.AllFinal)
+		s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// Every command and every answer to the machines is delayed by some seconds, again and again,
-// while jobs are cancelled and others take their capacity.
+// All commands and responses to the machines are delayed by some seconds, again and again, while jobs are
+// cancelled and other jobs take the capacity that this frees.
 func TestDelayedCommandsKeepInvariants(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1800+seed, 8*second)
@@ -354,12 +362,13 @@
 		for _, node := range s.Nodes {
 			s.SetLink(node.Label, "workers", simulation.Link{})
 		}
-		s.eventually(300*second, "the work is done", s.Users.AllFinal)
+		s.eventually(300*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// The state service is slow, refuses the leader and then everybody for longer than cancel_s,
-// while users cancel and query: they are answered in the end, and what they were told holds.
+// The state service is slow, then also refuses the leader's requests, and then is down for 20 s longer
+// than cancel_s, while users cancel and query jobs. In the end every user gets a response, and every
+// cancellation that was confirmed holds.
 func TestCancellationsHoldThroughSlowThenUnavailableStore(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 1900+seed, 4*second)
@@ -383,13 +392,14 @@
 		delete(s.Store.RefusedNodes, leader.Label)
 		s.Store.ResponseDelay = 0
 		s.Users.FaultsOverAt = s.Now
-		s.eventually(60*second, "the users are told", toldState(protocol.JobCancelled, jobs[:3]...))
-		s.eventually(300*second, "the work is done", s.Users.AllFinal)
+		s.eventually(60*second, "the cancellations are confirmed to the users", toldState(protocol.JobCancelled, jobs[:3]...))
+		s.eventually(300*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// Leaders fail over and back, all controllers crash, and one returns, within a second or some,
-// with one of the production version among them or none.
+// Leaders crash and return up to three times in a row, then all controllers crash, one of them starts
+// again before the others, and the leader crashes once more. A crashed leader returns after 50 ms to 4 s.
+// In half of the runs one controller has the previous version.
 func TestWorkCompletesAcrossFailoverAndFailback(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newBusyScenario(t, 2000+seed, 10*second)
@@ -402,7 +412,7 @@
 			s.Run(s.Now + restartDelay/2)
 		}
 		for _, node := range s.Nodes {
-			node.Crash(20 * second) // the later start is the one that counts
+			node.Crash(20 * second) // this start replaces a process that was started in the meantime
 		}
 		s.Nodes[(seed+1)%3].Start()
 		s.Users.Submit(simulation.Array(6), 10)
@@ -414,18 +424,18 @@
 		}
 		s.Run(s.Now + second)
 		s.awaitLeader().Crash(restartDelay)
-		s.eventually(300*second, "the work is done", s.Users.AllFinal)
+		s.eventually(300*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// awaitLeader runs until there is a leader, and returns it.
+// awaitLeader runs the scenario until a controller leads, and returns that controller.
 func (s *scenario) awaitLeader() *simulation.Node {
-	s.eventually(30*second, "somebody leads", func() bool { return s.currentLeader() != nil })
+	s.eventually(30*second, "a controller leads", func() bool { return s.currentLeader() != nil })
 	return s.leader()
 }
 
-// Machines whose heartbeats arrive and that hear nothing delay a failover until their leases must
-// have expired, not for as long as the one-way partition lasts.
+// Machines behind a one-way partition send heartbeats that arrive, but receive nothing. They delay a
+// failover only until their leases must have expired, and not for as long as the partition lasts.
 func TestOneWayPartitionDoesNotDelayFailover(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newScenario(t, 2200+seed)
@@ -442,7 +452,7 @@
 			node.Crash(second / 5)
 		}
 		s.Logs = nil
-		s.eventually(45*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
+		s.eventually(45*second, "every machine has been seen", func() bool { return s.logged("every machine has been seen") })
 		for _, worker := range s.Workers {
 			for _, node := range s.Nodes {
 				s.Heal(node.Label, worker.Info.Name)
@@ -453,15 +463,16 @@
 	}
 }
 
-// A heartbeat that is not believed, here a stale one, is answered with stops of what is cancelled,
-// and with nothing else: no answer renews the lease of a machine and leaves such a task there.
+// The response to a heartbeat that a controller does not trust, here a stale one, stops the tasks of
+// cancelled jobs and contains no other command. Otherwise the response would renew the lease of a
+// machine that goes on running such a task.
 func TestEveryHeartbeatResponseStopsCancelledTasks(t *testing.T) {
 	s := newScenario(t, 2300)
 	cancelled, other := s.Users.Submit(simulation.Array(4), 100), s.Users.Submit(simulation.Array(4), 100)
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 8 })
 	worker := s.Workers[cancelled.MachineOf(0)]
 	s.Users.Cancel(cancelled)
-	s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, cancelled))
+	s.eventually(10*second, "the job is cancelled", toldState(protocol.JobCancelled, cancelled))
 	stale := protocol.Heartbeat{Machine: worker.Info.Name, Addr: worker.Info.Addr, Type: worker.Info.Type, Zone: worker.Info.Zone, Spot: worker.Info.Spot, Session: 1,
 		Tasks: []protocol.TaskStatus{
 			{Task: protocol.TaskName(cancelled.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
@@ -475,16 +486,17 @@
 	s.Run(s.Now + second)
 	stop := protocol.Command{Kind: protocol.CommandStop, Task: stale.Tasks[0].Task, Attempt: 1}
 	if len(answer.Commands) != 1 || answer.Commands[0] != stop {
-		t.Fatalf("the answer has %+v", answer.Commands)
+		t.Fatalf("the response has commands %+v, want only the stop of the cancelled job's running task", answer.Commands)
 	}
 }
 
-// Cancellations that were learnt in the degraded mode are not forgotten while this node may serve
-// by a mirror from before: the rounds may end, by a crash of a controller, just when that is over.
+// A controller must not forget the cancellations that it learnt in degraded mode while it may still
+// serve from a mirror that is older than they are. The crash of another controller may end the rounds of
+// degraded mode at any time, also just when the mirror becomes too stale to serve from.
 func TestLearntCancellationsOutliveStaleMirror(t *testing.T) {
 	for tenths := range 24 {
 		set := simulation.Settings(3)
-		set.Site.Workers.CancelS = 24 // little more than two times the staleness limit and a lease
+		set.Site.Workers.CancelS = 24 // slightly more than the staleness limit, which is then 5.44 s, plus a lease of 16 s
 		s := &scenario{Cluster: simulation.NewWithSettings(2400, set, simulation.MachineTypes()), t: t}
 		s.Run(2 * second)
 		s.addMachines(12)
@@ -494,7 +506,7 @@
 		s.Store.RefusedNodes[leader.Label] = true
 		s.Users.OnlyNode = s.follower()
 		s.Users.Cancel(cancelled)
-		s.eventually(5*second, "its user is told", toldState(protocol.JobCancelled, cancelled))
+		s.eventually(5*second, "the cancellation is confirmed to the user", toldState(protocol.JobCancelled, cancelled))
 		s.Store.Outage(60 * second)
 		s.After(3*second+time.Duration(tenths)*second/10, func() { third.Crash(0) })
 		s.Run(s.Now + s.cancelTimeout() + second)
@@ -502,14 +514,14 @@
 	}
 }
 
-// The invariant checker can fail: each of its rules notices a seeded violation.
+// Each of these rules of the invariant checker detects a violation that the test causes on purpose.
 func TestCheckerDetectsSeededViolations(t *testing.T) {
-	// reopened brings about that one node, with a slow link to the users, holds a job that was
-	// done as queued again, or does not hold it any more.
+	// reopen makes one node, whose link to the users is slow, report a job as queued that was
+	// done before, or report it as unknown if forgets is set.
 	reopen := func(s *scenario, forgets bool) {
 		job := s.Users.Submit(simulation.Array(2), 3)
-		s.eventually(40*second, "it is done", toldState(protocol.JobDone, job))
-		s.Run(s.Now + 4*second) // its admission batch is gone
+		s.eventually(40*second, "the job is done", toldState(protocol.JobDone, job))
+		s.Run(s.Now + 4*second) // its admission batch has been deleted
 		if forgets {
 			s.Store.DeleteKey("c/job/" + job.Spec.ID)
 		} else {
@@ -519,46 +531,46 @@
 		node.Crash(second / 5)
 		s.Run(s.Now + 5*second)
 		s.SetLink(node.Label, "users", simulation.Link{Delay: second})
-		s.Users.ReadEverywhere(job) // the others' answers come first
+		s.Users.ReadEverywhere(job) // the other nodes' responses arrive first
 		s.Run(s.Now + 3*second)
 	}
 	for name, fault := range map[string]struct {
 		rule string
 		seed func(s *scenario, red *simulation.Job)
 	}{
-		"nobody answers": {"forgotten", func(s *scenario, red *simulation.Job) {
+		"no controller responds to users": {"forgotten", func(s *scenario, red *simulation.Job) {
 			s.Users.FaultsOverAt = s.Now
 			for _, node := range s.Nodes {
 				s.Partition(node.Label, "users", false)
 			}
 			s.Run(s.Now + 90*second)
 		}},
-		"a start long after": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
+		"a start long after the cancellation": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Cancel(red)
 			s.Run(s.Now + s.cancelTimeout() + 10*second)
 			s.Workers[s.Cloud.AddRunning("box", "b", true)].ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 5*second)
 		}},
-		"a task goes on as its machine does": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
+		"a task that resumes with its hung machine": {"ran_cancelled", func(s *scenario, red *simulation.Job) {
 			s.Users.Cancel(red)
 			s.Run(s.Now + s.cancelTimeout() - 5*second)
 			worker := s.Workers[s.Cloud.AddRunning("box", "b", true)]
 			worker.ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			s.Run(s.Now + 2*second/10)
-			worker.Hung = true // before it could be stopped, and beyond cancel_s
+			worker.Hung = true // before the task could be stopped, and until after cancel_s
 			s.Run(s.Now + 10*second)
 			worker.Hung = false
 			s.Run(s.Now + second)
 		}},
-		"a start after the word": {"late starts", func(s *scenario, red *simulation.Job) {
+		"a start after the cancellation was confirmed": {"late starts", func(s *scenario, red *simulation.Job) {
 			s.Users.Cancel(red)
-			s.eventually(10*second, "it is cancelled", toldState(protocol.JobCancelled, red))
+			s.eventually(10*second, "the job is cancelled", toldState(protocol.JobCancelled, red))
 			s.Workers[s.Cloud.AddRunning("box", "b", true)].ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			if s.Users.StartsAfterCancel == 1 {
 				s.Violations = append(s.Violations, "late starts: one")
 			}
 		}},
-		"past the limit": {"quota", func(s *scenario, red *simulation.Job) {
+		"starts beyond the quota": {"quota", func(s *scenario, red *simulation.Job) {
 			s.addMachines(8)
 			more := simulation.Array(12)
 			more.Team = "red"
@@ -568,15 +580,15 @@
 			}
 			s.Run(s.Now + 5*second)
 		}},
-		"an older word that comes last": {"went_back", func(s *scenario, red *simulation.Job) { reopen(s, false) }},
-		"unknown at one node":           {"forgotten", func(s *scenario, red *simulation.Job) { reopen(s, true) }},
-		"accepted though it can't run": {"wrongly_accepted", func(s *scenario, red *simulation.Job) {
+		"an older state that is reported last": {"went_back", func(s *scenario, red *simulation.Job) { reopen(s, false) }},
+		"a job that is unknown at one node":    {"forgotten", func(s *scenario, red *simulation.Job) { reopen(s, true) }},
+		"an accepted job that can never run": {"wrongly_accepted", func(s *scenario, red *simulation.Job) {
 			s.Users.SubmitInvalid(simulation.Array(1))
 			s.Run(s.Now + second)
 		}},
-		"room, and a limit that only the checker lifts": {"left_waiting", func(s *scenario, red *simulation.Job) {
+		"free capacity, and a quota that is raised only for the checker": {"left_waiting", func(s *scenario, red *simulation.Job) {
 			s.Settings.Site.Teams = []config.Team{{Name: "red", CPUsMax: 100}}
-			filler := simulation.Array(6) // of which each leaves a CPU of its machine
+			filler := simulation.Array(6) // each task leaves one CPU of its machine free
 			filler.CPUs = 3
 			s.Users.Submit(filler, 300)
 			more := simulation.Array(2)
@@ -589,20 +601,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, 2500)
-			spec := simulation.Array(24) // all that the team may use
+			spec := simulation.Array(24) // uses all of the team's quota
 			spec.Team = "red"
-			spec.ImageGB = 0 // or it would be stopped before it has its image
+			spec.ImageGB = 0 // otherwise a forced start would be stopped while the image is still being fetched
 			red := s.Users.Submit(spec, 300)
 			s.eventually(60*second, "all tasks run", func() bool { return red.RunningTasks() == 24 })
 			fault.seed(s, red)
 			if !slices.ContainsFunc(s.Violations, func(b string) bool { return strings.Contains(b, fault.rule+":") }) {
-				t.Errorf("%s is not noticed: %v", fault.rule, s.Violations)
+				t.Errorf("no violation of %s was recorded: %v", fault.rule, s.Violations)
 			}
 		})
 	}
 }
 
-// The duration of a task that its owner found running is not known when it ends.
+// All controllers crash and restart while tasks run. A controller that finds a task running does not
+// know when it started, and must not report a duration that is too short when the task ends.
 func TestNoDurationIsReportedForTasksFoundRunning(t *testing.T) {
 	s := newScenario(t, 2600)
 	s.addMachines(8)
@@ -622,13 +635,13 @@
 						ended++
 					}
 					if task.RanSeconds > 0 && task.RanSeconds < 39 {
-						t.Fatalf("%s is said to have run for %.1f s", task.Task, task.RanSeconds)
+						t.Fatalf("%s is reported to have run for %.1f s", task.Task, task.RanSeconds)
 					}
 				}
 			}
 		}
 	}
 	if ended == 0 {
-		t.Fatal("no task was seen to end: nothing was shown")
+		t.Fatal("no task was seen to end, so the test checked nothing")
 	}
 }
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -16,26 +16,31 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Every subset of cut links of three controllers, and not only the fixed part:
-// go test ./internal/core -run EveryPartition -everycut
-// Or one, with its log: -cuts "second<workers third>workers" -debuglogs
+// TestEveryPartition simulates a fixed part of the subsets of cut links by default. To simulate all of
+// them:
+//
+//	go test ./internal/core -run EveryPartition -everycut
+//
+// To simulate one subset and show its log, replace -everycut by
+// -cuts "second<workers third>workers" -debuglogs
 var (
 	everyCut = flag.Bool("everycut", false, "EveryPartition simulates every subset of cut links")
 	onlyCuts = flag.String("cuts", "", "EveryPartition simulates this subset alone and shows its log")
 )
 
-// The ends of the links of three controllers: the leader, two others, the state service, and
-// all workers as one end. A link is a pair of them.
+// linkEndpoints are the endpoints between which links are cut: three controllers, the state service,
+// and all workers together as one endpoint. linkPairs are the links, as pairs of indexes into
+// linkEndpoints.
 var (
 	linkEndpoints = []string{"leader", "second", "third", "state", "workers"}
 	linkPairs     = [][2]int{{0, 3}, {0, 4}, {1, 3}, {1, 4}, {2, 3}, {2, 4}, {0, 1}, {0, 2}, {1, 2}}
 )
 
-// cutSet is a set of directions that are cut: bit 2i for the one of link i that leaves a
-// controller, bit 2i+1 for the other.
+// cutSet is the set of the directions of links that are cut. Bit 2i is for the direction of link i that
+// leads away from the first endpoint of its pair, bit 2i+1 for the opposite one.
 type cutSet uint32
 
-// bidirectional is the set of both directions of links, one bit each.
+// bidirectional returns the set of both directions of some links. Bit i of links is for link i.
 func bidirectional(links uint) (c cutSet) {
 	for i := range linkPairs {
 		c |= cutSet(links>>i&1) * 3 << (2 * i)
@@ -43,15 +48,16 @@
 	return c
 }
 
-// cuts reports whether any direction of a link is cut.
+// cuts reports whether at least one direction of a link is cut.
 func (c cutSet) cuts(link int) bool { return c>>(2*link)&3 != 0 }
 
-// mirrored is the same set with the second controller for the third, which is equivalent.
+// mirrored returns the set with the second and third controllers exchanged. It is equivalent to c, since
+// neither of them leads.
 func (c cutSet) mirrored() (m cutSet) {
 	for i, j := range []int{0, 1, 4, 5, 2, 3, 7, 6, 8} {
 		m |= c >> (2 * i) & 3 << (2 * j)
 	}
-	if d := m >> 16 & 3; d == 1 || d == 2 { // the link between the two changes its direction
+	if d := m >> 16 & 3; d == 1 || d == 2 { // the link between these two controllers is reversed
 		m ^= 3 << 16
 	}
 	return m
@@ -67,8 +73,8 @@
 	return strings.Join(out, " ")
 }
 
-// workMustContinue reports whether tasks must be started in spite of the cuts: some controller
-// reaches the state service and the workers, both ways.
+// workMustContinue reports whether tasks must be started in spite of the cuts, because some controller
+// has uncut links to the state service and to the workers.
 func (c cutSet) workMustContinue() bool {
 	for controller := range 3 {
 		if !c.cuts(2*controller) && !c.cuts(2*controller+1) {
@@ -81,16 +87,16 @@
 // cutResult is the outcome of a simulation with a set of cuts.
 type cutResult struct {
 	name          string
-	starts        int    // of tasks while links were cut, once everybody had time to react
-	timedOutUsers int    // that got no answer
-	failure       string // empty: none
+	starts        int    // tasks started while links were cut, after the controllers had time to react
+	timedOutUsers int    // requests of users that got no response in time
+	failure       string // empty if there was none
 	logs          []string
 }
 
-// simulateCuts simulates links that are cut, and mended in two parts, the set's lower links
-// first or last.
+// simulateCuts runs a simulation in which links are cut and then healed in two steps, the lower half of
+// the set first or last. A direction that is cut behaves as blocked says.
 func simulateCuts(t testing.TB, c cutSet, blocked simulation.Link, mode string, lowFirst bool) (result cutResult) {
-	result.name = fmt.Sprintf("%s: %s, mended low first %v", mode, c, lowFirst)
+	result.name = fmt.Sprintf("%s: %s, lower half healed first %v", mode, c, lowFirst)
 	cluster := simulation.New(7, 3)
 	for i := range 12 {
 		cluster.Cloud.AddRunning("box", []string{"a", "b"}[i%2], false)
@@ -131,7 +137,7 @@
 	s.Run(lastHealAt)
 	setLinks(last, simulation.Link{})
 	if !s.RunUntil(lastHealAt+150*second, s.Users.AllFinal) {
-		result.failure = "the work does not end"
+		result.failure = "jobs are not final 150 s after the last links were healed"
 	}
 	if len(s.Violations) > 0 {
 		result.failure = strings.Join(s.Violations, "\n")
@@ -151,8 +157,8 @@
 	return append(ends, "state", "workers")
 }
 
-// halves divides a set by its links: the lower ones, with half of its directions or a few more,
-// and the others.
+// halves splits a set by its links. lower gets links from the lowest on, until they have half of the
+// set's directions, rounded down, or one more. upper gets the other links.
 func (c cutSet) halves() (lower, upper cutSet) {
 	for i := range linkPairs {
 		if c.cuts(i) && bits.OnesCount32(uint32(lower)) < bits.OnesCount32(uint32(c))/2 {
@@ -162,11 +168,11 @@
 	return lower, c &^ lower
 }
 
-// TestEveryPartition cuts links between three controllers, the state service and the workers:
-// each link singly and in pairs, each direction singly, and everything a controller has;
-// with a flag every subset. Whatever is cut, no rule is broken and the work ends once it
-// is mended; while it is cut, work starts if some controller reaches both the state
-// service and the workers, and no user waits in vain for an answer.
+// TestEveryPartition cuts links between three controllers, the state service and the workers: each link
+// alone, each pair of links, and each direction alone. With the flag everycut it cuts every subset of
+// links and each pair of directions as well. Whatever is cut, no invariant may be violated, and all jobs
+// must become final once the links are healed. While links are cut, tasks must start if some controller
+// reaches both the state service and the workers, and every user request must get a response in time.
 func TestEveryPartition(t *testing.T) {
 	t.Parallel()
 	sets := cutSetsToSimulate()
@@ -206,7 +212,7 @@
 	t.Logf("%d sets of cuts, %d simulations, %d failed", len(sets), len(results), failed)
 }
 
-// cutSetsToSimulate are the sets that the flags ask for, each once of two that are mirrored.
+// cutSetsToSimulate returns the sets that the flags select, only one of each two that are mirrored.
 func cutSetsToSimulate() (sets []cutSet) {
 	maxLinks := 2
 	if *everyCut {
@@ -236,18 +242,19 @@
 	return sets
 }
 
-// check notes as a failure what must not happen with a set of cuts.
+// check sets failure if the result violates what TestEveryPartition requires with the set c.
 func (r *cutResult) check(c cutSet) {
 	switch {
 	case r.failure != "":
 	case c.workMustContinue() && r.starts == 0:
-		r.failure = "nothing starts"
+		r.failure = "no task starts although a controller reaches the state service and the workers"
 	case r.timedOutUsers > 0:
-		r.failure = fmt.Sprintf("%d users wait for an answer that never comes", r.timedOutUsers)
+		r.failure = fmt.Sprintf("%d requests of users got no response in time", r.timedOutUsers)
 	}
 }
 
-// startWithMachines begins a busy scenario with so many more machines, all of them booting.
+// startWithMachines starts a busy scenario, adds the given number of running machines, and runs it for
+// another 10 s.
 func startWithMachines(t *testing.T, seed uint64, machines int) *scenario {
 	s := newBusyScenario(t, seed, 10*second)
 	for range machines {
@@ -257,31 +264,32 @@
 	return s
 }
 
-// anotherLeads reports whether another node than this one leads, whatever this one believes.
+// anotherLeads reports whether a node other than except leads. except may still believe that it leads.
 func (s *scenario) anotherLeads(except *simulation.Node) bool {
 	return slices.ContainsFunc(s.Nodes, func(node *simulation.Node) bool {
 		return node != except && node.Alive() && node.Core.IsLeader()
 	})
 }
 
-// A leader whose requests arrive at the state service and whose answers are lost lets its lease
-// expire: its renewals kept its keys alive, and nobody led for as long as that lasted.
+// A leader's requests arrive at the state service, but it receives no responses. It must let its lease
+// expire. Guards against its renewals keeping its keys alive, so that no controller led for as long as
+// the fault lasted.
 func TestLeaderWithoutResponsesLetsItsLeaseExpire(t *testing.T) {
 	for seed, blocked := range []simulation.Link{simulation.Dropped, simulation.Held} {
 		s := newBusyScenario(t, 400+uint64(seed), 10*second)
 		leader := s.leader()
 		s.SetLink("state", leader.Label, blocked)
-		s.eventually(40*second, "another leads", func() bool { return s.anotherLeads(leader) })
+		s.eventually(40*second, "another controller leads", func() bool { return s.anotherLeads(leader) })
 		s.Run(s.Now + 30*second)
 		s.SetLink("state", leader.Label, simulation.Link{})
-		s.eventually(200*second, "the work ends", s.Users.AllFinal)
-		s.eventually(40*second, "it takes part again", func() bool { return leader.Ready })
+		s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
+		s.eventually(40*second, "the former leader is ready again", func() bool { return leader.Ready })
 	}
 }
 
-// A leader that reaches the state service and neither a machine nor a member steps down, once;
-// while all machines are silent and the others report that they reach none either, the leader
-// stays.
+// A leader that reaches the state service, but neither a machine nor another controller, steps down,
+// and does so only once. If all machines are silent, and the other controllers report that they reach
+// none either, the leader stays.
 func TestLeaderThatReachesNobodyStepsDown(t *testing.T) {
 	s := startWithMachines(t, 410, 6)
 	leader, changes := s.leader(), 0
@@ -290,7 +298,7 @@
 			s.Partition(leader.Label, other, false)
 		}
 	}
-	s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(leader) })
+	s.eventually(30*second, "another controller leads", func() bool { return s.anotherLeads(leader) })
 	for range 600 {
 		previous := s.currentLeader()
 		s.Run(s.Now + second)
@@ -299,9 +307,9 @@
 		}
 	}
 	if changes > 0 {
-		t.Fatalf("the leader changed %d times in ten minutes of one and the same cut", changes)
+		t.Fatalf("the leader changed %d times in ten minutes of the same partition, want no change", changes)
 	}
-	s.eventually(10*second, "the work has ended meanwhile", s.Users.AllFinal)
+	s.eventually(10*second, "all jobs are final", s.Users.AllFinal)
 
 	s = startWithMachines(t, 411, 6)
 	leader = s.leader()
@@ -313,21 +321,21 @@
 		s.Heal(node.Label, "workers")
 	}
 	if s.currentLeader() != leader {
-		t.Fatal("the leader changed although nobody else reaches more")
+		t.Fatal("the leader changed although no other controller reaches a machine")
 	}
-	s.eventually(200*second, "the work ends", s.Users.AllFinal)
+	s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// A leader without reachable machines that loses its members' links steps down, and does not
-// take the machines that they serve meanwhile, whether it knows already that it reaches none or
-// has yet to find out.
+// A leader that reaches no machine and then loses its links to the other members steps down. It must
+// not take over the machines that these members serve, whether or not it has already detected that it
+// reaches none.
 func TestLeaderWithoutReachableMachinesTakesNone(t *testing.T) {
 	for seed, detected := range []bool{true, false} {
 		s := startWithMachines(t, 420+uint64(seed), 60)
 		leader := s.leader()
 		s.Partition(leader.Label, "workers", false)
 		if s.Run(s.Now + 2*second); detected {
-			s.eventually(15*second, "it leaves the shard map", func() bool { return s.logged("leaving the shard map") })
+			s.eventually(15*second, "the leader leaves the shard map", func() bool { return s.logged("leaving the shard map") })
 			s.Run(s.Now + 5*second)
 		}
 		for _, other := range s.Nodes {
@@ -335,20 +343,20 @@
 				s.SetLinks(leader.Label, other.Label, simulation.Refused)
 			}
 		}
-		s.eventually(6*second, "another leads", func() bool { return s.anotherLeads(leader) })
+		s.eventually(6*second, "another controller leads", func() bool { return s.anotherLeads(leader) })
 		s.Run(s.Now + 20*second)
 		if s.logged("members [" + leader.Label + "]") {
-			t.Fatal("it took all machines for itself, and reaches none")
+			t.Fatal("the leader wrote a shard map with itself as the only member, and reaches no machine")
 		}
-		s.eventually(200*second, "the work ends", s.Users.AllFinal)
+		s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// A member that was cut from everything and reaches the state service again, but no machine,
-// is not given any; once machines answer it, it is.
+// A member was partitioned from everything. Once it reaches the state service and the other controllers
+// again, but no machine, it must not become a member of the shard map. Once it reaches machines, it must.
 func TestRejoiningMemberWithoutReachableMachinesIsGivenNone(t *testing.T) {
 	s := startWithMachines(t, 430, 6)
-	s.Users.Submit(simulation.Array(24), 100) // or the machines are returned meanwhile, and there are none to reach
+	s.Users.Submit(simulation.Array(24), 100) // keeps the machines in use, otherwise they would be returned and there would be none to reach
 	node := s.follower()
 	for _, end := range []string{"state", "workers", "node-0", "node-1", "node-2"} {
 		if end != node.Label {
@@ -362,29 +370,29 @@
 	}
 	s.Run(s.Now + 20*second)
 	if s.logged("controller rejoined the shard map") {
-		t.Fatal("it is given machines that it does not reach")
+		t.Fatal("the controller rejoined the shard map although it reaches no machine")
 	}
 	s.Heal(node.Label, "workers")
-	s.eventually(12*second, "it takes part again", func() bool { return s.logged("controller rejoined the shard map") })
-	s.eventually(200*second, "the work ends", s.Users.AllFinal)
+	s.eventually(12*second, "the controller rejoins the shard map", func() bool { return s.logged("controller rejoined the shard map") })
+	s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// A controller that loses the machines notices it soon after a heartbeat period, whatever the
-// lease; one whose process only stood still does not leave the shard map.
+// A controller that is partitioned from all machines detects this soon after one heartbeat period,
+// whatever the lease is. A controller whose process was only paused does not leave the shard map.
 func TestUnreachableMachinesAreDetectedSoonAfterAHeartbeatPeriod(t *testing.T) {
 	s := startWithMachines(t, 440, 60)
 	node := s.follower()
-	node.Pause(5 * second) // less than its lease
+	node.Pause(5 * second) // shorter than the controller's lease
 	s.Run(s.Now + 15*second)
 	if s.logged("leaving the shard map") {
-		t.Fatal("it leaves the shard map for having stood still")
+		t.Fatal("a controller left the shard map because its process was paused")
 	}
 	s.Partition(node.Label, "workers", false)
-	s.eventually(4*second, "it leaves the shard map", func() bool { return s.logged("leaving the shard map") })
+	s.eventually(4*second, "the partitioned controller leaves the shard map", func() bool { return s.logged("leaving the shard map") })
 }
 
-// A member whose machines are heard and hear nothing gives them up before their leases end,
-// whether its calls are lost or their answers.
+// A member receives heartbeats from its machines, but neither its calls nor its responses reach them. It
+// must leave the shard map, and so release the machines, before their leases expire.
 func TestMemberLeavesShardMapDuringOneWayPartition(t *testing.T) {
 	s := newScenario(t, 450)
 	for range 30 {
@@ -396,22 +404,23 @@
 	s.Run(30 * second)
 	node := s.follower()
 	s.SetLink(node.Label, "workers", simulation.Dropped)
-	s.eventually(13*second, "it leaves the shard map", func() bool { return s.logged("leaving the shard map") })
+	s.eventually(13*second, "the member leaves the shard map", func() bool { return s.logged("leaving the shard map") })
 	s.Run(s.Now + 40*second)
 	s.SetLink(node.Label, "workers", simulation.Link{})
-	s.eventually(60*second, "it takes part again", func() bool { return s.logged("rejoining the shard map") })
-	s.eventually(200*second, "the work ends", s.Users.AllFinal)
+	s.eventually(60*second, "the controller rejoins the shard map", func() bool { return s.logged("rejoining the shard map") })
+	s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// A controller that the state service does not serve is soon not ready, so that users are sent
-// to others; in an outage that all see, users still find some that tell them to retry.
+// A controller that the state service does not serve soon reports that it is not ready, so that the
+// load balancer sends users to others. In an outage that affects all controllers, some stay ready and
+// respond that users should retry.
 func TestNodeWithoutStoreIsNotReady(t *testing.T) {
 	s := newBusyScenario(t, 460, 10*second)
 	node := s.follower()
 	s.Partition(node.Label, "state", false)
-	s.eventually(3500*time.Millisecond, "it is not ready", func() bool { return !node.Ready })
+	s.eventually(3500*time.Millisecond, "the controller is not ready", func() bool { return !node.Ready })
 	s.Heal(node.Label, "state")
-	s.eventually(10*second, "it is ready", func() bool { return node.Ready })
+	s.eventually(10*second, "the controller is ready again", func() bool { return node.Ready })
 	s.Store.Outage(20 * second)
 	noneReady := time.Duration(0)
 	for range 200 {
@@ -421,12 +430,12 @@
 		}
 	}
 	if noneReady > second {
-		t.Fatalf("for %v of an outage users find nobody", noneReady)
+		t.Fatalf("no controller was ready for %v of an outage, want 1 s at the most", noneReady)
 	}
 }
 
-// A member that was cut off with the machines of its zone, and comes back, does not count the
-// calls that were lost at the beginning of the cut against its links.
+// A member was partitioned together with the machines of its zone and rejoins the shard map. It must
+// not leave the map again because of calls that were lost when the partition began.
 func TestRejoinedMemberStaysInTheShardMap(t *testing.T) {
 	s := newScenario(t, 470)
 	for i := range 30 {
@@ -443,9 +452,9 @@
 	s.Run(s.Now + 60*second)
 	s.Logs = nil
 	s.HealZone("b", "")
-	s.eventually(10*second, "it takes part again", func() bool { return s.logged("controller rejoined the shard map") })
+	s.eventually(10*second, "the member rejoins the shard map", func() bool { return s.logged("controller rejoined the shard map") })
 	s.Run(s.Now + 30*second)
 	if s.logged("leaving the shard map") {
-		t.Fatal("it leaves at once, for what was lost during the cut")
+		t.Fatal("the member left the shard map again, because of calls that were lost during the partition")
 	}
 }
