--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -9,10 +9,13 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// A job is accepted twice, as in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, and then something happens that makes another part of a node, or another node, rest on
-// the second acceptance: whatever it is, the job and what depends on it are aborted everywhere. Before
-// the first acceptance counted at its root, a dependent of such a job waited for ever: the record that
-// the batch held was final, and still the dependency graph called the job open.
+// A job is accepted twice, as in TestDependentOfCancelledJobHasOneAnswerOnAllNodes. Then something
+// happens that could make another part of a node, or another node, use the second acceptance. In each
+// case the job and its dependents must be aborted on all nodes.
+//
+// Guards against a dependent of such a job that waited for ever. The second acceptance still counted in
+// some places then: the record in the admission batch was final, but the dependency graph had the job as
+// open.
 func TestSecondAcceptanceHasNoEffect(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -33,7 +36,7 @@
 			}
 			return nil
 		}},
-		{"all restart", func(s *scenario, _ *simulation.Node, _ *simulation.Job) []*simulation.Job {
+		{"all nodes restart", func(s *scenario, _ *simulation.Node, _ *simulation.Job) []*simulation.Job {
 			s.crashAll(second / 20)
 			return nil
 		}},
@@ -51,7 +54,7 @@
 				s.SetLink("state", lagging.Label, simulation.Link{Delay: 500 * time.Millisecond})
 				s.Users.OnlyNode = first
 				s.Users.Cancel(cancelled)
-				s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, cancelled))
+				s.eventually(second, "the dependency is cancelled", toldState(protocol.JobCancelled, cancelled))
 				s.exhaustSingleWrites(first)
 				dependent := s.Users.Submit(dependentArray(1, cancelled), 1)
 				s.Run(s.Now + 100*time.Millisecond)
@@ -60,7 +63,7 @@
 				}
 				s.Users.OnlyNode = lagging
 				s.Users.Resubmit(dependent)
-				s.Run(s.Now + 30*time.Millisecond) // its write has left, and is not answered
+				s.Run(s.Now + 30*time.Millisecond) // its write has been sent, and has no response yet
 				jobs := append(tt.followUp(s, lagging, dependent), dependent)
 				s.Users.OnlyNode = nil
 				s.Run(s.Now + 2*second)
@@ -68,7 +71,7 @@
 				s.Run(s.Now + 60*second)
 				for _, job := range jobs {
 					if job.LastState != protocol.JobCancelled {
-						t.Errorf("batch %v: %s is %s (%s)", batch, job.Spec.ID, job.LastState, job.Answer.Reason)
+						t.Errorf("accepted again in a batch %v: %s is %s (%s), want it cancelled", batch, job.Spec.ID, job.LastState, job.Answer.Reason)
 					}
 					s.Users.ReadEverywhere(job)
 				}
@@ -79,7 +82,8 @@
 	}
 }
 
-// A dependent that is accepted once is answered as accepted, not as known already.
+// The response to a job with a dependency that is submitted for the first time says that the job was
+// accepted, and not that it was already known.
 func TestNewDependentIsReportedAsAccepted(t *testing.T) {
 	s := newScenario(t, 9300)
 	head := s.submitAccepted(simulation.Array(1), 300)
@@ -91,6 +95,6 @@
 	s.Run(s.Now + second)
 	body, _ := reply.Body.(protocol.JobResponse)
 	if reply.Status != core.ReplyAccepted || body.State != protocol.JobQueued {
-		t.Fatalf("answered %+v", reply)
+		t.Fatalf("the reply is %+v, want an accepted job that is queued", reply)
 	}
 }
--- a/internal/core/barrier_callback_test.go
+++ b/internal/core/barrier_callback_test.go
@@ -7,11 +7,12 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// What happens without the mend: a controller looks for the jobs that some submissions name behind a
-// barrier, finds with its answer that the submissions themselves were accepted elsewhere, and asks
-// for another barrier for each. The first of these leaves while the others still wait, and the end of
-// the answer starts one more, which takes its place: the first submission is never answered, its user
-// waits for 5 s. Of four users here one times out.
+// Guards against a read barrier whose callbacks were never called. A controller looks up the dependencies
+// of several submissions after one shared barrier. It then finds that the submitted jobs themselves have
+// been accepted by another controller, and requests one more barrier for each. The first of these was
+// sent while the callbacks of the other submissions had yet to run. After they had run, another barrier
+// was sent, which overwrote the callbacks of the one in flight. The first submission got no response, and
+// its user timed out after 5 s. In this test, that happened to one of four users.
 func TestEverySubmissionBehindSharedBarriersIsAnswered(t *testing.T) {
 	s := newScenario(t, 9400)
 	s.Run(s.Now + 2*second)
@@ -23,7 +24,7 @@
 	for range 4 {
 		dependents = append(dependents, s.Users.Submit(dependentArray(1, head), 1))
 	}
-	s.Run(s.Now + 100*time.Millisecond) // all are accepted, and the other node has read none of it
+	s.Run(s.Now + 100*time.Millisecond) // all jobs are accepted, and the lagging node has read none of that
 	s.Users.OnlyNode = lagging
 	timedOut := s.Users.TimedOut
 	for _, dependent := range dependents {
@@ -32,6 +33,6 @@
 	s.Run(s.Now + 8*second)
 	s.requireInvariants()
 	if lost := s.Users.TimedOut - timedOut; lost > 0 {
-		t.Fatalf("%d requests have no answer", lost)
+		t.Fatalf("%d requests got no response", lost)
 	}
 }
--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -11,14 +11,15 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// keyPrefixes are the kinds of write, by the key that each changes, the last one all of them;
-// docs/fault-interleavings.md has the same table.
+// keyPrefixes are the prefixes of the keys that each kind of write changes. The empty prefix stands for
+// all writes. docs/fault-interleavings.md has the same table.
 var keyPrefixes = []string{"c/node/", "c/leader", "c/map", "c/rigs/", "c/job/", "c/run/", "c/accepted/", "c/admitted/",
 	"c/prog/", "c/long/", "c/est", "c/types", ""}
 
-// Every transaction of one kind is carried out at once and its answer is lost, or half of them
-// are carried out late: others act on what they read, the writer's next attempt finds it, and
-// every job that its user does not cancel is done all the same.
+// All transactions of one kind, or 70 % of all transactions, are applied at once but their responses are
+// lost. In the other half of the subtests, 60 % of the transactions are applied late and get no response.
+// Other controllers act on what they read, and the writer's next attempt finds what the first one wrote.
+// Every job that its user does not cancel must still be done.
 func TestJobsCompleteDespiteLostOrLateCommitResponses(t *testing.T) {
 	for _, key := range keyPrefixes {
 		for _, late := range []bool{false, true} {
@@ -28,8 +29,8 @@
 				for seed := range uint64(2) {
 					lost += simulateLostResponses(t, 3100+seed, key, late)
 				}
-				if lost == 0 && key != "c/types" { // which are written once, before any scenario can begin
-					t.Fatal("no answer was lost or late: nothing was shown")
+				if lost == 0 && key != "c/types" { // machine types are written once, before the faults can begin
+					t.Fatal("no response was lost or late, so the test checked nothing")
 				}
 			})
 		}
@@ -50,7 +51,7 @@
 	s.Users.CheckReadYourWrites = true
 	s.Run(s.Now + 15*second)
 	s.addMachines(8)
-	head := s.Users.Submit(simulation.Array(1), 80) // that others depend on
+	head := s.Users.Submit(simulation.Array(1), 80) // other jobs depend on it
 	uncancelled := []*simulation.Job{head}
 	for k := range 18 {
 		job := s.Users.Submit(lostResponsesSpec(k, head), float64(2+k%4*4))
@@ -65,14 +66,14 @@
 		if k == 6 || k == 14 {
 			s.crashLeader(second / 5)
 		}
-		if k%3 == 1 { // the shard map changes, and back
+		if k%3 == 1 { // changes the shard map and then changes it back
 			s.Nodes[k%len(s.Nodes)].Crash(2 * second)
 		}
 		s.Run(s.Now + 3*second)
 	}
-	s.eventually(400*second, "the work is done although answers are still lost", s.Users.AllFinal)
+	s.eventually(400*second, "all jobs are final although responses are still lost", s.Users.AllFinal)
 	if !toldState(protocol.JobDone, uncancelled...)() {
-		t.Fatal("a job that nobody cancelled is over and not done")
+		t.Fatal("a job that no user cancelled is final but not done")
 	}
 	s.recoverAndFinish(second)
 	return s.Store.DelayedCommits
@@ -92,8 +93,8 @@
 	return spec
 }
 
-// submitMany submits more jobs of one task at once than may have a write each. Half of them
-// depend on head.
+// submitMany submits jobs of one task, all at the same time. If there are many, not each is accepted with
+// a write of its own. Every second job depends on head, if head has been accepted.
 func (s *scenario) submitMany(count int, head *simulation.Job) {
 	for n := range count {
 		spec := simulation.Array(1)
@@ -104,7 +105,7 @@
 	}
 }
 
-// withManyTypes makes a job's description larger than a stored value may be.
+// withManyTypes makes a job's description larger than the maximum size of a stored value.
 func withManyTypes(spec protocol.Job) protocol.Job {
 	for n := range 2500 {
 		spec.MachineTypes = append(spec.MachineTypes, fmt.Sprintf("type-%06d", n))
@@ -113,25 +114,25 @@
 	return spec
 }
 
-// slowStores are the ways in which writes are slow, late or without an answer.
+// slowStores are the ways in which writes are slow, are applied late, or get no response.
 var slowStores = map[string]func(s *scenario){
 	"slow": func(s *scenario) { s.Store.ResponseDelay = 900 * time.Millisecond },
 	"late": func(s *scenario) {
 		s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = 0.5, 2*second, 12*second
 	},
-	"answers lost": func(s *scenario) { s.Store.DelayedCommitShare = 0.6 },
-	"register late": func(s *scenario) {
+	"responses lost": func(s *scenario) { s.Store.DelayedCommitShare = 0.6 },
+	"machine registry late": func(s *scenario) {
 		s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare, s.Store.MinCommitDelay, s.Store.MaxCommitDelay = "c/rigs/", 1, 2*second, 8*second
 	},
-	"register lost": func(s *scenario) { s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = "c/rigs/", 1 },
-	"slow and copied": func(s *scenario) {
+	"machine registry responses lost": func(s *scenario) { s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = "c/rigs/", 1 },
+	"slow, with duplicated requests": func(s *scenario) {
 		s.Store.ResponseDelay, s.DuplicateShare, s.MaxDuplicateDelay = 300*time.Millisecond, 0.3, 20*second
 	},
 }
 
-// New machines are up within two seconds and get work at once, for teams at their quotas, while
-// writes are slow, late or lose their answers, and the leader crashes at any moment of it: the
-// next one starts nothing twice and exceeds no quota.
+// New machines boot within two seconds and get tasks of teams at their quotas at once. Meanwhile writes
+// are slow, are applied late, or get no response, and the leader crashes before, while or after the
+// machines boot. The next leader must start no task twice and exceed no quota.
 func TestNewMachinesWithSlowStoreKeepInvariants(t *testing.T) {
 	for name, slowDown := range slowStores {
 		t.Run(name, func(t *testing.T) {
@@ -147,7 +148,7 @@
 					}
 					before := s.Cloud.Created
 					s.RunUntil(s.Now+8*second, func() bool { return s.Cloud.Created > before })
-					s.Run(s.Now + time.Duration(variant*2+wave)*second/2) // from before they are up to long after
+					s.Run(s.Now + time.Duration(variant*2+wave)*second/2) // from before the machines have booted to long after
 					s.crashLeader(second / 5)
 					s.Run(s.Now + 4*second)
 				}
@@ -157,9 +158,10 @@
 	}
 }
 
-// Jobs of one task come four a second for minutes and a quarter of them is cancelled, with the
-// smallest rate limit for writes, which is lowered, beside longer jobs and during failovers: each
-// is accepted, no more than a few seconds late, and its end is told.
+// For 150 s, four jobs of one task are submitted each second, and a quarter of them is cancelled. The
+// state service has its smallest rate limit for writes, which is lowered meanwhile, other jobs have more
+// tasks, and the leader crashes. Each small job must be accepted within 12 s, and its user must learn how
+// it ended.
 func TestSmallJobFloodIsAcceptedInTime(t *testing.T) {
 	acrossSeeds(t, 3600, 2, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, func(site *config.Site) {
@@ -184,23 +186,23 @@
 			}
 			s.Run(s.Now + second/4)
 			if old := jobs[max(0, n-4*12)]; !old.Accepted {
-				t.Fatalf("%s is not accepted after 12 s\n%s", old.Spec.ID, s.lastLogs(*logLines))
+				t.Fatalf("%s was not accepted within 12 s\n%s", old.Spec.ID, s.lastLogs(*logLines))
 			}
 		}
-		s.eventually(20*second, "cancellations are confirmed", func() bool {
+		s.eventually(20*second, "all cancelled jobs are final", func() bool {
 			return !slices.ContainsFunc(cancelled, func(job *simulation.Job) bool {
 				return job.LastState != protocol.JobCancelled && job.LastState != protocol.JobDone
 			})
 		})
 		s.recoverAndFinish(120 * second)
-		if s.Store.Throttled > 1000 { // thousands, if each submission has a write of its own
-			t.Fatalf("%d requests were above the limits", s.Store.Throttled)
+		if s.Store.Throttled > 1000 { // there would be thousands if each submission had a write of its own
+			t.Fatalf("%d requests exceeded the rate limits of the state service, want 1000 at the most", s.Store.Throttled)
 		}
 	})
 }
 
-// Jobs are cancelled at each node, just before, while and just after the state service begins to
-// refuse the leader alone, and it stays refused until the others have acted.
+// Jobs are cancelled at each node, just before, when and just after the state service begins to refuse
+// only the leader's requests. It refuses them until the other controllers have acted.
 func TestCancellationHoldsAsStoreRefusesLeader(t *testing.T) {
 	for _, offset := range []time.Duration{-20, 0, 3, 40, 400} { // milliseconds
 		acrossSeeds(t, 4400, 3, func(t *testing.T, variant, controllers int, seed uint64) {
@@ -221,7 +223,7 @@
 					s.Users.Cancel(job)
 				}
 			})
-			if variant == 2 { // and a second later it serves nobody
+			if variant == 2 { // a second later the state service serves no controller
 				s.At(at+second, func() { s.Store.Outage(s.cancelTimeout() + 10*second) })
 			}
 			s.Run(at + s.cancelTimeout() + 15*second)
--- a/internal/core/consistency_faults_test.go
+++ b/internal/core/consistency_faults_test.go
@@ -9,9 +9,10 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Users ask at all nodes within milliseconds about every kind of job that was accepted, has ended
-// or is called cancelled, and submit it again, while nodes restart and reload and the state
-// service is slow: no node says anything older than another has said.
+// Users query all nodes within milliseconds about a job that was just accepted, has ended or is reported
+// as cancelled, and submit it again. Meanwhile nodes restart and reload the state, and the state service
+// is slow. No node may report an older state of a job than another node has reported before. The test
+// uses jobs of every kind.
 func TestReadsAreMonotonicAcrossNodes(t *testing.T) {
 	acrossSeeds(t, 3000, 3, func(t *testing.T, _, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
@@ -19,7 +20,7 @@
 		s.Users.CheckReadYourWrites, s.Users.CancelAtEndShare = true, 0.3
 		kinds := []protocol.Job{simulation.Array(1), simulation.Array(3), simulation.Array(40), simulation.Array(2), simulation.Array(1)}
 		kinds[3].MachineTypes = []string{"box", "barn"}
-		kinds[4] = withManyTypes(kinds[4]) // its description is stored in chunks
+		kinds[4] = withManyTypes(kinds[4]) // its description is stored as a chunked record
 		var last *simulation.Job
 		for k := range 24 {
 			spec := kinds[k%len(kinds)]
@@ -27,7 +28,7 @@
 				spec.Dependencies = []string{last.Spec.ID}
 			}
 			job := s.Users.Submit(spec, float64(1+k%4))
-			for range 6 * (k % 3 / 2) { // some come many at a time, into batches
+			for range 6 * (k % 3 / 2) { // every third time six more, so that they are accepted in batches
 				s.Users.Submit(simulation.Array(1), 2)
 			}
 			last = job
@@ -48,14 +49,13 @@
 		}
 		s.recoverAndFinish(200 * second)
 		if s.Users.ConsistentReads < 1000 {
-			t.Fatalf("only %d reads at all nodes were answered", s.Users.ConsistentReads)
+			t.Fatalf("only %d reads at all nodes got a response, want at least 1000", s.Users.ConsistentReads)
 		}
 	})
 }
 
-// A cancellation, questions at all nodes and a repeated submission come at the very moment at
-// which a job's last task completes, or milliseconds later, without any fault: all nodes tell the
-// same final state at once.
+// A cancellation, queries at all nodes and a repeated submission arrive just when a job's last task
+// completes, or up to 361 ms later, without any fault. All nodes must report the same final state at once.
 func TestAllNodesAgreeOnFinalStateAtJobCompletion(t *testing.T) {
 	done, cancelled := 0, 0
 	for seed := range uint64(12) {
@@ -65,13 +65,13 @@
 		for k := range 20 {
 			job := s.Users.Submit(simulation.Array(1+k%3), 5)
 			if !s.RunUntil(s.Now+40*second, func() bool { return s.Users.CompletedTasks(job) == job.Spec.Tasks }) {
-				t.Fatal("its tasks do not complete")
+				t.Fatal("the tasks of a job did not complete within 40 s")
 			}
 			s.Run(s.Now + time.Duration(k*k)*time.Millisecond)
 			s.Users.ReadEverywhere(job)
 			s.Users.Cancel(job)
 			s.Users.Resubmit(job)
-			s.eventually(3*second, "it is over", func() bool { return job.LastState == protocol.JobDone || job.LastState == protocol.JobCancelled })
+			s.eventually(3*second, "the job is final", func() bool { return job.LastState == protocol.JobDone || job.LastState == protocol.JobCancelled })
 			if job.LastState == protocol.JobDone {
 				done++
 			} else {
@@ -81,12 +81,13 @@
 		s.recoverAndFinish(20 * second)
 	}
 	if done == 0 || cancelled == 0 {
-		t.Fatalf("%d were done and %d cancelled: one side was not shown", done, cancelled)
+		t.Fatalf("%d jobs were done and %d were cancelled, want some of each", done, cancelled)
 	}
 }
 
-// A job is accepted at one node and submitted again, changed so that it could not run, at all
-// nodes, of which one reads late: each answers with the job's state.
+// A job is accepted at one node. Then it is submitted at all nodes with a change that makes it
+// impossible to run, while the mirror of one node is stale. Each node must respond with the state of the
+// accepted job. Only the node with the stale mirror may respond that it is unavailable instead.
 func TestAcceptedJobIsNotRejectedByStaleMirror(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newScenario(t, 4800+seed)
@@ -95,7 +96,7 @@
 		s.Run(s.Now + 5*second)
 		s.Users.OnlyNode = s.leader()
 		job := s.Users.Submit(simulation.Array(2), 15)
-		s.eventually(10*second, "it is accepted", func() bool { return job.Accepted })
+		s.eventually(10*second, "the job is accepted", func() bool { return job.Accepted })
 		s.Users.OnlyNode = nil
 		again, answers := job.Spec, map[string]core.ReplyStatus{}
 		again.CPUs = 4096
@@ -106,10 +107,10 @@
 		s.Run(s.Now + 5*second)
 		for _, node := range s.Nodes {
 			if got := answers[node.Label]; got != core.ReplyOK && (got != core.ReplyUnavailable || node != slow) {
-				t.Fatalf("%s answers %d", node.Label, got)
+				t.Fatalf("%s responded with status %d, want the state of the accepted job", node.Label, got)
 			}
 		}
 		s.SetLink("state", slow.Label, simulation.Link{})
-		s.eventually(60*second, "it is done", s.Users.AllFinal)
+		s.eventually(60*second, "the job is final", s.Users.AllFinal)
 	}
 }
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// crashLeaderAndSubmit crashes the leader and, once another controller leads, submits a job for the team
-// of each running job. Since these jobs are newer than the leader's term, they do not wait until every
-// machine has been seen.
+// crashLeaderAndSubmit crashes the leader and, 1 s later, submits a job for the team of each running job.
+// These jobs are newer than the next leader's election and therefore do not wait until every machine has
+// been seen.
 func (s *scenario) crashLeaderAndSubmit(running []*simulation.Job) (submitted []*simulation.Job) {
 	s.crashLeader(second / 5)
 	s.Run(s.Now + second)
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -146,7 +146,7 @@
 	return result
 }
 
-// endpointLabels are the labels that stand for linkEnds in a cluster.
+// endpointLabels returns the labels of linkEndpoints in the scenario's cluster, in the same order.
 func (s *scenario) endpointLabels() []string {
 	ends := []string{s.leader().Label}
 	for _, node := range s.Nodes {
