--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -29,7 +29,7 @@
 				for seed := range uint64(2) {
 					lost += simulateLostResponses(t, 3100+seed, key, late)
 				}
-				if lost == 0 && key != "c/types" { // machine types are written once, before the faults can begin
+				if lost == 0 && key != "c/types" { // machine types are written so rarely that perhaps no write is affected
 					t.Fatal("no response was lost or late, so the test checked nothing")
 				}
 			})
@@ -37,8 +37,9 @@
 	}
 }
 
-// simulateLostResponses runs a day of jobs, cancellations, failovers and handovers with such
-// answers, and returns how many there were.
+// simulateLostResponses runs a scenario of jobs, cancellations, failovers and shard handovers in which
+// transactions that change a key with the given prefix get no response. With late set, fewer of them are
+// affected, but these are also applied late. It returns how many transactions were affected.
 func simulateLostResponses(t *testing.T, seed uint64, key string, late bool) int {
 	s := &scenario{Cluster: simulation.NewWithSettings(seed, simulation.Settings(3), simulation.MachineTypes()), t: t}
 	s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = key, 1
@@ -79,8 +80,8 @@
 	return s.Store.DelayedCommits
 }
 
-// lostResponsesSpec describes the k-th job: some depend on head, and some have descriptions that
-// are stored in chunks.
+// lostResponsesSpec returns the description of the k-th job. Some jobs depend on head, and some have a
+// description that is stored as a chunked record.
 func lostResponsesSpec(k int, head *simulation.Job) protocol.Job {
 	spec := simulation.Array(1 + k%3*12)
 	spec.Team = []string{"blue", "red"}[k%2]
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -10,14 +10,14 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// partitionMachine cuts a machine off from all controllers, dropping what is under way.
+// partitionMachine partitions a machine from all controllers. Packets in both directions are dropped.
 func (s *scenario) partitionMachine(machine *simulation.Worker) {
 	for _, node := range s.Nodes {
 		s.Partition(node.Label, machine.Info.Name, false)
 	}
 }
 
-// healMachine ends partitionMachine.
+// healMachine ends the partition of a machine from all controllers.
 func (s *scenario) healMachine(machine *simulation.Worker) {
 	for _, node := range s.Nodes {
 		s.Heal(node.Label, machine.Info.Name)
@@ -30,9 +30,10 @@
 	}
 }
 
-const machinesTerminatedWithLeader = "machines die with the leader"
+const machinesTerminatedWithLeader = "machines are terminated when the leader crashes"
 
-// staleHeartbeats are what happens between a heartbeat and the failover at which it arrives.
+// staleHeartbeats are the events between the time at which a heartbeat was sent and the failover during
+// which it arrives.
 var staleHeartbeats = map[string]func(s *scenario){
 	"from before the tasks": func(*scenario) {},
 	"from an earlier session": func(s *scenario) {
@@ -47,10 +48,10 @@
 		s.Run(s.Now + 20*second)
 	},
 	machinesTerminatedWithLeader: func(s *scenario) { s.removeSomeMachines(6) },
-	"of partitioned machines": func(s *scenario) { // so that it is the first that anybody hears
+	"of partitioned machines": func(s *scenario) { // the stale heartbeat is the first that the new leader receives
 		busy := slices.DeleteFunc(s.SomeWorkers(64), func(machine *simulation.Worker) bool { return len(machine.Tasks) == 0 })
-		s.addMachines(12)   // with room for all that they run
-		s.Cloud.Down = true // or they would be taken for dead, and deleted
+		s.addMachines(12)   // with free capacity for all tasks of the busy machines
+		s.Cloud.Down = true // otherwise the busy machines would be considered dead and deleted
 		for _, machine := range busy {
 			s.partitionMachine(machine)
 			s.After(7*second, func() { s.healMachine(machine) })
@@ -64,9 +65,9 @@
 	},
 }
 
-// The same old heartbeat of each machine reaches all controllers just as a leader begins.
-// Nothing runs twice, no quota is exceeded, and neither a machine that is gone nor what was said
-// of one holds the failover or the work up.
+// The same stale heartbeat of each machine reaches all controllers, several times, just as a new leader
+// takes over. No task may run twice and no quota may be exceeded. Neither a terminated machine nor a stale
+// heartbeat of one may delay the failover or the jobs.
 func TestStaleHeartbeatsAtFailoverLoseNoTasks(t *testing.T) {
 	for name, between := range staleHeartbeats {
 		t.Run(name, func(t *testing.T) {
@@ -74,10 +75,10 @@
 				s := startScenario(t, seed, controllers, nil)
 				s.addMachines(12)
 				s.RetainHeartbeats = true
-				s.Run(s.Now + 4*second) // one of each machine is kept
+				s.Run(s.Now + 4*second) // one heartbeat of each machine is kept
 				s.RetainHeartbeats = false
 				spec := simulation.Array(24)
-				spec.Team = "red" // all that it may use
+				spec.Team = "red" // whose quota the job uses completely
 				red, blue := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(20), 60)
 				s.eventually(30*second, "all tasks run", func() bool { return red.RunningTasks() == 24 && blue.RunningTasks() == 20 })
 				between(s)
@@ -91,9 +92,9 @@
 				more := simulation.Array(4)
 				more.Team = "red"
 				s.Users.Submit(more, 10)
-				s.eventually(35*second, "no machine is waited for", func() bool { return s.logged("every machine has been seen") })
+				s.eventually(35*second, "every machine has been seen", func() bool { return s.logged("every machine has been seen") })
 				if lost := tasksBefore - red.RunningTasks() - s.Users.CompletedTasks(red); name != machinesTerminatedWithLeader && lost > 0 {
-					t.Fatalf("%d tasks were lost by a stale heartbeat\n%s", lost, s.lastLogs(*logLines))
+					t.Fatalf("%d tasks were lost because of a stale heartbeat\n%s", lost, s.lastLogs(*logLines))
 				}
 				s.recoverAndFinish(300 * second)
 			})
@@ -101,9 +102,9 @@
 	}
 }
 
-// Some machines can open no connection to a controller, while direct calls reach them: their
-// tasks are lost with their leases and started elsewhere, and cancelled ones stop, once, also
-// through a failover.
+// Some machines cannot connect to a controller, while the controllers' direct calls reach them. Their tasks
+// are lost when their leases expire, and must be started elsewhere only once. Tasks of a cancelled job must
+// stop. This also holds during a failover.
 func TestMachinesThatCannotReachControllersLoseTheirTasksOnce(t *testing.T) {
 	for _, failover := range []bool{false, true} {
 		acrossSeeds(t, 3900, 3, func(t *testing.T, variant, controllers int, seed uint64) {
@@ -126,14 +127,15 @@
 			s.Run(s.Now + s.cancelTimeout() + 20*second)
 			s.recoverAndFinish(300 * second)
 			if red.LastState != protocol.JobDone {
-				t.Fatalf("the other job is %s", red.LastState)
+				t.Fatalf("the job that was not cancelled is %s, want it done", red.LastState)
 			}
 		})
 	}
 }
 
-// Heartbeats are held back until a new leader has acted, and arrive there then, after the
-// machine's tasks were given up or kept; its own next ones follow.
+// Heartbeats of some machines are held for 2 to 32 s after the leader crashed, and so arrive at the new
+// leader before or after it has decided whether the machines' tasks are lost. The machines' next
+// heartbeats follow.
 func TestHeartbeatsDelayedPastFailoverKeepInvariants(t *testing.T) {
 	acrossSeeds(t, 4100, 6, func(t *testing.T, variant, controllers int, seed uint64) {
 		s, toCancel := startFull(t, seed, controllers)
@@ -145,20 +147,20 @@
 				}
 			}
 		}
-		setLinks(simulation.Held) // what the machines send is kept, what they are told arrives
+		setLinks(simulation.Held) // heartbeats are held, while what controllers send to the machines arrives
 		s.Run(s.Now + second)
 		s.Users.Cancel(toCancel)
 		s.crashLeader(second / 5)
 		s.Users.Submit(simulation.Array(12), 10)
-		s.Run(s.Now + time.Duration(2+variant*6)*second) // from before it has acted to long after
+		s.Run(s.Now + time.Duration(2+variant*6)*second) // from before the new leader has acted to long after
 		setLinks(simulation.Link{})
 		s.Run(s.Now + s.cancelTimeout())
 		s.recoverAndFinish(300 * second)
 	})
 }
 
-// A machine dies, and copies of its heartbeats go on arriving: they neither keep its tasks from
-// being started elsewhere after its lease, nor count as hearing it.
+// A machine is terminated, and copies of its heartbeats keep arriving. They must not count as new
+// heartbeats, and must not prevent its tasks from being started elsewhere after its lease has expired.
 func TestDuplicatedHeartbeatsDoNotKeepDeadMachine(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 4700+seed)
@@ -166,11 +168,11 @@
 		s.DuplicateShare, s.MaxDuplicateDelay = 1, 60*second
 		job := s.Users.Submit(simulation.Array(16), 300)
 		s.Run(s.Now + 60*second)
-		s.Cloud.Down = true // or it would be deleted, which settles it
+		s.Cloud.Down = true // otherwise the machine would be deleted, and its lease would not have to expire
 		s.Cloud.Remove(s.Workers[job.MachineOf(0)].Info.Name)
 		s.DuplicateShare = 0
 		workers := s.Settings.Site.Workers
-		s.eventually(config.Seconds(workers.LeaseS+2*workers.HeartbeatS), "its tasks are known to be lost", func() bool {
+		s.eventually(config.Seconds(workers.LeaseS+2*workers.HeartbeatS), "the machine's lease expires and its tasks are lost", func() bool {
 			return s.logged("machine lease expired, its tasks are lost")
 		})
 	}
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -10,8 +10,8 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// An outage longer than the workers' lease: controllers must stop answering, workers drop
-// their tasks, and none of them may run twice afterwards.
+// The state service is down for longer than a worker's lease. No task may run twice, during the outage or
+// after it, and the job must be final in the end.
 func TestNoTaskRunsTwiceAfterStoreOutageBeyondWorkerLease(t *testing.T) {
 	s := newScenario(t, 6)
 	job := s.Users.Submit(simulation.Array(16), 40)
@@ -19,23 +19,23 @@
 	s.Store.Outage(40 * second)
 	s.Run(s.Now + 39*second)
 	s.requireInvariants()
-	s.eventually(180*second, "the work is done again", s.Users.AllFinal)
+	s.eventually(180*second, "the job is final", s.Users.AllFinal)
 }
 
-// A controller that is refused by the state service alone still receives its workers' heartbeats;
-// it must stop answering them before the others start their tasks elsewhere.
+// The state service refuses the requests of only one controller, which still receives its workers'
+// heartbeats. It must stop responding to them before other controllers start the workers' tasks elsewhere.
 func TestControllerRefusedByStoreStopsResponding(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newBusyScenario(t, 10+seed, 20*second)
 		node := s.Nodes[seed%3]
 		s.Store.RefusedNodes[node.Label] = true
 		s.After(40*second, func() { delete(s.Store.RefusedNodes, node.Label) })
-		s.eventually(240*second, "the work goes on", s.Users.AllFinal)
+		s.eventually(240*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
 
-// Users who ask many times as often, and a wave of small jobs, must not use up the
-// state service's rate limit: lease renewals and submissions need it.
+// Users that poll many times as often as usual, and a burst of small jobs, must not exhaust the state
+// service's rate limit, which lease renewals and submissions depend on.
 func TestPollsDoNotExhaustStoreRateLimit(t *testing.T) {
 	s := newScenario(t, 90)
 	job := s.Users.Submit(simulation.Array(4), 60)
@@ -63,13 +63,13 @@
 	}
 	s.Run(s.Now + 16*second)
 	if s.Store.Throttled > 0 || answered < asked {
-		t.Fatalf("%d requests were refused, %d of %d polls answered", s.Store.Throttled, answered, asked)
+		t.Fatalf("%d requests exceeded the rate limit, want none; %d of %d polls got a response, want all", s.Store.Throttled, answered, asked)
 	}
-	s.eventually(200*second, "every job is done", s.Users.AllFinal)
+	s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// Transactions without an answer that are applied late must not accept a job
-// twice, lose one or undo a cancellation.
+// Transactions that get no response and are applied late must not accept a job twice, lose a job or undo
+// a cancellation.
 func TestLateTransactionsAndLostResponses(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 40+seed)
@@ -80,33 +80,34 @@
 			jobs = append(jobs, s.Users.Submit(simulation.Array(6), 8))
 		}
 		s.After(12*second, func() { s.Users.Cancel(jobs[0]); s.Users.Cancel(jobs[1]) })
-		s.eventually(400*second, "every job is over", s.Users.AllFinal)
+		s.eventually(400*second, "all jobs are final", s.Users.AllFinal)
 		for _, job := range jobs {
-			s.Users.Resubmit(job) // however late, the answer is its state
+			s.Users.Resubmit(job) // however late it comes, the response is the job's state
 		}
 		s.Run(s.Now + 20*second)
 		s.requireInvariants()
 	}
 }
 
-// A controller that was away for more changes than the state service keeps reads all
-// keys anew, by pages some of which are refused, and knows every job.
+// A controller that missed more changes than the state service keeps loads all keys again, page by page.
+// The state service refuses some of these requests. The controller must then know every job, also those
+// that have ended.
 func TestPagedLoadAfterCompaction(t *testing.T) {
 	s := newScenario(t, 47)
 	s.Store.AddFinishedJobs(4500)
 	open := s.Users.Submit(simulation.Array(4), 200)
-	s.eventually(60*second, "it runs", func() bool { return open.RunningTasks() == 4 })
+	s.eventually(60*second, "all tasks of the open job run", func() bool { return open.RunningTasks() == 4 })
 	restarted := s.leader()
 	s.Store.RefusedNodes[restarted.Label] = true
 	s.After(6*second, func() { delete(s.Store.RefusedNodes, restarted.Label) })
 	restarted.Crash(second)
 	s.After(6*second+40*time.Millisecond, func() { s.Store.RefusedNodes[restarted.Label] = true })
 	s.After(8*second, func() { delete(s.Store.RefusedNodes, restarted.Label) })
-	s.eventually(20*second, "it is ready", func() bool { return restarted.Ready })
+	s.eventually(20*second, "the restarted controller is ready", func() bool { return restarted.Ready })
 	for i, want := range map[int]string{0: protocol.JobCancelled, 51: protocol.JobDone, 4499: protocol.JobDone} {
 		restarted.Request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(reply core.Reply) {
 			if answer := reply.Body.(protocol.JobResponse); reply.Status != 200 || answer.State != want || answer.Done == 0 && want == protocol.JobDone {
-				t.Errorf("%d: %+v", i, reply)
+				t.Errorf("the reply about finished job %d is %+v", i, reply)
 			}
 		})
 	}
@@ -114,20 +115,20 @@
 	s.requireInvariants()
 }
 
-// An outage of the state service that all controllers see ends no task, however long it
-// is; a job whose user was told just before it that it is cancelled is stopped all the
-// same, and when it is over the work goes on at once.
+// An outage of the state service that affects all controllers ends no task, however long it lasts. A job
+// whose cancellation was confirmed just before the outage is still stopped, and work continues as soon as
+// the outage has ended.
 func TestStoreOutageSeenByAllEndsNoTask(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newScenario(t, 520+seed)
 		long, cancelled := s.Users.Submit(simulation.Array(12), 150), s.Users.Submit(simulation.Array(6), 300)
 		s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 18 })
 		s.Users.Cancel(cancelled)
-		s.eventually(second, "its user is told", func() bool { return cancelled.LastState == protocol.JobCancelled })
-		s.Store.Outage(70 * second) // the others have not seen it
+		s.eventually(second, "the cancellation is confirmed to the user", func() bool { return cancelled.LastState == protocol.JobCancelled })
+		s.Store.Outage(70 * second) // before the other controllers have read the cancellation
 		s.Run(s.Now + 12*second)
 		if n := cancelled.RunningTasks(); n > 0 {
-			t.Fatalf("%d tasks of the cancelled job run", n)
+			t.Fatalf("%d tasks of the cancelled job are running, want none", n)
 		}
 		leastRunning := 12
 		for range 56 {
@@ -135,15 +136,16 @@
 			leastRunning = min(leastRunning, long.RunningTasks())
 		}
 		if leastRunning < 12 {
-			t.Fatalf("%d of 12 tasks were left", leastRunning)
+			t.Fatalf("at one time only %d of 12 tasks were running, want all", leastRunning)
 		}
 		s.requireInvariants()
 		s.eventually(120*second, "the job is done", func() bool { return long.LastState == protocol.JobDone })
 	}
 }
 
-// Where one controller is away, or is served while the others are not, or is of a version that
-// does not list all cancellations that it may have confirmed, nobody enters degraded mode.
+// Degraded mode requires votes of all controllers. No controller enters it if one of them is down, is
+// still served by the state service, or has a version that does not list all cancellations that it may
+// have confirmed.
 func TestDegradedModeRequiresEveryController(t *testing.T) {
 	for variant := range 3 {
 		s := newScenario(t, 530+uint64(variant))
@@ -170,6 +172,6 @@
 			t.Fatal("degraded mode was entered")
 		}
 		s.Store.RefusedNodes = map[string]bool{}
-		s.eventually(500*second, "the job is done", s.Users.AllFinal)
+		s.eventually(500*second, "the job is final", s.Users.AllFinal)
 	}
 }
