--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -102,9 +102,9 @@
 	return submitted
 }
 
-// requireStarts fails the test unless a task of each team starts among the given jobs within a lease and
-// two heartbeats. That is the time for the next leader's first shard map, the last responses of the
-// machines' former owner, a lease, and the drift of the clocks.
+// requireStarts fails the test unless each team starts a task of the given jobs within a lease and two
+// heartbeats. That is the time for the next leader's first shard map, the last responses of the machines'
+// former owner, a lease, and the drift of the clocks.
 func (s *scenario) requireStarts(jobs []*simulation.Job) {
 	s.t.Helper()
 	workers := s.Settings.Site.Workers
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -254,9 +254,9 @@
 
 // The leader crashes while its machines are behind a partition, and the cloud deletes no machines. In
 // half of the runs the partition is one-way, and the machines only receive nothing; in the others
-// nothing that they send arrives either. Their tasks must not be started elsewhere. Their team, which is
-// at its quota, must not start further tasks until those on the machines have certainly ended. Tasks of
-// a job that is cancelled meanwhile must have ended in time.
+// nothing that they send arrives either. Their tasks must not be started elsewhere. A team that is at its
+// quota must not start further tasks until those on the machines have certainly ended. Tasks of a job
+// that is cancelled meanwhile must have ended in time.
 func TestLeaderCrashDuringOneWayPartitionKeepsInvariants(t *testing.T) {
 	for _, team := range []string{"red", "blue"} { // red has a quota, blue has none
 		for seed := range uint64(6) {
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -21,8 +21,9 @@
 //
 //	go test ./internal/core -run EveryPartition -everycut
 //
-// To simulate one subset and show its log, replace -everycut by
-// -cuts "second<workers third>workers" -debuglogs
+// To simulate only one of them and show its log, add:
+//
+//	-cuts "second<workers third>workers" -debuglogs
 var (
 	everyCut = flag.Bool("everycut", false, "EveryPartition simulates every subset of cut links")
 	onlyCuts = flag.String("cuts", "", "EveryPartition simulates this subset alone and shows its log")
@@ -93,8 +94,9 @@
 	logs          []string
 }
 
-// simulateCuts runs a simulation in which links are cut and then healed in two steps, the lower half of
-// the set first or last. A direction that is cut behaves as blocked says.
+// simulateCuts runs a simulation in which the links of a set are cut and then healed in two steps, the
+// lower half of the set first or last. blocked is the fault of each direction that is cut, and mode its
+// name.
 func simulateCuts(t testing.TB, c cutSet, blocked simulation.Link, mode string, lowFirst bool) (result cutResult) {
 	result.name = fmt.Sprintf("%s: %s, lower half healed first %v", mode, c, lowFirst)
 	cluster := simulation.New(7, 3)
