--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -152,7 +152,7 @@
 
 // Whatever records of a job are written in whatever order, and whether a controller follows them or
 // loads them later: the first acceptance counts, and a batch that holds it is not deleted.
-func TestFirstAcceptanceCountsOnEveryNode(t *testing.T) {
+func TestFirstAcceptanceCountsOnEveryController(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := &storeHistory{values: map[string]protocol.KeyValue{}}
 		follower := newReplica()
--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -54,7 +54,7 @@
 				s.SetLink("state", lagging.Label, simulation.Link{Delay: 500 * time.Millisecond})
 				s.Users.OnlyNode = first
 				s.Users.Cancel(cancelled)
-				s.eventually(second, "the dependency is cancelled", toldState(protocol.JobCancelled, cancelled))
+				s.eventually(second, "the dependency is cancelled", lastStateIs(protocol.JobCancelled, cancelled))
 				s.exhaustSingleWrites(first)
 				dependent := s.Users.Submit(dependentArray(1, cancelled), 1)
 				s.Run(s.Now + 100*time.Millisecond)
--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -75,7 +75,7 @@
 	s.eventually(100*second, "every job is over", s.Users.AllFinal)
 }
 
-func TestMachinesThatNeverBootAreGivenUp(t *testing.T) {
+func TestMachinesThatNeverBootAreDeleted(t *testing.T) {
 	s := newScenario(t, 62)
 	s.Cloud.StuckBoots = 2
 	s.Users.Submit(simulation.Array(8), 10)
@@ -95,7 +95,7 @@
 // A controller is ready as soon as it is entitled. It once waited for the machine types
 // as well, and the load balancer, which probes once a second, had no controller for the
 // first users.
-func TestReadyBeforeTheCloudAnswers(t *testing.T) {
+func TestControllersAreReadyBeforeTheCloudResponds(t *testing.T) {
 	s := &scenario{Cluster: simulation.New(77, 3), t: t}
 	for _, node := range s.Nodes {
 		s.Partition(node.Label, "cloud", false)
@@ -116,7 +116,7 @@
 
 // A machine that has just come up has not shown its token yet. That is no reason
 // to return it to the cloud.
-func TestNewMachinesAreKept(t *testing.T) {
+func TestNewMachinesAreNotReturned(t *testing.T) {
 	s := newScenario(t, 32)
 	for range 10 {
 		s.Cloud.AddRunning("barn", "a", true)
@@ -152,7 +152,7 @@
 
 // Machines that are known before the cloud has listed its types get work once it has:
 // the leader once looked their type up in a snapshot that did not name it.
-func TestMachinesKnownBeforeTheirTypes(t *testing.T) {
+func TestMachinesKnownBeforeTheirTypesGetWork(t *testing.T) {
 	s := newScenario(t, 42)
 	s.Cloud.Down = true
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
@@ -169,7 +169,7 @@
 
 // A cloud that allows one call a second is still called, and one list of many pages does
 // not use up its calls.
-func TestRateLimitedCloud(t *testing.T) {
+func TestCloudCallsStayWithinRateLimit(t *testing.T) {
 	set := simulation.Settings(3)
 	set.Site.Cloud.RPS = 1
 	s := &scenario{Cluster: simulation.NewWithSettings(43, set, simulation.MachineTypes()), t: t}
--- a/internal/core/capacity_faults_test.go
+++ b/internal/core/capacity_faults_test.go
@@ -40,14 +40,14 @@
 			}
 			s.Run(s.Now + 3*second)
 		}
-		s.eventually(32*second, "urgent work is done", toldState(protocol.JobDone, urgent...))
+		s.eventually(32*second, "urgent work is done", lastStateIs(protocol.JobDone, urgent...))
 		s.Heal("node-0", "workers")
 		s.PeerLatency = 0
 		for _, node := range s.Nodes {
 			s.Heal(node.Label, "workers")
 		}
 		s.recoverAndFinish(300 * second)
-		if !toldState(protocol.JobDone, other...)() {
+		if !lastStateIs(protocol.JobDone, other...)() {
 			t.Fatal("a job that is not urgent, and that nobody cancelled, is over and not done")
 		}
 	})
@@ -65,6 +65,6 @@
 		s.Users.Submit(failing, 5).FailsEverywhere = true
 		s.Run(s.Now + 6*second)
 		job := s.Users.Submit(simulation.Array(4), 5)
-		s.eventually(25*second, "the other job is done", toldState(protocol.JobDone, job))
+		s.eventually(25*second, "the other job is done", lastStateIs(protocol.JobDone, job))
 	}
 }
--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -73,7 +73,7 @@
 		s.Run(s.Now + 3*second)
 	}
 	s.eventually(400*second, "all jobs are final although responses are still lost", s.Users.AllFinal)
-	if !toldState(protocol.JobDone, uncancelled...)() {
+	if !lastStateIs(protocol.JobDone, uncancelled...)() {
 		t.Fatal("a job that no user cancelled is final but not done")
 	}
 	s.recoverAndFinish(second)
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -69,7 +69,7 @@
 	leader := s.leader()
 	for range 10 {
 		s.Run(s.Now + second/5)
-		leader.Core.ForceRound()
+		leader.Core.ForceSchedulingRound()
 		roundDue = true
 		leader.Post(core.Tick{})
 		s.Run(s.Now + second/5)
@@ -116,9 +116,9 @@
 	b.ReportMetric(longest.Seconds()*1000, "longest-ms")
 }
 
-// BenchmarkEnded is what archived jobs cost a controller that starts: the time to load the mirror and
+// BenchmarkLoadArchivedJobs is what archived jobs cost a controller that starts: the time to load the mirror and
 // the memory that it then holds.
-func BenchmarkEnded(b *testing.B) {
+func BenchmarkLoadArchivedJobs(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := newScenario(b, 1)
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -35,10 +35,10 @@
 		return strings.HasPrefix(jobs[3].Answer.Reason, "waits for "+jobs[1].Spec.ID)
 	})
 	s.leader().Crash(second / 5)
-	s.eventually(200*second, "all are done", toldState(protocol.JobDone, jobs...))
+	s.eventually(200*second, "all are done", lastStateIs(protocol.JobDone, jobs...))
 	// A dependent may also come when all that it depends on is over.
 	last := s.submitAccepted(dependentArray(1, jobs...), 1)
-	s.eventually(60*second, "that one too", toldState(protocol.JobDone, last))
+	s.eventually(60*second, "that one too", lastStateIs(protocol.JobDone, last))
 }
 
 func TestCancellationReachesAllDependents(t *testing.T) {
@@ -46,9 +46,9 @@
 	jobs := s.submitDiamond()
 	other := s.submitAccepted(simulation.Array(1), 300)
 	s.Users.Cancel(jobs[0])
-	s.eventually(45*second, "all dependents are cancelled", toldState(protocol.JobCancelled, jobs...))
+	s.eventually(45*second, "all dependents are cancelled", lastStateIs(protocol.JobCancelled, jobs...))
 	late := s.submitAccepted(dependentArray(2, other, jobs[3]), 1)
-	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", toldState(protocol.JobCancelled, late))
+	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", lastStateIs(protocol.JobCancelled, late))
 	if !strings.Contains(late.Answer.Reason, jobs[3].Spec.ID) {
 		t.Fatalf("the reason is %q", late.Answer.Reason)
 	}
@@ -62,17 +62,17 @@
 }
 
 // One branch of a diamond is cancelled: the last job is too, the other branch goes on.
-func TestCancelledBranchOfDiamond(t *testing.T) {
+func TestCancelledBranchOfDiamondLeavesOtherBranchRunning(t *testing.T) {
 	s := newScenario(t, 302)
 	jobs := s.submitDiamond()
 	s.Users.Cancel(jobs[1])
-	s.eventually(60*second, "the end is cancelled", toldState(protocol.JobCancelled, jobs[1], jobs[3]))
-	s.eventually(60*second, "the other branch is done", toldState(protocol.JobDone, jobs[0], jobs[2]))
+	s.eventually(60*second, "the end is cancelled", lastStateIs(protocol.JobCancelled, jobs[1], jobs[3]))
+	s.eventually(60*second, "the other branch is done", lastStateIs(protocol.JobDone, jobs[0], jobs[2]))
 }
 
 // Whichever of done and cancelled comes first, the dependents follow it, wherever they are asked
 // about; the invariant checker compares the answers.
-func TestCancellationRacesCompletion(t *testing.T) {
+func TestDependentsFollowRacingCancellationAndCompletion(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(60) {
 		s := newScenario(t, 400+seed)
@@ -87,7 +87,7 @@
 		}
 		s.eventually(200*second, "all come to the same end", func() bool {
 			final := head.LastState == protocol.JobDone || head.LastState == protocol.JobCancelled
-			return final && toldState(head.LastState, accepted, late)()
+			return final && lastStateIs(head.LastState, accepted, late)()
 		})
 		outcomes[head.LastState]++
 	}
@@ -128,7 +128,7 @@
 		s.submitAccepted(dependent, 5)
 	}
 	free := s.submitAccepted(simulation.Array(8), 5) // team blue's guarantee
-	s.eventually(60*second, "other work is done", toldState(protocol.JobDone, free))
+	s.eventually(60*second, "other work is done", lastStateIs(protocol.JobDone, free))
 	s.eventually(400*second, "and in the end all", s.Users.AllFinal)
 }
 
@@ -147,7 +147,7 @@
 			last.Urgency = protocol.UrgencyHigh
 			s.submitAccepted(last, 2)
 		}
-		s.eventually(900*second, "the step is done", toldState(protocol.JobDone, step))
+		s.eventually(900*second, "the step is done", lastStateIs(protocol.JobDone, step))
 		return s.Now
 	}
 	if plain, urgent := done(false), done(true); urgent*5 > plain*4 {
@@ -157,7 +157,7 @@
 
 // The invariant checker itself: three violations that are brought about must be caught, or the
 // scenarios above assert nothing.
-func TestCheckerCatchesDependencyFaults(t *testing.T) {
+func TestInvariantCheckerCatchesDependencyFaults(t *testing.T) {
 	requireCaught := func(s *scenario, invariant string) {
 		t.Helper()
 		if !slices.ContainsFunc(s.Violations, func(b string) bool { return strings.Contains(b, " "+invariant+": ") }) {
@@ -178,7 +178,7 @@
 	first = s.submitAccepted(simulation.Array(2), 600)
 	rest := s.submitAccepted(dependentArray(2, first), 5)
 	s.Users.Cancel(first)
-	s.eventually(60*second, "both are cancelled", toldState(protocol.JobCancelled, first, rest))
+	s.eventually(60*second, "both are cancelled", lastStateIs(protocol.JobCancelled, first, rest))
 	s.Store.ReopenJob(first.Spec)
 	s.crashAll(second)
 	s.Run(s.Now + 100*second)
@@ -195,24 +195,24 @@
 
 // The first job of a chain fails wherever it runs: its dependents wait, say so and hold nothing,
 // and are cancelled with it when its user gives up.
-func TestDependencyChainWithFailingHead(t *testing.T) {
+func TestDependentsOfFailingJobWaitUntilCancelled(t *testing.T) {
 	s := newScenario(t, 314)
 	head := s.submitAccepted(simulation.Array(4), 5)
 	head.FailsEverywhere = true
 	rest := []*simulation.Job{s.submitAccepted(dependentArray(40, head), 5)}
 	rest = append(rest, s.submitAccepted(dependentArray(3, rest[0]), 5))
 	free := s.submitAccepted(simulation.Array(8), 5)
-	s.eventually(100*second, "other work is done", toldState(protocol.JobDone, free))
+	s.eventually(100*second, "other work is done", lastStateIs(protocol.JobDone, free))
 	s.Run(s.Now + 60*second)
 	if reason := rest[1].Answer.Reason; reason != "waits for "+rest[0].Spec.ID {
 		t.Fatalf("the last says %q", reason)
 	}
 	s.Users.Cancel(head)
-	s.eventually(60*second, "all are cancelled", toldState(protocol.JobCancelled, head, rest[0], rest[1]))
+	s.eventually(60*second, "all are cancelled", lastStateIs(protocol.JobCancelled, head, rest[0], rest[1]))
 }
 
 // A chain across teams, one of which is at its quota for long.
-func TestDependencyChainAcrossTeams(t *testing.T) {
+func TestDependencyChainAcrossTeamsCompletes(t *testing.T) {
 	s := newScenario(t, 315)
 	ofRed := func(tasks int, dependencies ...*simulation.Job) protocol.Job {
 		spec := dependentArray(tasks, dependencies...)
@@ -224,10 +224,10 @@
 	head := s.submitAccepted(simulation.Array(4), 4)
 	middle := s.submitAccepted(ofRed(4, head), 4)
 	last := s.submitAccepted(dependentArray(4, middle), 4)
-	s.eventually(60*second, "the first is done", toldState(protocol.JobDone, head))
+	s.eventually(60*second, "the first is done", lastStateIs(protocol.JobDone, head))
 	s.Run(s.Now + 8*second)
 	if !strings.Contains(middle.Answer.Reason, "at its limit") {
 		t.Fatalf("the second is %s and says %q, %d of the first run", middle.LastState, middle.Answer.Reason, full.RunningTasks())
 	}
-	s.eventually(300*second, "all are done", toldState(protocol.JobDone, full, head, middle, last))
+	s.eventually(300*second, "all are done", lastStateIs(protocol.JobDone, full, head, middle, last))
 }
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -25,16 +25,16 @@
 // record says.
 func TestDependentOfCancelledJobHasOneAnswerOnAllNodes(t *testing.T) {
 	t.Run("accepted again in a batch", func(t *testing.T) {
-		acceptedTwice(t, (*scenario).exhaustSingleWrites)
+		testAcceptedTwice(t, (*scenario).exhaustSingleWrites)
 	})
 	t.Run("accepted again with a write of its own", func(t *testing.T) {
-		acceptedTwice(t, func(s *scenario, _ *simulation.Node) { s.Run(s.Now + 10*time.Millisecond) })
+		testAcceptedTwice(t, func(s *scenario, _ *simulation.Node) { s.Run(s.Now + 10*time.Millisecond) })
 	})
 }
 
-// acceptedTwice has a dependent of a cancelled job accepted by two nodes; prepare is called
+// testAcceptedTwice has a dependent of a cancelled job accepted by two nodes; prepare is called
 // before it is submitted at the one that learns of the cancellation late.
-func acceptedTwice(t *testing.T, prepare func(s *scenario, late *simulation.Node)) {
+func testAcceptedTwice(t *testing.T, prepare func(s *scenario, late *simulation.Node)) {
 	t.Helper()
 	s := newScenario(t, 9100)
 	cause := s.submitAccepted(simulation.Array(1), 300)
@@ -45,11 +45,11 @@
 	s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
 	s.Users.OnlyNode = informed
 	s.Users.Cancel(cause)
-	s.eventually(second, "the first job is cancelled", toldState(protocol.JobCancelled, cause))
+	s.eventually(second, "the first job is cancelled", lastStateIs(protocol.JobCancelled, cause))
 
 	s.exhaustSingleWrites(informed)
 	dependent := s.Users.Submit(dependentArray(1, cause), 1)
-	s.eventually(200*time.Millisecond, "its dependent is aborted", toldState(protocol.JobCancelled, dependent))
+	s.eventually(200*time.Millisecond, "its dependent is aborted", lastStateIs(protocol.JobCancelled, dependent))
 
 	prepare(s, late)
 	s.Users.OnlyNode = late
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -4,9 +4,9 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// ForceRound has the leader rank, dispatch and do its maintenance with its next batch of
+// ForceSchedulingRound has the leader rank, dispatch and do its maintenance with its next batch of
 // commands, however little time has passed since it last did.
-func (c *Core) ForceRound() {
+func (c *Core) ForceSchedulingRound() {
 	c.scheduler.lastScheduling, c.scheduler.lastMaintenance = 0, -c.intervals.maintenance
 }
 
@@ -30,9 +30,9 @@
 	}
 }
 
-// AskOf has the leader dispatch tasks to a member, and ask it to stop some, with its next batch
+// QueueForShard has the leader dispatch tasks to a member, and ask it to stop some, with its next batch
 // of commands.
-func (c *Core) AskOf(label string, dispatch []peerproto.TaskAttempt, stop []peerproto.StopTask) {
+func (c *Core) QueueForShard(label string, dispatch []peerproto.TaskAttempt, stop []peerproto.StopTask) {
 	outbox := &c.scheduler.shards[label].outbox
 	outbox.Dispatch, outbox.Stop = append(outbox.Dispatch, dispatch...), append(outbox.Stop, stop...)
 	c.scheduler.shards[label].outboxDue = true
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -47,7 +47,7 @@
 	if s.ownerOf(faulty[1]) != owner || s.ownerOf(sound) == owner {
 		t.Fatal("the hash of names has changed: the faulty machines are to be of one shard, the sound one of another")
 	}
-	s.eventually(90*second, "it is done on the sound machine", toldState(protocol.JobDone, job))
+	s.eventually(90*second, "it is done on the sound machine", lastStateIs(protocol.JobDone, job))
 }
 
 // ownerOf is the controller whose shard has a machine, once one of them has heard it.
@@ -100,18 +100,18 @@
 	s.eventually(30*second, "its tasks have failed", func() bool { return s.logged("task failed") })
 	s.repairMachines()
 	s.eventually(90*second, "it runs", func() bool { return job.RunningTasks() > 0 })
-	s.eventually(60*second, "it is done", toldState(protocol.JobDone, job))
+	s.eventually(60*second, "it is done", lastStateIs(protocol.JobDone, job))
 }
 
 // What happens without the mend: a job that failed on three machines, all of them faulty, is tried by
 // one task at growing intervals, up to eight worker leases, here 320 s. When the machines work again
 // the next try is still that far.
-func TestCrashLoopingJobIsTriedSoonAfterRepair(t *testing.T) {
+func TestCrashLoopingJobIsRetriedSoonAfterRepair(t *testing.T) {
 	s, job := newFailingScenario(t, 6, simulation.Array(12))
 	s.Run(s.Now + 400*second)
 	s.repairMachines()
 	s.eventually(90*second, "it runs", func() bool { return job.RunningTasks() > 0 })
-	s.eventually(60*second, "it is done", toldState(protocol.JobDone, job))
+	s.eventually(60*second, "it is done", lastStateIs(protocol.JobDone, job))
 }
 
 // What happens without the mend: the first tasks of a job fail on two machines, and then the whole job
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -154,7 +154,7 @@
 					jobs := s.submitAndCancel(60, variant == 1)
 					s.eventually(s.cancelTimeout()+20*second, "all jobs are cancelled", func() bool {
 						s.Store.RefusedNodes = map[string]bool{}
-						return toldState(protocol.JobCancelled, jobs...)()
+						return lastStateIs(protocol.JobCancelled, jobs...)()
 					})
 					s.Run(s.Now + s.cancelTimeout() + second)
 					s.requireInvariants()
@@ -231,9 +231,9 @@
 // job that was cancelled just before must stay cancelled.
 func TestAllControllersDownPastWorkerLease(t *testing.T) {
 	acrossSeeds(t, 4300, 4, func(t *testing.T, variant, controllers int, seed uint64) {
-		s, toCancel := startFull(t, seed, controllers)
+		s, toCancel := startFullCluster(t, seed, controllers)
 		s.Users.Cancel(toCancel)
-		s.RunUntil(s.Now+2*second, toldState(protocol.JobCancelled, toCancel))
+		s.RunUntil(s.Now+2*second, lastStateIs(protocol.JobCancelled, toCancel))
 		down := time.Duration(8+6*variant) * second // 8 to 26 s, while the lease is 16 s
 		for i, node := range s.Nodes {
 			node.Crash(down + time.Duration(i)*second*time.Duration(variant%2*3))
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -76,8 +76,8 @@
 	return s.Users.Submit(spec, stream.runSeconds)
 }
 
-// patience is after how long an account is overdue.
-func (s *scenario) patience() time.Duration {
+// overdueAfter is after how long an account is overdue.
+func (s *scenario) overdueAfter() time.Duration {
 	return config.Seconds(s.Policy.OverdueLeases * s.Settings.Site.Workers.LeaseS)
 }
 
@@ -86,7 +86,7 @@
 func (s *scenario) checkFairShare(limit float64) {
 	s.t.Helper()
 	s.requireInvariants()
-	until := s.Now - 2*s.patience()
+	until := s.Now - 2*s.overdueAfter()
 	capacity := map[string]float64{}
 	for _, t := range s.Settings.Site.Teams {
 		capacity[t.Name] = limit * until.Seconds()
@@ -104,7 +104,7 @@
 // classShare is how much is done of a class of team red, of what came at least two patiences ago.
 func (s *scenario) classShare(class string) *simulation.ClassShare {
 	s.t.Helper()
-	share := s.Users.ClassShares(s.Now - 2*s.patience())[fairshare.Account{Team: "red", Class: class}]
+	share := s.Users.ClassShares(s.Now - 2*s.overdueAfter())[fairshare.Account{Team: "red", Class: class}]
 	if share == nil {
 		s.t.Fatalf("no job of %s", class)
 	}
@@ -278,7 +278,7 @@
 			if served := s.classShare(c.large.class); share > 0 {
 				s.checkHalfServed(c.large.class)
 			} else if 2*served.Done >= served.Jobs {
-				t.Errorf("%s: the scenario shows nothing: without fair share %d of %d %s are done", c.what, served.Done, served.Jobs, c.large.class)
+				t.Errorf("%s: the scenario shows nothing: without fair share %d of %d %s are done", c.name, served.Done, served.Jobs, c.large.class)
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 
 // contention is large jobs beside small ones of the same team that come all the time.
 type contention struct {
-	what     string
+	name     string
 	large    jobStream
 	limit    float64 // CPUs of the team
 	machines int
@@ -335,7 +335,7 @@
 }
 
 // A job that waits because quota is reserved for another class says so.
-func TestFairShareReservationIsTheReason(t *testing.T) {
+func TestFairShareReservationIsGivenAsReason(t *testing.T) {
 	t.Parallel()
 	const day = 300 * second
 	s := startContended(t, 510, day, nil, simulation.Settings(3), photoJobs(), reportJobs())
--- a/internal/core/fault_helpers_test.go
+++ b/internal/core/fault_helpers_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// startFull starts controllers with twelve machines that are full: of a team at its quota, of a
+// startFullCluster starts controllers with twelve machines that are full: of a team at its quota, of a
 // job that goes on for a minute, and of one that is to be cancelled, which it returns.
-func startFull(t *testing.T, seed uint64, controllers int) (s *scenario, toCancel *simulation.Job) {
+func startFullCluster(t *testing.T, seed uint64, controllers int) (s *scenario, toCancel *simulation.Job) {
 	s = startScenario(t, seed, controllers, nil)
 	s.addMachines(12)
 	spec := simulation.Array(24)
@@ -85,8 +85,8 @@
 	return job
 }
 
-// toldState tells whether the users of all jobs were told a state last.
-func toldState(state string, jobs ...*simulation.Job) func() bool {
+// lastStateIs tells whether the users of all jobs were told a state last.
+func lastStateIs(state string, jobs ...*simulation.Job) func() bool {
 	return func() bool {
 		return !slices.ContainsFunc(jobs, func(job *simulation.Job) bool { return job.LastState != state })
 	}
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -138,7 +138,7 @@
 // heartbeats follow.
 func TestHeartbeatsDelayedPastFailoverKeepInvariants(t *testing.T) {
 	acrossSeeds(t, 4100, 6, func(t *testing.T, variant, controllers int, seed uint64) {
-		s, toCancel := startFull(t, seed, controllers)
+		s, toCancel := startFullCluster(t, seed, controllers)
 		delayed := s.SomeWorkers(9)
 		setLinks := func(link simulation.Link) {
 			for _, machine := range delayed {
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -184,11 +184,11 @@
 		s.Users.OnlyNode = s.Nodes[(slices.Index(s.Nodes, leader)+1)%3]
 		s.Users.Cancel(jobs[0])
 		s.Users.Cancel(jobs[1])
-		s.eventually(10*second, "the cancellations are confirmed to the users", toldState(protocol.JobCancelled, jobs[0], jobs[1]))
+		s.eventually(10*second, "the cancellations are confirmed to the users", lastStateIs(protocol.JobCancelled, jobs[0], jobs[1]))
 		s.Users.OnlyNode = nil
 		s.Run(s.Now + s.cancelTimeout() + second)
 		s.Cloud.Down = false
-		s.eventually(300*second, "the other jobs are done", toldState(protocol.JobDone, jobs[2], jobs[3]))
+		s.eventually(300*second, "the other jobs are done", lastStateIs(protocol.JobDone, jobs[2], jobs[3]))
 	}
 }
 
@@ -245,7 +245,7 @@
 			}
 			s.Run(s.Now + 6*second)
 		}
-		s.eventually(30*second, "all jobs are done", toldState(protocol.JobDone, jobs...))
+		s.eventually(30*second, "all jobs are done", lastStateIs(protocol.JobDone, jobs...))
 		if s.Users.RepeatedStarts > 0 {
 			t.Fatalf("completed tasks were started again %d times", s.Users.RepeatedStarts)
 		}
@@ -392,7 +392,7 @@
 		delete(s.Store.RefusedNodes, leader.Label)
 		s.Store.ResponseDelay = 0
 		s.Users.FaultsOverAt = s.Now
-		s.eventually(60*second, "the cancellations are confirmed to the users", toldState(protocol.JobCancelled, jobs[:3]...))
+		s.eventually(60*second, "the cancellations are confirmed to the users", lastStateIs(protocol.JobCancelled, jobs[:3]...))
 		s.eventually(300*second, "all jobs are final", s.Users.AllFinal)
 	}
 }
@@ -472,7 +472,7 @@
 	s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 8 })
 	worker := s.Workers[cancelled.MachineOf(0)]
 	s.Users.Cancel(cancelled)
-	s.eventually(10*second, "the job is cancelled", toldState(protocol.JobCancelled, cancelled))
+	s.eventually(10*second, "the job is cancelled", lastStateIs(protocol.JobCancelled, cancelled))
 	stale := protocol.Heartbeat{Machine: worker.Info.Name, Addr: worker.Info.Addr, Type: worker.Info.Type, Zone: worker.Info.Zone, Spot: worker.Info.Spot, Session: 1,
 		Tasks: []protocol.TaskStatus{
 			{Task: protocol.TaskName(cancelled.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
@@ -506,7 +506,7 @@
 		s.Store.RefusedNodes[leader.Label] = true
 		s.Users.OnlyNode = s.follower()
 		s.Users.Cancel(cancelled)
-		s.eventually(5*second, "the cancellation is confirmed to the user", toldState(protocol.JobCancelled, cancelled))
+		s.eventually(5*second, "the cancellation is confirmed to the user", lastStateIs(protocol.JobCancelled, cancelled))
 		s.Store.Outage(60 * second)
 		s.After(3*second+time.Duration(tenths)*second/10, func() { third.Crash(0) })
 		s.Run(s.Now + s.cancelTimeout() + second)
@@ -520,7 +520,7 @@
 	// done before, or report it as unknown if forgets is set.
 	reopen := func(s *scenario, forgets bool) {
 		job := s.Users.Submit(simulation.Array(2), 3)
-		s.eventually(40*second, "the job is done", toldState(protocol.JobDone, job))
+		s.eventually(40*second, "the job is done", lastStateIs(protocol.JobDone, job))
 		s.Run(s.Now + 4*second) // its admission batch has been deleted
 		if forgets {
 			s.Store.DeleteKey("c/job/" + job.Spec.ID)
@@ -564,7 +564,7 @@
 		}},
 		"a start after the cancellation was confirmed": {"late starts", func(s *scenario, red *simulation.Job) {
 			s.Users.Cancel(red)
-			s.eventually(10*second, "the job is cancelled", toldState(protocol.JobCancelled, red))
+			s.eventually(10*second, "the job is cancelled", lastStateIs(protocol.JobCancelled, red))
 			s.Workers[s.Cloud.AddRunning("box", "b", true)].ForceStart(protocol.TaskName(red.Spec.ID, 3), 99)
 			if s.Users.StartsAfterCancel == 1 {
 				s.Violations = append(s.Violations, "late starts: one")
--- a/internal/core/job_entry_test.go
+++ b/internal/core/job_entry_test.go
@@ -45,7 +45,7 @@
 }
 
 // What is kept of a job that is over is what its users may still ask, and jobs of one shape share it.
-func TestArchiveKeepsWhatUsersMayAsk(t *testing.T) {
+func TestArchiveKeepsWhatUsersMayQuery(t *testing.T) {
 	a := newJobArchive((&Core{}).fairShareRules)
 	spec := protocol.Job{Class: "reports", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyLow, Tasks: 7, CPUs: 2, MemoryGB: 3}
 	for i := range 3 {
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestKeysOfJobs(t *testing.T) {
+func TestJobKeysAreParsed(t *testing.T) {
 	for key, want := range map[string]string{"c/job/a": "a false true", "c/run/a": "a true true", "c/prog/a/0": "c/prog/a/0 true false"} {
 		id, dependent, ok := jobOfKey(key)
 		if got := fmt.Sprint(id, " ", dependent, " ", ok); got != want {
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -14,7 +14,7 @@
 
 // What one round asks of a member with thousands of machines, and what that gives back at
 // once, passes links that take no line of over 16 MiB: by themselves they once were one line.
-func TestOrdersForWholeFleetPassTheLink(t *testing.T) {
+func TestDispatchesForWholeFleetFitLinkLimit(t *testing.T) {
 	const tasks = 64 // of a machine
 	for _, machines := range []int{4000, 8000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -42,7 +42,7 @@
 					}
 				}
 			}
-			leader.Core.AskOf(member.Label, asked, stops)
+			leader.Core.QueueForShard(member.Label, asked, stops)
 			s.eventually(5*second, "all is asked and given back", func() bool { return len(returned) >= len(asked) })
 			if !slices.Equal(got, asked) || !slices.Equal(stopped, stops) {
 				t.Fatalf("%d of %d dispatches and %d stops arrive, or not in their order", len(got), len(asked), len(stopped))
--- a/internal/core/random_deployment_test.go
+++ b/internal/core/random_deployment_test.go
@@ -17,13 +17,13 @@
 
 // deployment is a drawn site with its work.
 type deployment struct {
-	settings    config.Settings
-	types       []protocol.MachineType
-	lastFaultAt time.Duration // when the last fault is over
-	upgradedAt  time.Duration // when all controllers run the new version
-	cpuSeconds  float64       // of all work
-	jobs        []*simulation.Job
-	endlessJobs []*simulation.Job // which run until their user cancels them
+	settings     config.Settings
+	types        []protocol.MachineType
+	faultsOverAt time.Duration // when the last fault is over
+	upgradedAt   time.Duration // when all controllers run the new version
+	cpuSeconds   float64       // of all work
+	jobs         []*simulation.Job
+	endlessJobs  []*simulation.Job // which run until their user cancels them
 }
 
 func (d *deployment) lease() time.Duration { return config.Seconds(d.settings.Site.Workers.LeaseS) }
@@ -72,7 +72,7 @@
 	return from + (to-from)*float64(rapid.IntRange(0, steps).Draw(rt, label))/steps
 }
 
-func drawSpan(rt *rapid.T, label string, from, to float64) time.Duration {
+func drawDuration(rt *rapid.T, label string, from, to float64) time.Duration {
 	return config.Seconds(drawFloat(rt, label, from, to))
 }
 
@@ -83,11 +83,11 @@
 
 // drawDeployment draws the settings of a site.
 func drawDeployment(rt *rapid.T) *deployment {
-	d := &deployment{lastFaultAt: 20 * second}
+	d := &deployment{faultsOverAt: 20 * second}
 	site := &d.settings.Site
 	site.Zones = []string{"north", "south", "east", "west", "hill", "bay"}[:rapid.IntRange(1, 6).Draw(rt, "zones")]
-	site.InitialSize = rapid.IntRange(1, 7).Draw(rt, "controllers")
-	for i := range site.InitialSize {
+	site.InitialControllers = rapid.IntRange(1, 7).Draw(rt, "controllers")
+	for i := range site.InitialControllers {
 		d.settings.Siblings = append(d.settings.Siblings, config.Sibling{Label: fmt.Sprintf("ctl-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i+1),
 			Zone: rapid.SampledFrom(site.Zones).Draw(rt, "its zone")})
 	}
@@ -191,29 +191,29 @@
 		s.startOldVersion()
 		d.upgradedAt = second
 		for _, node := range s.Nodes {
-			d.upgradedAt += drawSpan(rt, "the next one after", 0.05, 6)
+			d.upgradedAt += drawDuration(rt, "the next one after", 0.05, 6)
 			s.At(d.upgradedAt, func() { node.PreviousVersion = false; node.Crash(delay) })
 		}
 		d.upgradedAt += delay + second
-		d.lastFaultAt = max(d.lastFaultAt, d.upgradedAt)
+		d.faultsOverAt = max(d.faultsOverAt, d.upgradedAt)
 	}
 	if d.settings.Site.Store.Next != nil {
-		at := drawSpan(rt, "limits fall", 0, 80)
+		at := drawDuration(rt, "limits fall", 0, 80)
 		s.At(at, func() { s.Store.LimitsLowered = true })
-		d.lastFaultAt = max(d.lastFaultAt, at)
+		d.faultsOverAt = max(d.faultsOverAt, at)
 	}
 }
 
 // drawnJob is a job with what becomes of it.
 type drawnJob struct {
-	spec         protocol.Job
-	seconds      float64 // that each task runs for
-	endless      bool
-	mistaken     bool
-	dependencies int // how many of the newest jobs it depends on, less two; none below that
-	cancelled    bool
-	cancelAfter  time.Duration
-	submitAt     time.Duration
+	spec            protocol.Job
+	seconds         float64 // that each task runs for
+	endless         bool
+	failsEverywhere bool
+	dependencyDraw  int // how many of the newest jobs it depends on, less two; none below that
+	cancelled       bool
+	cancelAfter     time.Duration
+	submitAt        time.Duration
 }
 
 // drawJobs has users submit jobs over a minute.
@@ -224,7 +224,7 @@
 		job := d.drawJob(rt, int(min(max(sizes.Rand(), 1), 90)), spans.Rand)
 		s.At(job.submitAt, func() { d.submit(s, job) })
 	}
-	d.lastFaultAt = max(d.lastFaultAt, 62*second)
+	d.faultsOverAt = max(d.faultsOverAt, 62*second)
 }
 
 // drawJob draws a job of so many tasks.
@@ -250,12 +250,12 @@
 	spec.EstimateS = job.seconds * drawFloat(rt, "guess", 0.5, 2)
 	job.drawKind(rt)
 	d.drawConstraint(rt, spec)
-	job.dependencies = rapid.IntRange(0, 5).Draw(rt, "needs")
-	job.mistaken = rapid.IntRange(0, 11).Draw(rt, "mistaken") == 1
+	job.dependencyDraw = rapid.IntRange(0, 5).Draw(rt, "needs")
+	job.failsEverywhere = rapid.IntRange(0, 11).Draw(rt, "mistaken") == 1
 	job.cancelled = rapid.IntRange(0, 7).Draw(rt, "cancelled") == 1
-	job.cancelAfter = drawSpan(rt, "cancelled after", 1, 50)
-	job.submitAt = drawSpan(rt, "submitted", 0, 60)
-	if job.dependencies >= 3 { // which controllers of the previous version do not know
+	job.cancelAfter = drawDuration(rt, "cancelled after", 1, 50)
+	job.submitAt = drawDuration(rt, "submitted", 0, 60)
+	if job.dependencyDraw >= 3 { // which controllers of the previous version do not know
 		job.submitAt = max(job.submitAt, d.upgradedAt)
 	}
 	return job
@@ -289,15 +289,15 @@
 
 // submit has a user submit a drawn job.
 func (d *deployment) submit(s *scenario, drawn *drawnJob) {
-	drawn.spec.Dependencies = d.newestAccepted(drawn.dependencies - 2)
+	drawn.spec.Dependencies = d.newestAccepted(drawn.dependencyDraw - 2)
 	job := s.Users.Submit(drawn.spec, drawn.seconds)
-	job.FailsEverywhere = drawn.mistaken
+	job.FailsEverywhere = drawn.failsEverywhere
 	d.jobs = append(d.jobs, job)
 	d.cpuSeconds += drawn.seconds * drawn.spec.CPUs * float64(drawn.spec.Tasks)
 	switch {
 	case drawn.cancelled:
 		s.After(drawn.cancelAfter, func() { s.Users.Cancel(job) })
-	case drawn.endless || drawn.mistaken:
+	case drawn.endless || drawn.failsEverywhere:
 		d.endlessJobs = append(d.endlessJobs, job)
 	}
 }
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -14,13 +14,13 @@
 // fault is one drawn fault. The fields are drawn for every kind, which uses what it needs.
 type fault struct {
 	*deployment
-	rt          *rapid.T
-	s           *scenario
-	at, span    time.Duration // when it begins, and for how long
-	node        *simulation.Node
-	count       int // of machines or jobs
-	keepPackets bool
-	zone        string
+	rt           *rapid.T
+	s            *scenario
+	at, duration time.Duration // when it begins, and for how long
+	node         *simulation.Node
+	count        int // of machines or jobs
+	keepPackets  bool
+	zone         string
 }
 
 // injectors inject a fault of each kind.
@@ -51,8 +51,8 @@
 
 // drawFault draws one fault, schedules it and returns its kind.
 func (d *deployment) drawFault(rt *rapid.T, s *scenario) string {
-	f := &fault{deployment: d, rt: rt, s: s, at: drawSpan(rt, "at", 2, 100), span: drawSpan(rt, "for", 1, 60)}
-	f.lastsUntil(f.at + f.span)
+	f := &fault{deployment: d, rt: rt, s: s, at: drawDuration(rt, "at", 2, 100), duration: drawDuration(rt, "for", 1, 60)}
+	f.recordEnd(f.at + f.duration)
 	f.node = rapid.SampledFrom(s.Nodes).Draw(rt, "node")
 	f.count = rapid.IntRange(1, 12).Draw(rt, "some")
 	f.keepPackets = rapid.Bool().Draw(rt, "packets kept")
@@ -62,8 +62,8 @@
 	return kind
 }
 
-// lastsUntil notes that a fault is over at a time.
-func (f *fault) lastsUntil(end time.Duration) { f.lastFaultAt = max(f.lastFaultAt, end+second) }
+// recordEnd notes that a fault is over at a time.
+func (f *fault) recordEnd(end time.Duration) { f.faultsOverAt = max(f.faultsOverAt, end+second) }
 
 // atStart schedules what happens when the fault begins.
 func (f *fault) atStart(begin func()) { f.s.At(f.at, begin) }
@@ -71,7 +71,7 @@
 // during schedules the beginning and the end of the fault.
 func (f *fault) during(begin, end func()) {
 	f.s.At(f.at, begin)
-	f.s.At(f.at+f.span, end)
+	f.s.At(f.at+f.duration, end)
 }
 
 // onMachines has something happen to some machines when the fault begins.
@@ -99,17 +99,17 @@
 // controllerFaults end, restart and pause controllers.
 var controllerFaults = map[string]func(*fault){
 	"all controllers down": func(f *fault) {
-		down := f.lease() + f.span/4
+		down := f.lease() + f.duration/4
 		for _, node := range f.s.Nodes {
 			f.atStart(func() { node.Crash(down) })
 		}
-		f.lastsUntil(f.at + down)
+		f.recordEnd(f.at + down)
 	},
 	"ten failovers": func(f *fault) {
 		for k := range 10 {
 			f.s.At(f.at+time.Duration(k)*12*second, func() { f.s.crashLeader(second / 5) })
 		}
-		f.lastsUntil(f.at + 109*second)
+		f.recordEnd(f.at + 109*second)
 	},
 	"controller crash": func(f *fault) {
 		delay := drawRestartDelay(f.rt)
@@ -129,7 +129,7 @@
 	"rolling restart": func(f *fault) {
 		delay := drawRestartDelay(f.rt)
 		for i, node := range f.s.Nodes {
-			f.s.At(f.at+time.Duration(i)*f.span/8, func() { node.Crash(delay) })
+			f.s.At(f.at+time.Duration(i)*f.duration/8, func() { node.Crash(delay) })
 		}
 	},
 	"crash loop": func(f *fault) {
@@ -146,7 +146,7 @@
 	"controller paused": func(f *fault) {
 		f.atStart(func() {
 			if f.node.Alive() {
-				f.node.Pause(f.span)
+				f.node.Pause(f.duration)
 			}
 		})
 	},
@@ -167,24 +167,24 @@
 		f.during(func() { f.s.Store.RefusedNodes[f.node.Label] = true }, func() { delete(f.s.Store.RefusedNodes, f.node.Label) })
 	},
 	"store outage": func(f *fault) {
-		f.atStart(func() { f.s.Store.Outage(f.span) })
+		f.atStart(func() { f.s.Store.Outage(f.duration) })
 	},
 	"slow store": func(f *fault) {
 		f.during(func() { f.s.Store.ResponseDelay = 300 * time.Millisecond }, func() { f.s.Store.ResponseDelay = 0 })
 	},
 	"cancellation as store refuses leader": func(f *fault) {
 		f.atStart(func() {
-			f.refuseLeader(f.span)
+			f.refuseLeader(f.duration)
 			f.cancelRunning(f.s, f.count)
 		})
 		if f.keepPackets {
-			f.s.At(f.at+second, func() { f.s.Store.Outage(f.span) })
+			f.s.At(f.at+second, func() { f.s.Store.Outage(f.duration) })
 		}
 	},
 	"cancellation then outage": func(f *fault) { // jobs are cancelled through those who are still served
-		alone := drawSpan(f.rt, "the leader alone for", 0.5, 4.5)
-		outage := f.s.cancelTimeout() + drawSpan(f.rt, "longer by", 1, 30)
-		f.lastsUntil(f.at + alone + outage)
+		alone := drawDuration(f.rt, "the leader alone for", 0.5, 4.5)
+		outage := f.s.cancelTimeout() + drawDuration(f.rt, "longer by", 1, 30)
+		f.recordEnd(f.at + alone + outage)
 		f.atStart(func() {
 			f.refuseLeader(alone + outage)
 			f.cancelRunning(f.s, f.count)
@@ -196,7 +196,7 @@
 // networkFaults are partitions, and links that delay, duplicate or refuse.
 var networkFaults = map[string]func(*fault){
 	"packets duplicated": func(f *fault) {
-		f.during(func() { f.s.DuplicateShare, f.s.MaxDuplicateDelay = 0.2, f.span }, func() { f.s.DuplicateShare = 0 })
+		f.during(func() { f.s.DuplicateShare, f.s.MaxDuplicateDelay = 0.2, f.duration }, func() { f.s.DuplicateShare = 0 })
 	},
 	"partition from store":   func(f *fault) { f.partition(f.node.Label, "state") },
 	"partition from workers": func(f *fault) { f.partition(f.node.Label, "workers") },
@@ -214,13 +214,13 @@
 	"leader partitioned from all but workers and users": func(f *fault) {
 		f.atStart(func() {
 			if leader := f.s.currentLeader(); leader != nil {
-				f.s.partition(f.span, leader.Label, f.s.otherEndpoints(leader)...)
+				f.s.partition(f.duration, leader.Label, f.s.otherEndpoints(leader)...)
 			}
-			f.s.After(f.span/4, func() { f.cancelRunning(f.s, f.count) })
+			f.s.After(f.duration/4, func() { f.cancelRunning(f.s, f.count) })
 		})
 	},
 	"commands delayed": func(f *fault) {
-		held := simulation.Link{Hold: true, FlapPeriod: drawSpan(f.rt, "period", 1, 8)}
+		held := simulation.Link{Hold: true, FlapPeriod: drawDuration(f.rt, "period", 1, 8)}
 		f.during(func() { f.s.SetLink(f.node.Label, "workers", held) }, func() { f.s.SetLink(f.node.Label, "workers", simulation.Link{}) })
 	},
 	"peer connections refused": func(f *fault) {
@@ -258,14 +258,14 @@
 	link := rapid.SampledFrom([]simulation.Link{simulation.Dropped, simulation.Held, simulation.Refused, simulation.ResetOnSend, simulation.Unread,
 		{Delay: 2 * second}, {Loss: 0.4}, {MaxMessageBytes: 4096}}).Draw(f.rt, "link")
 	if rapid.IntRange(0, 3).Draw(f.rt, "flaps") == 3 {
-		link.FlapPeriod = drawSpan(f.rt, "period", 0.5, 12.5)
+		link.FlapPeriod = drawDuration(f.rt, "period", 0.5, 12.5)
 	}
 	const (
 		forth = iota
 		back
 	)
 	ways := rapid.IntRange(0, 2).Draw(f.rt, "ways") // forth, back or both
-	begin, end := drawSpan(f.rt, "begins after", 0, 10), drawSpan(f.rt, "ends after", 12, 70)
+	begin, end := drawDuration(f.rt, "begins after", 0, 10), drawDuration(f.rt, "ends after", 12, 70)
 	set := func(link simulation.Link) {
 		if ways != back {
 			f.s.SetLink(from, to, link)
@@ -276,7 +276,7 @@
 	}
 	f.s.At(f.at+begin, func() { set(link) })
 	f.s.At(f.at+end, func() { set(simulation.Link{}) })
-	f.lastsUntil(f.at + end)
+	f.recordEnd(f.at + end)
 }
 
 // machineFaults are those of the workers and of what they send.
@@ -284,14 +284,14 @@
 	"machines cannot reach controllers": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
 			machine.OutboundBlocked = true
-			f.s.After(f.span, func() { machine.OutboundBlocked = false })
+			f.s.After(f.duration, func() { machine.OutboundBlocked = false })
 		})
 	},
 	"one-way partition from machines": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
 			for _, node := range f.s.Nodes {
 				f.s.SetLink(node.Label, machine.Info.Name, simulation.Dropped)
-				f.s.After(f.span, func() { f.s.SetLink(node.Label, machine.Info.Name, simulation.Link{}) })
+				f.s.After(f.duration, func() { f.s.SetLink(node.Label, machine.Info.Name, simulation.Link{}) })
 			}
 		})
 	},
@@ -301,32 +301,32 @@
 	"machines hang": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
 			machine.Hung = true
-			f.s.After(f.span, func() { machine.Hung = false })
+			f.s.After(f.duration, func() { machine.Hung = false })
 		})
 	},
 	"faulty machines": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
 			machine.Faulty = true
-			f.s.After(f.span, func() { machine.Faulty = false })
+			f.s.After(f.duration, func() { machine.Faulty = false })
 		})
 	},
 	"slow machines":           func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.SlowFactor = 3 }) },
-	"spot machines reclaimed": func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.Reclaim(f.span / 8) }) },
+	"spot machines reclaimed": func(f *fault) { f.onMachines(func(machine *simulation.Worker) { machine.Reclaim(f.duration / 8) }) },
 	"heartbeats delayed past failover": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
 			for _, node := range f.s.Nodes {
 				f.s.SetLink(machine.Info.Name, node.Label, simulation.Held)
-				f.s.After(f.span, func() { f.s.SetLink(machine.Info.Name, node.Label, simulation.Link{}) })
+				f.s.After(f.duration, func() { f.s.SetLink(machine.Info.Name, node.Label, simulation.Link{}) })
 			}
 		})
 		f.s.At(f.at+second, func() { f.s.crashLeader(second / 5) })
 	},
 	"heartbeats replayed at failover": func(f *fault) {
 		f.during(func() { f.s.RetainHeartbeats = true }, func() { f.s.RetainHeartbeats = false })
-		f.s.At(f.at+f.span+time.Duration(f.count)*second/12, func() { f.s.crashLeader(second / 5) })
+		f.s.At(f.at+f.duration+time.Duration(f.count)*second/12, func() { f.s.crashLeader(second / 5) })
 	},
 	"cancellation while machines hang": func(f *fault) {
-		hang := drawSpan(f.rt, "hang", 0.5, 1.5*f.lease().Seconds())
+		hang := drawDuration(f.rt, "hang", 0.5, 1.5*f.lease().Seconds())
 		delay := drawRestartDelay(f.rt)
 		f.atStart(func() {
 			f.hangMachinesOfJobs(hang)
@@ -382,12 +382,12 @@
 	},
 	"invalid requests": func(f *fault) {
 		for k := range 8 {
-			f.s.At(f.at+time.Duration(k)*f.span/8, func() { f.sendInvalidRequests(f.s, k) })
+			f.s.At(f.at+time.Duration(k)*f.duration/8, func() { f.sendInvalidRequests(f.s, k) })
 		}
 	},
 	"poll flood": func(f *fault) {
 		for k := range 300 {
-			f.s.At(f.at+time.Duration(k)*f.span/300, f.s.Users.PollAny)
+			f.s.At(f.at+time.Duration(k)*f.duration/300, f.s.Users.PollAny)
 		}
 	},
 	"job burst": func(f *fault) {
--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -12,8 +12,8 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// fairSharesJudged counts the classes of which half could have been done.
-var fairSharesJudged int
+// classesChecked counts the classes of which half could have been done.
+var classesChecked int
 
 // TestRandomizedFairShare draws teams whose quotas bind, two to four classes for each, and
 // several faults at the beginning. Whatever they are, no invariant is violated, and at the end
@@ -32,25 +32,25 @@
 		for range rapid.IntRange(0, 4).Draw(rt, "troubles") {
 			d.drawFault(rt, s)
 		}
-		s.At(d.lastFaultAt, func() {
+		s.At(d.faultsOverAt, func() {
 			for _, machine := range s.Workers {
 				machine.SlowFactor = 0 // those that were slow would stay so
 			}
 		})
-		up := d.lastFaultAt + config.Seconds(2*d.longestBoot()) // when there are machines at the latest
-		end := up + 6*s.patience()
+		up := d.faultsOverAt + config.Seconds(2*d.longestBoot()) // when there are machines at the latest
+		end := up + 6*s.overdueAfter()
 		for i := range d.settings.Site.Teams {
 			d.drawClasses(rt, s, &d.settings.Site.Teams[i], end)
 		}
 		s.Run(end)
 		s.requireInvariants()
-		until := end - 2*s.patience()
-		fairSharesJudged += s.requireHalfOfEachClass(until, d.halfCapacity(machineCPUs, until-up))
+		until := end - 2*s.overdueAfter()
+		classesChecked += s.requireHalfOfEachClass(until, d.halfCapacity(machineCPUs, until-up))
 	})
-	if fairSharesJudged == 0 {
+	if classesChecked == 0 {
 		t.Fatal("half of each class was possible nowhere: nothing was shown")
 	}
-	t.Logf("%d classes judged", fairSharesJudged)
+	t.Logf("%d classes judged", classesChecked)
 }
 
 // drawBindingQuotas replaces the teams by up to three with a small quota each.
--- a/internal/core/randomized_test.go
+++ b/internal/core/randomized_test.go
@@ -39,11 +39,11 @@
 			kinds = append(kinds, d.drawFault(rt, s))
 		}
 		drawnPairs.add(kinds)
-		s.Run(d.lastFaultAt)
+		s.Run(d.faultsOverAt)
 		s.Loss, s.Store.DelayedCommitShare, s.Users.FaultsOverAt = 0, 0, s.Now
 		s.requireInvariants()
 		s.Run(s.Now + 3*d.lease())
-		s.requireAnswers(d)
+		s.requireResponses(d)
 		s.cancelEndless(d)
 		timeout := d.completionTimeout(s)
 		over := s.RunUntil(s.Now+timeout, s.Users.AllFinal)
@@ -55,8 +55,8 @@
 	t.Log(drawnPairs.String())
 }
 
-// requireAnswers fails the test unless nine of ten requests are answered, or all but one.
-func (s *scenario) requireAnswers(d *deployment) {
+// requireResponses fails the test unless nine of ten requests are answered, or all but one.
+func (s *scenario) requireResponses(d *deployment) {
 	s.t.Helper()
 	asked, served := s.Users.Requests, s.Users.Answered
 	s.Run(s.Now + max(2*d.lease(), 20*second))
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -75,7 +75,7 @@
 				s.eventually(300*second, "all come to their end", s.Users.AllFinal)
 				s.Run(s.Now + 100*second) // the last copies arrive
 				s.requireInvariants()
-				if !toldState(protocol.JobDone, long, next)() || cancelled.LastState != protocol.JobCancelled {
+				if !lastStateIs(protocol.JobDone, long, next)() || cancelled.LastState != protocol.JobCancelled {
 					t.Fatal(long.LastState, next.LastState, cancelled.LastState)
 				}
 			}
--- a/internal/core/rolling_upgrade_test.go
+++ b/internal/core/rolling_upgrade_test.go
@@ -61,7 +61,7 @@
 			s.SetLink("users", old.Label, simulation.Link{})
 		}
 	}
-	s.eventually(200*second, "all is done", toldState(protocol.JobDone, before, after))
+	s.eventually(200*second, "all is done", lastStateIs(protocol.JobDone, before, after))
 }
 
 // A rolling upgrade with a controller that is partitioned, one that is paused, limits that are
@@ -97,7 +97,7 @@
 		jobs = append(jobs, s.Users.Submit(simulation.Array(5), 4))
 		s.eventually(60*second, "it is accepted", func() bool { return jobs[8].Accepted })
 		jobs = append(jobs, s.Users.Submit(dependentArray(5, jobs...), 4))
-		s.eventually(400*second, "all is done", toldState(protocol.JobDone, jobs...))
+		s.eventually(400*second, "all is done", lastStateIs(protocol.JobDone, jobs...))
 	}
 }
 
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// BenchmarkStandstill is how long no task starts after controllers end, with short tasks
+// BenchmarkTaskStartGap is how long no task starts after controllers end, with short tasks
 // waiting all the while, by who ends and how soon they are back: median and most.
-func BenchmarkStandstill(b *testing.B) {
+func BenchmarkTaskStartGap(b *testing.B) {
 	for _, end := range []struct {
 		who  string
 		ends func(s *scenario, back time.Duration)
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -19,7 +19,7 @@
 	})
 }
 
-func TestZoneConstraints(t *testing.T) {
+func TestJobsWithZoneConstraintsComplete(t *testing.T) {
 	s := newScenario(t, 53)
 	together, apart, pinned := simulation.Array(9), simulation.Array(9), simulation.Array(5)
 	together.OneZone, apart.Spread, pinned.Zone = true, true, "b"
@@ -146,7 +146,7 @@
 
 // A job to be spread over two zones runs by halves where there is only one; one whose
 // tasks must run together can't.
-func TestSpreadWithOneZone(t *testing.T) {
+func TestSpreadJobsWhereThereIsOneZone(t *testing.T) {
 	types := simulation.MachineTypes()[:1]
 	types[0].Zones = []string{"a"}
 	s := &scenario{Cluster: simulation.NewWithSettings(44, simulation.Settings(3), types), t: t}
--- a/internal/core/store_limits_test.go
+++ b/internal/core/store_limits_test.go
@@ -12,7 +12,7 @@
 )
 
 // The limits of the state service are lowered without notice, below the sizes of what is stored.
-func TestStoreLimitsAreLowered(t *testing.T) {
+func TestJobsCompleteAfterStoreLimitsAreLowered(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store = config.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 32, MaxTxnOps: 20,
 		Next: &config.StoreLimits{WriteRPS: 28, ValueKB: 2, MaxTxnOps: 5}}
@@ -40,10 +40,10 @@
 	for range 40 {
 		s.Cloud.AddRunning("box", "b", false)
 	}
-	s.eventually(300*second, "all is done", toldState(protocol.JobDone, jobs...))
+	s.eventually(300*second, "all is done", lastStateIs(protocol.JobDone, jobs...))
 	s.Run(s.Now + 60*second)
 	s.Users.Cancel(huge)
-	s.eventually(60*second, "the huge one is cancelled", toldState(protocol.JobCancelled, huge))
+	s.eventually(60*second, "the huge one is cancelled", lastStateIs(protocol.JobCancelled, huge))
 	s.crashAll(second / 5)
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
@@ -51,7 +51,7 @@
 
 // A job whose list of dependencies is larger than several values, while every controller crashes
 // again and again: it is accepted once, whole, and nothing of the other attempts is left.
-func TestDependencyListLargerThanAValue(t *testing.T) {
+func TestDependencyListLargerThanAValueIsStored(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2, MaxTxnOps: 5}
 	s := &scenario{Cluster: simulation.NewWithSettings(308, settings, simulation.MachineTypes()), t: t}
@@ -81,7 +81,7 @@
 
 // Progress of a job whose blocks are larger than a value, some of it written before the limits
 // were lowered.
-func TestProgressOfHugeJob(t *testing.T) {
+func TestProgressOfHugeJobSurvivesLoweredLimits(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2, MaxTxnOps: 5}
 	s := &scenario{Cluster: simulation.NewWithSettings(309, settings, simulation.MachineTypes()), t: t}
@@ -103,13 +103,13 @@
 	if job.Answer.Done < before {
 		t.Fatalf("%d tasks were done, now %d", before, job.Answer.Done)
 	}
-	s.eventually(900*second, "it is done", toldState(protocol.JobDone, job))
+	s.eventually(900*second, "it is done", lastStateIs(protocol.JobDone, job))
 	s.eventually(100*second, "nothing of it is left", func() bool { return s.Store.CountKeys("c/fine/")+s.Store.CountKeys("c/prog/") == 0 })
 }
 
 // A job whose description no longer fits into a value runs, in the zone that is chosen for it, and
 // ends.
-func TestJobSpecLargerThanAValue(t *testing.T) {
+func TestJobSpecLargerThanAValueRuns(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Store.Next = &config.StoreLimits{ValueKB: 2}
 	s := &scenario{Cluster: simulation.NewWithSettings(310, settings, simulation.MachineTypes()), t: t}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -58,7 +58,7 @@
 }
 
 // A site that names no team limits none.
-func TestSiteWithoutTeams(t *testing.T) {
+func TestSiteWithoutTeamsRunsJobs(t *testing.T) {
 	set := simulation.Settings(1)
 	set.Site.Teams = nil
 	s := &scenario{Cluster: simulation.NewWithSettings(45, set, simulation.MachineTypes()), t: t}
@@ -67,7 +67,7 @@
 }
 
 // More machine types than one value holds.
-func TestManyMachineTypes(t *testing.T) {
+func TestMachineTypesLargerThanAValueAreUsed(t *testing.T) {
 	set := simulation.Settings(3)
 	set.Site.Store.ValueKB, set.Site.Store.MaxTxnOps, set.Site.Store.WriteRPS = 4, 4, 10
 	types := simulation.MachineTypes()
--- a/internal/core/zone_faults_test.go
+++ b/internal/core/zone_faults_test.go
@@ -37,7 +37,7 @@
 			}
 			s.Run(s.Now + 45*second)
 			s.recoverAndFinish(400 * second)
-			if !toldState(protocol.JobDone, jobs...)() {
+			if !lastStateIs(protocol.JobDone, jobs...)() {
 				t.Fatal("not all are done")
 			}
 		})
@@ -88,7 +88,7 @@
 				if variant%3 == 1 { // somebody reads the state service late
 					s.SetLink("state", s.Nodes[variant%controllers].Label, simulation.Link{Delay: 2 * second})
 				}
-				s.loseZone(s.zoneOfTask(job, variant))
+				s.removeZone(s.zoneOfTask(job, variant))
 				if variant%3 == 2 {
 					s.After(18*second, func() { s.crashLeader(second / 5) })
 				}
@@ -136,8 +136,8 @@
 	return ""
 }
 
-// loseZone takes all machines of a zone away and lets it have no others.
-func (s *scenario) loseZone(zone string) {
+// removeZone takes all machines of a zone away and lets it have no others.
+func (s *scenario) removeZone(zone string) {
 	for _, machine := range s.SomeWorkers(64) {
 		if machine.Info.Zone == zone {
 			s.Cloud.Remove(machine.Info.Name)
@@ -148,8 +148,8 @@
 	}
 }
 
-// fixMachines has a machine in each of the zones named, and a cloud that has no other.
-func (s *scenario) fixMachines(zones ...string) {
+// startFixedMachines has a machine in each of the zones named, and a cloud that has no other.
+func (s *scenario) startFixedMachines(zones ...string) {
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for _, zone := range zones {
 		s.Cloud.AddRunning("box", zone, true)
@@ -162,7 +162,7 @@
 func TestSingleZoneJobStaysTogether(t *testing.T) {
 	acrossSeeds(t, 4550, 3, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
-		s.fixMachines("a", "a", "b", "b")
+		s.startFixedMachines("a", "a", "b", "b")
 		spec := simulation.Array(14)
 		spec.OneZone = true
 		job := s.Users.Submit(spec, 50)
@@ -208,7 +208,7 @@
 func TestNoPreemptionInUnusableZone(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 4600+seed)
-		s.fixMachines("a", "a", "b")
+		s.startFixedMachines("a", "a", "b")
 		spec := simulation.Array(12)
 		spec.Class, spec.Urgency, spec.OneZone, spec.CPUs = "alerts", protocol.UrgencyHigh, true, 4
 		urgent := s.Users.Submit(spec, 40)
@@ -219,7 +219,7 @@
 			spec.Urgency = protocol.UrgencyLow
 			small = append(small, s.Users.Submit(spec, 6))
 		}
-		s.eventually(40*second, "the other zone serves the rest", toldState(protocol.JobDone, small...))
+		s.eventually(40*second, "the other zone serves the rest", lastStateIs(protocol.JobDone, small...))
 		if s.logged("stopping tasks") {
 			t.Fatalf("tasks were stopped in vain\n%s", s.lastLogs(*logLines))
 		}
--- a/internal/engine/outcomes.go
+++ b/internal/engine/outcomes.go
@@ -8,7 +8,7 @@
 )
 
 // NoResponse is the status of a call that got no complete response.
-const NoResponse = rpc.NoAnswer
+const NoResponse = rpc.NoResponse
 
 // CommitOutcome decodes the status of the state service's response to a transaction.
 func CommitOutcome(status int) core.CommitOutcome {
--- a/internal/kvfile/file_test.go
+++ b/internal/kvfile/file_test.go
@@ -89,7 +89,7 @@
 
 // A file that was changed anywhere is refused, or the change was in a place that holds
 // nothing; in no case does it read as something else. The error leads to the snapshot.
-func TestCorruptionIsDetected(t *testing.T) {
+func TestVerifyDetectsCorruptFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db")
 	// What a crash left of an earlier first start is no trouble.
@@ -166,7 +166,7 @@
 
 // A snapshot is whole while writes go on, and the file of a service that runs is not
 // replaced under it.
-func TestSnapshotsWhileWriting(t *testing.T) {
+func TestSnapshotsAreConsistentDuringWrites(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db")
 	file, state := mustOpen(t, path)
--- a/internal/kvfile/golden_test.go
+++ b/internal/kvfile/golden_test.go
@@ -84,9 +84,9 @@
 	return b.String()
 }
 
-// TestGoldenStateFile pins the state file, and so the snapshots, which are copies of it: one
+// TestStateFileMatchesGoldenFile pins the state file, and so the snapshots, which are copies of it: one
 // that an earlier version made is read, and the same changes make the same records.
-func TestGoldenStateFile(t *testing.T) {
+func TestStateFileMatchesGoldenFile(t *testing.T) {
 	golden := filepath.Join(goldenDir, "state.db")
 	text, err := os.ReadFile(filepath.Join(goldenDir, "records.txt"))
 	if err != nil {
--- a/internal/kvfile/load.go
+++ b/internal/kvfile/load.go
@@ -61,7 +61,7 @@
 
 func (l *loader) readMetadata() error {
 	record := l.tx.Bucket(metadataBucket).Get(metadataKey)
-	value, _, err := unsealRecord(metadataBucket, metadataKey, record)
+	value, _, err := decodeRecord(metadataBucket, metadataKey, record)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 func (l *loader) readRecords(name []byte, add func(key, value []byte) error) error {
 	bucket := l.tx.Bucket(name)
 	return bucket.ForEach(func(key, record []byte) error {
-		value, sum, err := unsealRecord(name, key, record)
+		value, sum, err := decodeRecord(name, key, record)
 		if err != nil {
 			return err
 		}
--- a/internal/kvfile/records.go
+++ b/internal/kvfile/records.go
@@ -41,36 +41,36 @@
 func (m *metadata) eventCount() uint64 { return m.EndEvent - m.FirstEvent }
 
 func writeMetadata(tx *bolt.Tx, m metadata) error {
-	record, _ := sealRecord(metadataBucket, metadataKey, protocol.Encode(m))
+	record, _ := encodeRecord(metadataBucket, metadataKey, protocol.Encode(m))
 	return tx.Bucket(metadataBucket).Put(metadataKey, record)
 }
 
 // checksumBytes is the length of the checksum that each record begins with.
 const checksumBytes = 8
 
-// sealRecord puts a record's checksum, which covers its bucket and key, in front of its
+// encodeRecord puts a record's checksum, which covers its bucket and key, in front of its
 // value. It returns the record and the checksum.
-func sealRecord(bucket, key, value []byte) ([]byte, uint64) {
+func encodeRecord(bucket, key, value []byte) ([]byte, uint64) {
 	sum := checksum(bucket, key, value)
 	record := make([]byte, 0, checksumBytes+len(value))
 	record = binary.BigEndian.AppendUint64(record, sum)
 	return append(record, value...), sum
 }
 
-// unsealRecord returns a record's value and checksum, or ErrCorrupt if they do not match.
-func unsealRecord(bucket, key, record []byte) ([]byte, uint64, error) {
+// decodeRecord returns a record's value and checksum, or ErrCorrupt if they do not match.
+func decodeRecord(bucket, key, record []byte) ([]byte, uint64, error) {
 	if len(record) < checksumBytes {
 		return nil, 0, fmt.Errorf("%w: record %q of %s is cut short", ErrCorrupt, key, bucket)
 	}
-	sum, value := sealedChecksum(record), record[checksumBytes:]
+	sum, value := storedChecksum(record), record[checksumBytes:]
 	if checksum(bucket, key, value) != sum {
 		return nil, 0, fmt.Errorf("%w: record %q of %s has a wrong checksum", ErrCorrupt, key, bucket)
 	}
 	return value, sum, nil
 }
 
-// sealedChecksum is the checksum that a record begins with.
-func sealedChecksum(record []byte) uint64 { return binary.BigEndian.Uint64(record) }
+// storedChecksum is the checksum that a record begins with.
+func storedChecksum(record []byte) uint64 { return binary.BigEndian.Uint64(record) }
 
 func checksum(bucket, key, value []byte) uint64 {
 	separator := []byte{0}
--- a/internal/kvfile/snapshots.go
+++ b/internal/kvfile/snapshots.go
@@ -112,7 +112,7 @@
 	}
 	defer removeTemp(temp)
 	if _, err := os.Stat(path); err == nil {
-		if replaced, err = setAside(path); err != nil {
+		if replaced, err = renameReplacedFile(path); err != nil {
 			return "", nil, err
 		}
 	}
@@ -141,8 +141,8 @@
 	return out.Name(), nil
 }
 
-// setAside gives a state file that is not in use another name and returns that.
-func setAside(path string) (string, error) {
+// renameReplacedFile gives a state file that is not in use another name and returns that.
+func renameReplacedFile(path string) (string, error) {
 	// A service that runs would go on with the file it has, whatever its name.
 	if _, err := Verify(path); errors.Is(err, ErrInUse) {
 		return "", err
--- a/internal/kvfile/write.go
+++ b/internal/kvfile/write.go
@@ -110,10 +110,10 @@
 func (w *batchWriter) put(name, key, value []byte) (replaced bool, err error) {
 	bucket := w.tx.Bucket(name)
 	if old := bucket.Get(key); old != nil {
-		w.metadata.ChecksumTotal -= sealedChecksum(old)
+		w.metadata.ChecksumTotal -= storedChecksum(old)
 		replaced = true
 	}
-	record, sum := sealRecord(name, key, value)
+	record, sum := encodeRecord(name, key, value)
 	w.metadata.ChecksumTotal += sum
 	return replaced, bucket.Put(key, record)
 }
@@ -125,6 +125,6 @@
 	if old == nil {
 		return false, nil
 	}
-	w.metadata.ChecksumTotal -= sealedChecksum(old)
+	w.metadata.ChecksumTotal -= storedChecksum(old)
 	return true, bucket.Delete(key)
 }
--- a/internal/kvstore/state.go
+++ b/internal/kvstore/state.go
@@ -252,16 +252,16 @@
 	found := protocol.WatchResponse{Revision: s.Revision, Events: []protocol.WatchEvent{}}
 	begin := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > revision })
 	for _, event := range s.events[begin:] {
-		if concerns(event, prefix) {
+		if matchesPrefix(event, prefix) {
 			found.Events = append(found.Events, event)
 		}
 	}
 	return found, nil
 }
 
-// concerns reports whether an event is about a key with a prefix. One of Put and Delete
+// matchesPrefix reports whether an event is about a key with a prefix. One of Put and Delete
 // is empty, and that one must not match an empty prefix.
-func concerns(event protocol.WatchEvent, prefix string) bool {
+func matchesPrefix(event protocol.WatchEvent, prefix string) bool {
 	return event.Put != "" && strings.HasPrefix(event.Put, prefix) ||
 		event.Delete != "" && strings.HasPrefix(event.Delete, prefix)
 }
--- a/internal/kvstore/state_test.go
+++ b/internal/kvstore/state_test.go
@@ -22,7 +22,7 @@
 	return batch.Next()
 }
 
-func TestRangePages(t *testing.T) {
+func TestRangeLimitsPagesBySizeAndItemCount(t *testing.T) {
 	state := NewState()
 	large := string(make([]byte, 20<<10))
 	for i := range 60 {
@@ -54,7 +54,7 @@
 }
 
 // A batch changes neither its base nor, if it is given up, what follows the base.
-func TestAbandonedBatchLeavesNoTrace(t *testing.T) {
+func TestAbandonedBatchChangesNeitherBaseNorNextBatch(t *testing.T) {
 	base := mustCommit(t, NewState(), put("a", 1, 0))
 	mustCommit(t, base, put("a", "abandoned", 0), put("b", 1, 0))
 	next := mustCommit(t, base, put("c", 1, 0))
@@ -69,7 +69,7 @@
 
 // A failed condition changes nothing, and a transaction that changes nothing has no
 // revision of its own.
-func TestCommitConditions(t *testing.T) {
+func TestCommitAppliesChangesOnlyIfAllGuardsHold(t *testing.T) {
 	state := mustCommit(t, NewState(), put("a", 1, 0))
 	for _, test := range []struct {
 		name         string
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestRevokeLeaseRemovesItsKeysAtOneRevision(t *testing.T) {
+func TestRevokeLeaseDeletesItsKeysInOneRevision(t *testing.T) {
 	batch := NewState().Begin()
 	kept, err := batch.GrantLease(5000)
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestRestoreRefusesInconsistentContents(t *testing.T) {
+func TestRestoreRejectsInconsistentContents(t *testing.T) {
 	valid := func() Contents {
 		return Contents{
 			Revision: 9, LastLeaseID: 2, CompactRevision: 5,
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -25,9 +25,9 @@
 const (
 	// readBufferBytes takes most messages whole.
 	readBufferBytes = 16 << 10
-	// silentTimeouts is after how many timeouts without a message a session is taken to be
+	// idleTimeouts is after how many timeouts without a message a session is taken to be
 	// broken.
-	silentTimeouts = 4
+	idleTimeouts = 4
 )
 
 // Settings of a node's links.
@@ -49,7 +49,7 @@
 	lastID      uint64
 	sessions    map[uint64]*session
 	queuedBytes int    // of what waits on all sessions
-	target      string // the label of the sibling to keep a link to, empty: none
+	dialTarget  string // the label of the sibling to keep a link to, empty: none
 	stopDialing context.CancelFunc
 }
 
@@ -93,7 +93,7 @@
 		closeConn(conn)
 		return
 	}
-	isBrowser, err := startsRequest(reader)
+	isBrowser, err := peekBrowserRequest(reader)
 	switch {
 	case err != nil:
 		closeConn(conn)
@@ -109,10 +109,10 @@
 func (l *Links) Connect(label string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.target == label && label != "" {
+	if l.dialTarget == label && label != "" {
 		return
 	}
-	l.target = label
+	l.dialTarget = label
 	if l.stopDialing != nil {
 		l.stopDialing()
 		l.stopDialing = nil
@@ -158,7 +158,7 @@
 	}
 	l.enqueue(s, effect.Message)
 	for l.queuedBytes > l.settings.MaxQueuedBytes {
-		l.closeSession(l.longestQueue())
+		l.discardSession(l.longestQueue())
 	}
 }
 
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -13,12 +13,12 @@
 	"github.com/chalkhub/chalkhub/internal/peerproto"
 )
 
-// generousQueueBytes is a bound on what waits that no test reaches.
-const generousQueueBytes = 1 << 30
+// unreachableQueueLimit is a bound on what waits that no test reaches.
+const unreachableQueueLimit = 1 << 30
 
 // testSettings retry at once and have the sibling b, if an address is given.
 func testSettings(addressOfB string) Settings {
-	settings := Settings{RetryInterval: 10 * time.Millisecond, Timeout: time.Second, MaxQueuedBytes: generousQueueBytes}
+	settings := Settings{RetryInterval: 10 * time.Millisecond, Timeout: time.Second, MaxQueuedBytes: unreachableQueueLimit}
 	if addressOfB != "" {
 		settings.Siblings = map[string]string{"b": addressOfB}
 	}
--- a/internal/peer/queue_test.go
+++ b/internal/peer/queue_test.go
@@ -61,7 +61,7 @@
 func TestSnapshotOfLargeFleetArrives(t *testing.T) {
 	for _, test := range []struct{ machines, snapshots int }{{4000, 1}, {4000, 2}, {8000, 1}} {
 		t.Run(fmt.Sprintf("%d machines, %d snapshots", test.machines, test.snapshots), func(t *testing.T) {
-			pair := newConnectedPair(t, generousQueueBytes)
+			pair := newConnectedPair(t, unreachableQueueLimit)
 			chunks := snapshotOf(test.machines)
 			for range test.snapshots {
 				for _, chunk := range chunks {
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -54,12 +54,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.sessions, s.id)
-	l.closeSession(s)
+	l.discardSession(s)
 }
 
-// closeSession closes a session and lets go what it has queued; its reader removes it. The
+// discardSession closes a session and lets go what it has queued; its reader removes it. The
 // lock is held.
-func (l *Links) closeSession(s *session) {
+func (l *Links) discardSession(s *session) {
 	closeConn(s.conn)
 	s.closed = true
 	l.queuedBytes -= s.queuedBytes
@@ -71,7 +71,7 @@
 // a message comes.
 func (l *Links) readMessages(s *session, reader *bufio.Reader) {
 	for {
-		if err := s.conn.SetReadDeadline(time.Now().Add(silentTimeouts * l.settings.Timeout)); err != nil {
+		if err := s.conn.SetReadDeadline(time.Now().Add(idleTimeouts * l.settings.Timeout)); err != nil {
 			return
 		}
 		line, err := readLine(reader)
--- a/internal/peer/statuspage.go
+++ b/internal/peer/statuspage.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// browserRequest begins every request of a browser, and no message.
-const browserRequest = "GET "
+// browserRequestPrefix begins every request of a browser, and no message.
+const browserRequestPrefix = "GET "
 
-// startsRequest reports whether a connection begins with a browser's request.
-func startsRequest(reader *bufio.Reader) (bool, error) {
-	head, err := reader.Peek(len(browserRequest))
-	return string(head) == browserRequest, err
+// peekBrowserRequest reports whether a connection begins with a browser's request.
+func peekBrowserRequest(reader *bufio.Reader) (bool, error) {
+	head, err := reader.Peek(len(browserRequestPrefix))
+	return string(head) == browserRequestPrefix, err
 }
 
 // serveStatusPage answers a browser with the status page, whatever path it asks for, and
--- a/internal/peerproto/chunks_test.go
+++ b/internal/peerproto/chunks_test.go
@@ -13,7 +13,7 @@
 )
 
 // The pieces of a member's message tell the same as the message, each in bounds.
-func TestMemberChunksTellTheSame(t *testing.T) {
+func TestMemberChunksPreserveMessage(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		m := Message{Epoch: 7, Snapshot: full, ReadSeq: 3, Assigned: []TaskAttempt{{Task: "job-1/0"}}, Released: []string{"n-9"}}
 		for i := range 900 {
@@ -50,20 +50,20 @@
 
 // A member that has work of a whole fleet assigned, and gives as much back, tells so in lines
 // that a link takes, and the last piece alone says that it was the last.
-func TestMemberChunksOfManyAssignedAndReturned(t *testing.T) {
+func TestMemberChunksFitLinesWithManyAssignedAndReturned(t *testing.T) {
 	for _, machines := range []int{4000, 8000} {
 		for _, full := range []bool{false, true} {
 			m := Message{Epoch: 7, Snapshot: full}
 			for i := range machines * 64 {
-				m.Returned = append(m.Returned, TaskAttempt{Task: protocol.TaskName("job-100000001", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
+				m.Returned = append(m.Returned, TaskAttempt{Task: protocol.TaskName("job-100000001", i), Attempt: 7<<testAttemptBits | uint64(i)})
 				if full {
-					m.Assigned = append(m.Assigned, TaskAttempt{Task: protocol.TaskName("job-100000002", i), Attempt: 7<<attemptBitsOfTests | uint64(i)})
+					m.Assigned = append(m.Assigned, TaskAttempt{Task: protocol.TaskName("job-100000002", i), Attempt: 7<<testAttemptBits | uint64(i)})
 				}
 			}
 			var assigned, returned []TaskAttempt
 			pieces := m.MemberChunks()
 			for i, p := range pieces {
-				lineFits(t, p)
+				checkLineLength(t, p)
 				if p.More != (full && i+1 < len(pieces)) || full && p.Chunk != i {
 					t.Fatalf("piece %d of %d: piece %d, more %v", i, len(pieces), p.Chunk, p.More)
 				}
@@ -78,23 +78,23 @@
 
 // The pieces of a leader's message ask for the same in the same order, each in bounds, and
 // none but the last counts as a message that was read.
-func TestLeaderChunksAskForTheSame(t *testing.T) {
+func TestLeaderChunksPreserveEntriesAndOrder(t *testing.T) {
 	for _, of := range []struct {
 		machines int
 		text     string
 	}{{0, ""}, {1, "for somebody else"}, {4000, strings.Repeat("<", 20)}, {8000, ""}} {
 		m := leaderMessage(of.machines, of.text)
 		pieces := m.LeaderChunks()
-		var got []order
+		var got []listEntry
 		for i, p := range pieces {
-			lineFits(t, p)
+			checkLineLength(t, p)
 			last := i+1 == len(pieces)
 			if p.Epoch != m.Epoch || p.Resync != last || last != (p.Seq == m.Seq) || !last && p.Seq != m.Seq-1 {
 				t.Fatalf("piece %d of %d: epoch %d, seq %d, resync %v", i, len(pieces), p.Epoch, p.Seq, p.Resync)
 			}
-			got = append(got, orders(p)...)
+			got = append(got, listEntries(p)...)
 		}
-		if !slices.Equal(got, orders(m)) {
+		if !slices.Equal(got, listEntries(m)) {
 			t.Fatalf("%d machines: the %d pieces ask for something else, or in another order", of.machines, len(pieces))
 		}
 		if of.machines <= 1 && (len(pieces) != 1 || !reflect.DeepEqual(pieces[0], m)) {
@@ -104,20 +104,20 @@
 }
 
 // An entry that is larger than a piece goes alone.
-func TestLeaderChunksOfOneLargeEntry(t *testing.T) {
+func TestLeaderChunksKeepOversizedEntry(t *testing.T) {
 	m := leaderMessage(1, strings.Repeat("x", maxListBytes))
-	var got []order
+	var got []listEntry
 	for _, p := range m.LeaderChunks() {
-		lineFits(t, p)
-		got = append(got, orders(p)...)
+		checkLineLength(t, p)
+		got = append(got, listEntries(p)...)
 	}
-	if !slices.Equal(got, orders(m)) {
+	if !slices.Equal(got, listEntries(m)) {
 		t.Fatalf("%d orders", len(got))
 	}
 }
 
-// attemptBitsOfTests makes attempts as long as those of a real epoch.
-const attemptBitsOfTests = 32
+// testAttemptBits makes attempts as long as those of a real epoch.
+const testAttemptBits = 32
 
 // leaderMessage asks for all that a leader can, of machines with 64 tasks each.
 func leaderMessage(machines int, text string) Message {
@@ -128,7 +128,7 @@
 		m.Cancelled = append(m.Cancelled, fmt.Sprint("job-", i))
 		m.Cordon, m.Uncordon, m.Drain = append(m.Cordon, name), append(m.Uncordon, name), append(m.Drain, name)
 		for k := range 64 {
-			try := TaskAttempt{Task: protocol.TaskName("job-100000001", 64*i+k), Attempt: 7<<attemptBitsOfTests | uint64(k), Machine: name}
+			try := TaskAttempt{Task: protocol.TaskName("job-100000001", 64*i+k), Attempt: 7<<testAttemptBits | uint64(k), Machine: name}
 			m.Dispatch, m.StartHeld, m.ReleaseHeld = append(m.Dispatch, try), append(m.StartHeld, try), append(m.ReleaseHeld, try)
 			m.Stop = append(m.Stop, StopTask{Task: try.Task, Machine: name, Reason: text})
 		}
@@ -136,17 +136,17 @@
 	return m
 }
 
-// order is one entry of a list of a leader's message.
-type order struct {
+// listEntry is one entry of a list of a leader's message.
+type listEntry struct {
 	list  string
 	entry any
 }
 
-// orders lists what a member does for a message of its leader, in that order.
-func orders(m Message) (out []order) {
+// listEntries lists what a member does for a message of its leader, in that order.
+func listEntries(m Message) (out []listEntry) {
 	add := func(what string, n int, entry func(int) any) {
 		for i := range n {
-			out = append(out, order{what, entry(i)})
+			out = append(out, listEntry{what, entry(i)})
 		}
 	}
 	add("view", len(m.Views), func(i int) any { return m.Views[i] })
@@ -161,8 +161,8 @@
 	return out
 }
 
-// lineFits fails the test if a message is longer than a line of a link may be.
-func lineFits(t *testing.T, m Message) {
+// checkLineLength fails the test if a message is longer than a line of a link may be.
+func checkLineLength(t *testing.T, m Message) {
 	t.Helper()
 	line, err := json.Marshal(&m)
 	if err != nil {
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -14,23 +14,23 @@
 import "time"
 
 const (
-	// probesAtOnce is how many machines are asked at once whether they can be reached.
-	probesAtOnce = 3
+	// probesPerRound is how many machines are asked at once whether they can be reached.
+	probesPerRound = 3
 
-	// leaseShare is the share of a worker's lease that a controller may hear no machine: the
+	// silenceLeaseDivisor is the share of a worker's lease that a controller may hear no machine: the
 	// rest is for the next owner to reach the machines before their leases run out.
-	leaseShare = 3
+	silenceLeaseDivisor = 3
 
-	// probeValidity is for how many heartbeat periods the answer to a probe counts, which is
+	// probeValidityHeartbeats is for how many heartbeat periods the answer to a probe counts, which is
 	// longer than until the next ones are answered.
-	probeValidity = 4
+	probeValidityHeartbeats = 4
 
-	// maxDoublings is how often the time to stay outside the map doubles.
-	maxDoublings = 6
+	// maxAbsenceDoublings is how often the time to stay outside the map doubles.
+	maxAbsenceDoublings = 6
 
-	// minRegistered is how many machines a member must own for their silence to say
+	// minRegisteredMachines is how many machines a member must own for their silence to say
 	// something of the member: a single one may be dead.
-	minRegistered = 2
+	minRegisteredMachines = 2
 
 	// minLostCalls is how many calls in a row must be lost for the direction to the machines
 	// to be in doubt.
@@ -78,31 +78,31 @@
 	rejoinNotBefore   time.Duration
 	consecutiveLeaves int // without reaching a machine in between
 
-	nextProbeAt     time.Duration
-	machinesProbed  int           // the index of the next to be asked, modulo their number
-	probeAnsweredAt time.Duration // 0: no answer since the controller became unreachable
+	nextProbeAt      time.Duration
+	nextProbeIndex   int           // the index of the next to be asked, modulo their number
+	lastProbeReplyAt time.Duration // 0: no answer since the controller became unreachable
 
-	contactAt     time.Duration // when any machine was last heard, whoever owns it
-	doubtfulSince time.Duration // since when that is doubtfully long ago, 0: it is not
-	callsLost     int           // since a call to a machine was last answered
-	firstLostAt   time.Duration // the first of them
+	lastContactAt        time.Duration // when any machine was last heard, whoever owns it
+	silentSince          time.Duration // since when that is doubtfully long ago, 0: it is not
+	consecutiveLostCalls int           // since a call to a machine was last answered
+	firstLostCallAt      time.Duration // the first of them
 }
 
 // Unreachable reports whether the controller reaches no machine.
 func (t *Tracker) Unreachable() bool { return t.unreachable }
 
 // Contact notes that a machine was heard.
-func (t *Tracker) Contact(now time.Duration) { t.contactAt = now }
+func (t *Tracker) Contact(now time.Duration) { t.lastContactAt = now }
 
 // CallEnded notes whether a call to a machine was answered.
 func (t *Tracker) CallEnded(now time.Duration, answered bool) {
 	switch {
 	case answered:
-		t.contactAt, t.callsLost = now, 0
-	case t.callsLost == 0:
-		t.callsLost, t.firstLostAt = 1, now
+		t.lastContactAt, t.consecutiveLostCalls = now, 0
+	case t.consecutiveLostCalls == 0:
+		t.consecutiveLostCalls, t.firstLostCallAt = 1, now
 	default:
-		t.callsLost++
+		t.consecutiveLostCalls++
 	}
 }
 
@@ -110,12 +110,12 @@
 func (t *Tracker) ProbeEnded(now time.Duration, answered bool) {
 	t.CallEnded(now, answered)
 	if answered {
-		t.probeAnsweredAt = now
+		t.lastProbeReplyAt = now
 	}
 }
 
 // EnterEpoch begins a new shard map: what was lost under an earlier one says nothing of it.
-func (t *Tracker) EnterEpoch() { t.callsLost, t.doubtfulSince = 0, 0 }
+func (t *Tracker) EnterEpoch() { t.consecutiveLostCalls, t.silentSince = 0, 0 }
 
 // Check decides whether the controller leaves the shard map, or may join it again.
 func (t *Tracker) Check(v View) Verdict {
@@ -123,7 +123,7 @@
 	case t.unreachable:
 		return t.checkUnreachable(v)
 	case !v.IsMember:
-		return t.checkOutside(v)
+		return t.checkNonMember(v)
 	default:
 		return t.checkMember(v)
 	}
@@ -133,7 +133,7 @@
 // the machines a change of owner and back while the cut lasts, and a longer absence after it.
 func (t *Tracker) checkUnreachable(v View) Verdict {
 	verdict := Verdict{Probe: t.probe(v)}
-	answered := t.probeAnsweredAt > 0 && v.Now-t.probeAnsweredAt < probeValidity*t.Heartbeat
+	answered := t.lastProbeReplyAt > 0 && v.Now-t.lastProbeReplyAt < probeValidityHeartbeats*t.Heartbeat
 	if v.Now >= t.rejoinNotBefore && (v.Fleet.KnownCount() == 0 || answered) {
 		t.unreachable = false
 		verdict.Rejoined = true
@@ -141,46 +141,46 @@
 	return verdict
 }
 
-// checkOutside checks a controller that is not a member, and is told of few machines or none.
+// checkNonMember checks a controller that is not a member, and is told of few machines or none.
 // What it has not heard for long it asks first: controllers that came back from a cut took a
 // third of the machines each time, for the seconds in which they found that they reach none.
-func (t *Tracker) checkOutside(v View) Verdict {
-	if v.Fleet.KnownCount() == 0 || v.Now-t.contactAt < t.Lease/leaseShare {
+func (t *Tracker) checkNonMember(v View) Verdict {
+	if v.Fleet.KnownCount() == 0 || v.Now-t.lastContactAt < t.Lease/silenceLeaseDivisor {
 		return Verdict{}
 	}
-	t.unreachable, t.probeAnsweredAt, t.rejoinNotBefore = true, 0, v.Now
+	t.unreachable, t.lastProbeReplyAt, t.rejoinNotBefore = true, 0, v.Now
 	return Verdict{Probe: t.probe(v)}
 }
 
 // checkMember checks a member, which leaves the map if it reaches no machine.
 func (t *Tracker) checkMember(v View) (verdict Verdict) {
 	if t.Silent(v) {
-		if t.doubtfulSince == 0 {
-			t.doubtfulSince = v.Now
+		if t.silentSince == 0 {
+			t.silentSince = v.Now
 		}
 		verdict.Probe = t.probe(v)
-		if v.Now-t.doubtfulSince >= t.maxSilence(v)/2 {
+		if v.Now-t.silentSince >= t.maxSilence(v)/2 {
 			return t.leave(v, verdict)
 		}
 	} else {
-		t.doubtfulSince = 0
+		t.silentSince = 0
 	}
 	// Machines may be heard, and hear nothing: then each heartbeat is answered in vain, and
 	// their tasks end with their leases while this controller holds on to them.
-	if t.callsLost >= minLostCalls {
+	if t.consecutiveLostCalls >= minLostCalls {
 		verdict.Probe = append(verdict.Probe, t.probe(v)...)
-		if v.Now-t.firstLostAt >= t.maxSilence(v)+2*t.Heartbeat && v.Fleet.RegisteredCount() >= minRegistered {
+		if v.Now-t.firstLostCallAt >= t.maxSilence(v)+2*t.Heartbeat && v.Fleet.RegisteredCount() >= minRegisteredMachines {
 			return t.leave(v, verdict)
 		}
 	}
-	if v.Now-v.MemberSince < t.Lease/leaseShare {
+	if v.Now-v.MemberSince < t.Lease/silenceLeaseDivisor {
 		return verdict
 	}
-	heard, confirmed := v.Fleet.HeardWithin(t.Lease / leaseShare)
+	heard, confirmed := v.Fleet.HeardWithin(t.Lease / silenceLeaseDivisor)
 	if confirmed {
 		t.consecutiveLeaves = 0
 	}
-	if !heard && v.Fleet.RegisteredCount() >= minRegistered {
+	if !heard && v.Fleet.RegisteredCount() >= minRegisteredMachines {
 		return t.leave(v, verdict)
 	}
 	return verdict
@@ -191,7 +191,7 @@
 // at random is heard but once in three thousand; a third of a lease at most.
 func (t *Tracker) maxSilence(v View) time.Duration {
 	owned := time.Duration(max(v.Fleet.OwnedCount(), 1))
-	return min(t.Lease/leaseShare, t.Heartbeat*5/4+8*t.Heartbeat/owned)
+	return min(t.Lease/silenceLeaseDivisor, t.Heartbeat*5/4+8*t.Heartbeat/owned)
 }
 
 // Silent reports whether a member has heard no machine for half of the time that it may. Then
@@ -201,15 +201,15 @@
 // Guards against the word of a process that stood still: it has heard nobody, and all that was
 // sent to it is still to be read.
 func (t *Tracker) Silent(v View) bool {
-	return v.IsMember && v.Now-t.contactAt >= t.maxSilence(v)/2 && v.Fleet.RegisteredCount() >= minRegistered
+	return v.IsMember && v.Now-t.lastContactAt >= t.maxSilence(v)/2 && v.Fleet.RegisteredCount() >= minRegisteredMachines
 }
 
 // leave gives the place in the map up. Each time in vain it is for twice as long: when it is
 // the machines that are dead, leaving and joining in turn kept every new owner from ever
 // finding that out.
 func (t *Tracker) leave(v View, verdict Verdict) Verdict {
-	t.unreachable, t.probeAnsweredAt = true, 0
-	t.rejoinNotBefore = v.Now + t.Lease<<min(t.consecutiveLeaves, maxDoublings)
+	t.unreachable, t.lastProbeReplyAt = true, 0
+	t.rejoinNotBefore = v.Now + t.Lease<<min(t.consecutiveLeaves, maxAbsenceDoublings)
 	t.consecutiveLeaves++
 	verdict.Left = true
 	return verdict
@@ -226,10 +226,10 @@
 		return nil
 	}
 	t.nextProbeAt = v.Now + 2*t.Heartbeat
-	probes := make([]string, 0, probesAtOnce)
-	for range min(probesAtOnce, len(names)) {
-		probes = append(probes, names[t.machinesProbed%len(names)])
-		t.machinesProbed += len(names)/probesAtOnce + 1
+	probes := make([]string, 0, probesPerRound)
+	for range min(probesPerRound, len(names)) {
+		probes = append(probes, names[t.nextProbeIndex%len(names)])
+		t.nextProbeIndex += len(names)/probesPerRound + 1
 	}
 	return probes
 }
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -34,9 +34,9 @@
 
 func newTracker() *Tracker { return &Tracker{Lease: 12 * second, Heartbeat: 2 * second} }
 
-// checkEvery checks four times a second from one moment to another, and returns when the
+// runChecks checks four times a second from one moment to another, and returns when the
 // tracker left the map or rejoined it, 0: never.
-func checkEvery(t *Tracker, f *fleet, from, to time.Duration, member bool, each func(now time.Duration, v Verdict)) (left, rejoined time.Duration) {
+func runChecks(t *Tracker, f *fleet, from, to time.Duration, member bool, each func(now time.Duration, v Verdict)) (left, rejoined time.Duration) {
 	for now := from; now < to; now += second / 4 {
 		v := t.Check(View{Now: now, IsMember: member, Fleet: f})
 		if each != nil {
@@ -56,7 +56,7 @@
 	tracker, f, probed := newTracker(), newFleet(20), 0
 	f.heard = true // within a third of a lease, which is longer
 	tracker.Contact(10 * second)
-	left, _ := checkEvery(tracker, f, 10*second, 30*second, true, func(_ time.Duration, v Verdict) {
+	left, _ := runChecks(tracker, f, 10*second, 30*second, true, func(_ time.Duration, v Verdict) {
 		if !tracker.Unreachable() {
 			probed += len(v.Probe)
 		}
@@ -64,18 +64,18 @@
 	if left < 12*second || left > 14*second {
 		t.Errorf("left after %v of silence, want 2 s to 4 s", left-10*second)
 	}
-	if probed != probesAtOnce {
-		t.Errorf("%d machines were probed before, want %d", probed, probesAtOnce)
+	if probed != probesPerRound {
+		t.Errorf("%d machines were probed before, want %d", probed, probesPerRound)
 	}
 }
 
 // The same silence with and without an answer to the probes, until heartbeats come again.
-func TestAnsweredProbeBridgesSilence(t *testing.T) {
+func TestOnlyProbeReplyKeepsSilentMember(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		tracker, f := newTracker(), newFleet(20)
 		f.heard = true
 		tracker.Contact(10 * second)
-		left, _ := checkEvery(tracker, f, 10*second, 60*second, true, func(now time.Duration, v Verdict) {
+		left, _ := runChecks(tracker, f, 10*second, 60*second, true, func(now time.Duration, v Verdict) {
 			for range v.Probe {
 				tracker.ProbeEnded(now, answered)
 			}
@@ -89,17 +89,17 @@
 	}
 }
 
-func TestOneMachineSaysNothing(t *testing.T) {
+func TestSilenceOfSingleMachineIsIgnored(t *testing.T) {
 	tracker, f := newTracker(), newFleet(1)
-	if left, _ := checkEvery(tracker, f, 10*second, 100*second, true, nil); left != 0 {
+	if left, _ := runChecks(tracker, f, 10*second, 100*second, true, nil); left != 0 {
 		t.Errorf("left at %v for the silence of one machine", left)
 	}
 }
 
-func TestLostCallsLeaveAlthoughMachinesAreHeard(t *testing.T) {
+func TestMemberLeavesAfterLostCallsDespiteHeartbeats(t *testing.T) {
 	tracker, f := newTracker(), newFleet(20)
 	f.heard, f.confirmed = true, true
-	left, _ := checkEvery(tracker, f, 10*second, 30*second, true, func(now time.Duration, v Verdict) {
+	left, _ := runChecks(tracker, f, 10*second, 30*second, true, func(now time.Duration, v Verdict) {
 		tracker.Contact(now)
 		if now%second == 0 {
 			tracker.CallEnded(now, false)
@@ -110,14 +110,14 @@
 	}
 }
 
-func TestRejoinNeedsAnAnswerAndPatience(t *testing.T) {
+func TestRejoinNeedsProbeReplyAndFullAbsence(t *testing.T) {
 	tracker, f := newTracker(), newFleet(20)
 	tracker.Contact(10 * second)
-	left, _ := checkEvery(tracker, f, 10*second, 20*second, true, nil)
-	if _, rejoined := checkEvery(tracker, f, 20*second, 60*second, false, nil); rejoined != 0 {
+	left, _ := runChecks(tracker, f, 10*second, 20*second, true, nil)
+	if _, rejoined := runChecks(tracker, f, 20*second, 60*second, false, nil); rejoined != 0 {
 		t.Fatalf("rejoined at %v without an answer", rejoined)
 	}
-	_, rejoined := checkEvery(tracker, f, 60*second, 80*second, false, func(now time.Duration, v Verdict) {
+	_, rejoined := runChecks(tracker, f, 60*second, 80*second, false, func(now time.Duration, v Verdict) {
 		for range v.Probe {
 			tracker.ProbeEnded(now, true)
 		}
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestLeavingInVainTakesTwiceAsLong(t *testing.T) {
+func TestRepeatedLeavesDoubleAbsence(t *testing.T) {
 	tracker, f := newTracker(), newFleet(20)
 	var away []time.Duration
 	member, left := true, time.Duration(0)
@@ -150,9 +150,9 @@
 	}
 }
 
-func TestProbesAskOtherMachinesEachTime(t *testing.T) {
+func TestSuccessiveProbesCoverAllMachines(t *testing.T) {
 	tracker, f, asked := newTracker(), newFleet(9), map[string]int{}
-	checkEvery(tracker, f, 100*second, 130*second, false, func(_ time.Duration, v Verdict) {
+	runChecks(tracker, f, 100*second, 130*second, false, func(_ time.Duration, v Verdict) {
 		for _, name := range v.Probe {
 			asked[name]++
 		}
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -58,7 +58,7 @@
 // A page that is larger than a value may be by now can't be written any more. Its machines are
 // put on others, where they stand twice for a while, and then it is deleted whole.
 func Plan(registry Registry, add []string, limits Limits) map[string]*Page {
-	p := &planner{Registry: registry, limits: limits, add: add, sizes: map[string]int{}, changed: map[string]*Page{}}
+	p := &planner{Registry: registry, limits: limits, toAdd: add, sizes: map[string]int{}, changed: map[string]*Page{}}
 	p.measurePages()
 	p.removeMachines()
 	p.addMachines()
@@ -69,7 +69,7 @@
 type planner struct {
 	Registry
 	limits  Limits
-	add     []string         // machines that still have to be put on a page
+	toAdd   []string         // machines that still have to be put on a page
 	sizes   map[string]int   // bytes of each page as it is now
 	changed map[string]*Page // by key
 }
@@ -89,8 +89,8 @@
 // oversized reports whether a page can't be written any more.
 func (p *planner) oversized(key string) bool { return p.sizes[key] > p.limits.ValueBytes }
 
-// mayChangeMore reports whether one more page may change.
-func (p *planner) mayChangeMore() bool { return len(p.changed) < p.limits.PagesPerPlan }
+// underPageLimit reports whether one more page may change.
+func (p *planner) underPageLimit() bool { return len(p.changed) < p.limits.PagesPerPlan }
 
 // edit is a page that changes, as it is now if it has not changed before.
 func (p *planner) edit(key string) *Page {
@@ -107,14 +107,14 @@
 // removeMachines takes out what is to be removed, and has the machines of oversized pages added
 // to others.
 func (p *planner) removeMachines() {
-	elsewhere := p.onOtherPages()
+	elsewhere := p.findOnOtherPages()
 	for key, names := range p.Pages {
 		if p.oversized(key) {
 			p.clearOversized(key, names, elsewhere)
 			continue
 		}
 		for _, name := range names {
-			if p.Removed(name) && (p.changed[key] != nil || p.mayChangeMore()) {
+			if p.Removed(name) && (p.changed[key] != nil || p.underPageLimit()) {
 				page, record := p.edit(key), p.Record(name)
 				page.bytes -= RecordSize(name, &record)
 				delete(page.Machines, name)
@@ -130,16 +130,16 @@
 	for _, name := range names {
 		if !p.Removed(name) && !elsewhere[name] {
 			alone++
-			p.add = append(p.add, name)
+			p.toAdd = append(p.toAdd, name)
 		}
 	}
-	if alone == 0 && p.mayChangeMore() {
+	if alone == 0 && p.underPageLimit() {
 		p.changed[key] = &Page{}
 	}
 }
 
-// onOtherPages says of each machine of the oversized pages whether it is on another page too.
-func (p *planner) onOtherPages() map[string]bool {
+// findOnOtherPages says of each machine of the oversized pages whether it is on another page too.
+func (p *planner) findOnOtherPages() map[string]bool {
 	elsewhere := map[string]bool{}
 	for key, names := range p.Pages {
 		if p.oversized(key) {
@@ -163,9 +163,9 @@
 
 // addMachines puts the machines to add on the first pages with room, and on new ones.
 func (p *planner) addMachines() {
-	for n := 0; len(p.add) > 0; n++ {
+	for n := 0; len(p.toAdd) > 0; n++ {
 		key := PageKey(n)
-		if p.changed[key] == nil && !p.mayChangeMore() {
+		if p.changed[key] == nil && !p.underPageLimit() {
 			if n > p.PageCount+len(p.changed) {
 				return // the rest goes with the next transaction
 			}
@@ -180,21 +180,21 @@
 
 // full reports whether a page as it is now has no room for the next machine.
 func (p *planner) full(key string) bool {
-	next := p.Record(p.add[0])
-	return p.sizes[key] > 0 && p.sizes[key]+RecordSize(p.add[0], &next) > p.limits.PageBytes
+	next := p.Record(p.toAdd[0])
+	return p.sizes[key] > 0 && p.sizes[key]+RecordSize(p.toAdd[0], &next) > p.limits.PageBytes
 }
 
 // fill puts machines on a page until it is full. An empty one takes at least one.
 func (p *planner) fill(page *Page) {
-	for len(p.add) > 0 {
-		name, record := p.add[0], p.Record(p.add[0])
+	for len(p.toAdd) > 0 {
+		name, record := p.toAdd[0], p.Record(p.toAdd[0])
 		size := RecordSize(name, &record)
 		if page.bytes+size > p.limits.PageBytes && len(page.Machines) > 0 {
 			return
 		}
 		page.Machines[name] = record
 		page.bytes += size
-		p.add = p.add[1:]
+		p.toAdd = p.toAdd[1:]
 	}
 }
 
--- a/internal/registry/pages_test.go
+++ b/internal/registry/pages_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestPlanKeepsToPagesPerPlan(t *testing.T) {
+func TestPlanChangesAtMostPagesPerPlan(t *testing.T) {
 	s := newStore()
 	limits := Limits{ValueBytes: 1 << 20, PageBytes: 2 * machineBytes, PagesPerPlan: 3}
 	missing := names(0, 20)
@@ -117,7 +117,7 @@
 
 // A page that can't be written any more is emptied without a moment in which a machine is on no
 // page, however few pages may change at once.
-func TestOversizedPageMoves(t *testing.T) {
+func TestOversizedPageMovesWithoutUnlistingMachines(t *testing.T) {
 	for _, pagesPerPlan := range []int{1, 2, 8} {
 		t.Run(fmt.Sprint(pagesPerPlan), func(t *testing.T) {
 			s := newStore()
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// maxIdle is how long a connection is kept without a call.
-	maxIdle = 20 * time.Second
+	// maxIdleTime is how long a connection is kept without a call.
+	maxIdleTime = 20 * time.Second
 	// bufferBytes is enough for the header of any message.
 	bufferBytes = 4096
 )
 
-// NoAnswer stands for the status of a call that got no whole answer.
-const NoAnswer = 0
+// NoResponse stands for the status of a call that got no whole answer.
+const NoResponse = 0
 
 // Client calls any number of hosts. Any goroutine may use it.
 type Client struct {
@@ -63,7 +63,7 @@
 		Name:                          "chalkhub",
 		Dial:                          c.dial,
 		MaxConnsPerHost:               connsPerHost,
-		MaxIdleConnDuration:           maxIdle,
+		MaxIdleConnDuration:           maxIdleTime,
 		MaxConnWaitTimeout:            dialTimeout,
 		ReadBufferSize:                bufferBytes,
 		WriteBufferSize:               bufferBytes,
@@ -105,14 +105,14 @@
 		request.SetBodyRaw(protocol.Encode(body))
 	}
 	if err := c.http.DoTimeout(request, response, timeout); err != nil {
-		return NoAnswer
+		return NoResponse
 	}
 	status := response.StatusCode()
 	if answer == nil || !slices.Contains(decoded, status) {
 		return status
 	}
 	if err := protocol.Decode(response.Body(), answer); err != nil {
-		return NoAnswer
+		return NoResponse
 	}
 	return status
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// connsPerWorker leaves room for a probe beside a command.
-	connsPerWorker = 2
-	// dialShare is the share of a call's time that a connection may take, one in so many. A
+	// maxConnsPerWorker leaves room for a probe beside a command.
+	maxConnsPerWorker = 2
+	// dialTimeoutDivisor is the share of a call's time that a connection may take, one in so many. A
 	// machine that is there takes a connection within milliseconds; one that is dead leaves
 	// it hanging, whatever the call's own timeout.
-	dialShare = 4
-	// questionShare is the share of a call's time that a call without commands may take, one
+	dialTimeoutDivisor = 4
+	// queryTimeoutDivisor is the share of a call's time that a call without commands may take, one
 	// in so many: it is only a question, which may be asked again.
-	questionShare = 4
+	queryTimeoutDivisor = 4
 )
 
 // Client calls workers. Its methods block until the answer is there or the time for it is
@@ -37,7 +37,7 @@
 // New makes a client that keeps about as many connections open, to all workers together;
 // timeout bounds a call.
 func New(maxOpen int, timeout time.Duration) *Client {
-	return &Client{rpc: rpc.NewMany(connsPerWorker, maxOpen, timeout/dialShare), timeout: timeout}
+	return &Client{rpc: rpc.NewMany(maxConnsPerWorker, maxOpen, timeout/dialTimeoutDivisor), timeout: timeout}
 }
 
 // Probe asks a worker whether it is there.
@@ -50,7 +50,7 @@
 func (c *Client) Call(request core.CallWorker) core.CallWorkerResult {
 	timeout := c.timeout
 	if len(request.Body.Commands) == 0 {
-		timeout /= questionShare
+		timeout /= queryTimeoutDivisor
 	}
 	result := core.CallWorkerResult{Machine: request.Machine, CallID: request.CallID}
 	status := c.rpc.Call(fasthttp.MethodPost, request.Addr, "/do", request.Body, &result.Report, timeout,
