--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -9,31 +9,34 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// A job is accepted twice, as in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, and then something happens that makes another part of a node, or another node, rest on
-// the second acceptance: whatever it is, the job and what depends on it are aborted everywhere. Before
-// the first acceptance counted at its root, a dependent of such a job waited for ever: the record that
-// the batch held was final, and still the dependency graph called the job open.
+// A job is accepted twice, as in TestDependentOfCancelledJobHasOneAnswerOnAllNodes. Then something
+// happens that could make another part of a node, or another node, use the second acceptance. In each
+// case the job and its dependents must be aborted on all nodes.
+//
+// Guards against a dependent of such a job that waited for ever. The second acceptance still counted in
+// some places then: the record in the admission batch was final, but the dependency graph had the job as
+// open.
 func TestSecondAcceptanceHasNoEffect(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		then func(s *scenario, late *simulation.Node, dependent *simulation.Job) (more []*simulation.Job)
+		name     string
+		followUp func(s *scenario, lagging *simulation.Node, dependent *simulation.Job) (more []*simulation.Job)
 	}{
 		{"a dependent of its own", func(s *scenario, _ *simulation.Node, dependent *simulation.Job) []*simulation.Job {
 			return []*simulation.Job{s.Users.Submit(dependentArray(1, dependent), 1)}
 		}},
-		{"the node that accepted it second restarts", func(_ *scenario, late *simulation.Node, _ *simulation.Job) []*simulation.Job {
-			late.Crash(second / 20)
+		{"the node that accepted it second restarts", func(_ *scenario, lagging *simulation.Node, _ *simulation.Job) []*simulation.Job {
+			lagging.Crash(second / 20)
 			return nil
 		}},
-		{"the node that accepted it second becomes leader", func(s *scenario, late *simulation.Node, _ *simulation.Job) []*simulation.Job {
+		{"the node that accepted it second becomes leader", func(s *scenario, lagging *simulation.Node, _ *simulation.Job) []*simulation.Job {
 			for _, node := range s.Nodes {
-				if node != late {
+				if node != lagging {
 					node.Crash(30 * second)
 				}
 			}
 			return nil
 		}},
-		{"all restart", func(s *scenario, _ *simulation.Node, _ *simulation.Job) []*simulation.Job {
+		{"all nodes restart", func(s *scenario, _ *simulation.Node, _ *simulation.Job) []*simulation.Job {
 			s.crashAll(second / 20)
 			return nil
 		}},
@@ -45,30 +48,30 @@
 		t.Run(tt.name, func(t *testing.T) {
 			for _, batch := range []bool{false, true} {
 				s := newScenario(t, 9200)
-				cause := s.submitAccepted(simulation.Array(1), 300)
+				cancelled := s.submitAccepted(simulation.Array(1), 300)
 				s.Run(s.Now + 2*second)
-				first, late := s.leader(), s.follower()
-				s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
+				first, lagging := s.leader(), s.follower()
+				s.SetLink("state", lagging.Label, simulation.Link{Delay: 500 * time.Millisecond})
 				s.Users.OnlyNode = first
-				s.Users.Cancel(cause)
-				s.eventually(second, "the first job is cancelled", lastStateIs(protocol.JobCancelled, cause))
+				s.Users.Cancel(cancelled)
+				s.eventually(second, "the dependency is cancelled", lastStateIs(protocol.JobCancelled, cancelled))
 				s.exhaustSingleWrites(first)
-				dependent := s.Users.Submit(dependentArray(1, cause), 1)
+				dependent := s.Users.Submit(dependentArray(1, cancelled), 1)
 				s.Run(s.Now + 100*time.Millisecond)
 				if batch {
-					s.exhaustSingleWrites(late)
+					s.exhaustSingleWrites(lagging)
 				}
-				s.Users.OnlyNode = late
+				s.Users.OnlyNode = lagging
 				s.Users.Resubmit(dependent)
-				s.Run(s.Now + 30*time.Millisecond) // its write has left, and is not answered
-				jobs := append(tt.then(s, late, dependent), dependent)
+				s.Run(s.Now + 30*time.Millisecond) // its write has been sent, and has no response yet
+				jobs := append(tt.followUp(s, lagging, dependent), dependent)
 				s.Users.OnlyNode = nil
 				s.Run(s.Now + 2*second)
-				s.SetLink("state", late.Label, simulation.Link{})
+				s.SetLink("state", lagging.Label, simulation.Link{})
 				s.Run(s.Now + 60*second)
 				for _, job := range jobs {
 					if job.LastState != protocol.JobCancelled {
-						t.Errorf("batch %v: %s is %s (%s)", batch, job.Spec.ID, job.LastState, job.Answer.Reason)
+						t.Errorf("accepted again in a batch %v: %s is %s (%s), want it cancelled", batch, job.Spec.ID, job.LastState, job.Answer.Reason)
 					}
 					s.Users.ReadEverywhere(job)
 				}
@@ -79,7 +82,8 @@
 	}
 }
 
-// A dependent that is accepted once is answered as accepted, not as known already.
+// The response to a job with a dependency that is submitted for the first time says that the job was
+// accepted, and not that it was already known.
 func TestNewDependentIsReportedAsAccepted(t *testing.T) {
 	s := newScenario(t, 9300)
 	head := s.submitAccepted(simulation.Array(1), 300)
@@ -91,6 +95,6 @@
 	s.Run(s.Now + second)
 	body, _ := reply.Body.(protocol.JobResponse)
 	if reply.Status != core.ReplyAccepted || body.State != protocol.JobQueued {
-		t.Fatalf("answered %+v", reply)
+		t.Fatalf("the reply is %+v, want an accepted job that is queued", reply)
 	}
 }
