--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -44,8 +44,8 @@
 	if err := validate(b); err != nil {
 		return err
 	}
-	if r, ok := v.(*Heartbeat); ok {
-		return r.decodeFields(b)
+	if heartbeat, ok := v.(*Heartbeat); ok {
+		return heartbeat.decodeFields(b)
 	}
 	dec := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(dec)
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -20,19 +20,19 @@
 type decoder func(b []byte) (any, error)
 
 // msgpackOf decodes what goes over HTTP or into the state service.
-func msgpackOf[T any](b []byte) (any, error) {
+func decodeMsgpack[T any](b []byte) (any, error) {
 	v := new(T)
 	return v, protocol.Decode(b, v)
 }
 
 // jsonOf decodes a line of the peer link, with the library that the link uses.
-func jsonOf[T any](b []byte) (any, error) {
+func decodeJSON[T any](b []byte) (any, error) {
 	v := new(T)
 	return v, json.Unmarshal(b, v)
 }
 
 // submissionOf decodes a submission as the API does.
-func submissionOf(b []byte) (any, error) {
+func decodeSubmission(b []byte) (any, error) {
 	j, err := protocol.DecodeJob(b)
 	return &j, err
 }
@@ -40,65 +40,65 @@
 // goldenTypes is the one place that says which Go type reads which message. A type that
 // is renamed or moved is changed here; the names on the left are those of the files.
 var goldenTypes = map[string]decoder{
-	"user-submission":   submissionOf,
-	"user-job":          msgpackOf[protocol.Job],
-	"user-job-answer":   msgpackOf[protocol.JobResponse],
-	"user-error-answer": msgpackOf[protocol.ErrorResponse],
-
-	"depot-description": msgpackOf[protocol.JobDescription],
-	"depot-kept-result": msgpackOf[protocol.ResultStatus],
-	"depot-jobs":        msgpackOf[protocol.UploadedJobs],
-	"depot-job":         msgpackOf[protocol.UploadedJob],
-	"depot-outputs":     msgpackOf[protocol.OutputList],
-	"depot-output":      msgpackOf[protocol.OutputFile],
-
-	"worker-report":         msgpackOf[protocol.Heartbeat],
-	"worker-task-report":    msgpackOf[protocol.TaskStatus],
-	"worker-report-answer":  msgpackOf[protocol.HeartbeatResponse],
-	"worker-redirect":       msgpackOf[protocol.Redirect],
-	"worker-report-outcome": msgpackOf[protocol.HeartbeatReply],
-	"worker-command":        msgpackOf[protocol.Command],
-	"worker-do":             msgpackOf[protocol.DirectCommands],
-
-	"cloud-machine-type":  msgpackOf[protocol.MachineType],
-	"cloud-machine-types": msgpackOf[protocol.MachineTypes],
-	"cloud-hire":          msgpackOf[protocol.CreateMachinesRequest],
-	"cloud-names":         msgpackOf[protocol.MachineNames],
-	"cloud-machine":       msgpackOf[protocol.Instance],
-	"cloud-machine-list":  msgpackOf[protocol.InstanceList],
-
-	"state-item":               msgpackOf[protocol.KeyValue],
-	"state-items":              msgpackOf[protocol.KeyPage],
-	"state-guard":              msgpackOf[protocol.Guard],
-	"state-op":                 msgpackOf[protocol.Operation],
-	"state-transaction":        msgpackOf[protocol.Transaction],
-	"state-transaction-answer": msgpackOf[protocol.TransactionResult],
-	"state-lease-request":      msgpackOf[protocol.LeaseRequest],
-	"state-lease-answer":       msgpackOf[protocol.LeaseResponse],
-	"state-event":              msgpackOf[protocol.WatchEvent],
-	"state-events":             msgpackOf[protocol.WatchResponse],
-
-	"record-job":      msgpackOf[records.Job],
-	"record-piece":    msgpackOf[records.Chunk],
-	"record-lot":      msgpackOf[records.AdmissionBatch],
-	"record-progress": msgpackOf[records.Progress],
-	"record-node":     msgpackOf[records.Node],
-	"record-leader":   msgpackOf[records.Leader],
-	"record-map":      msgpackOf[records.ShardMap],
-	"record-machines": msgpackOf[records.RegistryPage],
-	"record-machine":  msgpackOf[records.Machine],
-	"record-estimate": msgpackOf[records.Estimates],
-	"record-mean":     msgpackOf[records.Mean],
-
-	"peer-message":       jsonOf[peerproto.Message],
-	"peer-hello":         jsonOf[peerproto.Hello],
-	"peer-task-try":      jsonOf[peerproto.TaskAttempt],
-	"peer-task-stop":     jsonOf[peerproto.StopTask],
-	"peer-machine-state": jsonOf[peerproto.MachineState],
-	"peer-task-state":    jsonOf[peerproto.TaskState],
-	"peer-job-view":      jsonOf[peerproto.JobView],
-	"peer-word":          jsonOf[degraded.Vote],
-	"peer-ask":           jsonOf[degraded.Round],
+	"user-submission":   decodeSubmission,
+	"user-job":          decodeMsgpack[protocol.Job],
+	"user-job-answer":   decodeMsgpack[protocol.JobResponse],
+	"user-error-answer": decodeMsgpack[protocol.ErrorResponse],
+
+	"depot-description": decodeMsgpack[protocol.JobDescription],
+	"depot-kept-result": decodeMsgpack[protocol.ResultStatus],
+	"depot-jobs":        decodeMsgpack[protocol.UploadedJobs],
+	"depot-job":         decodeMsgpack[protocol.UploadedJob],
+	"depot-outputs":     decodeMsgpack[protocol.OutputList],
+	"depot-output":      decodeMsgpack[protocol.OutputFile],
+
+	"worker-report":         decodeMsgpack[protocol.Heartbeat],
+	"worker-task-report":    decodeMsgpack[protocol.TaskStatus],
+	"worker-report-answer":  decodeMsgpack[protocol.HeartbeatResponse],
+	"worker-redirect":       decodeMsgpack[protocol.Redirect],
+	"worker-report-outcome": decodeMsgpack[protocol.HeartbeatReply],
+	"worker-command":        decodeMsgpack[protocol.Command],
+	"worker-do":             decodeMsgpack[protocol.DirectCommands],
+
+	"cloud-machine-type":  decodeMsgpack[protocol.MachineType],
+	"cloud-machine-types": decodeMsgpack[protocol.MachineTypes],
+	"cloud-hire":          decodeMsgpack[protocol.CreateMachinesRequest],
+	"cloud-names":         decodeMsgpack[protocol.MachineNames],
+	"cloud-machine":       decodeMsgpack[protocol.Instance],
+	"cloud-machine-list":  decodeMsgpack[protocol.InstanceList],
+
+	"state-item":               decodeMsgpack[protocol.KeyValue],
+	"state-items":              decodeMsgpack[protocol.KeyPage],
+	"state-guard":              decodeMsgpack[protocol.Guard],
+	"state-op":                 decodeMsgpack[protocol.Operation],
+	"state-transaction":        decodeMsgpack[protocol.Transaction],
+	"state-transaction-answer": decodeMsgpack[protocol.TransactionResult],
+	"state-lease-request":      decodeMsgpack[protocol.LeaseRequest],
+	"state-lease-answer":       decodeMsgpack[protocol.LeaseResponse],
+	"state-event":              decodeMsgpack[protocol.WatchEvent],
+	"state-events":             decodeMsgpack[protocol.WatchResponse],
+
+	"record-job":      decodeMsgpack[records.Job],
+	"record-piece":    decodeMsgpack[records.Chunk],
+	"record-lot":      decodeMsgpack[records.AdmissionBatch],
+	"record-progress": decodeMsgpack[records.Progress],
+	"record-node":     decodeMsgpack[records.Node],
+	"record-leader":   decodeMsgpack[records.Leader],
+	"record-map":      decodeMsgpack[records.ShardMap],
+	"record-machines": decodeMsgpack[records.RegistryPage],
+	"record-machine":  decodeMsgpack[records.Machine],
+	"record-estimate": decodeMsgpack[records.Estimates],
+	"record-mean":     decodeMsgpack[records.Mean],
+
+	"peer-message":       decodeJSON[peerproto.Message],
+	"peer-hello":         decodeJSON[peerproto.Hello],
+	"peer-task-try":      decodeJSON[peerproto.TaskAttempt],
+	"peer-task-stop":     decodeJSON[peerproto.StopTask],
+	"peer-machine-state": decodeJSON[peerproto.MachineState],
+	"peer-task-state":    decodeJSON[peerproto.TaskState],
+	"peer-job-view":      decodeJSON[peerproto.JobView],
+	"peer-word":          decodeJSON[degraded.Vote],
+	"peer-ask":           decodeJSON[degraded.Round],
 }
 
 // goldenVersions are the commits whose bytes are kept, and the messages that each did not
@@ -109,19 +109,19 @@
 	"4eec271": {"record-piece"},
 }
 
-// TestGoldenBytes pins every message and stored record: bytes that earlier versions made
+// TestGoldenBytesRoundTrip pins every message and stored record: bytes that earlier versions made
 // are read, and written again as the same bytes. There is a file of each with every field
 // set, lists of two and maps of one entry, and one, "-zero", with none set, which shows what
 // is left out. A program built at each commit filled the fields by reflection. Fields that
 // production did not know are left out when they are not set, so its bytes stay the same.
-func TestGoldenBytes(t *testing.T) {
-	for version, unknown := range goldenVersions {
+func TestGoldenBytesRoundTrip(t *testing.T) {
+	for version, unknownNames := range goldenVersions {
 		t.Run(version, func(t *testing.T) {
 			missing := map[string]bool{}
 			for name := range goldenTypes {
 				missing[name] = true
 			}
-			for _, name := range unknown {
+			for _, name := range unknownNames {
 				delete(missing, name)
 			}
 			files, err := filepath.Glob(filepath.Join("testdata", "golden", version, "*"))
@@ -129,7 +129,7 @@
 				t.Fatal(err)
 			}
 			for _, file := range files {
-				if strings.Contains(file, flagged) {
+				if strings.Contains(file, flagSubmissionPrefix) {
 					continue // TestGoldenSubmissions
 				}
 				name := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
@@ -188,13 +188,13 @@
 
 // flagged is in the names of submissions as users send them: with all fields, those that
 // Job leaves out as well, and one of the three flags.
-const flagged = "user-submission-flag-"
+const flagSubmissionPrefix = "user-submission-flag-"
 
-// TestGoldenSubmissions compares the strict reading of submissions, field by field, with
+// TestDecodeJobMatchesStructTagDecoding compares the strict reading of submissions, field by field, with
 // that by struct tags, which TestGoldenBytes pins.
-func TestGoldenSubmissions(t *testing.T) {
+func TestDecodeJobMatchesStructTagDecoding(t *testing.T) {
 	for version := range goldenVersions {
-		files, err := filepath.Glob(filepath.Join("testdata", "golden", version, flagged+"*"))
+		files, err := filepath.Glob(filepath.Join("testdata", "golden", version, flagSubmissionPrefix+"*"))
 		if err != nil || len(files) != 3 {
 			t.Fatalf("%d files of version %s, %v", len(files), version, err)
 		}
@@ -214,18 +214,18 @@
 	}
 }
 
-// TestProtocolWords pins the words that stand in messages and stored records.
-func TestProtocolWords(t *testing.T) {
+// TestProtocolConstantsAreUnchanged pins the words that stand in messages and stored records.
+func TestProtocolConstantsAreUnchanged(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
-		{"kinds of job", internedWords(protocol.KindArray, protocol.KindGang, protocol.KindService), "array ensemble daemon"},
-		{"urgencies", internedWords(protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow), "prod high standard idle"},
-		{"states of a job", internedWords(protocol.JobQueued, protocol.JobRunning, protocol.JobDone, protocol.JobCancelled), "queued running done aborted"},
-		{"states of a task", internedWords(protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited, peerproto.StateHeld),
+		{"kinds of job", joinConstants(protocol.KindArray, protocol.KindGang, protocol.KindService), "array ensemble daemon"},
+		{"urgencies", joinConstants(protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow), "prod high standard idle"},
+		{"states of a job", joinConstants(protocol.JobQueued, protocol.JobRunning, protocol.JobDone, protocol.JobCancelled), "queued running done aborted"},
+		{"states of a task", joinConstants(protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited, peerproto.StateHeld),
 			"fetching waiting running saving ended held"},
-		{"causes", internedWords(protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitNoCapacity, protocol.ExitDuplicate, protocol.ExitUnknownTask, protocol.ExitGangPeerLost, protocol.ExitGangIncomplete),
+		{"causes", joinConstants(protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitNoCapacity, protocol.ExitDuplicate, protocol.ExitUnknownTask, protocol.ExitGangPeerLost, protocol.ExitGangIncomplete),
 			"done halted error no_room busy no_such peers incomplete"},
-		{"commands", internedWords(protocol.CommandStart, protocol.CommandStop, protocol.CommandForget), "start kill clear"},
-		{"states of a machine", internedWords(protocol.MachineBooting, protocol.MachineRunning, protocol.MachineFailed), "booting running failed"},
+		{"commands", joinConstants(protocol.CommandStart, protocol.CommandStop, protocol.CommandForget), "start kill clear"},
+		{"states of a machine", joinConstants(protocol.MachineBooting, protocol.MachineRunning, protocol.MachineFailed), "booting running failed"},
 		{"content type", protocol.ContentType, "application/msgpack"},
 		{"name of a task", protocol.TaskName("job-7", 31), "job-7/31"},
 		{"set of tasks", records.TaskSet{3, 1}.Text(), "AwE"},
@@ -236,4 +236,4 @@
 	}
 }
 
-func internedWords(w ...string) string { return strings.Join(w, " ") }
+func joinConstants(w ...string) string { return strings.Join(w, " ") }
--- a/internal/protocol/heartbeat_decoder.go
+++ b/internal/protocol/heartbeat_decoder.go
@@ -10,38 +10,38 @@
 // value. Reports are nearly all that a controller
 // hears, hundreds a second with dozens of tasks each, and reading them by
 // reflection took an eighth of its processor time.
-func (r *Heartbeat) decodeFields(b []byte) error {
-	*r = Heartbeat{}
+func (h *Heartbeat) decodeFields(b []byte) error {
+	*h = Heartbeat{}
 	_, err := eachField(b, func(name string, b []byte) (_ []byte, err error) {
 		switch name {
 		case "Rig":
-			r.Machine, b, err = msgp.ReadStringBytes(b)
+			h.Machine, b, err = msgp.ReadStringBytes(b)
 		case "Addr":
-			r.Addr, b, err = msgp.ReadStringBytes(b)
+			h.Addr, b, err = msgp.ReadStringBytes(b)
 		case "Rigtype":
-			r.Type, b, err = msgp.ReadStringBytes(b)
+			h.Type, b, err = msgp.ReadStringBytes(b)
 		case "Yard":
-			r.Zone, b, err = msgp.ReadStringBytes(b)
+			h.Zone, b, err = msgp.ReadStringBytes(b)
 		case "Loaner":
-			r.Spot, b, err = msgp.ReadBoolBytes(b)
+			h.Spot, b, err = msgp.ReadBoolBytes(b)
 		case "Shift":
-			r.Session, b, err = msgp.ReadUint64Bytes(b)
+			h.Session, b, err = msgp.ReadUint64Bytes(b)
 		case "Tally":
-			r.Seq, b, err = msgp.ReadUint64Bytes(b)
+			h.Seq, b, err = msgp.ReadUint64Bytes(b)
 		case "Baton":
-			r.Token, b, err = msgp.ReadUint64Bytes(b)
+			h.Token, b, err = msgp.ReadUint64Bytes(b)
 		case "RecallS":
 			var s float64
-			s, b, err = readAmount(b)
-			r.NoticeS = &s
+			s, b, err = readNumber(b)
+			h.NoticeS = &s
 		case "Lots":
 			var n uint32
 			if n, b, err = msgp.ReadArrayHeaderBytes(b); err != nil {
 				return b, err
 			}
-			r.Tasks = make([]TaskStatus, n)
-			for i := range r.Tasks {
-				if b, err = r.Tasks[i].decodeFields(b); err != nil {
+			h.Tasks = make([]TaskStatus, n)
+			for i := range h.Tasks {
+				if b, err = h.Tasks[i].decodeFields(b); err != nil {
 					return b, err
 				}
 			}
@@ -55,18 +55,18 @@
 
 func (t *TaskStatus) decodeFields(b []byte) ([]byte, error) {
 	return eachField(b, func(name string, b []byte) (_ []byte, err error) {
-		var word []byte
+		var raw []byte
 		switch name {
 		case "Lot":
 			t.Task, b, err = msgp.ReadStringBytes(b)
 		case "Try":
 			t.Attempt, b, err = msgp.ReadUint64Bytes(b)
 		case "Status":
-			word, b, err = msgp.ReadStringZC(b)
-			t.State = intern(word)
+			raw, b, err = msgp.ReadStringZC(b)
+			t.State = intern(raw)
 		case "Cause":
-			word, b, err = msgp.ReadStringZC(b)
-			t.ExitReason = intern(word)
+			raw, b, err = msgp.ReadStringZC(b)
+			t.ExitReason = intern(raw)
 		case "Stored":
 			t.Saved, b, err = msgp.ReadBoolBytes(b)
 		default:
@@ -76,8 +76,8 @@
 	})
 }
 
-// internedWords are the states and causes that a report repeats over and over.
-var internedWords = func() map[string]string {
+// internedStrings are the states and causes that a report repeats over and over.
+var internedStrings = func() map[string]string {
 	m := map[string]string{}
 	for _, w := range []string{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited,
 		ExitDone, ExitStopped, ExitFailed, ExitNoCapacity, ExitDuplicate, ExitUnknownTask, ExitGangPeerLost, ExitGangIncomplete} {
@@ -86,16 +86,16 @@
 	return m
 }()
 
-func intern(word []byte) string {
-	if w, ok := internedWords[string(word)]; ok {
+func intern(raw []byte) string {
+	if w, ok := internedStrings[string(raw)]; ok {
 		return w
 	}
-	return string(word)
+	return string(raw)
 }
 
 // eachField hands over the fields of a map that are not null; f returns what
 // follows the field's value.
-func eachField(b []byte, f func(name string, b []byte) ([]byte, error)) ([]byte, error) {
+func eachField(b []byte, decode func(name string, b []byte) ([]byte, error)) ([]byte, error) {
 	n, b, err := msgp.ReadMapHeaderBytes(b)
 	for ; n > 0 && err == nil; n-- {
 		var key []byte
@@ -106,15 +106,15 @@
 			b, err = msgp.ReadNilBytes(b)
 			continue
 		}
-		if b, err = f(string(key), b); err != nil {
+		if b, err = decode(string(key), b); err != nil {
 			err = fmt.Errorf("%s: %w", key, err)
 		}
 	}
 	return b, err
 }
 
-// readAmount reads a number, whichever way it is written.
-func readAmount(b []byte) (float64, []byte, error) {
+// readNumber reads a number, whichever way it is written.
+func readNumber(b []byte) (float64, []byte, error) {
 	switch msgp.NextType(b) {
 	case msgp.IntType, msgp.UintType:
 		n, b, err := msgp.ReadInt64Bytes(b)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestDecodeJob(t *testing.T) {
+func TestDecodeJobAcceptsValidSubmissions(t *testing.T) {
 	j, err := protocol.DecodeJob(protocol.Encode(submission()))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestMalformedJobsAreRefusedByField(t *testing.T) {
+func TestDecodeJobRejectsMalformedSubmissions(t *testing.T) {
 	for field, bad := range map[string][]any{
 		"Ref":       {nil, "", 7, "job-", "job-1x", "run-1", "job-1/2"},
 		"Genre":     {"gang", 1},
@@ -68,9 +68,9 @@
 			t.Errorf("without %s: %v", field, err)
 		}
 	}
-	whole := protocol.Encode(submission())
+	valid := protocol.Encode(submission())
 	for name, b := range map[string][]byte{
-		"empty": nil, "cut short": whole[:len(whole)-3], "trailing": append(append([]byte{}, whole...), 0xc0),
+		"empty": nil, "cut short": valid[:len(valid)-3], "trailing": append(append([]byte{}, valid...), 0xc0),
 		"list": protocol.Encode([]int{1}), "null": {0xc0}, "text": protocol.Encode("job"), "json": []byte(`{"Ref":"job-1"}`), "huge map": {0xdf, 0xff, 0xff, 0xff, 0xff},
 	} {
 		if _, err := protocol.DecodeJob(b); err == nil {
@@ -79,9 +79,9 @@
 	}
 }
 
-func TestParseTaskName(t *testing.T) {
-	if ref, i, err := protocol.ParseTaskName(protocol.TaskName("job-7", 31)); ref != "job-7" || i != 31 || err != nil {
-		t.Fatal(ref, i, err)
+func TestParseTaskNameRejectsMalformedNames(t *testing.T) {
+	if job, i, err := protocol.ParseTaskName(protocol.TaskName("job-7", 31)); job != "job-7" || i != 31 || err != nil {
+		t.Fatal(job, i, err)
 	}
 	for _, bad := range []string{"", "job-7", "job-7/", "job-7/x", "job-7/-1", "job-7/01", "job-7/100000", "x/1"} {
 		if _, _, err := protocol.ParseTaskName(bad); err == nil {
@@ -90,14 +90,14 @@
 	}
 }
 
-func TestTaskSet(t *testing.T) {
+func TestTaskSetRoundTripsInCompactForm(t *testing.T) {
 	var s records.TaskSet
 	for _, i := range []int{0, 9, 16383, 9} {
 		s.Add(i)
 	}
-	back, err := records.ParseTaskSet(s.Text())
-	if err != nil || back.Len() != 3 || !back.Has(16383) || back.Has(1) {
-		t.Fatal(err, back.Len())
+	parsed, err := records.ParseTaskSet(s.Text())
+	if err != nil || parsed.Len() != 3 || !parsed.Has(16383) || parsed.Has(1) {
+		t.Fatal(err, parsed.Len())
 	}
 	if n := len(s.Text()); n > 3*1024 {
 		t.Fatalf("a full block takes %d bytes", n)
@@ -116,15 +116,15 @@
 		}
 		var r protocol.Heartbeat
 		if protocol.Decode(b, &r) == nil {
-			for _, x := range r.Tasks {
-				_, _, _ = protocol.ParseTaskName(x.Task) // it is only not to crash
+			for _, task := range r.Tasks {
+				_, _, _ = protocol.ParseTaskName(task.Task) // it is only not to crash
 			}
 		}
 		var e protocol.WatchResponse
 		if protocol.Decode(b, &e) == nil {
-			for _, x := range e.Events {
+			for _, event := range e.Events {
 				var rec records.Job
-				_ = protocol.Decode(x.Value, &rec)
+				_ = protocol.Decode(event.Value, &rec)
 			}
 		}
 	})
@@ -132,7 +132,7 @@
 
 // A report is read field by field: it must take what the protocol allows and
 // refuse the rest.
-func TestDecodeHeartbeat(t *testing.T) {
+func TestDecodeHeartbeatAcceptsValidAndRejectsMalformedFields(t *testing.T) {
 	m := map[string]any{
 		"Rig": "n-000231", "Addr": "10.1.0.232:9000", "Rigtype": "g8", "Yard": "a", "Loaner": true,
 		"Shift": 1, "Tally": 88, "Baton": uint64(3) << 40, "RecallS": 13, "Unheard": []any{1, "x"},
@@ -166,7 +166,7 @@
 }
 
 // Null, missing and empty are alike, and doubles count once.
-func TestDependenciesField(t *testing.T) {
+func TestDependenciesAreOptionalAndDeduplicated(t *testing.T) {
 	for _, c := range []struct {
 		value any
 		want  int
@@ -181,8 +181,8 @@
 
 // What production (deploy/service.toml) stores is read, field by field, and what it knows
 // of is written as the same bytes.
-func TestRecordsOfProduction(t *testing.T) {
-	for text, same := range map[string]func(b []byte) bool{
+func TestProductionRecordsRoundTrip(t *testing.T) {
+	for encoded, roundTrip := range map[string]func(b []byte) bool{
 		// jobs
 		"85a473706563de0011a3526566a56a6f622d31a84c6f74636c617373a163a44465736ba174a547656e7265a56172726179a7557267656e6379a469646c65a44c6f7473" +
 			"02a443707573cb3ff8000000000000a84d656d6f72794762cb3ff199999999999aa34b6974a16ba7496d6167654762cb3fe0000000000000a8526967747970657391a1" +
@@ -208,9 +208,9 @@
 			"43616368654762cb0000000000000000ab4665746368476250657253cb0000000000000000a6486f75726c79cb0000000000000000a84c6f775072696365cb00000000" +
 			"00000000a85374617274757053cb0000000000000000a5596172647391a17aa5746f74616c01": roundTrips(protocol.MachineTypes{Types: []protocol.MachineType{{Name: "b", CPUs: 4, Zones: []string{"z"}}}, Total: 1}),
 	} {
-		b, err := hex.DecodeString(text)
-		if err != nil || !same(b) {
-			t.Errorf("%s: %v", text, err)
+		b, err := hex.DecodeString(encoded)
+		if err != nil || !roundTrip(b) {
+			t.Errorf("%s: %v", encoded, err)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 }
 
 // The size of a value as text is never below that of its JSON, and not far above.
-func TestJSONSize(t *testing.T) {
+func TestJSONSizeIsATightUpperBound(t *testing.T) {
 	for _, v := range []any{submission(), records.Job{Spec: protocol.Job{ID: "job-1", CPUs: 0.1, Dependencies: []string{"job-2", "job-3"}}, SubmittedAt: 1.7e9 + 0.123},
 		records.RegistryPage{Machines: map[string]records.Machine{"n-1": {Addr: "10.0.0.1:9000", Type: "a \"b\" <c>", Zone: "ü"}}},
 		records.Estimates{Means: []records.Mean{{Team: "t", Class: "c", Mean: 35.12, Count: 200, LastAt: 1764632452}}}} {
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -59,8 +59,8 @@
 
 // Newer reports whether r was made after a report with the given session and
 // sequence number.
-func (r *Heartbeat) Newer(session, seq uint64) bool {
-	return r.Session > session || r.Session == session && r.Seq > seq
+func (h *Heartbeat) Newer(session, seq uint64) bool {
+	return h.Session > session || h.Session == session && h.Seq > seq
 }
 
 // Command is one order to a worker.
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -106,25 +106,25 @@
 		if text == "unmarshal errors:" || text == "" {
 			continue
 		}
-		violations = append(violations, parseYAMLSentence(text))
+		violations = append(violations, parseYAMLMessage(text))
 	}
 	return violations
 }
 
-// parseYAMLSentence reads "line N: text"; a sentence without a line is about the first.
-func parseYAMLSentence(sentence string) Violation {
-	whole := Violation{1, sentence}
-	rest, ok := strings.CutPrefix(sentence, "line ")
+// parseYAMLMessage reads "line N: text"; a sentence without a line is about the first.
+func parseYAMLMessage(errorText string) Violation {
+	withoutLine := Violation{1, errorText}
+	rest, ok := strings.CutPrefix(errorText, "line ")
 	if !ok {
-		return whole
+		return withoutLine
 	}
 	number, text, ok := strings.Cut(rest, ": ")
 	if !ok {
-		return whole
+		return withoutLine
 	}
 	line, err := strconv.Atoi(number)
 	if err != nil {
-		return whole
+		return withoutLine
 	}
 	return Violation{line, text}
 }
