--- a/internal/protocol/artifacts.go
+++ b/internal/protocol/artifacts.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// JobDescription tells agents what a job's tasks do. Users upload it to the artifact store before
-// they submit the job (PROTOCOL, POST /v1/report, "start").
+// JobDescription specifies what a job's tasks run. Users upload it to the artifact store before
+// they submit the job, and agents fetch it from there (PROTOCOL, POST /v1/report, "start").
 type JobDescription struct {
 	Job        Job               `msgpack:"Job"`
-	Command    []string          `msgpack:"Command,omitempty"` // program and arguments; none: a simulated task
+	Command    []string          `msgpack:"Command,omitempty"` // program and arguments; empty for a simulated task
 	Env        map[string]string `msgpack:"Env,omitempty"`
-	Folder     string            `msgpack:"Folder,omitempty"`    // working folder; none: a new one for each attempt
+	Folder     string            `msgpack:"Folder,omitempty"`    // working directory; empty: a new one for each attempt
 	SimulatedS float64           `msgpack:"SimulateS,omitempty"` // run time of a simulated task, in seconds
 }
 
-// Validate says what is wrong with a description.
+// Validate returns an error that describes the first problem of a description, or nil. The artifact
+// store sends its text to clients.
 func (d *JobDescription) Validate() error {
 	if !ValidJobID(d.Job.ID) {
 		return errors.New("the job has no valid id")
@@ -42,31 +43,31 @@
 	return nil
 }
 
-// ResultStatus is what the artifact store answers about a task: whether its result is kept.
+// ResultStatus is the artifact store's response to whether it has a task's result.
 type ResultStatus struct {
 	Done bool `msgpack:"Done"`
 }
 
-// UploadedJobs is a page of the artifact store's jobs, newest uploads first.
+// UploadedJobs is a page of the artifact store's jobs, most recent uploads first.
 type UploadedJobs struct {
 	Jobs []UploadedJob `msgpack:"Jobs"`
 	More bool          `msgpack:"More"`
 }
 
-// UploadedJob is a job in the artifact store's list.
+// UploadedJob is an entry of UploadedJobs.
 type UploadedJob struct {
 	ID         string  `msgpack:"Ref"`
 	Team       string  `msgpack:"Desk"`
 	Tasks      int     `msgpack:"Lots"`
-	UploadedAt float64 `msgpack:"At"` // upload, Unix time in seconds
+	UploadedAt float64 `msgpack:"At"` // time of the upload, in seconds since the Unix epoch
 }
 
-// OutputList are a job's attempts that have output.
+// OutputList lists the attempts of a job that have output.
 type OutputList struct {
 	Attempts []OutputFile `msgpack:"Attempts"`
 }
 
-// OutputFile is an attempt's output file.
+// OutputFile describes the output file of one attempt.
 type OutputFile struct {
 	Task    int    `msgpack:"Task"`
 	Attempt uint64 `msgpack:"Try"`
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -16,29 +16,29 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// decoder reads the bytes of a message and returns a pointer to its value.
+// decoder decodes a message and returns a pointer to its value.
 type decoder func(b []byte) (any, error)
 
-// msgpackOf decodes what goes over HTTP or into the state service.
+// decodeMsgpack decodes a message that is sent over HTTP or a record that is kept in the state service.
 func decodeMsgpack[T any](b []byte) (any, error) {
 	v := new(T)
 	return v, protocol.Decode(b, v)
 }
 
-// jsonOf decodes a line of the peer link, with the library that the link uses.
+// decodeJSON decodes a message of the link between peers, with the library that the link uses.
 func decodeJSON[T any](b []byte) (any, error) {
 	v := new(T)
 	return v, json.Unmarshal(b, v)
 }
 
-// submissionOf decodes a submission as the API does.
+// decodeSubmission decodes a submission with the strict decoder that the API uses.
 func decodeSubmission(b []byte) (any, error) {
 	j, err := protocol.DecodeJob(b)
 	return &j, err
 }
 
-// goldenTypes is the one place that says which Go type reads which message. A type that
-// is renamed or moved is changed here; the names on the left are those of the files.
+// goldenTypes maps the name of each golden file to the decoder of its Go type. If a type is renamed
+// or moved, only its entry here changes; the names of the files stay.
 var goldenTypes = map[string]decoder{
 	"user-submission":   decodeSubmission,
 	"user-job":          decodeMsgpack[protocol.Job],
@@ -101,19 +101,22 @@
 	"peer-ask":           decodeJSON[degraded.Round],
 }
 
-// goldenVersions are the commits whose bytes are kept, and the messages that each did not
-// know yet: the version whose names were replaced, and production (deploy/service.toml)
-// of that time.
+// goldenVersions lists the commits whose encoded messages are kept as golden files, and the messages
+// that each of them did not have yet. 587869a is the last version before fields and types were renamed,
+// and 4eec271 the one that was in production then (deploy/service.toml).
 var goldenVersions = map[string][]string{
 	"587869a": nil,
 	"4eec271": {"record-piece"},
 }
 
-// TestGoldenBytesRoundTrip pins every message and stored record: bytes that earlier versions made
-// are read, and written again as the same bytes. There is a file of each with every field
-// set, lists of two and maps of one entry, and one, "-zero", with none set, which shows what
-// is left out. A program built at each commit filled the fields by reflection. Fields that
-// production did not know are left out when they are not set, so its bytes stay the same.
+// TestGoldenBytesRoundTrip decodes messages and stored records that earlier versions encoded, and
+// fails unless they are encoded to the same bytes again. It guards against a change of a field or its
+// tag that other processes or stored data would not understand.
+//
+// Each message has a file with every field set, with two entries in lists and one in maps, and a file
+// "-zero" with no field set, which shows which fields are omitted then. A program built at each commit
+// filled the fields by reflection. Fields that production did not have are omitted if they are not set,
+// so the bytes of its messages stay the same.
 func TestGoldenBytesRoundTrip(t *testing.T) {
 	for version, unknownNames := range goldenVersions {
 		t.Run(version, func(t *testing.T) {
@@ -130,26 +133,26 @@
 			}
 			for _, file := range files {
 				if strings.Contains(file, flagSubmissionPrefix) {
-					continue // TestGoldenSubmissions
+					continue // see TestDecodeJobMatchesStructTagDecoding
 				}
 				name := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
 				t.Run(name, func(t *testing.T) { checkGoldenFile(t, file, strings.TrimSuffix(name, "-zero")) })
 				delete(missing, name)
 			}
 			for name := range missing {
-				t.Errorf("there are no golden bytes of %s", name)
+				t.Errorf("no golden file for message %s", name)
 			}
 		})
 	}
 }
 
-// checkGoldenFile reads a file and fails unless the same bytes are written again, and read
-// again as the same value.
+// checkGoldenFile decodes a file and fails unless the value is encoded to the same bytes, and these
+// are decoded to the same value again.
 func checkGoldenFile(t *testing.T, file, name string) {
 	t.Helper()
 	decode, ok := goldenTypes[name]
 	if !ok {
-		t.Fatalf("no type is named for %s", file)
+		t.Fatalf("goldenTypes has no type for %s", file)
 	}
 	want, err := os.ReadFile(file)
 	if err != nil {
@@ -157,19 +160,19 @@
 	}
 	value, err := decode(want)
 	if err != nil {
-		t.Fatalf("%s is not read: %v", file, err)
+		t.Fatalf("cannot decode %s: %v", file, err)
 	}
 	got := encodeAs(t, file, value)
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s is written in another way\n was %q\n now %q", file, want, got)
+		t.Errorf("%s is encoded to other bytes\nwant %q\n got %q", file, want, got)
 	}
 	again, err := decode(got)
 	if err != nil || !reflect.DeepEqual(again, value) {
-		t.Errorf("what is written is not read as the same: %v\n was %+v\n now %+v", err, value, again)
+		t.Errorf("encoded value is decoded to another value: %v\nwant %+v\n got %+v", err, value, again)
 	}
 }
 
-// encodeAs writes a value in the form that the file's name says.
+// encodeAs encodes a value in the format that the extension of the file's name stands for.
 func encodeAs(t *testing.T, file string, value any) []byte {
 	t.Helper()
 	switch filepath.Ext(file) {
@@ -182,21 +185,21 @@
 		}
 		return b
 	}
-	t.Fatalf("%s has no form that is known", file)
+	t.Fatalf("%s has an unknown extension", file)
 	return nil
 }
 
-// flagged is in the names of submissions as users send them: with all fields, those that
-// Job leaves out as well, and one of the three flags.
+// flagSubmissionPrefix starts the names of files with submissions as users send them: they have all
+// fields, also those that Encode omits from a Job, and one of the three flags is set.
 const flagSubmissionPrefix = "user-submission-flag-"
 
-// TestDecodeJobMatchesStructTagDecoding compares the strict reading of submissions, field by field, with
-// that by struct tags, which TestGoldenBytes pins.
+// TestDecodeJobMatchesStructTagDecoding compares DecodeJob, which reads a submission field by field, with
+// decoding by struct tags, which TestGoldenBytesRoundTrip checks.
 func TestDecodeJobMatchesStructTagDecoding(t *testing.T) {
 	for version := range goldenVersions {
 		files, err := filepath.Glob(filepath.Join("testdata", "golden", version, flagSubmissionPrefix+"*"))
 		if err != nil || len(files) != 3 {
-			t.Fatalf("%d files of version %s, %v", len(files), version, err)
+			t.Fatalf("%d submission files of version %s, want 3: %v", len(files), version, err)
 		}
 		for _, file := range files {
 			b, err := os.ReadFile(file)
@@ -208,13 +211,14 @@
 				t.Fatal(err)
 			}
 			if got, err := goldenTypes["user-submission"](b); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("%s: %v\n was %+v\n now %+v", file, err, want, got)
+				t.Errorf("%s: %v\nwant %+v\n got %+v", file, err, want, got)
 			}
 		}
 	}
 }
 
-// TestProtocolConstantsAreUnchanged pins the words that stand in messages and stored records.
+// TestProtocolConstantsAreUnchanged guards against a change of the constants that are sent in messages
+// and kept in stored records.
 func TestProtocolConstantsAreUnchanged(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{"kinds of job", joinConstants(protocol.KindArray, protocol.KindGang, protocol.KindService), "array ensemble daemon"},
@@ -222,7 +226,7 @@
 		{"states of a job", joinConstants(protocol.JobQueued, protocol.JobRunning, protocol.JobDone, protocol.JobCancelled), "queued running done aborted"},
 		{"states of a task", joinConstants(protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited, peerproto.StateHeld),
 			"fetching waiting running saving ended held"},
-		{"causes", joinConstants(protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitNoCapacity, protocol.ExitDuplicate, protocol.ExitUnknownTask, protocol.ExitGangPeerLost, protocol.ExitGangIncomplete),
+		{"exit reasons", joinConstants(protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitNoCapacity, protocol.ExitDuplicate, protocol.ExitUnknownTask, protocol.ExitGangPeerLost, protocol.ExitGangIncomplete),
 			"done halted error no_room busy no_such peers incomplete"},
 		{"commands", joinConstants(protocol.CommandStart, protocol.CommandStop, protocol.CommandForget), "start kill clear"},
 		{"states of a machine", joinConstants(protocol.MachineBooting, protocol.MachineRunning, protocol.MachineFailed), "booting running failed"},
@@ -231,7 +235,7 @@
 		{"set of tasks", records.TaskSet{3, 1}.Text(), "AwE"},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %q, and was %q", c.name, c.got, c.want)
+			t.Errorf("%s: got %q, want %q", c.name, c.got, c.want)
 		}
 	}
 }
--- a/internal/protocol/heartbeat_decoder.go
+++ b/internal/protocol/heartbeat_decoder.go
@@ -6,10 +6,11 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// decodeFields reads a report field by field, after Decode has seen that it is one whole
-// value. Reports are nearly all that a controller
-// hears, hundreds a second with dozens of tasks each, and reading them by
-// reflection took an eighth of its processor time.
+// decodeFields decodes a heartbeat field by field. Decode has already checked that b is exactly one
+// value.
+//
+// Heartbeats are nearly all of a controller's incoming messages: hundreds a second, with dozens of
+// tasks each. Decoding them by reflection took an eighth of a controller's CPU time.
 func (h *Heartbeat) decodeFields(b []byte) error {
 	*h = Heartbeat{}
 	_, err := eachField(b, func(name string, b []byte) (_ []byte, err error) {
@@ -76,7 +77,8 @@
 	})
 }
 
-// internedStrings are the states and causes that a report repeats over and over.
+// internedStrings holds the task states and exit reasons, which recur in every heartbeat. Sharing them
+// avoids allocating a new string each time.
 var internedStrings = func() map[string]string {
 	m := map[string]string{}
 	for _, w := range []string{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited,
@@ -93,8 +95,9 @@
 	return string(raw)
 }
 
-// eachField hands over the fields of a map that are not null; f returns what
-// follows the field's value.
+// eachField calls decode for each field of a map whose value is not null. decode receives the bytes
+// from the field's value on, and returns those that follow the value. eachField returns the bytes
+// that follow the map.
 func eachField(b []byte, decode func(name string, b []byte) ([]byte, error)) ([]byte, error) {
 	n, b, err := msgp.ReadMapHeaderBytes(b)
 	for ; n > 0 && err == nil; n-- {
@@ -113,7 +116,7 @@
 	return b, err
 }
 
-// readNumber reads a number, whichever way it is written.
+// readNumber reads a number in any of MessagePack's integer and floating-point formats.
 func readNumber(b []byte) (float64, []byte, error) {
 	switch msgp.NextType(b) {
 	case msgp.IntType, msgp.UintType:
--- a/internal/protocol/jsonsize.go
+++ b/internal/protocol/jsonsize.go
@@ -7,17 +7,19 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// JSONSize is how many bytes a value takes in the form in which the state service counts its
-// limits, JSON, or a few more: text is taken as it is, with room for what must be escaped.
+// JSONSize returns a close upper bound of the size of a value as JSON, in bytes. The state service
+// applies its size limits to JSON. Like Encode, it panics on types that cannot be encoded.
+//
+// Characters in strings that JSON may escape are counted as escaped.
 func JSONSize(v any) int {
 	s := jsonSizer{rest: Encode(v)}
 	return s.value()
 }
 
-// jsonSizer adds up sizes while it walks over MessagePack that Encode has made.
+// jsonSizer adds up the JSON sizes of values while it walks over MessagePack from Encode.
 type jsonSizer struct{ rest []byte }
 
-// value is the size of the next value.
+// value consumes the next value and returns its size.
 func (s *jsonSizer) value() int {
 	code := s.take(1)[0]
 	switch {
@@ -38,7 +40,7 @@
 	return s.scalar(code)
 }
 
-// lengthPrefixed is the size of a value whose length was read.
+// lengthPrefixed returns the size of a map, list, string or binary value whose length has been read.
 func (s *jsonSizer) lengthPrefixed(code byte, length int) int {
 	switch code {
 	case msgpcode.Map16, msgpcode.Map32:
@@ -50,9 +52,9 @@
 	}
 }
 
-// scalar is the size of a value that is no text, list or map.
+// scalar returns the size of a null, boolean or number.
 func (s *jsonSizer) scalar(code byte) int {
-	const sign = 1 // numbers are taken for unsigned ones
+	const sign = 1 // integers are measured as unsigned; this is for a possible minus sign
 	switch code {
 	case msgpcode.Nil, msgpcode.False, msgpcode.True:
 		return len("false")
@@ -69,10 +71,10 @@
 	case msgpcode.Uint64, msgpcode.Int64:
 		return uintSize(bigEndian(s.take(8))) + sign
 	}
-	panic("protocol: size of a value that Encode did not make")
+	panic("protocol: JSONSize: a MessagePack format that Encode does not write")
 }
 
-// text is the size of so many bytes of text, with quotes.
+// text returns the size of a string of length bytes, including its quotes.
 func (s *jsonSizer) text(length int) int {
 	const quotes, escaped, escapedCode = 2, 2, 6 // "", \", \u003c
 	size := quotes
@@ -89,8 +91,8 @@
 	return size
 }
 
-// items is the size of so many values, with brackets, and a comma or colon behind each and a
-// space.
+// items returns the size of a list or map with count values (keys included): its brackets, and each
+// value followed by a comma or colon and a space.
 func (s *jsonSizer) items(count int) int {
 	const brackets, separator = 2, 2
 	size := brackets
@@ -100,7 +102,7 @@
 	return size
 }
 
-// take cuts so many bytes off the front.
+// take consumes and returns the next count bytes.
 func (s *jsonSizer) take(count int) []byte {
 	front := s.rest[:count]
 	s.rest = s.rest[count:]
@@ -111,7 +113,8 @@
 
 func uintSize(x uint64) int { return len(strconv.FormatUint(x, 10)) }
 
-// floatSize leaves room for a fraction where JSON writes one and the shortest form has none.
+// floatSize adds two bytes to the size of the shortest form, which has no fraction for a whole number
+// while JSON may have ".0".
 func floatSize(x float64, bits int) int {
 	const fraction = 2 // ".0"
 	return len(strconv.FormatFloat(x, 'g', -1, bits)) + fraction
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -35,7 +35,7 @@
 	m["Rigtypes"] = nil
 	m["Unheard"] = []int{1}
 	if _, err := protocol.DecodeJob(protocol.Encode(m)); err != nil {
-		t.Fatalf("null or unknown fields: %v", err)
+		t.Fatalf("submission with null, missing and unknown fields rejected: %v", err)
 	}
 }
 
@@ -58,23 +58,23 @@
 			m := submission()
 			m[field] = v
 			if _, err := protocol.DecodeJob(protocol.Encode(m)); err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("%s = %v: %v", field, v, err)
+				t.Errorf("%s = %v: got error %v, want one that names the field", field, v, err)
 			}
 		}
 		m := submission()
 		delete(m, field)
 		_, err := protocol.DecodeJob(protocol.Encode(m))
 		if optional := field == "Rigtypes" || field == "Yard" || field == "GavelS" || field == "Awaits"; (err == nil) != optional {
-			t.Errorf("without %s: %v", field, err)
+			t.Errorf("submission without %s: %v", field, err)
 		}
 	}
 	valid := protocol.Encode(submission())
 	for name, b := range map[string][]byte{
-		"empty": nil, "cut short": valid[:len(valid)-3], "trailing": append(append([]byte{}, valid...), 0xc0),
+		"empty": nil, "truncated": valid[:len(valid)-3], "trailing": append(append([]byte{}, valid...), 0xc0),
 		"list": protocol.Encode([]int{1}), "null": {0xc0}, "text": protocol.Encode("job"), "json": []byte(`{"Ref":"job-1"}`), "huge map": {0xdf, 0xff, 0xff, 0xff, 0xff},
 	} {
 		if _, err := protocol.DecodeJob(b); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("malformed submission accepted: %s", name)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	}
 	for _, bad := range []string{"", "job-7", "job-7/", "job-7/x", "job-7/-1", "job-7/01", "job-7/100000", "x/1"} {
 		if _, _, err := protocol.ParseTaskName(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("malformed task name %q accepted", bad)
 		}
 	}
 }
@@ -100,11 +100,11 @@
 		t.Fatal(err, parsed.Len())
 	}
 	if n := len(s.Text()); n > 3*1024 {
-		t.Fatalf("a full block takes %d bytes", n)
+		t.Fatalf("text of a set with task 16383 has %d bytes, want at most 3072", n)
 	}
 }
 
-// Decoders of anything from outside must refuse, not crash.
+// Decoders of untrusted input must return an error for malformed input and must not panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(protocol.Encode(submission()))
 	f.Add(protocol.Encode(protocol.Heartbeat{Machine: "n-1", Session: 1, Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 2, State: "running"}}}))
@@ -112,12 +112,12 @@
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if j, err := protocol.DecodeJob(b); err == nil && (!protocol.ValidJobID(j.ID) || j.Tasks < 1 || j.CPUs < 0 || math.IsNaN(j.CPUs)) {
-			t.Fatalf("taken: %+v", j)
+			t.Fatalf("invalid job accepted: %+v", j)
 		}
 		var r protocol.Heartbeat
 		if protocol.Decode(b, &r) == nil {
 			for _, task := range r.Tasks {
-				_, _, _ = protocol.ParseTaskName(task.Task) // it is only not to crash
+				_, _, _ = protocol.ParseTaskName(task.Task) // must not panic
 			}
 		}
 		var e protocol.WatchResponse
@@ -130,8 +130,8 @@
 	})
 }
 
-// A report is read field by field: it must take what the protocol allows and
-// refuse the rest.
+// Heartbeats are decoded field by field, by hand-written code. It must accept what the protocol allows,
+// such as unknown, null and missing fields, and reject fields of a wrong type.
 func TestDecodeHeartbeatAcceptsValidAndRejectsMalformedFields(t *testing.T) {
 	m := map[string]any{
 		"Rig": "n-000231", "Addr": "10.1.0.232:9000", "Rigtype": "g8", "Yard": "a", "Loaner": true,
@@ -157,15 +157,15 @@
 	for field, bad := range map[string]any{"Rig": 1, "Shift": "1", "Tally": -1, "Lots": "none", "Loaner": 1} {
 		m := map[string]any{"Rig": "n-1", field: bad}
 		if err := protocol.Decode(protocol.Encode(m), &r); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s = %v: %v", field, bad, err)
+			t.Errorf("%s = %v: got error %v, want one that names the field", field, bad, err)
 		}
 	}
 	if err := protocol.Decode(protocol.Encode([]any{m}), &r); err == nil {
-		t.Error("a list is no report")
+		t.Error("list accepted as a heartbeat")
 	}
 }
 
-// Null, missing and empty are alike, and doubles count once.
+// A null list of dependencies means the same as an empty one, and duplicates are dropped.
 func TestDependenciesAreOptionalAndDeduplicated(t *testing.T) {
 	for _, c := range []struct {
 		value any
@@ -179,8 +179,8 @@
 	}
 }
 
-// What production (deploy/service.toml) stores is read, field by field, and what it knows
-// of is written as the same bytes.
+// Records that production (deploy/service.toml) has stored are decoded to the expected values, and
+// these are encoded to the same bytes again.
 func TestProductionRecordsRoundTrip(t *testing.T) {
 	for encoded, roundTrip := range map[string]func(b []byte) bool{
 		// jobs
@@ -195,11 +195,11 @@
 			"cb0000000000000000a84d656d6f72794762cb0000000000000000a34b6974a0a7496d6167654762cb0000000000000000a6477565737353cb0000000000000000a573" +
 			"74617465a6717565756564a26174cb0000000000000000": roundTrips(records.AdmissionBatch{Jobs: []records.Job{{Spec: protocol.Job{ID: "job-1"}, State: "queued"}}}),
 		"81a462697473a3417745": roundTrips(records.Progress{Bits: records.TaskSet{3, 1}.Text()}),
-		// who is there
+		// controllers, leader and shard map
 		"81a4626f6f74a26131":                                                 roundTrips(records.Node{BootID: "a1"}),
 		"82a56c6162656ca27231a4626f6f74a26231":                               roundTrips(records.Leader{Label: "r1", BootID: "b1"}),
 		"83a565706f636807a66c6561646572a27231a76d656d6265727381a27231a26231": roundTrips(records.ShardMap{Epoch: 7, Leader: "r1", Members: map[string]string{"r1": "b1"}}),
-		// machines, estimates, types
+		// machine registry, estimates and machine types
 		"81a86d616368696e657381a36e2d3184a461646472a3613a31a474797065a162a47a6f6e65a17aa473706f74c3": roundTrips(records.RegistryPage{
 			Machines: map[string]records.Machine{"n-1": {Addr: "a:1", Type: "b", Zone: "z", Spot: true}}}),
 		"81a56d65616e739187a47465616da174a5636c617373a163a463707573cb3ff8000000000000a467707573cb0000000000000000a46d65616ecb4041900000000000a1" +
@@ -215,7 +215,8 @@
 	}
 }
 
-// roundTrips reports whether bytes are read as a value, and written as the same bytes.
+// roundTrips returns a function that reports whether b is decoded to want and encoded to the same bytes
+// again.
 func roundTrips[T any](want T) func(b []byte) bool {
 	return func(b []byte) bool {
 		var v T
@@ -223,7 +224,8 @@
 	}
 }
 
-// The size of a value as text is never below that of its JSON, and not far above.
+// JSONSize is never less than the size of a value's JSON, and not much greater. If it were less, the
+// state service would reject values as too large.
 func TestJSONSizeIsATightUpperBound(t *testing.T) {
 	for _, v := range []any{submission(), records.Job{Spec: protocol.Job{ID: "job-1", CPUs: 0.1, Dependencies: []string{"job-2", "job-3"}}, SubmittedAt: 1.7e9 + 0.123},
 		records.RegistryPage{Machines: map[string]records.Machine{"n-1": {Addr: "10.0.0.1:9000", Type: "a \"b\" <c>", Zone: "ü"}}},
@@ -234,7 +236,7 @@
 		}
 		b, err := json.Marshal(plain)
 		if n := protocol.JSONSize(v); err != nil || n < len(b) || n > len(b)*5/4+16 {
-			t.Errorf("%d for the %d bytes of %s, %v", n, len(b), b, err)
+			t.Errorf("JSONSize = %d for %d bytes of JSON %s: %v", n, len(b), b, err)
 		}
 	}
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -14,7 +14,7 @@
 	KindService = "daemon"
 )
 
-// Urgencies of a job, most urgent first.
+// Urgency levels of a job, most urgent first.
 const (
 	UrgencyProduction = "prod"
 	UrgencyHigh       = "high"
@@ -30,10 +30,11 @@
 	JobCancelled = "aborted"
 )
 
-// MaxTasks is the largest number of tasks in a job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Job is a job as its user describes it.
+// Job is a job as its user submits it. CPUs, GPUs and MemoryGB are those of one task. Durations are
+// in seconds.
 type Job struct {
 	ID           string   `msgpack:"Ref"`
 	Class        string   `msgpack:"Lotclass"`
@@ -48,17 +49,18 @@
 	ImageGB      float64  `msgpack:"ImageGb"`
 	MachineTypes []string `msgpack:"Rigtypes,omitempty"`
 	Zone         string   `msgpack:"Yard,omitempty"`
-	OneZone      bool     `msgpack:"Together,omitempty"`
-	Spread       bool     `msgpack:"Apart,omitempty"`
+	OneZone      bool     `msgpack:"Together,omitempty"` // all tasks must run in the same zone
+	Spread       bool     `msgpack:"Apart,omitempty"`    // at most half of the tasks, rounded up, may be in one zone at a time
 	AllowSpot    bool     `msgpack:"Loaner,omitempty"`
-	EstimateS    float64  `msgpack:"GuessS"`
-	CheckpointS  float64  `msgpack:"BookmarkS,omitempty"`
-	SaveS        float64  `msgpack:"StashS,omitempty"`
-	DeadlineS    float64  `msgpack:"GavelS,omitempty"` // 0: none
-	Dependencies []string `msgpack:"Awaits,omitempty"` // jobs that must be done before any task of this one starts
+	EstimateS    float64  `msgpack:"GuessS"`              // the user's estimate of a task's run time
+	CheckpointS  float64  `msgpack:"BookmarkS,omitempty"` // interval between checkpoints; 0: none
+	SaveS        float64  `msgpack:"StashS,omitempty"`    // time that a task needs to save a checkpoint
+	DeadlineS    float64  `msgpack:"GavelS,omitempty"`    // deadline, counted from the submission; 0: none
+	Dependencies []string `msgpack:"Awaits,omitempty"`    // ids of the jobs that must be done before any task of this job starts
 }
 
-// JobResponse is what a user is told about a job.
+// JobResponse is a controller's response about the state of a job. Done and Running count tasks, and
+// Reason says why tasks wait or were stopped.
 type JobResponse struct {
 	ID      string `msgpack:"Ref"`
 	State   string `msgpack:"Status"`
@@ -67,12 +69,12 @@
 	Reason  string `msgpack:"Reason,omitempty"`
 }
 
-// ErrorResponse is the body of a refusal.
+// ErrorResponse is the response body of a rejected request.
 type ErrorResponse struct {
 	Error string `msgpack:"error"`
 }
 
-// ValidJobID reports whether s has the form of a job id.
+// ValidJobID reports whether s has the form of a job id: "job-" and 1 to 18 digits.
 func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, "job-")
 	if !ok || digits == "" || len(digits) > 18 {
@@ -86,8 +88,9 @@
 	return true
 }
 
-// DecodeJob reads a submission strictly: every field must be there with its
-// type, apart from those that may be null.
+// DecodeJob decodes a submission strictly: every field must be present and have its type, except
+// those that may be null or missing. Unknown fields are ignored. Errors name the field by its name in
+// the protocol, and their text is sent to the user.
 func DecodeJob(b []byte) (Job, error) {
 	var m map[string]any
 	if err := Decode(b, &m); err != nil {
@@ -129,7 +132,7 @@
 	return j, f.err
 }
 
-// submissionFields takes typed values out of a decoded map and keeps the first error.
+// submissionFields reads typed fields from a decoded submission. It records the first error only.
 type submissionFields struct {
 	values map[string]any
 	err    error
@@ -235,7 +238,7 @@
 	return out
 }
 
-// jobIDs reads a list of job ids that may be missing or empty; doubles count once.
+// jobIDs reads a list of job ids, which may be missing, null or empty. Duplicates are dropped.
 func (f *submissionFields) jobIDs(name string) []string {
 	v := f.values[name]
 	if v == nil {
@@ -288,8 +291,8 @@
 	return 0, false
 }
 
-// JobDefaults are the fields that a submission must have and that Job leaves out when
-// they are zero.
+// JobDefaults returns the values of the fields that Encode omits from a Job if they are zero.
+// A submission must contain these fields, except those whose value here is nil.
 func JobDefaults() map[string]any {
 	return map[string]any{
 		"Gpus": 0.0, "Rigtypes": nil, "Yard": nil, "Together": false, "Apart": false, "Loaner": false,
--- a/internal/protocol/validate.go
+++ b/internal/protocol/validate.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth is how deep values may nest; the protocol's nest four deep.
+// maxDepth is the maximum nesting depth of a value. The protocol's messages nest four deep.
 const maxDepth = 32
 
 var (
@@ -16,11 +16,11 @@
 	errFormat    = errors.New("not MessagePack")
 )
 
-// validate checks that b is exactly one value, without reserving memory for it.
+// validate checks that b is exactly one well-formed value, without allocating memory for it.
 //
-// Guards against a few bytes from outside that take more memory than the process may have: the
-// decoder reserves memory by the lengths that a message claims. Here every claim is held against
-// the bytes that are there.
+// It guards against a message of a few bytes that makes the process run out of memory: the decoder
+// allocates memory according to the lengths that a message states. validate rejects every length that
+// is greater than the number of bytes that follow it.
 func validate(b []byte) error {
 	rest, err := skipValue(b, 0)
 	if err == nil && len(rest) > 0 {
@@ -29,7 +29,7 @@
 	return err
 }
 
-// skipValue walks over one value, which is nested so deep, and returns what follows it.
+// skipValue checks one value at the given nesting depth and returns the bytes that follow it.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 {
 		return nil, errTruncated
@@ -63,11 +63,11 @@
 	return skipLengthPrefixed(code, b, depth)
 }
 
-// skipLengthPrefixed walks over a value whose length stands before it.
+// skipLengthPrefixed checks a map, list, string or binary value that starts with its length.
 func skipLengthPrefixed(code byte, b []byte, depth int) ([]byte, error) {
 	width := lengthWidth(code)
 	if width == 0 {
-		return nil, errFormat // extensions are no part of the protocol
+		return nil, errFormat // the protocol has no MessagePack extension types
 	}
 	length, b, err := readLength(b, width)
 	if err != nil {
@@ -83,8 +83,8 @@
 	}
 }
 
-// lengthWidth is how many bytes the length of a value takes, 0 if the code is none of a value
-// with a length.
+// lengthWidth returns the number of bytes that hold the length of a value with this code, or 0 if
+// such a value has no separate length.
 func lengthWidth(code byte) int {
 	switch code {
 	case msgpcode.Bin8, msgpcode.Str8:
@@ -98,8 +98,8 @@
 	}
 }
 
-// readLength reads a length of so many bytes, which may not be above what follows it: each item
-// and each byte of a text takes one at the least.
+// readLength reads a length of width bytes. It rejects a length greater than the number of bytes
+// that follow, since each item of a list and each byte of a string takes at least one byte.
 func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
 		return 0, nil, errTruncated
@@ -111,7 +111,7 @@
 	return int(length), rest, nil
 }
 
-// bigEndian is an unsigned number of one, two, four or eight bytes.
+// bigEndian decodes an unsigned integer of one, two, four or eight bytes.
 func bigEndian(b []byte) uint64 {
 	switch len(b) {
 	case 1:
