--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,10 +37,10 @@
 	} {
 		text := strings.Replace(validSettings, change[0], change[1], 1)
 		if text == validSettings {
-			t.Fatalf("%s is not in the settings", change[0])
+			t.Fatalf("text to replace is not in validSettings: %s", change[0])
 		}
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v", change[1], err)
+			t.Errorf("settings with %s: got error %v, want one that names the field", change[1], err)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	}
 	for src, want := range map[string]string{
 		"\nspot_share = 2":                           "p.star:2: spot_share",
-		"x = 1":                                      "p.star:1: x is no setting",
+		"x = 1":                                      "p.star:1: x is not a policy variable",
 		"spot_share = (":                             "p.star:1",
 		"y = 1\nspot_share = 1 // 0":                 "p.star:2",
 		"while True:\n    pass":                      "p.star:",
@@ -61,7 +61,7 @@
 		"load('other.star', 'z')\nspot_share = 0.25": "p.star:1",
 	} {
 		if _, err := ParsePolicy("p.star", []byte(src)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", src, err)
+			t.Errorf("script %q: unexpected error %v", src, err)
 		}
 	}
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -13,27 +13,28 @@
 	"go.starlark.net/syntax"
 )
 
-// Policy holds the operators' own choices, beyond the platform's file. What each is for is in
-// docs/operations.md.
+// Policy holds the parameters that operators set in a policy script, in addition to the platform's
+// settings file. docs/operations.md describes what each of them is for. Boot times are those of the
+// machine type in question.
 type Policy struct {
-	AgingLeases         float64 // waiting this many worker leases halves a task's rank
-	HistoryTasks        float64 // how many durations a running mean remembers
-	QuarantineJobs      int     // failures of this many jobs make a machine faulty
-	ProgressShare       float64 // share of the state writes that progress may take
-	SpotShare           float64 // largest share of the CPUs on cheap machines
-	IdleBoots           float64 // an idle machine is kept for this many boot times
-	HorizonShare        float64 // share of an aim's time in which queued work should be done
-	SpotMinBoots        float64 // queued work should be done within this many boot times, on cheap machines
-	OnDemandMinBoots    float64 // an ordinary machine is hired for work that has more than this many boot times left
-	PreemptHeartbeats   float64 // a task is stopped for others if it loses at most this many report periods of work
-	PreemptForGuarantee bool    // stop what others run beyond their guarantee
-	BootTimeoutFactor   float64 // a boot is given up after this many boot times
-	FairShare           float64 // the share of the jobs of each class of a team that is served before others go on; 0: none
-	OverdueLeases       float64 // a job that waits for longer than this many worker leases is overdue
-	LargestStartS       float64 // seconds within which the largest arrays of a class are to begin; 0: no promise
+	AgingLeases         float64 // waiting for this many worker leases halves the remaining work by which a job is ranked
+	HistoryTasks        float64 // a running mean of durations covers about this many latest tasks
+	QuarantineJobs      int     // a machine is quarantined once this many jobs have failed on it
+	ProgressShare       float64 // share of the writes to the state service that records of progress may take
+	SpotShare           float64 // of the CPUs for work that allows spot machines, the largest share to rent as spot
+	IdleBoots           float64 // an idle spot machine is kept for this many boot times
+	HorizonShare        float64 // share of the time left to meet an objective within which queued work should be done
+	SpotMinBoots        float64 // a spot machine is rented only to serve queued work for at least this many boot times
+	OnDemandMinBoots    float64 // an on-demand machine is rented only for work that has at least this many boot times left
+	PreemptHeartbeats   float64 // a task may be preempted if it loses at most this many heartbeat intervals of work
+	PreemptForGuarantee bool    // preempt tasks that other teams run beyond their guarantee
+	BootTimeoutFactor   float64 // boot timeout of a machine, in boot times
+	FairShare           float64 // minimum share of the jobs of each class of a team that is served before others go on; 0: none
+	OverdueLeases       float64 // a job that has waited for more than this many worker leases is overdue
+	LargestStartS       float64 // seconds within which the largest arrays of a class should start; 0: no such target
 }
 
-// DefaultPolicy is what holds without a script.
+// DefaultPolicy returns the policy that applies without a script.
 func DefaultPolicy() Policy {
 	return Policy{
 		AgingLeases:         10,
@@ -54,13 +55,15 @@
 	}
 }
 
-// Bounds of a policy script: it is run once, at start.
+// Limits on the run of a policy script. The script runs once, when the controller starts, and must not
+// block the start for long.
 const (
 	policyMaxSteps = 1_000_000
 	policyTimeout  = 2 * time.Second
 )
 
-// LoadPolicy runs a Starlark script whose global variables set the choices.
+// LoadPolicy runs the Starlark script at path, whose global variables set fields of the policy. Errors
+// are those of ParsePolicy and of reading the file.
 func LoadPolicy(path string) (Policy, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -69,7 +72,7 @@
 	return ParsePolicy(path, src)
 }
 
-// ScriptError says what is wrong with a policy script, and where.
+// ScriptError describes one problem of a policy script and its position.
 type ScriptError struct {
 	Position string // file, file:line or file:line:column
 	Problem  string
@@ -77,7 +80,9 @@
 
 func (e *ScriptError) Error() string { return e.Position + ": " + e.Problem }
 
-// ParsePolicy runs the script src; name stands in its errors.
+// ParsePolicy runs the script src and returns the default policy with the changes that the script makes.
+// Errors give name as the file. All variables with a bad value and all unknown variables are reported at
+// once, one ScriptError each, joined.
 func ParsePolicy(name string, src []byte) (Policy, error) {
 	policy := DefaultPolicy()
 	globals, err := runScript(name, src)
@@ -96,20 +101,21 @@
 	for _, key := range globals.Keys() {
 		_, known := variables[key]
 		if _, isFunction := globals[key].(starlark.Callable); !known && !isFunction && key[0] != '_' {
-			errs = append(errs, &ScriptError{lineOf(name, src, key), key + " is no setting (helpers begin with _)"})
+			errs = append(errs, &ScriptError{lineOf(name, src, key), key + " is not a policy variable (names of helpers must start with _)"})
 		}
 	}
 	return policy, errors.Join(errs...)
 }
 
-// variable is a global of the script that sets a field of the policy, and its bounds. A field whose
-// variable the script does not set is not touched.
+// variable is a global variable of the script that sets a field of the policy to a number between low
+// and high. If the script does not set the variable, the field keeps its default.
 type variable struct {
 	set       func(float64)
 	low, high float64
 }
 
-// apply takes the script's value and says what is wrong with it, if anything.
+// apply sets the field to the script's value. If the value is not valid, it leaves the field unchanged
+// and returns the problem.
 func (v variable) apply(value starlark.Value) (problem string) {
 	x, ok := starlark.AsFloat(value)
 	if !ok || math.IsNaN(x) || x < v.low || x > v.high {
@@ -119,22 +125,23 @@
 	return ""
 }
 
-// number is a variable of a number.
+// number returns a variable that sets a float field.
 func number(field *float64, low, high float64) variable {
 	return variable{func(x float64) { *field = x }, low, high}
 }
 
-// wholeNumber is a variable of a whole number; what the script says is rounded down.
+// wholeNumber returns a variable that sets an integer field. The script's value is rounded down.
 func wholeNumber(field *int, low, high float64) variable {
 	return variable{func(x float64) { *field = int(x) }, low, high}
 }
 
-// flag is a variable that is off at 0 and on above, up to 1.
+// flag returns a variable that sets a boolean field: 0 is false, and any number above 0 and up to 1 is
+// true.
 func flag(field *bool) variable {
 	return variable{func(x float64) { *field = x > 0 }, 0, 1}
 }
 
-// variables are the globals that set the fields of the policy.
+// variables returns the script's variables by name, bound to the fields of p.
 func (p *Policy) variables() map[string]variable {
 	return map[string]variable{
 		"aging_leases":          number(&p.AgingLeases, 0.1, 1e6),
@@ -155,14 +162,15 @@
 	}
 }
 
-// dialect is what a policy script may use beside the standard language.
+// dialect allows policy scripts some statements that standard Starlark does not: loops and conditions
+// at the top level, while loops and the reassignment of globals.
 var dialect = &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}
 
-// runScript runs a script within its bounds and returns its globals.
+// runScript runs a script within policyMaxSteps and policyTimeout and returns its global variables.
 func runScript(name string, src []byte) (starlark.StringDict, error) {
 	thread := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(policyMaxSteps)
-	stop := time.AfterFunc(policyTimeout, func() { thread.Cancel("took longer than " + policyTimeout.String()) })
+	stop := time.AfterFunc(policyTimeout, func() { thread.Cancel("the policy script ran longer than " + policyTimeout.String()) })
 	defer stop.Stop()
 	globals, err := starlark.ExecFileOptions(dialect, thread, name, src, nil)
 	var failure *starlark.EvalError
@@ -172,7 +180,7 @@
 	return globals, err
 }
 
-// innermostPosition is where in the script itself an error arose.
+// innermostPosition returns the position of the innermost call frame that is in the script itself.
 func innermostPosition(failure *starlark.EvalError, name string) syntax.Position {
 	position := syntax.MakePosition(&name, 0, 0)
 	for _, frame := range failure.CallStack {
@@ -183,7 +191,8 @@
 	return position
 }
 
-// lineOf finds where a global is last set.
+// lineOf returns the position of the last statement that sets a global variable, as file:line. It
+// returns only the file's name if there is none.
 func lineOf(name string, src []byte, key string) string {
 	file, err := dialect.Parse(name, src, 0)
 	if err != nil {
--- a/internal/config/policy_default_test.go
+++ b/internal/config/policy_default_test.go
@@ -5,35 +5,35 @@
 	"testing"
 )
 
-// What happens without the mend: a script that sets any variable but preempt_for_guarantee switches
-// that on, although its documented default is off: ParsePolicy read the flag as a number that
-// began with 1, and not with the default.
+// A script that sets nothing, or one variable to its default, yields the default policy.
 //
-// A script that sets nothing, or one variable to its default, gives the default policy.
+// The test guards against variables that change although the script does not set them. ParsePolicy once
+// read the flag preempt_for_guarantee as a number that started at 1 instead of its default. A script that
+// set any other variable thus switched preempt_for_guarantee on, although its documented default is off.
 func TestUnsetPolicyVariablesKeepTheirDefaults(t *testing.T) {
 	scripts := map[string]string{"empty": "", "a helper only": "_x = 1\n"}
 	for name, value := range map[string]any{
 		"aging_leases": 10, "history_tasks": 200, "quarantine_jobs": 2, "progress_share": 0.4, "spot_share": 1,
 		"idle_boots": 0.5, "horizon_share": 0.15, "soon_boots": 1, "rush_boots": 4, "preempt_reports": 4,
 		"preempt_for_guarantee": 0, "boot_patience": 3, "floor_share": 0.55, "floor_leases": 5, "begin_s": 240,
-	} { // as docs/operations.md has them
+	} { // the defaults in docs/operations.md
 		scripts[name] = fmt.Sprintf("%s = %v\n", name, value)
 	}
 	policy := DefaultPolicy()
 	for name := range policy.variables() {
 		if _, listed := scripts[name]; !listed {
-			t.Errorf("%s: its default is not listed here", name)
+			t.Errorf("variable %s: this test does not list its default", name)
 		}
 	}
 	for name, script := range scripts {
 		got, err := ParsePolicy("policy.star", []byte(script))
 		if err != nil || got != DefaultPolicy() {
-			t.Errorf("%s: %v\n%+v, want\n%+v", name, err, got, DefaultPolicy())
+			t.Errorf("script %s: error %v\n got %+v\nwant %+v", name, err, got, DefaultPolicy())
 		}
 	}
 }
 
-// The flag and the whole number, which are read as numbers, keep what the script says.
+// The flag and the whole number, which are read as floating-point numbers, get the values in the script.
 func TestFlagAndWholeNumberTakeTheScriptsValue(t *testing.T) {
 	for script, want := range map[string]struct {
 		preempt bool
@@ -47,7 +47,7 @@
 	} {
 		got, err := ParsePolicy("policy.star", []byte(script))
 		if err != nil || got.PreemptForGuarantee != want.preempt || got.QuarantineJobs != want.jobs {
-			t.Errorf("%q: %v, preempt %v, quarantine %d; want %+v", script, err, got.PreemptForGuarantee, got.QuarantineJobs, want)
+			t.Errorf("script %q: error %v, PreemptForGuarantee %v, QuarantineJobs %d; want %+v", script, err, got.PreemptForGuarantee, got.QuarantineJobs, want)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,7 +1,9 @@
-// Package config reads and checks what is configured: the settings file that the platform
-// hands over (JSON) and the operators' policy script (Starlark). Both are read once, at
-// start. A value that it returns has been checked; what it refuses it names by field, or by
-// file and line, all mistakes at once.
+// Package config reads and validates the configuration of a controller: the settings file that the
+// platform provides (JSON) and the operators' policy script (Starlark). Both are read once, when the
+// controller starts.
+//
+// Values that the package returns without an error are valid. Errors name the field of the settings, or
+// the file and line of the script, and report all mistakes at once.
 package config
 
 import (
@@ -14,7 +16,7 @@
 	"github.com/goccy/go-json"
 )
 
-// Settings is the file that the platform hands over. Unknown fields are ignored.
+// Settings is the content of the settings file that the platform provides. Unknown fields are ignored.
 type Settings struct {
 	Label      string    `json:"label"`
 	Zone       string    `json:"area"`
@@ -25,20 +27,21 @@
 	Site       Site      `json:"settings"`
 }
 
-// Sibling is another controller of the site.
+// Sibling is another controller of the same deployment.
 type Sibling struct {
 	Label   string `json:"label"`
 	Zone    string `json:"area"`
 	Address string `json:"address"`
 }
 
-// External holds the addresses of the outside systems, host:port.
+// External holds the addresses (host:port) of the systems outside the controllers.
 type External struct {
 	Cloud string `json:"cloud"`
 	Store string `json:"state"`
 }
 
-// Site describes the deployment.
+// Site describes the deployment. InitialControllers defaults to the number of siblings and this
+// controller.
 type Site struct {
 	InitialControllers int          `json:"initial_size"`
 	Zones              []string     `json:"zones"`
@@ -51,7 +54,8 @@
 	ClockErrorMS       float64      `json:"clock_error_ms"`
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team holds a team's guarantees (CPUs, GPUs) and its limits (CPUsMax, GPUsMax). 0 means no guarantee or
+// no limit.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -60,8 +64,8 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is one service-level objective of the users: the Share of the jobs of Class that
-// is to be done WithinS seconds, or in Times the deadline, by Kind.
+// Objective is a service-level objective: the share of the jobs of Class that must be served within a
+// time. Depending on Kind, the time is WithinS seconds or Times the job's own deadline.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -70,17 +74,18 @@
 	Times   float64 `json:"times"`
 }
 
-// WorkerTiming holds the intervals that workers keep to, in seconds.
+// WorkerTiming holds the times, in seconds, that workers and controllers rely on.
 type WorkerTiming struct {
-	HeartbeatS float64 `json:"report_s"`
-	LeaseS     float64 `json:"lease_s"`
-	GangWaitS  float64 `json:"gang_wait_s"`
-	GangPeerS  float64 `json:"gang_peer_s"`
-	CancelS    float64 `json:"cancel_s"`
+	HeartbeatS float64 `json:"report_s"`    // between the heartbeats of a worker
+	LeaseS     float64 `json:"lease_s"`     // a worker without a response for this long ends its tasks
+	GangWaitS  float64 `json:"gang_wait_s"` // a gang's task waits at most this long for the other tasks
+	GangPeerS  float64 `json:"gang_peer_s"` // a running gang tolerates a missing task for this long
+	CancelS    float64 `json:"cancel_s"`    // tasks of a cancelled job may run at most this long
 }
 
-// StoreLimits holds the limits of the key-value store, and those that it will have from some
-// unannounced moment on. A limit that Next leaves out stays.
+// StoreLimits holds the limits of the state service: requests and writes per second, KiB per value and
+// operations per transaction. Next holds the limits that will apply from some unannounced time on. A
+// limit that is 0 in Next does not change.
 type StoreLimits struct {
 	RPS       float64      `json:"rps"`
 	WriteRPS  float64      `json:"write_rps"`
@@ -89,10 +94,10 @@
 	Next      *StoreLimits `json:"next"`
 }
 
-// Lowest is what holds now and will hold then: the smaller of each limit.
+// Lowest returns the limits that hold both now and after the announced change: the smaller of each.
 //
-// Guards against what could be written only before the limits fell, and would have to be
-// rewritten afterwards at a rate that has fallen too.
+// It guards against data that fits the present limits only. Once the limits fall, such data would have
+// to be rewritten, at a write rate that has fallen too.
 func (s *StoreLimits) Lowest() StoreLimits {
 	out := *s
 	out.Next = nil
@@ -105,7 +110,7 @@
 	return out
 }
 
-// smallerLimit is the smaller limit; a next one of 0 is not set.
+// smallerLimit returns the smaller of two limits. If next is 0, the limit does not change.
 func smallerLimit(now, next float64) float64 {
 	if next > 0 {
 		return min(now, next)
@@ -113,20 +118,21 @@
 	return now
 }
 
-// CloudLimits holds the cloud's limits.
+// CloudLimits holds the cloud's limit of requests per second, and the seconds by which its list of
+// instances may lag behind.
 type CloudLimits struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// Resources is what the process may use.
+// Resources holds the CPU cores, memory (MiB) and sockets that the controller's process may use.
 type Resources struct {
 	Cores      float64 `json:"cores"`
 	RAMMB      float64 `json:"ram_mb"`
 	MaxSockets int     `json:"max_sockets"`
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates the settings file at path. See Parse for its errors.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -139,11 +145,12 @@
 	return s, nil
 }
 
-// Parse reads and checks settings; an error names the field.
+// Parse decodes and validates settings. If fields have invalid values, the error joins one FieldError for
+// each of them.
 func Parse(b []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(b, &s); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("decoding settings: %w", err)
 	}
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -151,15 +158,15 @@
 	return &s, nil
 }
 
-// FieldError says what is wrong with one field of a settings file.
+// FieldError describes the problem of one field of a settings file.
 type FieldError struct {
-	Field   string // its path, for example settings.teams[0]
+	Field   string // path of the field, for example settings.teams[0]
 	Problem string
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// validation collects what is wrong with a settings file.
+// validation collects the problems of a settings file.
 type validation struct{ errs []error }
 
 func (v *validation) reject(field, problem string) {
@@ -178,7 +185,7 @@
 	}
 }
 
-// requireUnique rejects a name that is empty or already among seen, and adds it to them.
+// requireUnique rejects a name that is empty or in seen, and adds it to seen.
 func (v *validation) requireUnique(field, name string, seen map[string]bool) {
 	if name == "" || seen[name] {
 		v.reject(field, "is missing or used twice")
@@ -186,7 +193,7 @@
 	seen[name] = true
 }
 
-// validate fills in what has a default and returns one FieldError for each mistake, joined.
+// validate sets defaults and returns one FieldError for each invalid field, joined.
 func (s *Settings) validate() error {
 	v := &validation{}
 	s.validateController(v)
@@ -203,7 +210,8 @@
 	return errors.Join(v.errs...)
 }
 
-// validateController checks what is this controller's own, and its siblings.
+// validateController checks the settings of this controller itself, the external systems' addresses and
+// its siblings.
 func (s *Settings) validateController(v *validation) {
 	if s.Label == "" {
 		v.reject("label", "is missing")
@@ -234,11 +242,12 @@
 	}
 }
 
-// The least that a worker's lease must be, in heartbeat intervals, and a cancellation's
-// time, in leases: a worker that is cut off keeps its tasks for a lease.
 const (
+	// minLeaseHeartbeats is the minimum duration of a worker's lease, in heartbeat intervals.
 	minLeaseHeartbeats = 2
-	minCancelLeases    = 1.2
+	// minCancelLeases is the minimum of WorkerTiming.CancelS, in leases. A partitioned worker does not
+	// learn of a cancellation and runs its tasks until its lease expires.
+	minCancelLeases = 1.2
 )
 
 func validateWorkers(v *validation, workers *WorkerTiming) {
@@ -249,7 +258,7 @@
 		v.reject("settings.workers.lease_s", "must be at least twice report_s")
 	}
 	if workers.CancelS < minCancelLeases*workers.LeaseS {
-		v.reject("settings.workers.cancel_s", "must be at least 1.2 times lease_s: a worker that is cut off goes on for lease_s")
+		v.reject("settings.workers.cancel_s", "must be at least 1.2 times lease_s: a partitioned worker runs its tasks until its lease expires")
 	}
 }
 
@@ -263,5 +272,5 @@
 	}
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,11 +1,11 @@
-// Package schema reads the files that people write, YAML (so JSON too), checks them against a
-// JSON schema and gives the line of each mistake.
+// Package schema decodes files that people write, in YAML or its subset JSON, validates them against a
+// JSON schema and reports the line of each mistake.
 //
-// It owns the way from text to a decoded value. It may not know what the files mean, and
-// reads no file itself.
+// It owns the steps from a file's text to a decoded value. It must not know what the files mean, and it
+// does not read files itself.
 //
-// Invariants: all mistakes of a file are reported at once, in the order of their lines;
-// nothing that the schema refuses is decoded into the caller's value.
+// Invariants: all mistakes that the schema finds in a file are reported at once, in the order of their
+// lines; nothing is decoded into the caller's value unless the file conforms to the schema.
 package schema
 
 import (
@@ -22,10 +22,10 @@
 	"golang.org/x/text/message"
 )
 
-// Schema is a compiled schema.
+// Schema is a compiled JSON schema.
 type Schema struct{ compiled *jsonschema.Schema }
 
-// Compile compiles a schema that is part of the program; it panics if that is wrong.
+// Compile compiles a JSON schema that is part of the program. It panics if the schema is invalid.
 func Compile(name string, text []byte) *Schema {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -38,19 +38,19 @@
 	return &Schema{compiler.MustCompile(name)}
 }
 
-// Violation is one mistake in a file, with its line, counted from 1.
+// Violation is one mistake in a file. Lines are counted from 1.
 type Violation struct {
 	Line int
 	Text string
 }
 
-// Violations is the error that names all mistakes of a file.
+// Violations is an error that lists all mistakes found in a file.
 type Violations struct {
 	File string
 	List []Violation
 }
 
-// Error gives a line for each mistake.
+// Error returns one line of text for each mistake.
 func (v *Violations) Error() string {
 	var lines []string
 	for _, violation := range v.List {
@@ -59,7 +59,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Read decodes a file's text into out, which may hold defaults. The error is *Violations.
+// Read validates a file's text and decodes it into out, a pointer to a value that may hold defaults. file
+// is the name that errors give. Any error is a *Violations.
 func (s *Schema) Read(file string, text []byte, out any) error {
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
@@ -97,8 +98,8 @@
 	return violations
 }
 
-// parseYAMLError takes the lines out of the YAML library's error, which is one sentence or
-// a list of them.
+// parseYAMLError splits an error of the YAML library, which holds one message or a list of them, into
+// violations.
 func parseYAMLError(err error) []Violation {
 	var violations []Violation
 	for _, text := range strings.Split(strings.TrimPrefix(err.Error(), "yaml: "), "\n") {
@@ -111,7 +112,7 @@
 	return violations
 }
 
-// parseYAMLMessage reads "line N: text"; a sentence without a line is about the first.
+// parseYAMLMessage parses "line N: text". A message without a line is attributed to line 1.
 func parseYAMLMessage(errorText string) Violation {
 	withoutLine := Violation{1, errorText}
 	rest, ok := strings.CutPrefix(errorText, "line ")
@@ -129,7 +130,7 @@
 	return Violation{line, text}
 }
 
-// jsonValue turns what the YAML library decodes into what a JSON library would.
+// jsonValue converts a value that the YAML library decoded to the types that a JSON library would use.
 func jsonValue(value any) any {
 	switch v := value.(type) {
 	case map[string]any:
@@ -154,10 +155,10 @@
 	return value
 }
 
-// printer words the schema library's errors.
+// printer formats the error messages of the schema library.
 var printer = message.NewPrinter(language.English)
 
-// collect gathers the innermost causes: the outer ones only say that there are some.
+// collect adds a violation for each innermost cause. The outer errors only say that there are causes.
 func (v *Violations) collect(root *yaml.Node, invalid *jsonschema.ValidationError) {
 	if len(invalid.Causes) > 0 {
 		for _, cause := range invalid.Causes {
@@ -172,7 +173,8 @@
 	v.List = append(v.List, Violation{lineOf(root, invalid.InstanceLocation), text})
 }
 
-// lineOf finds the line of the value at a path; of one that is missing, its map's.
+// lineOf returns the line of the value at a path, or that of the innermost existing value around it if it
+// is missing.
 func lineOf(node *yaml.Node, path []string) int {
 	line := node.Line
 	for _, step := range path {
@@ -185,14 +187,14 @@
 	return line
 }
 
-// child finds a map's value by its key or a list's by its index, and its line: a scalar
-// counts by its key's line, where a person looks for it.
+// child returns the value at a key of a map or at an index of a list, and the line to report for it. For
+// a scalar in a map that is the line of its key, where people look for it.
 func child(node *yaml.Node, step string) (*yaml.Node, int) {
 	var found *yaml.Node
 	line := 0
 	switch node.Kind {
 	case yaml.MappingNode:
-		// Content holds keys and values in turn. Of a repeated key the last one counts.
+		// Content alternates keys and values. If a key is repeated, its last value is used.
 		for i := 0; i+1 < len(node.Content); i += 2 {
 			key, value := node.Content[i], node.Content[i+1]
 			if key.Value != step {
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -8,7 +8,7 @@
 var testSchema = Compile("t.json", []byte(`{"type":"object","additionalProperties":false,"required":["a"],
 "properties":{"a":{"type":"integer","minimum":1},"b":{"type":"array","items":{"type":"object","required":["c"],"properties":{"c":{"type":"string"}}}},"d":{"type":"object","additionalProperties":{"type":"string"}}}}`))
 
-// Each mistake has its line, all are told at once, and what is not YAML is told too.
+// Read reports all mistakes at once, each with its line, including syntax errors of the YAML itself.
 func TestReadReportsEveryViolationWithItsLine(t *testing.T) {
 	for text, want := range map[string][]string{
 		"a: 1\nb:\n  - c: x\n":                 nil,
@@ -24,18 +24,18 @@
 		err := testSchema.Read("f", []byte(text), &out)
 		if want == nil {
 			if err != nil || out["a"] != 1 {
-				t.Errorf("%q: %v, %v", text, out, err)
+				t.Errorf("valid file %q: got %v, error %v", text, out, err)
 			}
 			continue
 		}
 		if err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("invalid file %q accepted", text)
 			continue
 		}
 		lines := strings.Split(err.Error(), "\n")
 		for i, w := range want {
 			if i >= len(lines) || !strings.HasPrefix(lines[i], w) {
-				t.Errorf("%q: %q, want %q", text, lines, want)
+				t.Errorf("file %q: got violations %q, want prefixes %q", text, lines, want)
 				break
 			}
 		}
