--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -40,8 +40,8 @@
 	Store string `json:"state"`
 }
 
-// Site describes the deployment. InitialControllers defaults to the number of siblings and this
-// controller.
+// Site describes the deployment. InitialControllers is the number of controllers that the first shard
+// map should have. Its default counts the siblings and this controller.
 type Site struct {
 	InitialControllers int          `json:"initial_size"`
 	Zones              []string     `json:"zones"`
