--- a/internal/binpacking/capacity.go
+++ b/internal/binpacking/capacity.go
@@ -58,8 +58,8 @@
 }
 
 // AllowsTask reports whether a task of a job may be on the machine: see TaskMayRunOn.
-func (c *Capacity) AllowsTask(record *records.Job, index int) bool {
-	return TaskMayRunOn(record, index, c.TypeName, c.Zone, c.Spot)
+func (c *Capacity) AllowsTask(record *records.Job, taskIndex int) bool {
+	return TaskMayRunOn(record, taskIndex, c.TypeName, c.Zone, c.Spot)
 }
 
 // CompareFree orders machines by what is free on them, the least first.
@@ -72,8 +72,8 @@
 // less free, so that tasks are consolidated. On-demand machines that are not needed are
 // unschedulable and do not come here.
 func BetterFit(a, b *Capacity, image string) bool {
-	if inA, inB := a.HasImage(image), b.HasImage(image); inA != inB {
-		return inA
+	if cachedOnA, cachedOnB := a.HasImage(image), b.HasImage(image); cachedOnA != cachedOnB {
+		return cachedOnA
 	}
 	if a.Spot != b.Spot {
 		return a.Spot
--- a/internal/binpacking/constraints.go
+++ b/internal/binpacking/constraints.go
@@ -28,7 +28,7 @@
 // TaskMayRunOn reports whether a task of a job may be on such a machine: what the job allows, and
 // for a job tied to one zone or spread over two, the zones that were written into its record before
 // its first start. No task of such a job runs before they are.
-func TaskMayRunOn(record *records.Job, index int, typeName, zone string, spot bool) bool {
+func TaskMayRunOn(record *records.Job, taskIndex int, typeName, zone string, spot bool) bool {
 	job := &record.Spec
 	if !AllowsMachine(job, typeName, zone, spot) {
 		return false
@@ -37,7 +37,7 @@
 	case job.OneZone:
 		return len(record.Zones) == 1 && record.Zones[0] == zone
 	case job.Spread:
-		return len(record.Zones) > 0 && record.Zones[index%len(record.Zones)] == zone
+		return len(record.Zones) > 0 && record.Zones[taskIndex%len(record.Zones)] == zone
 	}
 	return true
 }
--- a/internal/dag/scenario_test.go
+++ b/internal/dag/scenario_test.go
@@ -25,7 +25,7 @@
 	return outcome{readyAt: map[string]float64{}, aborted: map[string]bool{}}
 }
 
-func (o *outcome) take(events []Event) {
+func (o *outcome) addEvents(events []Event) {
 	for _, event := range events {
 		if event.Aborted {
 			o.aborted[event.Job] = true
@@ -36,25 +36,25 @@
 }
 
 // randomScenario draws up to forty jobs, each of which depends on earlier ones.
-func randomScenario(luck *rand.Rand) (scenario, outcome) {
+func randomScenario(rng *rand.Rand) (scenario, outcome) {
 	s := scenario{dependencies: map[string][]string{}, doneAt: map[string]float64{}, cancelled: map[string]bool{}}
 	want := newOutcome()
-	jobs := 1 + luck.IntN(40)
+	jobs := 1 + rng.IntN(40)
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
-		s.dependencies[id] = randomDependencies(luck, i)
-		s.drawEnd(luck, i, &want)
+		s.dependencies[id] = randomDependencies(rng, i)
+		s.drawOutcome(rng, i, &want)
 	}
 	return s, want
 }
 
-func randomDependencies(luck *rand.Rand, earlier int) (names []string) {
-	count := luck.IntN(4)
+func randomDependencies(rng *rand.Rand, earlier int) (names []string) {
+	count := rng.IntN(4)
 	if earlier == 0 {
 		return nil
 	}
 	for range count {
-		name := fmt.Sprint("job-", luck.IntN(earlier))
+		name := fmt.Sprint("job-", rng.IntN(earlier))
 		if !slices.Contains(names, name) {
 			names = append(names, name)
 		}
@@ -62,8 +62,8 @@
 	return names
 }
 
-// drawEnd draws how job i ends, if it does, and adds to the outcome what follows for it.
-func (s *scenario) drawEnd(luck *rand.Rand, i int, want *outcome) {
+// drawOutcome draws how job i ends, if it does, and adds to the outcome what follows for it.
+func (s *scenario) drawOutcome(rng *rand.Rand, i int, want *outcome) {
 	id := fmt.Sprint("job-", i)
 	readyAt, allDone, anyAborted := 0.0, true, false
 	for _, name := range s.dependencies[id] {
@@ -71,7 +71,7 @@
 		readyAt, allDone = max(readyAt, doneAt), allDone && done
 		anyAborted = anyAborted || s.cancelled[name] || want.aborted[name]
 	}
-	switch draw := luck.IntN(6); {
+	switch draw := rng.IntN(6); {
 	case draw == 0:
 		s.cancelled[id] = true // by its user, however its dependencies stand
 	case anyAborted:
@@ -84,9 +84,9 @@
 }
 
 // replay tells a graph everything, in a random order, and takes events at random moments.
-func (s *scenario) replay(luck *rand.Rand) (*Graph, outcome) {
+func (s *scenario) replay(rng *rand.Rand) (*Graph, outcome) {
 	order := slices.Sorted(maps.Keys(s.dependencies))
-	luck.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
+	rng.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
 	g, got, read := New(), newOutcome(), map[string]bool{}
 	lookup := func(id string) (State, float64) {
 		switch doneAt, done := s.doneAt[id]; {
@@ -101,17 +101,17 @@
 	}
 	for _, id := range order {
 		read[id] = true
-		s.tell(g, id, lookup)
-		if luck.IntN(2) == 0 {
-			got.take(g.TakeEvents())
+		s.applyRecord(g, id, lookup)
+		if rng.IntN(2) == 0 {
+			got.addEvents(g.TakeEvents())
 		}
 	}
-	got.take(g.TakeEvents())
+	got.addEvents(g.TakeEvents())
 	return g, got
 }
 
-// tell tells a graph what one job's record says.
-func (s *scenario) tell(g *Graph, id string, lookup Lookup) {
+// applyRecord tells a graph what one job's record says.
+func (s *scenario) applyRecord(g *Graph, id string, lookup Lookup) {
 	doneAt, done := s.doneAt[id]
 	switch {
 	case done || s.cancelled[id]:
@@ -123,8 +123,8 @@
 	}
 }
 
-// waiting lists the jobs that wait for others in the end.
-func (s *scenario) waiting(want *outcome) map[string]bool {
+// waitingJobs lists the jobs that wait for others in the end.
+func (s *scenario) waitingJobs(want *outcome) map[string]bool {
 	waiting := map[string]bool{}
 	for id, dependencies := range s.dependencies {
 		_, done := s.doneAt[id]
@@ -140,13 +140,13 @@
 // dependencies are all done, and those that depend on a cancelled one.
 func TestResultIsIndependentOfReadOrder(t *testing.T) {
 	for seed := range uint64(400) {
-		luck := rand.New(rand.NewPCG(seed, 1))
-		s, want := randomScenario(luck)
-		g, got := s.replay(luck)
+		rng := rand.New(rand.NewPCG(seed, 1))
+		s, want := randomScenario(rng)
+		g, got := s.replay(rng)
 		if !maps.Equal(got.readyAt, want.readyAt) || !maps.Equal(got.aborted, want.aborted) {
 			t.Fatalf("seed %d: got %v, want %v", seed, got, want)
 		}
-		waiting := s.waiting(&want)
+		waiting := s.waitingJobs(&want)
 		for id := range s.dependencies {
 			if g.IsWaiting(id) != waiting[id] {
 				t.Fatalf("seed %d: %s waits: %v", seed, id, !waiting[id])
--- a/internal/fairshare/account_state.go
+++ b/internal/fairshare/account_state.go
@@ -87,13 +87,13 @@
 		job.agedWork = job.RemainingWork / (1 + job.Age/rules.AgingTime)
 	}
 	slices.SortStableFunc(open, func(x, y *Job) int { return cmp.Compare(x.agedWork, y.agedWork) })
-	missing := s.Deficit
+	remainingDeficit := s.Deficit
 	for _, job := range open {
-		if missing <= 0 {
+		if remainingDeficit <= 0 {
 			break
 		}
 		job.Boost = s.Boost
-		missing -= job.unstartedShare()
+		remainingDeficit -= job.unstartedShare()
 		s.boosted = append(s.boosted, job)
 	}
 }
@@ -103,14 +103,14 @@
 	// is as bad as nothing.
 	maxDeficitLevel = 4
 
-	// leastShare stands for a served share of 0, which has no logarithm.
-	leastShare = 1e-9
+	// minServedShare stands for a served share of 0, which has no logarithm.
+	minServedShare = 1e-9
 )
 
 // deficitLevel is how far the account is from its share: 0 within a factor of two, 1 within
 // the next, and so on.
 func (s *AccountState) deficitLevel(rules *Rules) int {
-	halvings := math.Log2(rules.MinShare / max(s.ServedShare(), leastShare))
+	halvings := math.Log2(rules.MinShare / max(s.ServedShare(), minServedShare))
 	return int(min(max(halvings, 0), maxDeficitLevel))
 }
 
