--- a/internal/binpacking/capacity.go
+++ b/internal/binpacking/capacity.go
@@ -1,13 +1,13 @@
-// Package binpacking says which machines a task may run on, whether it fits there, and which of
-// several machines it should go to.
+// Package binpacking decides which machines a task may run on, whether it fits on them, and which of
+// several machines is preferred for it.
 //
-// It owns the arithmetic of free resources, the constraints of jobs on types, zones and kinds of
-// machines, and the order of preference among machines. The leader plans with it and the shard
-// that owns a machine places with it, so that both come to the same choice. It is pure: it knows
-// neither the queue nor who owns a machine, no clock and no store.
+// It owns the arithmetic of free resources, the constraints of jobs on machine types, zones and spot
+// instances, and the order of preference among machines. The leader uses it for planning and the
+// shard that owns a machine uses it for placement, so that both make the same choice. It is pure: it
+// must not know the queue, the owners of machines, a clock or the store.
 //
-// Invariants: what Allocate takes, Release gives back, up to RoundingSlack; no task goes where
-// TaskMayRunOn does not allow it.
+// Invariants: Release restores what Allocate subtracts, up to RoundingSlack; a task is never placed
+// on a machine that TaskMayRunOn rejects.
 package binpacking
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// RoundingSlack absorbs rounding in sums of resources.
+// RoundingSlack is the tolerance for rounding errors in sums of CPUs, GPUs or gigabytes.
 const RoundingSlack = 1e-6
 
-// Capacity is what is free on a machine, and what else matters for choosing it.
+// Capacity holds the free resources of a machine and its other properties that affect placement.
 type Capacity struct {
 	CPUs, GPUs, MemoryGB float64
 	TypeName, Zone       string
@@ -28,49 +28,51 @@
 	CachedImages         map[string]bool
 }
 
-// Fits reports whether there is room for a task of a job.
+// Fits reports whether the free resources suffice for one task of a job.
 func (c *Capacity) Fits(job *protocol.Job) bool {
 	return c.CPUs+RoundingSlack >= job.CPUs &&
 		c.GPUs+RoundingSlack >= job.GPUs &&
 		c.MemoryGB+RoundingSlack >= job.MemoryGB
 }
 
-// Allocate takes the resources of a task.
+// Allocate subtracts the resources of one task of a job. It does not check that they are free.
 func (c *Capacity) Allocate(job *protocol.Job) {
 	c.CPUs -= job.CPUs
 	c.GPUs -= job.GPUs
 	c.MemoryGB -= job.MemoryGB
 }
 
-// Release gives the resources of a task back.
+// Release adds back the resources of one task of a job.
 func (c *Capacity) Release(job *protocol.Job) {
 	c.CPUs += job.CPUs
 	c.GPUs += job.GPUs
 	c.MemoryGB += job.MemoryGB
 }
 
-// HasImage reports whether the machine need not pull an image.
+// HasImage reports whether the machine has an image in its cache, so that it need not pull it.
 func (c *Capacity) HasImage(image string) bool { return c.CachedImages[image] }
 
-// AllowsJob reports whether a job allows the machine's type, zone and kind.
+// AllowsJob reports whether a job allows the machine's type and zone and, if the machine is a spot
+// instance, spot instances.
 func (c *Capacity) AllowsJob(job *protocol.Job) bool {
 	return AllowsMachine(job, c.TypeName, c.Zone, c.Spot)
 }
 
-// AllowsTask reports whether a task of a job may be on the machine: see TaskMayRunOn.
+// AllowsTask reports whether a task of a job may run on the machine; see TaskMayRunOn.
 func (c *Capacity) AllowsTask(record *records.Job, taskIndex int) bool {
 	return TaskMayRunOn(record, taskIndex, c.TypeName, c.Zone, c.Spot)
 }
 
-// CompareFree orders machines by what is free on them, the least first.
+// CompareFree orders machines by free CPUs and then by free memory, the least first.
 func (c *Capacity) CompareFree(other *Capacity) int {
 	return cmp.Or(cmp.Compare(c.CPUs, other.CPUs), cmp.Compare(c.MemoryGB, other.MemoryGB))
 }
 
-// BetterFit reports whether a is the better of two machines that a task fits on: first one that
-// holds its image, since a pull is paid and waited for, then a spot instance, then the one with
-// less free, so that tasks are consolidated. On-demand machines that are not needed are
-// unschedulable and do not come here.
+// BetterFit reports whether a is preferred over b for a task that fits on both and uses image. A
+// machine that has the image cached is preferred, because a pull delays the task and its time is
+// paid for; then a spot instance; then the machine with less free capacity, so that tasks are
+// consolidated. On-demand machines that are not needed are unschedulable, so callers do not pass
+// them.
 func BetterFit(a, b *Capacity, image string) bool {
 	if cachedOnA, cachedOnB := a.HasImage(image), b.HasImage(image); cachedOnA != cachedOnB {
 		return cachedOnA
--- a/internal/binpacking/capacity_test.go
+++ b/internal/binpacking/capacity_test.go
@@ -10,18 +10,18 @@
 func TestReleaseRestoresAllocatedCapacity(t *testing.T) {
 	free := Capacity{CPUs: 0.3, GPUs: 1, MemoryGB: 4}
 	job := &protocol.Job{CPUs: 0.1, MemoryGB: 1}
-	for n := range 3 { // in floating point three times 0.1 is more than 0.3
+	for n := range 3 { // in floating point, three times 0.1 is more than 0.3
 		if !free.Fits(job) {
-			t.Fatalf("no room for task %d", n)
+			t.Fatalf("task %d does not fit", n)
 		}
 		free.Allocate(job)
 	}
 	if free.Fits(job) {
-		t.Error("a fourth task fits")
+		t.Error("a fourth task fits on a machine with capacity for three")
 	}
 	free.Release(job)
 	if !free.Fits(job) {
-		t.Error("what was released is not free")
+		t.Error("a task does not fit after the release of one of the same size")
 	}
 }
 
@@ -39,10 +39,10 @@
 		{"one zone", protocol.Job{AllowSpot: true, Zone: "a"}, true, false},
 	} {
 		if got := onDemand.AllowsJob(&c.job); got != c.onDemand {
-			t.Errorf("%s: on-demand %v", c.what, got)
+			t.Errorf("%s: on-demand machine allowed: %v, want the opposite", c.what, got)
 		}
 		if got := spot.AllowsJob(&c.job); got != c.spot {
-			t.Errorf("%s: spot %v", c.what, got)
+			t.Errorf("%s: spot instance allowed: %v, want the opposite", c.what, got)
 		}
 	}
 }
@@ -55,18 +55,18 @@
 		index    int
 		inA, inB bool
 	}{
-		{"no zones are needed", records.Job{}, 0, true, true},
-		{"zone not chosen yet", records.Job{Spec: protocol.Job{OneZone: true}}, 0, false, false},
+		{"job without zone constraint", records.Job{}, 0, true, true},
+		{"zone of a job in one zone not chosen yet", records.Job{Spec: protocol.Job{OneZone: true}}, 0, false, false},
 		{"tied to one zone", records.Job{Spec: protocol.Job{OneZone: true}, Zones: []string{"b"}}, 0, false, true},
 		{"zones of a spread job not chosen yet", records.Job{Spec: protocol.Job{Spread: true}}, 0, false, false},
 		{"spread, even task", records.Job{Spec: protocol.Job{Spread: true}, Zones: []string{"a", "b"}}, 2, true, false},
 		{"spread, odd task", records.Job{Spec: protocol.Job{Spread: true}, Zones: []string{"a", "b"}}, 3, false, true},
 	} {
 		if got := inA.AllowsTask(&c.record, c.index); got != c.inA {
-			t.Errorf("%s: in a %v", c.what, got)
+			t.Errorf("%s: allowed in zone a: %v, want the opposite", c.what, got)
 		}
 		if got := inB.AllowsTask(&c.record, c.index); got != c.inB {
-			t.Errorf("%s: in b %v", c.what, got)
+			t.Errorf("%s: allowed in zone b: %v, want the opposite", c.what, got)
 		}
 	}
 }
@@ -78,13 +78,13 @@
 		better Capacity
 		worse  Capacity
 	}{
-		{"the image outweighs the price", Capacity{CachedImages: cached}, Capacity{Spot: true}},
+		{"a cached image outweighs the lower price of a spot instance", Capacity{CachedImages: cached}, Capacity{Spot: true}},
 		{"a spot instance outweighs consolidation", Capacity{Spot: true, CPUs: 8}, Capacity{CPUs: 1}},
-		{"less is free", Capacity{CPUs: 1}, Capacity{CPUs: 2}},
+		{"fewer CPUs are free", Capacity{CPUs: 1}, Capacity{CPUs: 2}},
 		{"less memory is free", Capacity{CPUs: 1, MemoryGB: 1}, Capacity{CPUs: 1, MemoryGB: 2}},
 	} {
 		if !BetterFit(&c.better, &c.worse, "img") || BetterFit(&c.worse, &c.better, "img") {
-			t.Errorf("%s: not preferred", c.what)
+			t.Errorf("%s: the better machine is not preferred, or the worse one is", c.what)
 		}
 	}
 }
--- a/internal/binpacking/imagecache.go
+++ b/internal/binpacking/imagecache.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// ImageCache is what a machine's cache of images should hold: those that were used last, as many
-// as fit. The zero value is ready.
+// ImageCache predicts the contents of a machine's image cache: the most recently used images, as
+// many as fit. The zero value is ready to use. It is not safe for concurrent use.
 type ImageCache struct {
-	recency []string // the one used last at the end
+	recency []string // least recently used first
 	cached  map[string]bool
 	sizesGB map[string]float64
 	totalGB float64
 }
 
-// Use notes that an image is used on a machine whose cache holds capacityGB, and reports whether
-// the image is new to it. The image that is used stays, however large it is.
+// Use records the use of an image on a machine whose cache holds capacityGB, and reports whether
+// the image was not cached before. Least recently used images are evicted until the rest fits. The
+// image itself is never evicted by its own use, however large it is.
 func (c *ImageCache) Use(image string, sizeGB, capacityGB float64) bool {
 	if c.cached == nil {
 		c.cached, c.sizesGB = map[string]bool{}, map[string]float64{}
@@ -39,9 +40,9 @@
 	delete(c.sizesGB, oldest)
 }
 
-// Images lists what is in the cache, the one used last at the end. The caller must not change it.
+// Images returns the cached images, least recently used first. The caller must not change the slice.
 func (c *ImageCache) Images() []string { return c.recency }
 
-// ImageSet is the same as a set, nil if the cache is empty. It follows the cache until that is first
-// used, and the caller must not change it.
+// ImageSet returns the cached images as a set, nil before the first Use. The set is not a copy:
+// later calls of Use change it. The caller must not change it.
 func (c *ImageCache) ImageSet() map[string]bool { return c.cached }
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -1,86 +1,88 @@
-// Package dag follows which jobs depend on which: what each waits for, when it becomes ready,
-// which jobs are aborted because one that they depend on is, and how urgent a job is for the
-// sake of its dependents.
+// Package dag tracks the dependencies between jobs: which jobs each job waits for, when it becomes
+// ready, which jobs are aborted because a dependency is, and the priority that a job inherits from
+// its dependents.
 //
 // # What it owns
 //
-// The dependency graph of unfinished jobs, and what follows from it. It is pure: what the
-// records of jobs say goes in, events and priorities come out. It has no clock, input or
-// output, and must not know where records are kept, what a task is, or how a job is ranked.
+// The dependency graph of unfinished jobs, and the events and priorities derived from it. The
+// package is pure: the caller passes what the records of jobs say, and the package returns events
+// and priorities. It has no clock, input or output, and must not know where records are stored,
+// what a task is, or how a job is ranked.
 //
 // # Invariants
 //
-// Every controller that has read the same records reaches the same result, in whatever order
-// it read them. Two facts carry that. Done is final, so a job that is ready stays ready. And
-// no task of a job starts before everything that it depends on is done, so a dependent of a
-// cancelled job has never had a task: that it is aborted, too, is derived from the one record,
-// without a write for each dependent and without a word to any machine.
+// Every controller that has read the same records gets the same result, in whatever order it read
+// them. This follows from two facts. Done is final, so a job that is ready stays ready. And no task
+// of a job starts before all of its dependencies are done, so no task of a dependent of a cancelled
+// job has ever started. The abort of all dependents is therefore derived from the record of the
+// cancelled job alone, without a write for each dependent and without a message to any machine.
 //
-// Nothing here recurses: a user's chain may be thousands of jobs long. To mark a job costs time
-// in proportion to the edges that this settles, and each edge is settled once. The ways that
-// were weighed, with sources, are in docs/dependencies.md.
+// Nothing here recurses, because a user's chain of jobs may be thousands of jobs long. Marking a
+// job as finished takes time proportional to the number of edges that this resolves, and each edge
+// is resolved once. docs/dependencies.md describes the alternatives that were considered, with
+// sources.
 package dag
 
-// State is how a job stands.
+// State is the state of a job as far as its dependents are concerned.
 type State int
 
 // The states of a job.
 const (
-	Unknown State = iota // nothing has been read of it yet; it counts as open
+	Unknown State = iota // its record has not been read yet; treated as open
 	Open                 // unfinished
 	Done
-	Aborted // cancelled by its user, or because of one that it depends on
+	Aborted // cancelled by its user, or aborted because one of its dependencies is
 )
 
-// Event is news of a job that depends on others: it has become ready, or is aborted.
+// Event reports that a job with dependencies has become ready or has been aborted.
 type Event struct {
 	Job     string
 	Aborted bool
-	Cause   string  // if aborted: the job whose abort caused it
-	ReadyAt float64 // if ready: time of day when the last of its dependencies was done, in seconds
+	Cause   string  // if aborted: the aborted job, a direct or indirect dependency, that caused it
+	ReadyAt float64 // if ready: wall-clock time at which the last of its dependencies was done, in seconds
 }
 
-// Lookup tells how a job stands that the graph may not hold: its state in the store's mirror
-// and, if it is done, since when, as a time of day in seconds.
+// Lookup returns the state of a job that may not be in the graph, as the mirror of the store has
+// it, and the wall-clock time in seconds at which the job was done, if it is.
 type Lookup func(id string) (state State, doneAt float64)
 
 // Graph holds the unfinished jobs that wait for others, and the jobs that they wait for. Other
-// jobs are not in it.
+// jobs are not in it. It is not safe for concurrent use.
 type Graph struct {
 	nodes          map[string]*node
-	insertionOrder []*node // in the order in which they came; some of them removed
-	events         []Event // not taken yet
+	insertionOrder []*node // in the order in which they were added; includes nodes removed since the last sort
+	events         []Event // not yet returned by TakeEvents
 	waitingCount   int     // jobs with an unmet dependency
 
-	orderStale  bool    // the graph has changed since topological was made
-	topological []*node // unfinished jobs, each before those that it depends on
-	refreshTurn int     // which jobs' own priorities are asked for anew next
+	orderStale  bool    // the graph has changed since topological was computed
+	topological []*node // unfinished jobs, each before the jobs that it depends on
+	refreshTurn int     // selects the jobs whose own priorities are refreshed next; below refreshInterval
 }
 
-// node is a job. Its lists may hold nodes that are finished; the counts do not.
+// node is a job. Its lists may include finished nodes; its counts exclude them.
 type node struct {
 	id    string
 	state State
 
-	dependenciesKnown bool // the job's own record was read
+	dependenciesKnown bool // AddJob was called for the job
 	dependencies      []*node
 	unmet             int // dependencies that are not done
 	dependents        []*node
 	liveDependents    int // dependents that still wait
 
-	countedWaiting bool    // in Graph.waitingCount
-	readyAt        float64 // when the newest of the dependencies that are done was
-	eventPending   bool    // it is aborted, and nobody has taken the event yet
-	removed        bool    // from the graph
+	countedWaiting bool    // the job is counted in Graph.waitingCount
+	readyAt        float64 // latest wall-clock time at which one of its dependencies was done, in seconds
+	eventPending   bool    // the job is aborted, and TakeEvents has not returned the event yet
+	removed        bool    // the node was removed from Graph.nodes
 
 	ownPriority, effectivePriority Priority
 	unsortedDependents             int // while the topological order is made
 }
 
-// New makes an empty graph.
+// New returns an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*node{}} }
 
-// node finds a job, or adds it with an unknown state.
+// node returns the node of a job, and adds one in state Unknown if there is none.
 func (g *Graph) node(id string) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -91,8 +93,9 @@
 	return n
 }
 
-// AddJob adds an unfinished job that depends on others. A second time changes nothing, since
-// a job's dependencies never change.
+// AddJob adds an unfinished job that depends on others. lookup is called for dependencies whose
+// state the graph does not know. Further calls for the same job have no effect, because a job's
+// dependencies never change.
 func (g *Graph) AddJob(id string, dependencies []string, lookup Lookup) {
 	n := g.node(id)
 	if n.dependenciesKnown {
@@ -113,7 +116,7 @@
 	g.waitingCount++
 }
 
-// addDependency adds an edge if the dependency is not finished, and returns how it stands.
+// addDependency adds an edge if the dependency is not finished, and returns the dependency's state.
 func (g *Graph) addDependency(n *node, id string, lookup Lookup) State {
 	state, doneAt := Unknown, 0.0
 	if known := g.nodes[id]; known != nil {
@@ -136,19 +139,20 @@
 	return state
 }
 
-// MarkOpen records that an unfinished job was read on which others may depend.
+// MarkOpen records that the record of a job was read and that the job is unfinished. Other jobs may
+// depend on it.
 func (g *Graph) MarkOpen(id string) {
 	if n := g.nodes[id]; n != nil && n.state == Unknown {
 		n.state = Open
 	}
 }
 
-// MarkFinished records what a job's own record says: that it is done, at that time of day in
-// seconds, or else cancelled.
+// MarkFinished records that, according to its own record, a job is done or, if done is false,
+// cancelled. doneAt is the wall-clock time in seconds at which it was done.
 func (g *Graph) MarkFinished(id string, done bool, doneAt float64) {
 	n := g.nodes[id]
 	if n == nil {
-		return // nothing depends on it
+		return // no waiting job depends on it
 	}
 	if done {
 		g.markDone(n, doneAt)
@@ -158,7 +162,7 @@
 }
 
 func (g *Graph) markDone(n *node, doneAt float64) {
-	g.detach(n) // it may have unmet dependencies if an older version ran it
+	g.detach(n) // it may have unmet dependencies if an older version of the software ran it
 	n.state, g.orderStale = Done, true
 	dependents := n.dependents
 	n.dependents, n.liveDependents = nil, 0
@@ -170,7 +174,8 @@
 	}
 }
 
-// meetDependency records that one of the dependencies of a waiting job is done.
+// meetDependency records that one of the dependencies of a waiting job is done, and marks the job
+// as ready if it was the last one.
 func (g *Graph) meetDependency(n *node, doneAt float64) {
 	n.readyAt = max(n.readyAt, doneAt)
 	n.unmet--
@@ -186,7 +191,7 @@
 	g.removeIfUnneeded(n)
 }
 
-// abort aborts a job and, without recursion, everything that depends on it.
+// abort aborts a job and, without recursion, all of its direct and indirect dependents.
 func (g *Graph) abort(first *node, cause string) {
 	g.orderStale = true
 	pending := []*node{first}
@@ -204,19 +209,19 @@
 	}
 }
 
-// reportAbort adds the event of an aborted job, unless its own record was the cause.
+// reportAbort adds an event for an aborted job, unless the job itself is the cause.
 func (g *Graph) reportAbort(n *node, cause string) {
 	if n.id == cause {
 		g.removeIfUnneeded(n)
 		return
 	}
-	// It stays in the graph until the event is taken. Until then a lookup elsewhere finds the
-	// job open, and a new job that depends on it would wait for ever.
+	// The node stays in the graph until the event is taken. Until then a Lookup still reports
+	// the job as open, so a new job that depends on it would wait forever.
 	n.eventPending = true
 	g.events = append(g.events, Event{Job: n.id, Aborted: true, Cause: cause})
 }
 
-// detach ends a job's wait for its dependencies.
+// detach makes a job stop waiting for its dependencies, and removes those that are no longer needed.
 func (g *Graph) detach(n *node) {
 	if n.unmet == 0 {
 		return
@@ -234,7 +239,8 @@
 	}
 }
 
-// removeIfUnneeded removes a job on which no other waits and that waits for none.
+// removeIfUnneeded removes a job that no other job waits for, that waits for none, and that has no
+// pending event.
 func (g *Graph) removeIfUnneeded(n *node) {
 	if n.liveDependents == 0 && n.unmet == 0 && !n.eventPending && !n.removed {
 		n.removed, g.orderStale = true, true
@@ -242,7 +248,8 @@
 	}
 }
 
-// TakeEvents returns the events since the last call, in the order in which they occurred.
+// TakeEvents returns the events since the last call, in the order in which they occurred, and
+// removes the aborted jobs among them from the graph.
 func (g *Graph) TakeEvents() []Event {
 	events := g.events
 	g.events = nil
@@ -261,11 +268,11 @@
 	return n != nil && n.unmet > 0
 }
 
-// WaitingCount is the number of jobs with an unmet dependency.
+// WaitingCount returns the number of jobs with an unmet dependency.
 func (g *Graph) WaitingCount() int { return g.waitingCount }
 
-// UnmetDependencies names up to limit of the jobs that a job waits for, and says how many
-// more there are.
+// UnmetDependencies returns the ids of up to limit jobs that a job waits for, and the number of
+// further ones.
 func (g *Graph) UnmetDependencies(id string, limit int) (names []string, more int) {
 	n := g.nodes[id]
 	if n == nil {
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// allOpen is a lookup in which every job is unfinished.
+// allOpen is a Lookup that reports every job as unfinished.
 func allOpen(string) (State, float64) { return Open, 0 }
 
-// settle ends the first job, and then every job that becomes ready, until nothing follows
-// from it. It returns how many jobs became ready or were aborted.
+// settle marks the first job as done or cancelled and, if it is done, every job that becomes ready,
+// until there are no more events. It returns how many jobs became ready or were aborted.
 func settle(g *Graph, first string, done bool) (settled int) {
 	g.MarkFinished(first, done, 1)
 	for events := g.TakeEvents(); len(events) > 0; events = g.TakeEvents() {
@@ -26,7 +26,8 @@
 	return settled
 }
 
-// Large graphs are settled in time in proportion to their edges, and leave nothing behind.
+// Large graphs are resolved in time proportional to their number of edges, and no node is left in
+// the graph.
 func TestLargeGraphsSettleInLinearTime(t *testing.T) {
 	const (
 		jobs    = 100_000
@@ -50,17 +51,17 @@
 				g.UpdatePriorities(func(string) Priority { return Priority{Urgency: 3, LatestFinish: math.Inf(1), Duration: 1} })
 				settled := settle(g, id(0), done)
 				if settled != jobs-1 || len(g.nodes) != 0 || g.waitingCount != 0 {
-					t.Errorf("%d of %d settled, %d left, %d wait", settled, jobs-1, len(g.nodes), g.waitingCount)
+					t.Errorf("%d of %d jobs became ready or aborted, %d nodes are left, %d jobs still wait", settled, jobs-1, len(g.nodes), g.waitingCount)
 				}
 				if took := time.Since(begin); took > maxTime {
-					t.Errorf("took %v", took)
+					t.Errorf("resolving the graph took too long: %v", took)
 				}
 			})
 		}
 	}
 }
 
-// newDiamond makes a graph of b and c that depend on a, d on both of those, and e on c.
+// newDiamond returns a graph in which b and c depend on a, d depends on b and c, and e depends on c.
 func newDiamond() *Graph {
 	g := New()
 	g.AddJob("b", []string{"a"}, allOpen)
@@ -84,7 +85,7 @@
 	g.UpdatePriorities(func(id string) Priority { return jobs[id].own })
 	for id, want := range jobs {
 		if priority, ok := g.Priority(id); !ok || priority != want.effective {
-			t.Errorf("%s: %+v, not %+v", id, priority, want.effective)
+			t.Errorf("job %s: got priority %+v, want %+v", id, priority, want.effective)
 		}
 	}
 }
@@ -102,6 +103,6 @@
 	g.MarkFinished("b", true, 60)
 	want := []Event{{Job: "e", ReadyAt: 50}, {Job: "d", ReadyAt: 60}}
 	if events := g.TakeEvents(); !slices.Equal(events, want) {
-		t.Errorf("%+v, not %+v", events, want)
+		t.Errorf("got events %+v, want %+v", events, want)
 	}
 }
--- a/internal/dag/priority.go
+++ b/internal/dag/priority.go
@@ -2,24 +2,26 @@
 
 import "slices"
 
-// Priority is what a job's place in the queue depends on, by itself or for the sake of its
-// dependents.
+// Priority is the part of a job's rank in the queue that its dependencies can inherit.
 type Priority struct {
-	Urgency      int     // the smaller the more urgent
-	LatestFinish float64 // time of day by which it is to be done, in seconds; +Inf: no deadline
-	Duration     float64 // seconds that it is predicted to take once it is ready
+	Urgency      int     // a smaller number is more urgent
+	LatestFinish float64 // wall-clock time by which the job must be done, in seconds; +Inf: no deadline
+	Duration     float64 // predicted seconds that the job takes once it is ready
 }
 
-// refreshInterval is in how many calls of UpdatePriorities each waiting job's own priority is
-// asked for once. What is predicted of it changes slowly, and with ten thousands of waiting
-// jobs asking for all took most of a leader's scheduling round.
+// refreshInterval is the number of calls of UpdatePriorities in which the own priority of each
+// waiting job is refreshed once. With tens of thousands of waiting jobs, refreshing all of them in
+// every call took most of a leader's scheduling round. Predicted durations change slowly, so a
+// refresh in one of 16 calls is enough.
 const refreshInterval = 16
 
-// UpdatePriorities computes the effective priority of each job in the graph: the urgency of the
-// most urgent job that depends on it, and the latest finish that lets all of those be in time,
-// with their predicted durations taken off along the longest path (latest finish times of
-// critical-path scheduling). own tells a job's priority by itself: it is asked for jobs that
-// may start and for new ones at every call, for the others in turn.
+// UpdatePriorities computes the effective priority of each job in the graph. The urgency is that of
+// the most urgent job among the job itself and all that depend on it. The latest finish is the time
+// that still allows all of them to meet their deadlines: the predicted durations of the dependents
+// are subtracted along the longest path, as in the latest finish times of critical-path scheduling.
+// ownPriority returns a job's priority without its dependents. Each call queries it for all jobs
+// that have no unmet dependency and for new ones, and for one of refreshInterval of the others in
+// turn.
 func (g *Graph) UpdatePriorities(ownPriority func(id string) Priority) {
 	if g.orderStale {
 		g.sortTopologically()
@@ -38,8 +40,8 @@
 	}
 }
 
-// Priority is a job's effective priority at the last UpdatePriorities; not ok if the job is not
-// in the graph, or was added since.
+// Priority returns a job's effective priority as of the last UpdatePriorities. ok is false if the
+// job is not in the graph or was added since.
 func (g *Graph) Priority(id string) (priority Priority, ok bool) {
 	n := g.nodes[id]
 	if n == nil || !n.hasPriority() {
@@ -48,18 +50,19 @@
 	return n.effectivePriority, true
 }
 
-// hasPriority reports whether the job's own priority was ever asked for.
+// hasPriority reports whether the job's own priority was ever queried.
 func (n *node) hasPriority() bool { return n.ownPriority != Priority{} }
 
-// inheritFrom makes a job at least as urgent as one that depends on it.
+// inheritFrom makes a job at least as urgent as one that depends on it, and its latest finish no
+// later than the latest start of that one.
 func (n *node) inheritFrom(dependent *node) {
 	latestStart := dependent.effectivePriority.LatestFinish - dependent.ownPriority.Duration
 	n.effectivePriority.Urgency = min(n.effectivePriority.Urgency, dependent.effectivePriority.Urgency)
 	n.effectivePriority.LatestFinish = min(n.effectivePriority.LatestFinish, latestStart)
 }
 
-// sortTopologically puts the jobs into an order in which each comes before those that it
-// depends on (Kahn's algorithm), and forgets removed ones.
+// sortTopologically orders the jobs so that each comes before those that it depends on (Kahn's
+// algorithm), and drops removed nodes from the insertion order.
 func (g *Graph) sortTopologically() {
 	g.orderStale = false
 	g.insertionOrder = slices.DeleteFunc(g.insertionOrder, func(n *node) bool { return n.removed })
--- a/internal/dag/scenario_test.go
+++ b/internal/dag/scenario_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// scenario is a set of jobs with what they depend on, and how some of them ended.
+// scenario is a set of jobs with their dependencies, of which some are done or cancelled.
 type scenario struct {
 	dependencies map[string][]string
 	doneAt       map[string]float64
 	cancelled    map[string]bool // by their users
 }
 
-// outcome is what follows from a scenario.
+// outcome holds the jobs of a scenario that become ready or are aborted.
 type outcome struct {
 	readyAt map[string]float64
-	aborted map[string]bool // because of others
+	aborted map[string]bool // because a dependency is aborted or cancelled
 }
 
 func newOutcome() outcome {
@@ -35,7 +35,8 @@
 	}
 }
 
-// randomScenario draws up to forty jobs, each of which depends on earlier ones.
+// randomScenario returns up to forty random jobs, each of which depends on up to three earlier ones,
+// and the expected outcome.
 func randomScenario(rng *rand.Rand) (scenario, outcome) {
 	s := scenario{dependencies: map[string][]string{}, doneAt: map[string]float64{}, cancelled: map[string]bool{}}
 	want := newOutcome()
@@ -62,7 +63,8 @@
 	return names
 }
 
-// drawOutcome draws how job i ends, if it does, and adds to the outcome what follows for it.
+// drawOutcome randomly marks job i as done, cancelled or unfinished, and adds it to the expected
+// outcome if it becomes ready or is aborted.
 func (s *scenario) drawOutcome(rng *rand.Rand, i int, want *outcome) {
 	id := fmt.Sprint("job-", i)
 	readyAt, allDone, anyAborted := 0.0, true, false
@@ -73,7 +75,7 @@
 	}
 	switch draw := rng.IntN(6); {
 	case draw == 0:
-		s.cancelled[id] = true // by its user, however its dependencies stand
+		s.cancelled[id] = true // by its user, whatever the states of its dependencies
 	case anyAborted:
 		want.aborted[id] = true
 	case allDone && draw < 4:
@@ -83,7 +85,8 @@
 	}
 }
 
-// replay tells a graph everything, in a random order, and takes events at random moments.
+// replay applies the records of all jobs to a new graph in random order, takes events after a random
+// half of them, and returns the graph and the outcome.
 func (s *scenario) replay(rng *rand.Rand) (*Graph, outcome) {
 	order := slices.Sorted(maps.Keys(s.dependencies))
 	rng.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
@@ -110,7 +113,7 @@
 	return g, got
 }
 
-// applyRecord tells a graph what one job's record says.
+// applyRecord applies the record of one job to a graph.
 func (s *scenario) applyRecord(g *Graph, id string, lookup Lookup) {
 	doneAt, done := s.doneAt[id]
 	switch {
@@ -123,7 +126,7 @@
 	}
 }
 
-// waitingJobs lists the jobs that wait for others in the end.
+// waitingJobs returns the jobs that still wait for others after all records are applied.
 func (s *scenario) waitingJobs(want *outcome) map[string]bool {
 	waiting := map[string]bool{}
 	for id, dependencies := range s.dependencies {
@@ -136,8 +139,8 @@
 	return waiting
 }
 
-// In whatever order records are read, the same jobs are ready and aborted: those whose
-// dependencies are all done, and those that depend on a cancelled one.
+// In whatever order the records are read, the same jobs become ready and aborted: those whose
+// dependencies are all done become ready, and those that depend on a cancelled one are aborted.
 func TestResultIsIndependentOfReadOrder(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -149,11 +152,11 @@
 		waiting := s.waitingJobs(&want)
 		for id := range s.dependencies {
 			if g.IsWaiting(id) != waiting[id] {
-				t.Fatalf("seed %d: %s waits: %v", seed, id, !waiting[id])
+				t.Fatalf("seed %d: IsWaiting of %s is %v, want the opposite", seed, id, !waiting[id])
 			}
 		}
 		if g.WaitingCount() != len(waiting) {
-			t.Fatalf("seed %d: %d wait, not %d", seed, g.WaitingCount(), len(waiting))
+			t.Fatalf("seed %d: %d jobs wait, want %d", seed, g.WaitingCount(), len(waiting))
 		}
 	}
 }
--- a/internal/fairshare/account_state.go
+++ b/internal/fairshare/account_state.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// AccountState is how an account stands in one evaluation. Its amounts are jobs, and parts of
-// jobs.
+// AccountState is the state of an account in one evaluation. Amounts are numbers of jobs and may
+// be fractional.
 type AccountState struct {
 	Account
-	Served      float64 // jobs done, decayed, and of the others what is under way
-	Overdue     float64 // what waits of jobs older than OverdueAfter
-	LongOverdue float64 // what waits of jobs older than twice that
+	Served      float64 // completed jobs with decayed weights, plus the started shares of unfinished ones
+	Overdue     float64 // unstarted shares of open jobs older than Rules.OverdueAfter
+	LongOverdue float64 // unstarted shares of open jobs older than twice Rules.OverdueAfter
 	Boost       Boost
-	Deficit     float64 // so many jobs are missing to the minimum share
+	Deficit     float64 // jobs that are missing to the minimum share, at least 0
 
 	jobs    []*Job
-	boosted []*Job // smallest first
+	boosted []*Job // smallest aged work first
 }
 
-// ServedShare is the share of what is served or overdue that was served; 1 where nothing is.
+// ServedShare returns the served part of the jobs that are served or overdue, from 0 to 1. It is 1
+// if the account has neither.
 func (s *AccountState) ServedShare() float64 {
 	if s.Served+s.Overdue == 0 {
 		return 1
@@ -28,8 +29,9 @@
 	return s.Served / (s.Served + s.Overdue)
 }
 
-// evaluate decides on one account. priorityDominates says that most of what its team or the
-// site uses is used by jobs that outrank a boost.
+// evaluate computes the deficit of the account and decides which of its jobs are boosted and
+// protected. priorityDominates means that jobs that outrank a boost use more than half of the CPUs
+// in use by the account's team or by all teams together.
 func (s *AccountState) evaluate(rules *Rules, priorityDominates bool) {
 	completed := s.Served
 	open := s.countJobs(rules)
@@ -47,7 +49,8 @@
 	s.boostSmallest(open, rules)
 }
 
-// countJobs adds up what is served and overdue, and lists the open jobs.
+// countJobs adds the account's unfinished jobs to Served, Overdue and LongOverdue, and returns the
+// open jobs.
 func (s *AccountState) countJobs(rules *Rules) (open []*Job) {
 	for _, job := range s.jobs {
 		s.Served += job.StartedShare
@@ -65,23 +68,24 @@
 	return open
 }
 
-// protectStarted keeps what is under way of overdue jobs from being preempted, while too few
-// jobs of the account are completed.
+// protectStarted marks the overdue jobs that have started tasks as protected from preemption. It
+// is called while the completed jobs alone are less than the minimum share.
 //
-// Guards against boosts in vain: the tasks of an underserved class were started, and preempted
-// by urgent work a moment later, again and again, so that none of its jobs was ever done.
+// Guards against ineffective boosts: the tasks of an underserved class were repeatedly started and
+// preempted by urgent work a moment later, so that none of its jobs was ever completed.
 func (s *AccountState) protectStarted(rules *Rules) {
 	for _, job := range s.jobs {
 		job.Protected = job.Age > rules.OverdueAfter && job.StartedShare > 0
 	}
 }
 
-// deficit is how many jobs are missing to the minimum share of what was served or waits.
+// deficit returns how many jobs are missing to the minimum share of Served plus waiting. It is
+// negative if the account has more than that share.
 func (s *AccountState) deficit(waiting float64, rules *Rules) float64 {
 	return rules.MinShare*(s.Served+waiting) - s.Served
 }
 
-// boostSmallest boosts as many open jobs as make up the deficit.
+// boostSmallest boosts the open jobs with the least aged work, as many as make up the deficit.
 func (s *AccountState) boostSmallest(open []*Job, rules *Rules) {
 	for _, job := range open {
 		job.agedWork = job.RemainingWork / (1 + job.Age/rules.AgingTime)
@@ -99,27 +103,27 @@
 }
 
 const (
-	// maxDeficitLevel is the highest level that is told apart: a sixteenth of the minimum share
-	// is as bad as nothing.
+	// maxDeficitLevel is the highest deficit level. An account with a sixteenth of its minimum
+	// share or less ranks the same as one that was served nothing.
 	maxDeficitLevel = 4
 
-	// minServedShare stands for a served share of 0, which has no logarithm.
+	// minServedShare replaces a served share of 0, which has no logarithm.
 	minServedShare = 1e-9
 )
 
-// deficitLevel is how far the account is from its share: 0 within a factor of two, 1 within
-// the next, and so on.
+// deficitLevel returns how far the account is below its minimum share: 0 within a factor of two,
+// 1 within the next factor of two, and so on up to maxDeficitLevel.
 func (s *AccountState) deficitLevel(rules *Rules) int {
 	halvings := math.Log2(rules.MinShare / max(s.ServedShare(), minServedShare))
 	return int(min(max(halvings, 0), maxDeficitLevel))
 }
 
-// rankBoosted ranks the boosted jobs of all accounts: by the level of their account's deficit,
-// highest first, and the smallest first within a level.
+// rankBoosted sets the rank of the boosted jobs of all accounts: by the deficit level of their
+// account, highest first, and within a level by aged work, smallest first.
 //
-// Guards against the account with the largest jobs being the last again: among accounts that
-// are all underserved, by size alone jobs of one CPU went ahead of jobs of four until their
-// account had its whole share.
+// Guards against starving the account with the largest jobs: when all accounts were underserved and
+// jobs were ranked by size alone, jobs of one CPU ran before jobs of four CPUs until the account of
+// the small jobs had its whole share.
 func rankBoosted(states []*AccountState, rules *Rules) {
 	var boosted []*Job
 	for _, state := range states {
--- a/internal/fairshare/accounting.go
+++ b/internal/fairshare/accounting.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// negligibleServed is the least sum that is kept for an account without jobs. Guards against names
-// that never come back and would pile up otherwise.
+// negligibleServed is the sum below which an account without unfinished jobs is deleted. Without
+// this limit, accounts of class names that are never used again would accumulate.
 const negligibleServed = 1.0 / 64
 
-// decayingSum counts completed jobs, each worth 1 at its submission and decaying from then on.
+// decayingSum counts completed jobs. A job has the weight 1 at its submission, and the weight
+// decays exponentially from then on.
 type decayingSum struct{ value, updatedAt float64 }
 
-// valueAt is the sum at a time that is not before its last update.
+// valueAt returns the sum at a time that is not before its last update.
 func (s *decayingSum) valueAt(at, decayTime float64) float64 {
 	return s.value * math.Exp(-(at-s.updatedAt)/decayTime)
 }
 
-// add counts a job that was submitted at any time.
+// add counts a job by its submission time, which may be before or after the last update.
 func (s *decayingSum) add(at, decayTime float64) {
 	if at > s.updatedAt {
 		s.value, s.updatedAt = s.valueAt(at, decayTime), at
@@ -25,13 +26,14 @@
 	s.value += math.Exp(-(s.updatedAt - at) / decayTime)
 }
 
-// Accounting is what each account was served. The zero value is ready.
+// Accounting holds the completed jobs of each account as a decaying sum. The zero value is ready
+// to use. It is not safe for concurrent use.
 type Accounting struct {
 	accounts map[Account]*decayingSum
 }
 
-// RecordCompleted counts a completed job by the time of day of its submission, in seconds.
-// The order of the calls makes no difference but for rounding.
+// RecordCompleted counts a completed job. submittedAt is the wall-clock time of its submission, in
+// seconds. The order of the calls makes no difference except for rounding.
 func (a *Accounting) RecordCompleted(account Account, submittedAt float64, rules *Rules) {
 	if a.accounts == nil {
 		a.accounts = map[Account]*decayingSum{}
@@ -44,9 +46,10 @@
 	sum.add(submittedAt, rules.DecayTime)
 }
 
-// Evaluate decides which jobs are boosted and which are protected, and sets that in them. The
-// jobs are all that are not over; now is the time of day in seconds. It returns the accounts
-// that have jobs, sorted; none if fair share is off.
+// Evaluate decides which jobs are boosted and which are protected, and sets Boost, BoostRank and
+// Protected in them. jobs must hold all unfinished jobs; now is the wall-clock time in seconds. It
+// returns the states of the accounts that have jobs, sorted by team and class. If fair share is
+// off, it returns nil and leaves the jobs unchanged.
 func (a *Accounting) Evaluate(now float64, jobs []Job, rules *Rules) []AccountState {
 	if rules.MinShare <= 0 {
 		return nil
@@ -66,7 +69,7 @@
 	return evaluated
 }
 
-// groupByAccount clears what an earlier evaluation set in the jobs.
+// groupByAccount returns the jobs by account, and clears what an earlier evaluation set in them.
 func groupByAccount(jobs []Job) map[Account]*AccountState {
 	states := map[Account]*AccountState{}
 	for i := range jobs {
@@ -82,8 +85,8 @@
 	return states
 }
 
-// addServed sets what the accounts with jobs were served, and forgets negligible sums of the
-// others.
+// addServed sets Served of the accounts with jobs to their decayed sums, and deletes the sums of
+// other accounts that are below negligibleServed.
 func (a *Accounting) addServed(now float64, states map[Account]*AccountState, rules *Rules) {
 	for account, sum := range a.accounts {
 		served := sum.valueAt(now, rules.DecayTime)
@@ -95,19 +98,19 @@
 	}
 }
 
-// An account with fewer than rareJobs jobs, served or open, is rare; a team may have
-// maxRareAccounts of them that are told apart.
+// An account with fewer than rareAccountJobs served and unfinished jobs is rare. Up to
+// maxRareAccounts rare accounts of a team are evaluated separately.
 const (
 	rareAccountJobs = 4
 	maxRareAccounts = 8
 )
 
-// mergeRareAccounts lists the accounts in order, with all rare ones of a team that has too
-// many merged into one of an empty class.
+// mergeRareAccounts returns the accounts sorted by team and class. If a team has more than
+// maxRareAccounts rare accounts, all of them are merged into one account with an empty class.
 //
-// Guards against a flood of class names that are each used once: every job would be the only
-// one of its account, of which nothing is served, and each would be boosted, old or not.
-// Together they are one account like any other.
+// Guards against a flood of class names that are each used once: every job would be the only one of
+// an account that was served nothing, so each would be boosted, old or not. The merged account is
+// evaluated like any other.
 func mergeRareAccounts(byAccount map[Account]*AccountState) []*AccountState {
 	var states []*AccountState
 	rareByTeam := map[string][]*AccountState{}
@@ -142,14 +145,14 @@
 
 func compareAccounts(x, y *AccountState) int { return x.compare(y.Account) }
 
-// allTeams stands for all teams together where teams are named.
+// allTeams is the map key for all teams together.
 const allTeams = ""
 
-// dominatedByPriorityWork tells of which teams, and whether of the whole site, more than half
-// of the CPUs in use are used by jobs that outrank a boost.
+// dominatedByPriorityWork reports for each team, and for allTeams, whether jobs that outrank a
+// boost use more than half of the CPUs in use.
 //
-// Guards against urgent work that waits although it takes little: an idle class that wants
-// many times its team's quota stays short of its share whatever ranks behind it.
+// Guards against delaying urgent work that uses little: an idle class that demands many times its
+// team's quota remains below its share even if all urgent work ranks behind it.
 func dominatedByPriorityWork(jobs []Job) map[string]bool {
 	priorityCPUs, allCPUs := map[string]float64{}, map[string]float64{}
 	for i := range jobs {
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Of a hundred random cases hardly ten have a boost, so many more are drawn, always the same.
+// In hardly ten of a hundred random cases is any job boosted, so rapid runs 3000 checks instead of
+// its default. The fixed seed makes it draw the same cases every time.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "3000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -22,14 +23,14 @@
 
 var testRules = Rules{MinShare: 0.5, OverdueAfter: 100, DecayTime: 800, AgingTime: 400}
 
-// now is the time of day of most evaluations.
+// now is the wall-clock time of most evaluations, in seconds.
 const now = 1000.0
 
 func newJob(team, class string, age, startedShare, work float64) Job {
 	return Job{Account: Account{team, class}, Age: age, StartedShare: startedShare, RemainingWork: work}
 }
 
-// boostedJobs lists the indices of the boosted jobs by their rank.
+// boostedJobs returns the indices of the boosted jobs, sorted by rank.
 func boostedJobs(jobs []Job) []int {
 	var boosted []int
 	for i := range jobs {
@@ -47,7 +48,8 @@
 	}
 }
 
-// newReportsAndPhotos are four overdue jobs of one class and a younger one of another.
+// newReportsAndPhotos returns four overdue jobs of one class and one of another class that is not
+// overdue.
 func newReportsAndPhotos() []Job {
 	return []Job{
 		newJob("red", "reports", 150, 0, 50),
@@ -65,21 +67,21 @@
 	states := accounting.Evaluate(now, jobs, &testRules)
 	photos, reports := states[0], states[1]
 	if boosted := boostedJobs(jobs); !slices.Equal(boosted, []int{1, 3}) {
-		t.Error("boosted:", boosted)
+		t.Error("want jobs 1 and 3 boosted, got:", boosted)
 	}
 	if reports.Deficit != 1.5 || reports.Boost != BoostBelowUrgent || photos.Boost != NoBoost {
 		t.Errorf("reports: %+v, photos: %+v", reports, photos)
 	}
 }
 
-// One job was served and one is overdue, which is a share of a half.
+// One job was served and one is overdue, so the served share is exactly one half, the minimum.
 func TestNoBoostAtMinimumShare(t *testing.T) {
 	var accounting Accounting
 	recordCompleted(&accounting, Account{"red", "reports"}, 1)
 	jobs := newReportsAndPhotos()
 	jobs[0].Age, jobs[1].Age, jobs[2].Age = 10, 10, 10
 	if accounting.Evaluate(now, jobs, &testRules); boostedJobs(jobs) != nil {
-		t.Error("boosted:", boostedJobs(jobs))
+		t.Error("want no job boosted, got:", boostedJobs(jobs))
 	}
 }
 
@@ -95,7 +97,8 @@
 	}
 }
 
-// A new leader reads the records of completed jobs in any order.
+// A new leader reads the records of completed jobs in any order, and must compute the same sums as
+// the earlier one.
 func TestAccountingDecaysAndIgnoresOrder(t *testing.T) {
 	var submitted []float64
 	for i := range 50 {
@@ -113,15 +116,16 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	rng.Shuffle(len(submitted), func(i, k int) { submitted[i], submitted[k] = submitted[k], submitted[i] })
 	if shuffled := servedAt(800); math.Abs(inOrder-shuffled) > 1e-9 || inOrder > 50 || inOrder < 50/math.E {
-		t.Error("in order:", inOrder, "shuffled:", shuffled)
+		t.Error("served, recorded in order:", inOrder, "recorded in random order:", shuffled)
 	}
 	if later := servedAt(800 + testRules.DecayTime); math.Abs(later*math.E-inOrder) > 1e-9 {
-		t.Error("at first:", inOrder, "after the decay time:", later)
+		t.Error("served at first:", inOrder, "after the decay time:", later)
 	}
 }
 
-// An account that had far less than another underserved one goes first, however large its
-// jobs are; and ahead of urgent work only where that uses most of what is used.
+// Of two underserved accounts, the one with the far smaller served share is boosted first, however
+// large its jobs are. It ranks ahead of urgent work only if urgent work uses more than half of the
+// CPUs in use.
 func TestBoostOrderFollowsDeficit(t *testing.T) {
 	var accounting Accounting
 	recordCompleted(&accounting, Account{"red", "photos"}, 4)
@@ -138,16 +142,16 @@
 	jobs = append(jobs, urgent)
 	jobs[1].CPUsInUse = 9
 	if accounting.Evaluate(now, jobs, &testRules); jobs[0].Boost != BoostAboveUrgent {
-		t.Error("urgent work that uses most stays ahead of what is long overdue")
+		t.Error("long overdue job is not ahead of urgent work that uses most of the CPUs in use")
 	}
 	jobs[2].CPUsInUse = 2
 	if accounting.Evaluate(now, jobs, &testRules); jobs[0].Boost != BoostBelowUrgent {
-		t.Error("urgent work that uses little has to wait")
+		t.Error("long overdue job is ahead of urgent work that uses less than half of the CPUs in use")
 	}
 }
 
-// Urgent work keeps its rank until the account lacks its share of what waits for twice the
-// time after which jobs are overdue.
+// A boosted job stays behind urgent work until its account lacks its share of the jobs that have
+// waited for twice Rules.OverdueAfter.
 func TestBoostAboveUrgentNeedsLongOverdueJobs(t *testing.T) {
 	var accounting Accounting
 	urgent := newJob("red", "alerts", 1, 1, 1)
@@ -159,7 +163,7 @@
 		jobs := []Job{newJob("red", "reports", test.age, 0, 1), urgent}
 		accounting.Evaluate(now, jobs, &testRules)
 		if jobs[0].Boost != test.want {
-			t.Errorf("after %v seconds: boost %v, not %v", test.age, jobs[0].Boost, test.want)
+			t.Errorf("job waiting for %v seconds: got boost %v, want %v", test.age, jobs[0].Boost, test.want)
 		}
 	}
 }
@@ -182,22 +186,22 @@
 	}
 	accounting.Evaluate(now, jobs, &testRules)
 	if !jobs[0].Protected || jobs[1].Protected || jobs[2].Protected {
-		t.Errorf("only the overdue job that was started is to be protected: %+v", jobs)
+		t.Errorf("want only the started overdue job protected, got %+v", jobs)
 	}
 	recordCompleted(&accounting, Account{"red", "reports"}, 3)
 	if accounting.Evaluate(now, jobs, &testRules); jobs[0].Protected {
-		t.Error("protected although enough is completed")
+		t.Error("job is protected although the completed jobs alone reach the minimum share")
 	}
 }
 
-// Class names that are used once count as one account, and no share is owed to what can't be
-// served.
+// The classes of a team that are each used once are evaluated as one account, ineligible jobs do
+// not count towards its deficit, and sums that have decayed below negligibleServed are deleted.
 func TestRareAccountsAreMergedAndDiscarded(t *testing.T) {
 	var accounting Accounting
 	var jobs []Job
 	for i := range 40 {
 		jobs = append(jobs, newJob("red", "once-"+strconv.Itoa(i), 500, 0, float64(40-i)))
-		recordCompleted(&accounting, Account{"red", "gone-" + strconv.Itoa(i)}, 1)
+		recordCompleted(&accounting, Account{"red", "completed-" + strconv.Itoa(i)}, 1)
 	}
 	jobs[39].Ineligible = true
 	states := accounting.Evaluate(now, jobs, &testRules)
@@ -206,12 +210,12 @@
 	}
 	accounting.Evaluate(now+5*testRules.DecayTime, jobs, &testRules)
 	if len(accounting.accounts) != 0 {
-		t.Error(len(accounting.accounts), "names are remembered for ever")
+		t.Error(len(accounting.accounts), "accounts are still stored after five decay times, want none")
 	}
 }
 
-// checkBoosts checks that only open jobs of an underserved account are boosted, each with a
-// rank of its own, and that they make up its deficit and less than one job more.
+// checkBoosts checks that only open jobs of an underserved account are boosted, that no two boosted
+// jobs have the same rank, and that they make up the account's deficit and less than one job more.
 func checkBoosts(t *rapid.T, state *AccountState, jobs []Job, ranks map[int]bool) {
 	boosted, open := 0.0, 0.0
 	for i := range jobs {
@@ -227,12 +231,12 @@
 		}
 		boosted += 1 - job.StartedShare
 		if job.Ineligible || job.StartedShare >= 1 || ranks[job.BoostRank] || state.Deficit == 0 {
-			t.Fatalf("a boost for %+v of %+v", *job, state)
+			t.Fatalf("job %+v is boosted although it is not open, its rank is used or its account has no deficit: %+v", *job, state)
 		}
 		ranks[job.BoostRank] = true
 	}
 	if boosted < min(state.Deficit, open)-1e-9 || boosted >= state.Deficit+1 && state.Deficit > 0 {
-		t.Fatalf("boosts for %v jobs, a deficit of %v", boosted, state.Deficit)
+		t.Fatalf("%v jobs are boosted for a deficit of %v", boosted, state.Deficit)
 	}
 }
 
