--- a/internal/calibration/calibration_test.go
+++ b/internal/calibration/calibration_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// newTrainedModel observes 200 jobs whose estimates are three times too high throughout, and noisy.
+// newTrainedModel returns a model that has observed 200 jobs, with estimates that are three times
+// too high on average and have random errors of the given standard deviation of their logarithm.
 func newTrainedModel(noise float64) *Model {
 	rng := rand.New(rand.NewPCG(1, 2))
 	model := &Model{}
@@ -23,25 +24,25 @@
 	for _, test := range []struct {
 		name      string
 		noise     float64
-		low, high float64 // bounds of the factor for three times the usual estimate
+		low, high float64 // bounds of the factor for three times the typical estimate
 	}{
-		{"good estimates are followed", 0.05, 2.6, 3.2},
-		{"noise is ignored", 3, 0.8, 1.35},
+		{"accurate estimates are followed", 0.05, 2.6, 3.2},
+		{"noisy estimates are ignored", 3, 0.8, 1.35},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			model := newTrainedModel(test.noise)
 			typical := math.Exp(model.meanLogEstimate)
 			if factor := model.Factor(3 * typical); factor < test.low || factor > test.high {
-				t.Errorf("three times the usual estimate: factor %v, not %v to %v", factor, test.low, test.high)
+				t.Errorf("three times the typical estimate: got factor %v, want %v to %v", factor, test.low, test.high)
 			}
 			if factor := model.Factor(typical); factor != 1 {
-				t.Errorf("the usual estimate: factor %v, not 1", factor)
+				t.Errorf("the typical estimate: got factor %v, want 1", factor)
 			}
 			if factor := model.Factor(1e9 * typical); factor > maxFactor {
-				t.Errorf("a huge estimate: factor %v, more than %v", factor, maxFactor)
+				t.Errorf("a huge estimate: got factor %v, want at most %v", factor, maxFactor)
 			}
 			if factor := model.Factor(0); factor != 1 {
-				t.Errorf("no estimate: factor %v, not 1", factor)
+				t.Errorf("no estimate: got factor %v, want 1", factor)
 			}
 		})
 	}
@@ -50,7 +51,7 @@
 func TestFactorIsOneWithoutHistory(t *testing.T) {
 	var model Model
 	if factor := model.Factor(10); factor != 1 {
-		t.Errorf("factor %v, not 1", factor)
+		t.Errorf("got factor %v, want 1", factor)
 	}
 }
 
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -1,13 +1,13 @@
-// Package estimator predicts how long tasks run, from the durations of completed tasks and from
-// the estimates that the owners of jobs give.
+// Package estimator predicts the durations of tasks from the durations of completed tasks and from
+// the estimates of the jobs' owners.
 //
-// It owns the history of durations and its stored form. It is pure: it knows no clock, store,
-// queue or machine; who calls it passes the time of day and decides when the history is read
-// and written. Not safe for concurrent use.
+// It owns the history of durations and its stored form. It is pure: it must not know a clock, the
+// store, the queue or machines. The caller passes the wall-clock time and decides when the history
+// is read and written. The package is not safe for concurrent use.
 //
 // Invariants: a prediction is positive; within a round (see BeginRound) the prediction of a key
-// does not change; sums are taken in the order of the keys, so that every controller with the
-// same history predicts the same.
+// does not change; means are merged in the order of their keys, so that every controller with the
+// same history makes the same predictions.
 package estimator
 
 import (
@@ -20,29 +20,32 @@
 )
 
 const (
-	// maxKeys bounds the keys whose durations, and owners' estimates, are followed.
+	// maxKeys limits the number of keys in the stored history, and the number of keys whose owners'
+	// estimates are calibrated.
 	maxKeys = 1024
 
-	// priorWeight is how many completed tasks of a job count as much as the prediction from
-	// other jobs. The first tasks to complete are the shortest ones, so a few prove little.
+	// priorWeight is the weight of the prediction from other jobs, as a number of completed tasks
+	// of the job itself. The first tasks of a job to complete are the shortest ones, so a few of
+	// them say little about the others.
 	priorWeight = 4
 
-	// minSeconds is predicted where neither history nor the owner knows anything.
+	// minSeconds is the prediction if there is neither a matching history nor an estimate of the
+	// owner, and the lower bound for an estimate that is used as the prediction.
 	minSeconds = 1
 )
 
-// Estimator predicts the durations of tasks. It learns from completed tasks only: how long a
-// failed task ran says nothing.
+// Estimator predicts the durations of tasks. It learns from completed tasks only, because the time
+// that a failed task ran says nothing about the duration of others.
 type Estimator struct {
-	maxTasks         float64 // completed tasks that a mean goes back to
+	maxTasks         float64 // upper bound of the number of tasks that a mean weighs
 	history          map[Key]*RunningMean
-	calibrations     map[Key]*calibration.Model // what the owners' estimates have been worth
-	predictions      map[Key]float64            // of this round; 0: the history knows nothing
-	predictionsStale bool                       // durations have come since predictions were cleared
+	calibrations     map[Key]*calibration.Model // accuracy of the owners' estimates
+	predictions      map[Key]float64            // cached for this round; 0: no matching history
+	predictionsStale bool                       // durations were observed since predictions was cleared
 	version          uint64
 }
 
-// New makes an estimator without history. A mean follows about the last maxTasks tasks.
+// New returns an estimator without history. Each of its means covers about the last maxTasks tasks.
 func New(maxTasks float64) *Estimator {
 	return &Estimator{
 		maxTasks:     maxTasks,
@@ -55,7 +58,7 @@
 // Version changes with every duration that is observed, and starts at 0.
 func (e *Estimator) Version() uint64 { return e.version }
 
-// Means walks over the mean durations in seconds, in no order.
+// Means iterates over the keys and their mean durations in seconds, in no particular order.
 func (e *Estimator) Means() iter.Seq2[Key, float64] {
 	return func(yield func(Key, float64) bool) {
 		for key, mean := range e.history {
@@ -71,16 +74,16 @@
 	key := KeyOf(job)
 	if e.calibrations[key] == nil {
 		if len(e.calibrations) >= maxKeys {
-			return // keys that never come back teach nothing
+			return // most further keys never occur again, so there is nothing to learn about them
 		}
 		e.calibrations[key] = &calibration.Model{}
 	}
 	e.calibrations[key].ObserveEstimate(job.EstimateS)
 }
 
-// TaskCompleted observes how many seconds a task of a job ran; now is the time of day. The
-// duration also goes into jobMean, which is of the job's own tasks. firstOfJob says that no task
-// of the job had completed before: the first tells what its owner's estimate was worth.
+// TaskCompleted observes that a task of a job ran for this many seconds; now is the wall-clock time
+// in seconds. It also adds the duration to jobMean, the mean of the job's own tasks. firstOfJob
+// means that no task of the job had completed before: the first one calibrates the owner's estimate.
 func (e *Estimator) TaskCompleted(job *protocol.Job, jobMean *RunningMean, firstOfJob bool, seconds, now float64) {
 	key := KeyOf(job)
 	if model := e.calibrations[key]; model != nil && firstOfJob {
@@ -103,8 +106,9 @@
 	e.version++
 }
 
-// BeginRound lets predictions take account of the durations that were observed since the last
-// round. Within a round they stay: thousands of jobs share some dozens of keys.
+// BeginRound starts a round, whose predictions include all durations observed before it. Within a
+// round, the prediction of each key is computed once and cached, because thousands of jobs share
+// some dozens of keys.
 func (e *Estimator) BeginRound() {
 	if e.predictionsStale {
 		e.predictionsStale = false
@@ -112,9 +116,9 @@
 	}
 }
 
-// Predict is how many seconds a task of a job runs: the mean of its team and class; failing that
-// its team's, then that of all tasks with the same demand for GPUs (or CPUs), then its owner's
-// estimate.
+// Predict returns the predicted duration of a task of a job in seconds: the mean of its team and
+// class or, if there is none, that of its team, then that of all tasks with the same number of GPUs
+// (or of CPUs, without GPUs), then its owner's estimate.
 func (e *Estimator) Predict(job *protocol.Job) float64 {
 	if seconds := e.predictFromHistory(KeyOf(job)); seconds > 0 {
 		return seconds
@@ -122,9 +126,9 @@
 	return max(job.EstimateS, minSeconds)
 }
 
-// PredictForJob predicts a task of one job, as distinct from others of its key: prior is what is
-// predicted of all of them, which the owner's estimate corrects as far as those have been worth
-// something, and jobMean is of the job's own completed tasks.
+// PredictForJob returns the predicted duration of a task of one particular job in seconds. prior is
+// the prediction for all jobs of its key; it is corrected by the owner's estimate as far as earlier
+// estimates for this key were accurate. jobMean is the mean of the job's own completed tasks.
 func (e *Estimator) PredictForJob(job *protocol.Job, prior float64, jobMean RunningMean) float64 {
 	key := KeyOf(job)
 	if model := e.calibrations[key]; model != nil && e.predictFromHistory(key) > 0 {
@@ -133,7 +137,7 @@
 	return (prior*priorWeight + jobMean.mean*jobMean.count) / (priorWeight + jobMean.count)
 }
 
-// predictFromHistory is the prediction from completed tasks, 0 if there is none.
+// predictFromHistory returns the prediction from completed tasks in seconds, 0 if there is none.
 func (e *Estimator) predictFromHistory(key Key) float64 {
 	seconds, ok := e.predictions[key]
 	if !ok {
@@ -143,7 +147,8 @@
 	return seconds
 }
 
-// computePrediction works out the prediction of a key from the means of all keys that resemble it.
+// computePrediction computes the prediction for a key from the means of the keys with the same team
+// and class, of those with the same team or of those with the same demand.
 func (e *Estimator) computePrediction(key Key) float64 {
 	var sameClass, sameTeam, sameDemand RunningMean
 	for _, other := range e.sortedKeys() {
@@ -166,7 +171,6 @@
 	return 0
 }
 
-// sortedKeys lists the keys of the history in order.
 func (e *Estimator) sortedKeys() []Key {
 	return slices.SortedFunc(maps.Keys(e.history), Key.compare)
 }
--- a/internal/estimator/record.go
+++ b/internal/estimator/record.go
@@ -9,17 +9,18 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Sizes of a record in the form in which the store counts values.
+// Sizes in bytes, as the state service counts them (see protocol.JSONSize).
 const (
 	emptyRecordBytes = 16 // the record without any mean
-	separatorBytes   = 2  // between two means
+	separatorBytes   = 2  // separator between two means
 )
 
-// storedMeanScale is what a stored mean is rounded to, so that more of them fit: a prediction is not that
-// good.
+// storedMeanScale makes stored means round to hundredths of a second, so that more of them fit into
+// a record. Predictions are less accurate than that.
 const storedMeanScale = 100
 
-// Load takes over a stored history, nil for none, in place of all that was observed.
+// Load replaces the history by a stored one, nil for none, and discards the calibration of owners'
+// estimates. Version does not change.
 func (e *Estimator) Load(record *records.Estimates) {
 	clear(e.history)
 	clear(e.predictions)
@@ -32,9 +33,10 @@
 	}
 }
 
-// Record is the history as it is stored, the newest means first, as many as maxBytes hold. What
-// does not fit is known to this estimator only. Keys beyond maxKeys that were not seen for longest
-// are forgotten: those that never come back would pile up.
+// Record returns the history in its stored form, the newest means first, as many as fit into
+// maxBytes. Means that do not fit remain in this estimator only. If there are more than maxKeys
+// keys, Record deletes the least recently observed ones from the history: keys that are never used
+// again would accumulate otherwise.
 func (e *Estimator) Record(maxBytes int) records.Estimates {
 	var record records.Estimates
 	for _, key := range e.sortedKeys() {
@@ -59,7 +61,7 @@
 	return record
 }
 
-// countWithin is how many of the first means a record of maxBytes holds.
+// countWithin returns how many of the means, from the first, fit into a record of maxBytes.
 func countWithin(means []records.Mean, maxBytes int) int {
 	size := emptyRecordBytes
 	for i := range means {
--- a/internal/orderedmap/orderedmap.go
+++ b/internal/orderedmap/orderedmap.go
@@ -1,8 +1,8 @@
-// Package orderedmap is a map whose names are walked in order, so that everything that follows
-// from a walk comes out the same every time.
+// Package orderedmap implements a map that iterates over its names in sorted order, so that results
+// computed from an iteration are deterministic.
 //
-// It is made for walks over all entries with a few changes in between, as in the rounds of a
-// scheduler. Not safe for concurrent use.
+// It is optimized for iterations over all entries with a few changes in between, as in the rounds
+// of a scheduler. It is not safe for concurrent use.
 package orderedmap
 
 import (
@@ -10,26 +10,27 @@
 	"slices"
 )
 
-// Map is a map from names to values. What is set and deleted between two walks is merged by the
-// next one, which passes over all names anyway: kept sorted at every change, ten thousand machines
-// that came up cost a copy of all names each.
+// Map is a map from names to values. Changes to the set of names between two iterations are merged
+// into the sorted order by the next iteration, which visits all names anyway. If the order were
+// updated at every change, then for ten thousand machines that come up, all names would be copied
+// once for each machine.
 //
-// Invariant: a name of values is in ordered or in added; both may name what was deleted since, and
-// then removed is not 0.
+// Invariant: each name in values is in ordered, in added or in both. Either may also contain names
+// that were deleted since the last merge; removed is then not 0.
 type Map[V any] struct {
 	values  map[string]V
-	ordered []string // as of the last merge; a walk keeps the slice it began with, so a merge makes a new one
-	added   []string // set since, in no order
-	removed int      // how many were deleted since; some of them may have been set again
+	ordered []string // sorted; a merge makes a new slice, because an iteration keeps the one it began with
+	added   []string // names added since the last merge that addName could not append to ordered; unsorted
+	removed int      // deletions since the last merge; some of the names may have been added again
 }
 
-// New makes an empty map.
+// New returns an empty map.
 func New[V any]() *Map[V] { return &Map[V]{values: map[string]V{}} }
 
-// Get is the value of a name, the zero value if it is not in the map.
+// Get returns the value of a name, or the zero value if the name is not in the map.
 func (m *Map[V]) Get(name string) V { return m.values[name] }
 
-// Len is how many names there are.
+// Len returns the number of names.
 func (m *Map[V]) Len() int { return len(m.values) }
 
 // Set sets the value of a name.
@@ -40,7 +41,8 @@
 	m.values[name] = value
 }
 
-// addName appends a name that is the last in order at once, and leaves others to the next merge.
+// addName appends a name to the sorted names if it sorts after all of them and no merge is pending.
+// It leaves other names to the next merge.
 func (m *Map[V]) addName(name string) {
 	merged := m.removed == 0 && len(m.added) == 0
 	if last := len(m.ordered) - 1; merged && (last < 0 || m.ordered[last] < name) {
@@ -58,13 +60,13 @@
 	}
 }
 
-// Keys lists the names in order. The caller must not change the slice.
+// Keys returns the names in sorted order. The caller must not change the slice.
 func (m *Map[V]) Keys() []string {
 	if m.removed == 0 && len(m.added) == 0 {
 		return m.ordered
 	}
 	slices.Sort(m.added)
-	merged := make([]string, 0, len(m.values)+len(m.values)/8) // with room for names that come in order
+	merged := make([]string, 0, len(m.values)+len(m.values)/8) // with spare capacity for names that addName appends
 	appendName := func(name string) {
 		_, ok := m.values[name]
 		if ok && (len(merged) == 0 || merged[len(merged)-1] != name) {
@@ -86,8 +88,9 @@
 	return merged
 }
 
-// All walks in the order of the names. What is deleted on the way is left out, what is added need
-// not be met.
+// All iterates over the entries in the sorted order of their names. The loop body may change the
+// map: names deleted before they are reached are skipped, and names added during the iteration may
+// or may not be visited.
 func (m *Map[V]) All() iter.Seq2[string, V] {
 	return func(yield func(string, V) bool) {
 		for _, name := range m.Keys() {
--- a/internal/orderedmap/orderedmap_test.go
+++ b/internal/orderedmap/orderedmap_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Whatever is set and deleted, also during a walk, a walk meets every name that stays once and in
-// order.
+// Whatever is set and deleted, also during an iteration, the next full iteration visits every name
+// in the map once and in sorted order.
 func TestOrderedMapIteratesInOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	m, want := New[int](), map[string]int{}
@@ -34,11 +34,11 @@
 			var got []string
 			for visited, value := range m.All() {
 				if got = append(got, visited); want[visited] != value {
-					t.Fatalf("%s is %d, not %d", visited, value, want[visited])
+					t.Fatalf("value of %s: got %d, want %d", visited, value, want[visited])
 				}
 			}
 			if all := slices.Sorted(maps.Keys(want)); !slices.Equal(got, all) || m.Len() != len(all) {
-				t.Fatalf("%d: visited %v of %v", i, got, all)
+				t.Fatalf("step %d: visited %v, want %v", i, got, all)
 			}
 		}
 	}
