--- a/internal/binpacking/capacity.go
+++ b/internal/binpacking/capacity.go
@@ -69,8 +69,8 @@
 }
 
 // BetterFit reports whether a is preferred over b for a task that fits on both and uses image. A
-// machine that has the image cached is preferred, because a pull delays the task and its time is
-// paid for; then a spot instance; then the machine with less free capacity, so that tasks are
+// machine that has the image cached is preferred, because a pull delays the task while the machine
+// is paid for; then a spot instance; then the machine with less free capacity, so that tasks are
 // consolidated. On-demand machines that are not needed are unschedulable, so callers do not pass
 // them.
 func BetterFit(a, b *Capacity, image string) bool {
--- a/internal/calibration/calibration.go
+++ b/internal/calibration/calibration.go
@@ -2,11 +2,11 @@
 // one name.
 //
 // Durations are predicted from the history of a name, so all jobs of a name get the same prediction.
-// Where their durations differ, the owner's estimate for a job may be better. How much better is
-// learned by a linear regression: of the logarithm of the actual duration, relative to the
+// Where their durations differ, the owner's estimate for a job may be better. How far to follow it
+// is learned by a linear regression of the logarithm of the actual duration, relative to the
 // prediction for the name, on the logarithm of the estimate, relative to the mean estimate for the
 // name. With a slope of 1 the estimate is followed, with a slope of 0 it is ignored. Only ratios
-// within a name matter, so owners who always estimate too much or too little do no harm.
+// within a name matter, so it makes no difference if owners always estimate too much or too little.
 //
 // The slope is pulled towards one half until the observations outweigh this prior (ridge
 // regression). One half is about right for estimates whose errors are as large as the differences
@@ -22,7 +22,7 @@
 
 const (
 	priorSlope  = 0.5 // the slope without any history
-	priorWeight = 1.0 // weight of the prior, as a sum of squared deviations; equals four jobs that deviate by one half each
+	priorWeight = 1.0 // weight of the prior, as a sum of squares; equals four jobs whose ln(estimate) deviates by one half
 
 	// maxFactor limits by which factor an estimate can raise or lower the prediction for a name: a
 	// single wrong estimate must not make a job look negligible, or as long as all others together.
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -76,7 +76,7 @@
 	removed        bool    // the node was removed from Graph.nodes
 
 	ownPriority, effectivePriority Priority
-	unsortedDependents             int // while the topological order is made
+	unsortedDependents             int // dependents that sortTopologically has not added to the order yet
 }
 
 // New returns an empty graph.
