--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -63,7 +63,7 @@
 func (c *Client) CreateInstances(request core.CreateInstances) core.CreateInstancesResult {
 	var names protocol.MachineNames
 	status := c.rpc.Call(fasthttp.MethodPost, c.address, "/machines", request.Request, &names, timeout, fasthttp.StatusOK)
-	return core.CreateInstancesResult{Request: request.Request.Request, Outcome: engine.CloudOutcome(status), Names: names.Machines}
+	return core.CreateInstancesResult{Request: request.Request.RequestID, Outcome: engine.CloudOutcome(status), Names: names.Machines}
 }
 
 // DeleteInstances returns rented machines to the cloud.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-const good = `{"label":"n0","area":"a","serve_on":"127.0.0.1:1","peer_listen":"127.0.0.1:2","later":1,
+const validSettings = `{"label":"n0","area":"a","serve_on":"127.0.0.1:1","peer_listen":"127.0.0.1:2","later":1,
 "siblings":[{"label":"n1","area":"a","address":"127.0.0.1:3"}],
 "external":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},
 "settings":{"teams":[{"name":"red","cpus":4,"cpus_max":8}],
 "workers":{"report_s":2,"lease_s":16,"cancel_s":45},"state":{"rps":100,"write_rps":50,"value_kb":16,"txn_ops":16},
 "cloud":{"rps":5,"list_lag_s":3},"resources":{"cores":0.2,"ram_mb":128,"max_sockets":1000}}}`
 
-func TestSettings(t *testing.T) {
-	s, err := Parse([]byte(good))
-	if err != nil || s.Label != "n0" || s.Site.InitialSize != 2 {
+func TestParseAcceptsValidAndRejectsInvalidSettings(t *testing.T) {
+	s, err := Parse([]byte(validSettings))
+	if err != nil || s.Label != "n0" || s.Site.InitialControllers != 2 {
 		t.Fatal(s, err)
 	}
 	if l := s.Site.Store.Lowest(); l != s.Site.Store {
 		t.Fatal(l)
 	}
-	next, err := Parse([]byte(strings.Replace(good, `"txn_ops":16`, `"txn_ops":16,"next":{"value_kb":2,"txn_ops":20}`, 1)))
+	next, err := Parse([]byte(strings.Replace(validSettings, `"txn_ops":16`, `"txn_ops":16,"next":{"value_kb":2,"txn_ops":20}`, 1)))
 	if err != nil || next.Site.Store.Lowest() != (StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 2, MaxTxnOps: 16}) {
 		t.Fatal(next, err)
 	}
@@ -35,8 +35,8 @@
 		{`"txn_ops":16`, `"txn_ops":16,"next":{"rps":-1}`}: "settings.state.next",
 		{`"ram_mb":128`, `"ram_mb":"much"`}:                "ram_mb",
 	} {
-		text := strings.Replace(good, change[0], change[1], 1)
-		if text == good {
+		text := strings.Replace(validSettings, change[0], change[1], 1)
+		if text == validSettings {
 			t.Fatalf("%s is not in the settings", change[0])
 		}
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), field) {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestPolicy(t *testing.T) {
+func TestParsePolicyAcceptsValidAndRejectsInvalidScripts(t *testing.T) {
 	p, err := ParsePolicy("p.star", []byte("_days = 3\ndef half(x):\n    return x / 2\nspot_share = half(1)\nquarantine_jobs = _days\n"))
 	if err != nil || p.SpotShare != 0.5 || p.QuarantineJobs != 3 || p.AgingLeases != DefaultPolicy().AgingLeases {
 		t.Fatal(p, err)
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -23,9 +23,9 @@
 	SpotShare           float64 // largest share of the CPUs on cheap machines
 	IdleBoots           float64 // an idle machine is kept for this many boot times
 	HorizonShare        float64 // share of an aim's time in which queued work should be done
-	SoonBoots           float64 // queued work should be done within this many boot times, on cheap machines
-	RushBoots           float64 // an ordinary machine is hired for work that has more than this many boot times left
-	PreemptReports      float64 // a task is stopped for others if it loses at most this many report periods of work
+	SpotMinBoots        float64 // queued work should be done within this many boot times, on cheap machines
+	OnDemandMinBoots    float64 // an ordinary machine is hired for work that has more than this many boot times left
+	PreemptHeartbeats   float64 // a task is stopped for others if it loses at most this many report periods of work
 	PreemptForGuarantee bool    // stop what others run beyond their guarantee
 	BootTimeoutFactor   float64 // a boot is given up after this many boot times
 	FairShare           float64 // the share of the jobs of each class of a team that is served before others go on; 0: none
@@ -43,9 +43,9 @@
 		SpotShare:           1,
 		IdleBoots:           0.5,
 		HorizonShare:        0.15,
-		SoonBoots:           1,
-		RushBoots:           4,
-		PreemptReports:      4,
+		SpotMinBoots:        1,
+		OnDemandMinBoots:    4,
+		PreemptHeartbeats:   4,
 		PreemptForGuarantee: false,
 		BootTimeoutFactor:   3,
 		FairShare:           0.55,
@@ -56,8 +56,8 @@
 
 // Bounds of a policy script: it is run once, at start.
 const (
-	policySteps = 1_000_000
-	policyTime  = 2 * time.Second
+	policyMaxSteps = 1_000_000
+	policyTimeout  = 2 * time.Second
 )
 
 // LoadPolicy runs a Starlark script whose global variables set the choices.
@@ -88,7 +88,7 @@
 	var errs []error
 	for _, key := range slices.Sorted(maps.Keys(variables)) {
 		if value, ok := globals[key]; ok {
-			if problem := variables[key].take(value); problem != "" {
+			if problem := variables[key].apply(value); problem != "" {
 				errs = append(errs, &ScriptError{lineOf(name, src, key), fmt.Sprintf("%s = %s: %s", key, value, problem)})
 			}
 		}
@@ -109,8 +109,8 @@
 	low, high float64
 }
 
-// take takes the script's value and says what is wrong with it, if anything.
-func (v variable) take(value starlark.Value) (problem string) {
+// apply takes the script's value and says what is wrong with it, if anything.
+func (v variable) apply(value starlark.Value) (problem string) {
 	x, ok := starlark.AsFloat(value)
 	if !ok || math.IsNaN(x) || x < v.low || x > v.high {
 		return fmt.Sprintf("must be a number from %g to %g", v.low, v.high)
@@ -144,9 +144,9 @@
 		"spot_share":            number(&p.SpotShare, 0, 1),
 		"idle_boots":            number(&p.IdleBoots, 0, 1000),
 		"horizon_share":         number(&p.HorizonShare, 0.05, 1),
-		"soon_boots":            number(&p.SoonBoots, 0.1, 1000),
-		"rush_boots":            number(&p.RushBoots, 0, 1000),
-		"preempt_reports":       number(&p.PreemptReports, 0, 1e6),
+		"soon_boots":            number(&p.SpotMinBoots, 0.1, 1000),
+		"rush_boots":            number(&p.OnDemandMinBoots, 0, 1000),
+		"preempt_reports":       number(&p.PreemptHeartbeats, 0, 1e6),
 		"preempt_for_guarantee": flag(&p.PreemptForGuarantee),
 		"boot_patience":         number(&p.BootTimeoutFactor, 1.5, 100),
 		"floor_share":           number(&p.FairShare, 0, 0.95),
@@ -161,19 +161,19 @@
 // runScript runs a script within its bounds and returns its globals.
 func runScript(name string, src []byte) (starlark.StringDict, error) {
 	thread := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(policySteps)
-	stop := time.AfterFunc(policyTime, func() { thread.Cancel("took longer than " + policyTime.String()) })
+	thread.SetMaxExecutionSteps(policyMaxSteps)
+	stop := time.AfterFunc(policyTimeout, func() { thread.Cancel("took longer than " + policyTimeout.String()) })
 	defer stop.Stop()
 	globals, err := starlark.ExecFileOptions(dialect, thread, name, src, nil)
 	var failure *starlark.EvalError
 	if errors.As(err, &failure) {
-		return nil, &ScriptError{innermost(failure, name).String(), failure.Msg}
+		return nil, &ScriptError{innermostPosition(failure, name).String(), failure.Msg}
 	}
 	return globals, err
 }
 
-// innermost is where in the script itself an error arose.
-func innermost(failure *starlark.EvalError, name string) syntax.Position {
+// innermostPosition is where in the script itself an error arose.
+func innermostPosition(failure *starlark.EvalError, name string) syntax.Position {
 	position := syntax.MakePosition(&name, 0, 0)
 	for _, frame := range failure.CallStack {
 		if frame.Pos.Filename() == name {
--- a/internal/config/policy_default_test.go
+++ b/internal/config/policy_default_test.go
@@ -10,7 +10,7 @@
 // began with 1, and not with the default.
 //
 // A script that sets nothing, or one variable to its default, gives the default policy.
-func TestVariablesThatAreNotSetKeepTheirDefaults(t *testing.T) {
+func TestUnsetPolicyVariablesKeepTheirDefaults(t *testing.T) {
 	scripts := map[string]string{"empty": "", "a helper only": "_x = 1\n"}
 	for name, value := range map[string]any{
 		"aging_leases": 10, "history_tasks": 200, "quarantine_jobs": 2, "progress_share": 0.4, "spot_share": 1,
@@ -34,7 +34,7 @@
 }
 
 // The flag and the whole number, which are read as numbers, keep what the script says.
-func TestFlagAndWholeNumberAreTaken(t *testing.T) {
+func TestFlagAndWholeNumberTakeTheScriptsValue(t *testing.T) {
 	for script, want := range map[string]struct {
 		preempt bool
 		jobs    int
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -40,15 +40,15 @@
 
 // Site describes the deployment.
 type Site struct {
-	InitialSize  int          `json:"initial_size"`
-	Zones        []string     `json:"zones"`
-	Teams        []Team       `json:"teams"`
-	Objectives   []Objective  `json:"objectives"`
-	Workers      WorkerTiming `json:"workers"`
-	Store        StoreLimits  `json:"state"`
-	Cloud        CloudLimits  `json:"cloud"`
-	Resources    Resources    `json:"resources"`
-	ClockErrorMS float64      `json:"clock_error_ms"`
+	InitialControllers int          `json:"initial_size"`
+	Zones              []string     `json:"zones"`
+	Teams              []Team       `json:"teams"`
+	Objectives         []Objective  `json:"objectives"`
+	Workers            WorkerTiming `json:"workers"`
+	Store              StoreLimits  `json:"state"`
+	Cloud              CloudLimits  `json:"cloud"`
+	Resources          Resources    `json:"resources"`
+	ClockErrorMS       float64      `json:"clock_error_ms"`
 }
 
 // Team is a team's guarantee and limit; 0 means none.
@@ -97,16 +97,16 @@
 	out := *s
 	out.Next = nil
 	if s.Next != nil {
-		out.RPS = lowest(s.RPS, s.Next.RPS)
-		out.WriteRPS = lowest(s.WriteRPS, s.Next.WriteRPS)
-		out.ValueKB = lowest(s.ValueKB, s.Next.ValueKB)
-		out.MaxTxnOps = int(lowest(float64(s.MaxTxnOps), float64(s.Next.MaxTxnOps)))
+		out.RPS = smallerLimit(s.RPS, s.Next.RPS)
+		out.WriteRPS = smallerLimit(s.WriteRPS, s.Next.WriteRPS)
+		out.ValueKB = smallerLimit(s.ValueKB, s.Next.ValueKB)
+		out.MaxTxnOps = int(smallerLimit(float64(s.MaxTxnOps), float64(s.Next.MaxTxnOps)))
 	}
 	return out
 }
 
-// lowest is the smaller limit; a next one of 0 is not set.
-func lowest(now, next float64) float64 {
+// smallerLimit is the smaller limit; a next one of 0 is not set.
+func smallerLimit(now, next float64) float64 {
 	if next > 0 {
 		return min(now, next)
 	}
@@ -191,8 +191,8 @@
 	v := &validation{}
 	s.validateController(v)
 	site := &s.Site
-	if site.InitialSize == 0 {
-		site.InitialSize = len(s.Siblings) + 1
+	if site.InitialControllers == 0 {
+		site.InitialControllers = len(s.Siblings) + 1
 	}
 	validateTeams(v, site.Teams)
 	validateWorkers(v, &site.Workers)
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -106,7 +106,7 @@
 	cpus := sum.workAhead/left + f.inflowBefore(job)
 	sum.onTime = max(sum.onTime, cpus)
 	for name, machineType := range f.core.machineTypes() {
-		if left >= machineType.BootS*f.core.policy.RushBoots {
+		if left >= machineType.BootS*f.core.policy.OnDemandMinBoots {
 			sum.onTimeByType[name] = max(sum.onTimeByType[name], cpus)
 		}
 	}
@@ -124,7 +124,7 @@
 	if math.IsInf(boot, 1) {
 		return 0
 	}
-	return boot * f.core.policy.SoonBoots
+	return boot * f.core.policy.SpotMinBoots
 }
 
 // Parameters of completionHorizon.
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -178,7 +178,7 @@
 	if spec.CheckpointS > 0 {
 		lost = math.Mod(lost, spec.CheckpointS)
 	}
-	maxLost := scaleDuration(s.core.intervals.heartbeat, s.core.policy.PreemptReports)
+	maxLost := scaleDuration(s.core.intervals.heartbeat, s.core.policy.PreemptHeartbeats)
 	return lost * spec.CPUs, time.Duration(lost*float64(time.Second)) <= maxLost
 }
 
--- a/internal/core/random_deployment_test.go
+++ b/internal/core/random_deployment_test.go
@@ -86,8 +86,8 @@
 	d := &deployment{faultsOverAt: 20 * second}
 	site := &d.settings.Site
 	site.Zones = []string{"north", "south", "east", "west", "hill", "bay"}[:rapid.IntRange(1, 6).Draw(rt, "zones")]
-	site.InitialSize = rapid.IntRange(1, 7).Draw(rt, "controllers")
-	for i := range site.InitialSize {
+	site.InitialControllers = rapid.IntRange(1, 7).Draw(rt, "controllers")
+	for i := range site.InitialControllers {
 		d.settings.Siblings = append(d.settings.Siblings, config.Sibling{Label: fmt.Sprintf("ctl-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i+1),
 			Zone: rapid.SampledFrom(site.Zones).Draw(rt, "its zone")})
 	}
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -125,12 +125,12 @@
 	c := f.core
 	f.requestCounter++
 	body := protocol.CreateMachinesRequest{
-		Request: fmt.Sprintf("h-%s-%d-%d", c.bootID, c.scheduler.epoch, f.requestCounter),
-		Type:    p.typeName, Zone: p.zone, Spot: p.spot, Count: count,
+		RequestID: fmt.Sprintf("h-%s-%d-%d", c.bootID, c.scheduler.epoch, f.requestCounter),
+		Type:      p.typeName, Zone: p.zone, Spot: p.spot, Count: count,
 	}
-	f.createRequests[body.Request] = &createRequest{body: body}
+	f.createRequests[body.RequestID] = &createRequest{body: body}
 	c.emit(CreateInstances{Request: body})
-	c.logDebug("creating instances", "request", body.Request, "type", p.typeName, "zone", p.zone, "spot", p.spot,
+	c.logDebug("creating instances", "request", body.RequestID, "type", p.typeName, "zone", p.zone, "spot", p.spot,
 		"count", count, "cpus_missing", cpusMissing)
 }
 
@@ -235,7 +235,7 @@
 // request keeps its name, so nothing is created twice.
 func (f *fleet) retryCreate(request *createRequest) {
 	c := f.core
-	name := request.body.Request
+	name := request.body.RequestID
 	request.attempts++
 	if request.attempts > maxCreateAttempts {
 		delete(f.createRequests, name)
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -42,7 +42,7 @@
 	// A new leader waits for one heartbeat period until the others have connected, so that a
 	// change of leader causes one new map and not several.
 	settled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
-	if !settled && (missing || shardMap == nil && len(desired) < c.settings.Site.InitialSize) {
+	if !settled && (missing || shardMap == nil && len(desired) < c.settings.Site.InitialControllers) {
 		return
 	}
 	if m.epoch() > c.scheduler.epochAtElection && maps.Equal(shardMap.Members, desired) {
--- a/internal/engine/clients_test.go
+++ b/internal/engine/clients_test.go
@@ -35,7 +35,7 @@
 }
 
 func (fakeClients) CreateInstances(request core.CreateInstances) core.CreateInstancesResult {
-	return core.CreateInstancesResult{Request: request.Request.Request}
+	return core.CreateInstancesResult{Request: request.Request.RequestID}
 }
 
 func (fakeClients) DeleteInstances(request core.DeleteInstances) core.DeleteInstancesResult {
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -146,13 +146,13 @@
 // siteSettings is what the controllers are told.
 func (s *Settings) siteSettings() config.Site {
 	site := config.Site{
-		InitialSize:  s.Controllers,
-		Zones:        s.Zones,
-		Workers:      s.workerSettings(),
-		Store:        config.StoreLimits{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, MaxTxnOps: s.State.TxnOps},
-		Cloud:        config.CloudLimits{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
-		Resources:    config.Resources{Cores: controllerCores, RAMMB: controllerRAMMB, MaxSockets: controllerMaxSockets},
-		ClockErrorMS: clockErrorMS,
+		InitialControllers: s.Controllers,
+		Zones:              s.Zones,
+		Workers:            s.workerSettings(),
+		Store:              config.StoreLimits{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, MaxTxnOps: s.State.TxnOps},
+		Cloud:              config.CloudLimits{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
+		Resources:          config.Resources{Cores: controllerCores, RAMMB: controllerRAMMB, MaxSockets: controllerMaxSockets},
+		ClockErrorMS:       clockErrorMS,
 	}
 	for _, t := range s.Teams {
 		site.Teams = append(site.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -143,10 +143,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.machineType(r.Type)
-	if t == nil || !slices.Contains(t.Zones, r.Zone) || r.Count < 1 || r.Count > protocol.MaxCreate || r.Request == "" {
+	if t == nil || !slices.Contains(t.Zones, r.Zone) || r.Count < 1 || r.Count > protocol.MaxCreate || r.RequestID == "" {
 		return nil, errInvalidCreate
 	}
-	if names, ok := c.namesByRequest[r.Request]; ok {
+	if names, ok := c.namesByRequest[r.RequestID]; ok {
 		return names, nil
 	}
 	count := min(r.Count, c.room(t, r.Zone, r.Count))
@@ -158,11 +158,11 @@
 		c.lastNumber++
 		names = append(names, fmt.Sprintf("n-%06d", c.lastNumber))
 	}
-	record := journalRecord{Request: r.Request, Machines: names, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+	record := journalRecord{Request: r.RequestID, Machines: names, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	if err := c.appendRecord(record); err != nil {
 		return nil, err
 	}
-	c.namesByRequest[r.Request] = names
+	c.namesByRequest[r.RequestID] = names
 	for _, name := range names {
 		instance := protocol.Instance{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: protocol.MachineBooting}
 		c.machines[name] = c.boot(instance, *t)
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -37,11 +37,11 @@
 
 // CreateMachinesRequest asks for machines.
 type CreateMachinesRequest struct {
-	Request string `msgpack:"Hire"`
-	Type    string `msgpack:"Rigtype"`
-	Zone    string `msgpack:"Yard"`
-	Spot    bool   `msgpack:"Loaner"`
-	Count   int    `msgpack:"Number"`
+	RequestID string `msgpack:"Hire"`
+	Type      string `msgpack:"Rigtype"`
+	Zone      string `msgpack:"Yard"`
+	Spot      bool   `msgpack:"Loaner"`
+	Count     int    `msgpack:"Number"`
 }
 
 // MachineNames is a list of machine names.
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -109,12 +109,12 @@
 	"4eec271": {"record-piece"},
 }
 
-// TestGoldenBytes pins every message and stored record: bytes that earlier versions made
+// TestGoldenBytesRoundTrip pins every message and stored record: bytes that earlier versions made
 // are read, and written again as the same bytes. There is a file of each with every field
 // set, lists of two and maps of one entry, and one, "-zero", with none set, which shows what
 // is left out. A program built at each commit filled the fields by reflection. Fields that
 // production did not know are left out when they are not set, so its bytes stay the same.
-func TestGoldenBytes(t *testing.T) {
+func TestGoldenBytesRoundTrip(t *testing.T) {
 	for version, unknown := range goldenVersions {
 		t.Run(version, func(t *testing.T) {
 			missing := map[string]bool{}
@@ -190,9 +190,9 @@
 // Job leaves out as well, and one of the three flags.
 const flagged = "user-submission-flag-"
 
-// TestGoldenSubmissions compares the strict reading of submissions, field by field, with
+// TestDecodeJobMatchesStructTagDecoding compares the strict reading of submissions, field by field, with
 // that by struct tags, which TestGoldenBytes pins.
-func TestGoldenSubmissions(t *testing.T) {
+func TestDecodeJobMatchesStructTagDecoding(t *testing.T) {
 	for version := range goldenVersions {
 		files, err := filepath.Glob(filepath.Join("testdata", "golden", version, flagged+"*"))
 		if err != nil || len(files) != 3 {
@@ -214,18 +214,18 @@
 	}
 }
 
-// TestProtocolWords pins the words that stand in messages and stored records.
-func TestProtocolWords(t *testing.T) {
+// TestProtocolConstantsAreUnchanged pins the words that stand in messages and stored records.
+func TestProtocolConstantsAreUnchanged(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
-		{"kinds of job", internedWords(protocol.KindArray, protocol.KindGang, protocol.KindService), "array ensemble daemon"},
-		{"urgencies", internedWords(protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow), "prod high standard idle"},
-		{"states of a job", internedWords(protocol.JobQueued, protocol.JobRunning, protocol.JobDone, protocol.JobCancelled), "queued running done aborted"},
-		{"states of a task", internedWords(protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited, peerproto.StateHeld),
+		{"kinds of job", internedStrings(protocol.KindArray, protocol.KindGang, protocol.KindService), "array ensemble daemon"},
+		{"urgencies", internedStrings(protocol.UrgencyProduction, protocol.UrgencyHigh, protocol.UrgencyNormal, protocol.UrgencyLow), "prod high standard idle"},
+		{"states of a job", internedStrings(protocol.JobQueued, protocol.JobRunning, protocol.JobDone, protocol.JobCancelled), "queued running done aborted"},
+		{"states of a task", internedStrings(protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited, peerproto.StateHeld),
 			"fetching waiting running saving ended held"},
-		{"causes", internedWords(protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitNoCapacity, protocol.ExitDuplicate, protocol.ExitUnknownTask, protocol.ExitGangPeerLost, protocol.ExitGangIncomplete),
+		{"causes", internedStrings(protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitNoCapacity, protocol.ExitDuplicate, protocol.ExitUnknownTask, protocol.ExitGangPeerLost, protocol.ExitGangIncomplete),
 			"done halted error no_room busy no_such peers incomplete"},
-		{"commands", internedWords(protocol.CommandStart, protocol.CommandStop, protocol.CommandForget), "start kill clear"},
-		{"states of a machine", internedWords(protocol.MachineBooting, protocol.MachineRunning, protocol.MachineFailed), "booting running failed"},
+		{"commands", internedStrings(protocol.CommandStart, protocol.CommandStop, protocol.CommandForget), "start kill clear"},
+		{"states of a machine", internedStrings(protocol.MachineBooting, protocol.MachineRunning, protocol.MachineFailed), "booting running failed"},
 		{"content type", protocol.ContentType, "application/msgpack"},
 		{"name of a task", protocol.TaskName("job-7", 31), "job-7/31"},
 		{"set of tasks", records.TaskSet{3, 1}.Text(), "AwE"},
@@ -236,4 +236,4 @@
 	}
 }
 
-func internedWords(w ...string) string { return strings.Join(w, " ") }
+func internedStrings(w ...string) string { return strings.Join(w, " ") }
--- a/internal/protocol/heartbeat_decoder.go
+++ b/internal/protocol/heartbeat_decoder.go
@@ -32,7 +32,7 @@
 			r.Token, b, err = msgp.ReadUint64Bytes(b)
 		case "RecallS":
 			var s float64
-			s, b, err = readAmount(b)
+			s, b, err = readNumber(b)
 			r.NoticeS = &s
 		case "Lots":
 			var n uint32
@@ -76,8 +76,8 @@
 	})
 }
 
-// internedWords are the states and causes that a report repeats over and over.
-var internedWords = func() map[string]string {
+// internedStrings are the states and causes that a report repeats over and over.
+var internedStrings = func() map[string]string {
 	m := map[string]string{}
 	for _, w := range []string{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited,
 		ExitDone, ExitStopped, ExitFailed, ExitNoCapacity, ExitDuplicate, ExitUnknownTask, ExitGangPeerLost, ExitGangIncomplete} {
@@ -87,7 +87,7 @@
 }()
 
 func intern(word []byte) string {
-	if w, ok := internedWords[string(word)]; ok {
+	if w, ok := internedStrings[string(word)]; ok {
 		return w
 	}
 	return string(word)
@@ -113,8 +113,8 @@
 	return b, err
 }
 
-// readAmount reads a number, whichever way it is written.
-func readAmount(b []byte) (float64, []byte, error) {
+// readNumber reads a number, whichever way it is written.
+func readNumber(b []byte) (float64, []byte, error) {
 	switch msgp.NextType(b) {
 	case msgp.IntType, msgp.UintType:
 		n, b, err := msgp.ReadInt64Bytes(b)
--- a/internal/protocol/jsonsize.go
+++ b/internal/protocol/jsonsize.go
@@ -33,13 +33,13 @@
 		return s.text(int(code & msgpcode.FixedStrMask))
 	}
 	if width := lengthWidth(code); width > 0 {
-		return s.sized(code, int(bigEndian(s.take(width))))
+		return s.lengthPrefixed(code, int(bigEndian(s.take(width))))
 	}
 	return s.scalar(code)
 }
 
-// sized is the size of a value whose length was read.
-func (s *jsonSizer) sized(code byte, length int) int {
+// lengthPrefixed is the size of a value whose length was read.
+func (s *jsonSizer) lengthPrefixed(code byte, length int) int {
 	switch code {
 	case msgpcode.Map16, msgpcode.Map32:
 		return s.items(2 * length)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestDecodeJob(t *testing.T) {
+func TestDecodeJobAcceptsValidSubmissions(t *testing.T) {
 	j, err := protocol.DecodeJob(protocol.Encode(submission()))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestMalformedJobsAreRefusedByField(t *testing.T) {
+func TestDecodeJobRejectsMalformedSubmissions(t *testing.T) {
 	for field, bad := range map[string][]any{
 		"Ref":       {nil, "", 7, "job-", "job-1x", "run-1", "job-1/2"},
 		"Genre":     {"gang", 1},
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestParseTaskName(t *testing.T) {
+func TestParseTaskNameRejectsMalformedNames(t *testing.T) {
 	if ref, i, err := protocol.ParseTaskName(protocol.TaskName("job-7", 31)); ref != "job-7" || i != 31 || err != nil {
 		t.Fatal(ref, i, err)
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestTaskSet(t *testing.T) {
+func TestTaskSetRoundTripsInCompactForm(t *testing.T) {
 	var s records.TaskSet
 	for _, i := range []int{0, 9, 16383, 9} {
 		s.Add(i)
@@ -132,7 +132,7 @@
 
 // A report is read field by field: it must take what the protocol allows and
 // refuse the rest.
-func TestDecodeHeartbeat(t *testing.T) {
+func TestDecodeHeartbeatAcceptsValidAndRejectsMalformedFields(t *testing.T) {
 	m := map[string]any{
 		"Rig": "n-000231", "Addr": "10.1.0.232:9000", "Rigtype": "g8", "Yard": "a", "Loaner": true,
 		"Shift": 1, "Tally": 88, "Baton": uint64(3) << 40, "RecallS": 13, "Unheard": []any{1, "x"},
@@ -166,7 +166,7 @@
 }
 
 // Null, missing and empty are alike, and doubles count once.
-func TestDependenciesField(t *testing.T) {
+func TestDependenciesAreOptionalAndDeduplicated(t *testing.T) {
 	for _, c := range []struct {
 		value any
 		want  int
@@ -181,7 +181,7 @@
 
 // What production (deploy/service.toml) stores is read, field by field, and what it knows
 // of is written as the same bytes.
-func TestRecordsOfProduction(t *testing.T) {
+func TestProductionRecordsRoundTrip(t *testing.T) {
 	for text, same := range map[string]func(b []byte) bool{
 		// jobs
 		"85a473706563de0011a3526566a56a6f622d31a84c6f74636c617373a163a44465736ba174a547656e7265a56172726179a7557267656e6379a469646c65a44c6f7473" +
@@ -224,7 +224,7 @@
 }
 
 // The size of a value as text is never below that of its JSON, and not far above.
-func TestJSONSize(t *testing.T) {
+func TestJSONSizeIsATightUpperBound(t *testing.T) {
 	for _, v := range []any{submission(), records.Job{Spec: protocol.Job{ID: "job-1", CPUs: 0.1, Dependencies: []string{"job-2", "job-3"}}, SubmittedAt: 1.7e9 + 0.123},
 		records.RegistryPage{Machines: map[string]records.Machine{"n-1": {Addr: "10.0.0.1:9000", Type: "a \"b\" <c>", Zone: "ü"}}},
 		records.Estimates{Means: []records.Mean{{Team: "t", Class: "c", Mean: 35.12, Count: 200, LastAt: 1764632452}}}} {
--- a/internal/protocol/validate.go
+++ b/internal/protocol/validate.go
@@ -11,9 +11,9 @@
 const maxDepth = 32
 
 var (
-	errShort   = errors.New("the value is cut short")
-	errTooDeep = errors.New("the value nests too deep")
-	errFormat  = errors.New("not MessagePack")
+	errTruncated = errors.New("the value is cut short")
+	errTooDeep   = errors.New("the value nests too deep")
+	errFormat    = errors.New("not MessagePack")
 )
 
 // validate checks that b is exactly one value, without reserving memory for it.
@@ -32,7 +32,7 @@
 // skipValue walks over one value, which is nested so deep, and returns what follows it.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 {
-		return nil, errShort
+		return nil, errTruncated
 	}
 	if depth > maxDepth {
 		return nil, errTooDeep
@@ -60,11 +60,11 @@
 	case msgpcode.Uint64, msgpcode.Int64, msgpcode.Double:
 		return skipBytes(b, 8)
 	}
-	return skipSized(code, b, depth)
+	return skipLengthPrefixed(code, b, depth)
 }
 
-// skipSized walks over a value whose length stands before it.
-func skipSized(code byte, b []byte, depth int) ([]byte, error) {
+// skipLengthPrefixed walks over a value whose length stands before it.
+func skipLengthPrefixed(code byte, b []byte, depth int) ([]byte, error) {
 	width := lengthWidth(code)
 	if width == 0 {
 		return nil, errFormat // extensions are no part of the protocol
@@ -102,11 +102,11 @@
 // and each byte of a text takes one at the least.
 func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
-		return 0, nil, errShort
+		return 0, nil, errTruncated
 	}
 	length, rest := bigEndian(b[:width]), b[width:]
 	if length > uint64(len(rest)) {
-		return 0, nil, errShort
+		return 0, nil, errTruncated
 	}
 	return int(length), rest, nil
 }
@@ -127,14 +127,14 @@
 
 func skipBytes(b []byte, count int) ([]byte, error) {
 	if count > len(b) {
-		return nil, errShort
+		return nil, errTruncated
 	}
 	return b[count:], nil
 }
 
 func skipItems(b []byte, count, depth int) ([]byte, error) {
 	if count > len(b) {
-		return nil, errShort
+		return nil, errTruncated
 	}
 	var err error
 	for range count {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -106,13 +106,13 @@
 		if text == "unmarshal errors:" || text == "" {
 			continue
 		}
-		violations = append(violations, parseYAMLSentence(text))
+		violations = append(violations, parseYAMLMessage(text))
 	}
 	return violations
 }
 
-// parseYAMLSentence reads "line N: text"; a sentence without a line is about the first.
-func parseYAMLSentence(sentence string) Violation {
+// parseYAMLMessage reads "line N: text"; a sentence without a line is about the first.
+func parseYAMLMessage(sentence string) Violation {
 	whole := Violation{1, sentence}
 	rest, ok := strings.CutPrefix(sentence, "line ")
 	if !ok {
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -9,7 +9,7 @@
 "properties":{"a":{"type":"integer","minimum":1},"b":{"type":"array","items":{"type":"object","required":["c"],"properties":{"c":{"type":"string"}}}},"d":{"type":"object","additionalProperties":{"type":"string"}}}}`))
 
 // Each mistake has its line, all are told at once, and what is not YAML is told too.
-func TestViolationsHaveLines(t *testing.T) {
+func TestReadReportsEveryViolationWithItsLine(t *testing.T) {
 	for text, want := range map[string][]string{
 		"a: 1\nb:\n  - c: x\n":                 nil,
 		"# a comment\n\na: 0\n":                {"f:3: a: minimum"},
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -93,7 +93,7 @@
 // createInstances creates the machines of a request, fewer if there are not enough. The same
 // request gets the same answer again.
 func (c *Cloud) createInstances(request protocol.CreateMachinesRequest) ([]string, core.CloudOutcome) {
-	if names := c.responses[request.Request]; names != nil {
+	if names := c.responses[request.RequestID]; names != nil {
 		return names, core.CloudDone
 	}
 	if outcome := c.admit(); outcome != core.CloudDone {
@@ -114,7 +114,7 @@
 		}
 		c.cluster.After(c.drawBoot(request.Type), func() { c.finishBoot(name) })
 	}
-	c.responses[request.Request] = names
+	c.responses[request.RequestID] = names
 	return names, core.CloudDone
 }
 
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -80,7 +80,7 @@
 func Settings(nodes int) config.Settings {
 	var settings config.Settings
 	settings.Site = config.Site{
-		InitialSize: nodes, Zones: []string{"a", "b"},
+		InitialControllers: nodes, Zones: []string{"a", "b"},
 		Teams:     []config.Team{{Name: "red", CPUs: 8, CPUsMax: 24}, {Name: "blue", CPUs: 8}, {Name: "guest"}},
 		Workers:   config.WorkerTiming{HeartbeatS: 2, LeaseS: 16, GangWaitS: 20, GangPeerS: 5, CancelS: 45},
 		Store:     config.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, MaxTxnOps: 16},
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -159,7 +159,7 @@
 			reply(cloud.list(effect.After))
 		}, core.ListInstancesResult{})
 	case core.CreateInstances:
-		request := effect.Request.Request
+		request := effect.Request.RequestID
 		callFrom(n, endpointCloud, serviceTimeout, func(reply func(core.CreateInstancesResult)) {
 			names, outcome := cloud.createInstances(effect.Request)
 			reply(core.CreateInstancesResult{Request: request, Outcome: outcome, Names: names})
