--- a/internal/kvserver/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	fmt.Println(listener.Addr())
-	return New(generousSettings(), state, file).Serve(context.Background(), listener)
+	return New(unthrottledSettings(), state, file).Serve(context.Background(), listener)
 }
 
 func limitFileSize(limit string) error {
@@ -196,8 +196,8 @@
 		for i := range writers {
 			running.Go(func() { writers[i].run(process.address, &total) })
 		}
-		enough := int64(20 + round*25)
-		for deadline := time.Now().Add(60 * time.Second); total.Load() < enough && time.Now().Before(deadline); {
+		minWrites := int64(20 + round*25)
+		for deadline := time.Now().Add(60 * time.Second); total.Load() < minWrites && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
 		process.killAndAwaitLock(t, path)
--- a/internal/kvserver/metrics.go
+++ b/internal/kvserver/metrics.go
@@ -41,12 +41,12 @@
 }
 
 // record records a write of so many commands; leases that expired make one without any.
-func (r *writeRecorder) record(commands int, took time.Duration) {
+func (r *writeRecorder) record(commands int, duration time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// A value out of bounds is the only error.
 	_ = r.batchSizes.RecordValue(int64(max(commands, 1)))
-	_ = r.micros.RecordValue(min(max(took.Microseconds(), 1), maxRecordedMicros))
+	_ = r.micros.RecordValue(min(max(duration.Microseconds(), 1), maxRecordedMicros))
 }
 
 // Metrics sums up what was served from the start.
--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -38,8 +38,8 @@
 
 	// pricePeriod and priceParts shape the spot prices: a wave, by up to one part of the
 	// price, so that a controller sees both cheap and dear times within an hour.
-	pricePeriod = 30 * time.Minute
-	priceParts  = 3
+	pricePeriod      = 30 * time.Minute
+	priceWaveDivisor = 3
 
 	// pricePhases spreads the types' waves, so that their prices don't move together.
 	pricePhases = 7
@@ -82,7 +82,7 @@
 // StartAgent prepares the command of a machine's agent. Its standard input stays open for
 // as long as the cloud lives and takes AgentMessages; extra files are its listener and the
 // end of a pipe that it and all its tasks hold open.
-type StartAgent func(m protocol.Instance, t MachineType, listener, alive *os.File) (*exec.Cmd, error)
+type StartAgent func(m protocol.Instance, t MachineType, listener, livenessPipe *os.File) (*exec.Cmd, error)
 
 // AgentMessage is what the cloud tells an agent, as a JSON line.
 type AgentMessage struct {
@@ -106,7 +106,7 @@
 
 // Open opens the cloud that keeps a journal in the file at path. Machines of an earlier
 // process end with it and are listed as failed. Each machine has a directory below dirs.
-func Open(settings Settings, path, dirs string, startAgent StartAgent, logger *slog.Logger) (*Cloud, error) {
+func Open(settings Settings, path, machinesDir string, startAgent StartAgent, logger *slog.Logger) (*Cloud, error) {
 	now := time.Now()
 	c := &Cloud{
 		settings:       settings,
@@ -115,11 +115,11 @@
 		startedAt:      now,
 		machines:       map[string]*instance{},
 		namesByRequest: map[string][]string{},
-		rateLimit:      rateLimit{perSecond: settings.RPS, at: now},
+		rateLimit:      rateLimit{perSecond: settings.RPS, updatedAt: now},
 	}
 	c.replay(path)
 	for _, m := range c.machines {
-		go awaitOrphan(m, filepath.Join(dirs, m.Name)) // Serve's delete waits for it
+		go awaitOrphan(m, filepath.Join(machinesDir, m.Name)) // Serve's delete waits for it
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -149,7 +149,7 @@
 	if names, ok := c.namesByRequest[r.RequestID]; ok {
 		return names, nil
 	}
-	count := min(r.Count, c.room(t, r.Zone, r.Count))
+	count := min(r.Count, c.availableCapacity(t, r.Zone, r.Count))
 	if count <= 0 {
 		return nil, errNoCapacity
 	}
@@ -170,8 +170,8 @@
 	return names, nil
 }
 
-// room is how many machines of a type a zone still takes, or wanted if any number.
-func (c *Cloud) room(t *MachineType, zone string, wanted int) int {
+// availableCapacity is how many machines of a type a zone still takes, or wanted if any number.
+func (c *Cloud) availableCapacity(t *MachineType, zone string, wanted int) int {
 	if t.MaxPerZone <= 0 {
 		return wanted
 	}
@@ -236,17 +236,17 @@
 func (c *Cloud) list(after string, pageSize int) protocol.InstanceList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	then := time.Now().Add(-config.Seconds(c.settings.ListLagS))
+	asOf := time.Now().Add(-config.Seconds(c.settings.ListLagS))
 	page := protocol.InstanceList{Machines: []protocol.Instance{}}
 	for name, m := range c.machines {
-		if name <= after || !m.existedAt(then) {
+		if name <= after || !m.existedAt(asOf) {
 			continue
 		}
 		i := m.Instance
-		i.AgeS = max(then.Sub(m.createdAt).Seconds(), 0)
+		i.AgeS = max(asOf.Sub(m.createdAt).Seconds(), 0)
 		page.Machines = append(page.Machines, i)
 	}
-	c.forgetDeleted(then.Add(-deletedRetention))
+	c.removeDeleted(asOf.Add(-deletedRetention))
 	slices.SortFunc(page.Machines, func(a, b protocol.Instance) int { return cmp.Compare(a.Name, b.Name) })
 	if len(page.Machines) > pageSize {
 		page.Machines, page.More = page.Machines[:pageSize], true
@@ -254,7 +254,7 @@
 	return page
 }
 
-func (c *Cloud) forgetDeleted(before time.Time) {
+func (c *Cloud) removeDeleted(before time.Time) {
 	for name, m := range c.machines {
 		if !m.deletedAt.IsZero() && m.deletedAt.Before(before) {
 			delete(c.machines, name)
@@ -277,7 +277,7 @@
 			CacheGB:   t.CacheGB,
 			FetchGBps: t.FetchGBps,
 			Price:     t.Price,
-			SpotPrice: t.SpotPrice * (1 + wave/priceParts),
+			SpotPrice: t.SpotPrice * (1 + wave/priceWaveDivisor),
 			BootS:     t.BootS,
 			Zones:     t.Zones,
 		})
