--- a/internal/kvserver/applier.go
+++ b/internal/kvserver/applier.go
@@ -9,38 +9,40 @@
 	"github.com/chalkhub/chalkhub/internal/kvstore"
 )
 
-// Storage makes batches durable, as kvfile.File does.
+// Storage makes batches of changes durable, as kvfile.File does. The server calls it from one
+// goroutine.
 type Storage interface {
-	// Write returns once a batch, which leads to the state next, is durable. An error that
-	// wraps kvfile.ErrNoSpace means that nothing was done and that the next write may
-	// succeed; after any other error nobody knows what is durable.
+	// Write makes a batch durable before it returns; next is the state after the batch. An
+	// error that wraps kvfile.ErrNoSpace means that nothing was written and that a later
+	// write may succeed. After any other error it is unknown whether the batch is durable.
 	Write(batch *kvstore.Batch, next *kvstore.State) error
 }
 
 // applier owns the store: it applies commands, expires leases, and replaces the state once
-// the next one is durable. It has no goroutine and no clock of its own: apply is called
-// with the time on a steady clock.
+// the next one is durable. It has no goroutine and no clock: its caller passes the time of a
+// monotonic clock to apply. It must not be used by several goroutines at once.
 type applier struct {
-	state          *kvstore.State // what is durable
+	state          *kvstore.State // the durable state
 	storage        Storage
 	leaseDeadlines map[uint64]time.Duration // when leases expire unless they are renewed
 	lastApplied    time.Duration
 	stallThreshold time.Duration
-	outOfSpace     bool // the last write found no space
+	outOfSpace     bool // the last write failed for lack of disk space
 }
 
-// newApplier owns a state that was read from its storage at the time now. Every lease has
-// its full time again: whoever holds it could not renew it while nothing ran here.
+// newApplier returns an applier that owns a state read from its storage at the time now. Every
+// lease starts again with its full TTL, because its holder could not renew it while the service
+// was not running.
 //
-// stallThreshold is how long after the last call of apply the process is taken to have
-// stood still.
+// If more than stallThreshold passes between two calls of apply, the process is considered to
+// have been stalled.
 func newApplier(state *kvstore.State, storage Storage, now, stallThreshold time.Duration) *applier {
 	a := &applier{state: state, storage: storage, lastApplied: now, stallThreshold: stallThreshold}
 	a.restartLeases(now)
 	return a
 }
 
-// restartLeases gives every lease its full time again.
+// restartLeases makes every lease expire one full TTL after now.
 func (a *applier) restartLeases(now time.Duration) {
 	a.leaseDeadlines = map[uint64]time.Duration{}
 	for leaseID, ttl := range a.state.LeaseTTLs() {
@@ -52,16 +54,16 @@
 	return now + time.Duration(ttlMillis)*time.Millisecond
 }
 
-// committedState is what is durable.
+// committedState returns the latest durable state.
 func (a *applier) committedState() *kvstore.State { return a.state }
 
-// apply applies commands in order with one write to the storage, and returns their
-// replies. An error means that the storage is in doubt: the outcome of all commands is
-// unknown, and the process must end.
+// apply applies commands in order with one write to the storage, and returns their replies by
+// command. After an error it is unknown what the storage holds and whether any of the commands
+// was applied; the process must end and read the storage again.
 func (a *applier) apply(now time.Duration, commands []command) ([]reply, error) {
-	// Guards against a process that was stopped, or a disk that hung, for longer than a
-	// lease: its holders could not renew it, which is an outage, and after an outage
-	// every lease has its full time again.
+	// If the process was stopped or the disk hung for longer than a lease's TTL, the holder
+	// could not renew the lease, which must not expire it. As after any outage, every lease
+	// gets its full TTL again.
 	if now-a.lastApplied > a.stallThreshold {
 		a.restartLeases(now)
 	}
@@ -72,10 +74,11 @@
 		replies:      make([]reply, len(commands)),
 		newDeadlines: map[uint64]time.Duration{},
 	}
-	// Renewals that came in time are served before leases expire: the queue that they
-	// stood in is the server's.
+	// Renewals are applied before leases expire: a renewal that arrived in time must not
+	// fail because it waited in the server's queue.
 	r.renewLeases(commands)
-	// In an outage no lease expires: its holder may have been refused.
+	// No lease expires while the disk is full: a renewal in a batch whose write failed was
+	// refused together with that batch.
 	if !a.outOfSpace {
 		r.expireLeases(a.leaseDeadlines)
 	}
@@ -87,7 +90,7 @@
 	return a.persist(r)
 }
 
-// persist writes a round's batch and takes its state over if that is durable.
+// persist writes a round's batch to the storage and adopts its state if the write succeeded.
 func (a *applier) persist(r *applyRound) ([]reply, error) {
 	next := r.batch.Next()
 	switch err := a.storage.Write(r.batch, next); {
@@ -96,8 +99,9 @@
 		return r.replies, nil
 	case errors.Is(err, kvfile.ErrNoSpace):
 		a.outOfSpace = true
-		// Nothing of the batch was done, so nothing of it may be answered either, and a
-		// conflict may rest on what was not done.
+		// Nothing of the batch was written, so no command may be reported as done. Nor may
+		// one be reported as a conflict: the conflict may be with an earlier transaction of
+		// this batch, which was not written either.
 		for i := range r.replies {
 			r.replies[i] = reply{outcome: outcomeUnavailable, err: err}
 		}
@@ -110,7 +114,7 @@
 	}
 }
 
-// adopt takes over the state that a round has made durable.
+// adopt replaces the state by the one that a round has made durable.
 func (a *applier) adopt(next *kvstore.State, r *applyRound) {
 	a.state = next
 	for _, leaseID := range r.endedLeases {
@@ -119,17 +123,18 @@
 	maps.Copy(a.leaseDeadlines, r.newDeadlines)
 	if a.outOfSpace {
 		a.outOfSpace = false
-		a.restartLeases(r.now) // the outage is over
+		a.restartLeases(r.now) // no lease could be renewed reliably while the disk was full
 	}
 }
 
-// applyRound is one call of apply: what its commands would change.
+// applyRound holds what one call of apply is going to change. Nothing of it takes effect until
+// its batch is durable.
 type applyRound struct {
 	now          time.Duration
 	batch        *kvstore.Batch
-	replies      []reply                  // by command
-	newDeadlines map[uint64]time.Duration // of leases that are renewed or granted
-	endedLeases  []uint64                 // expired or revoked
+	replies      []reply                  // indexed like the commands
+	newDeadlines map[uint64]time.Duration // by ID of the leases that are renewed or granted
+	endedLeases  []uint64                 // IDs of the leases that expire or are revoked
 }
 
 func (r *applyRound) renewLeases(commands []command) {
@@ -148,11 +153,11 @@
 	}
 }
 
-// expireLeases ends the leases that are due and not just renewed.
+// expireLeases ends the leases whose deadline has passed, except those renewed in this round.
 func (r *applyRound) expireLeases(deadlines map[uint64]time.Duration) {
 	for leaseID, due := range deadlines {
 		if _, renewed := r.newDeadlines[leaseID]; !renewed && due <= r.now {
-			// Every lease with a deadline exists, so there is no error.
+			// There is no error, because every lease with a deadline exists.
 			_ = r.endLease(leaseID)
 		}
 	}
@@ -167,7 +172,7 @@
 	return nil
 }
 
-// execute executes all commands but renewals, in order.
+// execute executes the commands in order, except for renewals, which renewLeases has handled.
 func (r *applyRound) execute(commands []command) {
 	for i, c := range commands {
 		switch c := c.(type) {
--- a/internal/kvserver/applier_test.go
+++ b/internal/kvserver/applier_test.go
@@ -14,11 +14,11 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// memoryStorage keeps what was written to it. It can fail, as a disk does.
+// memoryStorage is a Storage in memory whose writes can be made to fail.
 type memoryStorage struct {
 	contents            kvstore.Contents
 	writeError          error
-	loseAcknowledgement bool // a write that fails is carried out all the same
+	loseAcknowledgement bool // writes are carried out although they return writeError
 }
 
 func newMemoryStorage() *memoryStorage {
@@ -43,14 +43,14 @@
 			m.contents.LeaseTTLs[lease.ID] = lease.TTLMillis
 		}
 	}
-	m.contents.Events = next.Events() // what lies within them is never written again
+	m.contents.Events = next.Events() // events are never modified in place
 	m.contents.Revision = next.Revision
 	m.contents.LastLeaseID = next.LastLeaseID
 	m.contents.CompactRevision = next.CompactRevision()
 	return m.writeError
 }
 
-// restore is the state that is read after a restart.
+// restore returns the state that a restarted service reads.
 func (m *memoryStorage) restore() (*kvstore.State, error) {
 	contents := m.contents
 	contents.Entries = maps.Clone(contents.Entries)
@@ -59,7 +59,7 @@
 	return kvstore.Restore(contents)
 }
 
-// values are the encoded values by key.
+// values returns the stored values, still encoded, by key.
 func (m *memoryStorage) values() map[string]string {
 	values := map[string]string{}
 	for key, entry := range m.contents.Entries {
@@ -74,17 +74,17 @@
 
 func txnOf(ops ...kvstore.Op) commitTxn { return commitTxn{txn: &kvstore.Txn{Then: ops}} }
 
-// durabilityTest plays random transactions against an applier whose storage fails at
-// times, beside a model of what must be in the store.
+// durabilityTest applies random transactions to an applier whose storage fails at random, and
+// to a model of what the store must hold.
 type durabilityTest struct {
 	*rapid.T
 	storage *memoryStorage
 	applier *applier
 	now     time.Duration
-	model   map[string]string // values by key
+	model   map[string]string // encoded values by key
 }
 
-// restart reads the store anew, as after a crash.
+// restart replaces the applier by one that reads the storage, as after a crash.
 func (d *durabilityTest) restart() {
 	state, err := d.storage.restore()
 	if err != nil {
@@ -100,19 +100,19 @@
 		got[key] = string(entry.Value)
 	}
 	if !maps.Equal(got, d.model) {
-		d.Fatalf("the store holds %v, it should hold %v", got, d.model)
+		d.Fatalf("the store holds %v, want %v", got, d.model)
 	}
 }
 
-// drawFailure draws what the storage does with the next write.
+// drawFailure draws whether and how the next write to the storage fails.
 func (d *durabilityTest) drawFailure() {
 	d.storage.writeError, d.storage.loseAcknowledgement = nil, false
-	switch rapid.IntRange(0, 7).Draw(d.T, "disk") {
+	switch rapid.IntRange(0, 7).Draw(d.T, "storage failure") {
 	case 0:
 		d.storage.writeError = kvfile.ErrNoSpace
 	case 1:
 		d.storage.writeError = errors.New("input/output error")
-		d.storage.loseAcknowledgement = rapid.Bool().Draw(d.T, "lost answer")
+		d.storage.loseAcknowledgement = rapid.Bool().Draw(d.T, "lost acknowledgement")
 	}
 }
 
@@ -133,7 +133,8 @@
 	return commitTxn{txn: txn}
 }
 
-// modelAfter is the model after the transactions that were done, or may be.
+// modelAfter returns the model with the changes of all transactions whose outcome is done or
+// unknown.
 func (d *durabilityTest) modelAfter(commands []command, replies []reply) map[string]string {
 	after := maps.Clone(d.model)
 	for i, r := range replies {
@@ -151,7 +152,7 @@
 	return after
 }
 
-// runRound applies a few transactions and restarts if the storage is in doubt.
+// runRound applies up to four transactions, and restarts if the applier returns an error.
 func (d *durabilityTest) runRound() {
 	d.now += time.Duration(rapid.IntRange(1, 400).Draw(d.T, "ms")) * time.Millisecond
 	d.drawFailure()
@@ -165,11 +166,12 @@
 	case err == nil:
 		d.model = after
 	case d.storage.loseAcknowledgement:
-		// Guards that failed on the way are not told; take what the storage has, but
-		// only if it is a whole round.
+		// Replies with an unknown outcome do not report which guards failed, so the model
+		// takes over what the storage holds. A single transaction must have been written
+		// completely or not at all.
 		got := d.storage.values()
 		if len(commands) == 1 && !maps.Equal(got, after) && !maps.Equal(got, d.model) {
-			d.Fatalf("half a transaction: %v, neither %v nor %v", got, d.model, after)
+			d.Fatalf("transaction written partially: the storage holds %v, want %v or %v", got, d.model, after)
 		}
 		d.model = got
 	}
@@ -179,15 +181,16 @@
 	d.check()
 }
 
-// Whatever the storage does, an acknowledged change is there after the next start, a change
-// answered as unavailable is not, and one without an answer is there whole or not at all.
+// However a write to the storage fails, after the next restart the store holds every
+// acknowledged change and no change that was refused as unavailable. A transaction with an
+// unknown outcome was applied completely or not at all.
 func TestAcknowledgedWritesSurviveRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &durabilityTest{T: t, storage: newMemoryStorage(), model: map[string]string{}}
 		d.restart()
-		for range rapid.IntRange(1, 40).Draw(t, "turns") {
+		for range rapid.IntRange(1, 40).Draw(t, "rounds") {
 			d.runRound()
-			if rapid.IntRange(0, 5).Draw(t, "kill") == 0 {
+			if rapid.IntRange(0, 5).Draw(t, "restart") == 0 {
 				d.restart()
 				d.check()
 			}
@@ -195,17 +198,17 @@
 	})
 }
 
-// mustApply applies a command that must be done.
+// mustApply applies a command and fails the test unless its outcome is done.
 func mustApply(t *testing.T, a *applier, now time.Duration, c command) reply {
 	t.Helper()
 	replies, err := a.apply(now, []command{c})
 	if err != nil || len(replies) != 1 || replies[0].outcome != outcomeDone {
-		t.Fatalf("%+v, %v", replies, err)
+		t.Fatalf("apply returned %+v, %v; want one reply with outcomeDone", replies, err)
 	}
 	return replies[0]
 }
 
-// leaseTest is an applier with a lease of two seconds that a key is attached to.
+// leaseTest has an applier with one lease of two seconds, to which attachedKey is attached.
 type leaseTest struct {
 	*testing.T
 	storage *memoryStorage
@@ -215,7 +218,7 @@
 
 const attachedKey = "c/node"
 
-// newLeaseTest grants the lease at 0 and attaches the key to it.
+// newLeaseTest grants the lease at time 0 and attaches the key to it.
 func newLeaseTest(t *testing.T) *leaseTest {
 	t.Helper()
 	l := &leaseTest{T: t, storage: newMemoryStorage()}
@@ -225,7 +228,8 @@
 	return l
 }
 
-// tick applies nothing at so many milliseconds each.
+// tick calls apply without commands at each of the given times in milliseconds, so that leases
+// that are due expire.
 func (l *leaseTest) tick(millis ...int) {
 	l.Helper()
 	for _, ms := range millis {
@@ -243,20 +247,21 @@
 	}
 }
 
-// wantExpiry checks that the lease expires, with its key and one revision, at so many
-// milliseconds.
+// wantExpiry checks that the lease expires at the given time in milliseconds: its key is
+// deleted, and the revision rises by one.
 func (l *leaseTest) wantExpiry(millis int) {
 	l.Helper()
 	revision := l.applier.committedState().Revision
 	l.tick(millis)
 	state := l.applier.committedState()
 	if _, ok := state.Get(attachedKey); ok || state.Revision != revision+1 {
-		l.Fatal("the lease did not expire, or its keys went without a revision")
+		l.Fatal("the lease did not expire, or its keys were not deleted in exactly one revision")
 	}
 }
 
-// A lease takes its keys with it when it expires, has its full time after a restart, after
-// an outage and after the process stood still, and never expires early.
+// A lease that expires deletes its keys, and no lease expires before its TTL has passed. After a
+// restart, a full disk and a stall of the process, a lease gets its full TTL again: its holder
+// could not renew it meanwhile.
 func TestLeaseExpiresOnlyAfterFullTTL(t *testing.T) {
 	const ms = time.Millisecond
 	l := newLeaseTest(t)
@@ -264,52 +269,52 @@
 	mustApply(t, l.applier, 1990*ms, renewLease{leaseID: l.leaseID})
 	l.tick(2500, 2900, 3300, 3700)
 	l.wantKeyPresent("the lease expired early")
-	// A restart: full time again.
+	// A restart gives the lease its full TTL again.
 	state, err := l.storage.restore()
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.applier = newApplier(state, l.storage, 4*time.Second, time.Second)
 	l.tick(4900, 5800)
-	// The process stands still for ten seconds: full time again.
+	// A stall of the process for ten seconds gives the lease its full TTL again.
 	l.tick(15800, 16700)
 	l.wantKeyPresent("the lease expired while nobody could renew it")
-	// The disk is full: nothing expires, and afterwards it has its full time.
+	// While the disk is full no lease expires, and afterwards the lease has its full TTL again.
 	write := txnOf(putOp("x", 1, 0))
 	l.storage.writeError = kvfile.ErrNoSpace
 	for now := 17500 * ms; now < 30*time.Second; now += 500 * ms {
 		if replies, err := l.applier.apply(now, []command{write}); err != nil || replies[0].outcome != outcomeUnavailable {
-			t.Fatalf("a full disk answers %+v, %v", replies[0], err)
+			t.Fatalf("a write to a full disk returned %+v, %v; want outcomeUnavailable", replies[0], err)
 		}
 	}
 	l.storage.writeError = nil
 	mustApply(t, l.applier, 30*time.Second, write)
 	l.tick(30900, 31800)
-	l.wantKeyPresent("the lease expired with the outage")
+	l.wantKeyPresent("the lease expired as soon as the disk had space again")
 	l.wantExpiry(32050)
 	replies, err := l.applier.apply(32060*ms, []command{txnOf(putOp(attachedKey, 1, l.leaseID)), renewLease{leaseID: l.leaseID}})
 	if err != nil || replies[0].outcome != outcomeInvalid || replies[1].outcome != outcomeNotFound {
-		t.Fatalf("a lease that has expired: %+v, %v", replies, err)
+		t.Fatalf("a put with an expired lease and a renewal of it returned %+v, %v; want outcomeInvalid and outcomeNotFound", replies, err)
 	}
 }
 
-// A watch sees each change once, with its prefix, and is refused when it is more than the
-// kept events behind, also across a restart.
+// EventsSince returns each change with the prefix once. It returns ErrCompacted for a revision
+// older than the retained events. Both also hold after a restart.
 func TestWatchBehindRetainedEventsIsRefused(t *testing.T) {
 	storage := newMemoryStorage()
 	a := newApplier(kvstore.NewState(), storage, 0, time.Hour)
 	for i := range kvstore.RetainedEvents/2 + 10 {
-		// Two changes of one revision.
+		// Each transaction makes two changes in one revision.
 		mustApply(t, a, time.Duration(i), txnOf(putOp(fmt.Sprintf("c/%d", i), i, 0), putOp("d", i, 0)))
 	}
 	for range 2 {
 		state := a.committedState()
 		if _, err := state.EventsSince("c/", 9); !errors.Is(err, kvstore.ErrCompacted) {
-			t.Fatalf("events that are gone: %v", err)
+			t.Fatalf("events since a compacted revision: got error %v, want ErrCompacted", err)
 		}
 		found, err := state.EventsSince("c/", state.CompactRevision())
 		if err != nil || len(found.Events) != kvstore.RetainedEvents/2 || found.Events[0].Put != "c/10" || found.Revision != state.Revision {
-			t.Fatalf("%v, %d events at revision %d", err, len(found.Events), found.Revision)
+			t.Fatalf("retained events: got error %v, %d events at revision %d", err, len(found.Events), found.Revision)
 		}
 		restored, err := storage.restore()
 		if err != nil {
--- a/internal/kvserver/command.go
+++ b/internal/kvserver/command.go
@@ -2,17 +2,17 @@
 
 import "github.com/chalkhub/chalkhub/internal/kvstore"
 
-// command is a change that is asked for, one of the types below.
+// command is a change that a client requests, one of the types below.
 type command interface{ isCommand() }
 
 type (
-	// commitTxn commits a transaction that Validate has found well formed.
+	// commitTxn commits a transaction, which must have passed Txn.Validate.
 	commitTxn struct{ txn *kvstore.Txn }
-	// grantLease begins a lease.
+	// grantLease creates a lease.
 	grantLease struct{ ttlMillis int64 }
-	// renewLease gives a lease its full time again.
+	// renewLease makes a lease expire one full TTL from now.
 	renewLease struct{ leaseID uint64 }
-	// revokeLease ends a lease.
+	// revokeLease ends a lease and deletes the keys attached to it.
 	revokeLease struct{ leaseID uint64 }
 )
 
@@ -21,29 +21,29 @@
 func (renewLease) isCommand()  {}
 func (revokeLease) isCommand() {}
 
-// outcome is what became of a command.
+// outcome is the result of a command.
 type outcome int
 
 const (
-	// outcomeUnknown means that nobody knows whether the change is durable. The client may
-	// not be told anything, for whatever it is told may be wrong.
+	// outcomeUnknown means that it is not known whether the change is durable. The client
+	// must get no response, because any response might be wrong.
 	outcomeUnknown outcome = iota
 	// outcomeDone means that the change is durable.
 	outcomeDone
-	// outcomeConflict means that a condition of a transaction did not hold.
+	// outcomeConflict means that a guard of a transaction did not hold, so nothing changed.
 	outcomeConflict
-	// outcomeInvalid means that the command can never be executed as it is.
+	// outcomeInvalid means that the command was refused and that a retry cannot succeed.
 	outcomeInvalid
-	// outcomeNotFound means that the lease does not exist, or no longer.
+	// outcomeNotFound means that the lease does not exist or has ended.
 	outcomeNotFound
-	// outcomeUnavailable means that nothing was done, and that it may be tried again.
+	// outcomeUnavailable means that nothing changed and that the client may retry.
 	outcomeUnavailable
 )
 
-// reply answers a command.
+// reply is the response to a command.
 type reply struct {
 	outcome outcome
-	txn     kvstore.TxnResult // of a commitTxn that is done or in conflict
-	leaseID uint64            // of a grantLease that is done
-	err     error             // the reason if it is invalid, not found or unavailable
+	txn     kvstore.TxnResult // for a commitTxn with outcomeDone or outcomeConflict
+	leaseID uint64            // for a grantLease with outcomeDone
+	err     error             // reason of outcomeInvalid, outcomeNotFound or outcomeUnavailable
 }
--- a/internal/kvserver/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -24,13 +24,14 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// What TestMain reads from the environment.
+// Environment variables that TestMain reads.
 const (
-	stateFileVariable     = "CHALK_TEST_STATE" // the state file of the service that it is to be
-	fileSizeLimitVariable = "CHALK_TEST_FSIZE" // the bytes that a file may have, which stand for a disk
+	stateFileVariable     = "CHALK_TEST_STATE" // path of the state file; if set, the test binary runs the service
+	fileSizeLimitVariable = "CHALK_TEST_FSIZE" // largest size of a file in bytes, which simulates the size of a disk
 )
 
-// TestMain lets this program be the service whose process the tests kill.
+// TestMain runs the service instead of the tests if the environment names a state file. The tests
+// start this binary in that way to have a service process that they can kill.
 func TestMain(m *testing.M) {
 	path := os.Getenv(stateFileVariable)
 	if path == "" {
@@ -40,7 +41,8 @@
 	os.Exit(1)
 }
 
-// runService serves a state file, prints its address, and returns only for an error.
+// runService serves a state file and prints the address on which it listens. It returns only with
+// an error.
 func runService(path string) error {
 	if limit := os.Getenv(fileSizeLimitVariable); limit != "" {
 		if err := limitFileSize(limit); err != nil {
@@ -68,13 +70,14 @@
 	return syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: size, Max: size})
 }
 
-// serviceProcess is a service in a process of its own.
+// serviceProcess is a service that runs in its own process.
 type serviceProcess struct {
 	cmd     *exec.Cmd
 	address string
 }
 
-// startProcess starts a service, which ends with the test at the latest.
+// startProcess starts a service process and waits until it listens. The process is killed when the
+// test ends.
 func startProcess(t *testing.T, path string, environment ...string) *serviceProcess {
 	t.Helper()
 	p := &serviceProcess{cmd: exec.Command(os.Args[0])}
@@ -91,24 +94,23 @@
 	t.Cleanup(p.kill)
 	line, err := bufio.NewReader(output).ReadString('\n')
 	if err != nil {
-		t.Fatalf("the service does not start: %v", err)
+		t.Fatalf("read the address of the started service: %v", err)
 	}
 	p.address = strings.TrimSpace(line)
 	return p
 }
 
-// kill ends the process without a chance to do anything, and waits for its end.
+// kill kills the process with SIGKILL and waits until it has exited.
 func (p *serviceProcess) kill() {
-	_ = p.cmd.Process.Kill() // it may have been killed before
-	_ = p.cmd.Wait()         // says that it was killed
+	_ = p.cmd.Process.Kill() // the process may have been killed already
+	_ = p.cmd.Wait()         // the error only reports the kill
 }
 
-// killAndAwaitLock kills the process and waits until the state file's lock is free, which the
-// service and kvfile.Verify wait for only briefly.
-//
-// Guards against a lock that outlives its process: Linux keeps the mappings of a killed process,
-// and with them the file and its lock, for as long as anything reads the process's entries in
-// /proc, as ps does. On a busy machine that took longer than the end of the process itself.
+// killAndAwaitLock kills the process and waits until the lock of the state file is free. The
+// service and kvfile.Verify wait for the lock only briefly, so they would fail on a lock that
+// outlives its process. That happens because Linux keeps the memory mappings of a killed process,
+// and with them the file and its lock, while another process such as ps reads its entries in
+// /proc. On a busy machine that took longer than the exit of the process itself.
 func (p *serviceProcess) killAndAwaitLock(t *testing.T, path string) {
 	t.Helper()
 	p.kill()
@@ -116,30 +118,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close() //nolint:errcheck // it was only locked
+	defer file.Close() //nolint:errcheck // the file was only locked, not written
 	for deadline := time.Now().Add(maxLockDelay); ; time.Sleep(time.Millisecond) {
 		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return
 		}
 		if !errors.Is(err, syscall.EWOULDBLOCK) || time.Now().After(deadline) {
-			t.Fatalf("the lock of a killed service: %v", err)
+			t.Fatalf("lock the state file of a killed service: %v", err)
 		}
 	}
 }
 
-// maxLockDelay bounds how long the lock of a killed process may outlive it.
+// maxLockDelay is how long the lock of a killed process may stay held before the test fails.
 const maxLockDelay = 10 * time.Second
 
-// pairWriter writes ever higher numbers to a pair of keys, with one transaction each.
+// pairWriter writes increasing numbers to a pair of keys; each transaction sets both keys to one
+// number.
 type pairWriter struct {
 	name         string
-	acknowledged int // the last number that was answered
+	acknowledged int // the highest number whose write got a response with status 200
 }
 
 func (w *pairWriter) key(side string) string { return w.name + "/" + side }
 
-// run writes until a write is not answered.
+// run writes until a write fails, and adds the number of acknowledged writes to total.
 func (w *pairWriter) run(address string, total *atomic.Int64) {
 	const timeout = 20 * time.Second
 	client := rpc.New(1, timeout)
@@ -156,18 +159,18 @@
 	}
 }
 
-// verify checks that both keys hold the last number that was answered or the one after it,
-// and goes on from there.
+// verify checks that both keys hold the same number, which must be the last acknowledged one or the
+// one after it, whose response may have been lost. The next run continues from that number.
 func (w *pairWriter) verify(t *testing.T, state *kvstore.State) {
 	t.Helper()
 	a, b := storedNumber(t, state, w.key("a")), storedNumber(t, state, w.key("b"))
 	if a != b || a < w.acknowledged || a > w.acknowledged+1 {
-		t.Fatalf("%s: keys hold %d and %d, %d was answered", w.name, a, b, w.acknowledged)
+		t.Fatalf("%s: keys hold %d and %d, the last acknowledged number is %d", w.name, a, b, w.acknowledged)
 	}
 	w.acknowledged = a
 }
 
-// storedNumber is the number under a key, 0 if there is none.
+// storedNumber returns the number stored under a key, or 0 if the key does not exist.
 func storedNumber(t *testing.T, state *kvstore.State, key string) int {
 	t.Helper()
 	entry, ok := state.Get(key)
@@ -181,8 +184,9 @@
 	return n
 }
 
-// The process is killed over and over while clients write. No answered write is lost,
-// and no transaction is there by half: each sets a pair of keys to one number.
+// When the service is killed repeatedly while clients write, no acknowledged write is lost and no
+// transaction is applied partially. Each transaction sets a pair of keys to one number, so a
+// partial one leaves two different numbers.
 func TestAcknowledgedWritesSurviveKill(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.db")
 	var writers [8]pairWriter
@@ -203,11 +207,11 @@
 		process.killAndAwaitLock(t, path)
 		running.Wait()
 		if total.Load() == 0 {
-			t.Fatal("nothing was written")
+			t.Fatal("no write was acknowledged before the kill")
 		}
 		state, err := kvfile.Verify(path)
 		if err != nil {
-			t.Fatalf("after a kill: %v", err)
+			t.Fatalf("verify the state file after a kill: %v", err)
 		}
 		for i := range writers {
 			writers[i].verify(t, state)
@@ -215,8 +219,9 @@
 	}
 }
 
-// A full disk is answered with 503 and loses nothing; reads go on, and once there is
-// space, writes do too.
+// While the disk is full, writes get status 503, reads still succeed, and no acknowledged write is
+// lost. Once there is space again, writes succeed. A limit of the file size of 2 MiB simulates the
+// full disk.
 func TestDiskFullReturnsUnavailable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.db")
 	process := startProcess(t, path, fileSizeLimitVariable+"=2097152")
@@ -229,37 +234,37 @@
 		}
 	}
 	if status != 503 || written < 20 {
-		t.Fatalf("write %d was answered %d", written, status)
+		t.Fatalf("after %d writes with status 200, a write got status %d; want at least 20 writes, then 503", written, status)
 	}
 	var page protocol.KeyPage
 	if got := client.call("GET", "/store?Starts=c/&Page=1000", nil, &page); got != 200 || len(page.Items) == 0 {
-		t.Fatalf("a read is answered %d with %d items", got, len(page.Items))
+		t.Fatalf("a read on a full disk got status %d with %d items, want 200 with at least one", got, len(page.Items))
 	}
 	if got := client.putLarge(written); got != 503 {
-		t.Fatalf("a second write is answered %d", got)
+		t.Fatalf("a second write on a full disk got status %d, want 503", got)
 	}
 	process.killAndAwaitLock(t, path)
 	process = startProcess(t, path)
 	client = newTestClient(process.address, 2)
 	if state, err := kvfile.Verify(path + ".none"); state != nil || err == nil {
-		t.Fatal("a file that is not there was read")
+		t.Fatal("Verify of a missing file returned a state or no error")
 	}
 	if found := client.countKeys(t, "c/"); found != written {
-		t.Fatalf("%d keys are there, %d were answered", found, written)
+		t.Fatalf("the store holds %d keys, %d writes were acknowledged", found, written)
 	}
 	if got := client.putLarge(written); got != 200 {
-		t.Fatalf("with space again, a write is answered %d", got)
+		t.Fatalf("a write after the disk had space again got status %d, want 200", got)
 	}
 }
 
-// putLarge writes a value of 12 KiB under a key with a number and returns the status.
+// putLarge writes a value of 12 KiB to key number n and returns the HTTP status.
 func (c *testClient) putLarge(n int) int {
 	op := protocol.Operation{Put: fmt.Sprintf("c/%05d", n), Value: strings.Repeat("y", 12<<10)}
 	txn := protocol.Transaction{If: []protocol.Guard{}, Then: []protocol.Operation{op}}
 	return c.rpc.Call("POST", c.address, "/commit", txn, nil, 2*time.Second)
 }
 
-// countKeys counts the keys with a prefix, page after page.
+// countKeys counts the keys with a prefix by reading all pages of the list.
 func (c *testClient) countKeys(t *testing.T, prefix string) int {
 	t.Helper()
 	count, after := 0, ""
@@ -267,7 +272,7 @@
 		var page protocol.KeyPage
 		path := fmt.Sprintf("/store?Starts=%s&Page=1000&Since=%s", prefix, after)
 		if got := c.call("GET", path, nil, &page); got != 200 {
-			t.Fatalf("a page is answered %d", got)
+			t.Fatalf("a page of keys got status %d, want 200", got)
 		}
 		count += len(page.Items)
 		if !page.More {
