--- a/internal/kvserver/handlers.go
+++ b/internal/kvserver/handlers.go
@@ -15,7 +15,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Paths of the PROTOCOL's "Controller nodes -> state service".
+// Paths and limits from the section "Controller nodes -> state service" of the PROTOCOL.
 const (
 	commitPath      = "/commit"
 	rangePath       = "/store"
@@ -27,8 +27,8 @@
 	maxWatchTimeout = time.Minute
 )
 
-// maxPageSize keeps the size of a page an int everywhere. It is far above what a page
-// may hold.
+// maxPageSize caps the requested page size, so that it fits an int on every platform. It is far
+// above the number of entries that State.Range returns at most.
 const maxPageSize = 1 << 20
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
@@ -83,7 +83,7 @@
 	httpserver.Reply(ctx, fasthttp.StatusOK, s.State().Range(prefix, after, int(min(limit, maxPageSize))))
 }
 
-// entryResponse answers a request for one key.
+// entryResponse is the response body of a request for one key.
 type entryResponse struct {
 	Key     string       `msgpack:"Key"`
 	Value   protocol.Raw `msgpack:"Data"`
@@ -95,8 +95,8 @@
 	if !s.admit(ctx, 0) {
 		return
 	}
-	// Slashes are not escaped, so the key is the path as it was sent; Path would make
-	// "a//b" into "a/b".
+	// Slashes in a key are not escaped in the request, so the key is taken from the original
+	// path. Path would normalize the key "a//b" to "a/b".
 	key, err := url.PathUnescape(strings.TrimPrefix(string(ctx.URI().PathOriginal()), keyPrefix))
 	if err != nil {
 		replyError(ctx, fasthttp.StatusBadRequest, "the key is not well escaped")
@@ -125,7 +125,7 @@
 	})
 }
 
-// handleLease renews or revokes a lease, given the path after the prefix of leases.
+// handleLease renews or revokes a lease; path is the request's path without leasePrefix.
 func (s *Server) handleLease(ctx *fasthttp.RequestCtx, path string) {
 	number, renew := strings.CutSuffix(path, renewSuffix)
 	leaseID, err := strconv.ParseUint(number, 10, 64)
@@ -158,8 +158,8 @@
 	s.watch(ctx, string(args.Peek("Starts")), since, time.Duration(timeoutMillis)*time.Millisecond)
 }
 
-// watch answers with the events of a prefix after a revision, as soon as there are any or
-// the time to hold the answer back is over.
+// watch responds with the events of a prefix after a revision. It waits until there is one or the
+// timeout has passed, in which case the response has no events.
 func (s *Server) watch(ctx *fasthttp.RequestCtx, prefix string, since uint64, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -167,7 +167,7 @@
 	for {
 		state := s.published.Load()
 		events, err := state.EventsSince(prefix, since)
-		if err != nil { // ErrCompacted, the only one
+		if err != nil { // always ErrCompacted
 			replyError(ctx, fasthttp.StatusGone, "Since is too old")
 			return
 		}
@@ -186,7 +186,7 @@
 	}
 }
 
-// admit answers a request that is above the limits and reports whether it is within them.
+// admit reports whether a request is within the rate limits, and refuses it with status 429 if not.
 func (s *Server) admit(ctx *fasthttp.RequestCtx, writes int) bool {
 	if s.limiter.admit(s.clock(), writes) {
 		return true
@@ -195,8 +195,8 @@
 	return false
 }
 
-// execute submits a command and answers with its outcome; body is the answer to a command
-// that is done, or in conflict.
+// execute submits a command and responds with its outcome. For outcomeDone and outcomeConflict,
+// body makes the response body from the reply.
 func (s *Server) execute(ctx *fasthttp.RequestCtx, c command, body func(reply) any) {
 	switch r := s.submit(c); r.outcome {
 	case outcomeDone:
@@ -218,22 +218,22 @@
 	httpserver.Reply(ctx, status, protocol.ErrorResponse{Error: reason})
 }
 
-// abortConnection closes the connection without an answer: whether the request was
-// executed is open, and any status would say something about it.
+// abortConnection closes the connection without a response. It is used when it is unknown whether
+// the request was executed, because every status would state that it was or was not.
 func abortConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
-	ctx.Hijack(func(conn net.Conn) { _ = conn.Close() }) // there is nobody to tell
+	ctx.Hijack(func(conn net.Conn) { _ = conn.Close() }) // the error concerns only this closed connection
 }
 
-// errNotWholeNumber is told after the name of an argument.
+// errNotWholeNumber is appended to the name of an argument in a response.
 var errNotWholeNumber = errors.New("must be a whole number")
 
-// parseCount reads an argument that is a number; one that is not there is 0.
+// parseCount parses a query argument that is a whole number. A missing or empty argument is 0.
 func parseCount(argument []byte) (uint64, error) {
 	if len(argument) == 0 {
 		return 0, nil
 	}
-	// 63 bits, so that it fits an int64 too.
+	// The number is limited to 63 bits, so that it also fits an int64.
 	n, err := strconv.ParseUint(string(argument), 10, 63)
 	if err != nil {
 		return 0, errNotWholeNumber
--- a/internal/kvserver/limiter.go
+++ b/internal/kvserver/limiter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// limiter admits requests up to so many requests and writes a second. Any goroutine may
-// use it.
+// limiter limits the rates of requests and of writes, each with bursts of up to one second's worth.
+// Any goroutine may use it.
 type limiter struct {
 	requestsPerSecond float64
 	writesPerSecond   float64
@@ -17,8 +17,8 @@
 	throttled int64
 }
 
-// admit reports whether a request with so many writes is within the limits. Counted is
-// what is admitted: a request that is refused takes nothing of the second's worth.
+// admit reports whether a request with the given number of writes is within both limits. Only
+// admitted requests count towards the limits, so a refused request delays no later one.
 func (l *limiter) admit(now time.Duration, writes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,21 +31,21 @@
 	return false
 }
 
-// throttledCount is how many requests were refused.
+// throttledCount returns the number of requests refused since the start.
 func (l *limiter) throttledCount() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.throttled
 }
 
-// leakyBucket is a limit by the second that allows bursts of one second's worth.
+// leakyBucket limits a rate per second and allows bursts of up to one second's worth.
 type leakyBucket struct {
-	level     float64
+	level     float64 // amount in the bucket at updatedAt
 	updatedAt time.Duration
 }
 
-// fits lets out what has leaked until now, at a rate by the second, and reports whether
-// the amount would fit in.
+// fits lowers the level by what has leaked since the last update, at the given rate per second, and
+// reports whether the amount fits into the bucket. It doesn't add the amount.
 func (b *leakyBucket) fits(now time.Duration, amount, rate float64) bool {
 	b.level = max(b.level-(now-b.updatedAt).Seconds()*rate, 0)
 	b.updatedAt = now
--- a/internal/kvserver/metrics.go
+++ b/internal/kvserver/metrics.go
@@ -7,26 +7,27 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of what is recorded.
+// Bounds and precision of the recorded values. A longer duration counts as the upper bound.
 const (
 	maxRecordedBatch  = 1 << 20    // commands
-	maxRecordedMicros = 60_000_000 // a minute
-	significantDigits = 2          // within a percent, in a few kilobytes
+	maxRecordedMicros = 60_000_000 // one minute
+	significantDigits = 2          // accurate to one percent; takes a few kilobytes
 )
 
-// Metrics are what a server counts from its start.
+// Metrics holds figures of a server. The counts and quantiles cover the time since its start.
 type Metrics struct {
 	Revision       uint64 `json:"revision"`
 	Keys           int    `json:"keys"`
-	Throttled      int64  `json:"refused"` // requests above the limits
+	Throttled      int64  `json:"refused"` // requests refused because of the rate limits
 	Writes         int64  `json:"disk_writes"`
-	BatchP50       int64  `json:"batch_p50"` // commands that share a write
+	BatchP50       int64  `json:"batch_p50"` // commands per write to the storage
 	BatchMax       int64  `json:"batch_max"`
 	WriteP50Micros int64  `json:"sync_p50_us"`
 	WriteP99Micros int64  `json:"sync_p99_us"`
 }
 
-// writeRecorder records writes to the storage. Any goroutine may use it.
+// writeRecorder records the batch sizes and durations of writes to the storage. Any goroutine may
+// use it.
 type writeRecorder struct {
 	mu         sync.Mutex
 	batchSizes *hdrhistogram.Histogram
@@ -40,16 +41,17 @@
 	}
 }
 
-// record records a write of so many commands; leases that expired make one without any.
+// record records a write with the given number of commands. A write that only expires leases has no
+// commands and counts as one with a single command.
 func (r *writeRecorder) record(commands int, duration time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// A value out of bounds is the only error.
+	// RecordValue fails only for values out of bounds.
 	_ = r.batchSizes.RecordValue(int64(max(commands, 1)))
 	_ = r.micros.RecordValue(min(max(duration.Microseconds(), 1), maxRecordedMicros))
 }
 
-// Metrics sums up what was served from the start.
+// Metrics returns the current metrics. Any goroutine may call it.
 func (s *Server) Metrics() Metrics {
 	state := s.State()
 	r := s.writes
--- a/internal/kvserver/server.go
+++ b/internal/kvserver/server.go
@@ -1,17 +1,19 @@
-// Package kvserver is the service round a key-value store: it orders changes, makes each
-// durable before it answers, expires leases, and speaks the PROTOCOL's HTTP.
+// Package kvserver implements the state service, which serves a key-value store over the HTTP
+// interface that the PROTOCOL specifies. It orders changes, makes each of them durable before it
+// responds, and expires leases.
 //
-// It owns the current state, the clock of the leases, and the limits of requests a second.
-// It does not know what the keys mean, how a state is laid out on disk (package kvfile),
-// or what makes a transaction hold (package kvstore).
+// It owns the current state, the clock of the leases, and the rate limits of requests and writes.
+// It does not know what the keys mean, how a state is laid out on disk (package kvfile), or when
+// a transaction commits (package kvstore).
 //
 // Invariants:
-//   - One goroutine, Server.applyLoop, changes the state. All others read published ones.
-//   - A state is published only when it is durable, and before the commands that led to it
-//     are answered: whoever has an answer reads at least what that says.
-//   - When nobody knows whether a change is durable, its client gets no answer at all.
-//   - No lease expires before its full time since the last moment at which it could not be
-//     renewed: a start, an outage of the storage, or a stall of this process.
+//   - Only one goroutine, Server.applyLoop, changes the state. All others read published states.
+//   - A state is published only once it is durable, and before the clients of the commands that
+//     led to it get their responses. A client that reads after a response therefore sees at
+//     least that response's changes.
+//   - If it is unknown whether a change is durable, its client gets no response.
+//   - If a lease could not be renewed for a time, because the service was not running, its storage
+//     failed or the process was stalled, the lease gets its full TTL again afterwards.
 package kvserver
 
 import (
@@ -31,65 +33,70 @@
 )
 
 const (
-	// stallThreshold is how long the owner of the state must stand still for that to count
-	// as an outage: far more than a slow write takes, less than the leases that are used.
+	// stallThreshold is the time between two rounds of applyLoop above which the process is
+	// considered to have been stalled. It is far longer than a slow write takes, and
+	// shorter than the TTLs of the leases in use.
 	stallThreshold = time.Second
-	// leaseCheckInterval is how often leases are looked at; they may expire 100 ms late.
+	// leaseCheckInterval is the interval at which leases are checked for expiry. A lease may
+	// expire up to 100 ms late.
 	leaseCheckInterval = 50 * time.Millisecond
-	// maxQueuedBatches is how many batches may wait in the queue, so that one is full whenever
-	// a write ends.
+	// maxQueuedBatches is the capacity of the queue in batches. It is above 1 so that a full
+	// batch is ready whenever a write ends.
 	maxQueuedBatches = 4
-	// minQueueBatchSize is what a batch counts for the queue at least: with small batches, it
-	// still takes a burst of requests.
+	// minQueueBatchSize is the smallest batch size, in commands, from which the capacity of the
+	// queue is calculated, so that the queue takes a burst of requests even if MaxBatch is
+	// small.
 	minQueueBatchSize = 256
 
 	serverName = "chalk-state"
-	// connectionTimeout ends connections of clients that are gone. Watches are held for a
-	// minute at most.
+	// connectionTimeout closes idle connections, whose clients may have terminated. It is
+	// longer than the minute that a watch may take.
 	connectionTimeout = 2 * time.Minute
-	// writeTimeout ends a watch whose client does not read its answer.
+	// writeTimeout closes the connection of a client that does not read its response.
 	writeTimeout = 10 * time.Second
 )
 
-// Settings of a service.
+// Settings are the limits of a server.
 type Settings struct {
 	kvstore.Limits
 	RequestsPerSecond float64
-	WritesPerSecond   float64 // puts and deletes
-	MaxBatch          int     // most commands that share a write to the storage, 1: no batches
+	WritesPerSecond   float64 // limit of puts and deletes
+	MaxBatch          int     // maximum number of commands per write to the storage; 1 disables batching
 }
 
-// Server serves a store. It is made by New.
+// Server serves a key-value store over HTTP. Use New to create one.
 type Server struct {
 	settings  Settings
-	applier   *applier // belongs to applyLoop
+	applier   *applier // used only by applyLoop
 	queue     chan pendingCommand
 	startedAt time.Time
 	published atomic.Pointer[publishedState]
 	http      *fasthttp.Server
 	limiter   limiter
 	writes    *writeRecorder
-	stopped   chan struct{} // is closed when applyLoop has ended
+	stopped   chan struct{} // closed when applyLoop has ended
 }
 
-// pendingCommand is a command in the queue. Its channel takes one reply without waiting.
+// pendingCommand is a command in the queue. Its channel has a buffer for the one reply, so that
+// applyLoop never blocks on it.
 type pendingCommand struct {
 	command command
 	replyTo chan reply
 }
 
-// publishedState is a durable state, which anybody may read.
+// publishedState is a durable state, which any goroutine may read.
 type publishedState struct {
 	*kvstore.State
-	superseded chan struct{} // is closed when there is a newer one
+	superseded chan struct{} // closed when a newer state is published
 }
 
 func newPublishedState(state *kvstore.State) *publishedState {
 	return &publishedState{State: state, superseded: make(chan struct{})}
 }
 
-// New makes a server of a state that was just read from its storage. It owns both from
-// then on, but for the storage's snapshots.
+// New returns a server for a state that was just read from its storage. The server owns both from
+// then on; the caller may still take snapshots of the storage, and closes it after Serve has
+// returned.
 func New(settings Settings, state *kvstore.State, storage Storage) *Server {
 	s := &Server{
 		settings:  settings,
@@ -118,14 +125,15 @@
 	return s
 }
 
-// clock is the steady clock of leases and limits.
+// clock returns the time since the start on the monotonic clock, for leases and rate limits.
 func (s *Server) clock() time.Duration { return time.Since(s.startedAt) }
 
-// State is what is durable. Any goroutine may call it.
+// State returns the latest durable state. Any goroutine may call it.
 func (s *Server) State() *kvstore.State { return s.published.Load().State }
 
-// Serve answers on a listener, which it closes, until ctx ends or the storage is in doubt.
-// It may be called once.
+// Serve serves requests on a listener, which it closes, until ctx ends or a write fails so that it
+// is unknown what the storage holds. It returns ctx's error or that of the write. It may be called
+// only once.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -136,8 +144,8 @@
 	return group.Wait()
 }
 
-// applyLoop applies what is in the queue, and expires leases, until ctx ends or the
-// storage is in doubt. It alone changes the state.
+// applyLoop applies the commands in the queue and expires leases. It returns when ctx ends, or with
+// an error when it is unknown what the storage holds. Nothing else changes the state.
 func (s *Server) applyLoop(ctx context.Context) error {
 	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
@@ -152,12 +160,12 @@
 			pending = s.fillBatch(append(pending, first))
 		}
 		if err := s.applyBatch(pending); err != nil {
-			return fmt.Errorf("the state file may not hold the last write, start again to read it anew: %w", err)
+			return fmt.Errorf("write to the state file: the file may lack the last write, restart the service to read it again: %w", err)
 		}
 	}
 }
 
-// fillBatch adds what waits in the queue to a batch, up to the most that it may have.
+// fillBatch adds the commands waiting in the queue to a batch, up to the size MaxBatch.
 func (s *Server) fillBatch(batch []pendingCommand) []pendingCommand {
 	for len(batch) < s.settings.MaxBatch {
 		select {
@@ -170,7 +178,7 @@
 	return batch
 }
 
-// applyBatch applies commands, publishes the state that they lead to, and answers them.
+// applyBatch applies commands, publishes the resulting state, and then sends the replies.
 func (s *Server) applyBatch(batch []pendingCommand) error {
 	commands := make([]command, len(batch))
 	for i := range batch {
@@ -188,13 +196,13 @@
 	return err
 }
 
-// publish shows a state to readers and wakes the watches.
+// publish makes a state visible to readers and wakes the waiting watches.
 func (s *Server) publish(state *kvstore.State) {
 	old := s.published.Swap(newPublishedState(state))
 	close(old.superseded)
 }
 
-// errQueueFull refuses a command that finds no room in the queue.
+// errQueueFull is the reason for refusing a command when the queue is at capacity.
 var errQueueFull = errors.New("the queue is full")
 
 // submit puts a command into the queue and waits for its reply.
