--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -1,16 +1,16 @@
-// Package localcloud is a cloud on one machine: its machines are agents, processes of this
-// machine. It stands in for a provider and follows the protocol's "Controller nodes ->
-// cloud", with types, zones, spot prices and preemption notices from its settings.
+// Package localcloud simulates a cloud provider on one host: each of its machines is an agent
+// process on that host. It implements the section "Controller nodes -> cloud" of the protocol. The
+// machine types, zones, spot prices and preemption notices come from its settings.
 //
-// It owns the agents' processes, the journal of what was created and deleted, and the
-// machines' directories. It may not know of jobs, tasks, leases or controllers; how an
-// agent is started is its caller's (StartAgent).
+// It owns the agents' processes, the journal of the machines created and deleted, and the
+// machines' directories. It may not know of jobs, tasks, leases or controllers, nor how an agent is
+// started, which its caller implements (StartAgent).
 //
 // Invariants:
-//   - A machine is in the journal before the response that names it, and a repeated request
-//     gets the names of the first.
-//   - A machine is deleted only once no process of it is left.
-//   - When Serve returns, no machine is left.
+//   - A machine is in the journal before the response that names it is sent, and a repeated
+//     request gets the same names as the first.
+//   - A machine counts as deleted only once all its processes have exited.
+//   - When Serve returns, all machines are deleted.
 package localcloud
 
 import (
@@ -32,29 +32,32 @@
 )
 
 const (
-	// deletedRetention is how long a deleted machine is kept beyond the list's lag, for
-	// pages of a list that was begun before.
+	// deletedRetention is how long a deleted machine is kept in memory beyond the lag of the
+	// list, so that the remaining pages of a list begun before the deletion still contain it.
 	deletedRetention = time.Minute
 
-	// pricePeriod and priceParts shape the spot prices: a wave, by up to one part of the
-	// price, so that a controller sees both cheap and dear times within an hour.
+	// The spot price of a type rises linearly from below its set price to above it within
+	// pricePeriod and then drops again, so that a controller sees low and high prices within an
+	// hour. It differs from the set price by at most one part in priceWaveDivisor.
 	pricePeriod      = 30 * time.Minute
 	priceWaveDivisor = 3
 
-	// pricePhases spreads the types' waves, so that their prices don't move together.
+	// pricePhases shifts the price wave of each type by one part in pricePhases of the period
+	// against that of the type before, so that the prices don't move together.
 	pricePhases = 7
 
-	// unreachableAddr stands for the address of a machine that no agent listens for.
+	// unreachableAddr is the address of a machine that has no agent; nothing listens on it.
 	unreachableAddr = "127.0.0.1:1"
 )
 
-// Reasons to refuse a machine; controllers see their texts.
+// Reasons for refusing to create a machine. Their texts are sent to controllers.
 var (
 	errInvalidCreate = errors.New("no such type or zone, or a wrong number")
 	errNoCapacity    = errors.New("no capacity")
 )
 
-// MachineType is a machine type with how many there are.
+// MachineType is a machine type that the cloud offers, with the number of machines per zone. Prices
+// are per hour.
 type MachineType struct {
 	Name       string   `json:"name"`
 	CPUs       float64  `json:"cpus"`
@@ -66,30 +69,32 @@
 	SpotPrice  float64  `json:"spot_price"`
 	BootS      float64  `json:"boot_s"`
 	Zones      []string `json:"zones"`
-	MaxPerZone int      `json:"most"` // 0: any number
+	MaxPerZone int      `json:"most"` // 0 means no limit
 }
 
-// Settings of a cloud.
+// Settings of a cloud. RPS limits the requests per second. ListLagS is the age of the lists of
+// machines in seconds.
 type Settings struct {
 	Types    []MachineType `json:"types"`
 	RPS      float64       `json:"rps"`
 	ListLagS float64       `json:"list_lag_s"`
-	// SpotLifeS is the mean time after which a spot machine is preempted, 0: never.
+	// SpotLifeS is the mean time in seconds after which a spot machine is preempted; 0 means never.
 	SpotLifeS float64 `json:"spot_life_s"`
-	NoticeS   float64 `json:"notice_s"` // given before, 0: none
+	NoticeS   float64 `json:"notice_s"` // mean seconds between notice and preemption; 0 means no notice
 }
 
-// StartAgent prepares the command of a machine's agent. Its standard input stays open for
-// as long as the cloud lives and takes AgentMessages; extra files are its listener and the
-// end of a pipe that it and all its tasks hold open.
+// StartAgent returns the command of a machine's agent, which the cloud then starts. The standard
+// input of the agent stays open as long as the cloud's process runs and delivers AgentMessages. The
+// files to pass to it are its listener and the write end of a pipe, which the agent and the shims of
+// its tasks keep open until they exit.
 type StartAgent func(m protocol.Instance, t MachineType, listener, livenessPipe *os.File) (*exec.Cmd, error)
 
-// AgentMessage is what the cloud tells an agent, as a JSON line.
+// AgentMessage is a message from the cloud to an agent, sent as one line of JSON.
 type AgentMessage struct {
-	NoticeS float64 `json:"notice_s"` // until the machine is preempted
+	NoticeS float64 `json:"notice_s"` // seconds until the machine is preempted
 }
 
-// Cloud runs machines.
+// Cloud creates, lists and deletes machines. Use Open to create one.
 type Cloud struct {
 	settings   Settings
 	startAgent StartAgent
@@ -98,14 +103,15 @@
 
 	mu             sync.Mutex
 	journal        *os.File
-	lastNumber     int // in machines' names
+	lastNumber     int // highest number used in a machine's name
 	machines       map[string]*instance
 	namesByRequest map[string][]string
 	rateLimit      rateLimit
 }
 
-// Open opens the cloud that keeps a journal in the file at path. Machines of an earlier
-// process end with it and are listed as failed. Each machine has a directory below dirs.
+// Open returns a cloud that keeps its journal in the file at path. Machines that an earlier process
+// of the cloud created end with that process and are listed as failed. Each machine has a directory
+// below machinesDir.
 func Open(settings Settings, path, machinesDir string, startAgent StartAgent, logger *slog.Logger) (*Cloud, error) {
 	now := time.Now()
 	c := &Cloud{
@@ -119,7 +125,7 @@
 	}
 	c.replay(path)
 	for _, m := range c.machines {
-		go awaitOrphan(m, filepath.Join(machinesDir, m.Name)) // Serve's delete waits for it
+		go awaitOrphan(m, filepath.Join(machinesDir, m.Name)) // ends once no process of the machine is left; Serve waits for that
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -138,7 +144,8 @@
 	return nil
 }
 
-// create creates as many of the machines as there is room for, and returns their names.
+// create creates the requested machines, or as many of them as the zone has capacity for, and
+// returns their names. A repeated request creates none and gets the names of the first.
 func (c *Cloud) create(r protocol.CreateMachinesRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,7 +177,8 @@
 	return names, nil
 }
 
-// availableCapacity is how many machines of a type a zone still takes, or wanted if any number.
+// availableCapacity returns how many more machines of a type can be created in a zone, or wanted if
+// the type has no limit.
 func (c *Cloud) availableCapacity(t *MachineType, zone string, wanted int) int {
 	if t.MaxPerZone <= 0 {
 		return wanted
@@ -184,7 +192,7 @@
 	return t.MaxPerZone - used
 }
 
-// boot starts a machine's life.
+// boot returns a machine and starts to boot it. If the machine gets no listener, it has failed.
 func (c *Cloud) boot(i protocol.Instance, t MachineType) *instance {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &instance{Instance: i, createdAt: time.Now(), cancel: cancel, exited: make(chan struct{})}
@@ -195,12 +203,12 @@
 		return m
 	}
 	m.Addr = l.Addr().String()
-	go c.runMachine(ctx, m, t, l) // delete cancels it and waits
+	go c.runMachine(ctx, m, t, l) // ends when delete cancels ctx; delete waits for it
 	return m
 }
 
-// delete ends machines and waits until nothing of them is left. Names that are unknown or
-// deleted already are skipped.
+// delete terminates machines, waits until all their processes have exited, and records the deletion.
+// It skips names that are unknown or already deleted.
 func (c *Cloud) delete(names []string) error {
 	machines := c.cancelMachines(names)
 	for _, m := range machines {
@@ -232,7 +240,8 @@
 	return machines
 }
 
-// list is a page of the machines with names above after, as they were ListLagS ago.
+// list returns a page of the machines that existed ListLagS ago and whose names sort after the name
+// after. Their states are the current ones.
 func (c *Cloud) list(after string, pageSize int) protocol.InstanceList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -262,8 +271,7 @@
 	}
 }
 
-// machineTypes lists the types with their prices of now. Each spot price moves by a wave
-// of its own.
+// machineTypes returns the types with their current prices. Only the spot prices change with time.
 func (c *Cloud) machineTypes() protocol.MachineTypes {
 	var list protocol.MachineTypes
 	for i, t := range c.settings.Types {
@@ -285,7 +293,7 @@
 	return list
 }
 
-// processIDs is which process is which running machine's agent.
+// processIDs returns the process IDs of the running machines' agents by machine name.
 func (c *Cloud) processIDs() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/localcloud/http.go
+++ b/internal/localcloud/http.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// maxPage is the most machines that the protocol lists on a page.
+	// maxPage is the maximum number of machines per page of a list in the protocol.
 	maxPage = 500
 
-	// burstSeconds is how many seconds' worth of requests may come at once.
+	// burstSeconds is the size of the largest burst of requests, in seconds at the rate limit.
 	burstSeconds = 2
 )
 
-// rateLimit is a leaky bucket of requests.
+// rateLimit limits the rate of requests as a leaky bucket. Cloud.mu guards it.
 type rateLimit struct {
 	perSecond float64
-	level     float64   // how full the bucket is
-	updatedAt time.Time // when that was
+	level     float64 // number of requests in the bucket at updatedAt
+	updatedAt time.Time
 }
 
-// allow reports whether one more request may come now, and counts it if so.
+// allow reports whether one more request is within the limit, and counts it if so.
 func (r *rateLimit) allow(now time.Time) bool {
 	r.level = max(r.level-now.Sub(r.updatedAt).Seconds()*r.perSecond, 0)
 	r.updatedAt = now
@@ -39,7 +39,9 @@
 	return true
 }
 
-// Serve serves requests until ctx ends; then it deletes all machines.
+// Serve serves requests on l, which it closes, until ctx ends. Then it deletes all machines and closes
+// the journal. It always returns an error, which wraps ctx's error if ctx has ended. It may be called
+// only once.
 func (c *Cloud) Serve(ctx context.Context, l net.Listener) error {
 	srv := &fasthttp.Server{
 		Handler:               c.handleRequest,
@@ -84,7 +86,7 @@
 	case "POST /machines/delete":
 		c.handleDelete(ctx)
 	case "GET /processes":
-		// For `chalkhubctl local` and its tests.
+		// This path is not in the protocol; `chalkhubctl local` and its tests use it.
 		httpserver.Reply(ctx, fasthttp.StatusOK, c.processIDs())
 	default:
 		replyError(ctx, fasthttp.StatusNotFound, "no such page")
--- a/internal/localcloud/instance.go
+++ b/internal/localcloud/instance.go
@@ -21,43 +21,45 @@
 )
 
 const (
-	// Boot times and notices vary as those of real clouds do: boots from 0.6 to 1.5 of the
-	// type's time, notices from 0.5 to 1.5 of the setting.
+	// Boot times and notices vary as they do in real clouds: boot times from 0.6 to 1.5 times
+	// the type's BootS, notices from 0.5 to 1.5 times the setting NoticeS.
 	minBootFactor    = 0.6
 	bootFactorSpan   = 0.9
 	minNoticeFactor  = 0.5
 	noticeFactorSpan = 1.0
 
-	// orphanPollInterval is how often an earlier cloud's machine is looked at.
+	// orphanPollInterval is the interval of the checks whether a machine that an earlier
+	// process of the cloud created still has processes.
 	orphanPollInterval = 50 * time.Millisecond
 )
 
-// instance is a machine. Its fields are guarded by Cloud.mu, but for those that are set
-// before it is shared.
+// instance is a machine. Cloud.mu guards its fields, except for those that are only set before
+// other goroutines can access it.
 type instance struct {
 	protocol.Instance
 	createdAt time.Time
-	deletedAt time.Time // zero: not deleted
+	deletedAt time.Time // zero if not deleted
 	cancel    context.CancelFunc
-	exited    chan struct{} // closed when nothing of it is left
-	pid       int           // of its agent
+	exited    chan struct{} // closed when all its processes have exited
+	pid       int           // process ID of its agent; 0 before the agent starts
 }
 
 func (m *instance) existedAt(t time.Time) bool {
 	return !m.createdAt.After(t) && (m.deletedAt.IsZero() || !m.deletedAt.Before(t))
 }
 
-// agentProcess is a machine's agent.
+// agentProcess is the running agent of a machine.
 type agentProcess struct {
 	cmd          *exec.Cmd
 	stdin        io.Writer
-	livenessPipe *os.File // ends when the agent, its shims and so all its tasks have exited
+	livenessPipe *os.File // read end of a pipe; reaches EOF when the agent and its shims, and so all its tasks, have exited
 }
 
-// runMachine is a machine's whole life. It ends when ctx does.
+// runMachine boots a machine, starts its agent and waits until all its processes have exited. When
+// ctx ends, it kills the agent.
 func (c *Cloud) runMachine(ctx context.Context, m *instance, t MachineType, l net.Listener) {
 	defer close(m.exited)
-	defer func() { _ = l.Close() }() // the agent has a copy
+	defer func() { _ = l.Close() }() // the agent has its own copy of the listener
 	if !sleep(ctx, config.Seconds(t.BootS*(minBootFactor+bootFactorSpan*rand.Float64()))) {
 		return
 	}
@@ -66,43 +68,45 @@
 		c.markFailed(m, err)
 		return
 	}
-	defer func() { _ = agent.livenessPipe.Close() }() // it was only read
+	defer func() { _ = agent.livenessPipe.Close() }() // nothing was written to it
 	c.markRunning(m, agent.cmd.Process.Pid)
 	if m.Spot && c.settings.SpotLifeS > 0 {
-		go c.preemptSpot(ctx, m, agent.stdin) // ends with ctx, or with the machine
+		go c.preemptSpot(ctx, m, agent.stdin) // ends when it has preempted the machine, or with ctx
 	}
-	defer func() { _ = os.RemoveAll(agent.cmd.Dir) }() // the machine's own
+	defer func() { _ = os.RemoveAll(agent.cmd.Dir) }() // the directory belongs to this machine alone
 	defer context.AfterFunc(ctx, func() { _ = agent.cmd.Process.Kill() })()
-	_, _ = io.Copy(io.Discard, agent.livenessPipe) // nothing is written, it only ends
-	_ = agent.cmd.Wait()                           // the process state says how it ended
+	_, _ = io.Copy(io.Discard, agent.livenessPipe) // no data arrives; returns at EOF
+	_ = agent.cmd.Wait()                           // the exit status is in cmd.ProcessState
 	if ctx.Err() == nil {
-		c.markFailed(m, fmt.Errorf("its agent ended: %v", agent.cmd.ProcessState))
+		c.markFailed(m, fmt.Errorf("agent process exited: %v", agent.cmd.ProcessState))
 	}
 }
 
-// launchAgent starts a machine's agent, which takes over the listener.
+// launchAgent starts a machine's agent, which takes over the listener. It closes l, unless it fails
+// before it has called startAgent.
 func (c *Cloud) launchAgent(m protocol.Instance, t MachineType, l *net.TCPListener) (*agentProcess, error) {
 	listener, err := l.File()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = listener.Close() }() // the agent has a copy
+	defer func() { _ = listener.Close() }() // the agent has its own copy
 	read, write, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = write.Close() }() // the agent has a copy
+	defer func() { _ = write.Close() }() // the agent has its own copy
 	var stdin io.Writer
 	cmd, err := c.startAgent(m, t, listener, write)
 	if err == nil {
 		stdin, err = cmd.StdinPipe()
 	}
 	if err == nil {
-		// A group of its own: the terminal's interrupt is the cloud's to pass on.
+		// The agent gets its own process group, so that an interrupt from the terminal reaches
+		// only the cloud, which terminates its agents itself.
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		err = cmd.Start()
 	}
-	_ = l.Close() // the agent has a copy, and from now on it alone accepts connections
+	_ = l.Close() // only the agent's copy may accept connections from now on
 	if err != nil {
 		_ = read.Close()
 		return nil, err
@@ -110,7 +114,8 @@
 	return &agentProcess{cmd: cmd, stdin: stdin, livenessPipe: read}, nil
 }
 
-// markRunning makes a machine running and its agent known to a later cloud.
+// markRunning marks a machine as running and records its agent's process ID in the journal, so that
+// a later process of the cloud can kill the agent.
 func (c *Cloud) markRunning(m *instance, pid int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,15 +132,16 @@
 	m.State = protocol.MachineFailed
 }
 
-// preemptSpot takes a spot machine back after a random time, with a notice if there is one.
+// preemptSpot deletes a spot machine after a random time, and sends its agent a notice before if
+// NoticeS is set.
 func (c *Cloud) preemptSpot(ctx context.Context, m *instance, agent io.Writer) {
 	if !sleep(ctx, config.Seconds(rand.ExpFloat64()*c.settings.SpotLifeS)) {
 		return
 	}
 	if c.settings.NoticeS > 0 {
 		noticeS := c.settings.NoticeS * (minNoticeFactor + noticeFactorSpan*rand.Float64())
-		b, _ := json.Marshal(AgentMessage{NoticeS: noticeS}) // a number always encodes
-		_, _ = agent.Write(append(b, '\n'))                  // an agent that has exited needs none
+		b, _ := json.Marshal(AgentMessage{NoticeS: noticeS}) // encoding a finite number can't fail
+		_, _ = agent.Write(append(b, '\n'))                  // fails only if the agent has exited
 		if !sleep(ctx, config.Seconds(noticeS)) {
 			return
 		}
@@ -145,7 +151,7 @@
 	}
 }
 
-// sleep waits for d; it returns false if ctx ends first.
+// sleep waits for d and returns true, or returns false as soon as ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -155,39 +161,42 @@
 	}
 }
 
-// awaitOrphan waits until nothing is left of a machine that an earlier cloud created, by
-// the lock that its agent and all its shims hold.
+// awaitOrphan kills the agent of a machine that an earlier process of the cloud created, waits until
+// all processes of the machine have exited, and removes its directory. The agent and its shims hold
+// a lock on a file in dir until they exit.
 //
-// Guards against a machine that is said to be deleted while its tasks go on: an agent
-// ends with its cloud, but not while it is stopped, and its shims wait for it.
+// Without the wait, a machine could be reported as deleted while its tasks still run: an agent exits
+// when its cloud does, but not while it is stopped (SIGSTOP), and its shims let the tasks run until it exits or
+// the worker's lease expires.
 func awaitOrphan(m *instance, dir string) {
 	defer close(m.exited)
 	for lockHeld(filepath.Join(dir, "lock")) {
 		killOrphan(m.pid, dir)
 		time.Sleep(orphanPollInterval)
 	}
-	_ = os.RemoveAll(dir) // it is of no more use
+	_ = os.RemoveAll(dir) // a leftover directory does no harm
 }
 
-// lockHeld reports whether a process holds the lock. Without a file none does: the agent
-// never started, or its directory was removed when it was gone.
+// lockHeld reports whether a process holds the lock on a file. No process does if the file does not
+// exist: the agent never started, or its directory was removed after it had exited.
 func lockHeld(path string) bool {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = f.Close() }() // gives the lock back
+	defer func() { _ = f.Close() }() // this also releases the lock
 	return unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil
 }
 
-// killOrphan kills an agent if the process is still that of the machine's directory: PIDs
-// are reused, a command line with this directory is not.
+// killOrphan kills an agent if the command line of the process contains the machine's directory. The
+// operating system may have given the PID to another process, but no other process has this directory
+// in its command line.
 func killOrphan(pid int, dir string) {
 	if pid == 0 {
 		return
 	}
 	commandLine, err := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", pid))
 	if err == nil && strings.Contains(string(commandLine), dir+string(filepath.Separator)) {
-		_ = unix.Kill(pid, unix.SIGKILL) // it may have exited meanwhile
+		_ = unix.Kill(pid, unix.SIGKILL) // the agent may have exited meanwhile
 	}
 }
--- a/internal/localcloud/journal.go
+++ b/internal/localcloud/journal.go
@@ -9,8 +9,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// journalRecord is a line of the cloud's journal: machines that a request created, the
-// process of the one machine that is named, or machines that were deleted.
+// journalRecord is a line of the cloud's journal. It records the machines that a request created, the
+// process ID of one machine's agent, or the machines that were deleted.
 type journalRecord struct {
 	Request    string   `json:"request,omitempty"`
 	Machines   []string `json:"names,omitempty"`
@@ -19,10 +19,10 @@
 	Spot       bool     `json:"spot,omitempty"`
 	Deleted    []string `json:"gone,omitempty"`
 	PID        int      `json:"pid,omitempty"`
-	LastNumber int      `json:"next"` // of a machine's name, so that none comes twice
+	LastNumber int      `json:"next"` // highest number used in a machine's name, so that no name is used twice
 }
 
-// appendRecord makes a record durable.
+// appendRecord appends a record to the journal and makes it durable before it returns.
 func (c *Cloud) appendRecord(r journalRecord) error {
 	r.LastNumber = c.lastNumber
 	b, err := json.Marshal(&r)
@@ -35,17 +35,18 @@
 	return c.journal.Sync()
 }
 
-// replay reads the journal of an earlier process; without one, there was none.
+// replay restores the machines from the journal of earlier processes. If the file can't be opened,
+// the cloud starts without machines.
 func (c *Cloud) replay(path string) {
 	f, err := os.Open(path)
 	if err != nil {
 		return
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var r journalRecord
 		if json.Unmarshal(lines.Bytes(), &r) != nil {
-			return // the last line, cut short: it was never answered
+			return // a truncated last line, for which no response was sent
 		}
 		c.replayRecord(&r)
 	}
@@ -69,7 +70,7 @@
 				Addr: unreachableAddr, State: protocol.MachineFailed,
 			},
 			exited: make(chan struct{}),
-			cancel: func() {}, // its agent ends with the earlier cloud
+			cancel: func() {}, // its agent exits when the earlier process of the cloud does
 		}
 	}
 	for _, name := range r.Deleted {
