--- a/internal/kvserver/server_test.go
+++ b/internal/kvserver/server_test.go
@@ -34,8 +34,8 @@
 
 // call sends a request and returns the status of the response. It decodes the body into answer if
 // the status is 200.
-func (c *testClient) call(method, path string, body, answer any) int {
-	return c.rpc.Call(method, c.address, path, body, answer, time.Second, 200)
+func (c *testClient) call(method, path string, body, response any) int {
+	return c.rpc.Call(method, c.address, path, body, response, time.Second, 200)
 }
 
 // watch returns the events with a prefix after a revision; it waits for one for at most five seconds.
