--- a/internal/kvserver/applier.go
+++ b/internal/kvserver/applier.go
@@ -62,8 +62,8 @@
 // was applied; the process must end and read the storage again.
 func (a *applier) apply(now time.Duration, commands []command) ([]reply, error) {
 	// If the process was stopped or the disk hung for longer than a lease's TTL, the holder
-	// could not renew the lease, which must not expire it. As after any outage, every lease
-	// gets its full TTL again.
+	// could not renew the lease, so the lease must not expire for that. As after any outage,
+	// every lease gets its full TTL again.
 	if now-a.lastApplied > a.stallThreshold {
 		a.restartLeases(now)
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// applyRound holds what one call of apply is going to change. Nothing of it takes effect until
-// its batch is durable.
+// applyRound holds what one call of apply is going to change. It takes effect only once its batch is
+// durable, or at once if the batch is empty.
 type applyRound struct {
 	now          time.Duration
 	batch        *kvstore.Batch
--- a/internal/kvserver/server.go
+++ b/internal/kvserver/server.go
@@ -49,8 +49,9 @@
 	minQueueBatchSize = 256
 
 	serverName = "chalk-state"
-	// connectionTimeout closes idle connections, whose clients may have terminated. It is
-	// longer than the minute that a watch may take.
+	// connectionTimeout closes connections that are idle or on which a request does not arrive
+	// completely, because their clients may have terminated. It is longer than the minute that
+	// a watch may take.
 	connectionTimeout = 2 * time.Minute
 	// writeTimeout closes the connection of a client that does not read its response.
 	writeTimeout = 10 * time.Second
--- a/internal/kvserver/server_test.go
+++ b/internal/kvserver/server_test.go
@@ -32,8 +32,7 @@
 	return &testClient{rpc: rpc.New(connections, time.Second), address: address}
 }
 
-// call sends a request and returns the status of the response. It decodes the body into answer if
-// the status is 200.
+// call sends a request and returns its status. If that is 200, it decodes the body into response.
 func (c *testClient) call(method, path string, body, response any) int {
 	return c.rpc.Call(method, c.address, path, body, response, time.Second, 200)
 }
--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -192,7 +192,8 @@
 	return t.MaxPerZone - used
 }
 
-// boot returns a machine and starts to boot it. If the machine gets no listener, it has failed.
+// boot returns a machine and starts to boot it. If no listener can be opened for it, the returned
+// machine is in the state failed.
 func (c *Cloud) boot(i protocol.Instance, t MachineType) *instance {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &instance{Instance: i, createdAt: time.Now(), cancel: cancel, exited: make(chan struct{})}
--- a/internal/localcloud/http.go
+++ b/internal/localcloud/http.go
@@ -40,8 +40,8 @@
 }
 
 // Serve serves requests on l, which it closes, until ctx ends. Then it deletes all machines and closes
-// the journal. It always returns an error, which wraps ctx's error if ctx has ended. It may be called
-// only once.
+// the journal. After ctx has ended, the returned error wraps ctx's error. Serve may be called only
+// once.
 func (c *Cloud) Serve(ctx context.Context, l net.Listener) error {
 	srv := &fasthttp.Server{
 		Handler:               c.handleRequest,
@@ -86,7 +86,7 @@
 	case "POST /machines/delete":
 		c.handleDelete(ctx)
 	case "GET /processes":
-		// This path is not in the protocol; `chalkhubctl local` and its tests use it.
+		// This path serves `chalkhubctl local` and its tests.
 		httpserver.Reply(ctx, fasthttp.StatusOK, c.processIDs())
 	default:
 		replyError(ctx, fasthttp.StatusNotFound, "no such page")
--- a/internal/localcloud/instance.go
+++ b/internal/localcloud/instance.go
@@ -50,9 +50,11 @@
 
 // agentProcess is the running agent of a machine.
 type agentProcess struct {
-	cmd          *exec.Cmd
-	stdin        io.Writer
-	livenessPipe *os.File // read end of a pipe; reaches EOF when the agent and its shims, and so all its tasks, have exited
+	cmd   *exec.Cmd
+	stdin io.Writer
+	// livenessPipe is the read end of a pipe. It reaches EOF when the agent and its shims, and so
+	// all its tasks, have exited.
+	livenessPipe *os.File
 }
 
 // runMachine boots a machine, starts its agent and waits until all its processes have exited. When
@@ -166,8 +168,8 @@
 // a lock on a file in dir until they exit.
 //
 // Without the wait, a machine could be reported as deleted while its tasks still run: an agent exits
-// when its cloud does, but not while it is stopped (SIGSTOP), and its shims let the tasks run until it exits or
-// the worker's lease expires.
+// when its cloud does, but not while it is stopped (SIGSTOP), and its shims let the tasks run until
+// it exits or the worker's lease expires.
 func awaitOrphan(m *instance, dir string) {
 	defer close(m.exited)
 	for lockHeld(filepath.Join(dir, "lock")) {
