--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -77,7 +77,7 @@
 // onMachines has something happen to some machines when the fault begins.
 func (f *fault) onMachines(happen func(*simulation.Worker)) {
 	f.atStart(func() {
-		for _, machine := range f.s.SomeWorkers(f.count) {
+		for _, machine := range f.s.RandomWorkers(f.count) {
 			happen(machine)
 		}
 	})
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -94,7 +94,7 @@
 	s.leader().Crash(3 * second)
 	s.Run(s.Now + 10*second)
 	s.Store.Outage(8 * second)
-	for _, k := range s.SomeWorkers(15) {
+	for _, k := range s.RandomWorkers(15) {
 		s.Cloud.Remove(k.Info.Name)
 	}
 	s.Run(s.Now + 15*second)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -93,7 +93,7 @@
 		return
 	}
 	if len(c.retainedHeartbeats) == 0 {
-		c.lastLeader = c.currentLeader()
+		c.leaderAtRetention = c.currentLeader()
 		c.releaseAtFailover()
 	}
 	c.retainedHeartbeats[report.Machine] = report
@@ -103,7 +103,7 @@
 // mix their order, once another process leads.
 func (c *Cluster) releaseAtFailover() {
 	leader := c.currentLeader()
-	if leader == "" || leader == c.lastLeader {
+	if leader == "" || leader == c.leaderAtRetention {
 		c.After(leaderPollInterval, c.releaseAtFailover)
 		return
 	}
@@ -176,13 +176,13 @@
 
 // DeleteKey removes a key without the knowledge of any controller.
 func (s *Store) DeleteKey(key string) {
-	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
+	s.commitDirectly(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
 }
 
 // ReopenJob puts a job back to where it was when it was accepted, without the knowledge of any
 // controller.
 func (s *Store) ReopenJob(spec protocol.Job) {
-	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
+	s.commitDirectly(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
 }
 
 // queuedRecord is the record of a job that was just accepted.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -17,7 +17,7 @@
 	MaxMessageBytes int           // in bytes; larger messages between controllers never get through, 0: all do
 	FlapPeriod      time.Duration // the link is down and up in turns, each for so long; 0: down all the time
 
-	since time.Duration // when it was set
+	setAt time.Duration // when it was set
 }
 
 // Links that tests often set.
@@ -26,11 +26,11 @@
 	Held        = Link{Hold: true}
 	Refused     = Link{Refuse: true}
 	ResetOnSend = Link{Reset: true}
-	Unread      = Link{MaxMessageBytes: unreadBytes} // connections are accepted and never read
+	Unread      = Link{MaxMessageBytes: unreadMaxMessageBytes} // connections are accepted and never read
 )
 
-// unreadBytes is the limit of a link that no message gets through.
-const unreadBytes = 1
+// unreadMaxMessageBytes is the limit of a link that no message gets through.
+const unreadMaxMessageBytes = 1
 
 // blocksConnections reports whether no connection is made over the link.
 func (l *Link) blocksConnections() bool { return l.Drop || l.Hold || l.Refuse || l.Reset }
@@ -38,10 +38,10 @@
 // untilUp is how long it takes until a flapping link lets packets pass, 0 if it does now or
 // does not flap.
 func (l *Link) untilUp(now time.Duration) time.Duration {
-	if l.FlapPeriod == 0 || (now-l.since)/l.FlapPeriod%2 == 1 {
+	if l.FlapPeriod == 0 || (now-l.setAt)/l.FlapPeriod%2 == 1 {
 		return 0
 	}
-	return l.FlapPeriod - (now-l.since)%l.FlapPeriod
+	return l.FlapPeriod - (now-l.setAt)%l.FlapPeriod
 }
 
 // combine adds what another link does, if both lie on a packet's path.
@@ -74,7 +74,7 @@
 	if link == (Link{}) {
 		delete(c.links, path)
 	} else {
-		link.since = c.Now
+		link.setAt = c.Now
 		c.links[path] = &link
 	}
 	c.releaseHeld(path)
@@ -99,8 +99,8 @@
 		}
 	}
 	for _, link := range c.sortedPeerLinks() {
-		lossy := link.lossy[fromDialer] || link.lossy[fromAcceptor]
-		if lossy && !c.connectionBlocked(link.dialer.Label, link.acceptor.Label) {
+		stalled := link.stalled[fromDialer] || link.stalled[fromAcceptor]
+		if stalled && !c.connectionBlocked(link.dialer.Label, link.acceptor.Label) {
 			link.close()
 		}
 	}
@@ -108,9 +108,9 @@
 
 // connectionBlocked reports whether no connection is made between two endpoints.
 func (c *Cluster) connectionBlocked(a, b string) bool {
-	there, _ := c.linkBetween(a, b)
-	back, _ := c.linkBetween(b, a)
-	return there.blocksConnections() || back.blocksConnections()
+	forward, _ := c.linkBetween(a, b)
+	reverse, _ := c.linkBetween(b, a)
+	return forward.blocksConnections() || reverse.blocksConnections()
 }
 
 // endpointNames are the names that an endpoint goes by, its zone's not among them.
@@ -189,7 +189,7 @@
 func (c *Cluster) deliver(from, to string, onArrival, onReset func()) {
 	link, heldBy := c.linkBetween(from, to)
 	switch {
-	case link.Drop || link.MaxMessageBytes == unreadBytes || c.drawChance(link.Loss) || c.drawChance(c.Loss):
+	case link.Drop || link.MaxMessageBytes == unreadMaxMessageBytes || c.drawChance(link.Loss) || c.drawChance(c.Loss):
 	case link.Refuse:
 		c.After(c.networkDelay(), onReset)
 	case link.Reset:
@@ -218,28 +218,28 @@
 // call carries a request from one endpoint to the other and its answer back. serve runs at
 // the far end and gets a function to answer with; onFailure runs if no answer came in time.
 // Exactly one of onAnswer and onFailure runs.
-func call[T any](c *Cluster, from, to string, timeout time.Duration, serve func(reply func(T)), onAnswer func(T), onFailure func()) {
-	over := false
+func call[T any](c *Cluster, from, to string, timeout time.Duration, serve func(reply func(T)), onResponse func(T), onFailure func()) {
+	completed := false
 	fail := func() {
-		if !over {
-			over = true
+		if !completed {
+			completed = true
 			onFailure()
 		}
 	}
 	c.After(timeout, fail)
-	if serveNow := serve; to == endpointStore && c.Store.ResponseDelay > 0 {
-		serve = func(reply func(T)) { c.After(c.Store.ResponseDelay, func() { serveNow(reply) }) }
+	if serveUndelayed := serve; to == endpointStore && c.Store.ResponseDelay > 0 {
+		serve = func(reply func(T)) { c.After(c.Store.ResponseDelay, func() { serveUndelayed(reply) }) }
 	}
 	if c.drawChance(c.DuplicateShare) {
 		delay := c.Latency*2 + time.Duration(c.Rand.Int64N(int64(c.MaxDuplicateDelay)+1))
 		c.After(delay, func() { serve(func(T) {}) })
 	}
 	c.deliver(from, to, func() {
-		serve(func(answer T) {
+		serve(func(response T) {
 			c.deliver(to, from, func() {
-				if !over {
-					over = true
-					onAnswer(answer)
+				if !completed {
+					completed = true
+					onResponse(response)
 				}
 			}, fail)
 		})
