--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -15,9 +15,9 @@
 const (
 	// storeBurstSeconds is how many seconds' worth of requests may come at once.
 	storeBurstSeconds = 1
-	// conditionsPerOperation is how many conditions a transaction may have for each
+	// guardsPerOperation is how many conditions a transaction may have for each
 	// operation that it may have.
-	conditionsPerOperation = 4
+	guardsPerOperation = 4
 	// maxTransactionBytes is the largest size of all values of a transaction together.
 	maxTransactionBytes = 64 << 10
 	bytesPerKB          = 1024
@@ -205,8 +205,8 @@
 	if operations := len(txn.Then); operations > limits.MaxTxnOps {
 		return fmt.Sprintf("%d changes in one transaction", operations)
 	}
-	if conditions := len(txn.If); conditions > conditionsPerOperation*limits.MaxTxnOps {
-		return fmt.Sprintf("%d conditions in one transaction", conditions)
+	if guards := len(txn.If); guards > guardsPerOperation*limits.MaxTxnOps {
+		return fmt.Sprintf("%d conditions in one transaction", guards)
 	}
 	total := 0
 	for _, operation := range txn.Then {
