--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,19 +1,21 @@
 // Package simulation runs a whole cluster in memory and in simulated time, for tests of the
-// core. It has three concerns:
+// core. It has three parts:
 //
-//   - The simulation is everything outside a controller: the store and the cloud, the workers
-//     and their tasks, the users, the network and the clocks. Nodes run a real core, whose
-//     effects the simulation carries out.
-//   - Fault injection (faults.go, and the links of network.go) is all that a test switches on
-//     and off: crashes, pauses, partitions, lost messages, late commits, outages.
-//   - The checker (invariants.go, invariant_waiting.go) checks from outside that the rules of
-//     the protocol hold, and records violations.
+//   - The simulation models everything outside a controller: the store and the cloud, the
+//     workers and their tasks, the users, the network and the clocks. Each node runs a real
+//     core, and the simulation executes the effects of that core.
+//   - Fault injection (faults.go, and the links of network.go) holds the faults that a test
+//     switches on and off: crashes, pauses, partitions, lost messages, delayed commits, outages.
+//   - The checker (invariants.go, invariant_waiting.go) verifies from outside the controllers
+//     that the rules of the protocol hold, and records violations.
 //
-// The package knows the core by its commands, effects and queries only, never its inner state.
+// The package uses the core only through its commands, effects and queries, and never reads its
+// internal state.
 //
-// Its invariants: given the same seed and the same calls a run goes the same way, so whatever
-// draws a random number or schedules an event does so in a fixed order, never in that of a
-// map's iteration; no real clock decides anything; and the checker influences nothing.
+// Invariants: a run is deterministic, that is, the same seed and the same calls give the same
+// run. Code that draws a random number or schedules an event must therefore do so in a fixed
+// order, never in the iteration order of a map, and no decision may depend on a real clock. The
+// checker must not influence the run.
 package simulation
 
 import (
@@ -29,54 +31,56 @@
 )
 
 const (
-	// defaultLatency is the usual one-way latency of the network.
+	// defaultLatency is the average one-way latency of the network.
 	defaultLatency = 2 * time.Millisecond
-	// secondSeedMask makes the generator's second seed differ from the first: the golden
-	// ratio in 64 bits.
+	// secondSeedMask is XORed with the seed to derive the second seed of the random number
+	// generator. Its value is the fractional part of the golden ratio in 64 bits.
 	secondSeedMask = 0x9e3779b97f4a7c15
 )
 
-// Debug has the nodes of all clusters log at debug level.
+// Debug makes the nodes of all clusters log at debug level. It takes effect when a node starts.
 var Debug bool
 
-// Cluster is a whole cluster and its surroundings.
+// Cluster is a simulated cluster: the controllers and all systems that they communicate with.
+// It is not safe for concurrent use.
 type Cluster struct {
 	NetworkFaults
 
-	Now      time.Duration // simulated time since the start
+	Now      time.Duration // simulated time since the start of the simulation
 	Rand     *rand.Rand
 	Settings config.Settings
 	Policy   config.Policy
 	Store    *Store
 	Cloud    *Cloud
 	Nodes    []*Node
-	Workers  map[string]*Worker // by machine
+	Workers  map[string]*Worker // by machine name
 	Users    *Users
 	// Violations lists the violations of the protocol's rules that the checker has found.
 	Violations []string
-	// Logs are the nodes' log lines, for a test that looks for some.
+	// Logs holds the log lines of all nodes, for tests that search them.
 	Logs []string
-	// OnApplied is called, if it is set, with each batch of commands that a node has applied
-	// and the real time that this took.
+	// OnApplied, if set, is called after a node has applied a batch of commands, with the real
+	// time that this took.
 	OnApplied func(node *Node, commands []core.Command, took time.Duration)
-	// RetainHeartbeats retains one heartbeat of each machine, the first from now on, and delivers
-	// them late, to all controllers, when another process becomes the leader.
+	// RetainHeartbeats makes the cluster keep a copy of one heartbeat of each machine, the first
+	// one sent while the flag is set, and deliver the copies to all controllers after another
+	// process has become the leader.
 	RetainHeartbeats bool
 
 	checker            *checker
-	retainedHeartbeats map[string]protocol.Heartbeat // by machine
-	leaderAtRetention  string                        // the process that led when heartbeats were first retained
+	retainedHeartbeats map[string]protocol.Heartbeat // by machine name
+	leaderAtRetention  string                        // process name of the leader when the first heartbeat was retained
 
 	links       map[endpoints]*Link
-	heldPackets []heldPacket
-	peerLinks   map[uint64]*peerLink // by session
+	heldPackets []heldPacket         // in the order in which they were sent
+	peerLinks   map[uint64]*peerLink // by session ID
 	lastLinkID  uint64
 
 	events   eventHeap
 	eventSeq uint64
 }
 
-// Settings describes a small deployment with the given number of controllers.
+// Settings returns the settings of a small deployment with the given number of controllers.
 func Settings(nodes int) config.Settings {
 	var settings config.Settings
 	settings.Site = config.Site{
@@ -94,7 +98,7 @@
 	return settings
 }
 
-// MachineTypes are the machine types that the simulated cloud rents.
+// MachineTypes returns the default machine types of the simulated cloud.
 func MachineTypes() []protocol.MachineType {
 	return []protocol.MachineType{
 		{Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: []string{"a", "b"}},
@@ -102,13 +106,14 @@
 	}
 }
 
-// New makes a cluster with the given number of controllers and starts them.
+// New creates a cluster with the given number of controllers and starts them. The cluster has the
+// defaults of Settings and MachineTypes.
 func New(seed uint64, nodes int) *Cluster {
 	return NewWithSettings(seed, Settings(nodes), MachineTypes())
 }
 
-// NewWithSettings makes a cluster of the given settings, with a controller for each sibling that they
-// name, and starts the controllers.
+// NewWithSettings creates a cluster with the given settings and machine types, with one controller
+// for each entry of settings.Siblings, and starts the controllers.
 func NewWithSettings(seed uint64, settings config.Settings, types []protocol.MachineType) *Cluster {
 	c := &Cluster{
 		NetworkFaults: NetworkFaults{Latency: defaultLatency},
@@ -128,7 +133,7 @@
 	return c
 }
 
-// RandomWorkers draws workers at random, at most count.
+// RandomWorkers returns count distinct workers drawn at random, or all workers if there are fewer.
 func (c *Cluster) RandomWorkers(count int) []*Worker {
 	names := slices.Sorted(maps.Keys(c.Workers))
 	c.Rand.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
@@ -139,7 +144,8 @@
 	return workers
 }
 
-// currentLeader names the process that leads, empty: none does.
+// currentLeader returns the process name of the first node whose core considers itself the leader,
+// or an empty string if there is none.
 func (c *Cluster) currentLeader() string {
 	for _, node := range c.Nodes {
 		if node.Alive() && node.Core.IsLeader() {
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// endpointStore and endpointCloud are the network's names of the regional services.
+	// endpointStore and endpointCloud are the network endpoints of the regional services, which
+	// are in no zone.
 	endpointStore = "state"
 	endpointCloud = "cloud"
-	// endpointUsers is the network's name of all users together.
+	// endpointUsers is the network endpoint of all users together.
 	endpointUsers = "users"
 
-	// serviceTimeout is how long a node waits for an answer of the store or the cloud.
+	// serviceTimeout is how long a node waits for a response of the store or the cloud.
 	serviceTimeout = time.Second
-	// emptyCallTimeoutDivisor is the share of the usual patience that a node has with a worker
-	// which it sends no commands to.
+	// emptyCallTimeoutDivisor divides the timeout of a call to a worker if the call carries no
+	// commands.
 	emptyCallTimeoutDivisor = 4
 )
 
-// perform carries out one effect of the node's core.
+// perform executes one effect of the node's core.
 func (n *Node) perform(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Reply:
@@ -53,8 +54,9 @@
 	}
 }
 
-// callFrom carries a call of a node to an endpoint. The result, or noAnswer after the
-// timeout, is posted to the node's core, if its process still runs by then.
+// callFrom makes a call from a node to an endpoint; serve runs at the endpoint. The result that
+// serve passes to reply is posted to the node's core, or failureResult if the connection breaks or
+// no response arrives within the timeout. Nothing is posted once the calling process has ended.
 func callFrom[T core.Command](n *Node, to string, timeout time.Duration, serve func(reply func(T)), failureResult T) {
 	incarnation := n.incarnation
 	post := func(result T) {
@@ -171,7 +173,8 @@
 	}
 }
 
-// performConnectPeer replaces the node's outgoing peer links by one to the given peer.
+// performConnectPeer closes the peer links that the node has dialed to other peers and dials the
+// given peer.
 func (n *Node) performConnectPeer(effect core.ConnectPeer) {
 	n.peerTarget = effect.Label
 	for _, link := range n.cluster.sortedPeerLinks() {
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is a callback at a moment of simulated time. Events of the same moment run in the
+// event is a callback that runs at a given simulated time. Events with the same time run in the
 // order in which they were scheduled.
 type event struct {
 	at  time.Duration
@@ -13,16 +13,17 @@
 	run func()
 }
 
-// At runs callback at a moment of simulated time, now if that is past.
+// At schedules callback to run when the simulated time reaches moment, or at the current time if
+// moment is in the past. The callback runs during a call of Run or RunUntil.
 func (c *Cluster) At(moment time.Duration, callback func()) {
 	c.eventSeq++
 	heap.Push(&c.events, event{at: max(moment, c.Now), seq: c.eventSeq, run: callback})
 }
 
-// After runs callback after a span of simulated time.
+// After schedules callback to run after delay, in simulated time.
 func (c *Cluster) After(delay time.Duration, callback func()) { c.At(c.Now+delay, callback) }
 
-// Run lets simulated time pass up to end.
+// Run advances the simulated time to end and runs all events that are due by then.
 func (c *Cluster) Run(end time.Duration) {
 	for c.hasEventBy(end) {
 		c.runNextEvent()
@@ -30,8 +31,9 @@
 	c.Now = end
 }
 
-// RunUntil lets simulated time pass until condition holds, at most up to end, and reports
-// whether it does.
+// RunUntil runs events until condition holds, which it checks before each event, or until no
+// event is left that is due by end. It reports whether condition holds. Now is the time of the
+// last event that ran.
 func (c *Cluster) RunUntil(end time.Duration, condition func() bool) bool {
 	for !condition() {
 		if !c.hasEventBy(end) {
@@ -52,7 +54,7 @@
 	next.run()
 }
 
-// eventHeap is a heap.Interface with the next event first.
+// eventHeap implements heap.Interface; the next event to run is the first element.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Link is what the network does to packets from one endpoint to another, in that direction
-// alone. The zero Link delivers them.
+// Link describes the faults that affect packets from one endpoint to another, in this direction
+// only. With the zero Link all packets are delivered.
 type Link struct {
-	Drop            bool          // packets vanish
-	Hold            bool          // packets are kept and arrive once the link is healed
-	Refuse          bool          // connections are refused, and those that stand break
-	Reset           bool          // connections break when something is sent, which may have arrived
-	Delay           time.Duration // is added to the latency
-	Loss            float64       // this share of the packets vanishes
-	MaxMessageBytes int           // in bytes; larger messages between controllers never get through, 0: all do
-	FlapPeriod      time.Duration // the link is down and up in turns, each for so long; 0: down all the time
+	Drop            bool          // packets are lost
+	Hold            bool          // packets are buffered and delivered once the link is healed
+	Refuse          bool          // new connections are refused; an existing one breaks when something is sent
+	Reset           bool          // a connection breaks when something is sent; what was sent may still arrive
+	Delay           time.Duration // added to the latency
+	Loss            float64       // share of the packets that are lost
+	MaxMessageBytes int           // larger messages between controllers never arrive, 0: no limit
+	FlapPeriod      time.Duration // the faults are active and inactive in turns, for this time each, 0: always active
 
-	setAt time.Duration // when it was set
+	setAt time.Duration // simulated time at which the link was set
 }
 
-// Links that tests often set.
+// Links for common faults.
 var (
 	Dropped     = Link{Drop: true}
 	Held        = Link{Hold: true}
 	Refused     = Link{Refuse: true}
 	ResetOnSend = Link{Reset: true}
-	Unread      = Link{MaxMessageBytes: unreadMaxMessageBytes} // connections are accepted and never read
+	Unread      = Link{MaxMessageBytes: unreadMaxMessageBytes} // connections are accepted, but the receiver never reads from them
 )
 
-// unreadMaxMessageBytes is the limit of a link that no message gets through.
+// unreadMaxMessageBytes is smaller than any message, so that none arrives.
 const unreadMaxMessageBytes = 1
 
-// blocksConnections reports whether no connection is made over the link.
+// blocksConnections reports whether no connection can be established over the link.
 func (l *Link) blocksConnections() bool { return l.Drop || l.Hold || l.Refuse || l.Reset }
 
-// untilUp is how long it takes until a flapping link lets packets pass, 0 if it does now or
-// does not flap.
+// untilUp returns how long the faults of a flapping link remain active, 0 if they are inactive or
+// the link does not flap. The first period, which begins when the link is set, is an active one.
 func (l *Link) untilUp(now time.Duration) time.Duration {
 	if l.FlapPeriod == 0 || (now-l.setAt)/l.FlapPeriod%2 == 1 {
 		return 0
@@ -44,7 +44,8 @@
 	return l.FlapPeriod - (now-l.setAt)%l.FlapPeriod
 }
 
-// combine adds what another link does, if both lie on a packet's path.
+// combine adds the faults of another link that lies on the same packet's path, except Hold, which
+// linkBetween handles.
 func (l *Link) combine(other *Link) {
 	l.Drop = l.Drop || other.Drop
 	l.Refuse = l.Refuse || other.Refuse
@@ -56,19 +57,20 @@
 	}
 }
 
-// endpoints are the sender and the receiver of a direction.
+// endpoints is a path: its sender and its receiver, in this order.
 type endpoints [2]string
 
-// heldPacket is one that a link holds.
+// heldPacket is a packet that a link with Hold set has buffered.
 type heldPacket struct {
-	path endpoints
-	send func()
+	path endpoints // of the link
+	send func()    // sends the packet again
 }
 
-// SetLink sets the link from one endpoint to another, from now on. Endpoints are
-// "node-0", "state", "cloud", "users", a machine's name, "workers" for all machines,
-// "workers/a" for those of zone a, "workers/even" and "workers/odd" for about half of them,
-// and "zone a" for whatever is in that zone.
+// SetLink replaces the link from one endpoint to another and releases the packets that the
+// previous link held; the new link may hold them again. An endpoint is a node's label ("node-0"),
+// "state", "cloud", "users", a machine's name, "workers" for all machines, "workers/a" for those
+// in zone a, "workers/even" and "workers/odd" for those whose name ends in an even or odd digit
+// (about half of them each), or "zone a" for everything in zone a.
 func (c *Cluster) SetLink(from, to string, link Link) {
 	path := endpoints{from, to}
 	if link == (Link{}) {
@@ -86,8 +88,8 @@
 	c.SetLink(b, a, link)
 }
 
-// releaseHeld sends again what a path held, and breaks the links between controllers that
-// have lost something and could now be made anew.
+// releaseHeld sends the packets again that the link of a path has held. It also closes each
+// stalled peer link whose controllers can connect to each other now, so that they reconnect.
 func (c *Cluster) releaseHeld(path endpoints) {
 	held := c.heldPackets
 	c.heldPackets = nil
@@ -106,14 +108,16 @@
 	}
 }
 
-// connectionBlocked reports whether no connection is made between two endpoints.
+// connectionBlocked reports whether a link in either direction prevents two endpoints from
+// establishing a connection.
 func (c *Cluster) connectionBlocked(a, b string) bool {
 	forward, _ := c.linkBetween(a, b)
 	reverse, _ := c.linkBetween(b, a)
 	return forward.blocksConnections() || reverse.blocksConnections()
 }
 
-// endpointNames are the names that an endpoint goes by, its zone's not among them.
+// endpointNames returns the names that stand for an endpoint in SetLink: its own and those of the
+// groups of machines that it is in, but not that of its zone.
 func (c *Cluster) endpointNames(endpoint string) []string {
 	if !strings.HasPrefix(endpoint, machinePrefix) {
 		return []string{endpoint}
@@ -125,7 +129,7 @@
 	return []string{endpoint, "workers", "workers/" + c.zoneOf(endpoint), half}
 }
 
-// zoneOf is where an endpoint is, empty for the regional services and the users.
+// zoneOf returns the zone of an endpoint, empty for the regional services and the users.
 func (c *Cluster) zoneOf(endpoint string) string {
 	if worker := c.Workers[endpoint]; worker != nil {
 		return worker.Info.Zone
@@ -138,8 +142,8 @@
 	return ""
 }
 
-// linkBetween combines all links that concern packets from one endpoint to another now. If
-// the combined link holds them, heldBy is the path whose healing releases them.
+// linkBetween combines all links that affect packets from one endpoint to another at this time.
+// If the combined link holds packets, heldBy is the path whose healing releases them.
 func (c *Cluster) linkBetween(from, to string) (combined Link, heldBy endpoints) {
 	if len(c.links) == 0 {
 		return
@@ -153,7 +157,7 @@
 		if link.FlapPeriod > 0 && untilUp == 0 {
 			continue
 		}
-		if link.Hold && untilUp > 0 { // a flapping link is never healed, it comes up of itself
+		if link.Hold && untilUp > 0 { // a flapping link delivers packets at the end of its active period, without being healed
 			combined.Delay = max(combined.Delay, untilUp)
 		} else if link.Hold {
 			combined.Hold, heldBy = true, path
@@ -163,7 +167,8 @@
 	return combined, heldBy
 }
 
-// pathsBetween are the paths whose links concern packets from one endpoint to another.
+// pathsBetween returns the paths whose links affect packets from one endpoint to another. Links
+// of zones do not affect packets within a zone.
 func (c *Cluster) pathsBetween(from, to string) []endpoints {
 	var paths []endpoints
 	toNames := c.endpointNames(to)
@@ -181,11 +186,14 @@
 	return paths
 }
 
-// zoneEndpoint is the endpoint that stands for all in a zone, or in any if that is empty.
+// zoneEndpoint returns the endpoint name for everything in a zone. With an empty zone, the name
+// stands for everything outside the zone at the other end of the path.
 func zoneEndpoint(zone string) string { return "zone " + zone }
 
-// deliver takes a packet of a call from one endpoint to the other; onReset is called if the
-// connection breaks, which the caller sees at once.
+// deliver sends a packet of a call from one endpoint to another. It schedules onArrival if the
+// packet arrives, onReset if the connection is refused or reset, both if the packet arrives in
+// spite of a reset, and neither if the packet is lost. A held packet is sent again when it is
+// released.
 func (c *Cluster) deliver(from, to string, onArrival, onReset func()) {
 	link, heldBy := c.linkBetween(from, to)
 	switch {
@@ -204,20 +212,20 @@
 	}
 }
 
-// drawChance reports whether something happens that does so with a probability; if that is 0,
-// nothing is drawn.
+// drawChance returns true with the given probability. If that is 0, it draws no random number.
 func (c *Cluster) drawChance(probability float64) bool {
 	return probability > 0 && c.Rand.Float64() < probability
 }
 
-// networkDelay draws the latency of a packet: between half of the usual and one and a half.
+// networkDelay draws the latency of a packet, from 0.5 to 1.5 times Latency.
 func (c *Cluster) networkDelay() time.Duration {
 	return c.Latency/2 + time.Duration(c.Rand.Int64N(int64(c.Latency)+1))
 }
 
-// call carries a request from one endpoint to the other and its answer back. serve runs at
-// the far end and gets a function to answer with; onFailure runs if no answer came in time.
-// Exactly one of onAnswer and onFailure runs.
+// call sends a request from one endpoint to another and the response back. serve runs at the
+// receiver, and again if the request is duplicated, and is passed the function that sends the
+// response. onFailure runs if the connection breaks or no response arrives within the timeout.
+// Exactly one of onResponse and onFailure runs, once.
 func call[T any](c *Cluster, from, to string, timeout time.Duration, serve func(reply func(T)), onResponse func(T), onFailure func()) {
 	completed := false
 	fail := func() {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -8,50 +8,53 @@
 )
 
 const (
-	// maxClockDrift is the largest deviation of a simulated clock's rate from real time,
-	// as of an ordinary quartz.
+	// maxClockDrift is the largest relative deviation of a clock's rate from simulated time,
+	// that of an ordinary quartz clock.
 	maxClockDrift = 0.00025
-	// wallClockOffset is the wall time, in Unix seconds, at which the simulation starts.
+	// wallClockOffset is the wall-clock time at the start of the simulation, in Unix seconds.
 	wallClockOffset = 1e9
-	// minWakeInterval bounds how often a core without commands is called.
+	// minWakeInterval is the minimum time between two calls of a core that has no commands to
+	// apply.
 	minWakeInterval = 5 * time.Millisecond
 )
 
-// Node is a controller process: a real core whose effects the simulation carries out.
+// Node is a host with a controller process. The process runs a real core, and the simulation
+// executes the effects of that core.
 type Node struct {
 	cluster         *Cluster
 	Label           string
 	Zone            string
 	Core            *core.Core // nil while the process is down
-	Ready           bool       // what the core said last of its readiness for users' requests
-	PreviousVersion bool       // runs the previous version from its next start on
+	Ready           bool       // whether the core accepts users' requests, by its latest SetReady effect
+	PreviousVersion bool       // the process behaves like the previous version from its next start on
 
-	runsPreviousVersion bool
-	clockRate           float64 // of its monotonic clock, 1: exact
-	incarnation         int     // counts starts and crashes, to drop callbacks of an ended process
-	startedAt           time.Duration
+	runsPreviousVersion bool          // the value of PreviousVersion at the latest start
+	clockRate           float64       // rate of the monotonic clock relative to simulated time, 1: exact
+	incarnation         int           // incremented by each start and crash, so that callbacks of an ended process are dropped
+	startedAt           time.Duration // simulated time of the latest start
 
 	commands      []core.Command // not yet applied
 	wakeScheduled bool
-	wakeAt        time.Duration
+	wakeAt        time.Duration // valid if wakeScheduled is set
 
 	lastRequestID   core.RequestID
-	pendingRequests map[core.RequestID]func(core.Reply)
-	peerTarget      string // the peer that the core wants to be connected to
+	pendingRequests map[core.RequestID]func(core.Reply) // reply callbacks of unanswered requests
+	peerTarget      string                              // label of the peer that the core has asked to be connected to, empty: none
 
 	paused         bool
-	pendingEffects []core.Effect // decided just before the pause, performed after it
+	pendingEffects []core.Effect // returned by the core after the pause began, performed after its end
 }
 
-// newNode makes the node of a sibling without starting it. It draws the rate of its clock.
+// newNode creates a node without starting its process. It draws the rate of the node's clock.
 func newNode(cluster *Cluster, label, zone string) *Node {
 	return &Node{cluster: cluster, Label: label, Zone: zone, clockRate: cluster.drawClockRate()}
 }
 
-// drawClockRate draws the rate of a clock that drifts.
+// drawClockRate draws the rate of a drifting clock, relative to simulated time.
 func (c *Cluster) drawClockRate() float64 { return 1 + (c.Rand.Float64()*2-1)*maxClockDrift }
 
-// Start starts the process.
+// Start starts a new process with a new core. Commands and requests that the previous process of
+// the node has not yet handled are discarded.
 func (n *Node) Start() {
 	n.incarnation++
 	settings := n.cluster.Settings
@@ -73,18 +76,19 @@
 	n.wake(0)
 }
 
-// processName tells this process from those that ran on the node before.
+// processName identifies the current process among all processes of the node, past ones included.
 func (n *Node) processName() string { return fmt.Sprintf("%s.%d", n.Label, n.incarnation) }
 
-// Alive reports whether the process runs.
+// Alive reports whether the process is running. A paused process is alive.
 func (n *Node) Alive() bool { return n.Core != nil }
 
-// clock is the process's monotonic clock, which drifts.
+// clock returns the reading of the process's monotonic clock: the time since its start, with drift.
 func (n *Node) clock() time.Duration {
 	return time.Duration(float64(n.cluster.Now-n.startedAt) * n.clockRate)
 }
 
-// ifSameProcess wraps callback so that it does nothing if the process has ended meanwhile.
+// ifSameProcess wraps callback so that a call of it has no effect once the current process has
+// ended.
 func (n *Node) ifSameProcess(callback func()) func() {
 	incarnation := n.incarnation
 	return func() {
@@ -94,7 +98,8 @@
 	}
 }
 
-// Post hands a command to the core.
+// Post queues a command for the core, which applies it at the current simulated time. It does
+// nothing if the process is down.
 func (n *Node) Post(command core.Command) {
 	if n.Core == nil {
 		return
@@ -106,7 +111,8 @@
 	n.wake(0)
 }
 
-// Request posts a request of a user or worker and passes its reply to onReply.
+// Request posts a request of a user or worker, with an ID that it passes to build, and calls
+// onReply with the reply. If the process is down, or ends before it replies, onReply is not called.
 func (n *Node) Request(build func(core.RequestID) core.Command, onReply func(core.Reply)) {
 	if n.Core == nil {
 		return
@@ -116,7 +122,8 @@
 	n.Post(build(n.lastRequestID))
 }
 
-// wake calls the core after delay; an earlier call replaces a later one.
+// wake schedules a call of step after delay. If an earlier call or one at the same time is
+// already scheduled, it does nothing; a later one is replaced.
 func (n *Node) wake(delay time.Duration) {
 	wakeAt := n.cluster.Now + delay
 	if n.wakeScheduled && wakeAt >= n.wakeAt {
@@ -130,7 +137,9 @@
 	}))
 }
 
-// step applies the commands that have come to the core and performs its effects.
+// step has the core apply the queued commands and performs the resulting effects. If the node is
+// paused, the effects of the first step that returns any are kept until the pause ends, and from
+// then on commands stay queued.
 func (n *Node) step() {
 	n.wakeScheduled = false
 	if n.paused && n.pendingEffects != nil {
--- a/internal/simulation/peerlink.go
+++ b/internal/simulation/peerlink.go
@@ -11,30 +11,32 @@
 )
 
 const (
-	// redialInterval is the pause before a node dials a peer again.
+	// redialInterval is the time after which a node dials a peer again, if the connection was
+	// closed or could not be established.
 	redialInterval = 200 * time.Millisecond
-	// retransmitDelay is what a lost packet of a peer link costs: it is sent once more.
+	// retransmitDelay is the additional delay of a message that is lost once and retransmitted.
 	retransmitDelay = 200 * time.Millisecond
 )
 
-// The two directions of a peer link, as indices.
+// The two directions of a peer link, as indices into the arrays of peerLink.
 const (
 	fromDialer = iota
 	fromAcceptor
 )
 
-// peerLink is a connection between two controllers. In each direction messages arrive in
-// the order in which they were sent.
+// peerLink is a connection between two controllers. In each direction, messages arrive in the
+// order in which they were sent.
 type peerLink struct {
 	cluster     *Cluster
-	id          uint64 // the session, for both ends
+	id          uint64 // session ID at both ends
 	dialer      *Node
 	acceptor    *Node
-	lastArrival [2]time.Duration // of the newest message, by direction
-	stalled     [2]bool          // a message was lost in that direction: none after it is read
+	lastArrival [2]time.Duration // arrival time of the latest message, by direction
+	stalled     [2]bool          // by direction: a message was lost, so no later one arrives either
 }
 
-// dialPeer connects the node to its peer target, now or once that is possible.
+// dialPeer connects the node to its peer target, unless it is connected already. If no connection
+// can be established, it tries again after redialInterval.
 func (n *Node) dialPeer() {
 	cluster := n.cluster
 	retry := n.ifSameProcess(n.dialPeer)
@@ -63,7 +65,9 @@
 	acceptor.Post(core.PeerConnected{Session: link.id})
 }
 
-// send carries a message from one end to the other, as far as the network lets it.
+// send sends a message from one end to the other. Depending on the network's faults, the message
+// is delivered, delayed or lost, or the connection is closed. Once a message has been lost, the
+// later ones in its direction are lost too.
 func (l *peerLink) send(from *Node, message peerproto.Message) {
 	cluster, to, direction := l.cluster, l.dialer, fromAcceptor
 	if from == l.dialer {
@@ -95,16 +99,16 @@
 	}))
 }
 
-// messageBytes is the size of a message between controllers on the wire.
+// messageBytes returns the size of a message between controllers on the wire, where it is JSON.
 func messageBytes(message peerproto.Message) int {
 	line, err := json.Marshal(message)
 	if err != nil {
-		panic("simulation: a peer message is not valid JSON: " + err.Error())
+		panic("simulation: encode peer message as JSON: " + err.Error())
 	}
 	return len(line)
 }
 
-// close breaks the connection; the dialer tries again after a while.
+// close closes the connection at both ends. The dialer dials again after redialInterval.
 func (l *peerLink) close() {
 	cluster := l.cluster
 	if cluster.peerLinks[l.id] != l {
@@ -118,7 +122,7 @@
 	}
 }
 
-// sortedPeerLinks are the links between controllers in the order in which they were made.
+// sortedPeerLinks returns the peer links in the order in which they were established.
 func (c *Cluster) sortedPeerLinks() []*peerLink {
 	var links []*peerLink
 	for _, link := range c.peerLinks {
