--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	// storeBurstSeconds is how many seconds' worth of requests may come at once.
+	// storeBurstSeconds is the size of the largest burst of requests or writes, in seconds at the
+	// rate limit.
 	storeBurstSeconds = 1
-	// guardsPerOperation is how many conditions a transaction may have for each
-	// operation that it may have.
+	// guardsPerOperation, times the maximum number of operations of a transaction, is the maximum
+	// number of its guards.
 	guardsPerOperation = 4
-	// maxTransactionBytes is the largest size of all values of a transaction together.
+	// maxTransactionBytes is the maximum total size of all values of a transaction.
 	maxTransactionBytes = 64 << 10
 	bytesPerKB          = 1024
 )
 
-// Store is the state service around the real kvstore, with its limits and faults.
+// Store simulates the state service: it keeps its data in a real kvstore.State, enforces the
+// service's limits and injects its faults.
 type Store struct {
 	StoreFaults
 
-	DelayedCommits int // transactions that were answered or applied late
-	Writes         int // operations applied
-	Throttled      int // requests above the limits
+	DelayedCommits int // transactions without a response, which were applied at once or later
+	Writes         int // operations of the transactions that nodes sent, also of those whose guards failed
+	Throttled      int // requests above the rate limits
 
 	cluster       *Cluster
 	checker       *checker
 	state         *kvstore.State
-	leaseExpiry   map[uint64]time.Duration // by lease
-	watches       []*watch                 // open ones, in the order in which they came
+	leaseExpiry   map[uint64]time.Duration // by lease ID
+	watches       []*watch                 // open ones, in order of arrival
 	requestBucket leakyBucket
 	writeBucket   leakyBucket
 }
 
-// watch is a request that waits for changes.
+// watch is an open watch request, which waits for changes after sinceRevision.
 type watch struct {
 	node          string
 	sinceRevision uint64
@@ -55,10 +57,10 @@
 	}
 }
 
-// refuses reports whether a node's requests are refused.
+// refuses reports whether the store refuses all requests of a node.
 func (s *Store) refuses(node string) bool { return s.Down || s.RefusedNodes[node] }
 
-// limits are those in force.
+// limits returns the limits that are currently in force.
 func (s *Store) limits() config.StoreLimits {
 	if s.LimitsLowered {
 		return s.cluster.Settings.Site.Store.Lowest()
@@ -66,7 +68,8 @@
 	return s.cluster.Settings.Site.Store
 }
 
-// throttle reports whether a request with the given number of writes is above the limits.
+// throttle reports whether a request with the given number of writes exceeds the rate limits, and
+// counts it either towards these limits or in Throttled.
 func (s *Store) throttle(writes int) bool {
 	limits, now := s.limits(), s.cluster.Now
 	if s.requestBucket.take(now, 1, limits.RPS, storeBurstSeconds) &&
@@ -77,7 +80,8 @@
 	return true
 }
 
-// updateState makes the next state and wakes the watches that wait for one.
+// updateState replaces the state by one with the changes of modify, and responds to the open
+// watches that have waited for a change.
 func (s *Store) updateState(modify func(*kvstore.Batch)) {
 	batch := s.state.Begin()
 	modify(batch)
@@ -85,29 +89,31 @@
 	s.wakeWatches()
 }
 
-// commitDirectly commits a transaction without the knowledge of any controller.
+// commitDirectly commits a transaction that no controller has sent. Limits and faults do not apply
+// to it.
 func (s *Store) commitDirectly(txn *kvstore.Txn) {
 	s.updateState(func(batch *kvstore.Batch) {
 		if _, err := batch.Commit(txn); err != nil {
-			panic(fmt.Sprintf("simulation: commit: %v", err)) // only a lease that is not there
+			panic(fmt.Sprintf("simulation: commit a transaction directly: %v", err)) // the only error is a missing lease
 		}
 	})
 }
 
-// armLease starts a lease's full time anew.
+// armLease restarts a lease: it expires when its full time to live has passed from now.
 func (s *Store) armLease(id uint64) {
 	ttlMilliseconds, _ := s.state.LeaseTTL(id)
 	expiry := s.cluster.Now + time.Duration(ttlMilliseconds)*time.Millisecond
 	s.leaseExpiry[id] = expiry
 	s.cluster.At(expiry, func() {
-		if s.leaseExpiry[id] != expiry || s.Down { // renewed, or frozen by an outage
+		if s.leaseExpiry[id] != expiry || s.Down { // renewed, or frozen by an outage, whose end restarts it
 			return
 		}
-		s.updateState(func(batch *kvstore.Batch) { _ = batch.RevokeLease(id) }) // it may have ended
+		s.updateState(func(batch *kvstore.Batch) { _ = batch.RevokeLease(id) }) // the lease may no longer exist
 	})
 }
 
-// handleLease renews a node's lease, or grants one if it names none.
+// handleLease renews the lease that a node's request names, or grants a new one if it names none.
+// It returns the lease's ID, which is 0 if a new lease was refused.
 func (s *Store) handleLease(node string, request core.RenewLease) (uint64, core.LeaseOutcome) {
 	if s.refuses(node) || s.throttle(0) {
 		return request.LeaseID, core.LeaseRefused
@@ -130,8 +136,8 @@
 	return id, core.LeaseGranted
 }
 
-// Commit runs a transaction of a node, perhaps one of the previous version. CommitUnknown
-// stands for an answer that never comes.
+// Commit handles a transaction that a node has sent; previousVersion says whether the node runs
+// the previous version. With the outcome CommitUnknown, the caller must send no response.
 func (s *Store) Commit(node string, previousVersion bool, txn protocol.Transaction) (core.CommitOutcome, protocol.TransactionResult) {
 	if s.refuses(node) {
 		return core.CommitUnavailable, protocol.TransactionResult{}
@@ -150,7 +156,7 @@
 	return s.apply(txn)
 }
 
-// drawDelayedCommit reports whether a transaction is one of those that get no answer.
+// drawDelayedCommit draws whether a transaction gets no response.
 func (s *Store) drawDelayedCommit(txn protocol.Transaction) bool {
 	delayable := func(operation protocol.Operation) bool {
 		return strings.HasPrefix(operation.Put+operation.Delete, s.DelayedCommitPrefix)
@@ -160,7 +166,7 @@
 
 func (s *Store) applyDelayed(txn protocol.Transaction) {
 	s.DelayedCommits++
-	if s.MaxCommitDelay == 0 { // applied at once: only the answer is lost
+	if s.MaxCommitDelay == 0 { // applied at once: only the response is lost
 		s.apply(txn)
 		return
 	}
@@ -185,7 +191,7 @@
 	}
 }
 
-// encodeTransaction is a transaction as the store takes it.
+// encodeTransaction converts a transaction to that of kvstore, with encoded values.
 func encodeTransaction(txn protocol.Transaction) kvstore.Txn {
 	encoded := kvstore.Txn{If: txn.If}
 	for _, operation := range txn.Then {
@@ -198,8 +204,8 @@
 	return encoded
 }
 
-// limitViolation says which limit a transaction is over, empty: none. A node that sends such a
-// transaction would send it for ever.
+// limitViolation describes the limit that a transaction exceeds; it is empty if there is none.
+// The store rejects such a transaction at every retry, so a node that sends it would retry for ever.
 func (s *Store) limitViolation(txn protocol.Transaction) string {
 	limits := s.limits()
 	if operations := len(txn.Then); operations > limits.MaxTxnOps {
@@ -222,7 +228,8 @@
 	return ""
 }
 
-// loadPage answers with a page of keys, those after the given one.
+// loadPage returns a page of keys and values, beginning after the given key. OK is not set if the
+// request is refused or throttled.
 func (s *Store) loadPage(node string, after string, sentAt time.Duration) core.LoadResult {
 	result := core.LoadResult{SentAt: sentAt, Revision: s.state.Revision}
 	if s.refuses(node) || s.throttle(0) {
@@ -233,8 +240,10 @@
 	return result
 }
 
-// handleWatch answers a watch at once if there is a change or it does not wait, else once
-// there is a change or its time is over. In an outage watches that are open stay open.
+// handleWatch responds to a watch at once if it does not wait, if there is a change already, or if
+// it is throttled or its revision is compacted; otherwise once there is a change or its time is
+// over. If the store refuses the node, open watches stay open, and a new watch gets a response only
+// if it does not wait.
 func (s *Store) handleWatch(node string, request core.Watch, respond func(core.WatchOutcome, protocol.WatchResponse)) {
 	if s.refuses(node) {
 		if request.Hold == 0 {
@@ -260,7 +269,8 @@
 	s.cluster.After(request.Hold, func() { s.finishWatch(open) })
 }
 
-// respondToWatch answers with the changes since a revision.
+// respondToWatch responds with the changes since a revision, or with WatchCompacted if the store no
+// longer keeps them.
 func (s *Store) respondToWatch(revision uint64, respond func(core.WatchOutcome, protocol.WatchResponse)) {
 	events, err := s.state.EventsSince(core.KeyPrefix, revision)
 	if err != nil {
@@ -270,6 +280,7 @@
 	respond(core.WatchServed, events)
 }
 
+// finishWatch responds to an open watch and closes it, unless the store refuses its node.
 func (s *Store) finishWatch(open *watch) {
 	if !open.closed && !s.refuses(open.node) {
 		open.closed = true
@@ -277,7 +288,7 @@
 	}
 }
 
-// wakeWatches answers the open watches that there is a change for.
+// wakeWatches finishes the open watches that a change has occurred for.
 func (s *Store) wakeWatches() {
 	watches := s.watches
 	s.watches = nil
@@ -291,7 +302,7 @@
 	}
 }
 
-// CountKeys counts the keys with a prefix.
+// CountKeys returns the number of keys that begin with a prefix.
 func (s *Store) CountKeys(prefix string) (keys int) {
 	for key := range s.state.All() {
 		if strings.HasPrefix(key, prefix) {
--- a/internal/simulation/store_content.go
+++ b/internal/simulation/store_content.go
@@ -8,26 +8,28 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// Prefixes of the keys under which jobs are stored.
+// Prefixes of the keys of job records.
 const (
 	jobKeyPrefix          = "c/job/" // jobs without dependencies
 	dependentJobKeyPrefix = "c/run/" // jobs with dependencies
 )
 
 const (
-	// distinctTaskCounts is how many different numbers of tasks the jobs have that are put
-	// into the store.
+	// distinctTaskCounts is the number of different task counts among the jobs that are added to
+	// the store.
 	distinctTaskCounts = 40
-	// finishedPerCancelled is how many finished jobs there are for each that was cancelled.
+	// finishedPerCancelled is the number of finished jobs for each job that was cancelled, which it
+	// includes.
 	finishedPerCancelled = 50
-	// dependentJobsPerChain is how many dependent jobs there are for each chain; its second half is
-	// the chain.
+	// dependentJobsPerChain is the number of dependent jobs for each chain; the second half of
+	// them forms the chain.
 	dependentJobsPerChain = 200
-	// longEstimateS is an estimate that no test waits for, in seconds.
+	// longEstimateS is an estimated run time that is longer than any test simulates, in seconds.
 	longEstimateS = 100_000
 )
 
-// AddFinishedJobs puts count jobs into the store that were done or cancelled long ago.
+// AddFinishedJobs writes count finished jobs directly into the store, done or cancelled. They were
+// submitted long before the start of the simulation.
 func (s *Store) AddFinishedJobs(count int) {
 	var txn kvstore.Txn
 	for i := range count {
@@ -42,8 +44,9 @@
 	s.commitDirectly(&txn)
 }
 
-// AddDependentJobs puts a job into the store, and count jobs that depend on it: half of them on it
-// alone, half in chains of a hundred.
+// AddDependentJobs writes first directly into the store, as a queued job with a long estimate, and
+// count queued jobs that depend on it. Half of them depend only on first; the others form chains of
+// a hundred jobs, in which each job depends on the one before.
 func (s *Store) AddDependentJobs(first protocol.Job, count int) {
 	first.EstimateS = longEstimateS
 	txn := kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(first))}}
@@ -61,7 +64,7 @@
 	s.commitDirectly(&txn)
 }
 
-// putJob stores a job's record.
+// putJob returns the operation that stores a job's record.
 func putJob(prefix string, record records.Job) kvstore.Op {
 	return kvstore.Op{Put: prefix + record.Spec.ID, Value: protocol.Encode(record)}
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// minHeartbeatInterval is the least pause between two heartbeats, also if something
-	// changes on the machine in between.
+	// minHeartbeatInterval is the minimum time between two heartbeats of a worker, even if
+	// something changes on the machine in between.
 	minHeartbeatInterval = 500 * time.Millisecond
-	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat, and how old
-	// an answer may be for the worker to act on it.
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat. The worker
+	// ignores a response that it reads later than this after sending the heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatRetryInterval is the pause before a worker turns to the next controller.
+	// heartbeatRetryInterval is the time after a failed heartbeat at which the worker tries the
+	// next controller.
 	heartbeatRetryInterval = time.Second
-	// maxRedirectDelay bounds the drawn pause before a worker follows a redirect, which
-	// spreads the load of many that are redirected at once.
+	// maxRedirectDelay is the upper bound of the random delay before a worker follows a redirect.
+	// The delay spreads the load if many workers are redirected at once.
 	maxRedirectDelay = 500 * time.Millisecond
-	// hungPollInterval is how often something that a hung machine has to do is tried again.
+	// hungPollInterval is the interval at which the simulation checks whether a hung machine has
+	// resumed, to carry out an action that was due in the meantime.
 	hungPollInterval = time.Second
-	// hungReplyPollInterval is how often a hung machine's unread answer is tried again.
+	// hungReplyPollInterval is the same interval for reading a response to a heartbeat.
 	hungReplyPollInterval = 100 * time.Millisecond
 	// leaseCheckInterval is how often a worker checks its lease.
 	leaseCheckInterval = 100 * time.Millisecond
 )
 
-// Worker is the agent on a machine.
+// Worker simulates the agent on a machine.
 type Worker struct {
 	WorkerFaults
 
@@ -37,22 +39,22 @@
 	Tasks   []*Task
 
 	removed     bool
-	clockRate   float64 // of its clock, 1: exact
-	session     uint64  // counts the times that its lease expired
-	reportSeq   uint64
-	leaderToken uint64 // fencing token, the highest that it has seen
-	images      map[string]bool
+	clockRate   float64         // rate of the worker's clock relative to simulated time, 1: exact
+	session     uint64          // begins at 1 and is incremented each time the lease expires
+	reportSeq   uint64          // sequence number of the latest report
+	leaderToken uint64          // the highest fencing token that the worker has received
+	images      map[string]bool // cached images, by name
 
-	nodeIndex            int  // the controller that it reports to
-	heartbeatInFlight    bool // no answer has come yet
-	changedWhileInFlight bool // something changed meanwhile
+	nodeIndex            int  // index of the controller that the worker reports to
+	heartbeatInFlight    bool // a heartbeat was sent, and its response has not been handled
+	changedWhileInFlight bool // something changed on the machine while the heartbeat was in flight
 	leaseRenewedAt       time.Duration
 	lastHeartbeatAt      time.Duration
-	heartbeatTimerID     uint64 // the newest timer; older ones do nothing
+	heartbeatTimerID     uint64 // the current timer of the next heartbeat; earlier timers have no effect
 
 	// Records for the checker.
-	lastTaskStartedAt time.Duration // when it took a task last
-	hardwareFailed    bool          // a task has failed here that would not have elsewhere
+	lastTaskStartedAt time.Duration // when the worker last accepted a task
+	hardwareFailed    bool          // a task has failed because of the machine, not because of its job
 }
 
 func newWorker(cluster *Cluster, instance protocol.Instance) *Worker {
@@ -66,17 +68,17 @@
 	return w
 }
 
-// Controller is the controller that it sends its heartbeats to.
+// Controller returns the node that the worker sends its heartbeats to.
 func (w *Worker) Controller() *Node { return w.cluster.Nodes[w.nodeIndex] }
 
-// remove ends the worker together with its machine.
+// remove ends the worker and its tasks when its machine is terminated.
 func (w *Worker) remove() {
 	w.removed = true
 	w.dropTasks()
 	delete(w.cluster.Workers, w.Info.Name)
 }
 
-// dropTasks ends all tasks at once; the worker does not report them any more.
+// dropTasks ends all tasks at once and forgets them, so that later heartbeats do not report them.
 func (w *Worker) dropTasks() {
 	for _, task := range w.Tasks {
 		w.cluster.Users.taskLeft(w, task)
@@ -84,7 +86,7 @@
 	w.Tasks = nil
 }
 
-// localDuration is the span of simulated time in which the worker's clock advances by d.
+// localDuration returns the simulated time in which the worker's clock advances by d.
 func (w *Worker) localDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / w.clockRate)
 }
@@ -93,8 +95,9 @@
 	return w.localDuration(config.Seconds(w.cluster.Settings.Site.Workers.LeaseS))
 }
 
-// checkLease ends all tasks whenever the lease expires. That goes for a hung machine too: it
-// may resume within its lease, not after it.
+// checkLease ends all tasks and begins a new session if the lease has expired, and schedules the
+// next check. It does so for a hung machine too: tasks on it may resume within the lease, but not
+// after its expiry.
 func (w *Worker) checkLease() {
 	if w.removed {
 		return
@@ -108,7 +111,7 @@
 	w.cluster.After(leaseCheckInterval, w.checkLease)
 }
 
-// heartbeat is the worker's report, as of now.
+// heartbeat returns a report of the worker's current state, with a new sequence number.
 func (w *Worker) heartbeat() protocol.Heartbeat {
 	w.reportSeq++
 	report := protocol.Heartbeat{
@@ -122,7 +125,8 @@
 	return report
 }
 
-// statusChanged has the worker report soon.
+// statusChanged schedules a heartbeat for the earliest time that minHeartbeatInterval allows. If a
+// heartbeat is in flight, the next one is scheduled once that is finished.
 func (w *Worker) statusChanged() {
 	if w.heartbeatInFlight {
 		w.changedWhileInFlight = true
@@ -131,12 +135,12 @@
 	w.scheduleHeartbeat(w.untilHeartbeatAllowed())
 }
 
-// untilHeartbeatAllowed is how long the worker must wait before its next heartbeat.
+// untilHeartbeatAllowed returns how long the worker must wait before its next heartbeat.
 func (w *Worker) untilHeartbeatAllowed() time.Duration {
 	return max(w.lastHeartbeatAt+minHeartbeatInterval-w.cluster.Now, 0)
 }
 
-// scheduleHeartbeat replaces the time of the next heartbeat.
+// scheduleHeartbeat schedules the next heartbeat after delay, in place of one scheduled before.
 func (w *Worker) scheduleHeartbeat(delay time.Duration) {
 	w.heartbeatTimerID++
 	timerID := w.heartbeatTimerID
@@ -147,7 +151,7 @@
 	})
 }
 
-// sentHeartbeat is a heartbeat whose answer the worker waits for.
+// sentHeartbeat records when and in which session a heartbeat was sent.
 type sentHeartbeat struct {
 	sentAt  time.Duration
 	session uint64
@@ -176,7 +180,8 @@
 	}, func(reply core.Reply) { w.handleHeartbeatReply(sent, reply) }, w.tryNextNode)
 }
 
-// finishHeartbeat schedules the next heartbeat, earlier if something changed meanwhile.
+// finishHeartbeat ends the heartbeat in flight and schedules the next one after delay, or as soon
+// as allowed if something changed while it was in flight.
 func (w *Worker) finishHeartbeat(delay time.Duration) {
 	w.heartbeatInFlight = false
 	if w.changedWhileInFlight {
@@ -185,7 +190,8 @@
 	w.scheduleHeartbeat(delay)
 }
 
-// tryNextNode gives a heartbeat up and turns to the next controller.
+// tryNextNode ends the heartbeat in flight as failed and schedules the next one to another
+// controller.
 func (w *Worker) tryNextNode() {
 	w.nodeIndex = (w.nodeIndex + 1) % len(w.cluster.Nodes)
 	w.finishHeartbeat(heartbeatRetryInterval)
@@ -196,7 +202,7 @@
 		return
 	}
 	fresh := w.cluster.Now-sent.sentAt < heartbeatTimeout
-	if w.Hung && fresh { // it is read once the machine resumes
+	if w.Hung && fresh { // the response is read once the machine resumes
 		w.cluster.After(hungReplyPollInterval, func() { w.handleHeartbeatReply(sent, reply) })
 		return
 	}
@@ -219,7 +225,8 @@
 	}
 }
 
-// acceptResponse renews the lease and executes the commands of an answer.
+// acceptResponse renews the lease from the time at which the heartbeat was sent, and executes the
+// commands of its response.
 func (w *Worker) acceptResponse(sent sentHeartbeat, body protocol.HeartbeatResponse) {
 	newLeader := body.Token > w.leaderToken
 	w.leaderToken = body.Token
@@ -229,6 +236,8 @@
 	}
 }
 
+// followRedirect sends the next heartbeat to the controller that a redirect names, or to the next
+// controller if the redirect names an unknown one or the one that sent it.
 func (w *Worker) followRedirect(redirect protocol.Redirect) {
 	for i, node := range w.cluster.Nodes {
 		if node.Label == redirect.ReportTo && i != w.nodeIndex {
@@ -240,8 +249,8 @@
 	w.tryNextNode()
 }
 
-// handleDirectCommands serves a call of a controller. Commands of an older leader, or meant for an
-// earlier session, are not executed.
+// handleDirectCommands handles a call of a controller, once the machine is not hung. It does not
+// execute commands with a fencing token lower than the worker's, or for another session.
 func (w *Worker) handleDirectCommands(commands protocol.DirectCommands, reply func(core.DirectOutcome, protocol.Heartbeat)) {
 	if w.removed {
 		return
