--- a/internal/simulation/leakybucket.go
+++ b/internal/simulation/leakybucket.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// leakyBucket is a rate limit that allows bursts.
+// leakyBucket is a rate limiter that allows bursts. Its zero value is ready for use.
 type leakyBucket struct {
-	used      float64 // what was taken and has not leaked yet
+	used      float64 // requests that were counted and have not leaked yet
 	updatedAt time.Duration
 }
 
-// take reports whether requests are allowed by a limit of rate a second, with bursts of
-// burstSeconds' worth, and counts them if they are.
+// take reports whether a number of requests is allowed by a limit of rate requests per second,
+// with bursts of up to rate*burstSeconds requests, and counts them if they are allowed.
 func (b *leakyBucket) take(now time.Duration, requests, rate, burstSeconds float64) bool {
 	b.used = max(b.used-(now-b.updatedAt).Seconds()*rate, 0)
 	b.updatedAt = now
--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -21,7 +21,7 @@
 	return !slices.ContainsFunc(newVersionKeyPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// previousVersionCommand is what of a command the previous version understands.
+// previousVersionCommand returns the part of a command that the previous version understands.
 func previousVersionCommand(command core.Command) core.Command {
 	switch command := command.(type) {
 	case core.SubmitJob:
@@ -37,8 +37,9 @@
 	return command
 }
 
-// previousVersionItems are the items of a page that the previous version knows. If it knows
-// none, the last one stays in a page that others follow: it says where the next one begins.
+// previousVersionItems returns the items of a page whose keys the previous version knows. If it
+// knows none and more pages follow, the last item is kept, because the next page begins after its
+// key.
 func previousVersionItems(page core.LoadResult) []protocol.KeyValue {
 	var known []protocol.KeyValue
 	for _, item := range page.Items {
@@ -62,7 +63,8 @@
 	return known
 }
 
-// previousVersionTransaction is what the previous version writes of a transaction.
+// previousVersionTransaction returns a transaction without the fields that the previous version
+// does not write.
 func previousVersionTransaction(txn protocol.Transaction) protocol.Transaction {
 	operations := make([]protocol.Operation, len(txn.Then))
 	for i, operation := range txn.Then {
@@ -80,7 +82,8 @@
 	return txn
 }
 
-// previousVersionMessage is what the previous version sends of a message to a peer.
+// previousVersionMessage returns a message to a peer without the fields that the previous version
+// does not send.
 func previousVersionMessage(message peerproto.Message) peerproto.Message {
 	if message.Vote != nil {
 		vote := *message.Vote
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// failureDelay is how long a task runs that fails.
+	// failureDelay is the time that a failing task runs before it fails.
 	failureDelay = 500 * time.Millisecond
-	// capacityEpsilon is the rounding that sums of CPUs, GPUs and GB may have.
+	// capacityEpsilon is the tolerance for rounding errors in sums of CPUs, GPUs and GB.
 	capacityEpsilon = 1e-9
 )
 
-// Task is an attempt at a task on a machine.
+// Task is an attempt of a task on a machine.
 type Task struct {
 	Name       string
 	Attempt    uint64
 	State      string // protocol.TaskFetching and others
-	ExitReason string // the reason of its exit
-	Saved      bool   // it saved its progress before it was stopped
+	ExitReason string // protocol.ExitDone and others, empty until the task has exited
+	Saved      bool   // whether the task saved its progress before it was stopped
 
-	job          *Job // nil if the name is of no job
-	index        int
+	job          *Job // nil if no job has a task of this name
+	index        int  // of the task in its job
 	runningSince time.Duration
 }
 
-// occupiesMachine reports whether the task counts as being on its machine.
+// occupiesMachine reports whether the task counts as being on its machine: it has started there
+// and has not exited.
 func (t *Task) occupiesMachine() bool {
 	return t.State == protocol.TaskRunning || t.State == protocol.TaskSaving || t.State == protocol.TaskWaiting
 }
 
-// usesCapacity reports whether the machine sets capacity aside for the task.
+// usesCapacity reports whether capacity of the machine is reserved for the task.
 func (t *Task) usesCapacity() bool { return t.State != protocol.TaskExited }
 
 // matches reports whether a command names this attempt.
@@ -40,7 +41,7 @@
 	return t.Name == command.Task && t.Attempt == command.Attempt
 }
 
-// execute carries out commands in order and reports whether anything changed.
+// execute executes commands in order and reports whether any of them changed the worker's tasks.
 func (w *Worker) execute(commands []protocol.Command) bool {
 	changed := false
 	for _, command := range commands {
@@ -56,6 +57,7 @@
 	return changed
 }
 
+// stopAttempt executes a stop command and reports whether it changed anything.
 func (w *Worker) stopAttempt(command protocol.Command) bool {
 	changed := false
 	for _, task := range w.Tasks {
@@ -67,7 +69,8 @@
 	return changed
 }
 
-// forget drops an attempt that has exited from the worker's list.
+// forget removes an attempt that has exited from the worker's tasks, so that it is not reported
+// any more, and reports whether it changed anything.
 func (w *Worker) forget(command protocol.Command) bool {
 	kept := w.Tasks[:0]
 	for _, task := range w.Tasks {
@@ -80,8 +83,8 @@
 	return changed
 }
 
-// start takes a new attempt, which exits at once if it can't run here, and reports whether
-// that changed anything.
+// start adds a new attempt, which exits at once if it can't run on this machine, and reports
+// whether it changed anything. It ignores an attempt that the worker has already.
 func (w *Worker) start(command protocol.Command) bool {
 	task := &Task{Name: command.Task, Attempt: command.Attempt, State: protocol.TaskFetching}
 	for _, present := range w.Tasks {
@@ -106,7 +109,8 @@
 	return true
 }
 
-// startRejection is the exit reason of a new attempt that can't run here, empty if it can.
+// startRejection returns the exit reason of a new attempt that can't run on this machine, empty if
+// it can.
 func (w *Worker) startRejection(task *Task, unknown bool) string {
 	if unknown {
 		return protocol.ExitUnknownTask
@@ -122,7 +126,7 @@
 	return ""
 }
 
-// fetchDuration is how long it takes to fetch a job's image, unless it is cached.
+// fetchDuration returns how long it takes to fetch a job's image, 0 if the image is cached.
 func (w *Worker) fetchDuration(spec *protocol.Job) time.Duration {
 	if w.images[spec.Image] {
 		return 0
@@ -130,6 +134,8 @@
 	return config.Seconds(spec.ImageGB / w.cluster.Cloud.Type(w.Info.Type).FetchGBps)
 }
 
+// imageFetched runs a task once its image is on the machine, unless it was stopped in the meantime.
+// A gang's task first waits for its peers.
 func (w *Worker) imageFetched(task *Task) {
 	if task.State != protocol.TaskFetching {
 		return
@@ -145,7 +151,8 @@
 	w.run(task)
 }
 
-// run lets a task that is no gang's run to its end.
+// run sets a task that belongs to no gang to running and schedules its end. A task of a service
+// runs until it is stopped, unless it fails.
 func (w *Worker) run(task *Task) {
 	task.State = protocol.TaskRunning
 	w.cluster.Users.taskStarted(w, task)
@@ -159,7 +166,8 @@
 	}
 }
 
-// remainingRunTime is how long a task has yet to run.
+// remainingRunTime returns how long a task still has to run on this machine, less the progress that
+// its earlier attempts have saved.
 func (w *Worker) remainingRunTime(task *Task) time.Duration {
 	job := task.job
 	if job.completed[task.index] {
@@ -172,7 +180,7 @@
 	return config.Seconds(runS*max(w.SlowFactor, 1)) - job.savedRun[task.index]
 }
 
-// currentAttempt is the attempt of a task that is on the machine, or 0.
+// currentAttempt returns the attempt of a task that occupies the machine, 0 if there is none.
 func (w *Worker) currentAttempt(name string) uint64 {
 	for _, task := range w.Tasks {
 		if task.Name == name && task.occupiesMachine() {
@@ -182,8 +190,8 @@
 	return 0
 }
 
-// afterIfPresent runs f after delay if the task is still here by then; a hung machine runs it
-// once it resumes.
+// afterIfPresent runs callback after delay if the task is still on the worker's list by then. If
+// the machine is hung at that time, the callback runs after the machine has resumed.
 func (w *Worker) afterIfPresent(task *Task, delay time.Duration, callback func()) {
 	w.cluster.After(delay, func() {
 		if w.Hung {
@@ -199,7 +207,8 @@
 	})
 }
 
-// stop ends a task before its time, after it has saved its progress if the grace allows that.
+// stop ends a task early. A running task that takes checkpoints first saves its progress if the
+// grace period is long enough for that.
 func (w *Worker) stop(task *Task, graceS float64) {
 	job := task.job
 	if task.State == protocol.TaskRunning && job != nil && job.Spec.CheckpointS > 0 && graceS >= job.Spec.SaveS {
@@ -213,7 +222,8 @@
 	w.exit(task, protocol.ExitStopped)
 }
 
-// exit ends a task for a reason, once.
+// exit ends a task with a reason and schedules a report of that. It does nothing if the task has
+// exited already.
 func (w *Worker) exit(task *Task, reason string) {
 	if task.State == protocol.TaskExited {
 		return
@@ -230,8 +240,9 @@
 	w.statusChanged()
 }
 
-// progressKept is how much of its run a stopped task need not repeat: all if it saved its
-// progress, else what the last checkpoint holds.
+// progressKept returns the part of its run time that a stopped task need not repeat: all of it if
+// the task saved its progress, else the part up to its last checkpoint, and none if it takes no
+// checkpoints.
 func (w *Worker) progressKept(task *Task) time.Duration {
 	interval := config.Seconds(task.job.Spec.CheckpointS)
 	ran := w.cluster.Now - task.runningSince
@@ -245,10 +256,9 @@
 	}
 }
 
-// capacity is what a machine has left.
 type capacity struct{ cpus, gpus, memoryGB float64 }
 
-// freeCapacity is the machine's capacity that no task uses.
+// freeCapacity returns the capacity of the machine that no task uses.
 func (w *Worker) freeCapacity() capacity {
 	machineType := w.cluster.Cloud.Type(w.Info.Type)
 	remaining := capacity{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
@@ -262,7 +272,7 @@
 	return remaining
 }
 
-// hasCapacity reports whether one more task of a job fits.
+// hasCapacity reports whether the machine has enough free capacity for one more task of a job.
 func (w *Worker) hasCapacity(spec *protocol.Job) bool {
 	free := w.freeCapacity()
 	return free.cpus >= spec.CPUs-capacityEpsilon &&
