--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -10,11 +10,13 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// The previous version, before level 1, as far as it differs in what it stores and
-// understands: it ignores keys and drops fields that it does not know, and knows no limits
-// but those in force.
+// This file simulates a controller of the previous version, which precedes records.FormatLevel 1.
+// A node of that version runs the current core, and these functions filter what the core stores,
+// sends and receives: the previous version ignores keys that it does not know, and drops fields
+// that it does not know. It does not know the announced limits of the store either, only those in
+// force; Node.Start removes the announced limits from its settings.
 
-// newVersionKeyPrefixes are the prefixes of the keys that it ignores.
+// newVersionKeyPrefixes are the prefixes of the keys that the previous version does not know.
 var newVersionKeyPrefixes = []string{"c/run/", "c/admitted/", "c/fine/", "c/long/", "c/zones/"}
 
 func knownToPreviousVersion(key string) bool {
