--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -13,7 +13,7 @@
 	Refuse          bool          // new connections are refused; an existing one breaks when something is sent
 	Reset           bool          // a connection breaks when something is sent; what was sent may still arrive
 	Delay           time.Duration // added to the latency
-	Loss            float64       // share of the packets that are lost
+	Loss            float64       // share of the packets that is lost
 	MaxMessageBytes int           // larger messages between controllers never arrive, 0: no limit
 	FlapPeriod      time.Duration // the faults are active and inactive in turns, for this time each, 0: always active
 
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -167,7 +167,7 @@
 }
 
 // remainingRunTime returns how long a task still has to run on this machine, less the progress that
-// its earlier attempts have saved.
+// its earlier attempts have saved. It returns 0 for a task that has completed before.
 func (w *Worker) remainingRunTime(task *Task) time.Duration {
 	job := task.job
 	if job.completed[task.index] {
