--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -32,7 +32,7 @@
 	s := newScenario(t, 300)
 	jobs := s.submitDiamond()
 	s.eventually(10*second, "the last says what it waits for", func() bool {
-		return strings.HasPrefix(jobs[3].Answer.Reason, "waits for "+jobs[1].Spec.ID)
+		return strings.HasPrefix(jobs[3].LastResponse.Reason, "waits for "+jobs[1].Spec.ID)
 	})
 	s.leader().Crash(second / 5)
 	s.eventually(200*second, "all are done", lastStateIs(protocol.JobDone, jobs...))
@@ -49,8 +49,8 @@
 	s.eventually(45*second, "all dependents are cancelled", lastStateIs(protocol.JobCancelled, jobs...))
 	late := s.submitAccepted(dependentArray(2, other, jobs[3]), 1)
 	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", lastStateIs(protocol.JobCancelled, late))
-	if !strings.Contains(late.Answer.Reason, jobs[3].Spec.ID) {
-		t.Fatalf("the reason is %q", late.Answer.Reason)
+	if !strings.Contains(late.LastResponse.Reason, jobs[3].Spec.ID) {
+		t.Fatalf("the reason is %q", late.LastResponse.Reason)
 	}
 	s.crashAll(second / 20) // whoever reloads the records comes to the same
 	s.Run(s.Now + 60*second)
@@ -204,7 +204,7 @@
 	free := s.submitAccepted(simulation.Array(8), 5)
 	s.eventually(100*second, "other work is done", lastStateIs(protocol.JobDone, free))
 	s.Run(s.Now + 60*second)
-	if reason := rest[1].Answer.Reason; reason != "waits for "+rest[0].Spec.ID {
+	if reason := rest[1].LastResponse.Reason; reason != "waits for "+rest[0].Spec.ID {
 		t.Fatalf("the last says %q", reason)
 	}
 	s.Users.Cancel(head)
@@ -226,8 +226,8 @@
 	last := s.submitAccepted(dependentArray(4, middle), 4)
 	s.eventually(60*second, "the first is done", lastStateIs(protocol.JobDone, head))
 	s.Run(s.Now + 8*second)
-	if !strings.Contains(middle.Answer.Reason, "at its limit") {
-		t.Fatalf("the second is %s and says %q, %d of the first run", middle.LastState, middle.Answer.Reason, full.RunningTasks())
+	if !strings.Contains(middle.LastResponse.Reason, "at its limit") {
+		t.Fatalf("the second is %s and says %q, %d of the first run", middle.LastState, middle.LastResponse.Reason, full.RunningTasks())
 	}
 	s.eventually(300*second, "all are done", lastStateIs(protocol.JobDone, full, head, middle, last))
 }
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -96,15 +96,15 @@
 		s.t.Fatal("half for all was not possible: the scenario shows nothing")
 	}
 	for _, a := range broken {
-		x := s.Users.ClassShares(until)[a]
+		x := s.Users.ClassProgress(until)[a]
 		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", a.Class, a.Team, x.Done, x.Jobs, x.Started, s.lastLogs(*logLines))
 	}
 }
 
 // classShare is how much is done of a class of team red, of what came at least two patiences ago.
-func (s *scenario) classShare(class string) *simulation.ClassShare {
+func (s *scenario) classShare(class string) *simulation.ClassProgress {
 	s.t.Helper()
-	share := s.Users.ClassShares(s.Now - 2*s.overdueAfter())[fairshare.Account{Team: "red", Class: class}]
+	share := s.Users.ClassProgress(s.Now - 2*s.overdueAfter())[fairshare.Account{Team: "red", Class: class}]
 	if share == nil {
 		s.t.Fatalf("no job of %s", class)
 	}
--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -123,7 +123,7 @@
 	s.t.Helper()
 	broken, judged := s.Users.UnderservedClasses(until, capacity)
 	for _, account := range broken {
-		share := s.Users.ClassShares(until)[account]
+		share := s.Users.ClassProgress(until)[account]
 		s.t.Fatalf("%s of %s: %d of %d done, %d started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 	return judged
--- a/internal/core/randomized_test.go
+++ b/internal/core/randomized_test.go
@@ -58,9 +58,9 @@
 // requireResponses fails the test unless nine of ten requests are answered, or all but one.
 func (s *scenario) requireResponses(d *deployment) {
 	s.t.Helper()
-	asked, served := s.Users.Requests, s.Users.Answered
+	asked, served := s.Users.Requests, s.Users.Served
 	s.Run(s.Now + max(2*d.lease(), 20*second))
-	asked, served = s.Users.Requests-asked, s.Users.Answered-served
+	asked, served = s.Users.Requests-asked, s.Users.Served-served
 	if asked-served > max(asked/10, 1) {
 		s.t.Fatalf("after all faults %d of %d requests are answered\n%s", served, asked, s.lastLogs(*logLines))
 	}
