--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -10,18 +10,20 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// The previous version, before level 1, as far as it differs in what it stores and
-// understands: it ignores keys and drops fields that it does not know, and knows no limits
-// but those in force.
+// This file simulates a controller of the previous version, which precedes records.FormatLevel 1.
+// A node of that version runs the current core, and these functions filter what the core stores,
+// sends and receives: the previous version ignores keys that it does not know, and drops fields
+// that it does not know. It does not know the announced limits of the store either, only those in
+// force; Node.Start removes the announced limits from its settings.
 
-// newVersionKeyPrefixes are the prefixes of the keys that it ignores.
+// newVersionKeyPrefixes are the prefixes of the keys that the previous version does not know.
 var newVersionKeyPrefixes = []string{"c/run/", "c/admitted/", "c/fine/", "c/long/", "c/zones/"}
 
 func knownToPreviousVersion(key string) bool {
 	return !slices.ContainsFunc(newVersionKeyPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// previousVersionCommand is what of a command the previous version understands.
+// previousVersionCommand returns the part of a command that the previous version understands.
 func previousVersionCommand(command core.Command) core.Command {
 	switch command := command.(type) {
 	case core.SubmitJob:
@@ -37,8 +39,9 @@
 	return command
 }
 
-// previousVersionItems are the items of a page that the previous version knows. If it knows
-// none, the last one stays in a page that others follow: it says where the next one begins.
+// previousVersionItems returns the items of a page whose keys the previous version knows. If it
+// knows none and more pages follow, the last item is kept, because the next page begins after its
+// key.
 func previousVersionItems(page core.LoadResult) []protocol.KeyValue {
 	var known []protocol.KeyValue
 	for _, item := range page.Items {
@@ -62,7 +65,8 @@
 	return known
 }
 
-// previousVersionTransaction is what the previous version writes of a transaction.
+// previousVersionTransaction returns a transaction without the fields that the previous version
+// does not write.
 func previousVersionTransaction(txn protocol.Transaction) protocol.Transaction {
 	operations := make([]protocol.Operation, len(txn.Then))
 	for i, operation := range txn.Then {
@@ -80,7 +84,8 @@
 	return txn
 }
 
-// previousVersionMessage is what the previous version sends of a message to a peer.
+// previousVersionMessage returns a message to a peer without the fields that the previous version
+// does not send.
 func previousVersionMessage(message peerproto.Message) peerproto.Message {
 	if message.Vote != nil {
 		vote := *message.Vote
