--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -117,7 +117,7 @@
 	switch e := e.(type) {
 	case AttemptExited:
 		delete(h.running, e.AttemptKey)
-	case HeartbeatAnswered:
+	case HeartbeatCompleted:
 		h.redirected = e.Status == 421
 	}
 	h.apply(h.agent.Handle(h.now, e))
@@ -149,11 +149,11 @@
 	h.t.Helper()
 	h.awaitHeartbeat()
 	h.inFlight = nil
-	h.handle(HeartbeatAnswered{Status: 200, Response: protocol.HeartbeatResponse{Token: token, Commands: cmds}})
+	h.handle(HeartbeatCompleted{Status: 200, Response: protocol.HeartbeatResponse{Token: token, Commands: cmds}})
 }
 
-func startCommand(task string, try uint64) protocol.Command {
-	return protocol.Command{Kind: protocol.CommandStart, Task: task, Attempt: try}
+func startCommand(task string, attemptNumber uint64) protocol.Command {
+	return protocol.Command{Kind: protocol.CommandStart, Task: task, Attempt: attemptNumber}
 }
 
 func (h *harness) describe(k AttemptKey, change func(*JobDescribed)) {
@@ -219,39 +219,39 @@
 	h.wantState(AttemptKey{"job-1/2", 1}, "ended no_such false")
 }
 
-func TestCheckpointGracePeriod(t *testing.T) {
+func TestStoppedAttemptSavesWithinGracePeriod(t *testing.T) {
 	h := newHarness(t)
 	saves := func(d *JobDescribed) { d.Description.Job.CheckpointS, d.Description.Job.SaveS = 10, 2 }
-	kill := func(k AttemptKey, grace float64) protocol.Command {
+	stop := func(k AttemptKey, grace float64) protocol.Command {
 		return protocol.Command{Kind: protocol.CommandStop, Task: k.Task, Attempt: k.Attempt, GraceS: grace}
 	}
-	ks := []AttemptKey{{"job-1/0", 1}, {"job-1/1", 1}, {"job-1/2", 1}, {"job-1/3", 1}}
-	for _, k := range ks {
+	keys := []AttemptKey{{"job-1/0", 1}, {"job-1/1", 1}, {"job-1/2", 1}, {"job-1/3", 1}}
+	for _, k := range keys {
 		h.respond(5, startCommand(k.Task, k.Attempt))
 		h.describe(k, saves)
 	}
-	h.respond(5, kill(ks[0], 3), kill(ks[1], 3), kill(ks[2], 3), kill(ks[3], 1))
-	if !h.terminated[ks[0]] || h.killed[ks[0]] || h.terminated[ks[3]] || !h.killed[ks[3]] {
+	h.respond(5, stop(keys[0], 3), stop(keys[1], 3), stop(keys[2], 3), stop(keys[3], 1))
+	if !h.terminated[keys[0]] || h.killed[keys[0]] || h.terminated[keys[3]] || !h.killed[keys[3]] {
 		t.Fatalf("asked to save %v, killed %v", h.terminated, h.killed)
 	}
-	h.wantState(ks[0], "saving  false")
-	h.handle(AttemptExited{AttemptKey: ks[0], ExitCode: 75})
-	h.wantState(ks[0], "ended halted true")
-	h.respond(5, kill(ks[1], 0)) // a second order with no time ends it
-	if !h.killed[ks[1]] {
+	h.wantState(keys[0], "saving  false")
+	h.handle(AttemptExited{AttemptKey: keys[0], ExitCode: 75})
+	h.wantState(keys[0], "ended halted true")
+	h.respond(5, stop(keys[1], 0)) // a second order with no time ends it
+	if !h.killed[keys[1]] {
 		t.Fatal("the second order is not obeyed")
 	}
-	h.handle(AttemptExited{AttemptKey: ks[1], ExitCode: -1})
-	h.wantState(ks[1], "ended halted false")
+	h.handle(AttemptExited{AttemptKey: keys[1], ExitCode: -1})
+	h.wantState(keys[1], "ended halted false")
 	h.respond(5)
 	h.advance(time.Second)
 	h.respond(5)
 	h.advance(2 * time.Second)
-	if !h.killed[ks[2]] {
+	if !h.killed[keys[2]] {
 		t.Fatal("it saves for longer than it was given")
 	}
-	h.handle(AttemptExited{AttemptKey: ks[2], ExitCode: -1})
-	h.wantState(ks[2], "ended halted false")
+	h.handle(AttemptExited{AttemptKey: keys[2], ExitCode: -1})
+	h.wantState(keys[2], "ended halted false")
 }
 
 func TestStaleTokensAndLateResponsesAreIgnored(t *testing.T) {
@@ -285,7 +285,7 @@
 	for h.now < h.leaseUntil-2*time.Second {
 		h.awaitHeartbeat()
 		h.inFlight = nil
-		h.handle(HeartbeatAnswered{}) // no answers any more
+		h.handle(HeartbeatCompleted{}) // no answers any more
 		h.advance(100 * time.Millisecond)
 	}
 	h.advance(h.leaseUntil + 10*time.Millisecond - h.now)
@@ -295,7 +295,7 @@
 	// Until it is dead the agent neither reports nor obeys.
 	if h.inFlight != nil {
 		h.inFlight = nil
-		h.handle(HeartbeatAnswered{})
+		h.handle(HeartbeatCompleted{})
 	}
 	n := len(h.sentAt)
 	h.advance(3 * time.Second)
@@ -309,21 +309,21 @@
 	}
 }
 
-func TestHeartbeatRedirects(t *testing.T) {
+func TestHeartbeatFollowsRedirect(t *testing.T) {
 	h := newHarness(t)
 	h.awaitHeartbeat()
 	first := h.inFlight.Controller
 	other := h.agent.settings.Controllers[1-first].ReportTo
 	h.inFlight = nil
 	at := h.now
-	h.handle(HeartbeatAnswered{Status: 421, Redirect: protocol.Redirect{ReportTo: other}})
+	h.handle(HeartbeatCompleted{Status: 421, Redirect: protocol.Redirect{ReportTo: other}})
 	h.awaitHeartbeat()
 	if h.inFlight.Controller == first || h.now-at > minHeartbeatGap+20*time.Millisecond {
 		t.Fatalf("it went to %d after %v", h.inFlight.Controller, h.now-at)
 	}
 	h.inFlight = nil
 	at = h.now
-	h.handle(HeartbeatAnswered{Status: 421, Redirect: protocol.Redirect{ReportTo: other}}) // its own name
+	h.handle(HeartbeatCompleted{Status: 421, Redirect: protocol.Redirect{ReportTo: other}}) // its own name
 	h.awaitHeartbeat()
 	if h.inFlight.Controller != first || h.now-at < failoverDelay {
 		t.Fatalf("it went to %d after %v", h.inFlight.Controller, h.now-at)
@@ -349,7 +349,7 @@
 		if h.inFlight != nil {
 			h.inFlight = nil
 			status := rapid.SampledFrom([]int{200, 200, 200, 421, 503, 0}).Draw(t, "status")
-			h.handle(HeartbeatAnswered{Status: status, Response: protocol.HeartbeatResponse{Token: token, Commands: commands}})
+			h.handle(HeartbeatCompleted{Status: status, Response: protocol.HeartbeatResponse{Token: token, Commands: commands}})
 		}
 	case 2:
 		session := rapid.Uint64Range(1, 3).Draw(t, "session")
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -137,9 +137,9 @@
 	l := listen(m.t)
 	m.addr = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { defer close(over); _ = d.Serve(ctx, l) }() // tests look at what it does
-	m.stop = func() { cancel(); <-over }
+	served := make(chan struct{})
+	go func() { defer close(served); _ = d.Serve(ctx, l) }() // tests look at what it does
+	m.stop = func() { cancel(); <-served }
 	m.t.Cleanup(m.stop)
 }
 
@@ -164,19 +164,19 @@
 	return r
 }
 
-func (m *testMachine) waitUntil(what string, f func(protocol.Heartbeat) bool) {
+func (m *testMachine) waitUntil(condition string, holds func(protocol.Heartbeat) bool) {
 	m.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if f(m.heartbeat()) {
+		if holds(m.heartbeat()) {
 			return
 		}
 	}
-	m.t.Fatalf("not in time: %s; %+v", what, m.heartbeat())
+	m.t.Fatalf("not in time: %s; %+v", condition, m.heartbeat())
 }
 
-func taskIs(state, why string, saved bool) func(protocol.Heartbeat) bool {
+func taskIs(state, exitReason string, saved bool) func(protocol.Heartbeat) bool {
 	return func(r protocol.Heartbeat) bool {
-		return len(r.Tasks) == 1 && r.Tasks[0].State == state && r.Tasks[0].ExitReason == why && r.Tasks[0].Saved == saved
+		return len(r.Tasks) == 1 && r.Tasks[0].State == state && r.Tasks[0].ExitReason == exitReason && r.Tasks[0].Saved == saved
 	}
 }
 
@@ -187,16 +187,16 @@
 	m.describe(1, "sh", "-c", `trap 'echo half > "$CHALK_SAVES/progress"; exit 75' TERM
 if [ -f "$CHALK_SAVES/progress" ]; then echo went on; exit 0; fi
 echo began; while :; do sleep 0.02; done`)
-	start := func(try uint64) {
-		m.command(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: try})
+	start := func(attempt uint64) {
+		m.command(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: attempt})
 	}
 	start(1)
 	m.waitUntil("it has written", func(protocol.Heartbeat) bool { b, _ := m.store.Output("job-1", 0, 1); return string(b) == "began\n" })
 	m.command(protocol.Command{Kind: protocol.CommandStop, Task: "job-1/0", Attempt: 1, GraceS: 10})
 	m.waitUntil("it has saved", taskIs(protocol.TaskExited, protocol.ExitStopped, true))
-	for try := uint64(2); try < 4; try++ {
-		m.command(protocol.Command{Kind: protocol.CommandForget, Task: "job-1/0", Attempt: try - 1})
-		start(try)
+	for attempt := uint64(2); attempt < 4; attempt++ {
+		m.command(protocol.Command{Kind: protocol.CommandForget, Task: "job-1/0", Attempt: attempt - 1})
+		start(attempt)
 		m.waitUntil("it is done", taskIs(protocol.TaskExited, protocol.ExitDone, false))
 	}
 	if b, _ := m.store.Output("job-1", 0, 2); string(b) != "went on\n" {
@@ -241,8 +241,8 @@
 	}
 	m.controllerDown.Store(true)
 	m.waitUntil("the next session", func(r protocol.Heartbeat) bool { return r.Session > 1 && len(r.Tasks) == 0 })
-	if s := m.command(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 2}); s != 409 {
-		t.Fatalf("an order for the last session is answered %d", s)
+	if status := m.command(protocol.Command{Kind: protocol.CommandStart, Task: "job-1/0", Attempt: 2}); status != 409 {
+		t.Fatalf("an order for the last session is answered %d", status)
 	}
 }
 
@@ -254,24 +254,24 @@
 	m.waitUntil("a token is seen", func(r protocol.Heartbeat) bool { return r.Token == 5 && r.Session == 1 })
 	m.stop()
 	// A shim of the earlier agent that takes its time.
-	held, err := os.Open(m.settings.Dir + "/lock")
+	lockFile, err := os.Open(m.settings.Dir + "/lock")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.Flock(int(held.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+	if err := unix.Flock(int(lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		t.Fatalf("the agent has ended and its lock is held: %v", err)
 	}
 	m.controllerDown.Store(true)
 	m.start()
 	time.Sleep(300 * time.Millisecond)
-	if s := m.client.Call("GET", m.addr, "/inspect", nil, nil, 200*time.Millisecond); s != 0 {
-		t.Fatalf("it answers %d while something of the last agent is left", s)
+	if status := m.client.Call("GET", m.addr, "/inspect", nil, nil, 200*time.Millisecond); status != 0 {
+		t.Fatalf("it answers %d while something of the last agent is left", status)
 	}
-	if err := held.Close(); err != nil {
+	if err := lockFile.Close(); err != nil {
 		t.Fatal(err)
 	}
 	m.waitUntil("the next session", func(r protocol.Heartbeat) bool { return r.Session == 2 && r.Token == 5 && len(r.Tasks) == 0 })
-	if s := m.client.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 4, Session: 2}, nil, time.Second); s != 409 {
-		t.Fatalf("a token from before is answered %d", s)
+	if status := m.client.Call("POST", m.addr, "/do", protocol.DirectCommands{Token: 4, Session: 2}, nil, time.Second); status != 409 {
+		t.Fatalf("a token from before is answered %d", status)
 	}
 }
--- a/internal/agentd/preemption_test.go
+++ b/internal/agentd/preemption_test.go
@@ -20,9 +20,9 @@
 //
 // A notice comes at each of some moments, from before the agent has its lock to when it serves: it is
 // told with the next heartbeat, and the seconds count from when it came.
-func TestNoticeAtAnyMomentIsKept(t *testing.T) {
+func TestPreemptionNoticeIsReportedWheneverItArrives(t *testing.T) {
 	const notice, lockHeld = 60 * time.Second, 1500 * time.Millisecond
-	for name, when := range map[string]time.Duration{
+	for name, notifyAfter := range map[string]time.Duration{
 		"before the agent serves":       -1,
 		"while it waits for the lock":   lockHeld / 3,
 		"when it has the lock":          lockHeld,
@@ -44,17 +44,17 @@
 				noticedAt = time.Now()
 				daemon.NotifyPreemption(notice)
 			}
-			if when < 0 {
+			if notifyAfter < 0 {
 				notify()
 			}
 			l := listen(t)
 			m.addr = l.Addr().String()
 			ctx, cancel := context.WithCancel(context.Background())
-			over := make(chan struct{})
-			go func() { defer close(over); _ = daemon.Serve(ctx, l) }() // what it does is looked at
-			t.Cleanup(func() { cancel(); <-over })
-			if when >= 0 {
-				time.Sleep(when)
+			served := make(chan struct{})
+			go func() { defer close(served); _ = daemon.Serve(ctx, l) }() // what it does is looked at
+			t.Cleanup(func() { cancel(); <-served })
+			if notifyAfter >= 0 {
+				time.Sleep(notifyAfter)
 				notify()
 			}
 			m.waitUntil("the notice is told", func(r protocol.Heartbeat) bool { return r.NoticeS != nil })
@@ -68,7 +68,7 @@
 }
 
 // A notice that comes when the agent has ended, or again, is harmless.
-func TestNoticeAfterTheEndIsDropped(t *testing.T) {
+func TestPreemptionNoticeAfterShutdownIsDropped(t *testing.T) {
 	m := startMachine(t, 30)
 	m.stop()
 	daemon, err := New(m.settings)
@@ -86,17 +86,17 @@
 // holdLock takes an agent's lock, as a shim of an earlier agent would, until it is released.
 func holdLock(t *testing.T, dir string) (release func()) {
 	t.Helper()
-	held, err := os.Open(dir + "/lock")
+	lockFile, err := os.Open(dir + "/lock")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if err = unix.Flock(int(held.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
+		if err = unix.Flock(int(lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatalf("the agent has ended and its lock is held: %v", err)
 		}
 	}
-	return func() { _ = held.Close() }
+	return func() { _ = lockFile.Close() }
 }
