--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -3,13 +3,14 @@
 //
 // It owns the machine's session, its highest fencing token, the worker's lease, the
 // attempts and the image cache. It may not know of processes, files, the network or the
-// clock: time comes in as an argument, what happened comes in as an Event, and what is to
-// be done goes out as an Effect. Package agentd carries the effects out.
+// clock: the current time is an argument, each input is an Event, and each action to be
+// taken is returned as an Effect. Package agentd carries the effects out.
 //
 // Invariants:
-//   - One process per task: an attempt isn't launched beside another of the same task.
-//   - A heartbeat names every attempt that may have a process.
-//   - A session starts with no attempts; after a lease expiry the agent sends nothing
+//   - One process per task: an attempt isn't launched while another attempt of the same
+//     task runs.
+//   - A heartbeat lists every attempt that may have a process.
+//   - A session starts with no attempts; after a lease expiry the agent sends no heartbeat
 //     until the last attempt of the old session has exited.
 //   - A command with a token below the highest one seen, or for another session, has no
 //     effect.
@@ -23,22 +24,24 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// longAgo stands for "never" in times that are compared with a time span; it exceeds
-// all of them.
+// longAgo is subtracted from the current time to initialize the time of an event that has
+// never happened. It is longer than every interval that the age of such an event is
+// compared with.
 const longAgo = time.Hour
 
-// Settings of a machine's agent. CPUs, GPUs and MemoryGB are what tasks may take.
+// Settings of a machine's agent. CPUs, GPUs and MemoryGB are the capacity for tasks.
 type Settings struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
 	CPUs, GPUs, MemoryGB      float64
-	CacheGB, FetchGBps        float64 // of images; no rate: an image is there at once
+	CacheGB, FetchGBps        float64 // size of the image cache and rate of image fetches, 0: unlimited
 	Controllers               []protocol.Redirect
 	Workers                   config.WorkerTiming
 }
 
-// DurableState is what an agent that is started again must still know. The machine keeps
-// its name, so a session must not come twice and a token must not be forgotten.
+// DurableState is what must survive a restart of the agent. The restarted agent reports
+// under the same machine name, so it must not reuse a session number, and it must go on
+// refusing commands with a token below the highest one seen.
 type DurableState struct {
 	Session uint64 `json:"session"`
 	Token   uint64 `json:"token"`
@@ -48,30 +51,32 @@
 type Agent struct {
 	settings Settings
 	rand     *rand.Rand
-	effects  []Effect // to be returned by the current Handle or Tick
+	effects  []Effect // to be returned by the current call of Handle or Tick
 
 	session  uint64
 	token    uint64 // the highest fencing token seen
 	attempts []*attempt
-	images   []image // the least recently used first
+	images   []image // in the cache, least recently used first
 
 	preemptionNoticed bool
 	preemptionAt      time.Duration
 
-	leaseStart   time.Duration // when the last answered heartbeat was sent, or the session began
-	leaseExpired bool          // attempts of the session are still being killed
+	leaseStart   time.Duration // when the last heartbeat with an accepted response was sent, or the session began
+	leaseExpired bool          // the lease has expired, and attempts of the session are still being killed
 
 	seq               uint64        // of the last heartbeat
-	controller        int           // index of the one that gets the next heartbeat
-	nextHeartbeatAt   time.Duration // unless one is in flight
+	controller        int           // index of the controller that the next heartbeat is sent to
+	nextHeartbeatAt   time.Duration // if a heartbeat is in flight then, the next one waits for its completion
 	heartbeatInFlight bool
 	heartbeatSentAt   time.Duration
-	heartbeatSession  uint64        // the session of the heartbeat that was sent last
-	changedInFlight   bool          // something changed since that was sent
-	tokenChangeAt     time.Duration // when a higher token was last counted as a change
+	heartbeatSession  uint64        // session of the last heartbeat
+	changedInFlight   bool          // the machine's status changed after the last heartbeat was sent
+	tokenChangeAt     time.Duration // when a higher token last caused an early heartbeat
 }
 
-// New makes an agent that begins the session after the last one at the time now.
+// New returns an agent that begins a session at the time now. last is the durable state of
+// the machine's previous agent, or zero; the new session's number is one above its session.
+// The seed determines the first controller and the jitter of the heartbeats.
 func New(settings Settings, seed uint64, now time.Duration, last DurableState) *Agent {
 	a := &Agent{
 		settings:        settings,
@@ -83,17 +88,20 @@
 		heartbeatSentAt: now - longAgo,
 		tokenChangeAt:   now - longAgo,
 	}
-	// Agents that start together spread over the controllers.
+	// Agents that start at the same time distribute their first heartbeats over the
+	// controllers.
 	a.controller = a.rand.IntN(max(len(settings.Controllers), 1))
 	return a
 }
 
-// DurableState is what must be durable before the agent's effects are carried out.
+// DurableState returns the state that the caller must make durable before it carries out
+// the effects of Handle or Tick.
 func (a *Agent) DurableState() DurableState { return DurableState{a.session, a.token} }
 
-// NextTick is when Tick is to be called next, unless an event comes first.
+// NextTick returns the time at which the caller must call Tick, unless it calls Handle
+// before.
 func (a *Agent) NextTick() time.Duration {
-	at := a.leaseStart + a.leaseDuration() + time.Millisecond // a lease expires after its end
+	at := a.leaseStart + a.leaseDuration() + time.Millisecond // the lease counts as expired only after its end
 	if !a.heartbeatInFlight && !a.leaseExpired {
 		at = min(at, a.nextHeartbeatAt)
 	}
@@ -105,13 +113,14 @@
 	return at
 }
 
-// Tick does what is due at the time now.
+// Tick carries out what is due at the time now and returns the resulting effects.
 func (a *Agent) Tick(now time.Duration) []Effect {
 	a.advance(now)
 	return a.takeEffects()
 }
 
-// Handle takes an event, and does what is due at the time now.
+// Handle processes an event, carries out what is due at the time now and returns the
+// resulting effects.
 func (a *Agent) Handle(now time.Duration, event Event) []Effect {
 	switch e := event.(type) {
 	case HeartbeatCompleted:
@@ -133,8 +142,8 @@
 	return a.takeEffects()
 }
 
-// handlePreemptionNotice notes when the machine is taken back. A repeat, or a notice of a later
-// moment than one before, changes nothing.
+// handlePreemptionNotice records when the cloud terminates the machine. If there are several
+// notices, the earliest termination time counts.
 func (a *Agent) handlePreemptionNotice(now time.Duration, notice PreemptionNotice) {
 	if a.preemptionNoticed && notice.At >= a.preemptionAt {
 		return
@@ -143,8 +152,8 @@
 	a.noteChange(now)
 }
 
-// advance does what is due: it ends a lease, begins a session, kills attempts whose grace
-// period is over, and sends a heartbeat.
+// advance carries out what is due: it expires the lease, begins a session, kills attempts
+// whose grace period is over, and sends a heartbeat.
 func (a *Agent) advance(now time.Duration) {
 	a.checkLease(now)
 	if a.leaseExpired {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -11,7 +11,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// harness is an agent with a clock and a record of what runs.
+// harness runs an agent on a simulated clock and records its effects.
 type harness struct {
 	t interface {
 		Fatalf(string, ...any)
@@ -22,7 +22,7 @@
 	inFlight         *SendHeartbeat
 	sentAt           []time.Duration
 	replies          []StatusReply
-	running          map[AttemptKey]bool // launched, its exit not handled yet
+	running          map[AttemptKey]bool // launched, and the agent has not handled its exit yet
 	killed           map[AttemptKey]bool
 	terminated       map[AttemptKey]bool
 	describeRequests []AttemptKey
@@ -43,7 +43,7 @@
 	return h
 }
 
-// apply records effects and checks the invariants that hold for each of them.
+// apply records effects and checks the invariants of each of them.
 func (h *harness) apply(effects []Effect) {
 	h.t.Helper()
 	for _, e := range effects {
@@ -71,22 +71,24 @@
 	}
 }
 
-// checkSend checks that heartbeats neither overlap nor follow each other too fast.
+// checkSend checks that at most one heartbeat is in flight and that heartbeats, except
+// redirected ones, are at least minHeartbeatGap apart.
 func (h *harness) checkSend() {
 	h.t.Helper()
 	if h.inFlight != nil {
-		h.t.Fatalf("two heartbeats in flight")
+		h.t.Fatalf("a second heartbeat was sent while one was in flight")
 	}
 	if n := len(h.sentAt); n > 0 && h.now-h.sentAt[n-1] < minHeartbeatGap && !h.redirected {
-		h.t.Fatalf("heartbeats %v apart", h.now-h.sentAt[n-1])
+		h.t.Fatalf("two heartbeats were sent only %v apart", h.now-h.sentAt[n-1])
 	}
 }
 
-// checkHeartbeat checks that a heartbeat is newer than the last and names what runs.
+// checkHeartbeat checks that a heartbeat is newer than the last one and lists every running
+// attempt.
 func (h *harness) checkHeartbeat(r *protocol.Heartbeat) {
 	h.t.Helper()
 	if r.Session < h.session || r.Seq <= h.seq {
-		h.t.Fatalf("heartbeat %d.%d after %d.%d", r.Session, r.Seq, h.session, h.seq)
+		h.t.Fatalf("heartbeat with session and sequence number %d.%d follows %d.%d", r.Session, r.Seq, h.session, h.seq)
 	}
 	h.session, h.seq = r.Session, r.Seq
 	reported := map[AttemptKey]bool{}
@@ -97,17 +99,17 @@
 	}
 	for k := range h.running {
 		if !reported[k] {
-			h.t.Fatalf("%v runs and is not in the heartbeat", k)
+			h.t.Fatalf("attempt %v runs and is not in the heartbeat", k)
 		}
 	}
 }
 
-// checkLaunch checks that no other attempt of the task runs.
+// checkLaunch checks that no other attempt of the launched attempt's task runs.
 func (h *harness) checkLaunch(launched AttemptKey) {
 	h.t.Helper()
 	for k := range h.running {
 		if k.Task == launched.Task {
-			h.t.Fatalf("%v starts beside %v", launched, k)
+			h.t.Fatalf("attempt %v was launched while %v runs", launched, k)
 		}
 	}
 }
@@ -123,7 +125,8 @@
 	h.apply(h.agent.Handle(h.now, e))
 }
 
-// advance lets time pass, a report's answer excepted.
+// advance moves the clock forward and calls Tick when it is due. It does not complete a
+// heartbeat that is in flight.
 func (h *harness) advance(d time.Duration) {
 	h.t.Helper()
 	for end := h.now + d; h.now < end; {
@@ -132,19 +135,19 @@
 	}
 }
 
-// awaitHeartbeat waits for the next report.
+// awaitHeartbeat advances the clock until a heartbeat is in flight, and returns it.
 func (h *harness) awaitHeartbeat() *protocol.Heartbeat {
 	h.t.Helper()
 	for end := h.now + 10*time.Second; h.inFlight == nil; {
 		if h.now >= end {
-			h.t.Fatalf("no report")
+			h.t.Fatalf("no heartbeat was sent within 10 s")
 		}
 		h.advance(10 * time.Millisecond)
 	}
 	return &h.inFlight.Heartbeat
 }
 
-// respond answers the report that is under way.
+// respond waits for a heartbeat and passes the agent a response with status 200 to it.
 func (h *harness) respond(token uint64, cmds ...protocol.Command) {
 	h.t.Helper()
 	h.awaitHeartbeat()
@@ -182,7 +185,7 @@
 func (h *harness) wantState(k AttemptKey, state string) {
 	h.t.Helper()
 	if got := h.state(k); got != state {
-		h.t.Fatalf("%v is %q, not %q", k, got, state)
+		h.t.Fatalf("attempt %v: got state %q, want %q", k, got, state)
 	}
 }
 
@@ -193,16 +196,16 @@
 	h.wantState(k, "fetching  false")
 	h.describe(k, nil)
 	h.wantState(k, "running  false")
-	h.respond(5, startCommand(k.Task, 7)) // repeated: no effect
+	h.respond(5, startCommand(k.Task, 7)) // a second start of a running attempt has no effect
 	h.handle(AttemptExited{AttemptKey: k, ExitCode: 0})
 	h.wantState(k, "ended done false")
-	h.respond(5, startCommand(k.Task, 7)) // exited included
+	h.respond(5, startCommand(k.Task, 7)) // nor does one of an exited attempt
 	h.wantState(k, "ended done false")
 	h.respond(5, protocol.Command{Kind: protocol.CommandForget, Task: k.Task, Attempt: 7})
 	h.wantState(k, "none")
-	h.respond(5, startCommand(k.Task, 7)) // after clear it starts once more
+	h.respond(5, startCommand(k.Task, 7)) // after it was forgotten the attempt is started again
 	h.describe(k, func(d *JobDescribed) { d.ResultStored = true })
-	h.wantState(k, "ended done false") // its result is kept
+	h.wantState(k, "ended done false") // without a launch, since its result is stored
 }
 
 func TestInvalidStartsAreRefused(t *testing.T) {
@@ -232,14 +235,14 @@
 	}
 	h.respond(5, stop(keys[0], 3), stop(keys[1], 3), stop(keys[2], 3), stop(keys[3], 1))
 	if !h.terminated[keys[0]] || h.killed[keys[0]] || h.terminated[keys[3]] || !h.killed[keys[3]] {
-		t.Fatalf("asked to save %v, killed %v", h.terminated, h.killed)
+		t.Fatalf("attempt 0 must be asked to save and attempt 3 be killed; asked to save: %v, killed: %v", h.terminated, h.killed)
 	}
 	h.wantState(keys[0], "saving  false")
 	h.handle(AttemptExited{AttemptKey: keys[0], ExitCode: 75})
 	h.wantState(keys[0], "ended halted true")
-	h.respond(5, stop(keys[1], 0)) // a second order with no time ends it
+	h.respond(5, stop(keys[1], 0)) // a second command without a grace period kills the attempt
 	if !h.killed[keys[1]] {
-		t.Fatal("the second order is not obeyed")
+		t.Fatal("a stop command without a grace period did not kill an attempt that was saving")
 	}
 	h.handle(AttemptExited{AttemptKey: keys[1], ExitCode: -1})
 	h.wantState(keys[1], "ended halted false")
@@ -248,7 +251,7 @@
 	h.respond(5)
 	h.advance(2 * time.Second)
 	if !h.killed[keys[2]] {
-		t.Fatal("it saves for longer than it was given")
+		t.Fatal("the attempt was not killed at the end of its grace period")
 	}
 	h.handle(AttemptExited{AttemptKey: keys[2], ExitCode: -1})
 	h.wantState(keys[2], "ended halted false")
@@ -260,19 +263,19 @@
 	lease := h.leaseUntil
 	h.respond(8, startCommand("job-1/0", 1)) // a lower token
 	h.wantState(AttemptKey{"job-1/0", 1}, "none")
-	h.respond(0, startCommand("job-1/0", 1)) // none at all
+	h.respond(0, startCommand("job-1/0", 1)) // no token
 	h.wantState(AttemptKey{"job-1/0", 1}, "none")
 	h.awaitHeartbeat()
 	h.advance(4100 * time.Millisecond)
-	h.respond(9, startCommand("job-1/0", 1)) // after 4 s
+	h.respond(9, startCommand("job-1/0", 1)) // later than the timeout of 4 s
 	h.wantState(AttemptKey{"job-1/0", 1}, "none")
 	if h.leaseUntil != lease {
-		t.Fatal("the lease was renewed by what does not count")
+		t.Fatal("a stale or late response renewed the lease")
 	}
 	h.handle(CommandsReceived{ID: 1, Request: protocol.DirectCommands{Token: 8, Session: 1, Commands: []protocol.Command{startCommand("job-1/0", 1)}}})
 	h.handle(CommandsReceived{ID: 2, Request: protocol.DirectCommands{Token: 11, Session: 2, Commands: []protocol.Command{startCommand("job-1/0", 1)}}})
 	if n := len(h.replies); h.replies[n-1].Status != 409 || h.replies[n-2].Status != 409 || h.replies[n-1].Heartbeat.Token != 11 {
-		t.Fatalf("%+v", h.replies[n-2:])
+		t.Fatalf("want status 409 for a stale token and for another session, and token 11 in the second reply; got %+v", h.replies[n-2:])
 	}
 	h.wantState(AttemptKey{"job-1/0", 1}, "none")
 }
@@ -285,14 +288,14 @@
 	for h.now < h.leaseUntil-2*time.Second {
 		h.awaitHeartbeat()
 		h.inFlight = nil
-		h.handle(HeartbeatCompleted{}) // no answers any more
+		h.handle(HeartbeatCompleted{}) // no controller responds any more
 		h.advance(100 * time.Millisecond)
 	}
 	h.advance(h.leaseUntil + 10*time.Millisecond - h.now)
 	if !h.killed[k] {
-		t.Fatal("the lease is over and the task is not killed")
+		t.Fatal("the lease has expired and the attempt was not killed")
 	}
-	// Until it is dead the agent neither reports nor obeys.
+	// Until the attempt has exited, the agent sends no heartbeats and executes no commands.
 	if h.inFlight != nil {
 		h.inFlight = nil
 		h.handle(HeartbeatCompleted{})
@@ -301,11 +304,11 @@
 	h.advance(3 * time.Second)
 	h.handle(CommandsReceived{ID: 9, Request: protocol.DirectCommands{Token: 5, Session: 1, Commands: []protocol.Command{startCommand("job-1/9", 1)}}})
 	if len(h.sentAt) > n || h.replies[len(h.replies)-1].Status != 409 {
-		t.Fatal("it goes on although its last session is not over")
+		t.Fatal("the agent sent a heartbeat or accepted a command before the old session's attempt had exited")
 	}
 	h.handle(AttemptExited{AttemptKey: k, ExitCode: -1})
 	if r := h.awaitHeartbeat(); r.Session != 2 || len(r.Tasks) != 0 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("want a heartbeat of session 2 without attempts, got %+v", r)
 	}
 }
 
@@ -319,18 +322,18 @@
 	h.handle(HeartbeatCompleted{Status: 421, Redirect: protocol.Redirect{ReportTo: other}})
 	h.awaitHeartbeat()
 	if h.inFlight.Controller == first || h.now-at > minHeartbeatGap+20*time.Millisecond {
-		t.Fatalf("it went to %d after %v", h.inFlight.Controller, h.now-at)
+		t.Fatalf("after a redirect to the other controller, the heartbeat went to controller %d after %v", h.inFlight.Controller, h.now-at)
 	}
 	h.inFlight = nil
 	at = h.now
-	h.handle(HeartbeatCompleted{Status: 421, Redirect: protocol.Redirect{ReportTo: other}}) // its own name
+	h.handle(HeartbeatCompleted{Status: 421, Redirect: protocol.Redirect{ReportTo: other}}) // the controller names itself
 	h.awaitHeartbeat()
 	if h.inFlight.Controller != first || h.now-at < failoverDelay {
-		t.Fatalf("it went to %d after %v", h.inFlight.Controller, h.now-at)
+		t.Fatalf("after a redirect to the same controller, the heartbeat went to controller %d after %v", h.inFlight.Controller, h.now-at)
 	}
 }
 
-// Whatever comes in whatever order, the invariants that the harness checks hold.
+// The harness checks its invariants while events arrive in random order.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t)
@@ -382,7 +385,8 @@
 	return commands
 }
 
-// randomExit ends one attempt, always one that was killed.
+// randomExit lets the first running attempt of a fixed list exit. One that was killed always
+// exits; for any other one this is drawn at random.
 func (h *harness) randomExit(t *rapid.T) {
 	for _, k := range []AttemptKey{{"job-1/0", 1}, {"job-1/0", 2}, {"job-1/1", 1}, {"job-1/1", 3}, {"job-1/2", 2}} {
 		if h.running[k] && (h.killed[k] || rapid.Bool().Draw(t, "ends")) {
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -7,20 +7,22 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// capacitySlack absorbs the rounding of sums of decimal fractions.
+// capacitySlack is the tolerance of the capacity check for the rounding errors of sums of
+// decimal fractions.
 const capacitySlack = 1e-9
 
-// attempt is one attempt on this machine, until the controller lets it be forgotten.
+// attempt is one attempt on this machine. After its exit it is kept until a controller
+// sends CommandForget for it or the session ends.
 type attempt struct {
 	AttemptKey
 	state         string                   // protocol.TaskFetching and so on
-	exitReason    string                   // protocol.ExitDone and so on, once exited
-	saved         bool                     // it exited after it saved a checkpoint
+	exitReason    string                   // protocol.ExitDone and so on; empty until it has exited
+	saved         bool                     // it saved a checkpoint before it exited
 	description   *protocol.JobDescription // nil until JobDescribed
 	launched      bool                     // a process may exist
-	graceEndsAt   time.Duration            // when saving must be over, 0: never
-	stopRequested bool                     // by a command of a controller
-	killSent      bool                     // KillAttempt was emitted, or nothing ran
+	graceEndsAt   time.Duration            // when it is killed if it hasn't exited, 0: never
+	stopRequested bool                     // a controller has sent CommandStop
+	killSent      bool                     // KillAttempt was emitted, or there was no process to kill
 }
 
 func (t *attempt) exit(reason string) { t.state, t.exitReason = protocol.TaskExited, reason }
@@ -35,7 +37,8 @@
 	}
 }
 
-// canSave reports whether the attempt can save a checkpoint in the grace period.
+// canSave reports whether the attempt can save a checkpoint within a grace period of graceS
+// seconds.
 func (t *attempt) canSave(graceS float64) bool {
 	if t.state != protocol.TaskRunning || t.stopRequested {
 		return false
@@ -44,7 +47,8 @@
 	return job.CheckpointS > 0 && graceS >= job.SaveS
 }
 
-// nothingToRun reports whether the attempt is done as soon as its image is there.
+// nothingToRun reports whether the attempt has neither a command nor a simulated duration,
+// so that it is done as soon as its image is fetched.
 func (t *attempt) nothingToRun() bool {
 	return len(t.description.Command) == 0 && t.description.SimulatedS == 0
 }
@@ -58,7 +62,7 @@
 	return nil
 }
 
-// runsTask reports whether an attempt of the task has not exited.
+// runsTask reports whether there is an attempt of the task that has not exited.
 func (a *Agent) runsTask(task string) bool {
 	for _, t := range a.attempts {
 		if t.Task == task && t.state != protocol.TaskExited {
@@ -87,7 +91,7 @@
 	}
 	a.noteChange(now)
 	job := &e.Description.Job
-	_, index, _ := protocol.ParseTaskName(t.Task) // startAttempt has checked it
+	_, index, _ := protocol.ParseTaskName(t.Task) // startAttempt has validated the name
 	if !e.Found || index >= job.Tasks || job.Kind == protocol.KindGang {
 		t.exit(protocol.ExitUnknownTask)
 		return
@@ -98,14 +102,15 @@
 	}
 	t.description = &e.Description
 	if e.ResultStored {
-		// Nothing is left to run: it exits as soon as it has its image.
+		// An earlier attempt has stored the task's result, so this one must not run the
+		// command again. It exits as soon as its image is fetched.
 		t.description.Command, t.description.SimulatedS = nil, 0
 	}
 	a.emit(FetchImage{AttemptKey: t.AttemptKey, Image: job.Image, Duration: a.fetchDuration(job)})
 }
 
-// fits reports whether one task of a job fits beside the attempts on the machine. One
-// that is being killed still takes its share.
+// fits reports whether the machine has capacity for one more task of a job. An attempt
+// that is being killed takes up capacity until it has exited.
 func (a *Agent) fits(job *protocol.Job) bool {
 	cpus, gpus, memory := a.settings.CPUs, a.settings.GPUs, a.settings.MemoryGB
 	for _, t := range a.attempts {
@@ -138,8 +143,8 @@
 	if t == nil || t.state == protocol.TaskExited {
 		return
 	}
-	// A command that was told to save and exited by itself, with whatever code, has saved;
-	// one that a signal ended has not.
+	// A command that was asked to save and then exited by itself, with any exit code, has
+	// saved a checkpoint; one that was ended by a signal has not.
 	t.saved = t.stopRequested && t.state == protocol.TaskSaving && e.ExitCode >= 0 && !t.killSent
 	t.graceEndsAt = 0
 	switch {
@@ -153,14 +158,14 @@
 	a.noteChange(now)
 }
 
-// image is one in the machine's cache.
+// image is an image in the machine's cache.
 type image struct {
 	name string
 	gb   float64
 }
 
-// fetchDuration is how long a job's image takes to arrive; a cached one is there at once
-// and becomes the most recently used.
+// fetchDuration returns how long the fetch of a job's image takes. It is 0 for a cached
+// image, which becomes the most recently used one.
 func (a *Agent) fetchDuration(job *protocol.Job) time.Duration {
 	if a.touchImage(job.Image) || a.settings.FetchGBps <= 0 {
 		return 0
@@ -168,7 +173,8 @@
 	return config.Seconds(job.ImageGB / a.settings.FetchGBps)
 }
 
-// touchImage makes a cached image the most recently used; false if it isn't cached.
+// touchImage makes a cached image the most recently used one. It returns false if the image
+// isn't cached.
 func (a *Agent) touchImage(name string) bool {
 	for i, m := range a.images {
 		if m.name == name {
@@ -179,8 +185,8 @@
 	return false
 }
 
-// cacheImage adds an image and evicts the least recently used ones beyond the cache's
-// size, but never the new one.
+// cacheImage adds an image and evicts the least recently used ones until the cache is
+// within its size. It never evicts the new image, even if that alone exceeds the size.
 func (a *Agent) cacheImage(m image) {
 	if a.touchImage(m.name) {
 		return
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -8,7 +8,8 @@
 )
 
 func (a *Agent) handleCommands(now time.Duration, e CommandsReceived) {
-	// The lease may have ended without a Tick since.
+	// The lease may have expired since the last call of Tick. Without this check a command
+	// of the old session would still be executed.
 	a.advance(now)
 	request := e.Request
 	stale := a.leaseExpired || request.Token < a.token || request.Session != a.session
@@ -35,11 +36,11 @@
 	}
 }
 
-// startAttempt adds an attempt. One that can't run is added too, as exited, so that the
-// controller learns why.
+// startAttempt adds an attempt. An attempt that can't run is added as exited, so that the
+// next heartbeat reports the reason to the controller.
 func (a *Agent) startAttempt(now time.Duration, key AttemptKey) {
 	if a.findAttempt(key) != nil {
-		return // a repeated command
+		return // the command was sent twice
 	}
 	t := &attempt{AttemptKey: key, state: protocol.TaskFetching}
 	switch {
@@ -68,18 +69,18 @@
 	if t.canSave(graceS) {
 		t.stopRequested = true
 		t.state = protocol.TaskSaving
-		t.graceEndsAt = now + max(config.Seconds(graceS), time.Millisecond) // 0 would be never
+		t.graceEndsAt = now + max(config.Seconds(graceS), time.Millisecond) // graceEndsAt 0 would mean never
 		a.emit(TerminateAttempt{t.AttemptKey})
 		return
 	}
 	if t.state == protocol.TaskSaving && graceS > 0 {
-		return // the command is repeated; the first one's grace period goes on
+		return // the command was sent twice; the grace period of the first one remains
 	}
 	t.stopRequested, t.graceEndsAt = true, 0
 	a.killAttempt(t)
 }
 
-// forgetAttempt drops an exited attempt, whose end the controller has recorded.
+// forgetAttempt drops an exited attempt, whose exit the controller has recorded.
 func (a *Agent) forgetAttempt(now time.Duration, key AttemptKey) {
 	for i, t := range a.attempts {
 		if t.AttemptKey == key && t.state == protocol.TaskExited {
--- a/internal/agent/effects.go
+++ b/internal/agent/effects.go
@@ -6,11 +6,12 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Effect is something that an agent wants done; Handle and Tick return them in the order
-// in which they are to be carried out.
+// Effect is an action that the agent's caller must carry out. Handle and Tick return
+// effects in the order in which they must be carried out.
 type Effect interface{ isEffect() }
 
-// StatusReply answers CommandsReceived or StatusRequested. Status is an HTTP status.
+// StatusReply replies to the CommandsReceived or StatusRequested with the same ID. Status
+// is an HTTP status.
 type StatusReply struct {
 	ID        int
 	Status    int
@@ -18,36 +19,41 @@
 }
 
 // SendHeartbeat sends a heartbeat to a controller, given by its index in
-// Settings.Controllers. HeartbeatAnswered follows.
+// Settings.Controllers. The caller must pass a HeartbeatCompleted to Handle afterwards,
+// also if the heartbeat fails.
 type SendHeartbeat struct {
 	Controller int
 	Heartbeat  protocol.Heartbeat
 }
 
-// DescribeJob reads the job of an attempt and whether the task's result is stored.
-// JobDescribed follows.
+// DescribeJob reads the description of an attempt's job from the artifact server, and
+// whether the task's result is stored. The caller passes the outcome to Handle as a
+// JobDescribed.
 type DescribeJob struct{ AttemptKey }
 
-// FetchImage gets an attempt's image, which takes Duration. ImageFetched follows.
+// FetchImage fetches an attempt's image, which takes Duration. The caller then passes an
+// ImageFetched to Handle.
 type FetchImage struct {
 	AttemptKey
 	Image    string
 	Duration time.Duration
 }
 
-// LaunchAttempt starts an attempt's command. AttemptExited follows.
+// LaunchAttempt starts an attempt's command. The caller passes an AttemptExited to Handle
+// once the command has exited or could not be started.
 type LaunchAttempt struct {
 	AttemptKey
 	Description protocol.JobDescription
 }
 
-// TerminateAttempt asks an attempt to save a checkpoint and exit.
+// TerminateAttempt asks an attempt's command to save a checkpoint and exit.
 type TerminateAttempt struct{ AttemptKey }
 
-// KillAttempt ends an attempt at once. AttemptExited follows.
+// KillAttempt kills an attempt's processes without a grace period. The caller passes an
+// AttemptExited to Handle once none of them is left.
 type KillAttempt struct{ AttemptKey }
 
-// ExtendLease gives the time at which the worker's lease expires from now on.
+// ExtendLease sets the time, on the agent's clock, at which the worker's lease expires.
 type ExtendLease struct{ Until time.Duration }
 
 func (StatusReply) isEffect()      {}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -7,23 +7,24 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Time spans that the protocol gives as they are.
+// Durations that the protocol fixes.
 const (
 	responseTimeout = 4 * time.Second        // a later response to a heartbeat has no effect
-	minHeartbeatGap = 500 * time.Millisecond // between the sending of two heartbeats
-	failoverDelay   = time.Second            // before another controller is tried
+	minHeartbeatGap = 500 * time.Millisecond // minimum time between sending two heartbeats
+	failoverDelay   = time.Second            // delay before a heartbeat to the next controller
 )
 
-// HTTP statuses with a meaning in the protocol. They are written out here since the agent
-// must not depend on a network package.
+// HTTP statuses that the protocol uses. They are defined here because this package must not
+// import a network package.
 const (
 	statusOK          = 200
 	statusConflict    = 409 // the command's token or session is stale
-	statusMisdirected = 421 // another controller takes this machine's heartbeats
+	statusMisdirected = 421 // another controller is responsible for this machine
 )
 
-// Heartbeats are spread over [0.75, 1.25) of their interval, so that machines which
-// started together don't send together for good.
+// The delay between heartbeats is chosen at random from [0.75, 1.25) of the interval.
+// Without this jitter, machines that started at the same time would send all their
+// heartbeats at the same time.
 const (
 	minIntervalFactor  = 0.75
 	intervalFactorSpan = 0.5
@@ -38,7 +39,7 @@
 	return time.Duration(float64(a.heartbeatInterval()) * factor)
 }
 
-// heartbeat is the machine's status under the next sequence number.
+// heartbeat returns the machine's status with the next sequence number.
 func (a *Agent) heartbeat(now time.Duration) protocol.Heartbeat {
 	a.seq++
 	h := protocol.Heartbeat{
@@ -62,7 +63,8 @@
 	return h
 }
 
-// noteChange makes the next heartbeat due as soon as the gap between two allows.
+// noteChange schedules the next heartbeat for the earliest time that minHeartbeatGap
+// allows, since the machine's status has changed.
 func (a *Agent) noteChange(now time.Duration) {
 	a.changedInFlight = true
 	a.nextHeartbeatAt = min(a.nextHeartbeatAt, a.earliestHeartbeat(now))
@@ -102,17 +104,17 @@
 	}
 }
 
-// acceptsResponse reports whether a response counts. One to a heartbeat of an earlier session,
-// one that came too late, and one with a stale token or none are dropped: they renew no
-// lease and their commands are not executed.
+// acceptsResponse reports whether a heartbeat's response is valid. A response to a heartbeat
+// of an earlier session, one that arrived too late, and one without a token or with a stale
+// one are dropped: they don't renew the lease and their commands are not executed.
 func (a *Agent) acceptsResponse(now time.Duration, r protocol.HeartbeatResponse) bool {
 	sessionValid := a.heartbeatSession == a.session && !a.leaseExpired && now-a.leaseStart <= a.leaseDuration()
 	inTime := now-a.heartbeatSentAt <= responseTimeout
 	return sessionValid && inTime && r.Token > 0 && r.Token >= a.token
 }
 
-// scheduleHeartbeat sets the time of the next heartbeat, earlier if something changed
-// while the last one was in flight.
+// scheduleHeartbeat schedules the next heartbeat after a delay, or earlier if the machine's
+// status changed while the last heartbeat was in flight.
 func (a *Agent) scheduleHeartbeat(now, delay time.Duration) {
 	a.nextHeartbeatAt = now + delay
 	if a.changedInFlight {
@@ -120,13 +122,14 @@
 	}
 }
 
-// followRedirect goes on with the controller that the response names, or with the next
-// one if that is unknown or the one that was asked.
+// followRedirect switches to the controller that the response names. If that controller is
+// unknown, or is the one that sent the redirect, it switches to the next one in the list.
 func (a *Agent) followRedirect(now time.Duration, to protocol.Redirect) {
 	for i, c := range a.settings.Controllers {
 		if to.ReportTo != "" && c.ReportTo == to.ReportTo && i != a.controller {
 			a.controller = i
-			// Machines that are redirected together don't arrive together.
+			// A random delay prevents machines that are redirected at the same time from
+			// reaching the new controller at the same time.
 			a.scheduleHeartbeat(now, time.Duration(a.rand.Int64N(int64(minHeartbeatGap))))
 			return
 		}
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -11,12 +11,12 @@
 	return config.Seconds(a.settings.Workers.LeaseS)
 }
 
-// checkLease kills all attempts once the lease is over, and begins the next session once
-// none of them is left.
+// checkLease kills all attempts once the lease has expired, and begins the next session
+// once no process of them is left.
 func (a *Agent) checkLease(now time.Duration) {
 	if !a.leaseExpired && now-a.leaseStart > a.leaseDuration() {
-		// The shims do the same by their own clocks; the attempts that they have ended are
-		// reported as exited, and dropped when the session ends.
+		// Each shim also kills its attempt at lease expiry, without waiting for the agent. Such
+		// an attempt is recorded as exited like any other, and dropped when the session ends.
 		a.leaseExpired = true
 		for _, t := range a.attempts {
 			a.killAttempt(t)
@@ -27,8 +27,9 @@
 	}
 }
 
-// hasProcesses reports whether a process of any attempt may be left. As long as it does
-// after a lease expiry, the agent sends no heartbeat: one without attempts would be false.
+// hasProcesses reports whether a process of any attempt may be left. After a lease expiry
+// the agent sends no heartbeat while this is true: a heartbeat of the next session lists no
+// attempts, which would be wrong while one of them still runs.
 func (a *Agent) hasProcesses() bool {
 	for _, t := range a.attempts {
 		if t.launched && t.state != protocol.TaskExited {
@@ -47,14 +48,16 @@
 	a.noteChange(now)
 }
 
-// renewLease counts the lease from the sending of the heartbeat that was answered, since
-// the controller counts it from there at the earliest.
+// renewLease restarts the lease at the time the accepted heartbeat was sent, not when its
+// response arrived: the controller counts the lease from the sending at the earliest, so by
+// the controller's count the lease never expires before it does here.
 func (a *Agent) renewLease() {
 	a.leaseStart = max(a.leaseStart, a.heartbeatSentAt)
 	a.emit(ExtendLease{Until: a.leaseStart + a.leaseDuration()})
 }
 
-// raiseToken notes a higher token. It counts as a change at most once in half a lease.
+// raiseToken records a higher token. It causes an early heartbeat at most once in half a
+// lease.
 func (a *Agent) raiseToken(now time.Duration, token uint64) {
 	if token <= a.token {
 		return
