--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
 // Package agent decides what one worker machine does: when it sends heartbeats and to
-// which controller, which commands it obeys, and when the attempts on it must end.
+// which controller, which commands it executes, and when the attempts on it must end.
 //
 // It owns the machine's session, its highest fencing token, the worker's lease, the
 // attempts and the image cache. It may not know of processes, files, the network or the
@@ -47,7 +47,7 @@
 	Token   uint64 `json:"token"`
 }
 
-// Agent is one machine's agent. Its methods are called by one goroutine.
+// Agent is one machine's agent. It is not safe for concurrent use.
 type Agent struct {
 	settings Settings
 	rand     *rand.Rand
--- a/internal/agentd/command.go
+++ b/internal/agentd/command.go
@@ -32,7 +32,7 @@
 type attemptPaths struct {
 	workDir    string
 	ownWorkDir bool   // workDir was created for this attempt, and is removed after it
-	output     string // file with the command's output, removed after the attempt since it has been uploaded
+	output     string // file with the command's output, removed after the attempt; the end of it is uploaded
 	checkpoint string // directory that the task's attempts share, kept after the attempt
 }
 
--- a/internal/agentd/process.go
+++ b/internal/agentd/process.go
@@ -14,7 +14,8 @@
 	// shim is stuck or stopped.
 	orderQueue = 16
 
-	// exitKilled is used as exit code of a command that a signal ended or that was not started.
+	// exitKilled is the exit code of an attempt whose command was ended by a signal or not
+	// started, or whose result was not stored before it was killed.
 	exitKilled = -1
 
 	// exitSaved is the exit code that docs/agent.md recommends to a command that has saved
