--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -203,8 +203,8 @@
 }
 
 // apply carries out an effect without blocking. Calls that may block run in their own
-// goroutines: that of an attempt has ended when killProcesses returns; those of heartbeats and
-// job descriptions own no resources and end with their call.
+// goroutines: killProcesses waits for those of attempts; those of heartbeats and job
+// descriptions own no resources and end with their call.
 func (d *Daemon) apply(effect agent.Effect) {
 	switch e := effect.(type) {
 	case agent.StatusReply:
