--- a/client/artifacts.go
+++ b/client/artifacts.go
@@ -10,15 +10,15 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// noArtifacts is the text of a failure to read from the artifact server.
-const noArtifacts = "the depot does not answer"
+// artifactReadFailure is the text of a failure to read from the artifact server.
+const artifactReadFailure = "the depot does not answer"
 
 // uploadDescription uploads a description until the artifact server takes or refuses it.
 func (c *Client) uploadDescription(ctx context.Context, d *protocol.JobDescription) error {
 	if err := d.Validate(); err != nil {
 		return &Error{Kind: ErrMalformed, Text: err.Error()}
 	}
-	for end := time.Now().Add(c.retryBudget); ; {
+	for deadline := time.Now().Add(c.retryBudget); ; {
 		resp := c.call(ctx, fasthttp.MethodPut, c.artifacts, "/jobs/"+d.Job.ID, d, submitTimeout)
 		switch resp.status {
 		case statusOK:
@@ -26,7 +26,7 @@
 		case fasthttp.StatusBadRequest, fasthttp.StatusConflict:
 			return &Error{Kind: ErrMalformed, Status: resp.status, Text: resp.errorText()}
 		}
-		if time.Now().Add(c.retryDelay).After(end) {
+		if time.Now().Add(c.retryDelay).After(deadline) {
 			return &Error{Kind: ErrNotNow, Status: resp.status, Text: "the depot at " + c.artifacts + " does not take the job's description"}
 		}
 		if err := sleep(ctx, c.retryDelay); err != nil {
@@ -80,7 +80,7 @@
 func (c *Client) readArtifact(ctx context.Context, path string, out any) error {
 	resp := c.call(ctx, fasthttp.MethodGet, c.artifacts, path, nil, submitTimeout)
 	if resp.status != statusOK || protocol.Decode(resp.body, out) != nil {
-		return &Error{Kind: ErrNotNow, Status: resp.status, Text: noArtifacts}
+		return &Error{Kind: ErrNotNow, Status: resp.status, Text: artifactReadFailure}
 	}
 	return nil
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -84,41 +84,41 @@
 	if err != nil || s.State != protocol.JobQueued || s.Reason != "waits" {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	for _, x := range []*scriptedController{down, broken, busy, up} {
-		bodies, _ := x.received()
-		w, err := protocol.DecodeJob(bodies[0])
-		if err != nil || w.ID != j.ID || w.Tasks != 1 || w.Urgency != protocol.UrgencyNormal {
-			t.Fatalf("%+v, %v", w, err)
+	for _, controller := range []*scriptedController{down, broken, busy, up} {
+		bodies, _ := controller.received()
+		job, err := protocol.DecodeJob(bodies[0])
+		if err != nil || job.ID != j.ID || job.Tasks != 1 || job.Urgency != protocol.UrgencyNormal {
+			t.Fatalf("%+v, %v", job, err)
 		}
 	}
-	_, asked := busy.received()
-	_, taken := up.received()
-	if d := taken[0].Sub(asked[0]); d < 990*time.Millisecond {
+	_, busyTimes := busy.received()
+	_, acceptedTimes := up.received()
+	if d := acceptedTimes[0].Sub(busyTimes[0]); d < 990*time.Millisecond {
 		t.Fatalf("Retry-After was kept for %v only", d)
 	}
 }
 
 // What can never succeed is not repeated; what may is given up in time; and the kinds can
 // be told apart.
-func TestFailureKinds(t *testing.T) {
+func TestStatusSetsErrorKindAndOnlyErrNotNowIsRetried(t *testing.T) {
 	for status, kind := range map[int]error{400: ErrMalformed, 422: ErrImpossible, 404: ErrUnknown, 503: ErrNotNow} {
-		x := &scriptedController{statuses: []int{status}}
-		c := newTestClient(t, x.serve(t))
+		controller := &scriptedController{statuses: []int{status}}
+		c := newTestClient(t, controller.serve(t))
 		c.retryBudget = 2 * time.Second
 		_, err := c.Submit(context.Background(), &Job{Team: "main", CPUs: 1, Command: []string{"true"}})
 		var e *Error
 		if !errors.Is(err, kind) || !errors.As(err, &e) || e.Text != "because" || e.Status != status {
 			t.Errorf("%d: %v", status, err)
 		}
-		_, at := x.received()
-		if again := len(at) > 1; again != errors.Is(kind, ErrNotNow) {
-			t.Errorf("%d was sent %d times", status, len(at))
+		_, times := controller.received()
+		if retried := len(times) > 1; retried != errors.Is(kind, ErrNotNow) {
+			t.Errorf("%d was sent %d times", status, len(times))
 		}
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer stop()
-	x := &scriptedController{statuses: []int{503}, retry: "30"}
-	if _, err := newTestClient(t, x.serve(t)).Abort(ctx, "job-1"); !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, ErrNotNow) {
+	controller := &scriptedController{statuses: []int{503}, retry: "30"}
+	if _, err := newTestClient(t, controller.serve(t)).Abort(ctx, "job-1"); !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, ErrNotNow) {
 		t.Errorf("given up by its caller: %v", err)
 	}
 	if _, err := newTestClient(t, "127.0.0.1:1").Query(context.Background(), "job-x"); !errors.Is(err, ErrMalformed) {
--- a/client/request.go
+++ b/client/request.go
@@ -54,15 +54,15 @@
 
 // send sends a request to one host after another until a response is final.
 func (c *Client) send(ctx context.Context, r request) ([]byte, error) {
-	end := time.Now().Add(r.budget)
-	for tries, host := 1, c.controller(); ; tries, host = tries+1, c.nextController() {
+	deadline := time.Now().Add(r.budget)
+	for tries, host := 1, c.currentController(); ; tries, host = tries+1, c.nextController() {
 		resp := c.call(ctx, r.method, host, r.path, r.body, r.timeout)
 		if slices.Contains(r.accepted, resp.status) {
 			return resp.body, nil
 		}
 		failure := &Error{Kind: errorKind(resp.status), Status: resp.status, Text: resp.errorText(), Tries: tries}
 		delay := max(c.retryDelay, resp.retryAfter)
-		if !errors.Is(failure, ErrNotNow) || time.Now().Add(delay).After(end) {
+		if !errors.Is(failure, ErrNotNow) || time.Now().Add(delay).After(deadline) {
 			return nil, failure
 		}
 		if err := sleep(ctx, delay); err != nil {
@@ -92,8 +92,8 @@
 		req.Header.SetContentType(protocol.ContentType)
 		req.SetBodyRaw(protocol.Encode(body))
 	}
-	if end, ok := ctx.Deadline(); ok {
-		timeout = min(timeout, time.Until(end))
+	if deadline, ok := ctx.Deadline(); ok {
+		timeout = min(timeout, time.Until(deadline))
 	}
 	if timeout <= 0 || c.http.DoTimeout(req, resp, timeout) != nil {
 		return response{}
@@ -114,17 +114,17 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// controller is the controller to ask: the one that answered last.
-func (c *Client) controller() string {
+// currentController is the controller to ask: the one that answered last.
+func (c *Client) currentController() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.controllers[c.current%len(c.controllers)]
+	return c.controllers[c.controllerIndex%len(c.controllers)]
 }
 
 // nextController is the controller to ask after one that gave no final response.
 func (c *Client) nextController() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.current++
-	return c.controllers[c.current%len(c.controllers)]
+	c.controllerIndex++
+	return c.controllers[c.controllerIndex%len(c.controllers)]
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -73,26 +73,26 @@
 	return out
 }
 
-// userShare is the part of the connections, one in so many, that each kind of user request
+// userConnectionDivisor is the part of the connections, one in so many, that each kind of user request
 // may take.
-const userShare = 4
+const userConnectionDivisor = 4
 
 // replyTimeout is how long a user's request may take: below the 2 s that a poll
 // waits, so that the answer to repeat it still arrives.
 const replyTimeout = 1800 * time.Millisecond
 
 // New makes a server that holds at most conns connections.
-func New(engine Engine, conns int) *Server {
+func New(engine Engine, maxConns int) *Server {
 	s := &Server{engine: engine, timeout: replyTimeout, limits: map[string]*concurrencyLimit{}}
 	// Each kind of user request may take a quarter of the connections, heartbeats all of them.
-	for kind, limit := range map[string]int{kindHeartbeat: conns, kindSubmit: conns / userShare, kindQuery: conns / userShare, kindCancel: conns / userShare} {
+	for kind, limit := range map[string]int{kindHeartbeat: maxConns, kindSubmit: maxConns / userConnectionDivisor, kindQuery: maxConns / userConnectionDivisor, kindCancel: maxConns / userConnectionDivisor} {
 		s.limits[kind] = &concurrencyLimit{maxInFlight: int64(max(limit, 1))}
 	}
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          replyMalformed,
 		Name:                  "chalkhub",
-		Concurrency:           conns,
+		Concurrency:           maxConns,
 		MaxRequestBodySize:    protocol.MaxBody,
 		ReadBufferSize:        4096,
 		WriteBufferSize:       4096,
@@ -118,19 +118,19 @@
 }
 
 func replyMalformed(ctx *fasthttp.RequestCtx, err error) {
-	why := "malformed request"
+	text := "malformed request"
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		why = "the body is over 64 KiB"
+		text = "the body is over 64 KiB"
 	}
-	writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: why}, 0)
+	writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: text}, 0)
 }
 
-func writeReply(ctx *fasthttp.RequestCtx, status int, body any, retry time.Duration) {
+func writeReply(ctx *fasthttp.RequestCtx, status int, body any, retryAfter time.Duration) {
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(status)
 	ctx.SetContentType(protocol.ContentType)
-	if retry > 0 {
-		ctx.Response.Header.Set("Retry-After", strconv.Itoa(int(math.Ceil(retry.Seconds()))))
+	if retryAfter > 0 {
+		ctx.Response.Header.Set("Retry-After", strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
 	}
 	ctx.Response.SetBodyRaw(protocol.Encode(body))
 }
@@ -148,7 +148,7 @@
 			writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}, 0)
 			return
 		}
-		s.request(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
+		s.forward(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
 	case path == "/ready" && ctx.IsGet():
 		if s.engine.Ready() {
 			ctx.SetStatusCode(fasthttp.StatusOK)
@@ -156,12 +156,12 @@
 			writeReply(ctx, fasthttp.StatusServiceUnavailable, protocol.ErrorResponse{Error: "not ready"}, time.Second)
 		}
 	case strings.HasPrefix(path, runsPath+"/"):
-		ref, verb, _ := strings.Cut(path[len(runsPath)+1:], "/")
+		jobID, action, _ := strings.Cut(path[len(runsPath)+1:], "/")
 		switch {
-		case verb == "" && ctx.IsGet():
-			s.request(ctx, kindQuery, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: ref} })
-		case verb == "abort" && ctx.IsPost():
-			s.request(ctx, kindCancel, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: ref} })
+		case action == "" && ctx.IsGet():
+			s.forward(ctx, kindQuery, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: jobID} })
+		case action == "abort" && ctx.IsPost():
+			s.forward(ctx, kindCancel, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: jobID} })
 		default:
 			writeReply(ctx, fasthttp.StatusNotFound, protocol.ErrorResponse{Error: "no such page"}, 0)
 		}
@@ -171,29 +171,29 @@
 }
 
 func (s *Server) handleHeartbeat(ctx *fasthttp.RequestCtx) {
-	var rep protocol.Heartbeat
-	if err := protocol.Decode(ctx.PostBody(), &rep); err != nil || rep.Machine == "" {
+	var heartbeat protocol.Heartbeat
+	if err := protocol.Decode(ctx.PostBody(), &heartbeat); err != nil || heartbeat.Machine == "" {
 		writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: "malformed report"}, 0)
 		return
 	}
-	s.request(ctx, kindHeartbeat, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} })
+	s.forward(ctx, kindHeartbeat, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: heartbeat} })
 	if ctx.Response.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		ctx.SetConnectionClose()
 	}
 }
 
-func (s *Server) request(ctx *fasthttp.RequestCtx, kind string, build func(core.RequestID) core.Command) {
+func (s *Server) forward(ctx *fasthttp.RequestCtx, kind string, newCommand func(core.RequestID) core.Command) {
 	limit := s.limits[kind]
 	if !limit.acquire() {
 		writeReply(ctx, fasthttp.StatusServiceUnavailable, protocol.ErrorResponse{Error: "too many requests of this kind"}, time.Second)
 		return
 	}
 	defer limit.release()
-	r, ok := s.engine.Ask(build, s.timeout)
+	reply, ok := s.engine.Ask(newCommand, s.timeout)
 	if !ok {
 		limit.rejected.Add(1)
 		writeReply(ctx, fasthttp.StatusServiceUnavailable, protocol.ErrorResponse{Error: "busy"}, time.Second)
 		return
 	}
-	writeReply(ctx, int(r.Status), r.Body, r.RetryAfter)
+	writeReply(ctx, int(reply.Status), reply.Body, reply.RetryAfter)
 }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -15,18 +15,18 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// scripted answers as the engine would.
-type scripted struct {
+// fakeEngine answers as the engine would.
+type fakeEngine struct {
 	ready bool
 	reply func(core.Command) (core.Reply, bool)
 }
 
-func (s *scripted) Ask(build func(core.RequestID) core.Command, _ time.Duration) (core.Reply, bool) {
-	return s.reply(build(1))
+func (e *fakeEngine) Ask(newCommand func(core.RequestID) core.Command, _ time.Duration) (core.Reply, bool) {
+	return e.reply(newCommand(1))
 }
-func (s *scripted) Ready() bool { return s.ready }
+func (e *fakeEngine) Ready() bool { return e.ready }
 
-func serve(t *testing.T, e Engine) *fasthttp.Client {
+func newTestClient(t *testing.T, e Engine) *fasthttp.Client {
 	ln := fasthttputil.NewInmemoryListener()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -47,8 +47,8 @@
 	return resp.StatusCode(), string(resp.Header.Peek("Retry-After"))
 }
 
-func TestAnswers(t *testing.T) {
-	e := &scripted{reply: func(c core.Command) (core.Reply, bool) {
+func TestResponseStatusAndRetryAfter(t *testing.T) {
+	e := &fakeEngine{reply: func(c core.Command) (core.Reply, bool) {
 		switch c := c.(type) {
 		case core.QueryJob:
 			if c.JobID == "job-1" {
@@ -60,8 +60,8 @@
 		}
 		return core.Reply{}, false
 	}}
-	c := serve(t, e)
-	for _, x := range []struct {
+	c := newTestClient(t, e)
+	for _, tc := range []struct {
 		method, path string
 		body         []byte
 		status       int
@@ -76,8 +76,8 @@
 		{"POST", "/v1/report", protocol.Encode(protocol.Heartbeat{Machine: "n-1"}), 421, ""},
 		{"GET", "/elsewhere", nil, 404, ""},
 	} {
-		if status, retry := do(t, c, x.method, x.path, x.body); status != x.status || retry != x.retry {
-			t.Errorf("%s %s: %d, Retry-After %q", x.method, x.path, status, retry)
+		if status, retry := do(t, c, tc.method, tc.path, tc.body); status != tc.status || retry != tc.retry {
+			t.Errorf("%s %s: %d, Retry-After %q", tc.method, tc.path, status, retry)
 		}
 	}
 	e.ready = true
@@ -101,17 +101,17 @@
 
 // However many polls are under way, a report and a submission still come in, and the
 // polls that find no room are answered at once.
-func TestPollsDoNotKeepReportsOut(t *testing.T) {
-	held := make(chan struct{})
+func TestExcessQueriesAreRejectedAndHeartbeatsServed(t *testing.T) {
+	release := make(chan struct{})
 	started := make(chan struct{}, 100)
-	e := &scripted{reply: func(c core.Command) (core.Reply, bool) {
+	e := &fakeEngine{reply: func(c core.Command) (core.Reply, bool) {
 		if _, ok := c.(core.QueryJob); ok {
 			started <- struct{}{}
-			<-held
+			<-release
 		}
 		return core.Reply{Status: 200, Body: protocol.HeartbeatResponse{}}, true
 	}}
-	c := serve(t, e)
+	c := newTestClient(t, e)
 	for range 25 { // a quarter of the connections that serve allows
 		go func() {
 			var req fasthttp.Request
@@ -123,11 +123,11 @@
 	for range 25 {
 		<-started
 	}
-	if status, retry := do(t, c, "GET", "/v2/runs/job-2", nil); status != 503 || retry != "1" {
-		t.Errorf("a poll too many: %d, Retry-After %q", status, retry)
+	if status, retryAfter := do(t, c, "GET", "/v2/runs/job-2", nil); status != 503 || retryAfter != "1" {
+		t.Errorf("a poll too many: %d, Retry-After %q", status, retryAfter)
 	}
 	if status, _ := do(t, c, "POST", "/v1/report", protocol.Encode(protocol.Heartbeat{Machine: "n-1"})); status != 200 {
 		t.Errorf("a report: %d", status)
 	}
-	close(held)
+	close(release)
 }
--- a/internal/artifacts/file.go
+++ b/internal/artifacts/file.go
@@ -31,9 +31,9 @@
 }
 
 // syncDirs makes the names in a directory durable, and in so many above it.
-func syncDirs(dir string, above int) error {
+func syncDirs(dir string, newParents int) error {
 	err := syncDir(dir)
-	for i := 0; err == nil && i < above; i++ {
+	for i := 0; err == nil && i < newParents; i++ {
 		dir = filepath.Dir(dir)
 		err = syncDir(dir)
 		if errors.Is(err, fs.ErrPermission) {
--- a/internal/artifacts/store_test.go
+++ b/internal/artifacts/store_test.go
@@ -44,11 +44,11 @@
 	if store, err = Open(dir); err != nil {
 		t.Fatal(err)
 	}
-	if l := store.Jobs(0); len(l.Jobs) != 2 || l.Jobs[0].ID != "job-1" || l.More {
-		t.Fatalf("%+v", l)
+	if page := store.Jobs(0); len(page.Jobs) != 2 || page.Jobs[0].ID != "job-1" || page.More {
+		t.Fatalf("%+v", page)
 	}
-	if o := store.Outputs("job-1"); len(o.Attempts) != 1 || o.Attempts[0] != (protocol.OutputFile{Task: 2, Attempt: 9, Bytes: 2}) {
-		t.Fatalf("%+v", o)
+	if outputs := store.Outputs("job-1"); len(outputs.Attempts) != 1 || outputs.Attempts[0] != (protocol.OutputFile{Task: 2, Attempt: 9, Bytes: 2}) {
+		t.Fatalf("%+v", outputs)
 	}
 	if !store.Done("job-1", 2) || store.Done("job-1", 1) || store.Done("job-2", 2) {
 		t.Fatal("the results are not those that were kept")
@@ -81,16 +81,16 @@
 			t.Errorf("the artifact server ended: %v", err)
 		}
 	}()
-	call := rpc.New(1, time.Second)
+	client := rpc.New(1, time.Second)
 	for path, want := range map[string]int{
 		"/jobs": 200, "/jobs/..%2f..%2fsecret": 404, "/jobs/job-1/output/..%2f..%2f..%2fsecret/1": 404, "/jobs/job-1%2f..": 200, // the list: a path is made plain before it is read
 		"/jobs/job-1": 404, "/jobs/job-1/output": 200, "/jobs/job-1/output/1": 404, "/": 404, "/jobs/job-1/results/x": 404,
 	} {
-		if got := call.Call("GET", l.Addr().String(), path, nil, nil, time.Second); got != want {
-			t.Errorf("%s: %d, want %d", path, got, want)
+		if status := client.Call("GET", l.Addr().String(), path, nil, nil, time.Second); status != want {
+			t.Errorf("%s: %d, want %d", path, status, want)
 		}
 	}
-	if got := call.Call("PUT", l.Addr().String(), "/jobs/job-1", testJob("job-2", "true"), nil, time.Second); got != 400 {
-		t.Errorf("a description of another job: %d", got)
+	if status := client.Call("PUT", l.Addr().String(), "/jobs/job-1", testJob("job-2", "true"), nil, time.Second); status != 400 {
+		t.Errorf("a description of another job: %d", status)
 	}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -6,15 +6,15 @@
 )
 
 func TestLevelFollowsEnvironment(t *testing.T) {
-	for value, lines := range map[string]int{"error": 1, "": 2, "info": 2, "loud": 2, "DEBUG": 3} {
+	for value, wantLines := range map[string]int{"error": 1, "": 2, "info": 2, "loud": 2, "DEBUG": 3} {
 		t.Setenv(levelVariable, value)
 		var out bytes.Buffer
 		log := New(&out)
 		log.Error("one")
 		log.Info("two")
 		log.Debug("three")
-		if n := bytes.Count(out.Bytes(), []byte("\n")); n != lines {
-			t.Errorf("LOG_LEVEL=%q writes %d lines, not %d", value, n, lines)
+		if gotLines := bytes.Count(out.Bytes(), []byte("\n")); gotLines != wantLines {
+			t.Errorf("LOG_LEVEL=%q writes %d lines, not %d", value, gotLines, wantLines)
 		}
 	}
 }
--- a/internal/shim/shim_test.go
+++ b/internal/shim/shim_test.go
@@ -35,78 +35,78 @@
 	outputPath string
 }
 
-func startShim(t *testing.T, script string, until time.Duration) *shimProcess {
+func startShim(t *testing.T, script string, leaseDuration time.Duration) *shimProcess {
 	t.Helper()
-	r := &shimProcess{t: t, cmd: exec.Command(os.Args[0]), outputPath: filepath.Join(t.TempDir(), "output")}
-	r.cmd.Env = append(os.Environ(), "CHALK_TEST_SHIM=1")
-	r.cmd.Stderr = os.Stderr
+	sp := &shimProcess{t: t, cmd: exec.Command(os.Args[0]), outputPath: filepath.Join(t.TempDir(), "output")}
+	sp.cmd.Env = append(os.Environ(), "CHALK_TEST_SHIM=1")
+	sp.cmd.Stderr = os.Stderr
 	var err error
-	if r.in, err = r.cmd.StdinPipe(); err != nil {
+	if sp.in, err = sp.cmd.StdinPipe(); err != nil {
 		t.Fatal(err)
 	}
-	out, err := r.cmd.StdoutPipe()
+	out, err := sp.cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.cmd.Start(); err != nil {
+	if err := sp.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = r.cmd.Process.Kill(), r.cmd.Wait() }) // it may have ended
-	r.out = bufio.NewScanner(out)
-	r.send(Spec{Command: []string{"sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH")}, Dir: filepath.Dir(r.outputPath), OutputPath: r.outputPath, LeaseUntil: int64(Clock() + until)})
-	if w := r.status(); w.PID == 0 {
-		t.Fatalf("it does not start: %+v", w)
+	t.Cleanup(func() { _, _ = sp.cmd.Process.Kill(), sp.cmd.Wait() }) // it may have ended
+	sp.out = bufio.NewScanner(out)
+	sp.send(Spec{Command: []string{"sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH")}, Dir: filepath.Dir(sp.outputPath), OutputPath: sp.outputPath, LeaseUntil: int64(Clock() + leaseDuration)})
+	if status := sp.status(); status.PID == 0 {
+		t.Fatalf("it does not start: %+v", status)
 	}
-	return r
+	return sp
 }
 
-func (r *shimProcess) send(v any) {
-	r.t.Helper()
+func (sp *shimProcess) send(v any) {
+	sp.t.Helper()
 	b, err := json.Marshal(v)
 	if err == nil {
-		_, err = r.in.Write(append(b, '\n'))
+		_, err = sp.in.Write(append(b, '\n'))
 	}
 	if err != nil {
-		r.t.Fatal(err)
+		sp.t.Fatal(err)
 	}
 }
 
-func (r *shimProcess) status() (w Status) {
-	r.t.Helper()
-	if !r.out.Scan() {
-		r.t.Fatal("the shim is silent")
+func (sp *shimProcess) status() (status Status) {
+	sp.t.Helper()
+	if !sp.out.Scan() {
+		sp.t.Fatal("the shim is silent")
 	}
-	if err := json.Unmarshal(r.out.Bytes(), &w); err != nil {
-		r.t.Fatal(err)
+	if err := json.Unmarshal(sp.out.Bytes(), &status); err != nil {
+		sp.t.Fatal(err)
 	}
-	return w
+	return status
 }
 
-// waitForPIDs waits until the command has written so many process numbers.
-func (r *shimProcess) waitForPIDs(n int) (out []int) {
-	r.t.Helper()
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		b, _ := os.ReadFile(r.outputPath)
-		if f := strings.Fields(string(b)); len(f) >= n {
-			for _, s := range f {
-				p, err := strconv.Atoi(s)
+// waitForOutputPIDs waits until the command has written so many process numbers.
+func (sp *shimProcess) waitForOutputPIDs(n int) (pids []int) {
+	sp.t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		b, _ := os.ReadFile(sp.outputPath)
+		if fields := strings.Fields(string(b)); len(fields) >= n {
+			for _, field := range fields {
+				pid, err := strconv.Atoi(field)
 				if err != nil {
-					r.t.Fatalf("the command wrote %q", b)
+					sp.t.Fatalf("the command wrote %q", b)
 				}
-				out = append(out, p)
+				pids = append(pids, pid)
 			}
-			return out
+			return pids
 		}
 	}
-	r.t.Fatal("the command has written nothing")
+	sp.t.Fatal("the command has written nothing")
 	return nil
 }
 
-func (r *shimProcess) wantGone(pids []int) {
-	r.t.Helper()
-	for _, p := range pids {
-		if err := syscall.Kill(p, 0); err != syscall.ESRCH {
-			r.t.Fatalf("process %d is left: %v", p, err)
+func (sp *shimProcess) requireExited(pids []int) {
+	sp.t.Helper()
+	for _, pid := range pids {
+		if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
+			sp.t.Fatalf("process %d is left: %v", pid, err)
 		}
 	}
 }
@@ -117,23 +117,23 @@
 
 // Whoever tells the shim to end the command, nothing of it is left once that is said,
 // descendants that ran away included.
-func TestNoDescendantSurvives(t *testing.T) {
-	for name, end := range map[string]func(*shimProcess){
-		"an order":                        func(r *shimProcess) { r.send(Order{Kill: true}) },
-		"the agent is gone":               func(r *shimProcess) { _ = r.in.Close() },
-		"the lease ends, no agent awake":  func(r *shimProcess) { r.send(Order{LeaseUntil: int64(Clock() + 300*time.Millisecond)}) },
-		"the lease ended before an order": func(r *shimProcess) { r.send(Order{LeaseUntil: int64(Clock() - time.Second)}) },
+func TestNoDescendantSurvivesEndOfCommand(t *testing.T) {
+	for name, endCommand := range map[string]func(*shimProcess){
+		"an order":                        func(sp *shimProcess) { sp.send(Order{Kill: true}) },
+		"the agent is gone":               func(sp *shimProcess) { _ = sp.in.Close() },
+		"the lease ends, no agent awake":  func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() + 300*time.Millisecond)}) },
+		"the lease ended before an order": func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() - time.Second)}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startShim(t, escapingScript, time.Hour)
-			pids := r.waitForPIDs(3)
-			end(r)
-			w := r.status()
-			if !w.Exited || w.ExitCode != -1 || w.LeaseExpired != strings.Contains(name, "lease") {
-				t.Fatalf("%+v", w)
+			sp := startShim(t, escapingScript, time.Hour)
+			pids := sp.waitForOutputPIDs(3)
+			endCommand(sp)
+			status := sp.status()
+			if !status.Exited || status.ExitCode != -1 || status.LeaseExpired != strings.Contains(name, "lease") {
+				t.Fatalf("%+v", status)
 			}
-			r.wantGone(pids)
-			if err := r.cmd.Wait(); err != nil {
+			sp.requireExited(pids)
+			if err := sp.cmd.Wait(); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -142,34 +142,34 @@
 
 // A command that was asked to save ends with its own code; one that ends by itself takes
 // what it left behind with it.
-func TestCommandThatExitsTakesDescendantsAlong(t *testing.T) {
-	r := startShim(t, `trap 'exit 75' TERM; echo $$; while :; do sleep 0.05; done`, time.Hour)
-	r.waitForPIDs(1)
-	r.send(Order{Terminate: true})
-	if w := r.status(); !w.Exited || w.ExitCode != 75 {
-		t.Fatalf("%+v", w)
-	}
-	r = startShim(t, `setsid sh -c 'echo $$; sleep 300' & while [ ! -s output ]; do sleep 0.01; done; exit 0`, time.Hour)
-	pids := r.waitForPIDs(1)
-	if w := r.status(); !w.Exited || w.ExitCode != 0 {
-		t.Fatalf("%+v", w)
-	}
-	r.wantGone(pids)
+func TestExitCodeReportedAndDescendantsKilledAfterExit(t *testing.T) {
+	sp := startShim(t, `trap 'exit 75' TERM; echo $$; while :; do sleep 0.05; done`, time.Hour)
+	sp.waitForOutputPIDs(1)
+	sp.send(Order{Terminate: true})
+	if status := sp.status(); !status.Exited || status.ExitCode != 75 {
+		t.Fatalf("%+v", status)
+	}
+	sp = startShim(t, `setsid sh -c 'echo $$; sleep 300' & while [ ! -s output ]; do sleep 0.01; done; exit 0`, time.Hour)
+	pids := sp.waitForOutputPIDs(1)
+	if status := sp.status(); !status.Exited || status.ExitCode != 0 {
+		t.Fatalf("%+v", status)
+	}
+	sp.requireExited(pids)
 }
 
 // A shim that was stopped beyond the lease ends the command as soon as it goes on.
 func TestPausedShimKillsAfterLeaseExpiry(t *testing.T) {
-	r := startShim(t, escapingScript, 400*time.Millisecond)
-	pids := r.waitForPIDs(3)
-	if err := r.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+	sp := startShim(t, escapingScript, 400*time.Millisecond)
+	pids := sp.waitForOutputPIDs(3)
+	if err := sp.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(700 * time.Millisecond)
-	if err := r.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+	if err := sp.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if w := r.status(); !w.Exited || !w.LeaseExpired {
-		t.Fatalf("%+v", w)
+	if status := sp.status(); !status.Exited || !status.LeaseExpired {
+		t.Fatalf("%+v", status)
 	}
-	r.wantGone(pids)
+	sp.requireExited(pids)
 }
