--- a/internal/shim/descendants.go
+++ b/internal/shim/descendants.go
@@ -11,11 +11,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// reapPollInterval is the pause between two looks at what is left after a SIGKILL, which the
-// kernel carries out within milliseconds.
+// reapPollInterval is the pause between two checks for remaining processes. The kernel carries out
+// a SIGKILL within milliseconds.
 const reapPollInterval = 2 * time.Millisecond
 
-// reapDescendants kills what the command left behind and waits until it is gone.
+// reapDescendants kills the processes that the command left behind, and returns once all of them
+// have been reaped.
 func reapDescendants() {
 	for {
 		remaining := descendants()
@@ -28,7 +29,7 @@
 	}
 }
 
-// reapZombies collects the children that have exited.
+// reapZombies reaps all children that have exited, without blocking.
 func reapZombies() {
 	var status unix.WaitStatus
 	for {
@@ -38,7 +39,7 @@
 	}
 }
 
-// descendants are all processes below this one.
+// descendants returns the process ids of all direct and indirect children of this process.
 func descendants() []int {
 	var found []int
 	for queue := []int{os.Getpid()}; len(queue) > 0; queue = queue[1:] {
@@ -52,8 +53,8 @@
 	return found
 }
 
-// childrenOf asks the kernel for a process's children. The error says that this kernel
-// does not list them; a process that has exited has none.
+// childrenOf reads the children of a process from /proc. It returns an error only if this kernel
+// does not provide lists of children. A process that has exited has no children.
 func childrenOf(pid int) ([]int, error) {
 	threads, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
@@ -77,7 +78,8 @@
 	return children, nil
 }
 
-// descendantsByScan finds the descendants by the parents of all processes.
+// descendantsByScan returns the same as descendants, from the parent ids of all processes of the
+// machine, for kernels that provide no lists of children.
 func descendantsByScan() []int {
 	children := scanChildren()
 	var found []int
@@ -89,14 +91,14 @@
 	return found
 }
 
-// scanChildren lists the children of each process.
+// scanChildren maps the id of each process that has children to their ids.
 func scanChildren() map[int][]int {
 	children := map[int][]int{}
-	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // a bad pattern is the only error
+	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // a malformed pattern is the only possible error
 	for _, path := range stats {
 		b, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has exited meanwhile
+			continue // the process has exited since it was listed
 		}
 		pid, err := strconv.Atoi(filepath.Base(filepath.Dir(path)))
 		if err != nil {
@@ -109,8 +111,8 @@
 	return children
 }
 
-// parsePPID reads the parent from a process's stat line: "pid (name) state parent ...",
-// where the name may hold spaces and brackets.
+// parsePPID returns the parent's process id from a /proc/PID/stat line, "pid (name) state parent ...".
+// The name may contain spaces and parentheses, so fields are counted from the last ')'.
 func parsePPID(stat string) (int, bool) {
 	afterName := stat[strings.LastIndexByte(stat, ')')+1:]
 	fields := strings.Fields(afterName)
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -1,14 +1,15 @@
-// Package shim is the small process between an agent and one attempt's command. It ends
-// the command and all its descendants when the agent says so, when the agent is gone,
-// and when the worker's lease is over, whether or not the agent is able to notice that.
+// Package shim implements the small process that runs between an agent and the command of one
+// attempt. It kills the command and all its descendants when the agent orders it, when the agent
+// has exited, and when the worker's lease expires, even if the agent is stopped and cannot notice.
 //
-// It owns the command's process, its group, and all descendants, whose reaper it is. It may
-// not know of jobs, tokens, controllers or the network: agent and shim speak JSON lines
-// over the shim's standard input and output.
+// It owns the command's process, its process group and all descendants, and it is their reaper. It
+// may not know of jobs, tokens, controllers or the network: the agent and the shim exchange lines
+// of JSON over the shim's standard input and output.
 //
 // Invariants:
 //   - When Run returns, no process of the command is left.
-//   - The command doesn't outlive the lease as the shim knows it, the agent stopped or not.
+//   - The command doesn't outlive the latest lease that the agent sent, whether the agent still
+//     runs or not.
 //   - Status.Exited is written once, as the last line.
 package shim
 
@@ -29,65 +30,73 @@
 )
 
 const (
-	// checkInterval is how often the clock is looked at, and how often killing is repeated.
-	// The kernel counts timers without the time asleep, so no timer alone ends the lease.
+	// checkInterval is how often the lease is compared with Clock, and how often the kill is
+	// repeated until the command has exited. The kernel's timers don't advance while the machine is
+	// suspended, so a timer alone could fire long after the lease has expired.
 	checkInterval = 250 * time.Millisecond
 
-	// Bounds of a line from the agent: a spec holds the command and its environment.
+	// Initial and maximum size of the buffer for a line from the agent. The longest line is the
+	// Spec, which contains the command and its environment.
 	initialLineBytes = 64 << 10
 	maxLineBytes     = 4 << 20
 
-	// Descriptors that the agent may hand down, beside standard input, output and error.
+	// File descriptors that the agent may pass down besides standard input, output and error.
 	firstInheritedFD = 3
 	lastInheritedFD  = 9
 
-	// exitCodeNotStarted stands for the exit code of a command that did not start.
+	// exitCodeNotStarted is reported as the exit code of a command that could not be started.
 	exitCodeNotStarted = -1
 )
 
-// errNoCommand and errNoSpec are mistakes of the agent.
+// Faults of the agent: errNoCommand is returned for a Spec without a command, errNoSpec if standard
+// input ends before the Spec.
 var (
 	errNoCommand = errors.New("there is no command")
-	errNoSpec    = errors.New("no order from the agent")
+	errNoSpec    = errors.New("standard input ended before the agent sent a spec")
 )
 
-// Spec is the first line that a shim reads.
+// Spec is the first line that the agent writes to a shim: what to run, and until when.
 type Spec struct {
 	Command    []string `json:"command"`
 	Env        []string `json:"env"`
 	Dir        string   `json:"folder"`
-	OutputPath string   `json:"output"` // takes standard output and error
-	LeaseUntil int64    `json:"until"`  // when the lease ends, as Clock counts
+	OutputPath string   `json:"output"` // file to which standard output and error are appended
+	LeaseUntil int64    `json:"until"`  // end of the lease, as a value of Clock in nanoseconds
 }
 
-// Order is a later line that a shim reads. One field is set.
+// Order is a line that the agent writes to a shim after the Spec. Exactly one field is set.
 type Order struct {
-	LeaseUntil int64 `json:"until,omitempty"` // the lease now ends then
-	Terminate  bool  `json:"term,omitempty"`  // ask the command to save and exit
-	Kill       bool  `json:"kill,omitempty"`  // end it at once
+	LeaseUntil int64 `json:"until,omitempty"` // new end of the lease, as in Spec
+	Terminate  bool  `json:"term,omitempty"`  // send SIGTERM to the command's process group, so that it can save its state and exit
+	Kill       bool  `json:"kill,omitempty"`  // send SIGKILL to the command and all its descendants
 }
 
-// Status is a line that the shim writes.
+// Status is a line that the shim writes to the agent: one when the command has started and one when
+// it has ended.
 type Status struct {
-	PID          int    `json:"started,omitempty"` // the command's process, once it has started
-	Exited       bool   `json:"over,omitempty"`    // nothing of the command is left
-	ExitCode     int    `json:"code"`              // -1 if a signal ended it
-	LeaseExpired bool   `json:"lease,omitempty"`   // it was killed because the lease was over
-	Error        string `json:"error,omitempty"`   // it could not be started
+	PID          int    `json:"started,omitempty"` // process id of the command, once it has started
+	Exited       bool   `json:"over,omitempty"`    // the command and all its descendants have exited
+	ExitCode     int    `json:"code"`              // -1 if a signal ended the command or it could not be started
+	LeaseExpired bool   `json:"lease,omitempty"`   // the lease expired before the command had exited
+	Error        string `json:"error,omitempty"`   // why the command could not be started
 }
 
-// Clock is a steady clock that all processes of this machine share, and that also runs
-// while the machine sleeps.
+// Clock returns the time since the machine booted, including time in suspend. It is monotonic and the
+// same for all processes of the machine, so that they can exchange its values. It panics if the
+// system has no such clock.
 func Clock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(fmt.Sprintf("shim: this system has no boot time clock: %v", err))
+		panic(fmt.Sprintf("shim: read CLOCK_BOOTTIME: %v", err))
 	}
 	return time.Duration(t.Nano())
 }
 
-// Run is the whole life of a shim process. It returns once nothing of the command is
-// left.
+// Run reads a Spec from in, runs its command, obeys the Orders that follow and writes each Status to
+// out. It returns once the command and all its descendants have exited. A command that cannot be
+// started is reported in Status.Error; Run returns an error only if the process cannot be set up or
+// in yields no valid Spec. Run changes the signal handling of the process and kills all children of
+// the process, so it must be called only once, in a process of its own.
 func Run(in io.Reader, out io.Writer) error {
 	if err := isolate(); err != nil {
 		return err
@@ -109,20 +118,21 @@
 	return nil
 }
 
-// isolate makes this process the reaper of its descendants and keeps the agent's signals
-// and descriptors from the command.
+// isolate makes this process the reaper of its descendants, and keeps the agent's signals and file
+// descriptors from the command.
 func isolate() error {
-	// Signals to the agent's terminal are the agent's to pass on. They are taken and
-	// dropped: ignored ones would be ignored by the command too, which then could not be
-	// asked to save.
+	// Only the agent decides, by an Order, when the command gets a signal, so signals that reach the
+	// shim itself (for example from the agent's terminal) are caught and dropped. They must not be
+	// ignored with SIG_IGN: the command would inherit that, and then ignore the SIGTERM that asks it
+	// to save its state.
 	signal.Notify(make(chan os.Signal, 1), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGPIPE)
-	// A descendant whose parent exits becomes ours, so that none can escape by starting a
-	// session of its own.
+	// As the subreaper, this process becomes the parent of each descendant whose parent exits, so
+	// that none can escape by starting a session of its own.
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
-		return fmt.Errorf("become the command's reaper: %w", err)
+		return fmt.Errorf("set this process as child subreaper: %w", err)
 	}
-	// What the agent hands down is for this process: as long as it is open, something of
-	// the machine is left.
+	// The descriptors that the agent passes down (such as its lock) show by being open that a process
+	// of the machine still runs. The shim keeps them open and the command must not inherit them.
 	for fd := firstInheritedFD; fd <= lastInheritedFD; fd++ {
 		unix.CloseOnExec(fd)
 	}
@@ -135,13 +145,14 @@
 	}
 	var spec Spec
 	if err := json.Unmarshal(lines.Bytes(), &spec); err != nil {
-		return nil, fmt.Errorf("order from the agent: %w", err)
+		return nil, fmt.Errorf("decode the spec from the agent: %w", err)
 	}
 	return &spec, nil
 }
 
-// readOrders reads orders until the agent is gone, which closes the channel. Its goroutine
-// ends with the agent's end of the pipe, at the latest with this process.
+// readOrders sends the agent's orders to the channel that it returns, and closes the channel when the
+// agent has closed its end of the pipe or exited. Lines that cannot be decoded are skipped. The
+// goroutine ends with the agent's end of the pipe, at the latest with this process.
 func readOrders(lines *bufio.Scanner) <-chan Order {
 	orders := make(chan Order)
 	go func() {
@@ -158,7 +169,7 @@
 
 func writeStatus(out io.Writer, status Status) {
 	if b, err := json.Marshal(&status); err == nil {
-		_, _ = out.Write(append(b, '\n')) // an agent that is gone reads nothing
+		_, _ = out.Write(append(b, '\n')) // an agent that has exited cannot read it
 	}
 }
 
@@ -170,11 +181,12 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = output.Close() }() // the command has a copy
+	defer func() { _ = output.Close() }() // the command has its own copy of the descriptor
 	cmd := exec.Command(spec.Command[0], spec.Command[1:]...)
 	cmd.Env, cmd.Dir, cmd.Stdout, cmd.Stderr = spec.Env, spec.Dir, output, output
-	// The command dies with the thread that started it; that one is this process's main
-	// thread for good.
+	// Pdeathsig kills the command as soon as the thread that started it exits, not only when the
+	// process does. The lock keeps this goroutine, and so the command, on a thread that lasts until
+	// the shim exits.
 	runtime.LockOSThread()
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return cmd, cmd.Start()
--- a/internal/shim/shim_test.go
+++ b/internal/shim/shim_test.go
@@ -16,7 +16,8 @@
 	"github.com/goccy/go-json"
 )
 
-// TestMain lets this program be the shim.
+// TestMain runs the shim instead of the tests if CHALK_TEST_SHIM is set, so that tests can start this
+// program as a shim process.
 func TestMain(m *testing.M) {
 	if os.Getenv("CHALK_TEST_SHIM") == "" {
 		os.Exit(m.Run())
@@ -51,11 +52,11 @@
 	if err := sp.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = sp.cmd.Process.Kill(), sp.cmd.Wait() }) // it may have ended
+	t.Cleanup(func() { _, _ = sp.cmd.Process.Kill(), sp.cmd.Wait() }) // the shim may have exited already
 	sp.out = bufio.NewScanner(out)
 	sp.send(Spec{Command: []string{"sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH")}, Dir: filepath.Dir(sp.outputPath), OutputPath: sp.outputPath, LeaseUntil: int64(Clock() + leaseDuration)})
 	if status := sp.status(); status.PID == 0 {
-		t.Fatalf("it does not start: %+v", status)
+		t.Fatalf("the command has not started: %+v", status)
 	}
 	return sp
 }
@@ -74,7 +75,7 @@
 func (sp *shimProcess) status() (status Status) {
 	sp.t.Helper()
 	if !sp.out.Scan() {
-		sp.t.Fatal("the shim is silent")
+		sp.t.Fatal("the shim closed its output without another status")
 	}
 	if err := json.Unmarshal(sp.out.Bytes(), &status); err != nil {
 		sp.t.Fatal(err)
@@ -82,7 +83,8 @@
 	return status
 }
 
-// waitForOutputPIDs waits until the command has written so many process numbers.
+// waitForOutputPIDs waits until the command has written at least n process ids to its output, and
+// returns them.
 func (sp *shimProcess) waitForOutputPIDs(n int) (pids []int) {
 	sp.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -91,14 +93,14 @@
 			for _, field := range fields {
 				pid, err := strconv.Atoi(field)
 				if err != nil {
-					sp.t.Fatalf("the command wrote %q", b)
+					sp.t.Fatalf("the command wrote %q, want only process ids", b)
 				}
 				pids = append(pids, pid)
 			}
 			return pids
 		}
 	}
-	sp.t.Fatal("the command has written nothing")
+	sp.t.Fatal("the command has not written its process ids within 10 s")
 	return nil
 }
 
@@ -106,23 +108,25 @@
 	sp.t.Helper()
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
-			sp.t.Fatalf("process %d is left: %v", pid, err)
+			sp.t.Fatalf("process %d still exists: kill returned %v, want ESRCH", pid, err)
 		}
 	}
 }
 
-// escapingScript starts a child and a grandchild that leave the command's group and its session
-// and stop listening to anybody, then stays.
+// escapingScript starts a child and a grandchild that leave the command's process group and session.
+// The command ignores SIGTERM, its child also SIGHUP and SIGINT. Each writes its process id and
+// keeps running.
 const escapingScript = `trap '' TERM; echo $$; setsid sh -c 'trap "" TERM HUP INT; echo $$; (setsid sh -c "echo \$\$; sleep 300") & sleep 300' & sleep 300`
 
-// Whoever tells the shim to end the command, nothing of it is left once that is said,
-// descendants that ran away included.
+// Guards against descendants that outlive the command because they have left its process group and
+// session. For each way in which the shim ends a command, no process may exist any more when the
+// shim reports Exited.
 func TestNoDescendantSurvivesEndOfCommand(t *testing.T) {
 	for name, endCommand := range map[string]func(*shimProcess){
-		"an order":                        func(sp *shimProcess) { sp.send(Order{Kill: true}) },
-		"the agent is gone":               func(sp *shimProcess) { _ = sp.in.Close() },
-		"the lease ends, no agent awake":  func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() + 300*time.Millisecond)}) },
-		"the lease ended before an order": func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() - time.Second)}) },
+		"kill order":                     func(sp *shimProcess) { sp.send(Order{Kill: true}) },
+		"agent closes the pipe":          func(sp *shimProcess) { _ = sp.in.Close() },
+		"lease expires without an order": func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() + 300*time.Millisecond)}) },
+		"lease end set in the past":      func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() - time.Second)}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			sp := startShim(t, escapingScript, time.Hour)
@@ -130,7 +134,7 @@
 			endCommand(sp)
 			status := sp.status()
 			if !status.Exited || status.ExitCode != -1 || status.LeaseExpired != strings.Contains(name, "lease") {
-				t.Fatalf("%+v", status)
+				t.Fatalf("status %+v, want Exited with code -1, and LeaseExpired only if the lease ended", status)
 			}
 			sp.requireExited(pids)
 			if err := sp.cmd.Wait(); err != nil {
@@ -140,24 +144,25 @@
 	}
 }
 
-// A command that was asked to save ends with its own code; one that ends by itself takes
-// what it left behind with it.
+// A command that exits after SIGTERM keeps its own exit code. When a command exits by itself, the shim
+// kills the descendants that it left behind.
 func TestExitCodeReportedAndDescendantsKilledAfterExit(t *testing.T) {
 	sp := startShim(t, `trap 'exit 75' TERM; echo $$; while :; do sleep 0.05; done`, time.Hour)
 	sp.waitForOutputPIDs(1)
 	sp.send(Order{Terminate: true})
 	if status := sp.status(); !status.Exited || status.ExitCode != 75 {
-		t.Fatalf("%+v", status)
+		t.Fatalf("status after SIGTERM %+v, want Exited with code 75", status)
 	}
 	sp = startShim(t, `setsid sh -c 'echo $$; sleep 300' & while [ ! -s output ]; do sleep 0.01; done; exit 0`, time.Hour)
 	pids := sp.waitForOutputPIDs(1)
 	if status := sp.status(); !status.Exited || status.ExitCode != 0 {
-		t.Fatalf("%+v", status)
+		t.Fatalf("status %+v, want Exited with code 0", status)
 	}
 	sp.requireExited(pids)
 }
 
-// A shim that was stopped beyond the lease ends the command as soon as it goes on.
+// Guards against a command that outlives its lease because the shim itself was stopped (SIGSTOP) when
+// the lease expired: once continued, the shim must kill the command.
 func TestPausedShimKillsAfterLeaseExpiry(t *testing.T) {
 	sp := startShim(t, escapingScript, 400*time.Millisecond)
 	pids := sp.waitForOutputPIDs(3)
@@ -169,7 +174,7 @@
 		t.Fatal(err)
 	}
 	if status := sp.status(); !status.Exited || !status.LeaseExpired {
-		t.Fatalf("%+v", status)
+		t.Fatalf("status %+v, want Exited and LeaseExpired", status)
 	}
 	sp.requireExited(pids)
 }
--- a/internal/shim/supervisor.go
+++ b/internal/shim/supervisor.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// expiredTimerDelay keeps the timer of an expired lease from firing again and again; killing takes
-// far less.
+// expiredTimerDelay is how far the lease timer is put off after the lease has expired, so that it
+// doesn't fire again and again while the command is being killed, which takes far less time.
 const expiredTimerDelay = time.Hour
 
-// supervisor ends a command when it is told to, when the agent is gone and when the lease
-// is over.
+// supervisor kills a command when the agent orders it, when the agent has exited and when the lease
+// expires. Only the goroutine of run uses it.
 type supervisor struct {
 	cmd          *exec.Cmd
 	leaseUntil   time.Duration
@@ -20,19 +20,20 @@
 	leaseExpired bool
 }
 
-// run supervises the command until nothing of it is left and returns the last status.
+// run supervises the command until it and all its descendants have exited, and returns the last
+// status.
 func (s *supervisor) run(orders <-chan Order) Status {
 	exited := make(chan struct{})
 	go func() {
 		defer close(exited)
-		_ = s.cmd.Wait() // the process state says how it ended
+		_ = s.cmd.Wait() // cmd.ProcessState has the exit code
 	}()
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case order, ok := <-orders:
-			if !ok { // the agent is gone
+			if !ok { // the agent has closed its end of the pipe or exited
 				orders = nil
 				s.kill()
 				continue
@@ -54,14 +55,15 @@
 	case order.Kill:
 		s.kill()
 	case order.Terminate:
-		_ = unix.Kill(-s.cmd.Process.Pid, unix.SIGTERM) // it may have exited by itself
+		_ = unix.Kill(-s.cmd.Process.Pid, unix.SIGTERM) // fails if the group has already exited
 	case order.LeaseUntil != 0:
 		s.leaseUntil = time.Duration(order.LeaseUntil)
 	}
 }
 
-// checkLease looks at the clock, and repeats the killing until the command has exited: its
-// descendants may have forked meanwhile.
+// checkLease kills the command if the lease has expired. Once the command has been killed for any
+// reason, checkLease repeats the kill until it has exited, since its descendants may have forked
+// while they were being listed.
 func (s *supervisor) checkLease() {
 	if Clock() > s.leaseUntil {
 		s.leaseExpired = true
@@ -71,22 +73,22 @@
 	}
 }
 
-// expireLease kills the command at the end of the lease.
+// expireLease kills the command because the lease has expired, and puts off the lease timer.
 func (s *supervisor) expireLease() {
 	s.leaseExpired = true
 	s.kill()
-	s.leaseUntil += expiredTimerDelay // check repeats the killing
+	s.leaseUntil += expiredTimerDelay // checkLease repeats the kill
 }
 
-// kill kills the command's group, and the descendants that left it.
+// kill sends SIGKILL to the command's process group and to the descendants that have left the group.
 func (s *supervisor) kill() {
 	s.killed = true
-	_ = unix.Kill(-s.cmd.Process.Pid, unix.SIGKILL) // it may have exited by itself
+	_ = unix.Kill(-s.cmd.Process.Pid, unix.SIGKILL) // fails if the group has already exited
 	killAll(descendants())
 }
 
 func killAll(pids []int) {
 	for _, pid := range pids {
-		_ = unix.Kill(pid, unix.SIGKILL) // it may have exited by itself
+		_ = unix.Kill(pid, unix.SIGKILL) // fails if the process has already exited
 	}
 }
