--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,6 +1,6 @@
-// Package api is the HTTP server of a controller for users, workers and the load balancer's
-// health checks. It decodes requests, bounds how many of a kind are in flight, and passes
-// them to the engine; it holds no other state and decides nothing about jobs.
+// Package api implements a controller's HTTP server for users, workers and the load balancer's health
+// checks. It decodes requests, limits how many of each kind are in flight, and forwards them to the
+// engine. It holds no other state and decides nothing about jobs.
 package api
 
 import (
@@ -19,13 +19,16 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Engine is the engine as the server sees it.
+// Engine is what the server needs of the controller's engine. Its methods must be safe for concurrent
+// use. Ask hands the engine a command built for a new request id and waits for the reply, at most for
+// the given time; it returns false if the engine's queue is full or no reply came in time. Ready
+// reports whether the controller can serve requests.
 type Engine interface {
 	Ask(func(core.RequestID) core.Command, time.Duration) (core.Reply, bool)
 	Ready() bool
 }
 
-// Server answers HTTP requests.
+// Server is the HTTP server of a controller.
 type Server struct {
 	engine  Engine
 	http    *fasthttp.Server
@@ -33,17 +36,17 @@
 	limits  map[string]*concurrencyLimit // by kind of request
 }
 
-// concurrencyLimit bounds how many requests of one kind are under way at once.
+// concurrencyLimit limits how many requests of one kind are in flight.
 //
-// Guards against users who poll many times as often as usual: their queries must not
-// keep heartbeats, submissions and cancellations out.
+// Guards against users who poll many times as often as usual: their queries must not take the
+// capacity that heartbeats, submissions and cancellations need.
 type concurrencyLimit struct {
 	maxInFlight int64
 	inFlight    atomic.Int64
 	rejected    atomic.Int64
 }
 
-// acquire reports whether one more request may be served; release must follow if so.
+// acquire reports whether one more request may be served. If so, the caller must call release after it.
 func (l *concurrencyLimit) acquire() bool {
 	if l.inFlight.Add(1) > l.maxInFlight {
 		l.inFlight.Add(-1)
@@ -55,7 +58,7 @@
 
 func (l *concurrencyLimit) release() { l.inFlight.Add(-1) }
 
-// Kinds of request that a server takes.
+// Kinds of request. Each has a limit of its own.
 const (
 	kindHeartbeat = "report"
 	kindSubmit    = "submit"
@@ -63,8 +66,8 @@
 	kindCancel    = "abort"
 )
 
-// Rejected counts the requests of each kind that found too many of it in flight, or the
-// engine's queue full.
+// Rejected returns, by kind, how many requests were rejected because too many of the kind were in
+// flight, the engine's queue was full, or the engine did not reply in time.
 func (s *Server) Rejected() map[string]int64 {
 	out := map[string]int64{}
 	for kind, limit := range s.limits {
@@ -73,18 +76,19 @@
 	return out
 }
 
-// userConnectionDivisor is the part of the connections, one in so many, that each kind of user request
-// may take.
+// userConnectionDivisor is the number by which the number of connections is divided for the limit of
+// each kind of user request.
 const userConnectionDivisor = 4
 
-// replyTimeout is how long a user's request may take: below the 2 s that a poll
-// waits, so that the answer to repeat it still arrives.
+// replyTimeout is how long the engine may take to reply to a request. It is below the 2 s that a
+// client waits for the response to a query, so that the client still receives the 503 that asks it
+// to retry.
 const replyTimeout = 1800 * time.Millisecond
 
-// New makes a server that holds at most conns connections.
+// New returns a server that serves at most maxConns connections at a time.
 func New(engine Engine, maxConns int) *Server {
 	s := &Server{engine: engine, timeout: replyTimeout, limits: map[string]*concurrencyLimit{}}
-	// Each kind of user request may take a quarter of the connections, heartbeats all of them.
+	// Each kind of user request may use a quarter of the connections, heartbeats may use all of them.
 	for kind, limit := range map[string]int{kindHeartbeat: maxConns, kindSubmit: maxConns / userConnectionDivisor, kindQuery: maxConns / userConnectionDivisor, kindCancel: maxConns / userConnectionDivisor} {
 		s.limits[kind] = &concurrencyLimit{maxInFlight: int64(max(limit, 1))}
 	}
@@ -106,7 +110,8 @@
 	return s
 }
 
-// Serve answers until ctx ends.
+// Serve handles requests on a listener until ctx ends, and then returns ctx's error. It closes the
+// listener.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -15,7 +15,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// fakeEngine answers as the engine would.
+// fakeEngine is an Engine whose replies come from a function of the test.
 type fakeEngine struct {
 	ready bool
 	reply func(core.Command) (core.Reply, bool)
@@ -30,7 +30,7 @@
 	ln := fasthttputil.NewInmemoryListener()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _ = New(e, 100).Serve(ctx, ln) }() // it ends with the cleanup
+	go func() { _ = New(e, 100).Serve(ctx, ln) }() // returns after the cleanup has cancelled ctx
 	return &fasthttp.Client{Dial: func(string) (net.Conn, error) { return ln.Dial() }}
 }
 
@@ -70,22 +70,23 @@
 		{"GET", "/ready", nil, 503, "1"},
 		{"GET", "/v2/runs/job-1", nil, 200, ""},
 		{"GET", "/v2/runs/job-2", nil, 503, "1"},
-		{"POST", "/v2/runs/job-1/abort", nil, 503, "1"}, // the engine is busy
+		{"POST", "/v2/runs/job-1/abort", nil, 503, "1"}, // the engine does not reply
 		{"POST", "/v2/runs", []byte("{}"), 400, ""},
 		{"POST", "/v1/report", []byte{0xc1}, 400, ""},
 		{"POST", "/v1/report", protocol.Encode(protocol.Heartbeat{Machine: "n-1"}), 421, ""},
 		{"GET", "/elsewhere", nil, 404, ""},
 	} {
 		if status, retry := do(t, c, tc.method, tc.path, tc.body); status != tc.status || retry != tc.retry {
-			t.Errorf("%s %s: %d, Retry-After %q", tc.method, tc.path, status, retry)
+			t.Errorf("%s %s: got status %d, Retry-After %q", tc.method, tc.path, status, retry)
 		}
 	}
 	e.ready = true
 	if status, _ := do(t, c, "GET", "/ready", nil); status != 200 {
-		t.Errorf("ready: %d", status)
+		t.Errorf("GET /ready of a ready controller: status %d, want 200", status)
 	}
-	// A body that is too long is refused by what its header says. It is not sent here: the
-	// answer may overtake it and close the connection, as a client sees it at times.
+	// A body that is too long is rejected because of the Content-Length header. The body itself is
+	// not sent here: the server may respond and close the connection before all of it is sent, and
+	// the client would then see a write error at times.
 	conn, err := c.Dial("")
 	if err != nil {
 		t.Fatal(err)
@@ -95,12 +96,13 @@
 	}
 	var resp fasthttp.Response
 	if err := resp.Read(bufio.NewReader(conn)); err != nil || resp.StatusCode() != 400 {
-		t.Errorf("a body that is too long: %d, %v", resp.StatusCode(), err)
+		t.Errorf("POST with a Content-Length over the limit: status %d, want 400; error %v", resp.StatusCode(), err)
 	}
 }
 
-// However many polls are under way, a report and a submission still come in, and the
-// polls that find no room are answered at once.
+// Guards against queries that take the capacity of the other kinds of request: with a quarter of the
+// connections blocked by queries, one more query is rejected at once with 503 and Retry-After, and
+// a heartbeat is still served.
 func TestExcessQueriesAreRejectedAndHeartbeatsServed(t *testing.T) {
 	release := make(chan struct{})
 	started := make(chan struct{}, 100)
@@ -112,22 +114,22 @@
 		return core.Reply{Status: 200, Body: protocol.HeartbeatResponse{}}, true
 	}}
 	c := newTestClient(t, e)
-	for range 25 { // a quarter of the connections that serve allows
+	for range 25 { // a quarter of the 100 connections of newTestClient's server
 		go func() {
 			var req fasthttp.Request
 			var resp fasthttp.Response
 			req.SetRequestURI("http://x/v2/runs/job-1")
-			_ = c.Do(&req, &resp) // ends with the story
+			_ = c.Do(&req, &resp) // returns when release is closed
 		}()
 	}
 	for range 25 {
 		<-started
 	}
 	if status, retryAfter := do(t, c, "GET", "/v2/runs/job-2", nil); status != 503 || retryAfter != "1" {
-		t.Errorf("a poll too many: %d, Retry-After %q", status, retryAfter)
+		t.Errorf("query over the limit: got status %d, Retry-After %q; want 503, \"1\"", status, retryAfter)
 	}
 	if status, _ := do(t, c, "POST", "/v1/report", protocol.Encode(protocol.Heartbeat{Machine: "n-1"})); status != 200 {
-		t.Errorf("a report: %d", status)
+		t.Errorf("heartbeat while queries are blocked: status %d, want 200", status)
 	}
 	close(release)
 }
--- a/internal/artifacts/file.go
+++ b/internal/artifacts/file.go
@@ -7,9 +7,10 @@
 	"path/filepath"
 )
 
-// WriteFile makes a file durable under its name, whole or not at all. newParents is how
-// many of the directories above the file's own may be new; their names become durable
-// too.
+// WriteFile writes a file atomically and durably: readers, also those after a crash, find either the
+// previous content or all of data. It creates missing directories. newParents is how many of the
+// directories above the file's own may have to be created; they are synced as well, so that the new
+// names in them are durable.
 func WriteFile(path string, data []byte, newParents int) error {
 	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -19,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(temp.Name()) }() // it is gone once it has its name
+	defer func() { _ = os.Remove(temp.Name()) }() // fails after the rename, as the file has its final name then
 	_, err = temp.Write(data)
 	if err = errors.Join(err, temp.Sync(), temp.Close()); err != nil {
 		return err
@@ -30,14 +31,14 @@
 	return syncDirs(dir, newParents)
 }
 
-// syncDirs makes the names in a directory durable, and in so many above it.
+// syncDirs makes the names in a directory durable, and those in the newParents directories above it.
 func syncDirs(dir string, newParents int) error {
 	err := syncDir(dir)
 	for i := 0; err == nil && i < newParents; i++ {
 		dir = filepath.Dir(dir)
 		err = syncDir(dir)
 		if errors.Is(err, fs.ErrPermission) {
-			return nil // not ours, and so not new
+			return nil // a directory that this process may not open was not created by it
 		}
 	}
 	return err
--- a/internal/artifacts/http.go
+++ b/internal/artifacts/http.go
@@ -15,20 +15,22 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// maxRequestBytes leaves room for a description's or an output's headers.
+// maxRequestBytes is the size limit of a request: the largest output, with a margin of 4096 bytes for
+// the headers of an output or a description.
 const maxRequestBytes = MaxOutputBytes + 4096
 
-// errJobIDMismatch says that a description was put under another job's id.
+// errJobIDMismatch rejects a description that is uploaded to the path of another job's id.
 var errJobIDMismatch = errors.New("the description is of another job")
 
-// Serve answers requests until ctx ends.
+// Serve handles requests on a listener until ctx ends, and then returns ctx's error. It closes the
+// listener.
 func (s *Store) Serve(ctx context.Context, l net.Listener) error {
 	srv := &fasthttp.Server{
 		Handler:               s.handleRequest,
 		Name:                  "chalk-depot",
 		MaxRequestBodySize:    maxRequestBytes,
 		IdleTimeout:           2 * time.Minute,
-		ReadTimeout:           2 * time.Minute, // an upload over a slow link
+		ReadTimeout:           2 * time.Minute, // allows for an upload over a slow link
 		WriteTimeout:          10 * time.Second,
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
@@ -36,7 +38,8 @@
 	return httpserver.Serve(ctx, srv, l)
 }
 
-// route is what a request asks for: its pattern and the values in the pattern's braces.
+// route is a parsed request line: the pattern that it matches, and the values of the pattern's
+// placeholders.
 type route struct {
 	pattern string
 	job     string
@@ -44,8 +47,9 @@
 	attempt uint64
 }
 
-// parseRoute reads a request's method and path. Names in paths become file names, so
-// nothing but a job's id and numbers may pass.
+// parseRoute parses a request's method and path. The values of the placeholders become file names, so
+// only a valid job id and numbers are accepted; everything else could lead out of the store's
+// directory.
 func parseRoute(ctx *fasthttp.RequestCtx) (r route, ok bool) {
 	parts := strings.Split(strings.Trim(string(ctx.Path()), "/"), "/")
 	if parts[0] != "jobs" || len(parts) > 5 {
@@ -89,7 +93,7 @@
 	}
 	switch r.pattern {
 	case "GET /jobs":
-		skip, _ := strconv.Atoi(string(ctx.QueryArgs().Peek("Skip"))) // none: from the newest on
+		skip, _ := strconv.Atoi(string(ctx.QueryArgs().Peek("Skip"))) // missing or malformed: 0, the page of the newest jobs
 		httpserver.Reply(ctx, fasthttp.StatusOK, s.Jobs(max(skip, 0)))
 	case "PUT /jobs/{job}":
 		s.handlePutJob(ctx, r.job)
@@ -137,7 +141,7 @@
 	ctx.Response.SetBodyRaw(output)
 }
 
-// reply answers with a body, or with the error if there is one.
+// reply responds with status 200 and a body, or with the error if it isn't nil.
 func reply(ctx *fasthttp.RequestCtx, body any, err error) {
 	if err != nil {
 		replyError(ctx, err)
--- a/internal/artifacts/store.go
+++ b/internal/artifacts/store.go
@@ -1,12 +1,12 @@
-// Package artifacts stores what lies beside a job: its description, which users upload, its
-// tasks' results and their output, which agents upload.
+// Package artifacts stores the files that belong to a job: its description, which users upload, and
+// its tasks' results and output, which agents upload.
 //
-// It owns a directory and the HTTP server round it. It may not know of controllers, leases
-// or attempts that run: it stores what it is given under the name it is given.
+// It owns a directory and the HTTP server that gives access to it. It may not know of controllers,
+// leases or attempts that run: it stores what it is given under the name it is given.
 //
 // Invariants:
-//   - Every upload that was answered is durable, and a file is there whole or not at all.
-//   - A job's id belongs to one description for good; a result never goes away.
+//   - Every upload that was acknowledged is durable, and each file is either complete or missing.
+//   - A job id belongs to one description permanently; a stored result is never deleted.
 //   - No request reads or writes outside the directory.
 package artifacts
 
@@ -28,33 +28,37 @@
 )
 
 const (
-	// MaxOutputBytes is how much of an attempt's output is stored, the end of it, in bytes: what
-	// a person reads of it, times the attempts of large jobs, must fit a disk.
+	// MaxOutputBytes is the size limit of an attempt's stored output; of a longer output, agents
+	// upload the end. It is enough for a person to read, and the outputs of all attempts of large
+	// jobs must fit on a disk.
 	MaxOutputBytes = 1 << 20
 
-	// maxJobsPerPage keeps a list of jobs to a few dozen kilobytes.
+	// maxJobsPerPage limits a list of jobs to a few dozen kilobytes.
 	maxJobsPerPage = 200
 )
 
-// Files are synced together with the directories above that their first upload makes.
+// Values of newParents for WriteFile: how many directories above a file's own directory the file's
+// first upload may create.
 const (
 	newJobParents    = 1 // the directory of all jobs
-	newResultParents = 2 // and the job's
+	newResultParents = 2 // the job's directory as well
 	newOutputParents = 2
 )
 
-// ErrConflict is returned when a job's id is taken by another description.
+// ErrConflict is returned by PutJob if the job id already belongs to a different description.
 var ErrConflict = errors.New("this job id belongs to another description")
 
-// Store is an artifact directory. Its methods may be called from any goroutine.
+// Store is an artifact directory. Its methods may be called concurrently. Methods that take a job id
+// use it as a file name: the caller must have checked it with protocol.ValidJobID.
 type Store struct {
 	root string
 
 	mu   sync.Mutex
-	jobs []protocol.UploadedJob // in the order of their uploads
+	jobs []protocol.UploadedJob // in the order of their uploads, oldest first
 }
 
-// Open opens an artifact directory, or makes it.
+// Open opens the artifact directory root, creates it if it is missing, and reads the descriptions of
+// all jobs in it. It returns an error if one of them cannot be read or decoded.
 func Open(root string) (*Store, error) {
 	jobsDir := filepath.Join(root, "jobs")
 	if err := os.MkdirAll(jobsDir, 0o700); err != nil {
@@ -68,7 +72,7 @@
 	for _, entry := range entries {
 		job, err := s.readUploadedJob(entry.Name())
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // its upload was never answered
+			continue // its upload was never acknowledged
 		}
 		if err != nil {
 			return nil, err
@@ -81,7 +85,8 @@
 	return s, nil
 }
 
-// readUploadedJob reads a job's entry in the list; its upload is as old as its file.
+// readUploadedJob reads a job's entry for the list of jobs. The time of its upload is the
+// modification time of the description's file.
 func (s *Store) readUploadedJob(id string) (protocol.UploadedJob, error) {
 	path := s.descriptionPath(id)
 	b, err := os.ReadFile(path)
@@ -121,15 +126,15 @@
 	return s.path(job, "results", strconv.Itoa(task))
 }
 
-// outputNameFormat is the format of an output file's name: task and attempt.
+// outputNameFormat is the format of an output file's name, from the task's index and the attempt.
 const outputNameFormat = "%d.%d"
 
 func (s *Store) outputPath(job string, task int, attempt uint64) string {
 	return s.path(job, "output", fmt.Sprintf(outputNameFormat, task, attempt))
 }
 
-// PutJob stores a description. The same one may be put again; another one with its id is
-// an ErrConflict.
+// PutJob stores a description durably. It is idempotent: the same description may be stored again. It
+// returns ErrConflict if a different description with the same job id is stored already.
 func (s *Store) PutJob(d *protocol.JobDescription) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +156,8 @@
 	return nil
 }
 
-// sameDescription compares descriptions by what they say: encoded maps have no order.
+// sameDescription reports whether two descriptions have the same content. Env is compared as a map,
+// because the encoding of a map has no fixed order.
 func sameDescription(a, b *protocol.JobDescription) bool {
 	if !maps.Equal(a.Env, b.Env) {
 		return false
@@ -161,7 +167,7 @@
 	return bytes.Equal(protocol.Encode(aWithoutEnv), protocol.Encode(bWithoutEnv))
 }
 
-// Job is a description; fs.ErrNotExist if nobody uploaded it.
+// Job returns a job's description. Its error is fs.ErrNotExist if none was uploaded.
 func (s *Store) Job(id string) (*protocol.JobDescription, error) {
 	b, err := os.ReadFile(s.descriptionPath(id))
 	if err != nil {
@@ -171,7 +177,7 @@
 	return &d, protocol.Decode(b, &d)
 }
 
-// Jobs is a page of the newest jobs without the first skip of them.
+// Jobs returns a page of the uploaded jobs, newest first, after skipping the skip newest.
 func (s *Store) Jobs(skip int) protocol.UploadedJobs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +192,7 @@
 	return page
 }
 
-// PutResult stores that a task is done.
+// PutResult stores durably that a task is done. It is idempotent.
 func (s *Store) PutResult(job string, task int) error {
 	if s.Done(job, task) {
 		return nil
@@ -194,30 +200,31 @@
 	return WriteFile(s.resultPath(job, task), nil, newResultParents)
 }
 
-// Done reports whether a task's result is stored.
+// Done reports whether a task's result is stored. It returns false as well if the directory cannot
+// be read.
 func (s *Store) Done(job string, task int) bool {
 	_, err := os.Stat(s.resultPath(job, task))
 	return err == nil
 }
 
-// PutOutput replaces an attempt's output, which an agent sends anew as it grows.
+// PutOutput replaces an attempt's stored output. Agents upload the output again as it grows.
 func (s *Store) PutOutput(job string, task int, attempt uint64, output []byte) error {
 	return WriteFile(s.outputPath(job, task, attempt), output, newOutputParents)
 }
 
-// Output is an attempt's output; fs.ErrNotExist if there is none.
+// Output returns an attempt's stored output. Its error is fs.ErrNotExist if there is none.
 func (s *Store) Output(job string, task int, attempt uint64) ([]byte, error) {
 	return os.ReadFile(s.outputPath(job, task, attempt))
 }
 
-// Outputs lists a job's attempts that have output, by task and attempt.
+// Outputs lists a job's attempts that have output, sorted by task and attempt.
 func (s *Store) Outputs(job string) protocol.OutputList {
 	list := protocol.OutputList{Attempts: []protocol.OutputFile{}}
-	entries, _ := os.ReadDir(s.path(job, "output")) // no directory: no output yet
+	entries, _ := os.ReadDir(s.path(job, "output")) // without a directory there is no output yet
 	for _, entry := range entries {
 		var file protocol.OutputFile
 		if n, err := fmt.Sscanf(entry.Name(), outputNameFormat, &file.Task, &file.Attempt); n != 2 || err != nil {
-			continue // a file that is being written
+			continue // a temporary file of an upload in progress
 		}
 		if stat, err := entry.Info(); err == nil {
 			file.Bytes = stat.Size()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the programs' logger. It owns the meaning of LOG_LEVEL; what is logged,
-// and at which level, is up to its users.
+// Package logging creates the logger of the programs. It owns the meaning of the environment variable
+// LOG_LEVEL; its callers decide what is logged at which level.
 package logging
 
 import (
@@ -9,10 +9,11 @@
 	"strings"
 )
 
-// levelVariable is the environment's variable that sets the level.
+// levelVariable is the environment variable that sets the level.
 const levelVariable = "LOG_LEVEL"
 
-// Level is the level that LOG_LEVEL asks for: error, info or debug, and info without it.
+// Level returns the level that LOG_LEVEL sets: error, info or debug, in any case. It is info if the
+// variable is unset or has another value.
 func Level() slog.Level {
 	switch strings.ToLower(os.Getenv(levelVariable)) {
 	case "error":
@@ -24,7 +25,7 @@
 	}
 }
 
-// New makes a logger that writes lines of text at that level.
+// New returns a logger that writes lines of text to w, from the level that LOG_LEVEL sets.
 func New(w io.Writer) *slog.Logger {
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: Level()}))
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -14,7 +14,7 @@
 		log.Info("two")
 		log.Debug("three")
 		if gotLines := bytes.Count(out.Bytes(), []byte("\n")); gotLines != wantLines {
-			t.Errorf("LOG_LEVEL=%q writes %d lines, not %d", value, gotLines, wantLines)
+			t.Errorf("LOG_LEVEL=%q: logger wrote %d lines, want %d", value, gotLines, wantLines)
 		}
 	}
 }
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -67,7 +67,7 @@
 // Order is a line that the agent writes to a shim after the Spec. Exactly one field is set.
 type Order struct {
 	LeaseUntil int64 `json:"until,omitempty"` // new end of the lease, as in Spec
-	Terminate  bool  `json:"term,omitempty"`  // send SIGTERM to the command's process group, so that it can save its state and exit
+	Terminate  bool  `json:"term,omitempty"`  // send SIGTERM to the command's group, so that it can save and exit
 	Kill       bool  `json:"kill,omitempty"`  // send SIGKILL to the command and all its descendants
 }
 
--- a/internal/shim/shim_test.go
+++ b/internal/shim/shim_test.go
@@ -123,10 +123,10 @@
 // shim reports Exited.
 func TestNoDescendantSurvivesEndOfCommand(t *testing.T) {
 	for name, endCommand := range map[string]func(*shimProcess){
-		"kill order":                     func(sp *shimProcess) { sp.send(Order{Kill: true}) },
-		"agent closes the pipe":          func(sp *shimProcess) { _ = sp.in.Close() },
-		"lease expires without an order": func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() + 300*time.Millisecond)}) },
-		"lease end set in the past":      func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() - time.Second)}) },
+		"kill order":                      func(sp *shimProcess) { sp.send(Order{Kill: true}) },
+		"agent closes the pipe":           func(sp *shimProcess) { _ = sp.in.Close() },
+		"lease expires without a renewal": func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() + 300*time.Millisecond)}) },
+		"lease end set in the past":       func(sp *shimProcess) { sp.send(Order{LeaseUntil: int64(Clock() - time.Second)}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			sp := startShim(t, escapingScript, time.Hour)
