--- a/client/artifacts.go
+++ b/client/artifacts.go
@@ -10,10 +10,12 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// artifactReadFailure is the text of a failure to read from the artifact server.
-const artifactReadFailure = "the depot does not answer"
+// artifactReadFailure is the text of an Error for a failed read from the artifact server. Users know
+// that server as the depot, after the setting of its address.
+const artifactReadFailure = "the depot did not return the requested data"
 
-// uploadDescription uploads a description until the artifact server takes or refuses it.
+// uploadDescription uploads a description. It retries until the artifact server has accepted or rejected
+// it, the retry budget is used up or ctx ends.
 func (c *Client) uploadDescription(ctx context.Context, d *protocol.JobDescription) error {
 	if err := d.Validate(); err != nil {
 		return &Error{Kind: ErrMalformed, Text: err.Error()}
@@ -27,7 +29,7 @@
 			return &Error{Kind: ErrMalformed, Status: resp.status, Text: resp.errorText()}
 		}
 		if time.Now().Add(c.retryDelay).After(deadline) {
-			return &Error{Kind: ErrNotNow, Status: resp.status, Text: "the depot at " + c.artifacts + " does not take the job's description"}
+			return &Error{Kind: ErrNotNow, Status: resp.status, Text: "the depot at " + c.artifacts + " did not accept the job's description"}
 		}
 		if err := sleep(ctx, c.retryDelay); err != nil {
 			return err
@@ -35,7 +37,7 @@
 	}
 }
 
-// ListedJob is a job whose description was uploaded.
+// ListedJob is an entry of the list of jobs whose descriptions were uploaded.
 type ListedJob struct {
 	ID    string    `json:"id"`
 	Team  string    `json:"team"`
@@ -43,28 +45,30 @@
 	At    time.Time `json:"submitted"`
 }
 
-// Jobs lists the jobs whose descriptions were uploaded, the newest first, without the first
-// skip of them; more says that there are others beyond these.
+// Jobs returns a page of the jobs whose descriptions were uploaded, newest first, after skipping the
+// skip newest. more reports whether older jobs follow the page. The artifact server is asked once;
+// if that fails, the error is an *Error of the kind ErrNotNow.
 func (c *Client) Jobs(ctx context.Context, skip int) (jobs []ListedJob, more bool, err error) {
 	var list protocol.UploadedJobs
 	if err := c.readArtifact(ctx, fmt.Sprintf("/jobs?Skip=%d", skip), &list); err != nil {
 		return nil, false, err
 	}
 	for _, j := range list.Jobs {
-		uploadedAt := time.UnixMilli(int64(j.UploadedAt * 1000)) // from seconds
+		uploadedAt := time.UnixMilli(int64(j.UploadedAt * 1000)) // UploadedAt is in seconds
 		jobs = append(jobs, ListedJob{ID: j.ID, Team: j.Team, Tasks: j.Tasks, At: uploadedAt})
 	}
 	return jobs, list.More, nil
 }
 
-// Output is an attempt that has output.
+// Output identifies the stored output of an attempt and gives its size in bytes.
 type Output struct {
 	Task    int    `json:"task"`
 	Attempt uint64 `json:"attempt"`
 	Bytes   int64  `json:"bytes"`
 }
 
-// Outputs lists a job's attempts that have output.
+// Outputs lists the attempts of a job that have stored output, sorted by task and attempt. The
+// artifact server is asked once; if that fails, the error is an *Error of the kind ErrNotNow.
 func (c *Client) Outputs(ctx context.Context, id string) ([]Output, error) {
 	var list protocol.OutputList
 	if err := c.readArtifact(ctx, "/jobs/"+id+"/output", &list); err != nil {
@@ -85,7 +89,8 @@
 	return nil
 }
 
-// ReadOutput is the end of an attempt's output, at most 1 MiB.
+// ReadOutput returns the end of an attempt's output, at most 1 MiB. The artifact server is asked once;
+// if that fails, the error is an *Error of the kind ErrNotNow.
 func (c *Client) ReadOutput(ctx context.Context, id string, o Output) ([]byte, error) {
 	resp := c.call(ctx, fasthttp.MethodGet, c.artifacts, fmt.Sprintf("/jobs/%s/output/%d/%d", id, o.Task, o.Attempt), nil, submitTimeout)
 	if resp.status != statusOK {
--- a/client/client.go
+++ b/client/client.go
@@ -1,11 +1,14 @@
-// Package client submits jobs to a chalkhub cluster, asks about them and cancels them.
+// Package client submits jobs to a chalkhub cluster, queries their state and cancels them.
 //
-// It owns its connections and the protocol's rules for users: a try waits 5 s, tries are at
-// least 1 s apart or as long as Retry-After says (up to 30 s), 60 s in all, and always with
-// the same id. It may not know which controller leads: it asks one after another.
+// It owns its connections and the protocol's rules for users. Each try of a submission waits 5 s for a
+// response. The delay between tries is at least 1 s, or as long as Retry-After asks for (up to 30 s),
+// and all tries together take at most 60 s. All tries use the same job id. The package may not know
+// which controller is the leader: it tries the controllers one after another.
 //
-// Invariants: a job keeps its id over all tries; what can never succeed is not repeated; a
-// cluster's failure is an *Error of one Kind.
+// Invariants:
+//   - A job keeps its id over all tries.
+//   - A request that can never succeed is not retried.
+//   - A failure of the cluster is an *Error of one Kind.
 package client
 
 import (
@@ -20,7 +23,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Time spans of the protocol, "POST /v2/runs" and "GET /v2/runs/{id}".
+// Timeouts and delays that the protocol sets for "POST /v2/runs" and "GET /v2/runs/{id}".
 const (
 	submitTimeout       = 5 * time.Second
 	queryTimeout        = 2 * time.Second
@@ -29,14 +32,16 @@
 	retryBudget         = 60 * time.Second
 	defaultPollInterval = 5 * time.Second
 
-	// queriesPerController is how often a query asks each controller.
+	// queriesPerController is how many tries per controller a query's budget of time allows for.
 	queriesPerController = 2
 )
 
-// maxIdleConnDuration closes idle connections before the servers do, which is a minute.
+// maxIdleConnDuration is how long the client keeps an idle connection. It closes them before a server
+// does, whose idle timeout is at least a minute, because a request that is sent while the server
+// closes the connection would fail.
 const maxIdleConnDuration = 20 * time.Second
 
-// Client talks to a cluster. Its methods may be called from any goroutine.
+// Client sends requests to a cluster. Its methods may be called concurrently.
 type Client struct {
 	controllers []string
 	artifacts   string // the artifact server's address
@@ -45,11 +50,12 @@
 	retryBudget time.Duration // retryBudget, shorter in tests
 
 	mu              sync.Mutex
-	controllerIndex int // counts controllers that were asked, modulo their number
+	controllerIndex int // index of the controller to ask next, modulo their number
 }
 
-// New makes a client of the controllers' addresses and the artifact server's, which may be
-// empty if jobs' descriptions are uploaded elsewhere.
+// New returns a client for the controllers and the artifact server at the given addresses
+// ("host:port"). It returns an error if there is no controller. The artifact server's address may be
+// empty if the descriptions of jobs are uploaded by other means.
 func New(controllers []string, artifacts string) (*Client, error) {
 	if len(controllers) == 0 {
 		return nil, errors.New("a client needs the address of at least one controller")
@@ -60,7 +66,7 @@
 		retryDelay:  minRetryDelay,
 		retryBudget: retryBudget,
 		http: &fasthttp.Client{
-			MaxIdemponentCallAttempts: 1, // tries are counted by send
+			MaxIdemponentCallAttempts: 1, // send does the retries itself
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 			NoDefaultUserAgentHeader:  true,
 			MaxIdleConnDuration:       maxIdleConnDuration,
@@ -68,8 +74,9 @@
 	}, nil
 }
 
-// Submit uploads what a job's tasks do and submits the job. The same job may be submitted
-// again, also after ErrNotNow. j.ID is set if it was empty.
+// Submit uploads the description of what a job's tasks run and submits the job. It sets j.ID if that is
+// empty. Submitting the same job again is idempotent, also after ErrNotNow. Submit blocks while it
+// retries, until ctx ends.
 func (c *Client) Submit(ctx context.Context, j *Job) (*Status, error) {
 	if j.ID == "" {
 		id, err := NewID()
@@ -103,8 +110,8 @@
 	return status, nil
 }
 
-// Query asks about a job, each controller at most twice. ErrNotNow means that none
-// knows at the moment.
+// Query returns a job's status. It allows for at most two tries per controller. ErrNotNow means that no
+// controller could report the status at the moment.
 func (c *Client) Query(ctx context.Context, id string) (*Status, error) {
 	return c.sendJobRequest(ctx, id, request{
 		method:   fasthttp.MethodGet,
@@ -115,7 +122,7 @@
 	})
 }
 
-// Abort cancels a job. The state may be done: then it was over already.
+// Abort cancels a job and returns its status. If the job had already finished, the state is done.
 func (c *Client) Abort(ctx context.Context, id string) (*Status, error) {
 	return c.sendJobRequest(ctx, id, request{
 		method:   fasthttp.MethodPost,
@@ -137,8 +144,10 @@
 	return decodeStatus(body)
 }
 
-// Wait polls until a job is over or ctx ends. observe, if there is one, gets each status,
-// and each failure to get one; failures do not end the waiting, but an unknown job does.
+// Wait queries a job at each interval until it is over or ctx ends. An interval of 0 or less means 5 s.
+// observe, unless nil, is called with the result of each query. Failed queries don't end the wait,
+// except those for an unknown job (ErrUnknown) or with a malformed id (ErrMalformed). If ctx ends,
+// Wait returns its error and the result of the last query, nil if that failed.
 func (c *Client) Wait(ctx context.Context, id string, interval time.Duration, observe func(*Status, error)) (*Status, error) {
 	if interval <= 0 {
 		interval = defaultPollInterval
--- a/client/errors.go
+++ b/client/errors.go
@@ -7,26 +7,26 @@
 
 // Kinds of failure, for errors.Is.
 var (
-	// ErrMalformed: the request can never be understood. It was not retried.
+	// ErrMalformed means that the request is invalid. It was not retried.
 	ErrMalformed = errors.New("the request is malformed")
-	// ErrImpossible: the cluster can never run this job. It was not retried.
-	ErrImpossible = errors.New("the job can never run here")
-	// ErrNotNow: no controller took the request in time. It may have been taken all the
-	// same; the same id can be used again.
+	// ErrImpossible means that the cluster can never run this job. The request was not retried.
+	ErrImpossible = errors.New("the job can never run on this cluster")
+	// ErrNotNow means that the request was not confirmed in time. It may have taken effect all the
+	// same, so it should be repeated with the same job id.
 	ErrNotNow = errors.New("no controller takes the request now")
-	// ErrUnknown: nobody submitted a job with this id.
+	// ErrUnknown means that no job with this id was submitted.
 	ErrUnknown = errors.New("no such job")
 )
 
-// Error is a failure with what the controller said about it.
+// Error is a failed request, with the server's message about the failure.
 type Error struct {
 	Kind   error // one of the above
-	Status int   // of the last response, 0: there was none
+	Status int   // HTTP status of the last response, 0 without a response
 	Text   string
-	Tries  int
+	Tries  int // how often the request was sent to controllers
 }
 
-// Error gives the kind and what the controller said.
+// Error returns the text of the kind, the server's message and, for ErrNotNow, the number of tries.
 func (e *Error) Error() string {
 	s := e.Kind.Error()
 	if e.Text != "" {
@@ -38,5 +38,5 @@
 	return s
 }
 
-// Unwrap gives the kind.
+// Unwrap returns the kind, so that errors.Is matches it.
 func (e *Error) Unwrap() error { return e.Kind }
--- a/client/job.go
+++ b/client/job.go
@@ -10,19 +10,19 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Kind of job.
+// Kind is the kind of a job.
 type Kind string
 
-// Kinds of job: an array's tasks run to completion, a service's until it is cancelled.
+// Kinds of job: the tasks of an array run to completion, those of a service until it is cancelled.
 const (
 	Array   Kind = protocol.KindArray
 	Service Kind = protocol.KindService
 )
 
-// Urgency of a job.
+// Urgency is the urgency of a job.
 type Urgency string
 
-// Urgencies, the most urgent first.
+// Urgencies, from the most to the least urgent.
 const (
 	Production Urgency = protocol.UrgencyProduction
 	High       Urgency = protocol.UrgencyHigh
@@ -30,14 +30,14 @@
 	Low        Urgency = protocol.UrgencyLow
 )
 
-// What a job has when it says nothing.
+// Values of a job's fields that are empty or 0.
 const (
 	defaultClass = "default"
 	defaultImage = "none"
 	defaultTasks = 1
 )
 
-// Job is what a user asks for. Spans are how long a task runs, not the job.
+// Job is a job as its user submits it. CPUs, GPUs, MemoryGB and Estimate are those of one task.
 type Job struct {
 	ID       string // empty: NewID chooses one
 	Class    string // empty: "default"
@@ -45,33 +45,33 @@
 	Kind     Kind    // empty: Array
 	Urgency  Urgency // empty: Normal
 	Tasks    int     // 0: 1
-	CPUs     float64 // of each task
+	CPUs     float64
 	GPUs     float64
 	MemoryGB float64
 	Image    string // empty: "none"
 	ImageGB  float64
-	Types    []string // allowed machine types, none: any
+	Types    []string // allowed machine types, empty: any
 	Zone     string   // the only allowed zone, empty: any
-	OneZone  bool     // all tasks in one zone, whichever
-	Spread   bool     // at most half of them in one zone
+	OneZone  bool     // all tasks must run in the same zone
+	Spread   bool     // at most half of the tasks may be in one zone
 	Spot     bool     // spot machines, which may be preempted, are allowed
-	Estimate time.Duration
-	// Checkpoint is the span of progress after which a task saves by itself, and Save
-	// the time that it needs to; 0: it never saves.
+	Estimate time.Duration // of a task's run time
+	// Checkpoint is the interval of progress after which a task saves a checkpoint by itself, 0: it
+	// never does. Save is the time that it needs to save one.
 	Checkpoint, Save time.Duration
-	Deadline         time.Duration // from the submission on, 0: none
-	// After names jobs that must be done before any task of this one starts. If one of
-	// them is cancelled, so is this.
+	Deadline         time.Duration // counted from the submission, 0: none
+	// After has the ids of the jobs that must be done before any task of this job starts. If one of
+	// them is cancelled, this job is cancelled as well.
 	After []string
 
-	// What a task does: a command, or a simulated run time.
+	// What a task runs: a command with its environment, or nothing for a simulated run time.
 	Command  []string
 	Env      map[string]string
 	Folder   string // working directory, empty: a new one for each attempt
 	Simulate time.Duration
 }
 
-// protocolJob is the job as the protocol has it, with the defaults filled in.
+// protocolJob converts the job to the protocol's form, with the defaults filled in.
 func (j *Job) protocolJob() protocol.Job {
 	job := protocol.Job{
 		ID:           j.ID,
@@ -97,12 +97,12 @@
 		Dependencies: j.After,
 	}
 	if job.Kind == protocol.KindService {
-		job.EstimateS = 0 // the protocol allows none: it never ends by itself
+		job.EstimateS = 0 // the protocol allows no estimate for a service, which never ends by itself
 	}
 	return job
 }
 
-// description is what the artifact server stores of the job.
+// description returns the description of the job that the artifact server stores.
 func (j *Job) description(job protocol.Job) *protocol.JobDescription {
 	return &protocol.JobDescription{
 		Job:        job,
@@ -113,11 +113,12 @@
 	}
 }
 
-// submissionFields has every field that the protocol wants, also those that are zero.
+// submissionFields returns all fields that the protocol requires of a submission, also those that the
+// encoding of protocol.Job omits because they are zero.
 func submissionFields(job *protocol.Job) map[string]any {
 	var fields map[string]any
 	if err := protocol.Decode(protocol.Encode(job), &fields); err != nil {
-		panic(fmt.Sprintf("client: a job does not decode: %v", err))
+		panic(fmt.Sprintf("client: decode an encoded job: %v", err))
 	}
 	for field, zero := range protocol.JobDefaults() {
 		if _, ok := fields[field]; !ok {
@@ -127,11 +128,12 @@
 	return fields
 }
 
-// idSpace is the number of ids to choose from, those of 17 digits: two users choose the
-// same one about as often as never.
+// idSpace is the number of ids that NewID chooses from, those of 17 digits. With so many, the
+// probability that two users get the same id is negligible.
 const idSpace = 1e17
 
-// NewID chooses an id that nobody else chooses: 17 random digits.
+// NewID returns a new job id, "job-" and 17 random digits. It returns an error if the system's source
+// of random numbers fails.
 func NewID() (string, error) {
 	n, err := rand.Int(rand.Reader, big.NewInt(idSpace))
 	if err != nil {
@@ -140,7 +142,7 @@
 	return fmt.Sprintf("job-%017d", n), nil
 }
 
-// Status is what a controller says about a job.
+// Status is the state of a job as a controller reports it. Done and Running count tasks.
 type Status struct {
 	ID      string `json:"id"`
 	State   string `json:"state"` // queued, running, done or aborted
@@ -150,7 +152,7 @@
 	Reason  string `json:"reason,omitempty"` // why tasks wait or were stopped
 }
 
-// Final reports whether the job is over.
+// Final reports whether the job is over, that is, done or aborted.
 func (s *Status) Final() bool {
 	return s.State == protocol.JobDone || s.State == protocol.JobCancelled
 }
--- a/client/request.go
+++ b/client/request.go
@@ -14,14 +14,14 @@
 
 const statusOK = fasthttp.StatusOK
 
-// response is the response to one request; without one the status is 0.
+// response is the response to one request. If there was none, its status is 0.
 type response struct {
 	status     int
 	body       []byte
-	retryAfter time.Duration // 0: the server didn't say
+	retryAfter time.Duration // 0: the response has no valid Retry-After header
 }
 
-// errorText is what the server said about a failure, empty if nothing.
+// errorText returns the server's message about a failure, or "" if the body has none.
 func (r *response) errorText() string {
 	var e protocol.ErrorResponse
 	if protocol.Decode(r.body, &e) != nil {
@@ -30,16 +30,16 @@
 	return e.Error
 }
 
-// request is a request that may be sent several times.
+// request is a request that send may try several times.
 type request struct {
 	method, path string
 	body         any
-	timeout      time.Duration // of one try
-	budget       time.Duration // of all tries
-	accepted     []int         // statuses that end it successfully
+	timeout      time.Duration // of each try
+	budget       time.Duration // no retry starts later than this after the first try
+	accepted     []int         // response statuses that mean success
 }
 
-// errorKind is the kind of failure that a status means.
+// errorKind returns the kind of error for a response status that isn't a success.
 func errorKind(status int) error {
 	switch status {
 	case fasthttp.StatusBadRequest:
@@ -52,7 +52,9 @@
 	return ErrNotNow
 }
 
-// send sends a request to one host after another until a response is final.
+// send sends a request to one controller after another until a response is final, that is, a success
+// or a failure that a retry can't change, or until the request's budget is used up. It returns the
+// body of a successful response.
 func (c *Client) send(ctx context.Context, r request) ([]byte, error) {
 	deadline := time.Now().Add(r.budget)
 	for tries, host := 1, c.currentController(); ; tries, host = tries+1, c.nextController() {
@@ -71,7 +73,7 @@
 	}
 }
 
-// sleep waits for d; its error is that of ctx, if it ends first.
+// sleep waits for d. If ctx ends first, it returns ctx's error.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -81,7 +83,8 @@
 	}
 }
 
-// call sends one request to a host, once.
+// call sends a request to a host once, without retries. If no response comes within timeout or before
+// ctx's deadline, the response's status is 0.
 func (c *Client) call(ctx context.Context, method, host, path string, body any, timeout time.Duration) response {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -100,12 +103,13 @@
 	}
 	return response{
 		status:     resp.StatusCode(),
-		body:       append([]byte(nil), resp.Body()...), // resp is released
+		body:       append([]byte(nil), resp.Body()...), // copied, because resp is released
 		retryAfter: parseRetryAfter(resp.Header.Peek("Retry-After")),
 	}
 }
 
-// parseRetryAfter reads a Retry-After header in seconds; 0 if there is none.
+// parseRetryAfter parses a Retry-After header in seconds and limits it to maxRetryAfter. It returns 0 if
+// the header is missing or isn't a positive number of seconds.
 func parseRetryAfter(header []byte) time.Duration {
 	var seconds int
 	if n, err := fmt.Sscan(string(header), &seconds); n != 1 || err != nil || seconds <= 0 {
@@ -114,14 +118,16 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// currentController is the controller to ask: the one that answered last.
+// currentController returns the address of the controller to ask first, which is the one that gave the
+// last final response.
 func (c *Client) currentController() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.controllers[c.controllerIndex%len(c.controllers)]
 }
 
-// nextController is the controller to ask after one that gave no final response.
+// nextController switches to the next controller and returns its address. It is called after a
+// controller that gave no final response.
 func (c *Client) nextController() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
