--- a/client/client.go
+++ b/client/client.go
@@ -2,8 +2,8 @@
 //
 // It owns its connections and the protocol's rules for users. Each try of a submission waits 5 s for a
 // response. The delay between tries is at least 1 s, or as long as Retry-After asks for (up to 30 s),
-// and all tries together take at most 60 s. All tries use the same job id. The package may not know
-// which controller is the leader: it tries the controllers one after another.
+// and no try starts later than 60 s after the first. All tries use the same job id. The package may
+// not know which controller is the leader: it tries the controllers one after another.
 //
 // Invariants:
 //   - A job keeps its id over all tries.
@@ -32,7 +32,8 @@
 	retryBudget         = 60 * time.Second
 	defaultPollInterval = 5 * time.Second
 
-	// queriesPerController is how many tries per controller a query's budget of time allows for.
+	// queriesPerController is the number of tries per controller, each without a response, for which
+	// the time budget of a query suffices.
 	queriesPerController = 2
 )
 
@@ -110,8 +111,10 @@
 	return status, nil
 }
 
-// Query returns a job's status. It allows for at most two tries per controller. ErrNotNow means that no
-// controller could report the status at the moment.
+// Query returns a job's status. It tries the controllers one after another, at most for as long as it
+// takes to try each of them twice without getting a response. ErrNotNow means that no controller
+// could report the status in that time, ErrUnknown that no such job was submitted, and ErrMalformed
+// that id isn't a valid job id.
 func (c *Client) Query(ctx context.Context, id string) (*Status, error) {
 	return c.sendJobRequest(ctx, id, request{
 		method:   fasthttp.MethodGet,
--- a/client/job.go
+++ b/client/job.go
@@ -50,11 +50,11 @@
 	MemoryGB float64
 	Image    string // empty: "none"
 	ImageGB  float64
-	Types    []string // allowed machine types, empty: any
-	Zone     string   // the only allowed zone, empty: any
-	OneZone  bool     // all tasks must run in the same zone
-	Spread   bool     // at most half of the tasks may be in one zone
-	Spot     bool     // spot machines, which may be preempted, are allowed
+	Types    []string      // allowed machine types, empty: any
+	Zone     string        // the only allowed zone, empty: any
+	OneZone  bool          // all tasks must run in the same zone
+	Spread   bool          // at most half of the tasks may be in one zone
+	Spot     bool          // spot machines, which may be preempted, are allowed
 	Estimate time.Duration // of a task's run time
 	// Checkpoint is the interval of progress after which a task saves a checkpoint by itself, 0: it
 	// never does. Save is the time that it needs to save one.
--- a/internal/shim/shim_test.go
+++ b/internal/shim/shim_test.go
@@ -55,7 +55,7 @@
 	t.Cleanup(func() { _, _ = sp.cmd.Process.Kill(), sp.cmd.Wait() }) // the shim may have exited already
 	sp.out = bufio.NewScanner(out)
 	sp.send(Spec{Command: []string{"sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH")}, Dir: filepath.Dir(sp.outputPath), OutputPath: sp.outputPath, LeaseUntil: int64(Clock() + leaseDuration)})
-	if status := sp.status(); status.PID == 0 {
+	if status := sp.readStatus(); status.PID == 0 {
 		t.Fatalf("the command has not started: %+v", status)
 	}
 	return sp
@@ -72,7 +72,7 @@
 	}
 }
 
-func (sp *shimProcess) status() (status Status) {
+func (sp *shimProcess) readStatus() (status Status) {
 	sp.t.Helper()
 	if !sp.out.Scan() {
 		sp.t.Fatal("the shim closed its output without another status")
@@ -132,7 +132,7 @@
 			sp := startShim(t, escapingScript, time.Hour)
 			pids := sp.waitForOutputPIDs(3)
 			endCommand(sp)
-			status := sp.status()
+			status := sp.readStatus()
 			if !status.Exited || status.ExitCode != -1 || status.LeaseExpired != strings.Contains(name, "lease") {
 				t.Fatalf("status %+v, want Exited with code -1, and LeaseExpired only if the lease ended", status)
 			}
@@ -150,12 +150,12 @@
 	sp := startShim(t, `trap 'exit 75' TERM; echo $$; while :; do sleep 0.05; done`, time.Hour)
 	sp.waitForOutputPIDs(1)
 	sp.send(Order{Terminate: true})
-	if status := sp.status(); !status.Exited || status.ExitCode != 75 {
+	if status := sp.readStatus(); !status.Exited || status.ExitCode != 75 {
 		t.Fatalf("status after SIGTERM %+v, want Exited with code 75", status)
 	}
 	sp = startShim(t, `setsid sh -c 'echo $$; sleep 300' & while [ ! -s output ]; do sleep 0.01; done; exit 0`, time.Hour)
 	pids := sp.waitForOutputPIDs(1)
-	if status := sp.status(); !status.Exited || status.ExitCode != 0 {
+	if status := sp.readStatus(); !status.Exited || status.ExitCode != 0 {
 		t.Fatalf("status %+v, want Exited with code 0", status)
 	}
 	sp.requireExited(pids)
@@ -173,7 +173,7 @@
 	if err := sp.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if status := sp.status(); !status.Exited || !status.LeaseExpired {
+	if status := sp.readStatus(); !status.Exited || !status.LeaseExpired {
 		t.Fatalf("status %+v, want Exited and LeaseExpired", status)
 	}
 	sp.requireExited(pids)
