--- a/cmd/chalkhubctl/agent.go
+++ b/cmd/chalkhubctl/agent.go
@@ -35,8 +35,8 @@
 }
 
 func (c *agentCmd) check(f *local.AgentFile) error {
-	named := f.Machine != "" && f.Artifacts != "" && f.Dir != "" && f.CheckpointDir != ""
-	if !named || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.HeartbeatS > 0 && f.Workers.LeaseS > 0) {
+	textsSet := f.Machine != "" && f.Artifacts != "" && f.Dir != "" && f.CheckpointDir != ""
+	if !textsSet || len(f.Controllers) == 0 || !(f.CPUs > 0 && f.Workers.HeartbeatS > 0 && f.Workers.LeaseS > 0) {
 		return fmt.Errorf("%s: machine, cpus, controllers, depot, folder, saves, report_s and lease_s must be set", c.Config)
 	}
 	return nil
--- a/cmd/chalkhubctl/cloud.go
+++ b/cmd/chalkhubctl/cloud.go
@@ -32,8 +32,8 @@
 	if err != nil {
 		return err
 	}
-	start := func(m protocol.Instance, t localcloud.MachineType, listener, alive *os.File) (*exec.Cmd, error) {
-		return agentCommand(self, &f, m, t, []*os.File{listener, alive})
+	start := func(m protocol.Instance, t localcloud.MachineType, listener, liveness *os.File) (*exec.Cmd, error) {
+		return agentCommand(self, &f, m, t, []*os.File{listener, liveness})
 	}
 	cloud, err := localcloud.Open(f.Cloud, filepath.Join(f.Dir, "cloud.jsonl"), filepath.Join(f.Dir, "machines"), start, logging.New(os.Stderr))
 	if err != nil {
--- a/cmd/chalkhubctl/state.go
+++ b/cmd/chalkhubctl/state.go
@@ -144,7 +144,7 @@
 		}
 		requested := s.requested()
 		if requested || s.due() {
-			s.take(requested)
+			s.takeSnapshot(requested)
 		}
 	}
 }
@@ -160,8 +160,8 @@
 	return interval > 0 && time.Since(s.lastAt) > interval && s.server.State().Revision != s.lastRevision
 }
 
-// take takes a snapshot. One that fails is tried again when it is due or still requested.
-func (s *snapshotter) take(requested bool) {
+// takeSnapshot takes a snapshot. One that fails is tried again when it is due or still requested.
+func (s *snapshotter) takeSnapshot(requested bool) {
 	s.lastAt = time.Now()
 	path, state, err := s.file.TakeSnapshot(s.settings.Snapshots)
 	if err != nil {
@@ -190,7 +190,7 @@
 	if err := os.WriteFile(snapshotRequestPath(c.Folder), nil, 0o600); err != nil {
 		return err
 	}
-	for end := time.Now().Add(c.Timeout); time.Now().Before(end); {
+	for deadline := time.Now().Add(c.Timeout); time.Now().Before(deadline); {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -204,7 +204,7 @@
 		}
 	}
 	_ = os.Remove(snapshotRequestPath(c.Folder)) // whether it was there or not
-	return exitError{exitNotNow, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
+	return exitError{exitTimeout, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
 }
 
 type stateRestoreCmd struct {
@@ -214,13 +214,13 @@
 
 // Run restores a snapshot.
 func (c *stateRestoreCmd) Run() error {
-	kept, s, err := kvfile.RestoreSnapshot(c.Snapshot, c.File)
+	backup, s, err := kvfile.RestoreSnapshot(c.Snapshot, c.File)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%s is at revision %d with %d keys\n", c.File, s.Revision, s.Len())
-	if kept != "" {
-		fmt.Println("the file that was there is now", kept)
+	if backup != "" {
+		fmt.Println("the file that was there is now", backup)
 	}
 	return nil
 }
--- a/cmd/chalkhubctl/top_view.go
+++ b/cmd/chalkhubctl/top_view.go
@@ -21,8 +21,8 @@
 	// defaultWidth is used where the terminal's is not known.
 	defaultWidth = 80
 
-	// nearLimit is the part of a team's limit from which the team is shown as at it.
-	nearLimit = 0.99
+	// nearLimitFraction is the part of a team's limit from which the team is shown as at it.
+	nearLimitFraction = 0.99
 
 	// footerLines are kept free below the queue: for the number of jobs that aren't shown
 	// and the screen's own last line.
@@ -39,7 +39,7 @@
 // controllerView is the last status page of a controller.
 type controllerView struct {
 	status core.Status
-	at     time.Time // zero: never read
+	readAt time.Time // zero: never read
 	err    error     // of the last try, nil: it answered
 }
 
@@ -53,8 +53,8 @@
 }
 
 // update takes what was read; a controller that did not answer keeps its last page.
-func (c *clusterView) update(read []controllerView) {
-	for i, v := range read {
+func (c *clusterView) update(results []controllerView) {
+	for i, v := range results {
 		c.views[i].err = v.err
 		if v.err == nil {
 			c.views[i] = v
@@ -67,7 +67,7 @@
 	var newest *controllerView
 	for i := range c.views {
 		v := &c.views[i]
-		if v.at.IsZero() || !v.leads() {
+		if v.readAt.IsZero() || !v.isLeader() {
 			continue
 		}
 		if newest == nil || v.status.Epoch > newest.status.Epoch {
@@ -77,11 +77,11 @@
 	return newest
 }
 
-func (v *controllerView) leads() bool { return v.status.Leader == v.status.Label }
+func (v *controllerView) isLeader() bool { return v.status.Leader == v.status.Label }
 
 func (v *controllerView) role() string {
 	switch {
-	case v.leads():
+	case v.isLeader():
 		return "leader"
 	case !v.status.MayServe:
 		return "outside"
@@ -118,7 +118,7 @@
 
 func (t *textView) lineCount() int { return strings.Count(t.text.String(), "\n") }
 
-func age(now, at time.Time) string { return fmt.Sprintf("%.0f s ago", now.Sub(at).Seconds()) }
+func age(now, then time.Time) string { return fmt.Sprintf("%.0f s ago", now.Sub(then).Seconds()) }
 
 // render draws the view for the width and height of the terminal.
 func (c *clusterView) render(now time.Time) string {
@@ -136,7 +136,7 @@
 		return t.text.String()
 	}
 	if leader.err != nil {
-		t.line(alertStyle, "the leader is away; below is what it said %s", age(now, leader.at))
+		t.line(alertStyle, "the leader is away; below is what it said %s", age(now, leader.readAt))
 	}
 	if leader.status.UnseenMachines > 0 {
 		t.line(alertStyle, "a take-over waits for %d machines", leader.status.UnseenMachines)
@@ -151,13 +151,13 @@
 	t.line(headerStyle, "%-9s %-7s %5s %5s %5s %5s %6s %6s", "node", "role", "epoch", "mach", "tasks", "jobs", "p50 ms", "p99 ms")
 	for i, controller := range c.controllers {
 		v := &c.views[i]
-		if v.at.IsZero() {
+		if v.readAt.IsZero() {
 			t.line(alertStyle, "%-9s not seen yet: %v", controller.Label, v.err)
 			continue
 		}
 		style, note := plainStyle, ""
 		if v.err != nil {
-			style, note = alertStyle, "away, seen "+age(now, v.at)
+			style, note = alertStyle, "away, seen "+age(now, v.readAt)
 		}
 		t.line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", controller.Label, v.role(), v.status.Epoch, len(v.status.Machines),
 			v.tasks(), v.openJobs(), v.status.ResponseTimes.P50, v.status.ResponseTimes.P99, note)
@@ -187,7 +187,7 @@
 			promised = fmt.Sprintf("%.1f", team.CPUs)
 			if team.CPUsMax > 0 {
 				limit = fmt.Sprintf("%.1f", team.CPUsMax)
-				if used > nearLimit*team.CPUsMax {
+				if used > nearLimitFraction*team.CPUsMax {
 					style = alertStyle
 				}
 			}
@@ -204,13 +204,13 @@
 		return cmp.Or(cmp.Compare(b.Waiting, a.Waiting), cmp.Compare(a.JobID, b.JobID))
 	})
 	t.line(headerStyle, "%-22s %7s %7s  %s", fmt.Sprintf("job (%d open)", len(queue)), "waiting", "placed", "why it waits")
-	room := len(queue)
+	maxRows := len(queue)
 	if c.height > 0 {
-		room = max(c.height-t.lineCount()-footerLines, 1)
+		maxRows = max(c.height-t.lineCount()-footerLines, 1)
 	}
 	for i, job := range queue {
-		if i == room {
-			t.line(faintStyle, "and %d more", len(queue)-room)
+		if i == maxRows {
+			t.line(faintStyle, "and %d more", len(queue)-maxRows)
 			break
 		}
 		t.line(plainStyle, "%-22s %7d %7d  %s", job.JobID, job.Waiting, job.InFlight, job.Reason)
