--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -1,4 +1,4 @@
-// Command chalkhub is the controller of a cluster of machines.
+// Command chalkhub runs a controller of a cluster of machines. Several controllers share the work.
 package main
 
 import (
@@ -34,9 +34,10 @@
 // version is set by the linker in releases.
 var version = "devel"
 
-// peerQueueMemoryShare is the share of the process's memory that may wait to be sent to other
-// controllers. A task takes about 90 bytes in a snapshot that waits and over 200 in the core
-// of the machine's owner, so a fleet that fits into the memory is told of before this binds.
+// peerQueueMemoryShare is the fraction of the process's memory that messages queued for other
+// controllers may take. A task takes about 90 bytes in a queued snapshot and over 200 bytes in the
+// core of the controller that owns its machine, so the state of a cluster that fits into memory
+// can be sent without reaching this limit.
 const peerQueueMemoryShare = 0.25
 
 type cli struct {
@@ -85,36 +86,40 @@
 	k.FatalIfErrorf(k.Run())
 }
 
-// Shares of what the process may use.
+// Shares of the process's memory and sockets, and the pace of the garbage collector.
 const (
-	// memoryLimitShare of its memory may be taken before the collector works harder: over all of
-	// it the process is killed.
+	// memoryLimitShare is the fraction of the process's memory at which the Go runtime collects
+	// garbage more often. A process that uses more than its whole memory is killed.
 	memoryLimitShare = 0.7
-	// gcPercent lets the collector run seldom, since the heap is small beside that limit: at its
-	// usual pace it took a tenth of the share of the processor.
+	// gcPercent makes garbage collections rare, since the heap is small compared with the memory
+	// limit. At Go's default of 100 the collector took a tenth of the process's share of the CPU.
 	gcPercent = 400
-	// userSocketShare of its sockets are for users and workers, workerSocketShare for calls to
-	// workers; the rest is for the outside systems and other controllers.
+	// userSocketShare is the fraction of the process's sockets for connections from users and
+	// workers, workerSocketShare that for calls to workers. The rest is for the state service, the
+	// cloud and other controllers.
 	userSocketShare   = 3.0 / 5
 	workerSocketShare = 1.0 / 4
 )
 
-// Bounds of calls.
+// Timeouts and retries of calls.
 const (
 	storeTimeout  = time.Second
 	statusTimeout = time.Second
-	// redialsPerHeartbeat is how often a lost link is dialled again within a heartbeat interval.
+	// redialsPerHeartbeat is how many times a lost link to another controller is dialed again within
+	// a heartbeat interval.
 	redialsPerHeartbeat = 10
 )
 
-// limitResources keeps the process to what the settings give it.
+// limitResources limits the process to one CPU core, and sets the Go runtime's memory limit to a
+// share of the memory in the settings.
 func limitResources(resources config.Resources) {
-	runtime.GOMAXPROCS(1) // one core at a time is ours
+	runtime.GOMAXPROCS(1) // the process is entitled to one core
 	debug.SetMemoryLimit(int64(resources.RAMMB * memoryLimitShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 }
 
-// newBootID names this process: it differs in every one.
+// newBootID returns a random ID of this process, which tells it from earlier processes of the same
+// controller.
 func newBootID() (string, error) {
 	var id [8]byte
 	if _, err := rand.Read(id[:]); err != nil {
@@ -123,14 +128,14 @@
 	return hex.EncodeToString(id[:]), nil
 }
 
-// controller is the engine with the servers that bring its commands.
+// controller is the engine together with the servers that post commands to it.
 type controller struct {
 	engine *engine.Engine
 	api    *api.Server
 	links  *peer.Links
 }
 
-// newController connects a core to its servers and clients.
+// newController creates a core with its engine and connects it to its servers and clients.
 func newController(settings *config.Settings, policy config.Policy, bootID string, log *slog.Logger) *controller {
 	site, sockets := &settings.Site, settings.Site.Resources.MaxSockets
 	c := &controller{engine: engine.New(core.New(settings, policy, bootID, logging.Level() <= slog.LevelDebug), log)}
@@ -157,7 +162,8 @@
 	return addresses
 }
 
-// statusPage is the operators' page as JSON; ok is false if the core does not answer in time.
+// statusPage returns the operators' status page as JSON. It returns false if the core does not
+// respond within statusTimeout or the status cannot be encoded.
 func (c *controller) statusPage() (page []byte, ok bool) {
 	status, ok := c.engine.Status(statusTimeout)
 	if !ok {
@@ -168,7 +174,8 @@
 	return page, err == nil
 }
 
-// serve works until ctx ends or a part fails.
+// serve runs the engine and the servers until ctx ends or one of them fails. It returns nil if ctx
+// ended.
 func (c *controller) serve(ctx context.Context, userListener, peerListener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return c.engine.Run(ctx) })
@@ -196,12 +203,12 @@
 	if err != nil {
 		return err
 	}
-	log.Info("started", "version", version, "serve_on", settings.Listen, "peer_listen", settings.PeerListen)
+	log.Info("controller started", "version", version, "serve_on", settings.Listen, "peer_listen", settings.PeerListen)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := controller.serve(ctx, userListener, peerListener); err != nil {
 		return err
 	}
-	log.Info("stopped")
+	log.Info("controller stopped")
 	return nil
 }
--- a/cmd/chalkhubctl/agent.go
+++ b/cmd/chalkhubctl/agent.go
@@ -20,7 +20,7 @@
 	"github.com/chalkhub/chalkhub/internal/shim"
 )
 
-// Descriptors that an agent inherits from the local cloud.
+// File descriptors that an agent inherits from the local cloud.
 const (
 	listenerFD = 3
 	livenessFD = 4
@@ -28,9 +28,10 @@
 
 type agentCmd struct {
 	Config string `required:"" placeholder:"FILE" help:"Settings (JSON), see docs/agent.md."`
-	// Inherit is how the local cloud starts agents: descriptor 3 is the listener, 4 an end
-	// of a pipe that stays open while anything of the machine is left, and standard input
-	// ends with the cloud.
+	// Inherit is set by the local cloud when it starts an agent. File descriptor 3 is then the
+	// agent's listener. Descriptor 4 is one end of a pipe, which the agent and its shims hold
+	// open until the last of them exits. Standard input carries localcloud.AgentMessages and
+	// reaches its end when the cloud exits.
 	Inherit bool `hidden:""`
 }
 
@@ -42,7 +43,8 @@
 	return nil
 }
 
-// Run runs an agent.
+// Run runs an agent until ctx ends or the daemon fails. With --inherit it also ends when the
+// local cloud that started the agent exits.
 func (c *agentCmd) Run(ctx context.Context) error {
 	var f local.AgentFile
 	if err := readJSON(c.Config, &f); err != nil {
@@ -74,15 +76,15 @@
 	if c.Inherit {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(ctx)
-		go func() { // until standard input ends, at the latest with this process
-			defer cancel() // the cloud is gone, and its machines with it
+		go func() { // ends at the end of standard input, at the latest with this process
+			defer cancel() // the cloud has exited, so its machines must stop too
 			readNotices(os.Stdin, daemon)
 		}()
 	}
 	return daemon.Serve(ctx, l)
 }
 
-// agentSettings turns a settings file into the agent's settings.
+// agentSettings converts a settings file to the settings of the agent's daemon.
 func agentSettings(f *local.AgentFile, shimCommand []string) agentd.Settings {
 	settings := agentd.Settings{
 		ArtifactsAddr: f.Artifacts,
@@ -110,7 +112,8 @@
 	return settings
 }
 
-// readNotices passes the cloud's preemption notices on until the cloud is gone.
+// readNotices forwards the cloud's preemption notices to the daemon until the stream ends. It
+// ignores lines that it cannot parse.
 func readNotices(cloud io.Reader, daemon *agentd.Daemon) {
 	for lines := bufio.NewScanner(cloud); lines.Scan(); {
 		var message localcloud.AgentMessage
@@ -122,5 +125,5 @@
 
 type shimCmd struct{}
 
-// Run runs a shim.
+// Run runs a shim, which talks to its agent over standard input and output.
 func (c *shimCmd) Run() error { return shim.Run(os.Stdin, os.Stdout) }
--- a/cmd/chalkhubctl/chalkhubctl_test.go
+++ b/cmd/chalkhubctl/chalkhubctl_test.go
@@ -18,15 +18,16 @@
 	"github.com/chalkhub/chalkhub/internal/local"
 )
 
-// The view fits 80 columns and the screen's height, leads with who leads, and keeps
-// the last good page of a controller that is away, with its age.
+// The view fits into 80 columns and the height of the terminal. It takes the leader's data from
+// the status page with the newest epoch. A controller that cannot be read keeps its last status
+// page, which is shown with its age.
 func TestTopShowsLastStatusOfUnreachableControllers(t *testing.T) {
 	view := clusterView{views: make([]controllerView, 3), width: 80, height: 24, teams: map[string]config.Team{"main": {CPUs: 16, CPUsMax: 40}}}
 	for i := range 3 {
 		view.controllers = append(view.controllers, local.Controller{Label: fmt.Sprintf("ctl-%d", i)})
 	}
-	if text := view.render(time.Now()); !strings.Contains(text, "no controller has said that it leads") {
-		t.Errorf("before anything is known:\n%s", text)
+	if text := view.render(time.Now()); !strings.Contains(text, "no controller is known to be the leader") {
+		t.Errorf("view before any status page was read:\n%s", text)
 	}
 	now := time.Now()
 	leaderStatus := core.Status{Label: "ctl-1", Leader: "ctl-1", Epoch: 4, MayServe: true, TeamCPUs: map[string]float64{"main": 12},
@@ -38,28 +39,29 @@
 	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, MayServe: true}, readAt: now}, {status: leaderStatus, readAt: now}, {err: errRefused}})
 	view.update([]controllerView{{err: errRefused}, {err: errRefused}, {err: errRefused}})
 	text := view.render(now.Add(7 * time.Second))
-	for _, want := range []string{"away, seen 7 s ago", "the leader is away; below is what it said 7 s ago", "ctl-2     not seen yet", "main                12.0      16.0      40.0", "job-00000000000000039", "more"} {
+	for _, want := range []string{"last seen 7 s ago", "the leader is unreachable; its status below was read 7 s ago", "ctl-2     no status received yet", "main                12.0      16.0      40.0", "job-00000000000000039", "more"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is missing:\n%s", want, text)
+			t.Errorf("%q is missing in the view:\n%s", want, text)
 		}
 	}
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	if len(lines) > 24 {
-		t.Errorf("%d lines on a screen of 24", len(lines))
+		t.Errorf("the view has %d lines, want at most 24", len(lines))
 	}
 	for _, l := range lines {
 		if w := runewidth.StringWidth(l); w > 80 {
-			t.Errorf("%d columns: %q", w, l)
+			t.Errorf("line has %d columns, want at most 80: %q", w, l)
 		}
 	}
-	// A new leader's page takes over from the old one's.
+	// The status page of the next leader, with a newer epoch, replaces that of the previous one.
 	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, MayServe: true, UnseenMachines: 2}, readAt: now}, {err: errRefused}, {err: errRefused}})
-	if text := view.render(now); !strings.Contains(text, "a take-over waits for 2 machines") || strings.Contains(text, "the leader is away") {
-		t.Errorf("after a take-over:\n%s", text)
+	if text := view.render(now); !strings.Contains(text, "a failover waits for 2 machines") || strings.Contains(text, "the leader is unreachable") {
+		t.Errorf("view after a failover:\n%s", text)
 	}
 }
 
-// A job file is read with all its mistakes, and a sound one is the job that it says.
+// A job file that violates the schema is refused with an error that names the violation, and a
+// valid one gives the job that it describes.
 func TestJobFileReportsViolations(t *testing.T) {
 	dir := t.TempDir()
 	path := dir + "/job.yaml"
@@ -73,7 +75,7 @@
 	} {
 		writeFile(t, path, text)
 		if _, err := readJob(path, jobFields{}); err == nil || !strings.Contains(err.Error(), want) || exitCode(err) != exitMalformed {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("job file %q: error %v", text, err)
 		}
 	}
 	writeFile(t, path, "tasks: 3\nurgency: high\nestimate: 1m30s\nafter: [job-1, job-22]\ncommand: [sh, -c, 'echo $X']\nenv: {X: '1'}\n")
@@ -82,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if j := f.job(); j.Tasks != 3 || j.Urgency != "high" || j.Estimate != 90*time.Second || j.Team != "main" || j.CPUs != 2 || j.Env["X"] != "1" || len(j.After) != 2 {
-		t.Errorf("%+v", j)
+		t.Errorf("job read from a valid file: %+v", j)
 	}
 }
 
@@ -93,10 +95,10 @@
 	}
 }
 
-// The files under deploy are settings that the commands take.
+// The settings files in the deploy directory are accepted by the commands that read them.
 func TestDeployFilesAreValidSettings(t *testing.T) {
 	if s, err := local.Read("../../deploy/local.yaml"); err != nil || len(s.Cloud.Types) != 2 || s.State.TxnOps != local.Defaults().State.TxnOps {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("deploy/local.yaml: settings %+v, error %v", s, err)
 	}
 	var st local.StateFile
 	if err := readJSON("../../deploy/state.json", &st); err != nil {
@@ -112,8 +114,8 @@
 	}
 }
 
-// The figures of a controller that answers are there under the usual names, and one that
-// does not answer is said to be down.
+// The metrics of a controller whose status page can be read have their documented names and
+// values. A controller that cannot be reached is reported as down.
 func TestMetricsOfReachableAndUnreachableControllers(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -125,7 +127,7 @@
 		t.Fatal(err)
 	}
 	srv := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBody(page) }}
-	go func() { _ = srv.Serve(l) }() // it ends with the test
+	go func() { _ = srv.Serve(l) }() // ends when the test shuts the server down
 	defer func() { _ = srv.Shutdown() }()
 	collector := &statusCollector{controllers: []local.Controller{{Label: "ctl-0", Status: l.Addr().String()}, {Label: "ctl-1", Status: "127.0.0.1:1"}}}
 	b, err := collector.metricsText()
@@ -135,7 +137,7 @@
 	for _, want := range []string{`chalkhub_up{controller="ctl-0"} 1`, `chalkhub_up{controller="ctl-1"} 0`, `chalkhub_jobs{controller="ctl-0",state="done"} 7`,
 		`chalkhub_waiting_tasks{controller="ctl-0"} 5`, `chalkhub_answer_seconds{controller="ctl-0",quantile="0.99"} 0.04`, `chalkhub_team_cpus{controller="ctl-0",team="main"} 2`} {
 		if !strings.Contains(string(b), want+"\n") {
-			t.Errorf("%s is missing in\n%s", want, b)
+			t.Errorf("%s is missing in the metrics:\n%s", want, b)
 		}
 	}
 }
--- a/cmd/chalkhubctl/cloud.go
+++ b/cmd/chalkhubctl/cloud.go
@@ -18,7 +18,8 @@
 	Config string `required:"" placeholder:"FILE" help:"Settings (JSON)."`
 }
 
-// Run runs the local cloud.
+// Run runs the local cloud, whose machines are processes on this host, until ctx ends or the
+// cloud fails.
 func (c *cloudCmd) Run(ctx context.Context) error {
 	var f local.CloudFile
 	if err := readJSON(c.Config, &f); err != nil {
@@ -42,7 +43,8 @@
 	return cloud.Serve(ctx, l)
 }
 
-// agentCommand writes the settings of a machine's agent and makes its command.
+// agentCommand writes the settings file of a machine's agent and returns the command that starts
+// the agent. The agent inherits the given files as descriptors 3 and up.
 func agentCommand(self string, f *local.CloudFile, m protocol.Instance, t localcloud.MachineType, inherited []*os.File) (*exec.Cmd, error) {
 	dir := filepath.Join(f.Dir, "machines", m.Name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/cmd/chalkhubctl/demo.go
+++ b/cmd/chalkhubctl/demo.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// demoTasks is enough to have some done, some running and some waiting when the leader
-	// is killed.
+	// demoTasks is large enough that some tasks are done, some are running and some are waiting
+	// when the leader is killed.
 	demoTasks = 12
 
-	// demoPollInterval is short against a task of the demonstration.
+	// demoPollInterval is short compared with the run time of a task of the array.
 	demoPollInterval = 200 * time.Millisecond
 )
 
-// demo is the demonstration of a cluster.
+// demo runs the demonstration on a local cluster.
 type demo struct {
 	cluster   *local.Cluster
 	client    *client.Client
 	startedAt time.Time
 }
 
-// printf prints a line with the time since the start.
+// printf prints a line that begins with the time since the start of the demonstration.
 func (d *demo) printf(format string, args ...any) {
 	fmt.Printf("%5.1f s  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// runDemo runs a small array of real commands and kills the leader in the middle.
+// runDemo runs one task, then a small array of real commands during which it kills the leader.
 func runDemo(ctx context.Context, cluster *local.Cluster, startedAt time.Time) error {
 	d := &demo{cluster: cluster, startedAt: startedAt}
 	d.printf("%d controllers, a state service and a cloud are up", len(cluster.Controllers))
@@ -57,14 +57,15 @@
 	if _, err := d.client.Submit(ctx, &job); err != nil {
 		return err
 	}
-	d.printf("%s: one task that says hello", job.ID)
+	d.printf("%s: one task that prints hello", job.ID)
 	if err := d.followJob(ctx, job.ID); err != nil {
 		return err
 	}
 	return d.printOutput(ctx, job.ID)
 }
 
-// runArray runs an array whose tasks each write a line, and kills the leader meanwhile.
+// runArray runs an array whose tasks each write a line to a file, kills the leader while the
+// array is running, and checks that every task has written its line.
 func (d *demo) runArray(ctx context.Context) error {
 	lines := filepath.Join(d.cluster.Dir(), "lines")
 	job := client.Job{
@@ -83,14 +84,15 @@
 	if err := d.cluster.Kill(leader); err != nil {
 		return err
 	}
-	d.printf("%s, the leader, was killed in the middle of it", leader)
+	d.printf("killed the leader, %s, while the array was running", leader)
 	if err := d.followJob(ctx, job.ID); err != nil {
 		return err
 	}
 	return d.checkLines(lines)
 }
 
-// waitHalfRunning waits until half of the array's tasks run, and returns the leader.
+// waitHalfRunning waits until at least half of the array's tasks are running and a leader is
+// known. It returns the leader's name.
 func (d *demo) waitHalfRunning(ctx context.Context, id string) (string, error) {
 	for {
 		status, err := d.client.Query(ctx, id)
@@ -122,13 +124,14 @@
 		tasks[task] = true
 	}
 	if len(tasks) != demoTasks {
-		return fmt.Errorf("%d of %d tasks have written their line", len(tasks), demoTasks)
+		return fmt.Errorf("%d of %d tasks of the array have written their line", len(tasks), demoTasks)
 	}
-	d.printf("%d tasks wrote %d lines; a task that was lost with the leader would have run again", len(tasks), len(lines))
+	d.printf("%d tasks wrote %d lines; a task that was lost with the leader would have been run again", len(tasks), len(lines))
 	return nil
 }
 
-// followJob says what becomes of a job until it is done.
+// followJob prints each change of a job's state until the job is over. It returns an error if the
+// job did not end as done.
 func (d *demo) followJob(ctx context.Context, id string) error {
 	last := ""
 	status, err := d.client.Wait(ctx, id, demoPollInterval, func(s *client.Status, err error) {
@@ -138,7 +141,7 @@
 		}
 	})
 	if err == nil && status.State != protocol.JobDone {
-		err = fmt.Errorf("%s was %s", id, status.State)
+		err = fmt.Errorf("%s ended in state %s, expected done", id, status.State)
 	}
 	return err
 }
@@ -163,7 +166,7 @@
 		if err != nil {
 			return err
 		}
-		d.printf("  it wrote: %s", strings.TrimSpace(string(text)))
+		d.printf("  output: %s", strings.TrimSpace(string(text)))
 	}
 	return nil
 }
--- a/cmd/chalkhubctl/jobs.go
+++ b/cmd/chalkhubctl/jobs.go
@@ -13,17 +13,18 @@
 	"github.com/chalkhub/chalkhub/client"
 )
 
-// maxReasonBytes is how much of a reason fits the list of jobs, in bytes.
+// maxReasonBytes is the length in bytes above which the list of jobs truncates a reason.
 const maxReasonBytes = 50
 
-// stateNotAccepted is the state of a job that was described and that no controller has.
+// stateNotAccepted is the state shown for a job whose description was uploaded but that no
+// controller knows.
 const stateNotAccepted = "not accepted"
 
 type statusCmd struct {
 	Job string `arg:"" help:"Job id."`
 }
 
-// Run shows a job.
+// Run shows a job's status, with the reason why it waits in the first line.
 func (c *statusCmd) Run(ctx context.Context, root *cli) error {
 	cluster, err := root.client()
 	if err != nil {
@@ -45,7 +46,7 @@
 	Jobs []string `arg:"" help:"Job ids."`
 }
 
-// Run cancels jobs.
+// Run cancels jobs one after another and stops at the first error.
 func (c *abortCmd) Run(ctx context.Context, root *cli) error {
 	cluster, err := root.client()
 	if err != nil {
@@ -55,7 +56,7 @@
 	for _, id := range c.Jobs {
 		s, err := cluster.Abort(ctx, id)
 		if err != nil {
-			return fmt.Errorf("%s: %w", id, err)
+			return fmt.Errorf("cannot cancel %s: %w", id, err)
 		}
 		statuses = append(statuses, s)
 	}
@@ -73,7 +74,8 @@
 	All     bool   `short:"a" help:"Every attempt, not only the newest of each task."`
 }
 
-// selectOutputs picks the attempts to show from those of a job, by task and attempt.
+// selectOutputs selects the attempts to show. The outputs must be sorted by task and then by
+// attempt.
 func (c *logsCmd) selectOutputs(outputs []client.Output) []client.Output {
 	var selected []client.Output
 	for i, o := range outputs {
@@ -87,7 +89,7 @@
 	return selected
 }
 
-// Run prints output, with a heading for each attempt if there are several.
+// Run prints the output of the selected attempts, with a heading for each if there are several.
 func (c *logsCmd) Run(ctx context.Context, root *cli) error {
 	cluster, err := root.client()
 	if err != nil {
@@ -99,7 +101,7 @@
 	}
 	selected := c.selectOutputs(outputs)
 	if len(selected) == 0 {
-		return exitError{exitNotFound, fmt.Errorf("%s has written nothing yet", c.Job)}
+		return exitError{exitNotFound, fmt.Errorf("%s has no output yet of the selected tasks and attempts", c.Job)}
 	}
 	if root.Output == "json" {
 		return root.print(selected, nil)
@@ -112,7 +114,7 @@
 		if len(selected) > 1 {
 			fmt.Printf("== task %d, attempt %d\n", o.Task, o.Attempt)
 		}
-		_, _ = os.Stdout.Write(text) // as fmt.Print
+		_, _ = os.Stdout.Write(text) // the error is ignored, as with fmt.Print
 		if len(text) > 0 && text[len(text)-1] != '\n' {
 			fmt.Println()
 		}
@@ -125,7 +127,8 @@
 	Team string `help:"Only this team's."`
 }
 
-// jobRow is a job in the list. Programs read it: its fields are in the order of their keys.
+// jobRow is a job in the list. It is part of the JSON output that programs read; its fields are in
+// alphabetical order of their keys.
 type jobRow struct {
 	Done      int       `json:"done"`
 	ID        string    `json:"id"`
@@ -137,7 +140,7 @@
 	Team      string    `json:"team"`
 }
 
-// Run lists jobs with their states.
+// Run lists the newest jobs with their states.
 func (c *jobsCmd) Run(ctx context.Context, root *cli) error {
 	cluster, err := root.client()
 	if err != nil {
@@ -150,7 +153,7 @@
 	return root.print(rows, func() { printJobs(rows) })
 }
 
-// list reads pages of jobs until there are enough of them.
+// list reads pages of jobs, newest first, until it has c.Most jobs that match or there are no more.
 func (c *jobsCmd) list(ctx context.Context, cluster *client.Client) ([]jobRow, error) {
 	var rows []jobRow
 	for skip, more := 0, true; more && len(rows) < c.Most; {
--- a/cmd/chalkhubctl/local.go
+++ b/cmd/chalkhubctl/local.go
@@ -26,16 +26,18 @@
 	Demo     bool   `help:"Run a small array of real commands, end the leader in the middle of it, then leave nothing behind."`
 }
 
-// controllerBuildPath is where the controller's program is built, in a tree of the sources.
+// controllerBuildPath is where the controller program is built, relative to the root of the source
+// tree.
 const controllerBuildPath = "target/chalkhub"
 
-// Why the controller's program can't be built.
+// Reasons why there is no controller program and none can be built.
 var (
-	errControllerNotFound = errors.New("the controller's program is not found: name it with --chalkhub, or run this in the folder of the sources")
-	errGoNotFound         = errors.New("the controller must be built first, which needs Go: install it, or name a built program with --chalkhub")
+	errControllerNotFound = errors.New("controller program not found: name it with --chalkhub, or run this command in the root of the source tree")
+	errGoNotFound         = errors.New("the controller must be built first, which needs Go: install Go, or name a built program with --chalkhub")
 )
 
-// findController finds the controller's program, or builds it in a tree of the sources.
+// findController returns the path of the controller program: the one named with --chalkhub, the
+// one next to this program, or the one in the source tree, which it builds if it is missing.
 func (c *localCmd) findController(ctx context.Context) (string, error) {
 	if c.Chalkhub != "" {
 		return filepath.Abs(c.Chalkhub)
@@ -56,7 +58,8 @@
 	return buildController(ctx)
 }
 
-// checkBuildable says what is missing to build the controller's program.
+// checkBuildable returns an error that names what is missing to build the controller program, or
+// nil if it can be built.
 func checkBuildable() error {
 	if _, err := os.Stat("cmd/chalkhub/main.go"); err != nil {
 		return errControllerNotFound
@@ -75,13 +78,14 @@
 	fmt.Fprintln(os.Stderr, "building "+controllerBuildPath)
 	cmd := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", controllerBuildPath, "./cmd/chalkhub")
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("the controller does not build: %s", strings.TrimSpace(string(out)))
+		return "", fmt.Errorf("building the controller failed: %s", strings.TrimSpace(string(out)))
 	}
 	return filepath.Abs(controllerBuildPath)
 }
 
-// chooseDir makes the directory of a demonstration, or checks that the one named is new or
-// to be kept.
+// chooseDir returns the absolute path of the cluster's directory. For the demonstration this is a
+// new temporary directory. Otherwise it is the one named with --folder, which must be missing or
+// empty unless --keep is given.
 func (c *localCmd) chooseDir() (string, error) {
 	if c.Demo {
 		dir, err := os.MkdirTemp("", "chalk-demo-")
@@ -91,12 +95,13 @@
 		return filepath.Abs(dir)
 	}
 	if entries, _ := os.ReadDir(c.Folder); len(entries) > 0 && !c.Keep {
-		return "", fmt.Errorf("%s is not empty: go on with what is in it with --keep, or choose another --folder", c.Folder)
+		return "", fmt.Errorf("%s is not empty: use --keep to continue with the data in it, or choose another --folder", c.Folder)
 	}
 	return filepath.Abs(c.Folder)
 }
 
-// Run runs a cluster until it is interrupted, or the demonstration.
+// Run runs a cluster until ctx ends, or the demonstration until it is over. Without --keep it
+// removes the cluster's directory at the end.
 func (c *localCmd) Run(ctx context.Context) (err error) {
 	startedAt := time.Now()
 	options := local.Options{PolicyFile: c.Policy, Logger: logging.New(os.Stderr)}
@@ -131,7 +136,7 @@
 		return runDemo(ctx, cluster, startedAt)
 	}
 	fmt.Printf("%d controllers are ready, in %s\n", len(cluster.Controllers), options.Dir)
-	fmt.Printf("  chalkhubctl --cluster %s submit -- echo hello\n  chalkhubctl --cluster %s top\nInterrupt to end it.\n", options.Dir, options.Dir)
+	fmt.Printf("  chalkhubctl --cluster %s submit -- echo hello\n  chalkhubctl --cluster %s top\nPress Ctrl-C to stop the cluster.\n", options.Dir, options.Dir)
 	cluster.Wait()
 	return nil
 }
--- a/cmd/chalkhubctl/main.go
+++ b/cmd/chalkhubctl/main.go
@@ -1,5 +1,5 @@
-// Command chalkhubctl is for the users and operators of chalkhub: it hands in jobs and shows
-// them, and it runs what a cluster needs beside its controllers.
+// Command chalkhubctl is the command line tool for users and operators of chalkhub. It submits and
+// shows jobs, and it runs the services that a cluster needs besides its controllers.
 package main
 
 import (
@@ -45,7 +45,7 @@
 	Version    kong.VersionFlag `help:"Print the version."`
 }
 
-// Exit codes that scripts can use; others are 1.
+// Exit codes for use in scripts. All other errors of the commands exit with 1.
 const (
 	exitMalformed  = 2
 	exitImpossible = 3
@@ -54,7 +54,7 @@
 	exitNotFound   = 6
 )
 
-// exitError is an error with its own exit code.
+// exitError is an error that sets the exit code of the process.
 type exitError struct {
 	code int
 	error
@@ -77,7 +77,8 @@
 	return 1
 }
 
-// addresses is where the cluster listens.
+// addresses returns the addresses given with --controllers and --depot, or without --controllers
+// those of the cluster named with --cluster.
 func (c *cli) addresses() (*local.Addresses, error) {
 	if len(c.Controllers) == 0 {
 		return local.ReadAddresses(c.Cluster)
@@ -101,7 +102,7 @@
 	var c cli
 	parser := kong.Must(&c, kong.Name("chalkhubctl"), kong.Description("Jobs and clusters of chalkhub."), kong.Vars{"version": version},
 		kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true, Summary: true}))
-	kongplete.Complete(parser) // ends here when a shell asks for completions
+	kongplete.Complete(parser) // exits the process if a shell asks for completions
 	k, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -27,8 +27,8 @@
 	Listen string `default:"127.0.0.1:9477" help:"Address that serves them."`
 }
 
-// statusCollector collects the controllers' status pages when it is asked, so that the
-// controllers themselves need no metrics library and keep no second set of counters.
+// statusCollector is a Prometheus collector that reads the controllers' status pages on each
+// scrape. The controllers therefore need no metrics library and keep no second set of counters.
 type statusCollector struct {
 	controllers []local.Controller
 }
@@ -54,10 +54,11 @@
 	startLatenciesDesc   = newDesc("task_wait_seconds", "Time from submission to start by urgency, on the leader.", "urgency")
 )
 
-// Describe lists nothing: what there is depends on the pages.
+// Describe sends no descriptors, because the set of metrics depends on the content of the status
+// pages.
 func (c *statusCollector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads all pages at once.
+// Collect reads the status pages of all controllers concurrently and sends their metrics.
 func (c *statusCollector) Collect(out chan<- prometheus.Metric) {
 	var wg sync.WaitGroup
 	for _, controller := range c.controllers {
@@ -66,8 +67,8 @@
 	wg.Wait()
 }
 
-// collectController reads a controller's page and sends what it says. Of what only the
-// leader knows, only the leader's page counts.
+// collectController reads a controller's status page and sends its metrics. It sends the
+// cluster-wide metrics only if the controller is the leader, because only the leader knows them.
 func collectController(controller local.Controller, out chan<- prometheus.Metric) {
 	m := controllerMetrics{label: controller.Label, out: out}
 	var status core.Status
@@ -82,7 +83,7 @@
 	}
 }
 
-// controllerMetrics sends metrics with a controller's label.
+// controllerMetrics sends metrics that carry a controller's label.
 type controllerMetrics struct {
 	label string
 	out   chan<- prometheus.Metric
@@ -108,7 +109,7 @@
 	m.gauge(desc, value)
 }
 
-// summary sends latencies, which pages give in milliseconds, in seconds.
+// summary sends latencies in seconds; status pages hold them in milliseconds.
 func (m *controllerMetrics) summary(desc *prometheus.Desc, s core.LatencySummary, labels ...string) {
 	quantiles := map[float64]float64{
 		0.5:  float64(s.P50) / 1000,
@@ -119,7 +120,8 @@
 	m.out <- prometheus.MustNewConstSummary(desc, uint64(s.Count), 0, quantiles, m.labels(labels)...)
 }
 
-// sendControllerMetrics sends what every controller knows of itself and of its own machines.
+// sendControllerMetrics sends what every controller knows about itself and the machines in its
+// shard.
 func (m *controllerMetrics) sendControllerMetrics(s *core.Status) {
 	m.gauge(epochDesc, float64(s.Epoch))
 	m.boolGauge(isLeaderDesc, s.Leader == s.Label)
@@ -142,7 +144,8 @@
 	m.summary(responseTimesDesc, s.ResponseTimes)
 }
 
-// sendClusterMetrics sends what the leader knows of the whole cluster.
+// sendClusterMetrics sends what only the leader knows about the whole cluster: waiting tasks, desired
+// CPUs, machines it has not seen yet, CPUs by team, and start latencies.
 func (m *controllerMetrics) sendClusterMetrics(s *core.Status) {
 	waiting := 0
 	for _, job := range s.Queue {
@@ -159,7 +162,7 @@
 	}
 }
 
-// metricsText is all metrics in the usual text format.
+// metricsText returns all metrics in the Prometheus text format.
 func (c *statusCollector) metricsText() ([]byte, error) {
 	registry := prometheus.NewRegistry()
 	if err := registry.Register(c); err != nil {
@@ -192,7 +195,7 @@
 	ctx.Response.SetBodyRaw(text)
 }
 
-// Run serves the metrics.
+// Run serves the controllers' metrics over HTTP at /metrics until ctx ends.
 func (c *metricsCmd) Run(ctx context.Context, root *cli) error {
 	addresses, err := root.addresses()
 	if err != nil {
--- a/cmd/chalkhubctl/output.go
+++ b/cmd/chalkhubctl/output.go
@@ -8,7 +8,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// print prints a value as JSON, or as text does for people.
+// print prints v as JSON with --output json; otherwise it calls text, which prints it for people.
 func (c *cli) print(v any, text func()) error {
 	if c.Output != "json" {
 		text()
@@ -21,7 +21,8 @@
 	return err
 }
 
-// newTable begins a table in the project's look.
+// newTable returns a table with the given column names in the style that all commands share. It
+// renders to standard output.
 func newTable(names ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(os.Stdout)
--- a/cmd/chalkhubctl/state.go
+++ b/cmd/chalkhubctl/state.go
@@ -21,10 +21,11 @@
 )
 
 const (
-	// snapshotCheckInterval is how often the service looks whether a snapshot is asked for.
+	// snapshotCheckInterval is how often the service checks whether a snapshot is requested or due.
 	snapshotCheckInterval = 500 * time.Millisecond
 
-	// snapshotPollInterval is how often the command that asks looks whether it was taken.
+	// snapshotPollInterval is how often the snapshot command checks whether the snapshot it
+	// requested has been taken.
 	snapshotPollInterval = 100 * time.Millisecond
 )
 
@@ -44,7 +45,7 @@
 	case f.Listen == "" || f.File == "":
 		return fmt.Errorf("%s: listen and file must be set", c.Config)
 	case !(f.Limits.RPS > 0 && f.Limits.WriteRPS > 0 && f.Limits.ValueKB > 0 && f.Limits.MaxTxnOps > 0):
-		return fmt.Errorf("%s: all limits must be above 0", c.Config)
+		return fmt.Errorf("%s: limits rps, write_rps, value_kb and txn_ops must all be above 0", c.Config)
 	case f.ArtifactsListen != "" && f.ArtifactsDir == "":
 		return fmt.Errorf("%s: depot_folder must be set with depot_listen", c.Config)
 	case (f.SnapshotEveryS > 0) != (f.SnapshotsKept > 0) || f.SnapshotEveryS > 0 && f.Snapshots == "":
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// Run runs the state service, and the artifact server beside it if it has an address.
+// Run runs the state service until ctx ends or a server fails. It also runs the artifact server if
+// an address is set for it, and takes snapshots if a directory is set for them.
 func (c *stateRunCmd) Run(ctx context.Context) error {
 	var f local.StateFile
 	if err := readJSON(c.Config, &f); err != nil {
@@ -68,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // each write was durable when it was answered
+	defer func() { _ = file.Close() }() // every write was durable before its response was sent
 	l, err := listen(f.Listen)
 	if err != nil {
 		return err
@@ -94,12 +96,12 @@
 	return g.Wait()
 }
 
-// openStateFile opens the state file; the error of a damaged one names the last good
+// openStateFile opens the state file. If the file is corrupt, the error names the newest valid
 // snapshot.
 func openStateFile(f *local.StateFile) (*kvfile.File, *kvstore.State, error) {
 	file, state, err := kvfile.Open(f.File)
 	if errors.Is(err, kvfile.ErrCorrupt) {
-		hint := "there is no snapshot that can be read"
+		hint := "there is no valid snapshot"
 		if path, last := kvfile.NewestValidSnapshot(f.Snapshots); path != "" {
 			hint = fmt.Sprintf("the last good snapshot is %s (revision %d): see `chalkhubctl state restore`, docs/state.md", path, last.Revision)
 		}
@@ -121,17 +123,17 @@
 	return nil
 }
 
-// snapshotRequestPath is a file whose appearance asks for a snapshot. A file needs no port
-// and no rights but those of the directory.
+// snapshotRequestPath returns the path of the file that requests a snapshot by its existence. A
+// file needs no port, and no permissions besides those on the directory.
 func snapshotRequestPath(dir string) string { return filepath.Join(dir, ".wanted") }
 
-// snapshotter takes snapshots at the settings' interval, and whenever one is asked for.
+// snapshotter takes snapshots at the interval in the settings, and whenever one is requested.
 type snapshotter struct {
 	settings     *local.StateFile
 	file         *kvfile.File
 	server       *kvserver.Server
 	log          *slog.Logger
-	lastAt       time.Time // of the last try
+	lastAt       time.Time // of the last attempt
 	lastRevision uint64    // of the last snapshot
 }
 
@@ -154,13 +156,14 @@
 	return err == nil
 }
 
-// due reports whether the interval is over and something has changed since.
+// due reports whether the interval has passed and the state has changed since the last snapshot.
 func (s *snapshotter) due() bool {
 	interval := config.Seconds(s.settings.SnapshotEveryS)
 	return interval > 0 && time.Since(s.lastAt) > interval && s.server.State().Revision != s.lastRevision
 }
 
-// takeSnapshot takes a snapshot. One that fails is tried again when it is due or still requested.
+// takeSnapshot takes a snapshot. After a failure it is attempted again once the next one is due, or
+// at the next check if it is still requested.
 func (s *snapshotter) takeSnapshot(requested bool) {
 	s.lastAt = time.Now()
 	path, state, err := s.file.TakeSnapshot(s.settings.Snapshots)
@@ -175,7 +178,7 @@
 		}
 	}
 	if requested {
-		_ = os.Remove(snapshotRequestPath(s.settings.Snapshots)) // one that stays asks for another snapshot
+		_ = os.Remove(snapshotRequestPath(s.settings.Snapshots)) // if this fails, the file requests another snapshot
 	}
 	s.log.Info("snapshot taken", "file", path, "revision", state.Revision, "keys", state.Len(), "took", time.Since(s.lastAt), "metrics", s.server.Metrics())
 }
@@ -185,7 +188,7 @@
 	Timeout time.Duration `default:"30s" help:"How long to wait for it."`
 }
 
-// Run asks the service for a snapshot and waits for it.
+// Run requests a snapshot from the service, waits until it is taken, and prints its path.
 func (c *stateSnapshotCmd) Run(ctx context.Context) error {
 	if err := os.WriteFile(snapshotRequestPath(c.Folder), nil, 0o600); err != nil {
 		return err
@@ -203,8 +206,8 @@
 			}
 		}
 	}
-	_ = os.Remove(snapshotRequestPath(c.Folder)) // whether it was there or not
-	return exitError{exitTimeout, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
+	_ = os.Remove(snapshotRequestPath(c.Folder)) // withdraws the request; the file may be missing
+	return exitError{exitTimeout, fmt.Errorf("no snapshot came within %v: perhaps no state service uses %s as its snapshot directory", c.Timeout, c.Folder)}
 }
 
 type stateRestoreCmd struct {
@@ -212,7 +215,7 @@
 	File     string `arg:"" help:"The state file."`
 }
 
-// Run restores a snapshot.
+// Run replaces the state file with a snapshot and prints where the previous file was moved.
 func (c *stateRestoreCmd) Run() error {
 	backup, s, err := kvfile.RestoreSnapshot(c.Snapshot, c.File)
 	if err != nil {
@@ -220,7 +223,7 @@
 	}
 	fmt.Printf("%s is at revision %d with %d keys\n", c.File, s.Revision, s.Len())
 	if backup != "" {
-		fmt.Println("the file that was there is now", backup)
+		fmt.Println("the previous state file is now", backup)
 	}
 	return nil
 }
@@ -229,12 +232,12 @@
 	File string `arg:"" help:"A state file that no service uses, or a snapshot."`
 }
 
-// Run verifies a file.
+// Run verifies every record of a state file or snapshot and prints a summary.
 func (c *stateVerifyCmd) Run() error {
 	s, err := kvfile.Verify(c.File)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("sound: revision %d, %d keys, %d leases, %d changes kept\n", s.Revision, s.Len(), len(s.LeaseTTLs()), len(s.Events()))
+	fmt.Printf("valid: revision %d, %d keys, %d leases, %d events retained\n", s.Revision, s.Len(), len(s.LeaseTTLs()), len(s.Events()))
 	return nil
 }
--- a/cmd/chalkhubctl/submit.go
+++ b/cmd/chalkhubctl/submit.go
@@ -13,17 +13,18 @@
 	"github.com/chalkhub/chalkhub/internal/schema"
 )
 
-// maxJobFile bounds a job file on standard input; the artifact server takes no more.
+// maxJobFile is the limit in bytes on a job file read from standard input. The artifact server
+// accepts no larger job description.
 const maxJobFile = 1 << 20
 
 //go:embed job.schema.json
 var jobSchema []byte
 
-// errNoCommand refuses a job that does nothing.
+// errNoCommand is returned for a job that has neither a command nor a time to simulate.
 var errNoCommand = errors.New("name a command to run, for example: chalkhubctl submit -- echo hello")
 
-// jobFields describes a job, in a file (yaml) and as flags of submit. What only one of them
-// has is marked for the other as absent.
+// jobFields describes a job, both as the content of a job file (yaml) and as flags of submit. A
+// field that only one of the two has is marked as absent, with "-", for the other.
 type jobFields struct {
 	ID         string            `yaml:"id" help:"Job id, job- and up to 18 digits; chosen if empty. The same id is the same job."`
 	Class      string            `yaml:"class" default:"default" help:"Class of jobs that it belongs to; run times are predicted from it."`
@@ -91,7 +92,8 @@
 	}
 }
 
-// readJob reads a job file over defaults; - is standard input.
+// readJob reads a job file, or standard input if path is "-". Fields that the file does not set keep
+// their values from defaults.
 func readJob(path string, defaults jobFields) (*jobFields, error) {
 	var b []byte
 	var err error
@@ -137,7 +139,7 @@
 	return fields.job(), nil
 }
 
-// Run submits the job.
+// Run submits the job and prints its id. With --wait it then waits until the job is over.
 func (c *submitCmd) Run(ctx context.Context, root *cli) error {
 	job, err := c.job()
 	if err != nil {
@@ -149,7 +151,7 @@
 	}
 	status, err := cluster.Submit(ctx, job)
 	if errors.Is(err, client.ErrNotNow) {
-		return fmt.Errorf("%w; it may have been taken: submit it again as --id %s", err, job.ID)
+		return fmt.Errorf("%w; the job may have been accepted: submit it again with --id %s", err, job.ID)
 	}
 	if err != nil {
 		return err
--- a/cmd/chalkhubctl/top.go
+++ b/cmd/chalkhubctl/top.go
@@ -14,18 +14,19 @@
 	"github.com/chalkhub/chalkhub/internal/local"
 )
 
-// minTopInterval keeps --every from loading the controllers.
+// minTopInterval is the lower limit of --every; it keeps frequent reads from loading the
+// controllers.
 const minTopInterval = 100 * time.Millisecond
 
-var errNoStatusAddress = errors.New("its status page's address is not known: use --cluster")
+var errNoStatusAddress = errors.New("status page address unknown: use --cluster")
 
 type topCmd struct {
 	Every time.Duration `default:"1s" help:"How often to look."`
 	Once  bool          `help:"Print one picture and end."`
 }
 
-// readControllers reads all controllers' status pages at once. Of each view, either err or
-// the rest is set.
+// readControllers reads the status pages of all controllers concurrently. It returns one view for
+// each controller, in the same order. Status is valid only in the views whose err is nil.
 func readControllers(controllers []local.Controller) []controllerView {
 	views := make([]controllerView, len(controllers))
 	var wg sync.WaitGroup
@@ -43,24 +44,25 @@
 	return views
 }
 
-// screen is a cluster's view on a terminal.
+// screen shows a cluster's view on a terminal and refreshes it at an interval.
 type screen struct {
 	clusterView
 	interval time.Duration
 }
 
-// Messages of the screen's loop.
+// Messages of the screen's event loop.
 type (
 	controllersReadMsg []controllerView
 	readDueMsg         struct{}
 )
 
-// Init begins with reading the controllers.
+// Init returns the command that reads the controllers' status pages.
 func (s *screen) Init() tea.Cmd {
 	return func() tea.Msg { return controllersReadMsg(readControllers(s.controllers)) }
 }
 
-// Update takes a key, a size or what was read.
+// Update handles a key press, a change of the window size, status pages that were read, and the end
+// of the refresh interval.
 func (s *screen) Update(message tea.Msg) (tea.Model, tea.Cmd) {
 	switch m := message.(type) {
 	case tea.KeyMsg:
@@ -79,10 +81,11 @@
 	return s, nil
 }
 
-// View draws the screen.
-func (s *screen) View() string { return s.render(time.Now()) + faintStyle.Render("q ends") }
+// View returns the text of the screen.
+func (s *screen) View() string { return s.render(time.Now()) + faintStyle.Render("q quits") }
 
-// Run watches the cluster.
+// Run shows the cluster on the terminal until the user quits or ctx ends. With --once, or if
+// standard output is not a terminal, it prints the view once.
 func (c *topCmd) Run(ctx context.Context, root *cli) error {
 	addresses, err := root.addresses()
 	if err != nil {
@@ -104,7 +107,7 @@
 	program := tea.NewProgram(&screen{view, max(c.Every, minTopInterval)}, tea.WithAltScreen(), tea.WithContext(ctx))
 	_, err = program.Run()
 	if errors.Is(err, tea.ErrProgramKilled) {
-		return nil // the context ended
+		return nil // ctx ended
 	}
 	return err
 }
--- a/cmd/chalkhubctl/top_view.go
+++ b/cmd/chalkhubctl/top_view.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// defaultWidth is used where the terminal's is not known.
+	// defaultWidth is the width in columns that is used if the terminal's width is not known.
 	defaultWidth = 80
 
-	// nearLimitFraction is the part of a team's limit from which the team is shown as at it.
+	// nearLimitFraction is the fraction of a team's limit above which the team is shown as having
+	// reached the limit.
 	nearLimitFraction = 0.99
 
-	// footerLines are kept free below the queue: for the number of jobs that aren't shown
-	// and the screen's own last line.
+	// footerLines is the number of lines kept free below the queue: one for the number of jobs
+	// that are not shown, and one for the last line of the screen.
 	footerLines = 2
 )
 
@@ -36,23 +37,25 @@
 	faintStyle  = lipgloss.NewStyle().Faint(true)
 )
 
-// controllerView is the last status page of a controller.
+// controllerView holds the last status page that was read from a controller.
 type controllerView struct {
 	status core.Status
-	readAt time.Time // zero: never read
-	err    error     // of the last try, nil: it answered
+	readAt time.Time // zero if never read
+	err    error     // of the last attempt to read it, nil if it succeeded
 }
 
-// clusterView is all that is known of a cluster, without any input or output.
+// clusterView holds all that is known about a cluster and renders it as text. It does no input or
+// output itself.
 type clusterView struct {
 	controllers []local.Controller
 	teams       map[string]config.Team // by name
 	views       []controllerView       // in the order of controllers
 	width       int
-	height      int // 0: any
+	height      int // 0 if not limited
 }
 
-// update takes what was read; a controller that did not answer keeps its last page.
+// update takes the results of a read, in the order of the controllers. A controller that could not
+// be read keeps its last status page.
 func (c *clusterView) update(results []controllerView) {
 	for i, v := range results {
 		c.views[i].err = v.err
@@ -62,7 +65,8 @@
 	}
 }
 
-// leader is the page of the leader with the newest epoch, nil if no page is a leader's.
+// leader returns the view with the newest epoch among the controllers that report themselves as
+// leader, or nil if there is none.
 func (c *clusterView) leader() *controllerView {
 	var newest *controllerView
 	for i := range c.views {
@@ -89,7 +93,7 @@
 	return "member"
 }
 
-// tasks is how many tasks are on the controller's machines.
+// tasks returns the number of tasks on the machines of the controller's shard.
 func (v *controllerView) tasks() int {
 	count := 0
 	for _, m := range v.status.Machines {
@@ -98,12 +102,12 @@
 	return count
 }
 
-// openJobs is how many jobs are neither done nor cancelled.
+// openJobs returns the number of jobs that are queued or running.
 func (v *controllerView) openJobs() int {
 	return v.status.Jobs[protocol.JobQueued] + v.status.Jobs[protocol.JobRunning]
 }
 
-// textView is lines of text, cut to the width of a terminal.
+// textView collects lines of text, each truncated to the width of the terminal.
 type textView struct {
 	text  strings.Builder
 	width int
@@ -120,7 +124,7 @@
 
 func age(now, then time.Time) string { return fmt.Sprintf("%.0f s ago", now.Sub(then).Seconds()) }
 
-// render draws the view for the width and height of the terminal.
+// render returns the view as text that fits the width and height of the terminal.
 func (c *clusterView) render(now time.Time) string {
 	t := &textView{width: c.width}
 	if t.width <= 0 {
@@ -132,14 +136,14 @@
 	t.blankLine()
 	leader := c.leader()
 	if leader == nil {
-		t.line(alertStyle, "no controller has said that it leads")
+		t.line(alertStyle, "no controller is known to be the leader")
 		return t.text.String()
 	}
 	if leader.err != nil {
-		t.line(alertStyle, "the leader is away; below is what it said %s", age(now, leader.readAt))
+		t.line(alertStyle, "the leader is unreachable; its status below was read %s", age(now, leader.readAt))
 	}
 	if leader.status.UnseenMachines > 0 {
-		t.line(alertStyle, "a take-over waits for %d machines", leader.status.UnseenMachines)
+		t.line(alertStyle, "a failover waits for %d machines", leader.status.UnseenMachines)
 	}
 	c.renderTeams(t, &leader.status)
 	t.blankLine()
@@ -152,12 +156,12 @@
 	for i, controller := range c.controllers {
 		v := &c.views[i]
 		if v.readAt.IsZero() {
-			t.line(alertStyle, "%-9s not seen yet: %v", controller.Label, v.err)
+			t.line(alertStyle, "%-9s no status received yet: %v", controller.Label, v.err)
 			continue
 		}
 		style, note := plainStyle, ""
 		if v.err != nil {
-			style, note = alertStyle, "away, seen "+age(now, v.readAt)
+			style, note = alertStyle, "last seen "+age(now, v.readAt)
 		}
 		t.line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", controller.Label, v.role(), v.status.Epoch, len(v.status.Machines),
 			v.tasks(), v.openJobs(), v.status.ResponseTimes.P50, v.status.ResponseTimes.P99, note)
@@ -179,7 +183,7 @@
 }
 
 func (c *clusterView) renderTeams(t *textView, leader *core.Status) {
-	t.line(headerStyle, "%-14s %9s %9s %9s   (%.0f CPUs wanted)", "team", "CPUs", "promised", "limit", leader.DesiredCPUs)
+	t.line(headerStyle, "%-14s %9s %9s %9s   (%.0f CPUs desired)", "team", "CPUs", "promised", "limit", leader.DesiredCPUs)
 	for _, name := range slices.Sorted(maps.Keys(leader.TeamCPUs)) {
 		used := leader.TeamCPUs[name]
 		style, promised, limit := plainStyle, "-", "-"
@@ -196,7 +200,7 @@
 	}
 }
 
-// renderQueue shows as many jobs as the height has room for, those with the most waiting
+// renderQueue shows as many of the queued jobs as fit into the height, those with the most waiting
 // tasks first.
 func (c *clusterView) renderQueue(t *textView, leader *core.Status) {
 	queue := slices.Clone(leader.Queue)
--- a/cmd/chalkhubctl/wait.go
+++ b/cmd/chalkhubctl/wait.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// defaultWaitInterval is how often submit --wait asks; it is that of wait --every.
+	// defaultWaitInterval is the poll interval of submit --wait. It equals the default of
+	// wait --every.
 	defaultWaitInterval = time.Second
 
-	// progressInterval is how often the progress bars are drawn; the last drawing comes
-	// within progressLinger.
+	// progressInterval is how often the progress bars are drawn. progressLinger is longer, so that
+	// the final state is drawn before the bars stop.
 	progressInterval = 200 * time.Millisecond
 	progressLinger   = 250 * time.Millisecond
 )
@@ -29,7 +30,8 @@
 	Every   time.Duration `default:"1s" help:"How often to ask."`
 }
 
-// Run waits for jobs.
+// Run waits until all given jobs are over. The exit code tells whether one was cancelled or the
+// timeout expired first.
 func (c *waitCmd) Run(ctx context.Context, root *cli) error {
 	cluster, err := root.client()
 	if err != nil {
@@ -40,12 +42,12 @@
 
 type waitOptions struct {
 	jobs     []string
-	timeout  time.Duration // 0: none
+	timeout  time.Duration // 0 if not limited
 	interval time.Duration
 }
 
-// waitForJobs waits for jobs one after another; progress goes to standard error where a
-// person looks.
+// waitForJobs waits for jobs one after another. It shows progress bars on standard error if that is
+// a terminal and the output format is not JSON.
 func waitForJobs(ctx context.Context, root *cli, cluster *client.Client, options waitOptions) error {
 	if options.timeout > 0 {
 		var cancel context.CancelFunc
@@ -63,7 +65,7 @@
 		bar := bars.add(id)
 		status, err := cluster.Wait(ctx, id, options.interval, bar.update)
 		if errors.Is(err, context.DeadlineExceeded) {
-			return exitError{exitTimeout, fmt.Errorf("%s is not over within %v", id, options.timeout)}
+			return exitError{exitTimeout, fmt.Errorf("%s did not finish within %v", id, options.timeout)}
 		}
 		if err != nil {
 			return err
@@ -78,13 +80,13 @@
 		}
 	})
 	if err == nil && cancelled {
-		return exitError{exitCancelled, errors.New("")} // the table has said it
+		return exitError{exitCancelled, errors.New("")} // the printed statuses already show it
 	}
 	return err
 }
 
-// progressBars are bars on standard error, one for each job. Those that were not started
-// draw nothing.
+// progressBars draws progress bars on standard error, one for each job. It draws nothing unless
+// start was called.
 type progressBars struct{ writer progress.Writer }
 
 func (b *progressBars) start() {
@@ -92,7 +94,7 @@
 	b.writer.SetOutputWriter(os.Stderr)
 	b.writer.SetUpdateFrequency(progressInterval)
 	b.writer.SetAutoStop(false)
-	go b.writer.Render() // until stop
+	go b.writer.Render() // returns after stop
 }
 
 func (b *progressBars) stop() {
@@ -109,10 +111,10 @@
 	return bar
 }
 
-// progressBar is one job's bar.
+// progressBar is the progress bar of one job.
 type progressBar struct {
 	job     string
-	tracker *progress.Tracker // nil: nothing is drawn
+	tracker *progress.Tracker // nil if nothing is drawn
 }
 
 func (b *progressBar) update(s *client.Status, err error) {
