--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -113,7 +113,7 @@
 // limitResources limits the process to one CPU core, and sets the Go runtime's memory limit to a
 // share of the memory in the settings.
 func limitResources(resources config.Resources) {
-	runtime.GOMAXPROCS(1) // the process is entitled to one core
+	runtime.GOMAXPROCS(1) // the process may use one core
 	debug.SetMemoryLimit(int64(resources.RAMMB * memoryLimitShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 }
--- a/cmd/chalkhubctl/submit.go
+++ b/cmd/chalkhubctl/submit.go
@@ -24,7 +24,7 @@
 var errNoCommand = errors.New("name a command to run, for example: chalkhubctl submit -- echo hello")
 
 // jobFields describes a job, both as the content of a job file (yaml) and as flags of submit. A
-// field that only one of the two has is marked as absent, with "-", for the other.
+// field that only one of the two has is excluded from the other with the tag "-".
 type jobFields struct {
 	ID         string            `yaml:"id" help:"Job id, job- and up to 18 digits; chosen if empty. The same id is the same job."`
 	Class      string            `yaml:"class" default:"default" help:"Class of jobs that it belongs to; run times are predicted from it."`
@@ -139,7 +139,7 @@
 	return fields.job(), nil
 }
 
-// Run submits the job and prints its id. With --wait it then waits until the job is over.
+// Run submits the job. With --wait it waits until the job is over, otherwise it prints the job's id.
 func (c *submitCmd) Run(ctx context.Context, root *cli) error {
 	job, err := c.job()
 	if err != nil {
