--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -9,38 +9,38 @@
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 )
 
-// ClassShare is how a class of a team fared.
-type ClassShare struct {
+// ClassProgress is how a class of a team fared.
+type ClassProgress struct {
 	Jobs                  int     // that count
 	Started               int     // those of them with a task that has been on a machine
 	Done                  int     // those of them of which all tasks have completed
 	SmallerHalfCPUSeconds float64 // CPU seconds that the smaller half of its jobs takes
 }
 
-// ClassShares counts the jobs that were handed in up to a moment, accepted and not cancelled, by
+// ClassProgress counts the jobs that were handed in up to a moment, accepted and not cancelled, by
 // team and class. Jobs that fail wherever they run can't be served and do not count.
-func (u *Users) ClassShares(until time.Duration) map[fairshare.Account]*ClassShare {
-	shares := map[fairshare.Account]*ClassShare{}
-	cpuSeconds := map[fairshare.Account][]float64{}
+func (u *Users) ClassProgress(until time.Duration) map[fairshare.Account]*ClassProgress {
+	classes := map[fairshare.Account]*ClassProgress{}
+	cpuSecondsByAccount := map[fairshare.Account][]float64{}
 	for _, job := range u.jobs {
 		if !job.Accepted || job.cancelRequested || job.FailsEverywhere || job.submittedAt > until {
 			continue
 		}
 		account := fairshare.Account{Team: job.Spec.Team, Class: job.Spec.Class}
-		if shares[account] == nil {
-			shares[account] = &ClassShare{}
+		if classes[account] == nil {
+			classes[account] = &ClassProgress{}
 		}
-		shares[account].add(job)
-		cpuSeconds[account] = append(cpuSeconds[account], float64(job.Spec.Tasks)*job.Spec.CPUs*job.RunS)
+		classes[account].count(job)
+		cpuSecondsByAccount[account] = append(cpuSecondsByAccount[account], float64(job.Spec.Tasks)*job.Spec.CPUs*job.RunS)
 	}
-	for account, amounts := range cpuSeconds {
-		shares[account].SmallerHalfCPUSeconds = smallerHalf(amounts)
+	for account, amounts := range cpuSecondsByAccount {
+		classes[account].SmallerHalfCPUSeconds = sumOfSmallerHalf(amounts)
 	}
-	return shares
+	return classes
 }
 
-// add counts a job.
-func (s *ClassShare) add(job *Job) {
+// count counts a job.
+func (s *ClassProgress) count(job *Job) {
 	s.Jobs++
 	if len(job.completed) > 0 || len(job.machines) > 0 {
 		s.Started++
@@ -50,8 +50,8 @@
 	}
 }
 
-// smallerHalf sorts amounts and sums up the smaller half of them.
-func smallerHalf(amounts []float64) (sum float64) {
+// sumOfSmallerHalf sorts amounts and sums up the smaller half of them.
+func sumOfSmallerHalf(amounts []float64) (sum float64) {
 	slices.Sort(amounts)
 	for _, amount := range amounts[:int(math.Ceil(float64(len(amounts))/2))] {
 		sum += amount
@@ -62,26 +62,26 @@
 // UnderservedClasses lists the classes of which less than half is done although the capacity
 // that their team could use, in CPU seconds, was enough for the smaller half of the jobs
 // of each of its classes. judged is of how many classes that is so.
-func (u *Users) UnderservedClasses(until time.Duration, capacity map[string]float64) (broken []fairshare.Account, judged int) {
-	shares := u.ClassShares(until)
-	needed := map[string]float64{} // by team
-	for account, share := range shares {
-		needed[account.Team] += share.SmallerHalfCPUSeconds
+func (u *Users) UnderservedClasses(until time.Duration, capacityByTeam map[string]float64) (underserved []fairshare.Account, evaluated int) {
+	classes := u.ClassProgress(until)
+	neededByTeam := map[string]float64{} // by team
+	for account, share := range classes {
+		neededByTeam[account.Team] += share.SmallerHalfCPUSeconds
 	}
-	for account, share := range shares {
-		if needed[account.Team] > capacity[account.Team] {
+	for account, share := range classes {
+		if neededByTeam[account.Team] > capacityByTeam[account.Team] {
 			continue
 		}
-		judged++
+		evaluated++
 		if 2*share.Done < share.Jobs {
-			broken = append(broken, account)
+			underserved = append(underserved, account)
 		}
 	}
-	slices.SortFunc(broken, func(a, b fairshare.Account) int {
+	slices.SortFunc(underserved, func(a, b fairshare.Account) int {
 		if order := strings.Compare(a.Team, b.Team); order != 0 {
 			return order
 		}
 		return strings.Compare(a.Class, b.Class)
 	})
-	return broken, judged
+	return underserved, evaluated
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -123,7 +123,7 @@
 	var err error
 	s.change(func(batch *kvstore.Batch) { id, err = batch.GrantLease(request.TTL.Milliseconds()) })
 	if err != nil {
-		s.checker.recordLeaseTTL(node, request.TTL)
+		s.checker.recordInvalidLeaseTTL(node, request.TTL)
 		return 0, core.LeaseRefused
 	}
 	s.armLease(id)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -170,7 +170,7 @@
 		w.tryNextNode()
 		return
 	}
-	w.cluster.retain(report)
+	w.cluster.retainHeartbeat(report)
 	call(w.cluster, w.Info.Name, node.Label, heartbeatTimeout, func(reply func(core.Reply)) {
 		node.Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, reply)
 	}, func(reply core.Reply) { w.handleHeartbeatReply(sent, reply) }, w.tryNextNode)
