--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -6,21 +6,25 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// maxIdleWait is how long a job may wait, once all faults are over, while one and the same
-// machine could take its next task all the time and its team is under its quota.
+// maxIdleWait is how long, once all faults are over, a job may wait without a start of any of its
+// tasks while one and the same machine could take its next task during all that time and its team
+// is under its quota.
 const maxIdleWait = 90 * time.Second
 
-// checkWaiting checks that a job which could start does not wait too long; it is called
-// before each poll of its user. Jobs that are not plain arrays are judged as follows:
+// checkWaiting checks that a job which could start does not wait longer than maxIdleWait. It is
+// called before each poll of the job's user. These cases are treated specially:
 //
-//   - A gang needs capacity for all of its tasks at once, within its zones' rule, so it waits
-//     for something unless the machines that could take one task could take all.
-//   - A job that keeps its tasks in one zone, or spreads them, may use the zones that its
-//     other tasks on machines at that moment leave it.
-//   - A job that depends on others waits for them until they are done.
-//   - A machine that was faulty may be in quarantine, one that hangs or will be taken back
-//     takes nothing, and a job that fails everywhere waits for its next try: none of these
-//     count. A machine that is in quarantine for such a job's sake does.
+//   - A gang needs capacity for all of its tasks at once, within its limits on zones. Machines
+//     that could take one of its tasks count only if together they could take all of them.
+//   - A job that keeps its tasks in one zone, or spreads them over zones, may use only the zones
+//     that the tasks that it has on machines at that moment still allow.
+//   - A job that depends on others may wait until they are done.
+//   - A job that fails everywhere is not checked, since it waits for its next retry.
+//   - A machine does not count if it is faulty or a task failed on it that would not have failed
+//     elsewhere, because it may be in quarantine. Nor does one that hangs, that cannot open
+//     connections to controllers, or that has received notice from the cloud, because none of
+//     these takes tasks. A machine does count if it is in quarantine only because tasks of
+//     jobs that fail everywhere have failed on it.
 func (c *checker) checkWaiting(job *Job) {
 	now, faultsOverAt := c.cluster.Now, c.cluster.Users.FaultsOverAt
 	if faultsOverAt == 0 || now < faultsOverAt || !c.couldStart(job) {
@@ -31,17 +35,18 @@
 	for name, since := range job.idleSince {
 		if now-max(since, job.lastStartAt) > maxIdleWait {
 			c.recordLeftWaiting(job, name, since)
-			job.lastStartAt = now // recorded once
+			job.lastStartAt = now // so that the violation is recorded only once
 			return
 		}
 	}
 }
 
-// idleMachines are the machines that could take a job's next task, and since when without
-// having taken any other.
+// idleMachines returns the machines that could take a job's next task, each with the time since
+// which it could have done so without taking any other task. For a gang it returns nil unless all
+// of its tasks fit at once.
 func (c *checker) idleMachines(job *Job) map[string]time.Duration {
 	idleSince := map[string]time.Duration{}
-	tasksInZone := map[string]int{} // that the machines could take
+	tasksInZone := map[string]int{} // number of the job's tasks that the machines could take
 	for name, worker := range c.cluster.Workers {
 		tasks := worker.fittingTasks(&job.Spec)
 		if tasks == 0 || !c.zoneAllowed(job, worker.Info.Zone) {
@@ -60,14 +65,19 @@
 	return idleSince
 }
 
+// recordLeftWaiting records that a job waits although a machine could have taken its next task at
+// any moment since the given one.
+// recordLeftWaiting records that a job waits although a machine could have taken its next task at
+// any moment since the given one.
 func (c *checker) recordLeftWaiting(job *Job, machineName string, since time.Duration) {
 	spec, machine := &job.Spec, c.cluster.Workers[machineName].Info
-	c.recordViolation(violationLeftWaiting, "%s (%s, %d tasks of %g CPUs, zone %q, one zone %v, spread %v, spot %v) is %s (%s); %s (%s in %s, spot %v) has had room for it since %.3f",
+	c.recordViolation(violationLeftWaiting, "job %s (%s, %d tasks of %g CPUs, zone %q, one zone %v, spread %v, spot %v) is %s (%s), but machine %s (%s in %s, spot %v) has had capacity for its next task since %.3f s",
 		spec.ID, spec.Kind, spec.Tasks, spec.CPUs, spec.Zone, spec.OneZone, spec.Spread, spec.AllowSpot, job.LastState, job.LastResponse.Reason,
 		machineName, machine.Type, machine.Zone, machine.Spot, since.Seconds())
 }
 
-// gangFits reports whether all tasks of a gang fit at once, given how many do in each zone.
+// gangFits reports whether all tasks of a gang fit at once, given how many of them the machines of
+// each zone could take.
 func gangFits(spec *protocol.Job, tasksInZone map[string]int) bool {
 	largest, total := 0, 0
 	for _, tasks := range tasksInZone {
@@ -79,8 +89,8 @@
 	return largest >= spec.Tasks || total >= spec.Tasks && !spec.OneZone
 }
 
-// couldStart reports whether a job has a task that may start now, as far as its user, its
-// team's quota and its dependencies go.
+// couldStart reports whether a job has a task that may start now. It considers the job's state,
+// its dependencies and its team's quota, but not whether a machine has capacity.
 func (c *checker) couldStart(job *Job) bool {
 	if !job.Accepted || job.FailsEverywhere || job.cancelRequested || isFinal(job.LastState) {
 		return false
@@ -104,7 +114,8 @@
 	return placed < job.Spec.Tasks
 }
 
-// quotaAllows reports whether the job's team may use as much more as the job starts at once.
+// quotaAllows reports whether the team's quota has enough left for what the job starts at once: all
+// tasks of a gang, one task of any other job.
 func (c *checker) quotaAllows(job *Job) bool {
 	spec, users := &job.Spec, c.cluster.Users
 	tasks := 1.0
@@ -120,7 +131,8 @@
 	return true
 }
 
-// zoneAllowed reports whether a job's next task may be in a zone, given its others.
+// zoneAllowed reports whether a job's next task may be in a zone, given the zones of its tasks that
+// are on machines.
 func (c *checker) zoneAllowed(job *Job, zone string) bool {
 	spec := &job.Spec
 	if spec.Zone != "" && spec.Zone != zone {
@@ -134,8 +146,9 @@
 	return (!spec.OneZone || here == total) && (!spec.Spread || here < maxSpreadTasksPerZone(spec))
 }
 
-// fittingTasks is how many tasks of a job the machine could take now, by its type, kind and
-// free capacity; none if it has a fault.
+// fittingTasks returns how many tasks of a job the machine could take now, given its type, kind
+// (spot or on-demand) and free capacity. It returns 0 if the machine has a fault or notice from
+// the cloud.
 func (w *Worker) fittingTasks(spec *protocol.Job) int {
 	faulty := w.Hung || w.Faulty || w.hardwareFailed || w.OutboundBlocked || w.NoticeS != nil
 	if faulty || !machineAllowed(spec, &w.Info) {
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -10,137 +10,147 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// violationKind names a rule of the protocol in a violation.
+// violationKind names the invariant that a violation breaks.
 type violationKind string
 
 const (
-	// ruleWentBack: done and cancelled exclude one another and are final, and only what a
-	// user cancelled, or what depends on it, is called cancelled.
+	// violationStateReverted: a job that was reported as done or cancelled is reported in another
+	// state, or a job is reported as cancelled although no user cancelled it or a job that it
+	// depends on.
 	violationStateReverted violationKind = "went_back"
-	// ruleNotDone: a job is called done only once all of its tasks are.
+	// violationPrematureDone: a job is reported as done before all of its tasks have completed.
 	violationPrematureDone violationKind = "not_done"
-	// ruleForgotten: an accepted job is known to every node, and questions are answered.
+	// violationJobLost: a node does not know an accepted job, or requests about it get no response.
 	violationJobLost violationKind = "forgotten"
-	// ruleInvented: no node knows a job that was never handed in.
+	// violationUnknownJobServed: a node reports the state of a job that was never submitted.
 	violationUnknownJobServed violationKind = "invented"
-	// ruleWronglyAccepted: a job that can't run is never accepted.
+	// violationInvalidJobAccepted: a job that cannot run is accepted.
 	violationInvalidJobAccepted violationKind = "wrongly_accepted"
-	// ruleOrphaned: a job that depends on a cancelled one ends soon after it.
+	// violationDependentOrphaned: a job that depends on a cancelled job is neither done nor cancelled
+	// when checker.cancelDeadline has passed since the confirmed cancellation.
 	violationDependentOrphaned violationKind = "orphaned"
-	// ruleRanTwice: a task is on one machine at a time.
+	// violationRanTwice: a task is on two machines at the same time.
 	violationRanTwice violationKind = "ran_twice"
-	// ruleRanCancelled: no task of a cancelled job runs after the deadline of its stops.
+	// violationRanAfterCancel: a task of a cancelled job is on a machine when checker.cancelDeadline has
+	// passed since the confirmed cancellation.
 	violationRanAfterCancel violationKind = "ran_cancelled"
-	// ruleTooEarly: a task starts only when all jobs that its own depends on are done.
+	// violationStartedTooEarly: a task starts before all tasks of the jobs that its job depends on have
+	// completed.
 	violationStartedTooEarly violationKind = "too_early"
-	// ruleWrongPlace: a task runs where its job's zone, types and kind of machine allow.
+	// violationWrongPlacement: a task is on a machine whose zone, type or kind (spot or on-demand)
+	// its job does not allow.
 	violationWrongPlacement violationKind = "wrong_place"
-	// ruleQuota: a team stays under its quota.
+	// violationQuotaExceeded: a team uses more than its quota.
 	violationQuotaExceeded violationKind = "quota"
-	// ruleLeftWaiting: see checkWaiting.
+	// violationLeftWaiting: a job that could start waits too long, see checkWaiting.
 	violationLeftWaiting violationKind = "left_waiting"
-	// ruleMalformed: the store is sent nothing that it can never accept.
+	// violationMalformedRequest: a node sends the store a request that the store can never accept.
 	violationMalformedRequest violationKind = "malformed"
 )
 
 const (
-	// maxTimeWithoutResponse is how long a job may go without an answer to any question about it
-	// once all faults are over.
+	// maxTimeWithoutResponse is how long, once all faults are over, every request about a job may
+	// remain without a response.
 	maxTimeWithoutResponse = 75 * time.Second
-	// quotaEpsilon is the rounding that a team's sum of CPUs or GPUs may have.
+	// quotaEpsilon is the rounding error allowed in the sum of a team's CPUs or GPUs.
 	quotaEpsilon = 1e-6
 )
 
-// checker checks that the rules of the protocol hold, from outside the controllers: it
-// compares what happens on machines with what users are told. It reads the simulation's
-// state, records violations and changes nothing but its own records of a Job; it draws no
-// random numbers and schedules nothing, so that a run goes the same way without it.
+// checker is the invariant checker. It works from outside the controllers: it compares what
+// happens on machines with the responses that users get. It reads the simulation's state and
+// records violations. It changes nothing but its own fields of a Job, draws no random numbers and
+// schedules no events, so a run takes the same course without it.
 type checker struct {
 	cluster *Cluster
 }
 
-// recordViolation notes that a rule was broken, and how.
+// recordViolation adds a violation with the current simulated time, its kind and a description.
 func (c *checker) recordViolation(kind violationKind, format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
 	violation := fmt.Sprintf("%.3f %s: %s", c.cluster.Now.Seconds(), kind, detail)
 	c.cluster.Violations = append(c.cluster.Violations, violation)
 }
 
-// recordLostJob notes that a node does not know an accepted job.
+// recordLostJob records that a node does not know an accepted job.
 func (c *checker) recordLostJob(jobID string, reply core.Reply) {
-	c.recordViolation(violationJobLost, "%s is answered %d", jobID, reply.Status)
+	c.recordViolation(violationJobLost, "accepted job %s: a query got status %d", jobID, reply.Status)
 }
 
-// cancelDeadline is how long a cancelled job's tasks may still run.
+// cancelDeadline is how long after the confirmed cancellation of a job its tasks may still run.
 func (c *checker) cancelDeadline() time.Duration {
 	return config.Seconds(c.cluster.Settings.Site.Workers.CancelS)
 }
 
-// checkAcceptance is called when a job is accepted.
+// checkAcceptance is called with the reply that accepts a job. It checks that the job can run.
 func (c *checker) checkAcceptance(job *Job, reply core.Reply) {
 	if job.MustBeRejected {
-		c.recordViolation(violationInvalidJobAccepted, "%s is answered %d", job.Spec.ID, reply.Status)
+		c.recordViolation(violationInvalidJobAccepted, "job %s cannot run, but was accepted with status %d", job.Spec.ID, reply.Status)
 	}
 }
 
-// checkFinalRejection is called when a job is rejected for good.
+// checkFinalRejection is called with a reply that rejects a job finally, so that its user does
+// not submit it again. It checks that the job was not accepted before.
 func (c *checker) checkFinalRejection(job *Job, reply core.Reply) {
 	if job.Accepted {
-		c.recordViolation(violationJobLost, "%s was accepted and then refused with %d", job.Spec.ID, reply.Status)
+		c.recordViolation(violationJobLost, "job %s was accepted and later rejected with status %d", job.Spec.ID, reply.Status)
 	}
 }
 
-// checkInvalidJobReply is called with a node's answer to a job that can't run.
+// checkInvalidJobReply is called with a node's reply to the submission of a job that cannot run.
+// The node may reject the job or ask for a retry.
 func (c *checker) checkInvalidJobReply(job *Job, node *Node, reply core.Reply) {
 	allowed := []core.ReplyStatus{core.ReplyInvalid, statusBadRequest, core.ReplyUnavailable}
 	if !slices.Contains(allowed, reply.Status) {
-		c.recordViolation(violationInvalidJobAccepted, "%s is answered %d by %s", job.Spec.ID, reply.Status, node.Label)
+		c.recordViolation(violationInvalidJobAccepted, "job %s cannot run, but got status %d from %s", job.Spec.ID, reply.Status, node.Label)
 	}
 }
 
-// checkLastResponse checks that some question about a job was answered lately.
+// checkLastResponse checks that some request about a job got a response within the last
+// maxTimeWithoutResponse.
 func (c *checker) checkLastResponse(job *Job) {
 	now, faultsOverAt := c.cluster.Now, c.cluster.Users.FaultsOverAt
 	if faultsOverAt == 0 || now-max(job.lastResponseAt, faultsOverAt) <= maxTimeWithoutResponse {
 		return
 	}
-	c.recordViolation(violationJobLost, "no question about %s has been answered since %.3f", job.Spec.ID, job.lastResponseAt.Seconds())
-	job.lastResponseAt = now // recorded once
+	c.recordViolation(violationJobLost, "no request about job %s has got a response since %.3f s", job.Spec.ID, job.lastResponseAt.Seconds())
+	job.lastResponseAt = now // so that the violation is recorded only once
 }
 
-// checkResponse checks what a node says of a job in answer to a question that was sent at
-// sentAt. It is called before the user takes the answer in. Done and cancelled exclude one
-// another whenever the question was sent. Any other state is stale if the question was sent
-// after the first final answer had come, whichever node gave that.
+// checkResponse checks a node's response about a job to a request that was sent at sentAt. It is
+// called before the user records the response. After the first response with a final state, the
+// other final state is a violation whenever the request was sent. A state that is not final is a
+// violation if the request was sent after that first response had arrived, whichever node sent it.
 func (c *checker) checkResponse(job *Job, response protocol.JobResponse, sentAt time.Duration) {
 	id, final := job.Spec.ID, isFinal(response.State)
 	if isFinal(job.LastState) && response.State != job.LastState && (final || sentAt > job.finalAt) {
-		c.recordViolation(violationStateReverted, "%s was %s at %.3f and is called %s, asked at %.3f",
+		c.recordViolation(violationStateReverted, "job %s was reported %s at %.3f s, and is reported %s in response to a request sent at %.3f s",
 			id, job.LastState, job.finalAt.Seconds(), response.State, sentAt.Seconds())
 	}
 	dependency := c.cancelledDependency(job)
 	if dependency != nil && dependency.CancelConfirmedAt > 0 && sentAt > dependency.CancelConfirmedAt+c.cancelDeadline() && !final {
-		c.recordViolation(violationDependentOrphaned, "%s is called %s long after %s was cancelled", id, response.State, dependency.Spec.ID)
+		c.recordViolation(violationDependentOrphaned, "job %s is reported %s after the cancellation deadline of %s, which it depends on", id, response.State, dependency.Spec.ID)
 	}
 	if response.State == protocol.JobCancelled && !job.cancelRequested && dependency == nil {
-		c.recordViolation(violationStateReverted, "%s is called cancelled, nobody cancelled it or one that it needs", id)
+		c.recordViolation(violationStateReverted, "job %s is reported cancelled, but no user cancelled it or a job that it depends on", id)
 	}
 	if response.State == protocol.JobDone && len(job.completed) < job.Spec.Tasks {
-		c.recordViolation(violationPrematureDone, "%s is called done with %d of %d tasks", id, len(job.completed), job.Spec.Tasks)
+		c.recordViolation(violationPrematureDone, "job %s is reported done, but %d of %d tasks have completed", id, len(job.completed), job.Spec.Tasks)
 	}
 }
 
-// checkNoTaskRuns is called at the deadline after a job's user was told that it is cancelled.
-// Tasks on hung machines count too: these may resume.
+// checkNoTaskRuns is called when cancelDeadline has passed since a job's user got the confirmation
+// that it is cancelled. It checks that no task of the job is on a machine. Hung machines count
+// too, because they may resume and run the task on.
 func (c *checker) checkNoTaskRuns(job *Job) {
 	for task, machine := range job.machines {
-		c.recordViolation(violationRanAfterCancel, "%s is still on %s", task, machine)
+		c.recordViolation(violationRanAfterCancel, "task %s of a cancelled job is still on %s", task, machine)
 	}
 }
 
-// cancelledDependency is a job that this one needs, directly or through others, and whose
-// user has asked to cancel it; one whose user was told that it is cancelled, if there is one.
-// A dependency that was done all the same does not count.
+// cancelledDependency returns a job that the given job depends on, directly or indirectly, and
+// whose user has requested its cancellation. It prefers one whose cancellation is confirmed, and
+// returns nil if there is none. A dependency that was reported as done in spite of the request
+// does not count, nor do the jobs that it depends on.
 func (c *checker) cancelledDependency(job *Job) (found *Job) {
 	seen := map[string]bool{}
 	for pending := slices.Clone(job.Spec.Dependencies); len(pending) > 0; {
@@ -159,8 +169,8 @@
 	return found
 }
 
-// incompleteDependencies are the jobs that this one needs directly and that have not
-// completed all of their tasks.
+// incompleteDependencies returns the jobs that the given job depends on directly and of which not
+// all tasks have completed.
 func (c *checker) incompleteDependencies(job *Job) (incomplete []*Job) {
 	for _, id := range job.Spec.Dependencies {
 		dependency := c.cluster.Users.jobs[id]
@@ -171,22 +181,24 @@
 	return incomplete
 }
 
-// checkStart is called just before a task counts as being on its machine.
+// checkStart checks the start of a task. It is called just before the task counts as being on its
+// machine.
 func (c *checker) checkStart(worker *Worker, task *Task) {
 	job := task.job
 	if machine, ok := job.machines[task.Name]; ok {
-		c.recordViolation(violationRanTwice, "%s starts on %s while it is on %s", task.Name, worker.Info.Name, machine)
+		c.recordViolation(violationRanTwice, "task %s starts on %s while it is on %s", task.Name, worker.Info.Name, machine)
 	}
 	if job.CancelConfirmedAt > 0 && c.cluster.Now > job.CancelConfirmedAt+c.cancelDeadline() {
-		c.recordViolation(violationRanAfterCancel, "%s starts", task.Name)
+		c.recordViolation(violationRanAfterCancel, "task %s starts after the cancellation deadline of its job", task.Name)
 	}
 	for _, dependency := range c.incompleteDependencies(job) {
-		c.recordViolation(violationStartedTooEarly, "%s starts while %s has %d of %d tasks done",
+		c.recordViolation(violationStartedTooEarly, "task %s starts while %s, which its job depends on, has completed %d of %d tasks",
 			task.Name, dependency.Spec.ID, len(dependency.completed), dependency.Spec.Tasks)
 	}
 }
 
-// checkPlacement checks that a task may be on its machine.
+// checkPlacement checks that a task's job allows the machine that the task is on. The task must
+// already count as being on it.
 func (c *checker) checkPlacement(worker *Worker, task *Task) {
 	spec, machine := &task.job.Spec, &worker.Info
 	allowed := machineAllowed(spec, machine) && (spec.Zone == "" || spec.Zone == machine.Zone)
@@ -195,20 +207,22 @@
 		allowed = false
 	}
 	if !allowed {
-		c.recordViolation(violationWrongPlacement, "%s on %s (%s, %s, spot %v)", task.Name, machine.Name, machine.Type, machine.Zone, machine.Spot)
+		c.recordViolation(violationWrongPlacement, "task %s is on %s (type %s, zone %s, spot %v), which its job does not allow", task.Name, machine.Name, machine.Type, machine.Zone, machine.Spot)
 	}
 }
 
-// machineAllowed reports whether a job allows a machine, by its type and kind.
+// machineAllowed reports whether a job allows a machine by its type and kind (spot or on-demand).
+// It does not look at the zone.
 func machineAllowed(spec *protocol.Job, machine *protocol.Instance) bool {
 	typeAllowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, machine.Type)
 	return typeAllowed && (spec.AllowSpot || !machine.Spot)
 }
 
-// maxSpreadTasksPerZone is how many tasks of a job that spreads them may be in one zone.
+// maxSpreadTasksPerZone is how many tasks of a job that spreads them over zones may be in one
+// zone: half of them, rounded up.
 func maxSpreadTasksPerZone(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
 
-// tasksByZone counts a job's tasks that are on machines.
+// tasksByZone counts a job's tasks that are on machines, by zone.
 func (c *checker) tasksByZone(job *Job) map[string]int {
 	tasks := map[string]int{}
 	for _, machine := range job.machines {
@@ -235,15 +249,15 @@
 	}
 }
 
-// recordMalformed notes what is wrong with a transaction that the store rejects.
-// Nodes of the previous version do not know the limits to come and are let off.
+// recordMalformed records which limit a transaction exceeds that the store rejects. Nodes of the
+// previous version are exempt, because that version does not know the announced lower limits.
 func (c *checker) recordMalformed(node string, previousVersion bool, fault string) {
 	if !previousVersion {
-		c.recordViolation(violationMalformedRequest, "%s sends the state service %s", node, fault)
+		c.recordViolation(violationMalformedRequest, "%s sent the state service %s", node, fault)
 	}
 }
 
-// recordInvalidLeaseTTL notes that the store rejects the duration of a lease.
+// recordInvalidLeaseTTL records that the store rejected the duration of a lease.
 func (c *checker) recordInvalidLeaseTTL(node string, ttl time.Duration) {
-	c.recordViolation(violationMalformedRequest, "%s asks for a lease of %v", node, ttl)
+	c.recordViolation(violationMalformedRequest, "%s requested a lease of %v", node, ttl)
 }
