--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -12,41 +12,43 @@
 )
 
 const (
-	// machinePrefix begins the names of all machines.
+	// machinePrefix is the prefix of the names of all machines.
 	machinePrefix = "n-"
-	// cloudPageSize is the largest number of instances in one page of a list.
+	// cloudPageSize is the maximum number of instances in one page of the list of instances.
 	cloudPageSize = 500
-	// cloudBurstSeconds is how many seconds' worth of calls may come at once.
+	// cloudBurstSeconds is the burst that the limit of calls a second allows, in seconds' worth of
+	// calls.
 	cloudBurstSeconds = 2
-	// minBootFactor and bootFactorSpread bound how long a boot takes, as a share of what the
-	// machine type says.
+	// minBootFactor and bootFactorSpread bound how long a boot takes, as a share of the machine type's
+	// boot time: from minBootFactor to minBootFactor + bootFactorSpread.
 	minBootFactor    = 0.6
 	bootFactorSpread = 0.9
-	// maxInstantBoot is how long a boot takes at most if boots are switched to be instant.
+	// maxInstantBoot is the upper bound of a boot's duration if CloudFaults.InstantBoot is set.
 	maxInstantBoot = 2 * time.Second
 )
 
-// Cloud rents machines. What it lists lags behind.
+// Cloud is the simulated cloud, which rents machines. Its list of instances lags behind their
+// actual state by the setting list_lag_s.
 type Cloud struct {
 	CloudFaults
 
 	Created   int // machines created on request
-	Deleted   int // machines deleted, on request or by the cloud itself
-	Throttled int // calls above the limit
+	Deleted   int // machines deleted, on request of a controller or by the cloud itself
+	Throttled int // calls refused because they were above the limit
 
 	cluster           *Cluster
 	types             []protocol.MachineType
-	machines          map[string]*machine // by name, deleted ones too
-	namesByRequest    map[string][]string // names of the machines created, by the request's id
-	lastMachineNumber int                 // number of the machine created last
+	machines          map[string]*machine // by name, including deleted ones
+	namesByRequest    map[string][]string // names of the machines created for a request, by its ID
+	lastMachineNumber int                 // number in the name of the machine created last
 	callBucket        leakyBucket
 }
 
-// machine is an instance and its lifetime.
+// machine is an instance with the times of its creation and deletion.
 type machine struct {
 	protocol.Instance
 	createdAt time.Duration
-	deletedAt time.Duration // 0: it exists
+	deletedAt time.Duration // 0: not deleted
 }
 
 func newCloud(cluster *Cluster, types []protocol.MachineType) *Cloud {
@@ -56,7 +58,7 @@
 	}
 }
 
-// Type is the machine type of that name, nil: there is none.
+// Type returns the machine type of the given name, or nil if there is none.
 func (c *Cloud) Type(name string) *protocol.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
@@ -66,7 +68,8 @@
 	return nil
 }
 
-// AddRunning creates a running machine that nobody asked for, and returns its name.
+// AddRunning creates a machine that runs at once, without a request of a controller, and returns its
+// name.
 func (c *Cloud) AddRunning(machineType, zone string, spot bool) string {
 	name := c.addBooting(machineType, zone, spot)
 	c.finishBoot(name)
@@ -90,8 +93,8 @@
 	c.cluster.Workers[name] = newWorker(c.cluster, booted.Instance)
 }
 
-// createInstances creates the machines of a request, fewer if there are not enough. The same
-// request gets the same answer again.
+// createInstances creates the machines of a request, or fewer if the capacity is not sufficient. It
+// is idempotent: a repeated request that created machines gets their names again.
 func (c *Cloud) createInstances(request protocol.CreateMachinesRequest) ([]string, core.CloudOutcome) {
 	if names := c.namesByRequest[request.RequestID]; names != nil {
 		return names, core.CloudDone
@@ -118,7 +121,8 @@
 	return names, core.CloudDone
 }
 
-// availableCount is how many of the machines of a request there are.
+// availableCount returns how many of the requested machines can be created within the capacity of
+// their type and zone. The result is not positive if none can.
 func (c *Cloud) availableCount(request protocol.CreateMachinesRequest) int {
 	count := request.Count
 	for _, pool := range []string{request.Type, request.Type + " " + request.Zone} {
@@ -137,7 +141,7 @@
 	return count
 }
 
-// drawBootDuration draws how long a machine boots.
+// drawBootDuration draws at random how long a machine of the given type boots.
 func (c *Cloud) drawBootDuration(machineType string) time.Duration {
 	factor := minBootFactor + bootFactorSpread*c.cluster.Rand.Float64()
 	boot := config.Seconds(c.Type(machineType).BootS * factor * max(c.BootFactor, 1))
@@ -147,7 +151,8 @@
 	return boot
 }
 
-// Remove deletes machines without a notice.
+// Remove deletes machines at once, without notice to their workers. It ignores names of machines
+// that do not exist.
 func (c *Cloud) Remove(names ...string) {
 	for _, name := range names {
 		removed := c.machines[name]
@@ -170,8 +175,8 @@
 	return core.DeleteInstancesResult{Names: names, Outcome: outcome}
 }
 
-// admit gives the outcome of a call that is not served, in an outage or above the limit, and
-// CloudDone if it is served.
+// admit decides whether a call is served. It returns CloudUnavailable in an outage, CloudThrottled
+// if the call is above the limit, and CloudDone if it is served.
 func (c *Cloud) admit() core.CloudOutcome {
 	if c.Down {
 		return core.CloudUnavailable
@@ -192,8 +197,8 @@
 	return core.MachineTypesResult{Outcome: core.CloudDone, Response: protocol.MachineTypes{Types: c.types}}
 }
 
-// list gives a page of the machines, those with names after the given one, as they were a
-// while ago.
+// list returns a page of the instances whose names sort after the given one. The list shows which
+// instances existed list_lag_s ago.
 func (c *Cloud) list(after string) core.ListInstancesResult {
 	if outcome := c.admit(); outcome != core.CloudDone {
 		return core.ListInstancesResult{Outcome: outcome}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -11,20 +11,23 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-// NetworkFaults are the faults of the whole network. Those of single paths are set with
+// NetworkFaults are the faults of the whole network. Faults of single paths are set with
 // Cluster.SetLink.
 type NetworkFaults struct {
-	// Latency is the usual one-way latency.
+	// Latency is the mean one-way latency; that of each packet is between half of it and one and a
+	// half.
 	Latency time.Duration
-	// PeerLatency is added to every message between controllers, as by a busy node that is
-	// slow to read.
+	// PeerLatency is added to the latency of every message between controllers. It simulates busy
+	// nodes that are slow to read their messages.
 	PeerLatency time.Duration
-	// PeersRefuseConnections makes controllers refuse one another's new connections.
+	// PeersRefuseConnections makes controllers refuse new connections from each other.
 	PeersRefuseConnections bool
-	// Loss is the share of calls whose request or answer is lost, each by itself.
+	// Loss is the share of requests that are lost, and independently that of responses. Messages
+	// between controllers are not lost by it.
 	Loss float64
-	// DuplicateShare is the share of requests that arrive a second time, up to MaxDuplicateDelay
-	// after the first.
+	// DuplicateShare is the share of requests that arrive twice. The duplicate arrives twice the
+	// Latency plus a random time of at most MaxDuplicateDelay after the request was sent, and its
+	// response is dropped.
 	DuplicateShare    float64
 	MaxDuplicateDelay time.Duration
 }
@@ -33,20 +36,22 @@
 type StoreFaults struct {
 	// Down is an outage: every request is refused.
 	Down bool
-	// RefusedNodes are nodes whose requests alone are refused.
+	// RefusedNodes are the nodes whose requests are refused while those of the others are served.
 	RefusedNodes map[string]bool
-	// CompactedNodes are nodes whose next watch is told that its revision has been compacted.
+	// CompactedNodes are the nodes whose next watch gets the response that its revision has been
+	// compacted.
 	CompactedNodes map[string]bool
-	// DelayedCommitShare is the share of transactions that get no answer and are applied
-	// from MinCommitDelay up to MaxCommitDelay afterwards, at once if MaxCommitDelay is 0.
+	// DelayedCommitShare is the share of transactions that get no response and are applied between
+	// MinCommitDelay and MaxCommitDelay later, or at once if MaxCommitDelay is 0.
 	DelayedCommitShare float64
 	MinCommitDelay     time.Duration
 	MaxCommitDelay     time.Duration
-	// DelayedCommitPrefix limits that to transactions that change a key with this prefix, empty: all.
+	// DelayedCommitPrefix limits DelayedCommitShare to transactions that change a key with this
+	// prefix, empty: to all that change a key.
 	DelayedCommitPrefix string
-	// ResponseDelay is added to the time that every answer takes.
+	// ResponseDelay is added to the response time of every request.
 	ResponseDelay time.Duration
-	// LimitsLowered puts the announced lower limits in force.
+	// LimitsLowered makes the store enforce the lower limits that the settings announce.
 	LimitsLowered bool
 }
 
@@ -54,40 +59,43 @@
 type CloudFaults struct {
 	// Down is an outage: every request is refused.
 	Down bool
-	// Capacity is how many machines there are of a type, or of a type in a zone ("box a");
-	// absent: any number.
+	// Capacity is how many machines can exist at the same time, by type ("box") or by type and zone
+	// ("box a"). Those without an entry are not limited.
 	Capacity map[string]int
-	// StuckBoots is how many of the next machines that are created stay booting for ever.
+	// StuckBoots is how many of the machines created next on request never finish booting.
 	StuckBoots int
-	// BootFactor is the factor by which boots are slower, 0: none.
+	// BootFactor is the factor by which boots take longer; below 1 it has no effect.
 	BootFactor float64
-	// InstantBoot has machines run within two seconds.
+	// InstantBoot makes machines finish booting within two seconds.
 	InstantBoot bool
 }
 
 // WorkerFaults are the faults of a machine and its worker.
 type WorkerFaults struct {
-	// Faulty makes every task fail that it starts.
+	// Faulty makes every task fail that the worker starts.
 	Faulty bool
-	// Hung makes it do nothing until it resumes; its lease expires all the same.
+	// Hung makes the worker do nothing until it resumes. Its lease expires nevertheless.
 	Hung bool
-	// OutboundBlocked makes it open no connection to a controller, while it still serves theirs.
+	// OutboundBlocked keeps the worker from opening connections to controllers. It still serves the
+	// connections that controllers open.
 	OutboundBlocked bool
-	// SlowFactor is the factor by which its tasks take longer, 0: none.
+	// SlowFactor is the factor by which the worker's tasks take longer; below 1 it has no effect.
 	SlowFactor float64
-	// NoticeS is the notice, in seconds, of the cloud that takes it back, nil: none.
+	// NoticeS is the notice, in seconds, that the cloud gave before it terminates the machine, nil:
+	// it gave none.
 	NoticeS *float64
 }
 
 // retainedHeartbeatDelaysMS are the times after a change of the leader at which retained heartbeats
-// arrive, in milliseconds. They arrive again and again while the new leader takes over, for
-// it reads no heartbeat until it knows which machines are its own.
+// are sent, in milliseconds. They are sent several times while the new leader takes over, because
+// it does not process heartbeats until it knows which machines belong to it.
 var retainedHeartbeatDelaysMS = []time.Duration{0, 60, 130, 250, 500, 1000, 2000}
 
-// leaderPollInterval is how often the retained heartbeats' release polls for a new leader.
+// leaderPollInterval is how often releaseHeartbeatsAtFailover checks for a new leader.
 const leaderPollInterval = 5 * time.Millisecond
 
-// retainHeartbeat keeps a heartbeat for the next leader, if that is switched on.
+// retainHeartbeat keeps the first heartbeat of each machine for delivery after the next failover, if
+// RetainHeartbeats is set. The worker sends it as usual too.
 func (c *Cluster) retainHeartbeat(report protocol.Heartbeat) {
 	if _, retained := c.retainedHeartbeats[report.Machine]; retained || !c.RetainHeartbeats {
 		return
@@ -99,8 +107,8 @@
 	c.retainedHeartbeats[report.Machine] = report
 }
 
-// releaseHeartbeatsAtFailover delivers the retained heartbeats to all controllers, with latencies that
-// mix their order, once another process leads.
+// releaseHeartbeatsAtFailover waits until another process leads and then delivers the retained
+// heartbeats to all controllers, with latencies that change their order.
 func (c *Cluster) releaseHeartbeatsAtFailover() {
 	leader := c.currentLeader()
 	if leader == "" || leader == c.lastLeader {
@@ -124,8 +132,8 @@
 	}
 }
 
-// Partition partitions two endpoints from one another. With hold, packets are kept and delivered
-// when the partition is healed.
+// Partition cuts the network between two endpoints in both directions. If hold is set, packets are
+// kept and delivered when the partition is healed; otherwise they are lost.
 func (c *Cluster) Partition(a, b string, hold bool) {
 	if hold {
 		c.SetLinks(a, b, Held)
@@ -134,24 +142,27 @@
 	}
 }
 
-// Heal heals a partition and lets held packets go, in order.
+// Heal ends a partition of two endpoints and delivers the packets that it held, in the order in
+// which they were sent.
 func (c *Cluster) Heal(a, b string) { c.SetLinks(a, b, Link{}) }
 
-// PartitionZone partitions a zone from the rest or, if other names a zone, from that one. The
-// regional services are in no zone.
+// PartitionZone partitions a zone from the zone other or, if other is empty, from everything
+// outside the zone. That includes the regional services, which are in no zone.
 func (c *Cluster) PartitionZone(zone, other string, hold bool) {
 	c.Partition(zoneEndpoint(zone), zoneEndpoint(other), hold)
 }
 
-// HealZone heals such a partition.
+// HealZone ends a partition made by PartitionZone with the same zones.
 func (c *Cluster) HealZone(zone, other string) { c.Heal(zoneEndpoint(zone), zoneEndpoint(other)) }
 
-// ForceStart makes the worker start a task that nobody commanded, for tests of the checker.
+// ForceStart makes the worker start an attempt that no controller commanded, for tests of the
+// checker.
 func (w *Worker) ForceStart(task string, attempt uint64) {
 	w.execute([]protocol.Command{{Kind: protocol.CommandStart, Task: task, Attempt: attempt}})
 }
 
-// Reclaim has the cloud take the machine back after a notice, or with none.
+// Reclaim makes the cloud delete the machine when the period of notice has passed. If notice is 0,
+// the cloud deletes it without notice.
 func (w *Worker) Reclaim(notice time.Duration) {
 	if notice > 0 {
 		seconds := notice.Seconds()
@@ -161,8 +172,8 @@
 	w.cluster.After(notice, func() { w.cluster.Cloud.Remove(w.Info.Name) })
 }
 
-// Outage makes the store refuse everybody for a while; leases are frozen and have their full
-// time afterwards.
+// Outage makes the store refuse all requests for the given duration. No lease expires during the
+// outage, and every lease has its full duration again when it ends.
 func (s *Store) Outage(duration time.Duration) {
 	s.Down = true
 	s.cluster.After(duration, func() {
@@ -174,24 +185,24 @@
 	})
 }
 
-// DeleteKey removes a key without the knowledge of any controller.
+// DeleteKey deletes a key directly in the store, without a request of a controller.
 func (s *Store) DeleteKey(key string) {
 	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
 }
 
-// ReopenJob puts a job back to where it was when it was accepted, without the knowledge of any
-// controller.
+// ReopenJob writes the record of a just accepted job directly into the store, without a request of a
+// controller. A job that was done is then queued again.
 func (s *Store) ReopenJob(spec protocol.Job) {
 	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
 }
 
-// queuedRecord is the record of a job that was just accepted.
+// queuedRecord returns the record of a job that was just accepted.
 func queuedRecord(spec protocol.Job) records.Job {
 	return records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: wallClockOffset}
 }
 
-// Pause pauses the process without ending it: the effects that it was about to perform
-// are performed when it resumes, and commands pile up meanwhile.
+// Pause pauses the process for the given duration without ending it. The effects that it was about
+// to perform are performed when it resumes, and commands that arrive during the pause are queued.
 func (n *Node) Pause(duration time.Duration) {
 	n.paused = true
 	n.cluster.After(duration, n.ifSameProcess(func() {
@@ -204,7 +215,8 @@
 	}))
 }
 
-// Crash ends the process, and starts it again after a while if restartAfter is above 0.
+// Crash ends the process and breaks its connections to other controllers. If restartAfter is above
+// 0, a new process starts after that time.
 func (n *Node) Crash(restartAfter time.Duration) {
 	n.incarnation++
 	n.Core, n.Ready = nil, false
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -7,17 +7,18 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// gangPollInterval is how often a gang's task polls its peers.
+// gangPollInterval is how often a task of a gang checks whether its peers are on machines.
 const gangPollInterval = 200 * time.Millisecond
 
-// gangTask is a gang's task on its machine: it runs once all tasks of the gang are on
-// machines, and ends if that takes too long or a peer is lost.
+// gangTask is an attempt at a task of a gang on its machine. It waits until all tasks of the gang are
+// on machines, then runs. It exits if the wait takes longer than the setting gang_wait_s or if a
+// peer is missing for longer than gang_peer_s while it runs.
 type gangTask struct {
 	worker       *Worker
 	task         *Task
-	waitUntil    time.Duration // for the peers
+	waitUntil    time.Duration // simulated time until which it waits for its peers
 	runningSince time.Duration
-	missingSince time.Duration // when a peer was found missing while it ran, 0: none is
+	missingSince time.Duration // when a peer was first found missing while it ran, 0: none is missing
 }
 
 func (w *Worker) runGangTask(task *Task) {
@@ -26,7 +27,7 @@
 	gang.poll()
 }
 
-// poll polls the peers until the task is over.
+// poll advances the task every gangPollInterval until it exits or is no longer on its machine.
 func (g *gangTask) poll() {
 	job, cluster := g.task.job, g.worker.cluster
 	if !g.task.occupiesMachine() || job.machines[g.task.Name] != g.worker.Info.Name {
@@ -39,7 +40,8 @@
 	cluster.After(gangPollInterval, g.poll)
 }
 
-// advance moves the task on as its peers allow, and gives the reason of its exit if it is over.
+// advance updates the state of the task from that of its peers. It returns the exit reason if the
+// task ends, else an empty string.
 func (g *gangTask) advance() (exitReason string) {
 	cluster := g.worker.cluster
 	timing := &cluster.Settings.Site.Workers
@@ -65,8 +67,8 @@
 	return ""
 }
 
-// allPresent reports whether all of the gang's tasks are on machines with this very attempt,
-// or have completed.
+// allPresent reports whether each of the gang's tasks has completed or is on a machine with the same
+// attempt number as this task.
 func (g *gangTask) allPresent() bool {
 	job := g.task.job
 	present := len(job.completed)
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -65,8 +65,6 @@
 	return idleSince
 }
 
-// recordLeftWaiting records that a job waits although a machine could have taken its next task at
-// any moment since the given one.
 // recordLeftWaiting records that a job waits although a machine could have taken its next task at
 // any moment since the given one.
 func (c *checker) recordLeftWaiting(job *Job, machineName string, since time.Duration) {
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -76,7 +76,8 @@
 	c.recordViolation(violationJobLost, "accepted job %s: a query got status %d", jobID, reply.Status)
 }
 
-// cancelDeadline is how long after the confirmed cancellation of a job its tasks may still run.
+// cancelDeadline is how long after the confirmed cancellation of a job its tasks may still run: the
+// setting cancel_s.
 func (c *checker) cancelDeadline() time.Duration {
 	return config.Seconds(c.cluster.Settings.Site.Workers.CancelS)
 }
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -9,16 +9,17 @@
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 )
 
-// ClassProgress is how a class of a team fared.
+// ClassProgress is how many of a class's jobs have started and are done.
 type ClassProgress struct {
-	Jobs                  int     // that count
-	Started               int     // those of them with a task that has been on a machine
-	Done                  int     // those of them of which all tasks have completed
-	SmallerHalfCPUSeconds float64 // CPU seconds that the smaller half of its jobs takes
+	Jobs                  int     // jobs that count, see Users.ClassProgress
+	Started               int     // those of them with a task that is on a machine or has completed
+	Done                  int     // those of them whose tasks have all completed
+	SmallerHalfCPUSeconds float64 // CPU seconds that the smaller half of the jobs needs in total
 }
 
-// ClassProgress counts the jobs that were handed in up to a moment, accepted and not cancelled, by
-// team and class. Jobs that fail wherever they run can't be served and do not count.
+// ClassProgress counts, by team and class, the accepted jobs that were submitted up to the given
+// simulated time. Jobs whose user has requested their cancellation do not count, nor do jobs that
+// fail on every machine, because they cannot be completed.
 func (u *Users) ClassProgress(until time.Duration) map[fairshare.Account]*ClassProgress {
 	classes := map[fairshare.Account]*ClassProgress{}
 	cpuSecondsByAccount := map[fairshare.Account][]float64{}
@@ -39,7 +40,7 @@
 	return classes
 }
 
-// count counts a job.
+// count adds a job to Jobs, Started and Done.
 func (s *ClassProgress) count(job *Job) {
 	s.Jobs++
 	if len(job.completed) > 0 || len(job.machines) > 0 {
@@ -50,7 +51,8 @@
 	}
 }
 
-// sumOfSmallerHalf sorts amounts and sums up the smaller half of them.
+// sumOfSmallerHalf returns the sum of the smaller half of amounts; of an odd number of amounts it
+// includes the middle one. It sorts amounts in place.
 func sumOfSmallerHalf(amounts []float64) (sum float64) {
 	slices.Sort(amounts)
 	for _, amount := range amounts[:int(math.Ceil(float64(len(amounts))/2))] {
@@ -59,12 +61,13 @@
 	return sum
 }
 
-// UnderservedClasses lists the classes of which less than half is done although the capacity
-// that their team could use, in CPU seconds, was enough for the smaller half of the jobs
-// of each of its classes. judged is of how many classes that is so.
+// UnderservedClasses returns the classes of which less than half of the jobs are done, sorted by
+// team and class. It evaluates only classes of teams whose capacity, in CPU seconds by team name,
+// was sufficient for the smaller half of the jobs of each of the team's classes; evaluated is the
+// number of those classes. Jobs count as in ClassProgress.
 func (u *Users) UnderservedClasses(until time.Duration, capacityByTeam map[string]float64) (underserved []fairshare.Account, evaluated int) {
 	classes := u.ClassProgress(until)
-	neededByTeam := map[string]float64{} // by team
+	neededByTeam := map[string]float64{} // CPU seconds, by team
 	for account, share := range classes {
 		neededByTeam[account.Team] += share.SmallerHalfCPUSeconds
 	}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -9,93 +9,98 @@
 )
 
 const (
-	// userTimeout is how long a user waits for an answer.
+	// userTimeout is how long a user waits for a response.
 	userTimeout = 5 * time.Second
-	// userRetryInterval is the pause before a request is repeated that was not served.
+	// userRetryInterval is the pause before a user repeats a request that was not served.
 	userRetryInterval = time.Second
-	// firstPollDelay is the time from a job's acceptance to the first question about it.
+	// firstPollDelay is the time from a job's acceptance to the first query of its state.
 	firstPollDelay = time.Second
-	// pollInterval is the pause between questions about a job.
+	// pollInterval is the pause after the response to a query, or its timeout, until the next query
+	// of the job's state.
 	pollInterval = 3 * time.Second
 
-	// readEverywhereRounds and readRoundInterval say how often, and how fast after one another, a
-	// job's user asks at all nodes when it reads everywhere.
+	// readEverywhereRounds is how often ReadEverywhere queries all nodes, and readEverywhereInterval
+	// is the time from one such round to the next.
 	readEverywhereRounds   = 3
 	readEverywhereInterval = 4 * time.Millisecond
 )
 
-// Statuses of replies beside those that the core gives: servers and balancers give these.
+// HTTP statuses that servers and load balancers reply with, in addition to those of the core.
 const (
 	statusBadRequest      core.ReplyStatus = 400
 	statusTooManyRequests core.ReplyStatus = 429
 	statusServerError     core.ReplyStatus = 500
 )
 
-// Users submit, poll and cancel jobs. Whatever they are told, and whatever happens to a task
-// on a machine, passes through here to the checker.
+// Users simulates the users, who submit, query and cancel jobs. It passes every response that they
+// get, and every start and end of a task on a machine, to the checker.
 type Users struct {
 	cluster       *Cluster
 	checker       *checker
 	jobs          map[string]*Job
-	lastJobNumber int // number of the job submitted last
-
-	runningTasks int                // on machines
-	cpus         map[string]float64 // that they take, by team
-	gpus         map[string]float64
-
-	Starts                int // tasks that started on a machine
-	RepeatedStarts        int // those of them that had been completed before
-	Requests              int // requests
-	Served                int // requests that got an answer other than to come again later
-	TimedOut              int // requests that got no answer in time
-	ReadEverywhereReplies int // questions of ReadEverywhere that were answered
-	// StartsAfterCancel counts the starts that a machine took after the user was told that the job
-	// is cancelled.
+	lastJobNumber int // number of the job submitted last, part of its ID if it had none
+
+	runningTasks int                // number of tasks on machines
+	cpus         map[string]float64 // CPUs that tasks on machines use, by team
+	gpus         map[string]float64 // GPUs that tasks on machines use, by team
+
+	Starts                int // starts of a task on a machine
+	RepeatedStarts        int // those of them whose task had completed before
+	Requests              int // requests sent to some ready node; requests to a given node are not counted
+	Served                int // those of them with a response other than a server error or statusTooManyRequests
+	TimedOut              int // those of them that got no response within userTimeout
+	ReadEverywhereReplies int // requests of ReadEverywhere that got a response about the job
+	// StartsAfterCancel counts the attempts that a machine took on after the user had got the
+	// confirmation that the job is cancelled.
 	StartsAfterCancel int
 
-	// OnlyNode is the node that all requests go to, nil: to any that is ready.
+	// OnlyNode is the node that requests go to, while it is ready. If it is nil, they go to any node
+	// that is ready. Requests to a given node are not affected.
 	OnlyNode *Node
-	// FaultsOverAt is when all faults are over, 0: not known. Some rules hold from then on only.
+	// FaultsOverAt is the simulated time at which all faults are over, 0: not known. Some invariants
+	// are checked only from then on.
 	FaultsOverAt time.Duration
-	// CheckReadYourWrites has users ask at all nodes again and again within milliseconds, and repeat
-	// the submission, right after a job was accepted, ended or called cancelled.
+	// CheckReadYourWrites makes users call ReadEverywhere right after a job was accepted, after its
+	// last task completed, and after it was first reported as done or cancelled.
 	CheckReadYourWrites bool
-	// CancelAtEndShare is the share of jobs that are cancelled at the moment at which they end.
+	// CancelAtEndShare is the share of jobs that are cancelled at the moment at which their last task
+	// completes.
 	CancelAtEndShare float64
 }
 
 // Job is a job as its user sees it.
 type Job struct {
 	Spec            protocol.Job
-	RunS            float64   // how long its tasks run
-	TaskRunS        []float64 // by task, if they differ
-	FailsEverywhere bool      // its tasks fail wherever they run
-	MustBeRejected  bool      // it can't run or lacks a field: it must not be accepted
+	RunS            float64   // how long its tasks run, in seconds
+	TaskRunS        []float64 // how long each task runs, in seconds, by index; empty: RunS for all
+	FailsEverywhere bool      // its tasks fail on every machine
+	MustBeRejected  bool      // it cannot run or lacks a field, so no node may accept it
 
 	Accepted          bool
-	Rejected          core.ReplyStatus     // the status of its final rejection, 0: none
-	LastState         string               // the state that its user was told last
-	LastResponse      protocol.JobResponse // in which that was
-	CancelConfirmedAt time.Duration        // when its user was told that it is cancelled
+	Rejected          core.ReplyStatus     // status of its final rejection, 0: none
+	LastState         string               // state last reported to its user; a final one stays
+	LastResponse      protocol.JobResponse // the response that reported it
+	CancelConfirmedAt time.Duration        // when its user got the confirmation that it is cancelled, 0: not yet
 
 	submittedAt     time.Duration
 	cancelRequested bool
-	completed       map[int]bool          // tasks, by index
-	savedRun        map[int]time.Duration // how much of its run a task has saved, by index
-	machines        map[string]string     // where its tasks are, by name
-
-	// Records of the checker.
-	finalAt        time.Duration            // when the first word came that it is done or cancelled
-	lastResponseAt time.Duration            // when a question about it was answered last
-	lastStartAt    time.Duration            // when a machine took one of its tasks last
-	idleSince      map[string]time.Duration // machines that could take a task of it, and since when
+	completed       map[int]bool          // completed tasks, by index
+	savedRun        map[int]time.Duration // progress of each task that a retry need not repeat, by index
+	machines        map[string]string     // machine that each of its tasks is on, by task name
+
+	// Fields that only the checker uses.
+	finalAt        time.Duration            // when it was first reported as done or cancelled
+	lastResponseAt time.Duration            // when the last response about it arrived
+	lastStartAt    time.Duration            // when a machine last took on one of its tasks
+	idleSince      map[string]time.Duration // see checker.idleMachines
 }
 
 func newUsers(cluster *Cluster) *Users {
 	return &Users{cluster: cluster, checker: cluster.checker, jobs: map[string]*Job{}, cpus: map[string]float64{}, gpus: map[string]float64{}}
 }
 
-// Array describes an array job with one CPU for each task, for team blue.
+// Array returns the description of an array job of team blue whose tasks use one CPU and 1 GB of
+// memory each. It has no ID; Submit assigns one.
 func Array(tasks int) protocol.Job {
 	return protocol.Job{Class: "photos", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyNormal, Tasks: tasks,
 		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.5, AllowSpot: true, EstimateS: 10}
@@ -103,8 +108,8 @@
 
 func jobID(number int) string { return fmt.Sprintf("job-%06d", number) }
 
-// Submit hands in a job whose tasks run for runS seconds, again and again until it is
-// answered for good.
+// Submit submits a job whose tasks run for runS seconds, and repeats the request until the job is
+// accepted or finally rejected. A job without an ID gets the next unused one.
 func (u *Users) Submit(spec protocol.Job, runS float64) *Job {
 	u.lastJobNumber++
 	if spec.ID == "" {
@@ -119,7 +124,8 @@
 	return job
 }
 
-// Resubmit hands the same job in once more.
+// Resubmit submits the same job once more, and repeats the request until it is accepted or finally
+// rejected.
 func (u *Users) Resubmit(job *Job) { u.submit(job) }
 
 func submitCommand(job *Job) func(core.RequestID) core.Command {
@@ -134,8 +140,8 @@
 	return func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: job.Spec.ID} }
 }
 
-// request sends a request to some ready node, as a load balancer would. onReply gets the zero
-// Reply if no answer comes.
+// request sends a request to some ready node, as a load balancer would. onReply gets the zero Reply
+// if no response arrives within userTimeout, or after userRetryInterval if no node is ready.
 func (u *Users) request(build func(core.RequestID) core.Command, onReply func(core.Reply)) {
 	cluster := u.cluster
 	u.Requests++
@@ -159,7 +165,7 @@
 	cluster.After(userRetryInterval, func() { count(core.Reply{}) })
 }
 
-// requestFrom sends a request to one node.
+// requestFrom sends a request to the given node. Exactly one of onReply and onTimeout is called.
 func (u *Users) requestFrom(node *Node, build func(core.RequestID) core.Command, onReply func(core.Reply), onTimeout func()) {
 	call(u.cluster, endpointUsers, node.Label, userTimeout, func(reply func(core.Reply)) { node.Request(build, reply) }, onReply, onTimeout)
 }
@@ -180,7 +186,8 @@
 	})
 }
 
-// accepted begins to poll a job once it is accepted.
+// accepted handles the response that accepts a job. When the first one arrives, the user begins to
+// poll the job.
 func (u *Users) accepted(job *Job, response protocol.JobResponse, sentAt time.Duration) {
 	first := !job.Accepted
 	job.Accepted = true
@@ -206,7 +213,7 @@
 	})
 }
 
-// PollAny asks once about some job that was handed in, or about one that never was.
+// PollAny queries once a random job ID, of a submitted job or one that was never used.
 func (u *Users) PollAny() {
 	id := jobID(u.cluster.Rand.IntN(u.lastJobNumber + 1))
 	job, sentAt := u.jobs[id], u.cluster.Now
@@ -214,7 +221,7 @@
 	u.request(queryCommand(id), func(reply core.Reply) {
 		switch {
 		case reply.Status == core.ReplyOK && job == nil:
-			u.checker.recordViolation(violationUnknownJobServed, "%s is answered %d", id, reply.Status)
+			u.checker.recordViolation(violationUnknownJobServed, "job %s was never submitted, but a query got status %d", id, reply.Status)
 		case reply.Status == core.ReplyOK && known:
 			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
 		case reply.Status == core.ReplyNotFound && known:
@@ -223,8 +230,8 @@
 	})
 }
 
-// SubmitInvalid hands in, at all nodes, a job that can't run: each node must reject it for good, or
-// have its user come again, however little it knows yet.
+// SubmitInvalid submits a job that cannot run, to all nodes. Each node must reject it finally or
+// make the user retry, even if the node has not loaded its state yet.
 func (u *Users) SubmitInvalid(spec protocol.Job) *Job {
 	job := u.Submit(spec, 1)
 	job.MustBeRejected = true
@@ -234,7 +241,7 @@
 	return job
 }
 
-// Cancel cancels a job, again and again until that is confirmed.
+// Cancel cancels a job and repeats the request until a node responds with the job's state.
 func (u *Users) Cancel(job *Job) {
 	job.cancelRequested = true
 	sentAt := u.cluster.Now
@@ -247,18 +254,20 @@
 	})
 }
 
-// NoteCancelRequested notes that a job's user wants it cancelled, whoever is asked and whatever comes of it.
+// NoteCancelRequested records that the job's user has requested its cancellation, without sending a
+// request. Tests that send the request themselves call it.
 func (u *Users) NoteCancelRequested(job *Job) { job.cancelRequested = true }
 
-// readEverywhereIfEnabled reads a job at all nodes if CheckReadYourWrites is set.
+// readEverywhereIfEnabled calls ReadEverywhere if CheckReadYourWrites is set.
 func (u *Users) readEverywhereIfEnabled(job *Job) {
 	if u.CheckReadYourWrites {
 		u.ReadEverywhere(job)
 	}
 }
 
-// ReadEverywhere has a job's user ask at all nodes, and submit it again at one of them, three times
-// within some milliseconds: every node must know what any node has confirmed.
+// ReadEverywhere makes a job's user query all nodes, and submit the job again to one of them, three
+// times within some milliseconds. The checker then verifies that every node knows what any node
+// has confirmed.
 func (u *Users) ReadEverywhere(job *Job) {
 	for round := range readEverywhereRounds {
 		u.cluster.After(time.Duration(round)*readEverywhereInterval, func() {
@@ -272,7 +281,7 @@
 	}
 }
 
-// readAt asks one node about a job and checks its answer.
+// readAt sends a query or submission of a job to the given node and checks the reply.
 func (u *Users) readAt(node *Node, job *Job, build func(core.RequestID) core.Command) {
 	sentAt, known := u.cluster.Now, job.Accepted
 	u.requestFrom(node, build, func(reply core.Reply) {
@@ -282,22 +291,22 @@
 			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
 		case core.ReplyNotFound, statusBadRequest, core.ReplyInvalid:
 			if known {
-				u.checker.recordViolation(violationJobLost, "%s is answered %d by %s", job.Spec.ID, reply.Status, node.Label)
+				u.checker.recordViolation(violationJobLost, "accepted job %s got status %d from %s", job.Spec.ID, reply.Status, node.Label)
 			}
 		}
 	}, func() {})
 }
 
-// isFinal reports whether a job's state never changes again.
+// isFinal reports whether a job in the given state never changes its state again.
 func isFinal(state string) bool {
 	return state == protocol.JobDone || state == protocol.JobCancelled
 }
 
-// observe takes what a node says of a job in answer to a question that left at sentAt.
+// observe checks and records a node's response about a job to a request that was sent at sentAt.
 func (u *Users) observe(job *Job, response protocol.JobResponse, sentAt time.Duration) {
 	u.checker.checkResponse(job, response, sentAt)
 	job.lastResponseAt = u.cluster.Now
-	if isFinal(job.LastState) { // the first such word is the one that counts
+	if isFinal(job.LastState) { // the first final state counts; a different one is a violation
 		if response.State == job.LastState {
 			job.LastResponse = response
 		}
@@ -314,7 +323,7 @@
 	}
 }
 
-// taskStarted notes that a task is on a machine from now on.
+// taskStarted checks and records that a task is on a machine from now on.
 func (u *Users) taskStarted(worker *Worker, task *Task) {
 	job := task.job
 	u.checker.checkStart(worker, task)
@@ -330,7 +339,7 @@
 	u.checker.checkQuota(job.Spec.Team)
 }
 
-// taskLeft notes that a task is no longer on its machine.
+// taskLeft records that a task is no longer on its machine.
 func (u *Users) taskLeft(worker *Worker, task *Task) {
 	if task.job != nil && task.occupiesMachine() && task.job.machines[task.Name] == worker.Info.Name {
 		delete(task.job.machines, task.Name)
@@ -338,7 +347,7 @@
 	}
 }
 
-// taskCompleted notes that a task has done its work; it may have done so before.
+// taskCompleted records that a task has completed. It may have completed before, in another attempt.
 func (u *Users) taskCompleted(task *Task) {
 	job := task.job
 	if job.completed[task.index] {
@@ -358,14 +367,15 @@
 	u.readEverywhereIfEnabled(job)
 }
 
-// addUsage adds the usage of tasks of a job, or takes it away, to that of its team.
+// addUsage adds what the given number of a job's tasks uses to the usage of its team. A negative
+// number subtracts it.
 func (u *Users) addUsage(job *Job, tasks int) {
 	u.runningTasks += tasks
 	u.cpus[job.Spec.Team] += float64(tasks) * job.Spec.CPUs
 	u.gpus[job.Spec.Team] += float64(tasks) * job.Spec.GPUs
 }
 
-// AllFinal reports whether the user of every job that was not rejected knows that it is over.
+// AllFinal reports whether every job that was not rejected has been reported as done or cancelled.
 func (u *Users) AllFinal() bool {
 	for _, job := range u.jobs {
 		if job.Rejected == 0 && !isFinal(job.LastState) {
@@ -375,7 +385,7 @@
 	return true
 }
 
-// CompletedTasks is how many tasks of jobs have completed.
+// CompletedTasks returns how many tasks of the given jobs have completed.
 func (u *Users) CompletedTasks(jobs ...*Job) (tasks int) {
 	for _, job := range jobs {
 		tasks += len(job.completed)
@@ -383,10 +393,11 @@
 	return tasks
 }
 
-// RunningTasks is how many tasks of all jobs are on machines.
+// RunningTasks returns how many tasks of all jobs are on machines.
 func (u *Users) RunningTasks() int { return u.runningTasks }
 
-// LastReasons lists what the users of the jobs that are not over were told last.
+// LastReasons returns the reasons in the last responses about all jobs, as far as these give one, in
+// no particular order.
 func (u *Users) LastReasons() []string {
 	var reasons []string
 	for _, job := range u.jobs {
@@ -397,8 +408,8 @@
 	return reasons
 }
 
-// MachineOf is the machine that a task is on, or empty.
+// MachineOf returns the name of the machine that a task is on, or an empty string.
 func (j *Job) MachineOf(index int) string { return j.machines[protocol.TaskName(j.Spec.ID, index)] }
 
-// RunningTasks is how many of its tasks are on machines.
+// RunningTasks returns how many of the job's tasks are on machines.
 func (j *Job) RunningTasks() int { return len(j.machines) }
