--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -121,6 +121,7 @@
 // called before the user records the response. After the first response with a final state, the
 // other final state is a violation whenever the request was sent. A state that is not final is a
 // violation if the request was sent after that first response had arrived, whichever node sent it.
+// A final state must also agree with the completed tasks and with the users' cancellations.
 func (c *checker) checkResponse(job *Job, response protocol.JobResponse, sentAt time.Duration) {
 	id, final := job.Spec.ID, isFinal(response.State)
 	if isFinal(job.LastState) && response.State != job.LastState && (final || sentAt > job.finalAt) {
@@ -141,7 +142,7 @@
 
 // checkNoTaskRuns is called when cancelDeadline has passed since a job's user got the confirmation
 // that it is cancelled. It checks that no task of the job is on a machine. Hung machines count
-// too, because they may resume and run the task on.
+// too, because they may resume and continue the task.
 func (c *checker) checkNoTaskRuns(job *Job) {
 	for task, machine := range job.machines {
 		c.recordViolation(violationRanAfterCancel, "task %s of a cancelled job is still on %s", task, machine)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -48,7 +48,7 @@
 	RepeatedStarts        int // those of them whose task had completed before
 	Requests              int // requests sent to some ready node; requests to a given node are not counted
 	Served                int // those of them with a response other than a server error or statusTooManyRequests
-	TimedOut              int // those of them that got no response within userTimeout
+	TimedOut              int // those of them that got no response within userTimeout or whose connection broke
 	ReadEverywhereReplies int // requests of ReadEverywhere that got a response about the job
 	// StartsAfterCancel counts the attempts that a machine took on after the user had got the
 	// confirmation that the job is cancelled.
@@ -109,7 +109,7 @@
 func jobID(number int) string { return fmt.Sprintf("job-%06d", number) }
 
 // Submit submits a job whose tasks run for runS seconds, and repeats the request until the job is
-// accepted or finally rejected. A job without an ID gets the next unused one.
+// accepted or finally rejected. A job without an ID gets one made from its number.
 func (u *Users) Submit(spec protocol.Job, runS float64) *Job {
 	u.lastJobNumber++
 	if spec.ID == "" {
@@ -141,7 +141,8 @@
 }
 
 // request sends a request to some ready node, as a load balancer would. onReply gets the zero Reply
-// if no response arrives within userTimeout, or after userRetryInterval if no node is ready.
+// if no response arrives within userTimeout or the connection breaks, and after userRetryInterval if
+// no node is ready.
 func (u *Users) request(build func(core.RequestID) core.Command, onReply func(core.Reply)) {
 	cluster := u.cluster
 	u.Requests++
@@ -165,7 +166,8 @@
 	cluster.After(userRetryInterval, func() { count(core.Reply{}) })
 }
 
-// requestFrom sends a request to the given node. Exactly one of onReply and onTimeout is called.
+// requestFrom sends a request to the given node. Exactly one of onReply and onTimeout is called;
+// onTimeout also if the connection breaks.
 func (u *Users) requestFrom(node *Node, build func(core.RequestID) core.Command, onReply func(core.Reply), onTimeout func()) {
 	call(u.cluster, endpointUsers, node.Label, userTimeout, func(reply func(core.Reply)) { node.Request(build, reply) }, onReply, onTimeout)
 }
