--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -101,7 +101,7 @@
 		return
 	}
 	if len(c.retainedHeartbeats) == 0 {
-		c.lastLeader = c.currentLeader()
+		c.leaderAtRetention = c.currentLeader()
 		c.releaseHeartbeatsAtFailover()
 	}
 	c.retainedHeartbeats[report.Machine] = report
@@ -111,7 +111,7 @@
 // heartbeats to all controllers, with latencies that change their order.
 func (c *Cluster) releaseHeartbeatsAtFailover() {
 	leader := c.currentLeader()
-	if leader == "" || leader == c.lastLeader {
+	if leader == "" || leader == c.leaderAtRetention {
 		c.After(leaderPollInterval, c.releaseHeartbeatsAtFailover)
 		return
 	}
@@ -187,13 +187,13 @@
 
 // DeleteKey deletes a key directly in the store, without a request of a controller.
 func (s *Store) DeleteKey(key string) {
-	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
+	s.commitDirectly(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
 }
 
 // ReopenJob writes the record of a just accepted job directly into the store, without a request of a
 // controller. A job that was done is then queued again.
 func (s *Store) ReopenJob(spec protocol.Job) {
-	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
+	s.commitDirectly(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
 }
 
 // queuedRecord returns the record of a job that was just accepted.
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -54,7 +54,7 @@
 		}
 		tasksInZone[worker.Info.Zone] += tasks
 		since, idle := job.idleSince[name]
-		if !idle || worker.lastTaskAt >= since {
+		if !idle || worker.lastTaskStartedAt >= since {
 			since = c.cluster.Now
 		}
 		idleSince[name] = since
@@ -152,7 +152,7 @@
 	if faulty || !machineAllowed(spec, &w.Info) {
 		return 0
 	}
-	free := w.free()
+	free := w.freeCapacity()
 	tasks := int((free.cpus + capacityEpsilon) / spec.CPUs)
 	if spec.GPUs > 0 {
 		tasks = min(tasks, int((free.gpus+capacityEpsilon)/spec.GPUs))
