--- a/cmd/chalkhubctl/chalkhubctl_test.go
+++ b/cmd/chalkhubctl/chalkhubctl_test.go
@@ -129,7 +129,7 @@
 	srv := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBody(page) }}
 	go func() { _ = srv.Serve(l) }() // ends when the test shuts the server down
 	defer func() { _ = srv.Shutdown() }()
-	collector := &statusCollector{controllers: []local.Controller{{Label: "ctl-0", Status: l.Addr().String()}, {Label: "ctl-1", Status: "127.0.0.1:1"}}}
+	collector := &statusCollector{controllers: []local.Controller{{Label: "ctl-0", StatusAddr: l.Addr().String()}, {Label: "ctl-1", StatusAddr: "127.0.0.1:1"}}}
 	b, err := collector.metricsText()
 	if err != nil {
 		t.Fatal(err)
