--- a/cmd/chalkhubctl/chalkhubctl_test.go
+++ b/cmd/chalkhubctl/chalkhubctl_test.go
@@ -127,7 +127,7 @@
 	srv := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBody(page) }}
 	go func() { _ = srv.Serve(l) }() // it ends with the test
 	defer func() { _ = srv.Shutdown() }()
-	f := &statusCollector{controllers: []local.Controller{{Label: "ctl-0", Status: l.Addr().String()}, {Label: "ctl-1", Status: "127.0.0.1:1"}}}
+	f := &statusCollector{controllers: []local.Controller{{Label: "ctl-0", StatusAddr: l.Addr().String()}, {Label: "ctl-1", StatusAddr: "127.0.0.1:1"}}}
 	b, err := f.metricsText()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/chalkhubctl/main.go
+++ b/cmd/chalkhubctl/main.go
@@ -84,7 +84,7 @@
 	}
 	a := &local.Addresses{Artifacts: c.Depot}
 	for _, h := range c.Controllers {
-		a.Controllers = append(a.Controllers, local.Controller{Label: h, Serve: h})
+		a.Controllers = append(a.Controllers, local.Controller{Label: h, ServeAddr: h})
 	}
 	return a, nil
 }
--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -71,7 +71,7 @@
 func collectController(controller local.Controller, out chan<- prometheus.Metric) {
 	m := controllerMetrics{label: controller.Label, out: out}
 	var status core.Status
-	err := local.ReadStatus(controller.Status, &status)
+	err := local.ReadStatus(controller.StatusAddr, &status)
 	m.flag(upDesc, err == nil)
 	if err != nil {
 		return
--- a/cmd/chalkhubctl/top.go
+++ b/cmd/chalkhubctl/top.go
@@ -31,11 +31,11 @@
 	var wg sync.WaitGroup
 	for i, c := range controllers {
 		wg.Go(func() {
-			if c.Status == "" {
+			if c.StatusAddr == "" {
 				views[i].err = errNoStatusAddress
 				return
 			}
-			views[i].err = local.ReadStatus(c.Status, &views[i].status)
+			views[i].err = local.ReadStatus(c.StatusAddr, &views[i].status)
 			views[i].at = time.Now()
 		})
 	}
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -66,7 +66,7 @@
 // testSettings is a cluster with short spans, so that what takes a lease takes three seconds.
 func testSettings() Settings {
 	s := Defaults()
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 0.5, 3, 7
+	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 0.5, 3, 7
 	s.Cloud.RPS = 40
 	s.Cloud.Types = []MachineType{{Name: "one", CPUs: 1, MemoryGB: 2, CacheGB: 20, Price: 0.2, BootS: 0.2, MaxPerZone: 10}}
 	return s
@@ -104,9 +104,9 @@
 echo "done $CHALK_TASK $CHALK_ATTEMPT" >> "$DIR/lines"`}}, dir
 }
 
-// checkLines checks what the tasks of locking wrote and counts the attempts that came to their
+// checkTaskOutput checks what the tasks of locking wrote and counts the attempts that came to their
 // end.
-func checkLines(t *testing.T, dir string, tasks int) int {
+func checkTaskOutput(t *testing.T, dir string, tasks int) int {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(dir, "lines"))
 	if err != nil {
@@ -131,13 +131,13 @@
 
 // arrayRun is an array that runs on a cluster whose processes are killed meanwhile.
 type arrayRun struct {
-	t       *testing.T
-	ctx     context.Context
-	cluster *Cluster
-	client  *client.Client
-	job     client.Job
-	done    int
-	silent  []string // statuses of an array that waits without a reason
+	t                *testing.T
+	ctx              context.Context
+	cluster          *Cluster
+	client           *client.Client
+	job              client.Job
+	done             int
+	unexplainedWaits []string // statuses of an array that waits without a reason
 }
 
 func (a *arrayRun) observe(s *client.Status, err error) {
@@ -146,7 +146,7 @@
 	}
 	a.done = s.Done
 	if s.Running == 0 && s.Reason == "" {
-		a.silent = append(a.silent, fmt.Sprintf("%+v", *s))
+		a.unexplainedWaits = append(a.unexplainedWaits, fmt.Sprintf("%+v", *s))
 	}
 }
 
@@ -189,9 +189,9 @@
 	return 0
 }
 
-// disturb kills the leader, then all controllers, the state service, an agent, and the cloud
+// injectFaults kills the leader, then all controllers, the state service, an agent, and the cloud
 // with all its agents; it stops one agent while the cloud dies, another beyond its lease.
-func (a *arrayRun) disturb() {
+func (a *arrayRun) injectFaults() {
 	a.t.Helper()
 	a.waitDone(15)
 	a.t.Logf("%d agents", len(a.cluster.AgentPIDs()))
@@ -237,14 +237,14 @@
 	if _, err := cl.Submit(ctx, &run.job); err != nil {
 		t.Fatal(err)
 	}
-	run.disturb()
+	run.injectFaults()
 	s, err := cl.Wait(ctx, run.job.ID, 200*time.Millisecond, run.observe)
 	if err != nil || s.State != "done" || s.Done != tasks {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	attempts := checkLines(t, work, tasks)
-	if len(run.silent) > 0 {
-		t.Errorf("waits without a reason: %v", run.silent)
+	attempts := checkTaskOutput(t, work, tasks)
+	if len(run.unexplainedWaits) > 0 {
+		t.Errorf("waits without a reason: %v", run.unexplainedWaits)
 	}
 	t.Logf("%d attempts for %d tasks", attempts, tasks)
 	if err := c.Close(); err != nil {
@@ -295,7 +295,7 @@
 	if s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, nil); err != nil || s.State != "done" {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	attempts := checkLines(t, work, tasks)
+	attempts := checkTaskOutput(t, work, tasks)
 	b, err := os.ReadFile(filepath.Join(c.Dir(), "logs", "agents.log"))
 	if err != nil {
 		t.Fatal(err)
@@ -355,19 +355,19 @@
 	if err := os.WriteFile(filepath.Join(sources, "cmd", "chalkhub", "main.go"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	alone := filepath.Join(sources, "chalkhubctl")
-	if err := os.Link(filepath.Join(dir, "chalkhubctl"), alone); err != nil {
+	ctlCopy := filepath.Join(sources, "chalkhubctl")
+	if err := os.Link(filepath.Join(dir, "chalkhubctl"), ctlCopy); err != nil {
 		t.Fatal(err)
 	}
-	taken := filepath.Join(t.TempDir(), "state.json")
+	badAddrConfig := filepath.Join(t.TempDir(), "state.json")
 	settings := fmt.Sprintf(`{"listen":"127.0.0.1:1","file":%q,"limits":{"rps":1,"write_rps":1,"value_kb":1,"txn_ops":1}}`, filepath.Join(t.TempDir(), "s.db"))
-	if err := os.WriteFile(taken, []byte(strings.Replace(settings, "127.0.0.1:1", "192.0.2.1:1", 1)), 0o600); err != nil {
+	if err := os.WriteFile(badAddrConfig, []byte(strings.Replace(settings, "127.0.0.1:1", "192.0.2.1:1", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for want, args := range map[string][]string{
 		"the folder cannot be used":                   {"local", "--folder", filepath.Join(file, "x"), "--chalkhub", "none"},
 		"needs a C compiler and no-such-cc is not":    {"local", "--folder", filepath.Join(t.TempDir(), "new")},
-		"cannot listen on 192.0.2.1:1, another":       {"state", "run", "--config", taken},
+		"cannot listen on 192.0.2.1:1, another":       {"state", "run", "--config", badAddrConfig},
 		"no cluster runs in":                          {"--cluster", t.TempDir(), "jobs"},
 		"does not get ready":                          {"local", "--folder", filepath.Join(t.TempDir(), "new"), "--chalkhub", "/bin/false"},
 		"is not a job id":                             {"--controllers", "127.0.0.1:1", "status", "job-x"},
@@ -376,7 +376,7 @@
 		"s.db: the file is damaged: it is empty":      {"state", "verify", emptyFile(t)},
 		"the request is malformed: \"job-1x\" is not": {"--controllers", "127.0.0.1:1", "abort", "job-1x"},
 	} {
-		cmd := exec.Command(alone, args...)
+		cmd := exec.Command(ctlCopy, args...)
 		cmd.Dir = sources
 		cmd.Env = append(os.Environ(), "CC=no-such-cc", "LOG_LEVEL=error")
 		out, err := cmd.CombinedOutput()
--- a/internal/local/configure.go
+++ b/internal/local/configure.go
@@ -58,12 +58,12 @@
 	}
 	c.State, c.Artifacts, c.Cloud = addrs[0], addrs[1], addrs[2]
 	for i := range s.Controllers {
-		own := addrs[serviceAddrs+addrsPerController*i:]
+		controllerAddrs := addrs[serviceAddrs+addrsPerController*i:]
 		c.Controllers = append(c.Controllers, Controller{
-			Label:  fmt.Sprintf("ctl-%d", i),
-			Zone:   s.Zones[i%len(s.Zones)],
-			Serve:  own[0],
-			Status: own[1],
+			Label:      fmt.Sprintf("ctl-%d", i),
+			Zone:       s.Zones[i%len(s.Zones)],
+			ServeAddr:  controllerAddrs[0],
+			StatusAddr: controllerAddrs[1],
 		})
 	}
 	return nil
@@ -101,23 +101,23 @@
 // writeControllerSettings writes a controller's settings, once the controller's own parser
 // takes them.
 func (c *Cluster) writeControllerSettings(index int, site config.Site) error {
-	own := c.Controllers[index]
+	controller := c.Controllers[index]
 	settings := config.Settings{
-		Label:      own.Label,
-		Zone:       own.Zone,
-		Listen:     own.Serve,
-		PeerListen: own.Status,
+		Label:      controller.Label,
+		Zone:       controller.Zone,
+		Listen:     controller.ServeAddr,
+		PeerListen: controller.StatusAddr,
 		External:   config.External{Cloud: c.Cloud, Store: c.State},
 		Site:       site,
 	}
 	for i, other := range c.Controllers {
 		if i != index {
-			settings.Siblings = append(settings.Siblings, config.Sibling{Label: other.Label, Zone: other.Zone, Address: other.Status})
+			settings.Siblings = append(settings.Siblings, config.Sibling{Label: other.Label, Zone: other.Zone, Address: other.StatusAddr})
 		}
 	}
 	b, err := json.Marshal(&settings)
 	if err == nil {
 		_, err = config.Parse(b)
 	}
-	return errors.Join(err, writeJSON(c.settingsPath(own.Label), &settings))
+	return errors.Join(err, writeJSON(c.settingsPath(controller.Label), &settings))
 }
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -38,9 +38,9 @@
 	Zones       []string `yaml:"zones"`
 	Teams       []Team   `yaml:"teams"`
 	Workers     struct {
-		ReportS float64 `yaml:"report_s"`
-		LeaseS  float64 `yaml:"lease_s"`
-		CancelS float64 `yaml:"cancel_s"`
+		HeartbeatS float64 `yaml:"report_s"`
+		LeaseS     float64 `yaml:"lease_s"`
+		CancelS    float64 `yaml:"cancel_s"`
 	} `yaml:"workers"`
 	State struct {
 		RPS      float64 `yaml:"rps"`
@@ -89,7 +89,7 @@
 	s.Controllers = 3
 	s.Zones = []string{"a", "b"}
 	s.Teams = []Team{{Name: "main", CPUs: 16}}
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 1, 6, 14
+	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 1, 6, 14
 	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 400, 200, 16, 16
 	s.Cloud.RPS, s.Cloud.ListLagS = 10, 1
 	s.Cloud.Types = []MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 20, Price: 0.2, BootS: 0.5, MaxPerZone: 8}}
@@ -161,7 +161,7 @@
 }
 
 func (s *Settings) workerSettings() config.WorkerTiming {
-	return config.WorkerTiming{HeartbeatS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS}
+	return config.WorkerTiming{HeartbeatS: s.Workers.HeartbeatS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS}
 }
 
 // cloudSettings is what the cloud is told.
--- a/internal/regress/regress_test.go
+++ b/internal/regress/regress_test.go
@@ -23,13 +23,13 @@
 	return `{"name":"` + name + `","score":` + score + `,"rules":{` + rules + `},"fault":` + fault + `,"restarts":0.0}`
 }
 
-func served(who string) string {
-	return strings.TrimSuffix(day("calm", "0.8", "", "null"), "}") + `,"served":[` + who + `]}`
+func served(groups string) string {
+	return strings.TrimSuffix(day("calm", "0.8", "", "null"), "}") + `,"served":[` + groups + `]}`
 }
 
 // What has been measured is compared with the newest of its own kind, and a broken
 // rule, a failed day or a fall is found.
-func TestJudge(t *testing.T) {
+func TestCompareReportsProblems(t *testing.T) {
 	dir := t.TempDir()
 	write(t, dir, "b.json", entry("b", "2", `"x.toml"`, "0.70", day("calm", "0.8", "", "null")))
 	write(t, dir, "a.json", entry("a", "1", `"x.toml"`, "0.90", day("calm", "0.9", "", "null")))
@@ -48,24 +48,24 @@
 		{"0.9", served(`["reports",0.2,0.9],["largest reports",0.1,0.4]`), "failed: only 40% of largest reports served"},
 		{"0.9", "", "no day was played"},
 	} {
-		fresh := t.TempDir()
-		write(t, fresh, "n.json", entry("n", "4", `"x.toml"`, c.score, c.day))
-		now, err := ReadJournal(fresh)
+		measuredDir := t.TempDir()
+		write(t, measuredDir, "n.json", entry("n", "4", `"x.toml"`, c.score, c.day))
+		now, err := ReadJournal(measuredDir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		rows := Compare(before, now)
-		var said []string
+		var problems []string
 		for _, r := range rows {
 			if r.Problem != "" {
-				said = append(said, r.Problem)
+				problems = append(problems, r.Problem)
 			}
 		}
-		if got := strings.Join(said, "|"); got != c.bad || AnyProblem(rows) != (c.bad != "") {
+		if got := strings.Join(problems, "|"); got != c.bad || AnyProblem(rows) != (c.bad != "") {
 			t.Errorf("%s %s: %q", c.score, c.day, got)
 		}
-		if *rows[0].Before != 0.7 {
-			t.Errorf("compared with %v", *rows[0].Before)
+		if *rows[0].Baseline != 0.7 {
+			t.Errorf("compared with %v", *rows[0].Baseline)
 		}
 	}
 	write(t, dir, "torn.json", `{"id":`)
