--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -48,7 +48,7 @@
 	k.FatalIfErrorf(c.run())
 }
 
-// maxWhyLength is the length in bytes that the reason for a run, in the journal, must stay below.
+// maxWhyLength bounds the reason of a run: the journal accepts only reasons that are shorter.
 const maxWhyLength = 120
 
 func (c *cli) run() error {
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -209,7 +209,8 @@
 	a.waitDone(60)
 	a.signalAgent(syscall.SIGKILL)
 	a.waitDone(75)
-	// An agent that is suspended while the cloud's process ends does not notice that.
+	// An agent that is suspended while its cloud ends does not notice that and doesn't exit: the
+	// restarted cloud has to kill it.
 	a.signalAgent(syscall.SIGSTOP)
 	a.kill("cloud")
 	a.waitDone(95)
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -257,7 +257,7 @@
 }
 
 // ReadStatus reads the status page of the controller at addr into out. It fails if the response
-// takes more than two seconds or has another status than 200.
+// takes more than two seconds or has an HTTP status other than 200.
 func ReadStatus(addr string, out *core.Status) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/regress/regress.go
+++ b/internal/regress/regress.go
@@ -44,9 +44,9 @@
 }
 
 // ServedGroup is how much of the work of a class, of a team, or of a class's largest jobs was
-// served. In the journal it is a list of three values. As far as the journal shows, a class's
-// largest job counts as served if it started within the users' limit of four minutes; the journal
-// does not record when the jobs started.
+// served. In the journal it is a list of three values. As far as the journal shows, one of a
+// class's largest jobs counts as served if it started within the users' limit of four minutes; the
+// journal does not record when the jobs started.
 type ServedGroup struct {
 	Group       string  // a class's name, "team " and a team's name, or "largest " and a class's name
 	JobShare    float64 // the group's share of the day's jobs, 0 to 1
@@ -62,7 +62,7 @@
 }
 
 // LeastServed returns the group with jobs that has the smallest served share. It returns nil if the
-// entry has no such group.
+// journal lists no such group for the day.
 func (d *Day) LeastServed() *ServedGroup {
 	var least *ServedGroup
 	for i := range d.Served {
@@ -117,10 +117,10 @@
 	return *r.Score - *r.Baseline, true
 }
 
-// Compare compares each measured entry with the last baseline entry of the same site and command
-// that has a score and is quick if the measured one is; the baseline is ordered oldest first. The
-// row of a site precedes the rows of its days. A drop of the score is a problem only for a site; the
-// change of a single day is only shown, since it varies by more than MaxScoreDrop.
+// Compare compares each measured entry with the newest baseline entry that has a score, is of the
+// same site and command, and is also quick or also not. The baseline must be ordered oldest first.
+// The row of a site precedes the rows of its days. A drop of the score is a problem only for a
+// site; that of a single day is only shown, since a day's score varies by more than MaxScoreDrop.
 func Compare(baseline, measured []Entry) []Row {
 	var rows []Row
 	for i := range measured {
