--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -114,8 +114,8 @@
 // Handle takes an event, and does what is due at the time now.
 func (a *Agent) Handle(now time.Duration, event Event) []Effect {
 	switch e := event.(type) {
-	case HeartbeatAnswered:
-		a.handleHeartbeatAnswered(now, e)
+	case HeartbeatCompleted:
+		a.handleHeartbeatCompleted(now, e)
 	case CommandsReceived:
 		a.handleCommands(now, e)
 	case StatusRequested:
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -117,7 +117,7 @@
 	switch e := e.(type) {
 	case AttemptExited:
 		delete(h.running, e.AttemptKey)
-	case HeartbeatAnswered:
+	case HeartbeatCompleted:
 		h.redirected = e.Status == 421
 	}
 	h.apply(h.agent.Handle(h.now, e))
@@ -149,7 +149,7 @@
 	h.t.Helper()
 	h.awaitHeartbeat()
 	h.inFlight = nil
-	h.handle(HeartbeatAnswered{Status: 200, Response: protocol.HeartbeatResponse{Token: token, Commands: cmds}})
+	h.handle(HeartbeatCompleted{Status: 200, Response: protocol.HeartbeatResponse{Token: token, Commands: cmds}})
 }
 
 func startCommand(task string, try uint64) protocol.Command {
@@ -219,7 +219,7 @@
 	h.wantState(AttemptKey{"job-1/2", 1}, "ended no_such false")
 }
 
-func TestCheckpointGracePeriod(t *testing.T) {
+func TestStoppedAttemptSavesWithinGracePeriod(t *testing.T) {
 	h := newHarness(t)
 	saves := func(d *JobDescribed) { d.Description.Job.CheckpointS, d.Description.Job.SaveS = 10, 2 }
 	kill := func(k AttemptKey, grace float64) protocol.Command {
@@ -285,7 +285,7 @@
 	for h.now < h.leaseUntil-2*time.Second {
 		h.awaitHeartbeat()
 		h.inFlight = nil
-		h.handle(HeartbeatAnswered{}) // no answers any more
+		h.handle(HeartbeatCompleted{}) // no answers any more
 		h.advance(100 * time.Millisecond)
 	}
 	h.advance(h.leaseUntil + 10*time.Millisecond - h.now)
@@ -295,7 +295,7 @@
 	// Until it is dead the agent neither reports nor obeys.
 	if h.inFlight != nil {
 		h.inFlight = nil
-		h.handle(HeartbeatAnswered{})
+		h.handle(HeartbeatCompleted{})
 	}
 	n := len(h.sentAt)
 	h.advance(3 * time.Second)
@@ -309,21 +309,21 @@
 	}
 }
 
-func TestHeartbeatRedirects(t *testing.T) {
+func TestHeartbeatFollowsRedirect(t *testing.T) {
 	h := newHarness(t)
 	h.awaitHeartbeat()
 	first := h.inFlight.Controller
 	other := h.agent.settings.Controllers[1-first].ReportTo
 	h.inFlight = nil
 	at := h.now
-	h.handle(HeartbeatAnswered{Status: 421, Redirect: protocol.Redirect{ReportTo: other}})
+	h.handle(HeartbeatCompleted{Status: 421, Redirect: protocol.Redirect{ReportTo: other}})
 	h.awaitHeartbeat()
 	if h.inFlight.Controller == first || h.now-at > minHeartbeatGap+20*time.Millisecond {
 		t.Fatalf("it went to %d after %v", h.inFlight.Controller, h.now-at)
 	}
 	h.inFlight = nil
 	at = h.now
-	h.handle(HeartbeatAnswered{Status: 421, Redirect: protocol.Redirect{ReportTo: other}}) // its own name
+	h.handle(HeartbeatCompleted{Status: 421, Redirect: protocol.Redirect{ReportTo: other}}) // its own name
 	h.awaitHeartbeat()
 	if h.inFlight.Controller != first || h.now-at < failoverDelay {
 		t.Fatalf("it went to %d after %v", h.inFlight.Controller, h.now-at)
@@ -349,7 +349,7 @@
 		if h.inFlight != nil {
 			h.inFlight = nil
 			status := rapid.SampledFrom([]int{200, 200, 200, 421, 503, 0}).Draw(t, "status")
-			h.handle(HeartbeatAnswered{Status: status, Response: protocol.HeartbeatResponse{Token: token, Commands: commands}})
+			h.handle(HeartbeatCompleted{Status: status, Response: protocol.HeartbeatResponse{Token: token, Commands: commands}})
 		}
 	case 2:
 		session := rapid.Uint64Range(1, 3).Draw(t, "session")
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -26,8 +26,8 @@
 // answers it.
 type StatusRequested struct{ ID int }
 
-// HeartbeatAnswered is how a heartbeat ended; Status is 0 if no response came.
-type HeartbeatAnswered struct {
+// HeartbeatCompleted is how a heartbeat ended; Status is 0 if no response came.
+type HeartbeatCompleted struct {
 	Status   int
 	Response protocol.HeartbeatResponse
 	Redirect protocol.Redirect
@@ -56,10 +56,10 @@
 // PreemptionNotice says that the cloud takes the machine back at a moment of the agent's clock.
 type PreemptionNotice struct{ At time.Duration }
 
-func (CommandsReceived) isEvent()  {}
-func (StatusRequested) isEvent()   {}
-func (HeartbeatAnswered) isEvent() {}
-func (JobDescribed) isEvent()      {}
-func (ImageFetched) isEvent()      {}
-func (AttemptExited) isEvent()     {}
-func (PreemptionNotice) isEvent()  {}
+func (CommandsReceived) isEvent()   {}
+func (StatusRequested) isEvent()    {}
+func (HeartbeatCompleted) isEvent() {}
+func (JobDescribed) isEvent()       {}
+func (ImageFetched) isEvent()       {}
+func (AttemptExited) isEvent()      {}
+func (PreemptionNotice) isEvent()   {}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -82,14 +82,14 @@
 	a.emit(SendHeartbeat{Controller: a.controller, Heartbeat: a.heartbeat(now)})
 }
 
-func (a *Agent) handleHeartbeatAnswered(now time.Duration, e HeartbeatAnswered) {
+func (a *Agent) handleHeartbeatCompleted(now time.Duration, e HeartbeatCompleted) {
 	if !a.heartbeatInFlight {
 		return
 	}
 	a.heartbeatInFlight = false
 	switch e.Status {
 	case statusOK:
-		if a.mayAccept(now, e.Response) {
+		if a.acceptsResponse(now, e.Response) {
 			a.raiseToken(now, e.Response.Token)
 			a.renewLease()
 			a.executeCommands(now, e.Response.Commands)
@@ -102,10 +102,10 @@
 	}
 }
 
-// mayAccept reports whether a response counts. One to a heartbeat of an earlier session,
+// acceptsResponse reports whether a response counts. One to a heartbeat of an earlier session,
 // one that came too late, and one with a stale token or none are dropped: they renew no
 // lease and their commands are not executed.
-func (a *Agent) mayAccept(now time.Duration, r protocol.HeartbeatResponse) bool {
+func (a *Agent) acceptsResponse(now time.Duration, r protocol.HeartbeatResponse) bool {
 	sessionGoesOn := a.heartbeatSession == a.session && !a.leaseExpired && now-a.leaseStart <= a.leaseDuration()
 	inTime := now-a.heartbeatSentAt <= responseTimeout
 	return sessionGoesOn && inTime && r.Token > 0 && r.Token >= a.token
--- a/internal/agentd/command.go
+++ b/internal/agentd/command.go
@@ -210,7 +210,7 @@
 	if err != nil || stat.Size() == uploaded {
 		return uploaded
 	}
-	b := make([]byte, min(stat.Size(), artifacts.MaxOutput))
+	b := make([]byte, min(stat.Size(), artifacts.MaxOutputBytes))
 	n, _ := f.ReadAt(b, stat.Size()-int64(len(b))) // a file that shrank is uploaded shorter
 	if d.artifacts.UploadOutput(p.job, p.index, p.key.Attempt, b[:n]) != nil {
 		return uploaded
--- a/internal/agentd/http.go
+++ b/internal/agentd/http.go
@@ -86,5 +86,5 @@
 	var reply protocol.HeartbeatReply
 	status := d.rpc.Call(fasthttp.MethodPost, d.settings.ControllerAddrs[e.Controller], "/v1/report", e.Heartbeat, &reply,
 		heartbeatTimeout, fasthttp.StatusOK, fasthttp.StatusMisdirectedRequest)
-	d.post(agent.HeartbeatAnswered{Status: status, Response: reply.HeartbeatResponse, Redirect: reply.Redirect})
+	d.post(agent.HeartbeatCompleted{Status: status, Response: reply.HeartbeatResponse, Redirect: reply.Redirect})
 }
--- a/internal/agentd/preemption_test.go
+++ b/internal/agentd/preemption_test.go
@@ -20,7 +20,7 @@
 //
 // A notice comes at each of some moments, from before the agent has its lock to when it serves: it is
 // told with the next heartbeat, and the seconds count from when it came.
-func TestNoticeAtAnyMomentIsKept(t *testing.T) {
+func TestPreemptionNoticeIsReportedWheneverItArrives(t *testing.T) {
 	const notice, lockHeld = 60 * time.Second, 1500 * time.Millisecond
 	for name, when := range map[string]time.Duration{
 		"before the agent serves":       -1,
@@ -68,7 +68,7 @@
 }
 
 // A notice that comes when the agent has ended, or again, is harmless.
-func TestNoticeAfterTheEndIsDropped(t *testing.T) {
+func TestPreemptionNoticeAfterShutdownIsDropped(t *testing.T) {
 	m := startMachine(t, 30)
 	m.stop()
 	daemon, err := New(m.settings)
--- a/internal/binpacking/capacity_test.go
+++ b/internal/binpacking/capacity_test.go
@@ -7,7 +7,7 @@
 	"github.com/chalkhub/chalkhub/internal/records"
 )
 
-func TestAllocateAndRelease(t *testing.T) {
+func TestReleaseRestoresAllocatedCapacity(t *testing.T) {
 	free := Capacity{CPUs: 0.3, GPUs: 1, MemoryGB: 4}
 	job := &protocol.Job{CPUs: 0.1, MemoryGB: 1}
 	for n := range 3 { // in floating point three times 0.1 is more than 0.3
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestConstraintsOfAJob(t *testing.T) {
+func TestJobConstraintsLimitMachines(t *testing.T) {
 	onDemand := Capacity{TypeName: "barn", Zone: "a"}
 	spot := Capacity{TypeName: "box", Zone: "b", Spot: true}
 	for _, c := range []struct {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestTasksFollowTheZonesOfTheirJobsRecord(t *testing.T) {
+func TestTasksRunOnlyInZonesOfJobRecord(t *testing.T) {
 	inA, inB := Capacity{Zone: "a"}, Capacity{Zone: "b"}
 	for _, c := range []struct {
 		what     string
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestBetterFit(t *testing.T) {
+func TestBetterFitPrefersImageThenSpotThenLeastFree(t *testing.T) {
 	cached := map[string]bool{"img": true}
 	for _, c := range []struct {
 		what   string
--- a/internal/binpacking/imagecache.go
+++ b/internal/binpacking/imagecache.go
@@ -42,6 +42,6 @@
 // Images lists what is in the cache, the one used last at the end. The caller must not change it.
 func (c *ImageCache) Images() []string { return c.recency }
 
-// Set is the same as a set, nil if the cache is empty. It follows the cache until that is first
+// ImageSet is the same as a set, nil if the cache is empty. It follows the cache until that is first
 // used, and the caller must not change it.
-func (c *ImageCache) Set() map[string]bool { return c.cached }
+func (c *ImageCache) ImageSet() map[string]bool { return c.cached }
--- a/internal/binpacking/imagecache_test.go
+++ b/internal/binpacking/imagecache_test.go
@@ -11,11 +11,11 @@
 			t.Fatalf("%s is new", name)
 		}
 	}
-	if x.Use("a", 1, 10) || !x.Set()["a"] {
+	if x.Use("a", 1, 10) || !x.ImageSet()["a"] {
 		t.Fatal("ten images of 1 GB fit into 10 GB")
 	}
 	x.Use("k", 1, 10)
-	if x.Set()["b"] || !x.Set()["a"] {
+	if x.ImageSet()["b"] || !x.ImageSet()["a"] {
 		t.Fatalf("the image that was used longest ago goes first: %v", x.Images())
 	}
 }
--- a/internal/calibration/calibration_test.go
+++ b/internal/calibration/calibration_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// learn observes 200 jobs whose estimates are three times too high throughout, and noisy.
-func learn(noise float64) *Model {
+// newTrainedModel observes 200 jobs whose estimates are three times too high throughout, and noisy.
+func newTrainedModel(noise float64) *Model {
 	luck := rand.New(rand.NewPCG(1, 2))
 	model := &Model{}
 	for range 200 {
@@ -29,7 +29,7 @@
 		{"noise is ignored", 3, 0.8, 1.35},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			model := learn(test.noise)
+			model := newTrainedModel(test.noise)
 			typical := math.Exp(model.meanLogEstimate)
 			if factor := model.Factor(3 * typical); factor < test.low || factor > test.high {
 				t.Errorf("three times the usual estimate: factor %v, not %v to %v", factor, test.low, test.high)
@@ -55,7 +55,7 @@
 }
 
 func TestUnusableValuesAreIgnored(t *testing.T) {
-	model := learn(0.05)
+	model := newTrainedModel(0.05)
 	before := *model
 	for _, ratio := range []float64{0, -1, math.Inf(1), math.NaN()} {
 		if model.ObserveDuration(400, ratio); *model != before {
--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -71,7 +71,7 @@
 				s.Run(s.Now + 60*second)
 				for _, job := range jobs {
 					if job.LastState != protocol.JobCancelled {
-						t.Errorf("accepted again in a batch %v: %s is %s (%s), want it cancelled", batch, job.Spec.ID, job.LastState, job.Answer.Reason)
+						t.Errorf("accepted again in a batch %v: %s is %s (%s), want it cancelled", batch, job.Spec.ID, job.LastState, job.LastResponse.Reason)
 					}
 					s.Users.ReadEverywhere(job)
 				}
--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -88,7 +88,7 @@
 	s := newScenario(t, 63)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	job := s.Users.Submit(simulation.Array(4), 5)
-	s.eventually(60*second, "the reason names the cloud", func() bool { return strings.Contains(job.Answer.Reason, "cloud") })
+	s.eventually(60*second, "the reason names the cloud", func() bool { return strings.Contains(job.LastResponse.Reason, "cloud") })
 	s.Cloud.AddRunning("box", "a", true)
 	s.eventually(60*second, "the job is done", s.Users.AllFinal)
 }
--- a/internal/core/consistency_faults_test.go
+++ b/internal/core/consistency_faults_test.go
@@ -48,8 +48,8 @@
 			s.Run(s.Now + 2*second)
 		}
 		s.recoverAndFinish(200 * second)
-		if s.Users.ConsistentReads < 1000 {
-			t.Fatalf("only %d reads at all nodes got a response, want at least 1000", s.Users.ConsistentReads)
+		if s.Users.ReadEverywhereReplies < 1000 {
+			t.Fatalf("only %d reads at all nodes got a response, want at least 1000", s.Users.ReadEverywhereReplies)
 		}
 	})
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -33,7 +33,7 @@
 	s := newScenario(t, 300)
 	jobs := s.submitDiamond()
 	s.eventually(10*second, "the last job's reason names its dependency", func() bool {
-		return strings.HasPrefix(jobs[3].Answer.Reason, "waits for "+jobs[1].Spec.ID)
+		return strings.HasPrefix(jobs[3].LastResponse.Reason, "waits for "+jobs[1].Spec.ID)
 	})
 	s.leader().Crash(second / 5)
 	s.eventually(200*second, "all jobs are done", lastStateIs(protocol.JobDone, jobs...))
@@ -50,8 +50,8 @@
 	s.eventually(45*second, "all dependents are cancelled", lastStateIs(protocol.JobCancelled, jobs...))
 	late := s.submitAccepted(dependentArray(2, other, jobs[3]), 1)
 	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", lastStateIs(protocol.JobCancelled, late))
-	if !strings.Contains(late.Answer.Reason, jobs[3].Spec.ID) {
-		t.Fatalf("the reason is %q", late.Answer.Reason)
+	if !strings.Contains(late.LastResponse.Reason, jobs[3].Spec.ID) {
+		t.Fatalf("the reason is %q", late.LastResponse.Reason)
 	}
 	s.crashAll(second / 20) // the controllers must reach the same result from the reloaded records
 	s.Run(s.Now + 60*second)
@@ -207,7 +207,7 @@
 	unrelated := s.submitAccepted(simulation.Array(8), 5)
 	s.eventually(100*second, "other work is done", lastStateIs(protocol.JobDone, unrelated))
 	s.Run(s.Now + 60*second)
-	if reason := dependents[1].Answer.Reason; reason != "waits for "+dependents[0].Spec.ID {
+	if reason := dependents[1].LastResponse.Reason; reason != "waits for "+dependents[0].Spec.ID {
 		t.Fatalf("the last job's reason is %q", reason)
 	}
 	s.Users.Cancel(head)
@@ -229,8 +229,8 @@
 	last := s.submitAccepted(dependentArray(4, middle), 4)
 	s.eventually(60*second, "the first job of the chain is done", lastStateIs(protocol.JobDone, head))
 	s.Run(s.Now + 8*second)
-	if !strings.Contains(middle.Answer.Reason, "at its limit") {
-		t.Fatalf("the second job of the chain is %s with the reason %q; %d tasks of the job that fills the quota run", middle.LastState, middle.Answer.Reason, full.RunningTasks())
+	if !strings.Contains(middle.LastResponse.Reason, "at its limit") {
+		t.Fatalf("the second job of the chain is %s with the reason %q; %d tasks of the job that fills the quota run", middle.LastState, middle.LastResponse.Reason, full.RunningTasks())
 	}
 	s.eventually(300*second, "all jobs are done", lastStateIs(protocol.JobDone, full, head, middle, last))
 }
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -238,7 +238,7 @@
 		for i, node := range s.Nodes {
 			node.Crash(down + time.Duration(i)*second*time.Duration(variant%2*3))
 		}
-		for _, machine := range s.SomeWorkers(8) { // these are unreachable until 5 s later than the others
+		for _, machine := range s.RandomWorkers(8) { // these are unreachable until 5 s later than the others
 			for _, node := range s.Nodes {
 				s.Partition(node.Label, machine.Info.Name, false)
 				s.After(down+5*second, func() { s.Heal(node.Label, machine.Info.Name) })
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -79,7 +79,7 @@
 	}
 	s.eventually(60*second, "several machines run tasks", func() bool { return len(s.Workers) >= 5 })
 	s.Run(s.Now + 5*second)
-	for _, worker := range s.SomeWorkers(1) {
+	for _, worker := range s.RandomWorkers(1) {
 		s.Cloud.Remove(worker.Info.Name)
 	}
 	for _, node := range s.Nodes {
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -98,16 +98,16 @@
 		s.t.Fatal("half of each class could not be served within the limit of any team: the scenario tests nothing")
 	}
 	for _, account := range underserved {
-		share := s.Users.ClassShares(until)[account]
+		share := s.Users.ClassProgress(until)[account]
 		s.t.Fatalf("class %s of team %s: %d of %d jobs are done, %d have started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 }
 
 // classShare returns how many jobs of a class of team red are done, of those that were submitted at
 // least twice overdueAfter ago.
-func (s *scenario) classShare(class string) *simulation.ClassShare {
+func (s *scenario) classShare(class string) *simulation.ClassProgress {
 	s.t.Helper()
-	share := s.Users.ClassShares(s.Now - 2*s.overdueAfter())[fairshare.Account{Team: "red", Class: class}]
+	share := s.Users.ClassProgress(s.Now - 2*s.overdueAfter())[fairshare.Account{Team: "red", Class: class}]
 	if share == nil {
 		s.t.Fatalf("no job of class %s was submitted early enough", class)
 	}
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -25,7 +25,7 @@
 }
 
 func (s *scenario) removeSomeMachines(count int) {
-	for _, machine := range s.SomeWorkers(count) {
+	for _, machine := range s.RandomWorkers(count) {
 		s.Cloud.Remove(machine.Info.Name)
 	}
 }
@@ -37,7 +37,7 @@
 var staleHeartbeats = map[string]func(s *scenario){
 	"from before the tasks": func(*scenario) {},
 	"from an earlier session": func(s *scenario) {
-		for _, machine := range s.SomeWorkers(4) {
+		for _, machine := range s.RandomWorkers(4) {
 			s.partitionMachine(machine)
 			s.After(18*second, func() { s.healMachine(machine) })
 		}
@@ -49,7 +49,7 @@
 	},
 	machinesTerminatedWithLeader: func(s *scenario) { s.removeSomeMachines(6) },
 	"of partitioned machines": func(s *scenario) { // the stale heartbeat is the first that the new leader receives
-		busy := slices.DeleteFunc(s.SomeWorkers(64), func(machine *simulation.Worker) bool { return len(machine.Tasks) == 0 })
+		busy := slices.DeleteFunc(s.RandomWorkers(64), func(machine *simulation.Worker) bool { return len(machine.Tasks) == 0 })
 		s.addMachines(12)   // with free capacity for all tasks of the busy machines
 		s.Cloud.Down = true // otherwise the busy machines would be considered dead and deleted
 		for _, machine := range busy {
@@ -115,7 +115,7 @@
 			spec.Team = "red"
 			red, toCancel := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(16), 200)
 			s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 40 })
-			for _, machine := range s.SomeWorkers(7) {
+			for _, machine := range s.RandomWorkers(7) {
 				machine.OutboundBlocked = true
 				s.After(time.Duration(20+variant*20)*second, func() { machine.OutboundBlocked = false })
 			}
@@ -139,7 +139,7 @@
 func TestHeartbeatsDelayedPastFailoverKeepInvariants(t *testing.T) {
 	acrossSeeds(t, 4100, 6, func(t *testing.T, variant, controllers int, seed uint64) {
 		s, toCancel := startFullCluster(t, seed, controllers)
-		delayed := s.SomeWorkers(9)
+		delayed := s.RandomWorkers(9)
 		setLinks := func(link simulation.Link) {
 			for _, machine := range delayed {
 				for _, node := range s.Nodes {
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -125,7 +125,7 @@
 func TestFailoverDoesNotWaitForTerminatedMachines(t *testing.T) {
 	for seed := range uint64(4) {
 		s := startWithMachines(t, 1200+seed, 10)
-		for _, worker := range s.SomeWorkers(len(s.Workers) - 1) {
+		for _, worker := range s.RandomWorkers(len(s.Workers) - 1) {
 			s.Cloud.Remove(worker.Info.Name)
 		}
 		for i, node := range s.Nodes {
@@ -443,7 +443,7 @@
 		job := s.Users.Submit(simulation.Array(64), 90)
 		s.eventually(90*second, "all tasks run", func() bool { return job.RunningTasks() == 64 })
 		s.Cloud.Down = true
-		for _, worker := range s.SomeWorkers(6) {
+		for _, worker := range s.RandomWorkers(6) {
 			for _, node := range s.Nodes {
 				s.SetLink(node.Label, worker.Info.Name, simulation.Dropped)
 			}
@@ -575,7 +575,7 @@
 			more := simulation.Array(12)
 			more.Team = "red"
 			job := s.Users.Submit(more, 60)
-			for i, worker := range s.SomeWorkers(8) {
+			for i, worker := range s.RandomWorkers(8) {
 				worker.ForceStart(protocol.TaskName(job.Spec.ID, i), 99)
 			}
 			s.Run(s.Now + 5*second)
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -137,7 +137,7 @@
 	}
 	free := binpacking.Capacity{
 		CPUs: m.machineType.CPUs, GPUs: m.machineType.GPUs, MemoryGB: m.machineType.MemoryGB,
-		TypeName: m.typeName, Zone: m.zone, Spot: m.spot, CachedImages: m.images.Set(),
+		TypeName: m.typeName, Zone: m.zone, Spot: m.spot, CachedImages: m.images.ImageSet(),
 	}
 	for _, a := range m.attempts {
 		if a.live() && a.spec != nil {
--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -92,13 +92,13 @@
 				s.After(start+time.Duration(5+random.IntN(30))*second, func() { s.Heal(node.Label, endpoint) })
 			case 3:
 				s.After(start, func() {
-					for _, worker := range s.SomeWorkers(2) {
+					for _, worker := range s.RandomWorkers(2) {
 						s.Cloud.Remove(worker.Info.Name)
 					}
 				})
 			case 4:
 				s.After(start, func() {
-					for _, worker := range s.SomeWorkers(2) {
+					for _, worker := range s.RandomWorkers(2) {
 						worker.Hung = true
 						s.After(time.Duration(3+random.IntN(25))*second, func() { worker.Hung = false })
 					}
@@ -167,7 +167,7 @@
 	for i := range 60 {
 		s.At(s.Now+time.Duration(i)*second/2, func() {
 			s.Users.Submit(simulation.Array(20), 4)
-			for _, worker := range s.SomeWorkers(1) {
+			for _, worker := range s.RandomWorkers(1) {
 				if i%3 == 0 {
 					s.Cloud.Remove(worker.Info.Name)
 					s.Cloud.AddRunning("barn", "a", true)
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -16,8 +16,8 @@
 	low.Urgency, high.Urgency = protocol.UrgencyLow, protocol.UrgencyHigh
 	lowJob, urgentJob := s.Users.Submit(low, 10), s.Users.Submit(high, 10)
 	s.eventually(200*second, "the urgent job is done", func() bool { return urgentJob.LastState == protocol.JobDone })
-	if lowJob.Answer.Done > 10 {
-		t.Fatalf("%d tasks of the low-urgency job are done before the urgent job", lowJob.Answer.Done)
+	if lowJob.LastResponse.Done > 10 {
+		t.Fatalf("%d tasks of the low-urgency job are done before the urgent job", lowJob.LastResponse.Done)
 	}
 }
 
@@ -34,7 +34,7 @@
 	high.Urgency = protocol.UrgencyHigh
 	urgentJob := s.Users.Submit(high, 20)
 	s.eventually(10*second, "the urgent tasks run", func() bool { return urgentJob.RunningTasks() == 8 })
-	s.eventually(10*second, "the low-urgency job's reason names the more urgent work", func() bool { return strings.Contains(lowJob.Answer.Reason, "more urgent work") })
+	s.eventually(10*second, "the low-urgency job's reason names the more urgent work", func() bool { return strings.Contains(lowJob.LastResponse.Reason, "more urgent work") })
 }
 
 // A best-effort team, one without a guarantee, uses idle machines, but its long tasks with checkpoints
@@ -51,7 +51,7 @@
 	guaranteed.Urgency = protocol.UrgencyLow
 	guaranteedJob := s.Users.Submit(guaranteed, 10)
 	s.eventually(15*second, "the other team has its guarantee", func() bool { return guaranteedJob.RunningTasks() == 8 })
-	s.eventually(10*second, "the best-effort job's reason names the guarantee", func() bool { return strings.Contains(bestEffortJob.Answer.Reason, "its guarantee") })
+	s.eventually(10*second, "the best-effort job's reason names the guarantee", func() bool { return strings.Contains(bestEffortJob.LastResponse.Reason, "its guarantee") })
 	s.eventually(40*second, "the best-effort job uses the remaining capacity", func() bool { return bestEffortJob.RunningTasks() >= 14 })
 }
 
@@ -110,7 +110,7 @@
 	failing.Urgency = protocol.UrgencyHigh
 	crashLooping := s.Users.Submit(failing, 10)
 	crashLooping.FailsEverywhere = true
-	s.eventually(60*second, "the failing job is treated as crash-looping", func() bool { return strings.Contains(crashLooping.Answer.Reason, "one is tried again at") })
+	s.eventually(60*second, "the failing job is treated as crash-looping", func() bool { return strings.Contains(crashLooping.LastResponse.Reason, "one is tried again at") })
 	low := simulation.Array(80)
 	low.Urgency, low.CheckpointS, low.SaveS = protocol.UrgencyLow, 4, 2
 	lowJob := s.Users.Submit(low, 600)
--- a/internal/core/random_deployment_test.go
+++ b/internal/core/random_deployment_test.go
@@ -53,7 +53,7 @@
 		if job.Rejected == 0 && job.LastState != protocol.JobDone && job.LastState != protocol.JobCancelled {
 			spec := &job.Spec
 			left = append(left, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", spec.ID, spec.Kind, spec.Team,
-				spec.Tasks, spec.CPUs, job.LastState, job.Answer.Reason))
+				spec.Tasks, spec.CPUs, job.LastState, job.LastResponse.Reason))
 		}
 	}
 	return strings.Join(left, ", ")
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -80,7 +80,7 @@
 // onMachines applies a function to up to f.count random machines at the beginning of the fault.
 func (f *fault) onMachines(apply func(*simulation.Worker)) {
 	f.atStart(func() {
-		for _, machine := range f.s.SomeWorkers(f.count) {
+		for _, machine := range f.s.RandomWorkers(f.count) {
 			apply(machine)
 		}
 	})
--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -128,7 +128,7 @@
 	s.t.Helper()
 	underserved, checked := s.Users.UnderservedClasses(until, capacity)
 	for _, account := range underserved {
-		share := s.Users.ClassShares(until)[account]
+		share := s.Users.ClassProgress(until)[account]
 		s.t.Fatalf("class %s of team %s: %d of %d jobs done, %d started\n%s", account.Class, account.Team, share.Done, share.Jobs, share.Started, s.lastLogs(*logLines))
 	}
 	return checked
--- a/internal/core/randomized_test.go
+++ b/internal/core/randomized_test.go
@@ -59,9 +59,9 @@
 // than a tenth of the requests in that time, and more than one of them, got no response.
 func (s *scenario) requireResponses(d *deployment) {
 	s.t.Helper()
-	requests, answered := s.Users.Requests, s.Users.Answered
+	requests, answered := s.Users.Requests, s.Users.Served
 	s.Run(s.Now + max(2*d.lease(), 20*second))
-	requests, answered = s.Users.Requests-requests, s.Users.Answered-answered
+	requests, answered = s.Users.Requests-requests, s.Users.Served-answered
 	if requests-answered > max(requests/10, 1) {
 		s.t.Fatalf("after the end of all faults, %d of %d requests got a response\n%s", answered, requests, s.lastLogs(*logLines))
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -94,7 +94,7 @@
 	s.leader().Crash(3 * second)
 	s.Run(s.Now + 10*second)
 	s.Store.Outage(8 * second)
-	for _, worker := range s.SomeWorkers(15) {
+	for _, worker := range s.RandomWorkers(15) {
 		s.Cloud.Remove(worker.Info.Name)
 	}
 	s.Run(s.Now + 15*second)
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -15,7 +15,7 @@
 	spec.Team, spec.EstimateS = "red", 100
 	job := s.Users.Submit(spec, 200)
 	s.eventually(90*second, "the reason names the limit", func() bool {
-		return strings.Contains(job.Answer.Reason, "team red is at its limit")
+		return strings.Contains(job.LastResponse.Reason, "team red is at its limit")
 	})
 }
 
@@ -44,7 +44,7 @@
 	}
 	working := s.Users.Submit(simulation.Array(12), 25)
 	s.eventually(120*second, "the working job is done", func() bool { return working.LastState == protocol.JobDone })
-	s.eventually(60*second, "a failing job's reason names the next try", func() bool { return strings.Contains(failing[0].Answer.Reason, "one is tried again at") })
+	s.eventually(60*second, "a failing job's reason names the next try", func() bool { return strings.Contains(failing[0].LastResponse.Reason, "one is tried again at") })
 	s.Run(s.Now + 100*second)
 	failed := 0
 	for _, line := range s.Logs {
@@ -177,8 +177,8 @@
 			s.Cloud.Remove(machine)
 		}
 	}
-	before := job.Answer.Done
-	s.eventually(60*second, "tasks in the other zone complete", func() bool { return job.Answer.Done >= before+12 })
+	before := job.LastResponse.Done
+	s.eventually(60*second, "tasks in the other zone complete", func() bool { return job.LastResponse.Done >= before+12 })
 }
 
 // A gang of a best-effort team may use every machine long after the other teams' work has completed.
--- a/internal/core/store_limits_test.go
+++ b/internal/core/store_limits_test.go
@@ -95,15 +95,15 @@
 	spec := simulation.Array(18_000)
 	spec.CPUs, spec.MemoryGB, spec.Class = 0.25, 0.1, "grains"
 	job := s.Users.Submit(spec, 4)
-	s.eventually(300*second, "a third of the job is done and stored", func() bool { return job.Answer.Done > 6000 })
+	s.eventually(300*second, "a third of the job is done and stored", func() bool { return job.LastResponse.Done > 6000 })
 	s.upgradeAll()
 	s.Store.LimitsLowered = true
 	s.Run(s.Now + 30*second)
-	before := job.Answer.Done
+	before := job.LastResponse.Done
 	s.crashAll(second / 5)
 	s.Run(s.Now + 10*second)
-	if job.Answer.Done < before {
-		t.Fatalf("%d tasks were done before all controllers crashed, only %d after", before, job.Answer.Done)
+	if job.LastResponse.Done < before {
+		t.Fatalf("%d tasks were done before all controllers crashed, only %d after", before, job.LastResponse.Done)
 	}
 	s.eventually(900*second, "the job is done", lastStateIs(protocol.JobDone, job))
 	s.eventually(100*second, "all progress blocks are deleted", func() bool { return s.Store.CountKeys("c/fine/")+s.Store.CountKeys("c/prog/") == 0 })
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -21,8 +21,8 @@
 	s.eventually(40*second, "the job is cancelled and none of its tasks runs", func() bool { return job.LastState == protocol.JobCancelled && job.RunningTasks() == 0 })
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
-	if !strings.Contains(job.Answer.Reason, "cancelled") {
-		t.Fatalf("the reason is %q", job.Answer.Reason)
+	if !strings.Contains(job.LastResponse.Reason, "cancelled") {
+		t.Fatalf("the reason is %q", job.LastResponse.Reason)
 	}
 }
 
@@ -55,7 +55,7 @@
 	s := newScenario(t, 66)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
 	job := s.Users.Submit(simulation.Array(protocol.MaxTasks), 1)
-	s.eventually(120*second, "progress is published", func() bool { return job.Answer.Done > 100 })
+	s.eventually(120*second, "progress is published", func() bool { return job.LastResponse.Done > 100 })
 }
 
 // Where the settings name no teams, no team has a limit, and jobs of any team run.
--- a/internal/core/zone_faults_test.go
+++ b/internal/core/zone_faults_test.go
@@ -24,7 +24,7 @@
 				jobs = append(jobs, s.Users.Submit(zoneBoundSpec(n), 25))
 			}
 			s.Run(s.Now + 10*second)
-			for _, machine := range s.SomeWorkers(64) {
+			for _, machine := range s.RandomWorkers(64) {
 				if machine.Info.Zone == "b" && (variant > 0 || s.Rand.IntN(2) == 0) {
 					s.Cloud.Remove(machine.Info.Name)
 				}
@@ -141,7 +141,7 @@
 
 // removeZone removes all machines of a zone and the capacity to rent others there.
 func (s *scenario) removeZone(zone string) {
-	for _, machine := range s.SomeWorkers(64) {
+	for _, machine := range s.RandomWorkers(64) {
 		if machine.Info.Zone == zone {
 			s.Cloud.Remove(machine.Info.Name)
 		}
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -47,10 +47,10 @@
 // Graph holds the unfinished jobs that wait for others, and the jobs that they wait for. Other
 // jobs are not in it.
 type Graph struct {
-	nodes        map[string]*node
-	arrivals     []*node // in the order in which they came; some of them removed
-	events       []Event // not taken yet
-	waitingCount int     // jobs with an unmet dependency
+	nodes          map[string]*node
+	insertionOrder []*node // in the order in which they came; some of them removed
+	events         []Event // not taken yet
+	waitingCount   int     // jobs with an unmet dependency
 
 	orderStale  bool    // the graph has changed since topological was made
 	topological []*node // unfinished jobs, each before those that it depends on
@@ -73,8 +73,8 @@
 	eventPending   bool    // it is aborted, and nobody has taken the event yet
 	removed        bool    // from the graph
 
-	own, effective     Priority
-	unplacedDependents int // while the topological order is made
+	ownPriority, effectivePriority Priority
+	unsortedDependents             int // while the topological order is made
 }
 
 // New makes an empty graph.
@@ -86,7 +86,7 @@
 	if n == nil {
 		n = &node{id: id}
 		g.nodes[id] = n
-		g.arrivals = append(g.arrivals, n)
+		g.insertionOrder = append(g.insertionOrder, n)
 	}
 	return n
 }
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestReadyWhenLastDependencyIsDone(t *testing.T) {
+func TestJobsBecomeReadyWhenLastDependencyIsDone(t *testing.T) {
 	g := newDiamond()
 	g.MarkFinished("c", true, 50)
 	g.MarkFinished("b", true, 60)
--- a/internal/dag/priority.go
+++ b/internal/dag/priority.go
@@ -27,9 +27,9 @@
 	g.refreshTurn = (g.refreshTurn + 1) % refreshInterval
 	for i, n := range g.topological {
 		if n.unmet == 0 || !n.hasPriority() || i%refreshInterval == g.refreshTurn {
-			n.own = own(n.id)
+			n.ownPriority = own(n.id)
 		}
-		n.effective = n.own
+		n.effectivePriority = n.ownPriority
 	}
 	for _, n := range g.topological {
 		for _, dependency := range n.dependencies {
@@ -45,35 +45,35 @@
 	if n == nil || !n.hasPriority() {
 		return Priority{}, false
 	}
-	return n.effective, true
+	return n.effectivePriority, true
 }
 
 // hasPriority reports whether the job's own priority was ever asked for.
-func (n *node) hasPriority() bool { return n.own != Priority{} }
+func (n *node) hasPriority() bool { return n.ownPriority != Priority{} }
 
 // inheritFrom makes a job at least as urgent as one that depends on it.
 func (n *node) inheritFrom(dependent *node) {
-	latestStart := dependent.effective.LatestFinish - dependent.own.Duration
-	n.effective.Urgency = min(n.effective.Urgency, dependent.effective.Urgency)
-	n.effective.LatestFinish = min(n.effective.LatestFinish, latestStart)
+	latestStart := dependent.effectivePriority.LatestFinish - dependent.ownPriority.Duration
+	n.effectivePriority.Urgency = min(n.effectivePriority.Urgency, dependent.effectivePriority.Urgency)
+	n.effectivePriority.LatestFinish = min(n.effectivePriority.LatestFinish, latestStart)
 }
 
 // sortTopologically puts the jobs into an order in which each comes before those that it
 // depends on (Kahn's algorithm), and forgets removed ones.
 func (g *Graph) sortTopologically() {
 	g.orderStale = false
-	g.arrivals = slices.DeleteFunc(g.arrivals, func(n *node) bool { return n.removed })
+	g.insertionOrder = slices.DeleteFunc(g.insertionOrder, func(n *node) bool { return n.removed })
 	g.countDependents()
 	g.topological = g.topological[:0]
-	for _, n := range g.arrivals {
-		if n.unplacedDependents == 0 {
+	for _, n := range g.insertionOrder {
+		if n.unsortedDependents == 0 {
 			g.topological = append(g.topological, n)
 		}
 	}
 	for i := 0; i < len(g.topological); i++ {
 		for _, dependency := range g.topological[i].dependencies {
-			dependency.unplacedDependents--
-			if dependency.unplacedDependents == 0 && !dependency.removed {
+			dependency.unsortedDependents--
+			if dependency.unsortedDependents == 0 && !dependency.removed {
 				g.topological = append(g.topological, dependency)
 			}
 		}
@@ -81,12 +81,12 @@
 }
 
 func (g *Graph) countDependents() {
-	for _, n := range g.arrivals {
-		n.unplacedDependents = 0
+	for _, n := range g.insertionOrder {
+		n.unsortedDependents = 0
 	}
-	for _, n := range g.arrivals {
+	for _, n := range g.insertionOrder {
 		for _, dependency := range n.dependencies {
-			dependency.unplacedDependents++
+			dependency.unsortedDependents++
 		}
 	}
 }
--- a/internal/dag/scenario_test.go
+++ b/internal/dag/scenario_test.go
@@ -25,7 +25,7 @@
 	return outcome{readyAt: map[string]float64{}, aborted: map[string]bool{}}
 }
 
-func (o *outcome) take(events []Event) {
+func (o *outcome) addEvents(events []Event) {
 	for _, event := range events {
 		if event.Aborted {
 			o.aborted[event.Job] = true
@@ -43,7 +43,7 @@
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
 		s.dependencies[id] = randomDependencies(luck, i)
-		s.drawEnd(luck, i, &want)
+		s.drawOutcome(luck, i, &want)
 	}
 	return s, want
 }
@@ -62,8 +62,8 @@
 	return names
 }
 
-// drawEnd draws how job i ends, if it does, and adds to the outcome what follows for it.
-func (s *scenario) drawEnd(luck *rand.Rand, i int, want *outcome) {
+// drawOutcome draws how job i ends, if it does, and adds to the outcome what follows for it.
+func (s *scenario) drawOutcome(luck *rand.Rand, i int, want *outcome) {
 	id := fmt.Sprint("job-", i)
 	readyAt, allDone, anyAborted := 0.0, true, false
 	for _, name := range s.dependencies[id] {
@@ -101,17 +101,17 @@
 	}
 	for _, id := range order {
 		read[id] = true
-		s.tell(g, id, lookup)
+		s.applyRecord(g, id, lookup)
 		if luck.IntN(2) == 0 {
-			got.take(g.TakeEvents())
+			got.addEvents(g.TakeEvents())
 		}
 	}
-	got.take(g.TakeEvents())
+	got.addEvents(g.TakeEvents())
 	return g, got
 }
 
-// tell tells a graph what one job's record says.
-func (s *scenario) tell(g *Graph, id string, lookup Lookup) {
+// applyRecord tells a graph what one job's record says.
+func (s *scenario) applyRecord(g *Graph, id string, lookup Lookup) {
 	doneAt, done := s.doneAt[id]
 	switch {
 	case done || s.cancelled[id]:
@@ -123,8 +123,8 @@
 	}
 }
 
-// waiting lists the jobs that wait for others in the end.
-func (s *scenario) waiting(want *outcome) map[string]bool {
+// waitingJobs lists the jobs that wait for others in the end.
+func (s *scenario) waitingJobs(want *outcome) map[string]bool {
 	waiting := map[string]bool{}
 	for id, dependencies := range s.dependencies {
 		_, done := s.doneAt[id]
@@ -146,7 +146,7 @@
 		if !maps.Equal(got.readyAt, want.readyAt) || !maps.Equal(got.aborted, want.aborted) {
 			t.Fatalf("seed %d: got %v, want %v", seed, got, want)
 		}
-		waiting := s.waiting(&want)
+		waiting := s.waitingJobs(&want)
 		for id := range s.dependencies {
 			if g.IsWaiting(id) != waiting[id] {
 				t.Fatalf("seed %d: %s waits: %v", seed, id, !waiting[id])
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -34,12 +34,12 @@
 // Estimator predicts the durations of tasks. It learns from completed tasks only: how long a
 // failed task ran says nothing.
 type Estimator struct {
-	maxTasks     float64 // completed tasks that a mean goes back to
-	history      map[Key]*RunningMean
-	calibrations map[Key]*calibration.Model // what the owners' estimates have been worth
-	predictions  map[Key]float64            // of this round; 0: the history knows nothing
-	stale        bool                       // durations have come since predictions were cleared
-	version      uint64
+	maxTasks         float64 // completed tasks that a mean goes back to
+	history          map[Key]*RunningMean
+	calibrations     map[Key]*calibration.Model // what the owners' estimates have been worth
+	predictions      map[Key]float64            // of this round; 0: the history knows nothing
+	predictionsStale bool                       // durations have come since predictions were cleared
+	version          uint64
 }
 
 // New makes an estimator without history. A mean follows about the last maxTasks tasks.
@@ -84,7 +84,7 @@
 func (e *Estimator) TaskCompleted(job *protocol.Job, jobMean *RunningMean, firstOfJob bool, seconds, now float64) {
 	key := KeyOf(job)
 	if model := e.calibrations[key]; model != nil && firstOfJob {
-		if usual := e.fromHistory(key); usual > 0 {
+		if usual := e.predictFromHistory(key); usual > 0 {
 			model.ObserveDuration(job.EstimateS, seconds/usual)
 		}
 	}
@@ -99,15 +99,15 @@
 		e.history[key] = mean
 	}
 	mean.add(seconds, now, e.maxTasks)
-	e.stale = true
+	e.predictionsStale = true
 	e.version++
 }
 
 // BeginRound lets predictions take account of the durations that were observed since the last
 // round. Within a round they stay: thousands of jobs share some dozens of keys.
 func (e *Estimator) BeginRound() {
-	if e.stale {
-		e.stale = false
+	if e.predictionsStale {
+		e.predictionsStale = false
 		clear(e.predictions)
 	}
 }
@@ -116,7 +116,7 @@
 // its team's, then that of all tasks with the same demand for GPUs (or CPUs), then its owner's
 // estimate.
 func (e *Estimator) Predict(job *protocol.Job) float64 {
-	if seconds := e.fromHistory(KeyOf(job)); seconds > 0 {
+	if seconds := e.predictFromHistory(KeyOf(job)); seconds > 0 {
 		return seconds
 	}
 	return max(job.EstimateS, minSeconds)
@@ -127,24 +127,24 @@
 // something, and jobMean is of the job's own completed tasks.
 func (e *Estimator) PredictForJob(job *protocol.Job, prior float64, jobMean RunningMean) float64 {
 	key := KeyOf(job)
-	if model := e.calibrations[key]; model != nil && e.fromHistory(key) > 0 {
+	if model := e.calibrations[key]; model != nil && e.predictFromHistory(key) > 0 {
 		prior *= model.Factor(job.EstimateS)
 	}
 	return (prior*priorWeight + jobMean.mean*jobMean.count) / (priorWeight + jobMean.count)
 }
 
-// fromHistory is the prediction from completed tasks, 0 if there is none.
-func (e *Estimator) fromHistory(key Key) float64 {
+// predictFromHistory is the prediction from completed tasks, 0 if there is none.
+func (e *Estimator) predictFromHistory(key Key) float64 {
 	seconds, ok := e.predictions[key]
 	if !ok {
-		seconds = e.mergeHistory(key)
+		seconds = e.computePrediction(key)
 		e.predictions[key] = seconds
 	}
 	return seconds
 }
 
-// mergeHistory works out the prediction of a key from the means of all keys that resemble it.
-func (e *Estimator) mergeHistory(key Key) float64 {
+// computePrediction works out the prediction of a key from the means of all keys that resemble it.
+func (e *Estimator) computePrediction(key Key) float64 {
 	var sameClass, sameTeam, sameDemand RunningMean
 	for _, other := range e.sortedKeys() {
 		mean := e.history[other]
--- a/internal/estimator/estimator_test.go
+++ b/internal/estimator/estimator_test.go
@@ -7,8 +7,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// complete observes a completed task of a job that has only this one.
-func complete(e *Estimator, job protocol.Job, seconds, now float64) {
+// completeTask observes a completed task of a job that has only this one.
+func completeTask(e *Estimator, job protocol.Job, seconds, now float64) {
 	var own RunningMean
 	e.TaskCompleted(&job, &own, true, seconds, now)
 	e.BeginRound()
@@ -28,19 +28,19 @@
 	expect("no history: the owner's estimate", job("red", "photos", 1), 7)
 	unestimated := protocol.Job{Team: "red"}
 	expect("nothing is known", unestimated, minSeconds)
-	complete(e, job("red", "photos", 1), 10, 1)
-	complete(e, job("red", "reports", 2), 40, 2)
-	complete(e, job("blue", "videos", 4), 100, 3)
+	completeTask(e, job("red", "photos", 1), 10, 1)
+	completeTask(e, job("red", "reports", 2), 40, 2)
+	completeTask(e, job("blue", "videos", 4), 100, 3)
 	expect("the class's mean", job("red", "photos", 2), 10)
 	expect("the team's mean", job("red", "other", 8), 25)
 	expect("the mean of the same CPUs", job("green", "other", 4), 100)
 	expect("none of it: the owner's estimate", job("green", "other", 8), 7)
 }
 
-func TestPredictionsStayWithinARound(t *testing.T) {
+func TestPredictionsAreConstantWithinRound(t *testing.T) {
 	e := New(100)
 	job := protocol.Job{Team: "red", Class: "photos", CPUs: 1}
-	complete(e, job, 10, 1)
+	completeTask(e, job, 10, 1)
 	before := e.Predict(&job)
 	var own RunningMean
 	e.TaskCompleted(&job, &own, true, 30, 2)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestOwnTasksOutweighPrior(t *testing.T) {
+func TestOwnTasksShiftPredictionFromPrior(t *testing.T) {
 	e := New(100)
 	job := protocol.Job{Team: "red", Class: "photos", CPUs: 1}
 	var own RunningMean
@@ -68,10 +68,10 @@
 	}
 }
 
-func TestRecordKeepsTheNewestThatFit(t *testing.T) {
+func TestRecordKeepsNewestMeansThatFit(t *testing.T) {
 	e := New(100)
 	for i := range maxKeys + 10 {
-		complete(e, protocol.Job{Team: "red", Class: fmt.Sprint(i), CPUs: 1}, 10.123456, float64(i))
+		completeTask(e, protocol.Job{Team: "red", Class: fmt.Sprint(i), CPUs: 1}, 10.123456, float64(i))
 	}
 	version := e.Version()
 	if version != maxKeys+10 {
--- a/internal/estimator/record.go
+++ b/internal/estimator/record.go
@@ -11,13 +11,13 @@
 
 // Sizes of a record in the form in which the store counts values.
 const (
-	recordBytes    = 16 // the record without any mean
-	separatorBytes = 2  // between two means
+	emptyRecordBytes = 16 // the record without any mean
+	separatorBytes   = 2  // between two means
 )
 
-// hundredths is what a stored mean is rounded to, so that more of them fit: a prediction is not that
+// storedMeanScale is what a stored mean is rounded to, so that more of them fit: a prediction is not that
 // good.
-const hundredths = 100
+const storedMeanScale = 100
 
 // Load takes over a stored history, nil for none, in place of all that was observed.
 func (e *Estimator) Load(record *records.Estimates) {
@@ -44,7 +44,7 @@
 			Class:  key.Class,
 			CPUs:   key.CPUs,
 			GPUs:   key.GPUs,
-			Mean:   math.Round(mean.mean*hundredths) / hundredths,
+			Mean:   math.Round(mean.mean*storedMeanScale) / storedMeanScale,
 			Count:  mean.count,
 			LastAt: math.Floor(mean.lastAt),
 		})
@@ -61,7 +61,7 @@
 
 // countWithin is how many of the first means a record of maxBytes holds.
 func countWithin(means []records.Mean, maxBytes int) int {
-	size := recordBytes
+	size := emptyRecordBytes
 	for i := range means {
 		size += protocol.JSONSize(means[i]) + separatorBytes
 		if size > maxBytes {
--- a/internal/fairshare/account_state.go
+++ b/internal/fairshare/account_state.go
@@ -103,14 +103,14 @@
 	// is as bad as nothing.
 	maxDeficitLevel = 4
 
-	// leastShare stands for a served share of 0, which has no logarithm.
-	leastShare = 1e-9
+	// minServedShare stands for a served share of 0, which has no logarithm.
+	minServedShare = 1e-9
 )
 
 // deficitLevel is how far the account is from its share: 0 within a factor of two, 1 within
 // the next, and so on.
 func (s *AccountState) deficitLevel(rules *Rules) int {
-	halvings := math.Log2(rules.MinShare / max(s.ServedShare(), leastShare))
+	halvings := math.Log2(rules.MinShare / max(s.ServedShare(), minServedShare))
 	return int(min(max(halvings, 0), maxDeficitLevel))
 }
 
--- a/internal/fairshare/accounting.go
+++ b/internal/fairshare/accounting.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// negligible is the least sum that is kept for an account without jobs. Guards against names
+// negligibleServed is the least sum that is kept for an account without jobs. Guards against names
 // that never come back and would pile up otherwise.
-const negligible = 1.0 / 64
+const negligibleServed = 1.0 / 64
 
 // decayingSum counts completed jobs, each worth 1 at its submission and decaying from then on.
 type decayingSum struct{ value, updatedAt float64 }
@@ -56,7 +56,7 @@
 	states := mergeRareAccounts(byAccount)
 	dominated := dominatedByPriorityWork(jobs)
 	for _, state := range states {
-		state.evaluate(rules, dominated[wholeSite] || dominated[state.Team])
+		state.evaluate(rules, dominated[allTeams] || dominated[state.Team])
 	}
 	rankBoosted(states, rules)
 	evaluated := make([]AccountState, 0, len(states))
@@ -89,7 +89,7 @@
 		served := sum.valueAt(now, rules.DecayTime)
 		if state := states[account]; state != nil {
 			state.Served = served
-		} else if served < negligible {
+		} else if served < negligibleServed {
 			delete(a.accounts, account)
 		}
 	}
@@ -98,7 +98,7 @@
 // An account with fewer than rareJobs jobs, served or open, is rare; a team may have
 // maxRareAccounts of them that are told apart.
 const (
-	rareJobs        = 4
+	rareAccountJobs = 4
 	maxRareAccounts = 8
 )
 
@@ -112,7 +112,7 @@
 	var states []*AccountState
 	rareByTeam := map[string][]*AccountState{}
 	for _, state := range byAccount {
-		if state.Served+float64(len(state.jobs)) < rareJobs {
+		if state.Served+float64(len(state.jobs)) < rareAccountJobs {
 			rareByTeam[state.Team] = append(rareByTeam[state.Team], state)
 		} else {
 			states = append(states, state)
@@ -142,8 +142,8 @@
 
 func compareAccounts(x, y *AccountState) int { return x.compare(y.Account) }
 
-// wholeSite stands for all teams together where teams are named.
-const wholeSite = ""
+// allTeams stands for all teams together where teams are named.
+const allTeams = ""
 
 // dominatedByPriorityWork tells of which teams, and whether of the whole site, more than half
 // of the CPUs in use are used by jobs that outrank a boost.
@@ -154,7 +154,7 @@
 	priorityCPUs, allCPUs := map[string]float64{}, map[string]float64{}
 	for i := range jobs {
 		job := &jobs[i]
-		for _, team := range [...]string{wholeSite, job.Team} {
+		for _, team := range [...]string{allTeams, job.Team} {
 			allCPUs[team] += job.CPUsInUse
 			if job.OutranksBoost {
 				priorityCPUs[team] += job.CPUsInUse
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// reportsAndPhotos are four overdue jobs of one class and a younger one of another.
-func reportsAndPhotos() []Job {
+// newReportsAndPhotos are four overdue jobs of one class and a younger one of another.
+func newReportsAndPhotos() []Job {
 	return []Job{
 		newJob("red", "reports", 150, 0, 50),
 		newJob("red", "reports", 150, 0, 10),
@@ -61,7 +61,7 @@
 func TestSmallestJobsAreBoostedUpToDeficit(t *testing.T) {
 	var accounting Accounting
 	recordCompleted(&accounting, Account{"red", "reports"}, 1)
-	jobs := reportsAndPhotos()
+	jobs := newReportsAndPhotos()
 	states := accounting.Evaluate(now, jobs, &testRules)
 	photos, reports := states[0], states[1]
 	if boosted := boostedJobs(jobs); !slices.Equal(boosted, []int{1, 3}) {
@@ -76,7 +76,7 @@
 func TestNoBoostAtMinimumShare(t *testing.T) {
 	var accounting Accounting
 	recordCompleted(&accounting, Account{"red", "reports"}, 1)
-	jobs := reportsAndPhotos()
+	jobs := newReportsAndPhotos()
 	jobs[0].Age, jobs[1].Age, jobs[2].Age = 10, 10, 10
 	if accounting.Evaluate(now, jobs, &testRules); boostedJobs(jobs) != nil {
 		t.Error("boosted:", boostedJobs(jobs))
@@ -88,7 +88,7 @@
 	recordCompleted(&accounting, Account{"red", "reports"}, 1)
 	rules := testRules
 	rules.MinShare = 0
-	jobs := reportsAndPhotos()
+	jobs := newReportsAndPhotos()
 	jobs[0].Age = 1e6
 	if states := accounting.Evaluate(now, jobs, &rules); states != nil || boostedJobs(jobs) != nil {
 		t.Errorf("states %+v, boosted %v", states, boostedJobs(jobs))
@@ -192,7 +192,7 @@
 
 // Class names that are used once count as one account, and no share is owed to what can't be
 // served.
-func TestRareAccountsAreMergedAndForgotten(t *testing.T) {
+func TestRareAccountsAreMergedAndDiscarded(t *testing.T) {
 	var accounting Accounting
 	var jobs []Job
 	for i := range 40 {
--- a/internal/kvserver/applier_test.go
+++ b/internal/kvserver/applier_test.go
@@ -151,8 +151,8 @@
 	return after
 }
 
-// round applies a few transactions and restarts if the storage is in doubt.
-func (d *durabilityTest) round() {
+// runRound applies a few transactions and restarts if the storage is in doubt.
+func (d *durabilityTest) runRound() {
 	d.now += time.Duration(rapid.IntRange(1, 400).Draw(d.T, "ms")) * time.Millisecond
 	d.drawFailure()
 	var commands []command
@@ -186,7 +186,7 @@
 		d := &durabilityTest{T: t, storage: newMemoryStorage(), model: map[string]string{}}
 		d.restart()
 		for range rapid.IntRange(1, 40).Draw(t, "turns") {
-			d.round()
+			d.runRound()
 			if rapid.IntRange(0, 5).Draw(t, "kill") == 0 {
 				d.restart()
 				d.check()
@@ -235,8 +235,8 @@
 	}
 }
 
-// wantAlive checks that the key that is attached to the lease is still there.
-func (l *leaseTest) wantAlive(otherwise string) {
+// wantKeyPresent checks that the key that is attached to the lease is still there.
+func (l *leaseTest) wantKeyPresent(otherwise string) {
 	l.Helper()
 	if _, ok := l.applier.committedState().Get(attachedKey); !ok {
 		l.Fatal(otherwise)
@@ -257,13 +257,13 @@
 
 // A lease takes its keys with it when it expires, has its full time after a restart, after
 // an outage and after the process stood still, and never expires early.
-func TestLeaseExpiry(t *testing.T) {
+func TestLeaseExpiresOnlyAfterFullTTL(t *testing.T) {
 	const ms = time.Millisecond
 	l := newLeaseTest(t)
 	l.tick(100, 500, 900, 1300, 1700)
 	mustApply(t, l.applier, 1990*ms, renewLease{leaseID: l.leaseID})
 	l.tick(2500, 2900, 3300, 3700)
-	l.wantAlive("the lease expired early")
+	l.wantKeyPresent("the lease expired early")
 	// A restart: full time again.
 	state, err := l.storage.restore()
 	if err != nil {
@@ -273,7 +273,7 @@
 	l.tick(4900, 5800)
 	// The process stands still for ten seconds: full time again.
 	l.tick(15800, 16700)
-	l.wantAlive("the lease expired while nobody could renew it")
+	l.wantKeyPresent("the lease expired while nobody could renew it")
 	// The disk is full: nothing expires, and afterwards it has its full time.
 	write := txnOf(putOp("x", 1, 0))
 	l.storage.writeError = kvfile.ErrNoSpace
@@ -285,7 +285,7 @@
 	l.storage.writeError = nil
 	mustApply(t, l.applier, 30*time.Second, write)
 	l.tick(30900, 31800)
-	l.wantAlive("the lease expired with the outage")
+	l.wantKeyPresent("the lease expired with the outage")
 	l.wantExpiry(32050)
 	replies, err := l.applier.apply(32060*ms, []command{txnOf(putOp(attachedKey, 1, l.leaseID)), renewLease{leaseID: l.leaseID}})
 	if err != nil || replies[0].outcome != outcomeInvalid || replies[1].outcome != outcomeNotFound {
@@ -295,7 +295,7 @@
 
 // A watch sees each change once, with its prefix, and is refused when it is more than the
 // kept events behind, also across a restart.
-func TestWatchBehindRetainedEvents(t *testing.T) {
+func TestWatchBehindRetainedEventsIsRefused(t *testing.T) {
 	storage := newMemoryStorage()
 	a := newApplier(kvstore.NewState(), storage, 0, time.Hour)
 	for i := range kvstore.RetainedEvents/2 + 10 {
--- a/internal/kvserver/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	fmt.Println(listener.Addr())
-	return New(generousSettings(), state, file).Serve(context.Background(), listener)
+	return New(unthrottledSettings(), state, file).Serve(context.Background(), listener)
 }
 
 func limitFileSize(limit string) error {
--- a/internal/kvserver/handlers.go
+++ b/internal/kvserver/handlers.go
@@ -17,19 +17,19 @@
 
 // Paths of the PROTOCOL's "Controller nodes -> state service".
 const (
-	commitPath   = "/commit"
-	rangePath    = "/store"
-	keyPrefix    = "/store/"
-	leasesPath   = "/holds"
-	leasePrefix  = "/holds/"
-	renewSuffix  = "/extend"
-	watchPath    = "/follow"
-	maxWatchHold = time.Minute
+	commitPath      = "/commit"
+	rangePath       = "/store"
+	keyPrefix       = "/store/"
+	leasesPath      = "/holds"
+	leasePrefix     = "/holds/"
+	renewSuffix     = "/extend"
+	watchPath       = "/follow"
+	maxWatchTimeout = time.Minute
 )
 
-// maxPageArgument keeps the size of a page an int everywhere. It is far above what a page
+// maxPageSize keeps the size of a page an int everywhere. It is far above what a page
 // may hold.
-const maxPageArgument = 1 << 20
+const maxPageSize = 1 << 20
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
@@ -80,11 +80,11 @@
 		return
 	}
 	prefix, after := string(args.Peek("Starts")), string(args.Peek("Since"))
-	httpserver.Reply(ctx, fasthttp.StatusOK, s.State().Range(prefix, after, int(min(limit, maxPageArgument))))
+	httpserver.Reply(ctx, fasthttp.StatusOK, s.State().Range(prefix, after, int(min(limit, maxPageSize))))
 }
 
-// entryAnswer answers a request for one key.
-type entryAnswer struct {
+// entryResponse answers a request for one key.
+type entryResponse struct {
 	Key     string       `msgpack:"Key"`
 	Value   protocol.Raw `msgpack:"Data"`
 	Version uint64       `msgpack:"Stamp"`
@@ -108,7 +108,7 @@
 		httpserver.Reply(ctx, fasthttp.StatusNotFound, protocol.TransactionResult{Revision: state.Revision})
 		return
 	}
-	httpserver.Reply(ctx, fasthttp.StatusOK, entryAnswer{Key: key, Value: entry.Value, Version: entry.Version, LeaseID: entry.LeaseID})
+	httpserver.Reply(ctx, fasthttp.StatusOK, entryResponse{Key: key, Value: entry.Value, Version: entry.Version, LeaseID: entry.LeaseID})
 }
 
 func (s *Server) handleGrantLease(ctx *fasthttp.RequestCtx) {
@@ -148,7 +148,7 @@
 	args := ctx.QueryArgs()
 	since, sinceErr := parseCount(args.Peek("Since"))
 	holdMillis, holdErr := parseCount(args.Peek("HoldMs"))
-	if sinceErr != nil || holdErr != nil || holdMillis > uint64(maxWatchHold.Milliseconds()) {
+	if sinceErr != nil || holdErr != nil || holdMillis > uint64(maxWatchTimeout.Milliseconds()) {
 		replyError(ctx, fasthttp.StatusBadRequest, "Since and HoldMs must be whole numbers, HoldMs at most 60000")
 		return
 	}
--- a/internal/kvserver/limiter_test.go
+++ b/internal/kvserver/limiter_test.go
@@ -7,7 +7,7 @@
 
 // A second's worth may come at once; after that requests and writes are admitted as fast
 // as their rates allow, and what is refused takes nothing.
-func TestLimiter(t *testing.T) {
+func TestLimiterAdmitsOneSecondBurstThenRate(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		requests     float64 // per second
--- a/internal/kvserver/server.go
+++ b/internal/kvserver/server.go
@@ -36,12 +36,12 @@
 	stallThreshold = time.Second
 	// leaseCheckInterval is how often leases are looked at; they may expire 100 ms late.
 	leaseCheckInterval = 50 * time.Millisecond
-	// queueBatches is how many batches may wait in the queue, so that one is full whenever
+	// maxQueuedBatches is how many batches may wait in the queue, so that one is full whenever
 	// a write ends.
-	queueBatches = 4
-	// minQueueBatch is what a batch counts for the queue at least: with small batches, it
+	maxQueuedBatches = 4
+	// minQueueBatchSize is what a batch counts for the queue at least: with small batches, it
 	// still takes a burst of requests.
-	minQueueBatch = 256
+	minQueueBatchSize = 256
 
 	serverName = "chalk-state"
 	// connectionTimeout ends connections of clients that are gone. Watches are held for a
@@ -94,7 +94,7 @@
 	s := &Server{
 		settings:  settings,
 		applier:   newApplier(state, storage, 0, stallThreshold),
-		queue:     make(chan pendingCommand, queueBatches*max(settings.MaxBatch, minQueueBatch)),
+		queue:     make(chan pendingCommand, maxQueuedBatches*max(settings.MaxBatch, minQueueBatchSize)),
 		startedAt: time.Now(),
 		limiter:   limiter{requestsPerSecond: settings.RequestsPerSecond, writesPerSecond: settings.WritesPerSecond},
 		writes:    newWriteRecorder(),
--- a/internal/kvserver/server_test.go
+++ b/internal/kvserver/server_test.go
@@ -15,8 +15,8 @@
 	"github.com/chalkhub/chalkhub/internal/rpc"
 )
 
-// generousSettings limit nothing that a test does.
-func generousSettings() Settings {
+// unthrottledSettings limit nothing that a test does.
+func unthrottledSettings() Settings {
 	settings := Settings{RequestsPerSecond: 1e6, WritesPerSecond: 1e6, MaxBatch: 256}
 	settings.MaxValueKiB, settings.MaxTxnOps = 16, 16
 	return settings
@@ -72,16 +72,16 @@
 	return server, listener.Addr().String()
 }
 
-// object is a MessagePack map as a client may send it.
-type object map[string]any
+// msgpackMap is a MessagePack map as a client may send it.
+type msgpackMap map[string]any
 
-// commitOf is a transaction of one change without conditions.
-func commitOf(op object) object { return object{"Then": []any{op}} }
+// unguardedTxn is a transaction of one change without conditions.
+func unguardedTxn(op msgpackMap) msgpackMap { return msgpackMap{"Then": []any{op}} }
 
 // The service speaks the PROTOCOL, as the controllers' client and a few malformed
 // requests see it.
-func TestHTTPProtocol(t *testing.T) {
-	server, address := startServer(t, generousSettings())
+func TestHTTPStatusCodesAndWatchEvents(t *testing.T) {
+	server, address := startServer(t, unthrottledSettings())
 	client := newTestClient(address, 8)
 	var lease protocol.LeaseResponse
 	if client.call("POST", "/holds", protocol.LeaseRequest{TTLMillis: 3000}, &lease) != 200 || lease.Lease == 0 {
@@ -95,14 +95,14 @@
 		body         any
 		want         int
 	}{
-		{"put", "POST", "/commit", object{"Guards": []any{}, "Then": []any{object{"Set": "x/y", "Data": 1}}}, 200},
-		{"failed condition", "POST", "/commit", object{"Guards": []any{object{"Key": "x/y", "Stamp": 0}}, "Then": []any{object{"Set": "x/y", "Data": 1}}}, 409},
-		{"condition alone", "POST", "/commit", object{"Guards": []any{object{"Key": "x/y", "Stamp": 1}}}, 200},
-		{"key with a space", "POST", "/commit", commitOf(object{"Set": "c/a b", "Data": 1}), 400},
-		{"unknown lease", "POST", "/commit", commitOf(object{"Set": "x", "Data": 1, "Permit": 77}), 400},
+		{"put", "POST", "/commit", msgpackMap{"Guards": []any{}, "Then": []any{msgpackMap{"Set": "x/y", "Data": 1}}}, 200},
+		{"failed condition", "POST", "/commit", msgpackMap{"Guards": []any{msgpackMap{"Key": "x/y", "Stamp": 0}}, "Then": []any{msgpackMap{"Set": "x/y", "Data": 1}}}, 409},
+		{"condition alone", "POST", "/commit", msgpackMap{"Guards": []any{msgpackMap{"Key": "x/y", "Stamp": 1}}}, 200},
+		{"key with a space", "POST", "/commit", unguardedTxn(msgpackMap{"Set": "c/a b", "Data": 1}), 400},
+		{"unknown lease", "POST", "/commit", unguardedTxn(msgpackMap{"Set": "x", "Data": 1, "Permit": 77}), 400},
 		{"no transaction", "POST", "/commit", "text", 400},
-		{"large value", "POST", "/commit", commitOf(object{"Set": "c/n", "Data": strings.Repeat("v", 17<<10)}), 400},
-		{"put with a lease", "POST", "/commit", commitOf(object{"Set": "c/n", "Data": 1, "Permit": lease.Lease}), 200},
+		{"large value", "POST", "/commit", unguardedTxn(msgpackMap{"Set": "c/n", "Data": strings.Repeat("v", 17<<10)}), 400},
+		{"put with a lease", "POST", "/commit", unguardedTxn(msgpackMap{"Set": "c/n", "Data": 1, "Permit": lease.Lease}), 200},
 		{"get", "GET", "/store/c/n", nil, 200},
 		{"get a key that is not there", "GET", "/store/c/m", nil, 404},
 		{"renew", "POST", fmt.Sprintf("/holds/%d/extend", lease.Lease), nil, 200},
@@ -128,16 +128,16 @@
 // Writes above the limit are refused with 429 and counted. The transaction alone is above
 // it: how fast the disk is does not matter. TestLimiter has the rates.
 func TestWritesAboveLimitAreThrottled(t *testing.T) {
-	settings := generousSettings()
+	settings := unthrottledSettings()
 	settings.WritesPerSecond = 2
 	server, address := startServer(t, settings)
 	client := newTestClient(address, 1)
-	put := func(keys ...string) object {
+	put := func(keys ...string) msgpackMap {
 		var ops []any
 		for _, key := range keys {
-			ops = append(ops, object{"Set": key, "Data": 1})
+			ops = append(ops, msgpackMap{"Set": key, "Data": 1})
 		}
-		return object{"Then": ops}
+		return msgpackMap{"Then": ops}
 	}
 	if got := client.call("POST", "/commit", put("a", "b", "c"), nil); got != 429 {
 		t.Errorf("three writes: %d, want 429", got)
--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -38,8 +38,8 @@
 
 	// pricePeriod and priceParts shape the spot prices: a wave, by up to one part of the
 	// price, so that a controller sees both cheap and dear times within an hour.
-	pricePeriod = 30 * time.Minute
-	priceParts  = 3
+	pricePeriod      = 30 * time.Minute
+	priceWaveDivisor = 3
 
 	// pricePhases spreads the types' waves, so that their prices don't move together.
 	pricePhases = 7
@@ -115,7 +115,7 @@
 		startedAt:      now,
 		machines:       map[string]*instance{},
 		namesByRequest: map[string][]string{},
-		rateLimit:      rateLimit{perSecond: settings.RPS, at: now},
+		rateLimit:      rateLimit{perSecond: settings.RPS, updatedAt: now},
 	}
 	c.replay(path)
 	for _, m := range c.machines {
@@ -149,7 +149,7 @@
 	if names, ok := c.namesByRequest[r.RequestID]; ok {
 		return names, nil
 	}
-	count := min(r.Count, c.room(t, r.Zone, r.Count))
+	count := min(r.Count, c.availableCapacity(t, r.Zone, r.Count))
 	if count <= 0 {
 		return nil, errNoCapacity
 	}
@@ -170,8 +170,8 @@
 	return names, nil
 }
 
-// room is how many machines of a type a zone still takes, or wanted if any number.
-func (c *Cloud) room(t *MachineType, zone string, wanted int) int {
+// availableCapacity is how many machines of a type a zone still takes, or wanted if any number.
+func (c *Cloud) availableCapacity(t *MachineType, zone string, wanted int) int {
 	if t.MaxPerZone <= 0 {
 		return wanted
 	}
@@ -246,7 +246,7 @@
 		i.AgeS = max(then.Sub(m.createdAt).Seconds(), 0)
 		page.Machines = append(page.Machines, i)
 	}
-	c.forgetDeleted(then.Add(-deletedRetention))
+	c.removeDeleted(then.Add(-deletedRetention))
 	slices.SortFunc(page.Machines, func(a, b protocol.Instance) int { return cmp.Compare(a.Name, b.Name) })
 	if len(page.Machines) > pageSize {
 		page.Machines, page.More = page.Machines[:pageSize], true
@@ -254,7 +254,7 @@
 	return page
 }
 
-func (c *Cloud) forgetDeleted(before time.Time) {
+func (c *Cloud) removeDeleted(before time.Time) {
 	for name, m := range c.machines {
 		if !m.deletedAt.IsZero() && m.deletedAt.Before(before) {
 			delete(c.machines, name)
@@ -277,7 +277,7 @@
 			CacheGB:   t.CacheGB,
 			FetchGBps: t.FetchGBps,
 			Price:     t.Price,
-			SpotPrice: t.SpotPrice * (1 + wave/priceParts),
+			SpotPrice: t.SpotPrice * (1 + wave/priceWaveDivisor),
 			BootS:     t.BootS,
 			Zones:     t.Zones,
 		})
--- a/internal/localcloud/http.go
+++ b/internal/localcloud/http.go
@@ -24,18 +24,18 @@
 // rateLimit is a leaky bucket of requests.
 type rateLimit struct {
 	perSecond float64
-	used      float64   // how full the bucket is
-	at        time.Time // when that was
+	level     float64   // how full the bucket is
+	updatedAt time.Time // when that was
 }
 
 // allow reports whether one more request may come now, and counts it if so.
 func (r *rateLimit) allow(now time.Time) bool {
-	r.used = max(r.used-now.Sub(r.at).Seconds()*r.perSecond, 0)
-	r.at = now
-	if r.used+1 > burstSeconds*r.perSecond {
+	r.level = max(r.level-now.Sub(r.updatedAt).Seconds()*r.perSecond, 0)
+	r.updatedAt = now
+	if r.level+1 > burstSeconds*r.perSecond {
 		return false
 	}
-	r.used++
+	r.level++
 	return true
 }
 
--- a/internal/localcloud/instance.go
+++ b/internal/localcloud/instance.go
@@ -49,9 +49,9 @@
 
 // agentProcess is a machine's agent.
 type agentProcess struct {
-	cmd   *exec.Cmd
-	stdin io.Writer
-	alive *os.File // ends when the agent, its shims and so all its tasks have exited
+	cmd          *exec.Cmd
+	stdin        io.Writer
+	livenessPipe *os.File // ends when the agent, its shims and so all its tasks have exited
 }
 
 // runMachine is a machine's whole life. It ends when ctx does.
@@ -63,20 +63,20 @@
 	}
 	agent, err := c.launchAgent(m.Instance, t, l.(*net.TCPListener))
 	if err != nil {
-		c.fail(m, err)
+		c.markFailed(m, err)
 		return
 	}
-	defer func() { _ = agent.alive.Close() }() // it was only read
-	c.noteRunning(m, agent.cmd.Process.Pid)
+	defer func() { _ = agent.livenessPipe.Close() }() // it was only read
+	c.markRunning(m, agent.cmd.Process.Pid)
 	if m.Spot && c.settings.SpotLifeS > 0 {
 		go c.preemptSpot(ctx, m, agent.stdin) // ends with ctx, or with the machine
 	}
 	defer func() { _ = os.RemoveAll(agent.cmd.Dir) }() // the machine's own
 	defer context.AfterFunc(ctx, func() { _ = agent.cmd.Process.Kill() })()
-	_, _ = io.Copy(io.Discard, agent.alive) // nothing is written, it only ends
-	_ = agent.cmd.Wait()                    // the process state says how it ended
+	_, _ = io.Copy(io.Discard, agent.livenessPipe) // nothing is written, it only ends
+	_ = agent.cmd.Wait()                           // the process state says how it ended
 	if ctx.Err() == nil {
-		c.fail(m, fmt.Errorf("its agent ended: %v", agent.cmd.ProcessState))
+		c.markFailed(m, fmt.Errorf("its agent ended: %v", agent.cmd.ProcessState))
 	}
 }
 
@@ -107,11 +107,11 @@
 		_ = read.Close()
 		return nil, err
 	}
-	return &agentProcess{cmd: cmd, stdin: stdin, alive: read}, nil
+	return &agentProcess{cmd: cmd, stdin: stdin, livenessPipe: read}, nil
 }
 
-// noteRunning makes a machine running and its agent known to a later cloud.
-func (c *Cloud) noteRunning(m *instance, pid int) {
+// markRunning makes a machine running and its agent known to a later cloud.
+func (c *Cloud) markRunning(m *instance, pid int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m.State, m.pid = protocol.MachineRunning, pid
@@ -120,7 +120,7 @@
 	}
 }
 
-func (c *Cloud) fail(m *instance, err error) {
+func (c *Cloud) markFailed(m *instance, err error) {
 	c.logger.Error("machine failed", "machine", m.Name, "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -34,12 +34,12 @@
 	Deleted   int // machines deleted, on request or by the cloud itself
 	Throttled int // calls above the limit
 
-	cluster      *Cluster
-	types        []protocol.MachineType
-	machines     map[string]*machine // by name, deleted ones too
-	responses    map[string][]string // names of the machines created, by the request's id
-	lastInstance int                 // number of the machine created last
-	callBucket   leakyBucket
+	cluster           *Cluster
+	types             []protocol.MachineType
+	machines          map[string]*machine // by name, deleted ones too
+	namesByRequest    map[string][]string // names of the machines created, by the request's id
+	lastMachineNumber int                 // number of the machine created last
+	callBucket        leakyBucket
 }
 
 // machine is an instance and its lifetime.
@@ -52,7 +52,7 @@
 func newCloud(cluster *Cluster, types []protocol.MachineType) *Cloud {
 	return &Cloud{
 		CloudFaults: CloudFaults{Capacity: map[string]int{}},
-		cluster:     cluster, types: types, machines: map[string]*machine{}, responses: map[string][]string{},
+		cluster:     cluster, types: types, machines: map[string]*machine{}, namesByRequest: map[string][]string{},
 	}
 }
 
@@ -74,8 +74,8 @@
 }
 
 func (c *Cloud) addBooting(machineType, zone string, spot bool) string {
-	c.lastInstance++
-	name := fmt.Sprintf("%s%06d", machinePrefix, c.lastInstance)
+	c.lastMachineNumber++
+	name := fmt.Sprintf("%s%06d", machinePrefix, c.lastMachineNumber)
 	c.machines[name] = &machine{createdAt: c.cluster.Now, Instance: protocol.Instance{
 		Name: name, Addr: name + ":9000", Type: machineType, Zone: zone, Spot: spot, State: protocol.MachineBooting}}
 	return name
@@ -93,13 +93,13 @@
 // createInstances creates the machines of a request, fewer if there are not enough. The same
 // request gets the same answer again.
 func (c *Cloud) createInstances(request protocol.CreateMachinesRequest) ([]string, core.CloudOutcome) {
-	if names := c.responses[request.RequestID]; names != nil {
+	if names := c.namesByRequest[request.RequestID]; names != nil {
 		return names, core.CloudDone
 	}
 	if outcome := c.admit(); outcome != core.CloudDone {
 		return nil, outcome
 	}
-	count := c.available(request)
+	count := c.availableCount(request)
 	if count <= 0 {
 		return nil, core.CloudUnavailable
 	}
@@ -112,14 +112,14 @@
 			c.StuckBoots--
 			continue
 		}
-		c.cluster.After(c.drawBoot(request.Type), func() { c.finishBoot(name) })
+		c.cluster.After(c.drawBootDuration(request.Type), func() { c.finishBoot(name) })
 	}
-	c.responses[request.RequestID] = names
+	c.namesByRequest[request.RequestID] = names
 	return names, core.CloudDone
 }
 
-// available is how many of the machines of a request there are.
-func (c *Cloud) available(request protocol.CreateMachinesRequest) int {
+// availableCount is how many of the machines of a request there are.
+func (c *Cloud) availableCount(request protocol.CreateMachinesRequest) int {
 	count := request.Count
 	for _, pool := range []string{request.Type, request.Type + " " + request.Zone} {
 		limit, limited := c.Capacity[pool]
@@ -137,8 +137,8 @@
 	return count
 }
 
-// drawBoot draws how long a machine boots.
-func (c *Cloud) drawBoot(machineType string) time.Duration {
+// drawBootDuration draws how long a machine boots.
+func (c *Cloud) drawBootDuration(machineType string) time.Duration {
 	factor := minBootFactor + bootFactorSpread*c.cluster.Rand.Float64()
 	boot := config.Seconds(c.Type(machineType).BootS * factor * max(c.BootFactor, 1))
 	if c.InstantBoot {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -65,7 +65,7 @@
 
 	checker            *checker
 	retainedHeartbeats map[string]protocol.Heartbeat // by machine
-	lastLeader         string                        // the process that led when heartbeats were first retained
+	leaderAtRetention  string                        // the process that led when heartbeats were first retained
 
 	links       map[endpoints]*Link
 	heldPackets []heldPacket
@@ -128,8 +128,8 @@
 	return c
 }
 
-// SomeWorkers draws workers at random, at most count.
-func (c *Cluster) SomeWorkers(count int) []*Worker {
+// RandomWorkers draws workers at random, at most count.
+func (c *Cluster) RandomWorkers(count int) []*Worker {
 	names := slices.Sorted(maps.Keys(c.Workers))
 	c.Rand.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 	var workers []*Worker
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -18,9 +18,9 @@
 
 	// serviceTimeout is how long a node waits for an answer of the store or the cloud.
 	serviceTimeout = time.Second
-	// emptyCallShare is the share of the usual patience that a node has with a worker
+	// emptyCallTimeoutDivisor is the share of the usual patience that a node has with a worker
 	// which it sends no commands to.
-	emptyCallShare = 4
+	emptyCallTimeoutDivisor = 4
 )
 
 // perform carries out one effect of the node's core.
@@ -88,7 +88,7 @@
 func (n *Node) performCommit(effect core.Commit) {
 	previousVersion := n.runsPreviousVersion
 	if previousVersion {
-		effect.Txn = previousVersionWrites(effect.Txn)
+		effect.Txn = previousVersionTransaction(effect.Txn)
 	}
 	callFrom(n, endpointStore, serviceTimeout, func(reply func(core.CommitResult)) {
 		outcome, answer := n.cluster.Store.Commit(n.Label, previousVersion, effect.Txn)
@@ -125,14 +125,14 @@
 func (n *Node) performCallWorker(effect core.CallWorker) {
 	timeout := config.Seconds(n.cluster.Settings.Site.Workers.HeartbeatS)
 	if len(effect.Body.Commands) == 0 {
-		timeout /= emptyCallShare
+		timeout /= emptyCallTimeoutDivisor
 	}
 	callFrom(n, effect.Machine, timeout, func(reply func(core.CallWorkerResult)) {
 		worker := n.cluster.Workers[effect.Machine]
 		if worker == nil {
 			return
 		}
-		worker.handleDirect(effect.Body, func(outcome core.DirectOutcome, report protocol.Heartbeat) {
+		worker.handleDirectCommands(effect.Body, func(outcome core.DirectOutcome, report protocol.Heartbeat) {
 			reply(core.CallWorkerResult{Machine: effect.Machine, CallID: effect.CallID, Outcome: outcome, Report: report})
 		})
 	}, core.CallWorkerResult{Machine: effect.Machine, CallID: effect.CallID})
@@ -184,7 +184,7 @@
 
 func (n *Node) performSendToPeer(effect core.SendToPeer) {
 	if n.runsPreviousVersion {
-		effect.Message = previousVersionSends(effect.Message)
+		effect.Message = previousVersionMessage(effect.Message)
 	}
 	if link := n.cluster.peerLinks[effect.Session]; link != nil {
 		link.send(n, effect.Message)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -79,45 +79,45 @@
 	NoticeS *float64
 }
 
-// lateLeaderDelays are the times after a change of the leader at which retained heartbeats
+// retainedHeartbeatDelaysMS are the times after a change of the leader at which retained heartbeats
 // arrive, in milliseconds. They arrive again and again while the new leader takes over, for
 // it reads no heartbeat until it knows which machines are its own.
-var lateLeaderDelays = []time.Duration{0, 60, 130, 250, 500, 1000, 2000}
+var retainedHeartbeatDelaysMS = []time.Duration{0, 60, 130, 250, 500, 1000, 2000}
 
 // leaderPollInterval is how often the retained heartbeats' release polls for a new leader.
 const leaderPollInterval = 5 * time.Millisecond
 
-// retain keeps a heartbeat for the next leader, if that is switched on.
-func (c *Cluster) retain(report protocol.Heartbeat) {
+// retainHeartbeat keeps a heartbeat for the next leader, if that is switched on.
+func (c *Cluster) retainHeartbeat(report protocol.Heartbeat) {
 	if _, retained := c.retainedHeartbeats[report.Machine]; retained || !c.RetainHeartbeats {
 		return
 	}
 	if len(c.retainedHeartbeats) == 0 {
-		c.lastLeader = c.currentLeader()
-		c.releaseAtFailover()
+		c.leaderAtRetention = c.currentLeader()
+		c.releaseHeartbeatsAtFailover()
 	}
 	c.retainedHeartbeats[report.Machine] = report
 }
 
-// releaseAtFailover delivers the retained heartbeats to all controllers, with latencies that
+// releaseHeartbeatsAtFailover delivers the retained heartbeats to all controllers, with latencies that
 // mix their order, once another process leads.
-func (c *Cluster) releaseAtFailover() {
+func (c *Cluster) releaseHeartbeatsAtFailover() {
 	leader := c.currentLeader()
-	if leader == "" || leader == c.lastLeader {
-		c.After(leaderPollInterval, c.releaseAtFailover)
+	if leader == "" || leader == c.leaderAtRetention {
+		c.After(leaderPollInterval, c.releaseHeartbeatsAtFailover)
 		return
 	}
 	retained := c.retainedHeartbeats
 	c.retainedHeartbeats = map[string]protocol.Heartbeat{}
 	for _, machine := range slices.Sorted(maps.Keys(retained)) {
 		for _, node := range c.Nodes {
-			c.deliverLate(node, retained[machine])
+			c.deliverRetainedHeartbeat(node, retained[machine])
 		}
 	}
 }
 
-func (c *Cluster) deliverLate(node *Node, report protocol.Heartbeat) {
-	for _, delay := range lateLeaderDelays {
+func (c *Cluster) deliverRetainedHeartbeat(node *Node, report protocol.Heartbeat) {
+	for _, delay := range retainedHeartbeatDelaysMS {
 		c.After(delay*time.Millisecond+c.networkDelay(), func() {
 			node.Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, func(core.Reply) {})
 		})
@@ -176,13 +176,13 @@
 
 // DeleteKey removes a key without the knowledge of any controller.
 func (s *Store) DeleteKey(key string) {
-	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
+	s.commitDirectly(&kvstore.Txn{Then: []kvstore.Op{{Delete: key}}})
 }
 
 // ReopenJob puts a job back to where it was when it was accepted, without the knowledge of any
 // controller.
 func (s *Store) ReopenJob(spec protocol.Job) {
-	s.commitUnseen(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
+	s.commitDirectly(&kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(spec))}})
 }
 
 // queuedRecord is the record of a job that was just accepted.
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -23,11 +23,11 @@
 func (w *Worker) runGangTask(task *Task) {
 	wait := config.Seconds(w.cluster.Settings.Site.Workers.GangWaitS)
 	gang := &gangTask{worker: w, task: task, waitUntil: w.cluster.Now + wait}
-	gang.watch()
+	gang.poll()
 }
 
-// watch polls the peers until the task is over.
-func (g *gangTask) watch() {
+// poll polls the peers until the task is over.
+func (g *gangTask) poll() {
 	job, cluster := g.task.job, g.worker.cluster
 	if !g.task.occupiesMachine() || job.machines[g.task.Name] != g.worker.Info.Name {
 		return
@@ -36,7 +36,7 @@
 		g.worker.exit(g.task, reason)
 		return
 	}
-	cluster.After(gangPollInterval, g.watch)
+	cluster.After(gangPollInterval, g.poll)
 }
 
 // advance moves the task on as its peers allow, and gives the reason of its exit if it is over.
@@ -44,7 +44,7 @@
 	cluster := g.worker.cluster
 	timing := &cluster.Settings.Site.Workers
 	waiting, running := g.task.State == protocol.TaskWaiting, g.task.State == protocol.TaskRunning
-	switch complete := g.complete(); {
+	switch complete := g.allPresent(); {
 	case waiting && complete:
 		g.task.State, g.runningSince = protocol.TaskRunning, cluster.Now
 		g.worker.statusChanged()
@@ -65,9 +65,9 @@
 	return ""
 }
 
-// complete reports whether all of the gang's tasks are on machines with this very attempt,
+// allPresent reports whether all of the gang's tasks are on machines with this very attempt,
 // or have completed.
-func (g *gangTask) complete() bool {
+func (g *gangTask) allPresent() bool {
 	job := g.task.job
 	present := len(job.completed)
 	for name, machine := range job.machines {
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -49,7 +49,7 @@
 		}
 		tasksInZone[worker.Info.Zone] += tasks
 		since, idle := job.idleSince[name]
-		if !idle || worker.lastTaskAt >= since {
+		if !idle || worker.lastTaskStartedAt >= since {
 			since = c.cluster.Now
 		}
 		idleSince[name] = since
@@ -62,8 +62,8 @@
 
 func (c *checker) recordLeftWaiting(job *Job, machineName string, since time.Duration) {
 	spec, machine := &job.Spec, c.cluster.Workers[machineName].Info
-	c.recordViolation(ruleLeftWaiting, "%s (%s, %d tasks of %g CPUs, zone %q, one zone %v, spread %v, spot %v) is %s (%s); %s (%s in %s, spot %v) has had room for it since %.3f",
-		spec.ID, spec.Kind, spec.Tasks, spec.CPUs, spec.Zone, spec.OneZone, spec.Spread, spec.AllowSpot, job.LastState, job.Answer.Reason,
+	c.recordViolation(violationLeftWaiting, "%s (%s, %d tasks of %g CPUs, zone %q, one zone %v, spread %v, spot %v) is %s (%s); %s (%s in %s, spot %v) has had room for it since %.3f",
+		spec.ID, spec.Kind, spec.Tasks, spec.CPUs, spec.Zone, spec.OneZone, spec.Spread, spec.AllowSpot, job.LastState, job.LastResponse.Reason,
 		machineName, machine.Type, machine.Zone, machine.Spot, since.Seconds())
 }
 
@@ -72,7 +72,7 @@
 	largest, total := 0, 0
 	for _, tasks := range tasksInZone {
 		if spec.Spread {
-			tasks = min(tasks, maxTasksOfSpread(spec))
+			tasks = min(tasks, maxSpreadTasksPerZone(spec))
 		}
 		largest, total = max(largest, tasks), total+tasks
 	}
@@ -131,7 +131,7 @@
 		total += tasks
 	}
 	here := tasksInZone[zone]
-	return (!spec.OneZone || here == total) && (!spec.Spread || here < maxTasksOfSpread(spec))
+	return (!spec.OneZone || here == total) && (!spec.Spread || here < maxSpreadTasksPerZone(spec))
 }
 
 // fittingTasks is how many tasks of a job the machine could take now, by its type, kind and
@@ -141,7 +141,7 @@
 	if faulty || !machineAllowed(spec, &w.Info) {
 		return 0
 	}
-	free := w.free()
+	free := w.freeCapacity()
 	tasks := int((free.cpus + capacityEpsilon) / spec.CPUs)
 	if spec.GPUs > 0 {
 		tasks = min(tasks, int((free.gpus+capacityEpsilon)/spec.GPUs))
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -10,43 +10,43 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// rule names a rule of the protocol in a violation.
-type rule string
+// violationKind names a rule of the protocol in a violation.
+type violationKind string
 
 const (
 	// ruleWentBack: done and cancelled exclude one another and are final, and only what a
 	// user cancelled, or what depends on it, is called cancelled.
-	ruleWentBack rule = "went_back"
+	violationStateReverted violationKind = "went_back"
 	// ruleNotDone: a job is called done only once all of its tasks are.
-	ruleNotDone rule = "not_done"
+	violationPrematureDone violationKind = "not_done"
 	// ruleForgotten: an accepted job is known to every node, and questions are answered.
-	ruleForgotten rule = "forgotten"
+	violationJobLost violationKind = "forgotten"
 	// ruleInvented: no node knows a job that was never handed in.
-	ruleInvented rule = "invented"
+	violationUnknownJobServed violationKind = "invented"
 	// ruleWronglyAccepted: a job that can't run is never accepted.
-	ruleWronglyAccepted rule = "wrongly_accepted"
+	violationInvalidJobAccepted violationKind = "wrongly_accepted"
 	// ruleOrphaned: a job that depends on a cancelled one ends soon after it.
-	ruleOrphaned rule = "orphaned"
+	violationDependentOrphaned violationKind = "orphaned"
 	// ruleRanTwice: a task is on one machine at a time.
-	ruleRanTwice rule = "ran_twice"
+	violationRanTwice violationKind = "ran_twice"
 	// ruleRanCancelled: no task of a cancelled job runs after the deadline of its stops.
-	ruleRanCancelled rule = "ran_cancelled"
+	violationRanAfterCancel violationKind = "ran_cancelled"
 	// ruleTooEarly: a task starts only when all jobs that its own depends on are done.
-	ruleTooEarly rule = "too_early"
+	violationStartedTooEarly violationKind = "too_early"
 	// ruleWrongPlace: a task runs where its job's zone, types and kind of machine allow.
-	ruleWrongPlace rule = "wrong_place"
+	violationWrongPlacement violationKind = "wrong_place"
 	// ruleQuota: a team stays under its quota.
-	ruleQuota rule = "quota"
+	violationQuotaExceeded violationKind = "quota"
 	// ruleLeftWaiting: see checkWaiting.
-	ruleLeftWaiting rule = "left_waiting"
+	violationLeftWaiting violationKind = "left_waiting"
 	// ruleMalformed: the store is sent nothing that it can never accept.
-	ruleMalformed rule = "malformed"
+	violationMalformedRequest violationKind = "malformed"
 )
 
 const (
-	// maxUnansweredWait is how long a job may go without an answer to any question about it
+	// maxTimeWithoutResponse is how long a job may go without an answer to any question about it
 	// once all faults are over.
-	maxUnansweredWait = 75 * time.Second
+	maxTimeWithoutResponse = 75 * time.Second
 	// quotaEpsilon is the rounding that a team's sum of CPUs or GPUs may have.
 	quotaEpsilon = 1e-6
 )
@@ -60,15 +60,15 @@
 }
 
 // recordViolation notes that a rule was broken, and how.
-func (c *checker) recordViolation(broken rule, format string, args ...any) {
+func (c *checker) recordViolation(broken violationKind, format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
 	violation := fmt.Sprintf("%.3f %s: %s", c.cluster.Now.Seconds(), broken, detail)
 	c.cluster.Violations = append(c.cluster.Violations, violation)
 }
 
-// recordForgotten notes that a node does not know an accepted job.
-func (c *checker) recordForgotten(jobID string, reply core.Reply) {
-	c.recordViolation(ruleForgotten, "%s is answered %d", jobID, reply.Status)
+// recordLostJob notes that a node does not know an accepted job.
+func (c *checker) recordLostJob(jobID string, reply core.Reply) {
+	c.recordViolation(violationJobLost, "%s is answered %d", jobID, reply.Status)
 }
 
 // cancelDeadline is how long a cancelled job's tasks may still run.
@@ -79,62 +79,62 @@
 // checkAcceptance is called when a job is accepted.
 func (c *checker) checkAcceptance(job *Job, reply core.Reply) {
 	if job.MustBeRejected {
-		c.recordViolation(ruleWronglyAccepted, "%s is answered %d", job.Spec.ID, reply.Status)
+		c.recordViolation(violationInvalidJobAccepted, "%s is answered %d", job.Spec.ID, reply.Status)
 	}
 }
 
-// checkRejection is called when a job is rejected for good.
-func (c *checker) checkRejection(job *Job, reply core.Reply) {
+// checkFinalRejection is called when a job is rejected for good.
+func (c *checker) checkFinalRejection(job *Job, reply core.Reply) {
 	if job.Accepted {
-		c.recordViolation(ruleForgotten, "%s was accepted and then refused with %d", job.Spec.ID, reply.Status)
+		c.recordViolation(violationJobLost, "%s was accepted and then refused with %d", job.Spec.ID, reply.Status)
 	}
 }
 
-// checkRejected is called with a node's answer to a job that can't run.
-func (c *checker) checkRejected(job *Job, node *Node, reply core.Reply) {
+// checkInvalidJobReply is called with a node's answer to a job that can't run.
+func (c *checker) checkInvalidJobReply(job *Job, node *Node, reply core.Reply) {
 	allowed := []core.ReplyStatus{core.ReplyInvalid, statusBadRequest, core.ReplyUnavailable}
 	if !slices.Contains(allowed, reply.Status) {
-		c.recordViolation(ruleWronglyAccepted, "%s is answered %d by %s", job.Spec.ID, reply.Status, node.Label)
+		c.recordViolation(violationInvalidJobAccepted, "%s is answered %d by %s", job.Spec.ID, reply.Status, node.Label)
 	}
 }
 
-// checkAnswered checks that some question about a job was answered lately.
-func (c *checker) checkAnswered(job *Job) {
+// checkLastResponse checks that some question about a job was answered lately.
+func (c *checker) checkLastResponse(job *Job) {
 	now, faultsOverAt := c.cluster.Now, c.cluster.Users.FaultsOverAt
-	if faultsOverAt == 0 || now-max(job.answeredAt, faultsOverAt) <= maxUnansweredWait {
+	if faultsOverAt == 0 || now-max(job.lastResponseAt, faultsOverAt) <= maxTimeWithoutResponse {
 		return
 	}
-	c.recordViolation(ruleForgotten, "no question about %s has been answered since %.3f", job.Spec.ID, job.answeredAt.Seconds())
-	job.answeredAt = now // recorded once
+	c.recordViolation(violationJobLost, "no question about %s has been answered since %.3f", job.Spec.ID, job.lastResponseAt.Seconds())
+	job.lastResponseAt = now // recorded once
 }
 
-// checkAnswer checks what a node says of a job in answer to a question that was sent at
+// checkResponse checks what a node says of a job in answer to a question that was sent at
 // sentAt. It is called before the user takes the answer in. Done and cancelled exclude one
 // another whenever the question was sent. Any other state is stale if the question was sent
 // after the first final answer had come, whichever node gave that.
-func (c *checker) checkAnswer(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
+func (c *checker) checkResponse(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
 	id, final := job.Spec.ID, isFinal(answer.State)
 	if isFinal(job.LastState) && answer.State != job.LastState && (final || sentAt > job.finalAt) {
-		c.recordViolation(ruleWentBack, "%s was %s at %.3f and is called %s, asked at %.3f",
+		c.recordViolation(violationStateReverted, "%s was %s at %.3f and is called %s, asked at %.3f",
 			id, job.LastState, job.finalAt.Seconds(), answer.State, sentAt.Seconds())
 	}
 	dependency := c.cancelledDependency(job)
 	if dependency != nil && dependency.CancelConfirmedAt > 0 && sentAt > dependency.CancelConfirmedAt+c.cancelDeadline() && !final {
-		c.recordViolation(ruleOrphaned, "%s is called %s long after %s was cancelled", id, answer.State, dependency.Spec.ID)
+		c.recordViolation(violationDependentOrphaned, "%s is called %s long after %s was cancelled", id, answer.State, dependency.Spec.ID)
 	}
 	if answer.State == protocol.JobCancelled && !job.cancelRequested && dependency == nil {
-		c.recordViolation(ruleWentBack, "%s is called cancelled, nobody cancelled it or one that it needs", id)
+		c.recordViolation(violationStateReverted, "%s is called cancelled, nobody cancelled it or one that it needs", id)
 	}
 	if answer.State == protocol.JobDone && len(job.completed) < job.Spec.Tasks {
-		c.recordViolation(ruleNotDone, "%s is called done with %d of %d tasks", id, len(job.completed), job.Spec.Tasks)
+		c.recordViolation(violationPrematureDone, "%s is called done with %d of %d tasks", id, len(job.completed), job.Spec.Tasks)
 	}
 }
 
-// checkNoneRuns is called at the deadline after a job's user was told that it is cancelled.
+// checkNoTaskRuns is called at the deadline after a job's user was told that it is cancelled.
 // Tasks on hung machines count too: these may resume.
-func (c *checker) checkNoneRuns(job *Job) {
+func (c *checker) checkNoTaskRuns(job *Job) {
 	for task, machine := range job.machines {
-		c.recordViolation(ruleRanCancelled, "%s is still on %s", task, machine)
+		c.recordViolation(violationRanAfterCancel, "%s is still on %s", task, machine)
 	}
 }
 
@@ -175,27 +175,27 @@
 func (c *checker) checkStart(worker *Worker, task *Task) {
 	job := task.job
 	if machine, ok := job.machines[task.Name]; ok {
-		c.recordViolation(ruleRanTwice, "%s starts on %s while it is on %s", task.Name, worker.Info.Name, machine)
+		c.recordViolation(violationRanTwice, "%s starts on %s while it is on %s", task.Name, worker.Info.Name, machine)
 	}
 	if job.CancelConfirmedAt > 0 && c.cluster.Now > job.CancelConfirmedAt+c.cancelDeadline() {
-		c.recordViolation(ruleRanCancelled, "%s starts", task.Name)
+		c.recordViolation(violationRanAfterCancel, "%s starts", task.Name)
 	}
 	for _, dependency := range c.incompleteDependencies(job) {
-		c.recordViolation(ruleTooEarly, "%s starts while %s has %d of %d tasks done",
+		c.recordViolation(violationStartedTooEarly, "%s starts while %s has %d of %d tasks done",
 			task.Name, dependency.Spec.ID, len(dependency.completed), dependency.Spec.Tasks)
 	}
 }
 
-// checkPlace checks that a task may be on its machine.
-func (c *checker) checkPlace(worker *Worker, task *Task) {
+// checkPlacement checks that a task may be on its machine.
+func (c *checker) checkPlacement(worker *Worker, task *Task) {
 	spec, machine := &task.job.Spec, &worker.Info
 	allowed := machineAllowed(spec, machine) && (spec.Zone == "" || spec.Zone == machine.Zone)
 	tasksInZone := c.tasksByZone(task.job)
-	if spec.OneZone && len(tasksInZone) > 1 || spec.Spread && tasksInZone[machine.Zone] > maxTasksOfSpread(spec) {
+	if spec.OneZone && len(tasksInZone) > 1 || spec.Spread && tasksInZone[machine.Zone] > maxSpreadTasksPerZone(spec) {
 		allowed = false
 	}
 	if !allowed {
-		c.recordViolation(ruleWrongPlace, "%s on %s (%s, %s, spot %v)", task.Name, machine.Name, machine.Type, machine.Zone, machine.Spot)
+		c.recordViolation(violationWrongPlacement, "%s on %s (%s, %s, spot %v)", task.Name, machine.Name, machine.Type, machine.Zone, machine.Spot)
 	}
 }
 
@@ -205,8 +205,8 @@
 	return typeAllowed && (spec.AllowSpot || !machine.Spot)
 }
 
-// maxTasksOfSpread is how many tasks of a job that spreads them may be in one zone.
-func maxTasksOfSpread(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
+// maxSpreadTasksPerZone is how many tasks of a job that spreads them may be in one zone.
+func maxSpreadTasksPerZone(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
 
 // tasksByZone counts a job's tasks that are on machines.
 func (c *checker) tasksByZone(job *Job) map[string]int {
@@ -227,10 +227,10 @@
 			continue
 		}
 		if team.CPUsMax > 0 && cpus > team.CPUsMax+quotaEpsilon {
-			c.recordViolation(ruleQuota, "team %s uses %g of %g CPUs", teamName, cpus, team.CPUsMax)
+			c.recordViolation(violationQuotaExceeded, "team %s uses %g of %g CPUs", teamName, cpus, team.CPUsMax)
 		}
 		if team.GPUsMax > 0 && gpus > team.GPUsMax+quotaEpsilon {
-			c.recordViolation(ruleQuota, "team %s uses %g of %g GPUs", teamName, gpus, team.GPUsMax)
+			c.recordViolation(violationQuotaExceeded, "team %s uses %g of %g GPUs", teamName, gpus, team.GPUsMax)
 		}
 	}
 }
@@ -239,11 +239,11 @@
 // Nodes of the previous version do not know the limits to come and are let off.
 func (c *checker) recordMalformed(node string, previousVersion bool, fault string) {
 	if !previousVersion {
-		c.recordViolation(ruleMalformed, "%s sends the state service %s", node, fault)
+		c.recordViolation(violationMalformedRequest, "%s sends the state service %s", node, fault)
 	}
 }
 
-// recordLeaseTTL notes that the store rejects the duration of a lease.
-func (c *checker) recordLeaseTTL(node string, ttl time.Duration) {
-	c.recordViolation(ruleMalformed, "%s asks for a lease of %v", node, ttl)
+// recordInvalidLeaseTTL notes that the store rejects the duration of a lease.
+func (c *checker) recordInvalidLeaseTTL(node string, ttl time.Duration) {
+	c.recordViolation(violationMalformedRequest, "%s asks for a lease of %v", node, ttl)
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -17,7 +17,7 @@
 	MaxMessageBytes int           // in bytes; larger messages between controllers never get through, 0: all do
 	FlapPeriod      time.Duration // the link is down and up in turns, each for so long; 0: down all the time
 
-	since time.Duration // when it was set
+	setAt time.Duration // when it was set
 }
 
 // Links that tests often set.
@@ -26,11 +26,11 @@
 	Held        = Link{Hold: true}
 	Refused     = Link{Refuse: true}
 	ResetOnSend = Link{Reset: true}
-	Unread      = Link{MaxMessageBytes: unreadBytes} // connections are accepted and never read
+	Unread      = Link{MaxMessageBytes: unreadMaxMessageBytes} // connections are accepted and never read
 )
 
-// unreadBytes is the limit of a link that no message gets through.
-const unreadBytes = 1
+// unreadMaxMessageBytes is the limit of a link that no message gets through.
+const unreadMaxMessageBytes = 1
 
 // blocksConnections reports whether no connection is made over the link.
 func (l *Link) blocksConnections() bool { return l.Drop || l.Hold || l.Refuse || l.Reset }
@@ -38,10 +38,10 @@
 // untilUp is how long it takes until a flapping link lets packets pass, 0 if it does now or
 // does not flap.
 func (l *Link) untilUp(now time.Duration) time.Duration {
-	if l.FlapPeriod == 0 || (now-l.since)/l.FlapPeriod%2 == 1 {
+	if l.FlapPeriod == 0 || (now-l.setAt)/l.FlapPeriod%2 == 1 {
 		return 0
 	}
-	return l.FlapPeriod - (now-l.since)%l.FlapPeriod
+	return l.FlapPeriod - (now-l.setAt)%l.FlapPeriod
 }
 
 // combine adds what another link does, if both lie on a packet's path.
@@ -74,7 +74,7 @@
 	if link == (Link{}) {
 		delete(c.links, path)
 	} else {
-		link.since = c.Now
+		link.setAt = c.Now
 		c.links[path] = &link
 	}
 	c.releaseHeld(path)
@@ -99,7 +99,7 @@
 		}
 	}
 	for _, link := range c.sortedPeerLinks() {
-		lossy := link.lossy[fromDialer] || link.lossy[fromAcceptor]
+		lossy := link.stalled[fromDialer] || link.stalled[fromAcceptor]
 		if lossy && !c.connectionBlocked(link.dialer.Label, link.acceptor.Label) {
 			link.close()
 		}
@@ -189,7 +189,7 @@
 func (c *Cluster) deliver(from, to string, onArrival, onReset func()) {
 	link, heldBy := c.linkBetween(from, to)
 	switch {
-	case link.Drop || link.MaxMessageBytes == unreadBytes || c.drawChance(link.Loss) || c.drawChance(c.Loss):
+	case link.Drop || link.MaxMessageBytes == unreadMaxMessageBytes || c.drawChance(link.Loss) || c.drawChance(c.Loss):
 	case link.Refuse:
 		c.After(c.networkDelay(), onReset)
 	case link.Reset:
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if n.runsPreviousVersion {
-		command = previousVersionReceives(command)
+		command = previousVersionCommand(command)
 	}
 	n.commands = append(n.commands, command)
 	n.wake(0)
--- a/internal/simulation/peerlink.go
+++ b/internal/simulation/peerlink.go
@@ -31,7 +31,7 @@
 	dialer      *Node
 	acceptor    *Node
 	lastArrival [2]time.Duration // of the newest message, by direction
-	lossy       [2]bool          // a message was lost in that direction: none after it is read
+	stalled     [2]bool          // a message was lost in that direction: none after it is read
 }
 
 // dialPeer connects the node to its peer target, now or once that is possible.
@@ -69,7 +69,7 @@
 	if from == l.dialer {
 		to, direction = l.acceptor, fromDialer
 	}
-	if cluster.peerLinks[l.id] != l || l.lossy[direction] {
+	if cluster.peerLinks[l.id] != l || l.stalled[direction] {
 		return
 	}
 	path, heldBy := cluster.linkBetween(from.Label, to.Label)
@@ -78,7 +78,7 @@
 		l.close()
 		return
 	case path.Drop || path.MaxMessageBytes > 0 && messageBytes(message) > path.MaxMessageBytes:
-		l.lossy[direction] = true
+		l.stalled[direction] = true
 		return
 	case path.Hold:
 		cluster.heldPackets = append(cluster.heldPackets, heldPacket{heldBy, func() { l.send(from, message) }})
--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -14,15 +14,15 @@
 // understands: it ignores keys and drops fields that it does not know, and knows no limits
 // but those in force.
 
-// keysOfNewVersion are the prefixes of the keys that it ignores.
-var keysOfNewVersion = []string{"c/run/", "c/admitted/", "c/fine/", "c/long/", "c/zones/"}
+// newVersionKeyPrefixes are the prefixes of the keys that it ignores.
+var newVersionKeyPrefixes = []string{"c/run/", "c/admitted/", "c/fine/", "c/long/", "c/zones/"}
 
 func knownToPreviousVersion(key string) bool {
-	return !slices.ContainsFunc(keysOfNewVersion, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+	return !slices.ContainsFunc(newVersionKeyPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// previousVersionReceives is what of a command the previous version understands.
-func previousVersionReceives(command core.Command) core.Command {
+// previousVersionCommand is what of a command the previous version understands.
+func previousVersionCommand(command core.Command) core.Command {
 	switch command := command.(type) {
 	case core.SubmitJob:
 		command.Spec.Dependencies = nil
@@ -62,8 +62,8 @@
 	return known
 }
 
-// previousVersionWrites is what the previous version writes of a transaction.
-func previousVersionWrites(txn protocol.Transaction) protocol.Transaction {
+// previousVersionTransaction is what the previous version writes of a transaction.
+func previousVersionTransaction(txn protocol.Transaction) protocol.Transaction {
 	operations := make([]protocol.Operation, len(txn.Then))
 	for i, operation := range txn.Then {
 		switch value := operation.Value.(type) {
@@ -80,8 +80,8 @@
 	return txn
 }
 
-// previousVersionSends is what the previous version sends of a message to a peer.
-func previousVersionSends(message peerproto.Message) peerproto.Message {
+// previousVersionMessage is what the previous version sends of a message to a peer.
+func previousVersionMessage(message peerproto.Message) peerproto.Message {
 	if message.Vote != nil {
 		vote := *message.Vote
 		vote.IncludesMirror = false
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -15,9 +15,9 @@
 const (
 	// storeBurstSeconds is how many seconds' worth of requests may come at once.
 	storeBurstSeconds = 1
-	// conditionsPerOperation is how many conditions a transaction may have for each
+	// guardsPerOperation is how many conditions a transaction may have for each
 	// operation that it may have.
-	conditionsPerOperation = 4
+	guardsPerOperation = 4
 	// maxTransactionBytes is the largest size of all values of a transaction together.
 	maxTransactionBytes = 64 << 10
 	bytesPerKB          = 1024
@@ -66,8 +66,8 @@
 	return s.cluster.Settings.Site.Store
 }
 
-// limited reports whether a request with the given number of writes is above the limits.
-func (s *Store) limited(writes int) bool {
+// throttle reports whether a request with the given number of writes is above the limits.
+func (s *Store) throttle(writes int) bool {
 	limits, now := s.limits(), s.cluster.Now
 	if s.requestBucket.take(now, 1, limits.RPS, storeBurstSeconds) &&
 		s.writeBucket.take(now, float64(writes), limits.WriteRPS, storeBurstSeconds) {
@@ -77,17 +77,17 @@
 	return true
 }
 
-// change makes the next state and wakes the watches that wait for one.
-func (s *Store) change(apply func(*kvstore.Batch)) {
+// updateState makes the next state and wakes the watches that wait for one.
+func (s *Store) updateState(apply func(*kvstore.Batch)) {
 	batch := s.state.Begin()
 	apply(batch)
 	s.state = batch.Next()
 	s.wakeWatches()
 }
 
-// commitUnseen commits a transaction without the knowledge of any controller.
-func (s *Store) commitUnseen(txn *kvstore.Txn) {
-	s.change(func(batch *kvstore.Batch) {
+// commitDirectly commits a transaction without the knowledge of any controller.
+func (s *Store) commitDirectly(txn *kvstore.Txn) {
+	s.updateState(func(batch *kvstore.Batch) {
 		if _, err := batch.Commit(txn); err != nil {
 			panic(fmt.Sprintf("simulation: commit: %v", err)) // only a lease that is not there
 		}
@@ -103,13 +103,13 @@
 		if s.leaseExpiry[id] != expiry || s.Down { // renewed, or frozen by an outage
 			return
 		}
-		s.change(func(batch *kvstore.Batch) { _ = batch.RevokeLease(id) }) // it may have ended
+		s.updateState(func(batch *kvstore.Batch) { _ = batch.RevokeLease(id) }) // it may have ended
 	})
 }
 
 // handleLease renews a node's lease, or grants one if it names none.
 func (s *Store) handleLease(node string, request core.RenewLease) (uint64, core.LeaseOutcome) {
-	if s.refuses(node) || s.limited(0) {
+	if s.refuses(node) || s.throttle(0) {
 		return request.LeaseID, core.LeaseRefused
 	}
 	if request.LeaseID != 0 {
@@ -121,9 +121,9 @@
 	}
 	var id uint64
 	var err error
-	s.change(func(batch *kvstore.Batch) { id, err = batch.GrantLease(request.TTL.Milliseconds()) })
+	s.updateState(func(batch *kvstore.Batch) { id, err = batch.GrantLease(request.TTL.Milliseconds()) })
 	if err != nil {
-		s.checker.recordLeaseTTL(node, request.TTL)
+		s.checker.recordInvalidLeaseTTL(node, request.TTL)
 		return 0, core.LeaseRefused
 	}
 	s.armLease(id)
@@ -136,29 +136,29 @@
 	if s.refuses(node) {
 		return core.CommitUnavailable, protocol.TransactionResult{}
 	}
-	if s.limited(len(txn.Then)) {
+	if s.throttle(len(txn.Then)) {
 		return core.CommitThrottled, protocol.TransactionResult{}
 	}
-	if fault := s.malformed(txn); fault != "" {
+	if fault := s.limitViolation(txn); fault != "" {
 		s.checker.recordMalformed(node, previousVersion, fault)
 		return core.CommitRejected, protocol.TransactionResult{}
 	}
-	if s.drawLate(txn) {
-		s.applyLate(txn)
+	if s.drawDelayedCommit(txn) {
+		s.applyDelayed(txn)
 		return core.CommitUnknown, protocol.TransactionResult{}
 	}
 	return s.apply(txn)
 }
 
-// drawLate reports whether a transaction is one of those that get no answer.
-func (s *Store) drawLate(txn protocol.Transaction) bool {
+// drawDelayedCommit reports whether a transaction is one of those that get no answer.
+func (s *Store) drawDelayedCommit(txn protocol.Transaction) bool {
 	concerned := func(operation protocol.Operation) bool {
 		return strings.HasPrefix(operation.Put+operation.Delete, s.DelayedCommitPrefix)
 	}
 	return s.DelayedCommitShare > 0 && slices.ContainsFunc(txn.Then, concerned) && s.cluster.Rand.Float64() < s.DelayedCommitShare
 }
 
-func (s *Store) applyLate(txn protocol.Transaction) {
+func (s *Store) applyDelayed(txn protocol.Transaction) {
 	s.DelayedCommits++
 	if s.MaxCommitDelay == 0 { // applied at once: only the answer is lost
 		s.apply(txn)
@@ -173,7 +173,7 @@
 	encoded := encodeTransaction(txn)
 	var result kvstore.TxnResult
 	var err error
-	s.change(func(batch *kvstore.Batch) { result, err = batch.Commit(&encoded) })
+	s.updateState(func(batch *kvstore.Batch) { result, err = batch.Commit(&encoded) })
 	answer := protocol.TransactionResult{Failed: result.FailedKeys, Revision: result.Revision}
 	switch {
 	case err != nil:
@@ -198,14 +198,14 @@
 	return encoded
 }
 
-// malformed says which limit a transaction is over, empty: none. A node that sends such a
+// limitViolation says which limit a transaction is over, empty: none. A node that sends such a
 // transaction would send it for ever.
-func (s *Store) malformed(txn protocol.Transaction) string {
+func (s *Store) limitViolation(txn protocol.Transaction) string {
 	limits := s.limits()
 	if operations := len(txn.Then); operations > limits.MaxTxnOps {
 		return fmt.Sprintf("%d changes in one transaction", operations)
 	}
-	if conditions := len(txn.If); conditions > conditionsPerOperation*limits.MaxTxnOps {
+	if conditions := len(txn.If); conditions > guardsPerOperation*limits.MaxTxnOps {
 		return fmt.Sprintf("%d conditions in one transaction", conditions)
 	}
 	total := 0
@@ -225,7 +225,7 @@
 // loadPage answers with a page of keys, those after the given one.
 func (s *Store) loadPage(node string, after string, sentAt time.Duration) core.LoadResult {
 	result := core.LoadResult{SentAt: sentAt, Revision: s.state.Revision}
-	if s.refuses(node) || s.limited(0) {
+	if s.refuses(node) || s.throttle(0) {
 		return result
 	}
 	page := s.state.Range(core.KeyPrefix, after, 0)
@@ -242,7 +242,7 @@
 		}
 		return
 	}
-	if s.limited(0) {
+	if s.throttle(0) {
 		respond(core.WatchThrottled, protocol.WatchResponse{})
 		return
 	}
@@ -252,7 +252,7 @@
 		return
 	}
 	if request.Hold == 0 || s.state.Revision > request.Since {
-		s.answerWatch(request.Since, respond)
+		s.respondToWatch(request.Since, respond)
 		return
 	}
 	open := &watch{node: node, sinceRevision: request.Since, respond: respond}
@@ -260,8 +260,8 @@
 	s.cluster.After(request.Hold, func() { s.finishWatch(open) })
 }
 
-// answerWatch answers with the changes since a revision.
-func (s *Store) answerWatch(revision uint64, respond func(core.WatchOutcome, protocol.WatchResponse)) {
+// respondToWatch answers with the changes since a revision.
+func (s *Store) respondToWatch(revision uint64, respond func(core.WatchOutcome, protocol.WatchResponse)) {
 	events, err := s.state.EventsSince(core.KeyPrefix, revision)
 	if err != nil {
 		respond(core.WatchCompacted, events)
@@ -273,7 +273,7 @@
 func (s *Store) finishWatch(open *watch) {
 	if !open.closed && !s.refuses(open.node) {
 		open.closed = true
-		s.answerWatch(open.sinceRevision, open.respond)
+		s.respondToWatch(open.sinceRevision, open.respond)
 	}
 }
 
--- a/internal/simulation/store_content.go
+++ b/internal/simulation/store_content.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// taskCountVariety is how many different numbers of tasks the jobs have that are put
+	// distinctTaskCounts is how many different numbers of tasks the jobs have that are put
 	// into the store.
-	taskCountVariety = 40
-	// oneCancelledIn is how many finished jobs there are for each that was cancelled.
-	oneCancelledIn = 50
-	// chainPeriod is how many dependent jobs there are for each chain; its second half is
+	distinctTaskCounts = 40
+	// finishedPerCancelled is how many finished jobs there are for each that was cancelled.
+	finishedPerCancelled = 50
+	// dependentJobsPerChain is how many dependent jobs there are for each chain; its second half is
 	// the chain.
-	chainPeriod = 200
+	dependentJobsPerChain = 200
 	// longEstimateS is an estimate that no test waits for, in seconds.
 	longEstimateS = 100_000
 )
@@ -31,15 +31,15 @@
 func (s *Store) AddFinishedJobs(count int) {
 	var txn kvstore.Txn
 	for i := range count {
-		spec := Array(1 + i%taskCountVariety)
+		spec := Array(1 + i%distinctTaskCounts)
 		spec.ID = fmt.Sprintf("job-9%08d", i)
 		record := records.Job{Spec: spec, State: protocol.JobDone, SubmittedAt: 9e8 + float64(i)}
-		if i%oneCancelledIn == 0 {
+		if i%finishedPerCancelled == 0 {
 			record.State, record.StopReason = protocol.JobCancelled, "cancelled by its user"
 		}
 		txn.Then = append(txn.Then, putJob(jobKeyPrefix, record))
 	}
-	s.commitUnseen(&txn)
+	s.commitDirectly(&txn)
 }
 
 // AddDependentJobs puts a job into the store, and count jobs that depend on it: half of them on it
@@ -49,16 +49,16 @@
 	txn := kvstore.Txn{Then: []kvstore.Op{putJob(jobKeyPrefix, queuedRecord(first))}}
 	previous := ""
 	for i := range count {
-		spec := Array(1 + i%taskCountVariety)
+		spec := Array(1 + i%distinctTaskCounts)
 		spec.ID = fmt.Sprintf("job-8%08d", i)
 		spec.Dependencies = []string{first.ID}
-		if i%chainPeriod > chainPeriod/2 {
+		if i%dependentJobsPerChain > dependentJobsPerChain/2 {
 			spec.Dependencies = []string{previous}
 		}
 		previous = spec.ID
 		txn.Then = append(txn.Then, putJob(dependentJobKeyPrefix, queuedRecord(spec)))
 	}
-	s.commitUnseen(&txn)
+	s.commitDirectly(&txn)
 }
 
 // putJob stores a job's record.
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -35,8 +35,8 @@
 // usesCapacity reports whether the machine sets capacity aside for the task.
 func (t *Task) usesCapacity() bool { return t.State != protocol.TaskExited }
 
-// is reports whether a command names this attempt.
-func (t *Task) is(command protocol.Command) bool {
+// matches reports whether a command names this attempt.
+func (t *Task) matches(command protocol.Command) bool {
 	return t.Name == command.Task && t.Attempt == command.Attempt
 }
 
@@ -48,7 +48,7 @@
 		case protocol.CommandStart:
 			changed = w.start(command) || changed
 		case protocol.CommandStop:
-			changed = w.stopCommanded(command) || changed
+			changed = w.stopAttempt(command) || changed
 		case protocol.CommandForget:
 			changed = w.forget(command) || changed
 		}
@@ -56,10 +56,10 @@
 	return changed
 }
 
-func (w *Worker) stopCommanded(command protocol.Command) bool {
+func (w *Worker) stopAttempt(command protocol.Command) bool {
 	changed := false
 	for _, task := range w.Tasks {
-		if task.is(command) && task.State != protocol.TaskExited {
+		if task.matches(command) && task.State != protocol.TaskExited {
 			w.stop(task, command.GraceS)
 			changed = true
 		}
@@ -71,7 +71,7 @@
 func (w *Worker) forget(command protocol.Command) bool {
 	kept := w.Tasks[:0]
 	for _, task := range w.Tasks {
-		if !task.is(command) || task.State != protocol.TaskExited {
+		if !task.matches(command) || task.State != protocol.TaskExited {
 			kept = append(kept, task)
 		}
 	}
@@ -85,20 +85,20 @@
 func (w *Worker) start(command protocol.Command) bool {
 	task := &Task{Name: command.Task, Attempt: command.Attempt, State: protocol.TaskFetching}
 	for _, present := range w.Tasks {
-		if present.is(command) {
+		if present.matches(command) {
 			return false
 		}
 	}
 	job, index, err := protocol.ParseTaskName(command.Task)
 	task.job, task.index = w.cluster.Users.jobs[job], index
 	unknown := err != nil || task.job == nil || index >= task.job.Spec.Tasks
-	if reason := w.refusal(task, unknown); reason != "" {
+	if reason := w.startRejection(task, unknown); reason != "" {
 		task.State, task.ExitReason = protocol.TaskExited, reason
 		w.Tasks = append(w.Tasks, task)
 		return true
 	}
 	w.Tasks = append(w.Tasks, task)
-	task.job.lastStartAt, w.lastTaskAt = w.cluster.Now, w.cluster.Now
+	task.job.lastStartAt, w.lastTaskStartedAt = w.cluster.Now, w.cluster.Now
 	if task.job.CancelConfirmedAt > 0 {
 		w.cluster.Users.StartsAfterCancel++
 	}
@@ -106,8 +106,8 @@
 	return true
 }
 
-// refusal is the exit reason of a new attempt that can't run here, empty if it can.
-func (w *Worker) refusal(task *Task, unknown bool) string {
+// startRejection is the exit reason of a new attempt that can't run here, empty if it can.
+func (w *Worker) startRejection(task *Task, unknown bool) string {
 	if unknown {
 		return protocol.ExitUnknownTask
 	}
@@ -155,12 +155,12 @@
 	case w.Faulty || task.job.FailsEverywhere:
 		w.afterIfPresent(task, failureDelay, func() { w.exit(task, protocol.ExitFailed) })
 	case task.job.Spec.Kind != protocol.KindService:
-		w.afterIfPresent(task, w.remainingRun(task), func() { w.exit(task, protocol.ExitDone) })
+		w.afterIfPresent(task, w.remainingRunTime(task), func() { w.exit(task, protocol.ExitDone) })
 	}
 }
 
-// remainingRun is how long a task has yet to run.
-func (w *Worker) remainingRun(task *Task) time.Duration {
+// remainingRunTime is how long a task has yet to run.
+func (w *Worker) remainingRunTime(task *Task) time.Duration {
 	job := task.job
 	if job.completed[task.index] {
 		return 0
@@ -248,8 +248,8 @@
 // capacity is what a machine has left.
 type capacity struct{ cpus, gpus, memoryGB float64 }
 
-// free is the machine's capacity that no task uses.
-func (w *Worker) free() capacity {
+// freeCapacity is the machine's capacity that no task uses.
+func (w *Worker) freeCapacity() capacity {
 	machineType := w.cluster.Cloud.Type(w.Info.Type)
 	left := capacity{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
 	for _, task := range w.Tasks {
@@ -264,7 +264,7 @@
 
 // hasCapacity reports whether one more task of a job fits.
 func (w *Worker) hasCapacity(spec *protocol.Job) bool {
-	left := w.free()
+	left := w.freeCapacity()
 	return left.cpus >= spec.CPUs-capacityEpsilon &&
 		left.gpus >= spec.GPUs-capacityEpsilon &&
 		left.memoryGB >= spec.MemoryGB-capacityEpsilon
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -18,37 +18,37 @@
 	// pollInterval is the pause between questions about a job.
 	pollInterval = 3 * time.Second
 
-	// readRounds and readRoundInterval say how often, and how fast after one another, a
+	// readEverywhereRounds and readRoundInterval say how often, and how fast after one another, a
 	// job's user asks at all nodes when it reads everywhere.
-	readRounds        = 3
-	readRoundInterval = 4 * time.Millisecond
+	readEverywhereRounds   = 3
+	readEverywhereInterval = 4 * time.Millisecond
 )
 
 // Statuses of replies beside those that the core gives: servers and balancers give these.
 const (
-	statusBadRequest  core.ReplyStatus = 400
-	statusTooMany     core.ReplyStatus = 429
-	statusServerError core.ReplyStatus = 500
+	statusBadRequest      core.ReplyStatus = 400
+	statusTooManyRequests core.ReplyStatus = 429
+	statusServerError     core.ReplyStatus = 500
 )
 
 // Users submit, poll and cancel jobs. Whatever they are told, and whatever happens to a task
 // on a machine, passes through here to the checker.
 type Users struct {
-	cluster *Cluster
-	checker *checker
-	jobs    map[string]*Job
-	lastJob int // number of the job submitted last
+	cluster       *Cluster
+	checker       *checker
+	jobs          map[string]*Job
+	lastJobNumber int // number of the job submitted last
 
 	runningTasks int                // on machines
 	cpus         map[string]float64 // that they take, by team
 	gpus         map[string]float64
 
-	Starts          int // tasks that started on a machine
-	RepeatedStarts  int // those of them that had been completed before
-	Requests        int // requests
-	Answered        int // requests that got an answer other than to come again later
-	TimedOut        int // requests that got no answer in time
-	ConsistentReads int // questions of ReadEverywhere that were answered
+	Starts                int // tasks that started on a machine
+	RepeatedStarts        int // those of them that had been completed before
+	Requests              int // requests
+	Served                int // requests that got an answer other than to come again later
+	TimedOut              int // requests that got no answer in time
+	ReadEverywhereReplies int // questions of ReadEverywhere that were answered
 	// StartsAfterCancel counts the starts that a machine took after the user was told that the job
 	// is cancelled.
 	StartsAfterCancel int
@@ -75,7 +75,7 @@
 	Accepted          bool
 	Rejected          core.ReplyStatus     // the status of its final rejection, 0: none
 	LastState         string               // the state that its user was told last
-	Answer            protocol.JobResponse // in which that was
+	LastResponse      protocol.JobResponse // in which that was
 	CancelConfirmedAt time.Duration        // when its user was told that it is cancelled
 
 	submittedAt     time.Duration
@@ -85,10 +85,10 @@
 	machines        map[string]string     // where its tasks are, by name
 
 	// Records of the checker.
-	finalAt     time.Duration            // when the first word came that it is done or cancelled
-	answeredAt  time.Duration            // when a question about it was answered last
-	lastStartAt time.Duration            // when a machine took one of its tasks last
-	idleSince   map[string]time.Duration // machines that could take a task of it, and since when
+	finalAt        time.Duration            // when the first word came that it is done or cancelled
+	lastResponseAt time.Duration            // when a question about it was answered last
+	lastStartAt    time.Duration            // when a machine took one of its tasks last
+	idleSince      map[string]time.Duration // machines that could take a task of it, and since when
 }
 
 func newUsers(cluster *Cluster) *Users {
@@ -106,9 +106,9 @@
 // Submit hands in a job whose tasks run for runS seconds, again and again until it is
 // answered for good.
 func (u *Users) Submit(spec protocol.Job, runS float64) *Job {
-	u.lastJob++
+	u.lastJobNumber++
 	if spec.ID == "" {
-		spec.ID = jobID(u.lastJob)
+		spec.ID = jobID(u.lastJobNumber)
 	}
 	job := &Job{
 		Spec: spec, RunS: runS, submittedAt: u.cluster.Now,
@@ -140,8 +140,8 @@
 	cluster := u.cluster
 	u.Requests++
 	count := func(reply core.Reply) {
-		if reply.Status > 0 && reply.Status < statusServerError && reply.Status != statusTooMany {
-			u.Answered++
+		if reply.Status > 0 && reply.Status < statusServerError && reply.Status != statusTooManyRequests {
+			u.Served++
 		}
 		onReply(reply)
 	}
@@ -172,7 +172,7 @@
 			u.checker.checkAcceptance(job, reply)
 			u.accepted(job, reply.Body.(protocol.JobResponse), sentAt)
 		case statusBadRequest, core.ReplyInvalid:
-			u.checker.checkRejection(job, reply)
+			u.checker.checkFinalRejection(job, reply)
 			job.Rejected = reply.Status
 		default:
 			u.cluster.After(userRetryInterval, func() { u.submit(job) })
@@ -193,14 +193,14 @@
 
 func (u *Users) poll(job *Job) {
 	sentAt := u.cluster.Now
-	u.checker.checkAnswered(job)
+	u.checker.checkLastResponse(job)
 	u.checker.checkWaiting(job)
 	u.request(queryCommand(job.Spec.ID), func(reply core.Reply) {
 		switch reply.Status {
 		case core.ReplyOK:
 			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
 		case core.ReplyNotFound:
-			u.checker.recordForgotten(job.Spec.ID, reply)
+			u.checker.recordLostJob(job.Spec.ID, reply)
 		}
 		u.cluster.After(pollInterval, func() { u.poll(job) })
 	})
@@ -208,17 +208,17 @@
 
 // PollAny asks once about some job that was handed in, or about one that never was.
 func (u *Users) PollAny() {
-	id := jobID(u.cluster.Rand.IntN(u.lastJob + 1))
+	id := jobID(u.cluster.Rand.IntN(u.lastJobNumber + 1))
 	job, sentAt := u.jobs[id], u.cluster.Now
 	known := job != nil && job.Accepted
 	u.request(queryCommand(id), func(reply core.Reply) {
 		switch {
 		case reply.Status == core.ReplyOK && job == nil:
-			u.checker.recordViolation(ruleInvented, "%s is answered %d", id, reply.Status)
+			u.checker.recordViolation(violationUnknownJobServed, "%s is answered %d", id, reply.Status)
 		case reply.Status == core.ReplyOK && known:
 			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
 		case reply.Status == core.ReplyNotFound && known:
-			u.checker.recordForgotten(id, reply)
+			u.checker.recordLostJob(id, reply)
 		}
 	})
 }
@@ -229,7 +229,7 @@
 	job := u.Submit(spec, 1)
 	job.MustBeRejected = true
 	for _, node := range u.cluster.Nodes {
-		u.requestFrom(node, submitCommand(job), func(reply core.Reply) { u.checker.checkRejected(job, node, reply) }, func() {})
+		u.requestFrom(node, submitCommand(job), func(reply core.Reply) { u.checker.checkInvalidJobReply(job, node, reply) }, func() {})
 	}
 	return job
 }
@@ -260,8 +260,8 @@
 // ReadEverywhere has a job's user ask at all nodes, and submit it again at one of them, three times
 // within some milliseconds: every node must know what any node has confirmed.
 func (u *Users) ReadEverywhere(job *Job) {
-	for round := range readRounds {
-		u.cluster.After(time.Duration(round)*readRoundInterval, func() {
+	for round := range readEverywhereRounds {
+		u.cluster.After(time.Duration(round)*readEverywhereInterval, func() {
 			for i, node := range u.cluster.Nodes {
 				u.readAt(node, job, queryCommand(job.Spec.ID))
 				if i == round%len(u.cluster.Nodes) {
@@ -278,11 +278,11 @@
 	u.requestFrom(node, build, func(reply core.Reply) {
 		switch reply.Status {
 		case core.ReplyOK, core.ReplyAccepted:
-			u.ConsistentReads++
+			u.ReadEverywhereReplies++
 			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
 		case core.ReplyNotFound, statusBadRequest, core.ReplyInvalid:
 			if known {
-				u.checker.recordViolation(ruleForgotten, "%s is answered %d by %s", job.Spec.ID, reply.Status, node.Label)
+				u.checker.recordViolation(violationJobLost, "%s is answered %d by %s", job.Spec.ID, reply.Status, node.Label)
 			}
 		}
 	}, func() {})
@@ -295,19 +295,19 @@
 
 // observe takes what a node says of a job in answer to a question that left at sentAt.
 func (u *Users) observe(job *Job, answer protocol.JobResponse, sentAt time.Duration) {
-	u.checker.checkAnswer(job, answer, sentAt)
-	job.answeredAt = u.cluster.Now
+	u.checker.checkResponse(job, answer, sentAt)
+	job.lastResponseAt = u.cluster.Now
 	if isFinal(job.LastState) { // the first such word is the one that counts
 		if answer.State == job.LastState {
-			job.Answer = answer
+			job.LastResponse = answer
 		}
 		return
 	}
 	if answer.State == protocol.JobCancelled {
 		job.CancelConfirmedAt = u.cluster.Now
-		u.cluster.After(u.checker.cancelDeadline(), func() { u.checker.checkNoneRuns(job) })
+		u.cluster.After(u.checker.cancelDeadline(), func() { u.checker.checkNoTaskRuns(job) })
 	}
-	job.LastState, job.Answer = answer.State, answer
+	job.LastState, job.LastResponse = answer.State, answer
 	if isFinal(answer.State) {
 		job.finalAt = u.cluster.Now
 		u.readEverywhereIfEnabled(job)
@@ -326,7 +326,7 @@
 		u.RepeatedStarts++
 	}
 	job.machines[task.Name] = worker.Info.Name
-	u.checker.checkPlace(worker, task)
+	u.checker.checkPlacement(worker, task)
 	u.checker.checkQuota(job.Spec.Team)
 }
 
@@ -390,8 +390,8 @@
 func (u *Users) LastReasons() []string {
 	var reasons []string
 	for _, job := range u.jobs {
-		if job.Answer.Reason != "" {
-			reasons = append(reasons, job.Answer.Reason)
+		if job.LastResponse.Reason != "" {
+			reasons = append(reasons, job.LastResponse.Reason)
 		}
 	}
 	return reasons
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -43,16 +43,16 @@
 	leaderToken uint64 // fencing token, the highest that it has seen
 	images      map[string]bool
 
-	nodeIndex         int  // the controller that it reports to
-	heartbeatInFlight bool // no answer has come yet
-	changedInFlight   bool // something changed meanwhile
-	leaseRenewedAt    time.Duration
-	lastHeartbeatAt   time.Duration
-	heartbeatTimer    uint64 // the newest timer; older ones do nothing
+	nodeIndex            int  // the controller that it reports to
+	heartbeatInFlight    bool // no answer has come yet
+	changedWhileInFlight bool // something changed meanwhile
+	leaseRenewedAt       time.Duration
+	lastHeartbeatAt      time.Duration
+	heartbeatTimerID     uint64 // the newest timer; older ones do nothing
 
 	// Records for the checker.
-	lastTaskAt     time.Duration // when it took a task last
-	hardwareFailed bool          // a task has failed here that would not have elsewhere
+	lastTaskStartedAt time.Duration // when it took a task last
+	hardwareFailed    bool          // a task has failed here that would not have elsewhere
 }
 
 func newWorker(cluster *Cluster, instance protocol.Instance) *Worker {
@@ -62,7 +62,7 @@
 		clockRate: cluster.drawClockRate(), nodeIndex: cluster.Rand.IntN(len(cluster.Nodes)),
 	}
 	w.sendHeartbeat()
-	w.watchLease()
+	w.checkLease()
 	return w
 }
 
@@ -93,9 +93,9 @@
 	return w.localDuration(config.Seconds(w.cluster.Settings.Site.Workers.LeaseS))
 }
 
-// watchLease ends all tasks whenever the lease expires. That goes for a hung machine too: it
+// checkLease ends all tasks whenever the lease expires. That goes for a hung machine too: it
 // may resume within its lease, not after it.
-func (w *Worker) watchLease() {
+func (w *Worker) checkLease() {
 	if w.removed {
 		return
 	}
@@ -105,7 +105,7 @@
 		w.leaseRenewedAt = w.cluster.Now
 		w.statusChanged()
 	}
-	w.cluster.After(leaseCheckInterval, w.watchLease)
+	w.cluster.After(leaseCheckInterval, w.checkLease)
 }
 
 // heartbeat is the worker's report, as of now.
@@ -125,23 +125,23 @@
 // statusChanged has the worker report soon.
 func (w *Worker) statusChanged() {
 	if w.heartbeatInFlight {
-		w.changedInFlight = true
+		w.changedWhileInFlight = true
 		return
 	}
-	w.scheduleHeartbeat(w.untilNextAllowed())
+	w.scheduleHeartbeat(w.untilHeartbeatAllowed())
 }
 
-// untilNextAllowed is how long the worker must wait before its next heartbeat.
-func (w *Worker) untilNextAllowed() time.Duration {
+// untilHeartbeatAllowed is how long the worker must wait before its next heartbeat.
+func (w *Worker) untilHeartbeatAllowed() time.Duration {
 	return max(w.lastHeartbeatAt+minHeartbeatInterval-w.cluster.Now, 0)
 }
 
 // scheduleHeartbeat replaces the time of the next heartbeat.
 func (w *Worker) scheduleHeartbeat(delay time.Duration) {
-	w.heartbeatTimer++
-	timer := w.heartbeatTimer
+	w.heartbeatTimerID++
+	timer := w.heartbeatTimerID
 	w.cluster.After(delay, func() {
-		if timer == w.heartbeatTimer && !w.removed {
+		if timer == w.heartbeatTimerID && !w.removed {
 			w.sendHeartbeat()
 		}
 	})
@@ -161,7 +161,7 @@
 		w.scheduleHeartbeat(hungPollInterval)
 		return
 	}
-	w.heartbeatInFlight, w.changedInFlight = true, false
+	w.heartbeatInFlight, w.changedWhileInFlight = true, false
 	w.lastHeartbeatAt = w.cluster.Now
 	sent := sentHeartbeat{sentAt: w.cluster.Now, session: w.session}
 	report := w.heartbeat()
@@ -170,17 +170,17 @@
 		w.tryNextNode()
 		return
 	}
-	w.cluster.retain(report)
+	w.cluster.retainHeartbeat(report)
 	call(w.cluster, w.Info.Name, node.Label, heartbeatTimeout, func(reply func(core.Reply)) {
 		node.Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: report} }, reply)
 	}, func(reply core.Reply) { w.handleHeartbeatReply(sent, reply) }, w.tryNextNode)
 }
 
-// heartbeatDone schedules the next heartbeat, earlier if something changed meanwhile.
-func (w *Worker) heartbeatDone(delay time.Duration) {
+// finishHeartbeat schedules the next heartbeat, earlier if something changed meanwhile.
+func (w *Worker) finishHeartbeat(delay time.Duration) {
 	w.heartbeatInFlight = false
-	if w.changedInFlight {
-		delay = w.untilNextAllowed()
+	if w.changedWhileInFlight {
+		delay = w.untilHeartbeatAllowed()
 	}
 	w.scheduleHeartbeat(delay)
 }
@@ -188,7 +188,7 @@
 // tryNextNode gives a heartbeat up and turns to the next controller.
 func (w *Worker) tryNextNode() {
 	w.nodeIndex = (w.nodeIndex + 1) % len(w.cluster.Nodes)
-	w.heartbeatDone(heartbeatRetryInterval)
+	w.finishHeartbeat(heartbeatRetryInterval)
 }
 
 func (w *Worker) handleHeartbeatReply(sent sentHeartbeat, reply core.Reply) {
@@ -211,7 +211,7 @@
 		}
 		interval := float64(config.Seconds(w.cluster.Settings.Site.Workers.HeartbeatS))
 		jitter := 0.75 + w.cluster.Rand.Float64()/2
-		w.heartbeatDone(w.localDuration(time.Duration(interval * jitter)))
+		w.finishHeartbeat(w.localDuration(time.Duration(interval * jitter)))
 	case protocol.Redirect:
 		w.followRedirect(body)
 	default:
@@ -225,7 +225,7 @@
 	w.leaderToken = body.Token
 	w.leaseRenewedAt = max(w.leaseRenewedAt, sent.sentAt)
 	if w.execute(body.Commands) || newLeader {
-		w.changedInFlight = true
+		w.changedWhileInFlight = true
 	}
 }
 
@@ -233,21 +233,21 @@
 	for i, node := range w.cluster.Nodes {
 		if node.Label == redirect.ReportTo && i != w.nodeIndex {
 			w.nodeIndex = i
-			w.heartbeatDone(time.Duration(w.cluster.Rand.Int64N(int64(maxRedirectDelay))))
+			w.finishHeartbeat(time.Duration(w.cluster.Rand.Int64N(int64(maxRedirectDelay))))
 			return
 		}
 	}
 	w.tryNextNode()
 }
 
-// handleDirect serves a call of a controller. Commands of an older leader, or meant for an
+// handleDirectCommands serves a call of a controller. Commands of an older leader, or meant for an
 // earlier session, are not executed.
-func (w *Worker) handleDirect(commands protocol.DirectCommands, answer func(core.DirectOutcome, protocol.Heartbeat)) {
+func (w *Worker) handleDirectCommands(commands protocol.DirectCommands, answer func(core.DirectOutcome, protocol.Heartbeat)) {
 	if w.removed {
 		return
 	}
 	if w.Hung {
-		w.cluster.After(hungPollInterval, func() { w.handleDirect(commands, answer) })
+		w.cluster.After(hungPollInterval, func() { w.handleDirectCommands(commands, answer) })
 		return
 	}
 	if commands.Token < w.leaderToken || commands.Session != w.session {
