--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -83,9 +83,9 @@
 // if those are tiny, and hours of work would not appear to justify creating a machine.
 func (s *scheduler) predictTask(q *queuedJob) float64 {
 	predicted := s.core.estimator.Predict(q.spec())
-	ran := q.longestRunning.Seconds()
-	if ran > 2*predicted && q.spec().Kind != protocol.KindService {
-		return ran
+	longestSeconds := q.longestRunning.Seconds()
+	if longestSeconds > 2*predicted && q.spec().Kind != protocol.KindService {
+		return longestSeconds
 	}
 	return predicted
 }
