--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -51,7 +51,7 @@
 	}
 	d.run()
 	if s.core.debug && (d.dispatched > 0 || q.reason != "") {
-		s.core.logDebug("ranked",
+		s.core.logDebug("job processed in scheduling round",
 			"job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee,
 			"dispatched", d.dispatched, "waiting", q.waitingTasks(), "machines", len(d.machines), "avoided", d.countAvoided(), "reason", q.reason)
 	}
@@ -157,9 +157,8 @@
 // or nil if there is none. onlyAvoidedFit is true if the only machines with capacity for the task are
 // ones that the job avoids.
 //
-// It searches the machines of all shards. An earlier search looked for an alternative to an avoided
-// machine only in that machine's shard, so that jobs waited although machines of other shards were
-// idle.
+// It searches the machines of all shards. When an alternative to an avoided machine was looked for
+// only in that machine's shard, jobs waited although machines of other shards were idle.
 func (d *jobDispatch) findMachine(index int) (machine *candidateMachine, onlyAvoidedFit bool) {
 	if d.spec.Spread {
 		// Its tasks are tied to different zones, so each may fit on other machines.
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -131,7 +131,7 @@
 		}
 		held, started := q.gangProgress()
 		if started {
-			q.gangReleased = true // by an earlier leader
+			q.gangReleased = true // the gang was released by an earlier leader
 			continue
 		}
 		complete := held == len(q.inflight) && q.waitingTasks() == 0
@@ -143,7 +143,7 @@
 }
 
 // gangProgress counts the tasks of a gang for which a machine holds capacity, and reports whether any
-// task has got past that state.
+// task on a machine is past that state.
 func (q *queuedJob) gangProgress() (held int, started bool) {
 	for _, attempt := range q.inflight {
 		switch {
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -38,7 +38,7 @@
 	dispatchSession uint64 // the session of the link used
 	dispatchSeq     uint64 // sequence number of the message on that link
 	plannedMachine  string // the machine on which the scheduling round allocated capacity for it
-	recordVersion   uint64 // of the job's record on which the dispatch is based, 0: none
+	recordVersion   uint64 // of the job's record on which the dispatch is based, 0: any version will do
 
 	// Preemption.
 	stopRequested bool
@@ -79,7 +79,7 @@
 }
 
 // removeIfUnclaimed stops tracking an attempt, which then no longer counts against its team's limit, if
-// no machine claims it and it is not on its way to one.
+// no machine claims it and its location rules out all other machines.
 func (s *scheduler) removeIfUnclaimed(task string, attempt *inflightAttempt) {
 	if attempt.location != locationClaimed || len(attempt.claimants) > 0 {
 		return
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -35,8 +35,8 @@
 	failedJobs    map[string]bool          // jobs with a task that failed here since a task last completed here
 	backoffUntil  map[string]time.Duration // by job: none of its tasks is placed here before this time
 
-	emptySince      time.Duration
-	lastClaimedAt   time.Duration
+	emptySince      time.Duration // when it last had attempts, came up or was first known, whichever is latest
+	lastClaimedAt   time.Duration // when it last claimed a further attempt; initially when it was first known
 	upSince         time.Duration // when it first accepted tasks, -1: never
 	incompleteSince time.Duration // since when its task list is incomplete; valid only while it is
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -207,7 +207,7 @@
 		s.recordImage(best, attempt.spec)
 	}
 	attempt.phase = phaseQueued
-	s.core.logDebug("placed", "task", attempt.task, "machine", best.name)
+	s.core.logDebug("task placed on a machine", "task", attempt.task, "machine", best.name)
 	s.addAttempt(best, attempt)
 	if nextHeartbeat := best.lastHeardAt + intervals.heartbeat; nextHeartbeat-now > intervals.heartbeat/6 {
 		s.expedite(best)
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -58,7 +58,7 @@
 	}
 	needed := q.waitingTasks()
 	if s.isCrashLooping(q) {
-		needed = 1 // its other tasks are expected to fail, too
+		needed = 1 // only one task of the job is tried at a time, since the others would only fail as well
 	}
 	needed -= p.tasksWithCapacityPending()
 	for _, set := range p.cheapestSets() {
@@ -194,8 +194,8 @@
 	v.machine.preemptorUrgency = min(v.attempt.stopUrgency, v.machine.preemptorUrgency)
 }
 
-// requestStop has a shard stop a task. Until the task has stopped, tasks less urgent than the given
-// urgency level are not dispatched to its machine.
+// requestStop has a shard stop a task. Until the task has stopped, feasibleMachines omits its machine
+// for tasks that are best-effort or less urgent than the given urgency level. Gangs are not kept off it.
 func (s *scheduler) requestStop(member *shardView, attempt *inflightAttempt, stop peerproto.StopTask, urgency int) {
 	attempt.stopRequested, attempt.stopUrgency = true, urgency
 	s.stopRequests[stop.Task] = attempt
--- a/internal/core/queued_job.go
+++ b/internal/core/queued_job.go
@@ -38,7 +38,7 @@
 	// Its rank, computed again in each round.
 	predictedSeconds   float64 // predicted duration of one of its tasks
 	effectiveUrgency   int     // level of its own urgency, or that of the most urgent job that depends on it
-	dependentsDeadline float64 // time of day (seconds) by which its dependents need it done, +Inf: none
+	dependentsDeadline float64 // wall-clock time (s) by which it must be done for its dependents' deadlines or its own, +Inf: none
 	withinGuarantee    bool    // it fits into its team's guarantee, together with the team's earlier jobs
 	rankBand           int     // primary sort key, the smallest first
 	rankInBand         float64 // secondary sort key, the smallest first
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// computeTeamUsage returns the resources that each team's tasks may occupy. The unknown part of every
-// machine that has not been seen yet counts as fully occupied by each team, so that no limit can be
-// exceeded by tasks of which this leader does not know.
+// computeTeamUsage returns the most CPUs and GPUs that each team's tasks can be using now. The unknown part
+// of every machine that has not been seen yet counts as fully occupied by each team, so that no limit
+// can be exceeded by tasks of which this leader does not know.
 func (s *scheduler) computeTeamUsage() map[string]*usage {
 	unseen := s.unseenCapacity()
 	byTeam := map[string]*usage{}
@@ -152,12 +152,12 @@
 // limitBestEffort computes how many CPUs best-effort teams may occupy in a round: those that the other
 // teams do not need, judging by the recent inflow of their work.
 //
-// Without this limit, long best-effort tasks fill every machine in a quiet moment. With an inflow of
-// 2,600 CPUs of other teams' jobs, they once held 5,000 of 6,000 CPUs for minutes, and a team did
-// not even get its guarantee.
+// Without this limit, long best-effort tasks fill every machine whenever the other teams have little
+// work for a short time. With an inflow of 2,600 CPUs of other teams' jobs, they once held 5,000 of
+// 6,000 CPUs for minutes, and a team did not even get its guarantee.
 //
-// Free CPUs of machines to which nothing was dispatched for reservationExpiry are available as well.
-// Otherwise a best-effort team would wait next to idle machines after a burst of the other teams' work.
+// Free CPUs of machines that got no new task for reservationExpiry are available as well. Otherwise a
+// best-effort team would wait while machines are idle after a burst of the other teams' work.
 func (s *scheduler) limitBestEffort(round *schedulingRound) {
 	var total, idle float64
 	for _, machine := range round.machines {
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -78,9 +78,9 @@
 }
 
 // predictTask returns the predicted duration of one of the job's tasks in seconds. If a task has
-// already run for more than twice the prediction, its running time is used instead. Otherwise a class
-// without history, which is predicted from the mean of its team's tasks, could be rated far too short
-// if those are tiny, and hours of work would not appear to justify creating a machine.
+// already run for more than twice the prediction, its running time is used instead. Without this, a
+// class without history was once predicted from the mean of its team's tiny tasks, so that hours of
+// work did not appear to justify creating a machine.
 func (s *scheduler) predictTask(q *queuedJob) float64 {
 	predicted := s.core.estimator.Predict(q.spec())
 	longestSeconds := q.longestRunning.Seconds()
@@ -110,9 +110,10 @@
 // agedWork returns the remaining work of a job, in CPU (GPU) seconds, divided by a factor that grows
 // with its waiting time.
 //
-// All remaining tasks count, like all GPUs of a job in two-dimensional (GPUs times duration)
-// scheduling. If only a single task counted, all jobs of a class would tie and be ordered by age, and
-// under load each would wait about as long as the last one.
+// All remaining tasks count, as the Lucid paper ("Lucid: A Non-intrusive, Scalable and Interpretable
+// Scheduler for Deep Learning Training Jobs", ASPLOS 2023) counts all GPUs of a job in the product
+// of GPUs and duration. If only a single task counted, all jobs of a class would tie and be ordered by
+// age, and under load each would wait about as long as the last one.
 func (s *scheduler) agedWork(q *queuedJob) float64 {
 	spec := q.spec()
 	width := taskWidth(spec)
@@ -125,7 +126,7 @@
 }
 
 // taskWidth returns the GPUs of a task, or its CPUs if it uses no GPUs. This is the resource factor in
-// the product of resources and duration by which jobs are ranked.
+// the product of resources and duration by which jobs are ranked, as in the Lucid paper.
 func taskWidth(spec *protocol.Job) float64 {
 	if spec.GPUs > 0 {
 		return spec.GPUs
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -16,16 +16,17 @@
 	infeasible   map[taskShape]bool  // tasks of this shape fit on no machine any more
 	teamUsage    map[string]*usage
 
-	bestEffortCPUs  float64 // CPUs that the tasks of best-effort teams may occupy
-	bestEffortLimit float64 // CPUs that they may occupy at most
+	bestEffortCPUs  float64 // CPUs that count as in use by tasks of best-effort teams
+	bestEffortLimit float64 // upper limit of bestEffortCPUs
 
-	// Reservations for underserved accounts, which jobs of lower rank must not use.
+	// Reservations for underserved accounts (an account is a class of a team), which jobs of lower rank
+	// must not use.
 	quotaReservedFor    map[string]*queuedJob // by team: the job for which its quota is reserved
 	machineReservations int                   // number of jobs for which machines are reserved
 	smallestTaskCPUs    float64               // CPUs of the smallest waiting task
 
-	victims       []victim // tasks that may be preempted, the smallest loss first
-	victimsListed bool
+	victims       []victim // tasks that may be preempted or were already asked to stop, the smallest loss first
+	victimsListed bool     // victims has been filled in this round
 }
 
 // candidateMachine is a machine to which a scheduling round may dispatch tasks, with the capacity that
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -35,11 +35,12 @@
 	attempts         map[string]*inflightAttempt // by task name
 	unplacedAttempts map[string]*inflightAttempt // all that await placement; may hold some that no longer do
 	stopRequests     map[string]*inflightAttempt // all that were asked to stop; may hold some that have stopped
-	teamUsage        map[string]*usage           // by team: resources that its attempts may occupy
+	teamUsage        map[string]*usage           // by team: resources of its tracked attempts, which may be in use
 	attemptCounter   uint64                      // attempt numbers drawn in this epoch
 
-	// Jobs and attempts that may be on machines which this leader has not seen yet.
-	hasUnlocated   bool
+	// Unlocated jobs and attempts: those whose tasks may be on machines that this leader has not seen
+	// yet, that is, machines whose complete task list it has not received.
+	hasUnlocated   bool          // there may be unlocated jobs or attempts
 	lastUnseen     string        // an unseen machine found by the last search
 	unseenLoggedAt time.Duration // when unseen machines were last logged
 
@@ -129,7 +130,8 @@
 	switch {
 	case entry.isFinal():
 		delete(s.unsavedJobs, id)
-		// Its attempts count against the quota until their tasks are known to have ended.
+		// A job with attempts in flight stays in the queue, because these count against the quota until
+		// their tasks are known to have ended.
 		if q != nil && len(q.inflight) == 0 {
 			s.queue.Delete(id)
 		}
@@ -148,7 +150,7 @@
 	spec := q.spec()
 	s.core.estimator.JobArrived(spec)
 	if s.core.debug {
-		s.core.logDebug("queued",
+		s.core.logDebug("job added to the queue",
 			"job", id, "at", entry.record.SubmittedAt, "team", spec.Team, "class", spec.Class,
 			"tasks", spec.Tasks, "cpus", spec.CPUs, "guess_s", spec.EstimateS)
 	}
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -8,7 +8,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// How the leader handles what the shards publish about their machines, and what it sends back to them.
+// This file holds the leader's side of the links to the members: it applies what the shards publish about
+// their machines and publishes the views of jobs to the members.
 
 // progressSavesPerLease limits how often a job's progress, the set of its completed tasks, is written:
 // this many times per worker lease.
@@ -76,15 +77,15 @@
 	}
 }
 
-// reportsReachable reports whether a controller's link is alive and it does not report that it reaches
-// no machine.
+// reportsReachable reports whether a controller's link is alive and its last report does not say that
+// it is unable to reach any machine.
 func (s *scheduler) reportsReachable(label, bootID string) bool {
 	member := s.shards[label]
 	return member.alive(s.core, bootID) && !member.unreachable
 }
 
-// reportsUnreachable reports whether a controller's link is alive and it reports that it reaches no
-// machine.
+// reportsUnreachable reports whether a controller's link is alive and its last report says that it is
+// unable to reach any machine.
 func (s *scheduler) reportsUnreachable(label, bootID string) bool {
 	member := s.shards[label]
 	return member.alive(s.core, bootID) && member.unreachable
@@ -143,8 +144,8 @@
 	s.applyChanges(member, message)
 }
 
-// relayCancellations forwards cancelled jobs to all connected members except one, usually the member
-// that reported them, and this controller's own.
+// relayCancellations forwards the IDs of cancelled jobs to every connected member other than this
+// controller itself and the given one, usually the member that reported the cancellations.
 func (s *scheduler) relayCancellations(jobs []string, except string) {
 	for label, member := range s.shards {
 		if label != except && label != s.core.settings.Label && member.session != 0 {
@@ -158,8 +159,8 @@
 // the dispatches to the shard: a task that is neither on one of the shard's machines nor waits in the
 // shard for capacity was lost with an earlier link, and the shard will never read its dispatch.
 //
-// A dispatch that the shard had not yet read when it made the snapshot must not count as lost. This
-// once caused hundreds of tasks to be started twice.
+// A dispatch that the shard had not yet read when it made the snapshot must not count as lost: when
+// such dispatches did, hundreds of tasks were started twice.
 func (s *scheduler) applySnapshot(member *shardView, message *peerproto.Message) bool {
 	if message.Chunk > 0 && (member.snapshotTasks == nil || message.Chunk != member.snapshotChunk+1) {
 		// The first chunks arrived before this leader entered the epoch. It requests a new snapshot
