--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -77,16 +77,16 @@
 // controller may reach some.
 func (m *membership) abstainsFromElection() bool {
 	c := m.core
-	others, vacant := len(c.records.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
-	return m.stepdown.ShouldAbstain(c.now.Monotonic, others, vacant, c.intervals.memberLease) ||
-		c.shard.reachability.Unreachable() && others && vacant < c.intervals.maintenance
+	othersAlive, vacantFor := len(c.records.nodes) > 1, c.now.Monotonic-m.leaderSeenAt
+	return m.stepdown.ShouldAbstain(c.now.Monotonic, othersAlive, vacantFor, c.intervals.memberLease) ||
+		c.shard.reachability.Unreachable() && othersAlive && vacantFor < c.intervals.maintenance
 }
 
 // stepDownIfUnable deletes the leader key once this leader has been unable to serve any machine for
 // a maintenance period, and reports whether it does so.
-func (m *membership) stepDownIfUnable(unable bool) bool {
+func (m *membership) stepDownIfUnable(cannotServe bool) bool {
 	c := m.core
-	if !m.stepdown.ShouldStepDown(c.now.Monotonic, unable, c.intervals.maintenance) || m.keyWriteInFlight {
+	if !m.stepdown.ShouldStepDown(c.now.Monotonic, cannotServe, c.intervals.maintenance) || m.keyWriteInFlight {
 		return false
 	}
 	c.logInfo("leader reaches no machine and no member that does, stepping down")
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -105,7 +105,7 @@
 // applyReport applies the report of a machine, which came in a heartbeat or in the response to the
 // call callID. Its task list counts only if the report shows the machine's current token: with an
 // older token, a start command of a former owner may still be in flight and take effect later.
-func (s *shard) applyReport(m *machine, report *protocol.Heartbeat, callID uint64, heartbeat bool) {
+func (s *shard) applyReport(m *machine, report *protocol.Heartbeat, callID uint64, fromHeartbeat bool) {
 	if !report.Newer(m.session, m.seq) {
 		return
 	}
@@ -123,7 +123,7 @@
 	}
 	s.applyTaskList(m, report)
 	s.retainAttempts(m, func(a *taskAttempt) bool {
-		return s.mayStillStart(m, a, report, callID, heartbeat)
+		return s.mayStillStart(m, a, report, callID, fromHeartbeat)
 	})
 }
 
@@ -157,14 +157,14 @@
 
 // mayStillStart reports whether an attempt stays on a machine after a confirmed task list was
 // applied: the list has it, it was not sent yet, or its start command may still take effect.
-func (s *shard) mayStillStart(m *machine, a *taskAttempt, report *protocol.Heartbeat, callID uint64, heartbeat bool) bool {
+func (s *shard) mayStillStart(m *machine, a *taskAttempt, report *protocol.Heartbeat, callID uint64, fromHeartbeat bool) bool {
 	switch {
 	case a.lastListed == m.listsRead, a.phase <= phaseQueued:
 		return true
 	case a.phase == phaseSentInReply:
 		// A worker executes a response before it makes its next heartbeat, or never. The report
 		// in the response to a call may be older than the heartbeat response with the start.
-		return !heartbeat && a.startToken >= report.Token
+		return !fromHeartbeat && a.startToken >= report.Token
 	case a.phase == phaseSentDirectly:
 		return a.startToken >= report.Token && a.callID != callID
 	}
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -25,14 +25,14 @@
 	}
 	missing, disconnected := m.surveyMembers()
 	desired := m.desiredMembers
-	unable := len(desired) == 0 && disconnected
-	if m.stepDownIfUnable(unable) {
+	cannotServe := len(desired) == 0 && disconnected
+	if m.stepDownIfUnable(cannotServe) {
 		return
 	}
 	// A map with this controller as its only member would take the machines from controllers that
 	// may be able to serve them, just before another controller leads, or before this one knows
 	// that it reaches no machine.
-	if unable || disconnected && c.shard.machinesSilent() && !c.shard.reachability.Unreachable() {
+	if cannotServe || disconnected && c.shard.machinesSilent() && !c.shard.reachability.Unreachable() {
 		return
 	}
 	if len(desired) == 0 {
@@ -74,11 +74,11 @@
 }
 
 // writeShardMap writes a map of the desired members as the epoch after that of the current map.
-func (m *membership) writeShardMap(inForce *records.ShardMap) {
+func (m *membership) writeShardMap(current *records.ShardMap) {
 	c := m.core
 	next := records.ShardMap{Epoch: 1, Leader: c.settings.Label, Members: maps.Clone(m.desiredMembers)}
-	if inForce != nil {
-		next.Epoch = inForce.Epoch + 1
+	if current != nil {
+		next.Epoch = current.Epoch + 1
 	}
 	m.mapWriteInFlight = true
 	guards := []protocol.Guard{m.leaderGuard(), c.mirror.Guard(keyShardMap)}
