--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,7 +19,8 @@
 // Invariants:
 //   - The same batches at the same times give the same effects, so that a run can be replayed from
 //     its seed.
-//   - A user is told only what is durable in the state service, or agreed on in degraded mode.
+//   - Replies to users confirm only what is durable in the state service, or agreed on in degraded
+//     mode.
 //   - Every write of a leader is guarded by the leader key.
 package core
 
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -150,7 +150,7 @@
 	return ok
 }
 
-// cancelJobs causes the tasks of jobs to be stopped whose cancellation is certain.
+// cancelJobs causes the tasks of jobs whose cancellation is certain to be stopped.
 func (d *degradedMode) cancelJobs(jobIDs []string) {
 	for _, jobID := range jobIDs {
 		if !d.isCancelled(jobID) {
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -53,8 +53,8 @@
 // controller does. It reports whether this controller has written the key, or abstains.
 //
 // A leader that was restarted takes its own key over at once: its former process has certainly
-// ended, and the writes that this process still has in flight are guarded by the version of the
-// key that this write replaces.
+// ended, and the writes that the former process still has in flight are guarded by the version of
+// the key that this write replaces, so that they have no effect.
 func (m *membership) standForElection() bool {
 	c := m.core
 	leader := c.records.leader
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -59,8 +59,8 @@
 	c := s.core
 	switch {
 	case m.registered && c.records.machineRecords.Get(m.name) == nil:
-		// The machine was terminated, and its tasks with it. The attempts that were not
-		// published yet are returned, or the leader would wait for them forever.
+		// The machine was terminated, and its tasks with it. All its attempts are returned, since
+		// the leader would wait forever for those that were not published yet.
 		for _, a := range m.attempts {
 			s.returnTask(a)
 		}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -163,7 +163,8 @@
 		return true
 	case a.phase == phaseSentInReply:
 		// A worker executes a response before it makes its next heartbeat, or never. The report
-		// in the response to a call may be older than the heartbeat response with the start.
+		// in the response to a call may be older than the heartbeat response that carried the
+		// start command.
 		return !fromHeartbeat && a.startToken >= report.Token
 	case a.phase == phaseSentDirectly:
 		return a.startToken >= report.Token && a.callID != callID
@@ -233,7 +234,7 @@
 func (s *shard) updateAttempt(m *machine, a *taskAttempt, report *protocol.TaskStatus) {
 	now := s.core.now.Monotonic
 	s.markChanged(m)
-	s.core.logDebug("task", "task", a.task, "machine", m.name, "state", report.State, "why", report.ExitReason)
+	s.core.logDebug("task changed its state", "task", a.task, "machine", m.name, "state", report.State, "why", report.ExitReason)
 	if report.State == protocol.TaskRunning && a.runningSince == 0 {
 		a.runningSince = now
 		if a.spec != nil {
@@ -257,11 +258,12 @@
 }
 
 // causesBackoff reports whether, after a task ended on a machine for this reason, no task of its
-// job is started there for the backoff period: the shard places none, and the leader plans none.
+// job is started there for the backoff period: the shard places none there, and the leader plans
+// none for it.
 //
-// Guards against a leader that still plans for such a machine: in every scheduling round it
-// dispatched the same tasks for the same machine and got them back, and no other job was given that
-// capacity for four leases.
+// Guards against a leader that still plans tasks for such a machine: in every scheduling round it
+// dispatched the same tasks to the same machine, the shard returned them, and no other job was
+// given that capacity for four leases.
 func causesBackoff(exitReason string) bool {
 	return exitReason == protocol.ExitFailed || exitReason == protocol.ExitNoCapacity || exitReason == protocol.ExitUnknownTask
 }
--- a/internal/core/intervals.go
+++ b/internal/core/intervals.go
@@ -26,7 +26,7 @@
 	pageSpacing        time.Duration // shortest time between two pages of a load
 }
 
-// maintenancePeriod is the length of the leader's slow round.
+// maintenancePeriod is the time between two slow rounds of the leader.
 const maintenancePeriod = time.Second
 
 // maxRetryPause limits how long failed work waits for its retry, whatever the site's leases. The
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -75,8 +75,8 @@
 }
 
 // handleDispatch accepts an attempt that the leader dispatches: for any machine of the shard or, if
-// its job is a gang, for the machine that the dispatch names. An attempt that must not run, or a
-// gang's that finds no capacity, is returned.
+// its job is a gang, for the machine that the dispatch names. It returns an attempt that must not
+// run, and one of a gang if the machine has no capacity for it.
 func (s *shard) handleDispatch(dispatch *peerproto.TaskAttempt) {
 	c := s.core
 	jobID, taskIndex, err := protocol.ParseTaskName(dispatch.Task)
@@ -109,7 +109,7 @@
 		if a.task == stop.Task && a.live() {
 			a.stopRequested, a.stopNow = true, stop.Immediately
 			s.expedite(m)
-			s.core.logDebug("stopping", "task", a.task, "machine", m.name, "why", stop.Reason)
+			s.core.logDebug("stopping task at the leader's request", "task", a.task, "machine", m.name, "why", stop.Reason)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 		return
 	}
 	// A leader of an older version accepts every full snapshot of this label as the member's, also
-	// if the shard map names another process.
+	// if the shard map names another process. Therefore this process sends none in that case.
 	full := s.fullSnapshotDue && !c.membership.labelHeldByOther(c.settings.Label, c.bootID)
 	message := s.nextMessage(full)
 	if !full && !hasChanges(&message) && c.now.Monotonic-s.lastPublishedAt < c.intervals.maintenance {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -49,7 +49,7 @@
 	leaseRenewedAt time.Duration // the latest time at which the worker's lease may have been renewed
 	// maybeRenewedUntil is the time until which a former owner may have renewed the worker's lease.
 	maybeRenewedUntil time.Duration
-	silent            bool // has sent no message for too long, as published to the leader
+	silent            bool // sent no message, or did not respond to calls, for too long; published to the leader
 	unansweredCalls   int  // in a row
 	callInFlight      uint64
 	nextCallAt        time.Duration
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -125,7 +125,7 @@
 //
 // Guards against starting tasks twice after a restart: a process that was restarted before the map
 // changed published that it has no machines, and every task that had just been dispatched to its
-// former process was taken for lost and started a second time.
+// former process was considered lost and started a second time.
 func (m *membership) labelHeldByOther(label, boot string) bool {
 	shardMap := m.core.records.shardMap
 	return shardMap != nil && shardMap.Members[label] != "" && shardMap.Members[label] != boot
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// machinesSilent reports whether it is doubtful that this member reaches its machines.
+// machinesSilent reports whether this member has heard from no machine for so long that it may not
+// reach any.
 func (s *shard) machinesSilent() bool { return s.reachability.Silent(s.reachabilityView()) }
 
 func (s *shard) handleProbeResult(result ProbeResult) {
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -96,7 +96,8 @@
 	s.publish()
 }
 
-// followLeadership connects this shard to the scheduler of its own controller while that leads.
+// followLeadership connects this shard to its own controller's scheduler while this controller
+// leads.
 func (s *shard) followLeadership() {
 	leading := s.core.membership.leading
 	switch {
@@ -140,7 +141,8 @@
 	}
 }
 
-// owns reports whether this shard still owns a machine that was recorded earlier.
+// owns reports whether this shard still owns the machine m, a pointer to which was stored earlier.
+// It does not if the machine was released since, also if it was added again as another object.
 func (s *shard) owns(m *machine) bool { return s.machines.Get(m.name) == m }
 
 // expedite causes a machine's commands to be sent without waiting for its next heartbeat.
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -16,7 +16,8 @@
 }
 
 // enterEpoch drops all attempts that were dispatched but not sent to a machine, and fences every
-// machine that this shard owns now: its task list is unconfirmed until it shows the new token.
+// machine that this shard owns now: a machine's task list is unconfirmed until a message of the
+// machine carries the new token.
 //
 // Guards against a start command of the former owner that reaches a machine after the new owner has
 // read the machine's task list.
@@ -49,7 +50,8 @@
 	m.resetForEpoch(s.epoch, ownedBefore)
 	s.retainAttempts(m, func(a *taskAttempt) bool { return a.phase > phaseQueued })
 	if !m.leaseExpired() {
-		// A former owner may have renewed the worker's lease until its mirror became stale.
+		// A former owner may go on renewing the worker's lease until its mirror becomes stale,
+		// which is at most maxStaleness from now.
 		m.leaseRenewedAt = max(m.leaseRenewedAt, c.now.Monotonic+c.intervals.maxStaleness)
 	}
 	m.maybeRenewedUntil = m.leaseRenewedAt
@@ -93,8 +95,8 @@
 	return m
 }
 
-// releaseMachine removes a machine from those that this shard owns; the next message publishes
-// that.
+// releaseMachine removes a machine from those that this shard owns. The next message to the leader
+// lists it as released.
 func (s *shard) releaseMachine(m *machine) {
 	s.machines.Delete(m.name)
 	s.machinesWithCapacity.Delete(m.name)
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -39,8 +39,8 @@
 		desired[c.settings.Label] = c.bootID
 	}
 	shardMap := c.records.shardMap
-	// A new leader waits for one heartbeat period until the others have connected, so that a
-	// change of leader causes one new map and not several.
+	// A new leader waits up to one heartbeat period for the others to connect, so that a change
+	// of leader causes one new map and not several.
 	settled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
 	if !settled && (missing || shardMap == nil && len(desired) < c.settings.Site.InitialControllers) {
 		return
@@ -51,9 +51,9 @@
 	m.writeShardMap(shardMap)
 }
 
-// surveyMembers sets desiredMembers to the controllers that should be members. missing reports that
-// another live controller is not among them; disconnected reports that one of these did not itself
-// report that it reaches no machine.
+// surveyMembers sets desiredMembers to the controllers that should be members. missing reports
+// whether another live controller is not among them; disconnected reports whether one of those has
+// no live link to this leader, and so cannot have reported over it that it reaches no machine.
 func (m *membership) surveyMembers() (missing, disconnected bool) {
 	c := m.core
 	clear(m.desiredMembers) // reused, since this runs with every batch of commands
