--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -76,7 +76,7 @@
 
 // handleDispatch accepts an attempt that the leader dispatches: for any machine of the shard or, if
 // its job is a gang, for the machine that the dispatch names. It returns an attempt that must not
-// run, and one of a gang if the machine has no capacity for it.
+// run, and one of a gang if that machine cannot take it.
 func (s *shard) handleDispatch(dispatch *peerproto.TaskAttempt) {
 	c := s.core
 	jobID, taskIndex, err := protocol.ParseTaskName(dispatch.Task)
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -96,7 +96,7 @@
 }
 
 // releaseMachine removes a machine from those that this shard owns. The next message to the leader
-// lists it as released.
+// lists it as released, or is a full snapshot without it.
 func (s *shard) releaseMachine(m *machine) {
 	s.machines.Delete(m.name)
 	s.machinesWithCapacity.Delete(m.name)
