--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -25,22 +25,22 @@
 	}
 	missing, disconnected := m.surveyMembers()
 	desired := m.desiredMembers
-	unable := len(desired) == 0 && disconnected
-	if m.stepDownIfUnable(unable) {
+	cannotServe := len(desired) == 0 && disconnected
+	if m.stepDownIfUnable(cannotServe) {
 		return
 	}
 	// A map with this controller as its only member would take the machines from controllers that
 	// may be able to serve them, just before another controller leads, or before this one knows
 	// that it reaches no machine.
-	if unable || disconnected && c.shard.machinesSilent() && !c.shard.reachability.Unreachable() {
+	if cannotServe || disconnected && c.shard.machinesSilent() && !c.shard.reachability.Unreachable() {
 		return
 	}
 	if len(desired) == 0 {
 		desired[c.settings.Label] = c.bootID
 	}
 	shardMap := c.records.shardMap
-	// A new leader waits for one heartbeat period until the others have connected, so that a
-	// change of leader causes one new map and not several.
+	// A new leader waits up to one heartbeat period for the others to connect, so that a change
+	// of leader causes one new map and not several.
 	settled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
 	if !settled && (missing || shardMap == nil && len(desired) < c.settings.Site.InitialControllers) {
 		return
@@ -51,9 +51,9 @@
 	m.writeShardMap(shardMap)
 }
 
-// surveyMembers sets desiredMembers to the controllers that should be members. missing reports that
-// another live controller is not among them; disconnected reports that one of these did not itself
-// report that it reaches no machine.
+// surveyMembers sets desiredMembers to the controllers that should be members. missing reports
+// whether another live controller is not among them; disconnected reports whether one of those has
+// no live link to this leader, and so cannot have reported over it that it reaches no machine.
 func (m *membership) surveyMembers() (missing, disconnected bool) {
 	c := m.core
 	clear(m.desiredMembers) // reused, since this runs with every batch of commands
@@ -74,11 +74,11 @@
 }
 
 // writeShardMap writes a map of the desired members as the epoch after that of the current map.
-func (m *membership) writeShardMap(inForce *records.ShardMap) {
+func (m *membership) writeShardMap(current *records.ShardMap) {
 	c := m.core
 	next := records.ShardMap{Epoch: 1, Leader: c.settings.Label, Members: maps.Clone(m.desiredMembers)}
-	if inForce != nil {
-		next.Epoch = inForce.Epoch + 1
+	if current != nil {
+		next.Epoch = current.Epoch + 1
 	}
 	m.mapWriteInFlight = true
 	guards := []protocol.Guard{m.leaderGuard(), c.mirror.Guard(keyShardMap)}
