--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -96,20 +96,20 @@
 // of one transaction, and returns them. Jobs with dependencies go into separate batches, whose keys
 // older versions of the controller ignore.
 func (b *admissionBatches) nextBatch() []submission {
-	var batch, rest []submission
+	var batch, remaining []submission
 	maxSize, maxGuards := min(b.core.maxValueBytes(), maxBatchBytes), guardsPerTxnOp*b.core.storeLimits.MaxTxnOps
 	size, guards := batchFrameBytes, 1
 	for i := range b.waiting {
 		s := &b.waiting[i]
 		fits := size+s.jsonSize+separatorBytes <= maxSize && guards+guardsPerJob <= maxGuards
 		if len(batch) > 0 && (s.batchPrefix() != batch[0].batchPrefix() || !fits) {
-			rest = append(rest, *s)
+			remaining = append(remaining, *s)
 			continue
 		}
 		batch = append(batch, *s)
 		size, guards = size+s.jsonSize+separatorBytes, guards+guardsPerJob
 	}
-	b.waiting = rest
+	b.waiting = remaining
 	return batch
 }
 
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -168,11 +168,11 @@
 	jobID := write.record.Spec.ID
 	firstChunk := protocol.Guard{Key: chunkKey(jobID, write.nonce, 0), Version: write.firstChunkRevision}
 	guards := append(notAcceptedGuards(jobID), firstChunk)
-	head := records.Job{
+	jobRecord := records.Job{
 		Spec: protocol.Job{ID: jobID}, State: write.record.State, SubmittedAt: write.record.SubmittedAt,
 		Chunks: len(write.chunks), ChunkNonce: write.nonce,
 	}
-	ops := []protocol.Operation{{Put: keyDependentJob + jobID, Value: head}}
+	ops := []protocol.Operation{{Put: keyDependentJob + jobID, Value: jobRecord}}
 	x.core.commit(guards, ops, func(CommitResult) { x.current = nil })
 }
 
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -89,10 +89,10 @@
 //
 // A controller of an older version ignores the keys of such jobs, so it would respond to queries
 // that the job does not exist, and as leader it would not run it.
-func (a *admission) replyIfUpgrading(id RequestID, what string) bool {
+func (a *admission) replyIfUpgrading(id RequestID, feature string) bool {
 	label := a.core.records.olderController()
 	if label != "" {
-		a.core.queries.replyRetry(id, "controller "+label+" still runs a version that does not know "+what+": repeat this when all are upgraded")
+		a.core.queries.replyRetry(id, "controller "+label+" still runs a version that does not know "+feature+": repeat this when all are upgraded")
 	}
 	return label != ""
 }
@@ -180,9 +180,9 @@
 
 // dependentReady lets the scheduler run a job whose dependencies are all done. since is the time of
 // day, in seconds, when the last of them was done.
-func (r *storedRecords) dependentReady(j *jobEntry, since float64) {
+func (r *storedRecords) dependentReady(j *jobEntry, readyAt float64) {
 	c := r.core
-	j.readyAt, j.readyThisTerm = since, c.membership.leading
+	j.readyAt, j.readyThisTerm = readyAt, c.membership.leading
 	if c.membership.leading {
 		c.logDebug("job ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
 	}
--- a/internal/core/mirror_host.go
+++ b/internal/core/mirror_host.go
@@ -17,7 +17,7 @@
 
 func (h mirrorHost) Now() time.Duration { return h.core.now.Monotonic }
 
-func (h mirrorHost) After(span time.Duration, run func()) { h.core.afterFunc(span, run) }
+func (h mirrorHost) After(delay time.Duration, run func()) { h.core.afterFunc(delay, run) }
 
 func (h mirrorHost) Info(text string, args ...any) { h.core.logInfo(text, args...) }
 
