--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -141,7 +141,7 @@
 
 // notAcceptedGuards returns guards that hold as long as the job has no key of its own under either
 // prefix. Which prefix a controller uses depends on the submission and on which of the named
-// dependencies are done at that moment, so two controllers may choose differently.
+// dependencies are done when it checks them, so two controllers may choose differently.
 //
 // With a guard on one prefix only, a job could get two keys, and changes to one key would not
 // conflict with changes to the other.
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -13,7 +13,7 @@
 // write. When jobs arrive faster than the state service accepts writes, the submissions that would
 // have to wait are stored together under one key.
 //
-// Without batches, hundreds of users who submit in the first moment of a day or after an outage
+// Without batches, hundreds of users who submit at once at the start of a day or after an outage
 // would get 503 for seconds, since the state service accepts only some dozens of changes a second.
 //
 // The first change of a batched job (its zones are chosen, or it ends) writes the job's own key,
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -22,8 +22,8 @@
 }
 
 // cancelsPerLease returns how many jobs can be cancelled during one worker lease, at one change
-// each. No mirror that degraded mode takes into account is further behind than that. The result is
-// an upper bound because it uses the write rate in force now, which is at least the announced one.
+// each. No mirror that degraded mode takes into account is further behind than one lease. The write
+// rate is the one in force now, so the result is an upper bound unless a higher rate is announced.
 func (c *Core) cancelsPerLease() int {
 	return int(c.settings.Site.Store.WriteRPS * c.intervals.workerLease.Seconds())
 }
@@ -75,8 +75,8 @@
 	})
 }
 
-// observed records a cancellation that the mirror has read. Cancellations that came with the last
-// load need no record: a vote in degraded mode contains the revision of that load.
+// observed records a cancellation that the mirror has read. Cancellations up to the revision of the
+// last load need no record: a vote in degraded mode contains that revision, which covers them.
 func (x *cancellation) observed(jobID string, version uint64) {
 	if version > x.core.mirror.LoadRevision() {
 		x.log.Record(jobID, version)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -85,7 +85,8 @@
 }
 
 // replyIfUpgrading asks the user to repeat a submission later if it needs a feature that a live
-// controller of an older version lacks. what names the feature. It reports whether it responded.
+// controller of an older version lacks. feature names it in the response. It reports whether it
+// responded.
 //
 // A controller of an older version ignores the keys of such jobs, so it would respond to queries
 // that the job does not exist, and as leader it would not run it.
@@ -164,7 +165,7 @@
 }
 
 // applyDependencyChanges handles the graph's events since the last call: jobs that are ready, and
-// jobs that are aborted because one of their dependencies is.
+// jobs that are aborted because one of their dependencies was cancelled or aborted.
 func (r *storedRecords) applyDependencyChanges() {
 	for _, event := range r.dependencies.TakeEvents() {
 		j := r.jobs[event.Job]
@@ -178,7 +179,7 @@
 	}
 }
 
-// dependentReady lets the scheduler run a job whose dependencies are all done. since is the time of
+// dependentReady lets the scheduler run a job whose dependencies are all done. readyAt is the time of
 // day, in seconds, when the last of them was done.
 func (r *storedRecords) dependentReady(j *jobEntry, readyAt float64) {
 	c := r.core
@@ -190,9 +191,9 @@
 	c.scheduler.lastScheduling = 0 // makes a scheduling round due now, to dispatch its first tasks
 }
 
-// abortDependent ends a job because one of its dependencies was cancelled. The job never had a task,
-// so there is nothing to stop. Its stored record does not change: every controller that reads the
-// record of the cancelled job derives the same abort.
+// abortDependent ends a job because cause, a direct or indirect dependency of it, was cancelled or
+// aborted. The job never had a task, so there is nothing to stop. Its stored record does not change:
+// every controller that reads the record of the cancelled job derives the same abort.
 func (r *storedRecords) abortDependent(j *jobEntry, cause string) {
 	j.record = finalRecord(j, protocol.JobCancelled, dependencyCancelledReason(cause))
 	r.core.scheduler.jobChanged(j)
--- a/internal/core/garbage.go
+++ b/internal/core/garbage.go
@@ -28,7 +28,7 @@
 	return &garbageCollector{core: c, keys: map[string]bool{}, orphanedSince: map[string]time.Duration{}}
 }
 
-// reset forgets the keys to delete. The next load adds those that still exist again.
+// reset forgets the keys to delete. The next load adds those among them that still exist.
 func (g *garbageCollector) reset() { g.keys = map[string]bool{} }
 
 // add schedules a key for deletion.
@@ -129,7 +129,8 @@
 // deleteOrphan deletes a chunk of a job that is not accepted. The guards include the absence of the
 // job's own key, since the write that accepts the job may still arrive. Orphans are deleted in the
 // order of their keys, so the first chunk of a record is deleted before the others, which
-// chunkedRecords.writeJob relies on.
+// chunkedRecords.writeJob relies on. If the delete of the first chunk fails, its age counts from the
+// next time it is seen, so other chunks of the record may be deleted before it.
 func (g *garbageCollector) deleteOrphan(id, key string) {
 	g.takeWriteToken()
 	g.deletingChunk = true
--- a/internal/core/job_entry.go
+++ b/internal/core/job_entry.go
@@ -92,7 +92,7 @@
 }
 
 // finalOps returns the operations that write a job's final record and delete its other keys, at
-// most maxOps in total. The garbage collector deletes the keys that are left.
+// most maxOps in total. The garbage collector deletes the remaining keys.
 func finalOps(j *jobEntry, final records.Job, maxOps int) []protocol.Operation {
 	ops := []protocol.Operation{{Put: j.recordKey(), Value: final}}
 	for _, key := range j.ownedKeys[:min(len(j.ownedKeys), maxOps-1)] {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -36,7 +36,7 @@
 
 // fineBlockTasks is how many tasks one progress key covers where a value is too small for a full block
 // of progressBlockTasks. A full block of this size takes some 350 bytes of text. A job may have keys
-// of both sizes; a task is completed if any of them says so.
+// of both sizes; a task is completed if any of them contains it.
 const fineBlockTasks = 2048
 
 // fullBlockBytes is how many bytes a full block of progressBlockTasks takes as JSON, in which the
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -51,9 +51,10 @@
 	return due
 }
 
-// writeCompletion writes that a job is done. Users see "done" only once the mirror has it, when it
-// is durable. If the job is cancelled at the same time, the guard on the job's own key lets exactly
-// one of the two writes succeed, so all controllers see the same outcome.
+// writeCompletion writes that a job is done. A response to a user contains "done" only once the mirror
+// has read the record, so the record is durable by then. If the job is cancelled at the same time, the
+// guard on the job's own key lets exactly one of the two writes succeed, so all controllers see the
+// same outcome.
 func (s *scheduler) writeCompletion(q *queuedJob) {
 	c, j := s.core, q.entry
 	q.beginWrite(pendingCompletion)
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -44,12 +44,12 @@
 	})
 }
 
-// unknownRevision stands for the revision of a write whose response was lost.
+// unknownRevision is passed to replyAfterCommit if the response to the write was lost.
 const unknownRevision = 0
 
 // replyAfterCommit responds to a submission that was written at the given revision, after a read
 // barrier. If another acceptance of the job came first, the response describes that one. If the
-// mirror has none, the user is asked to repeat the request.
+// barrier fails or the mirror has no acceptance, the user is asked to repeat the request.
 func (q *jobQueries) replyAfterCommit(id RequestID, jobID string, revision uint64) {
 	q.core.mirror.Barrier(func(ok bool) {
 		j := q.core.records.acceptedJob(jobID)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -20,10 +20,10 @@
 	jobs         map[string]*jobEntry // unfinished ones
 	archive      *jobArchive          // finished ones
 	batches      map[string]*admissionBatch
-	chunks       map[string]map[string]string // of chunked records, by job and key
+	chunks       map[string]map[string]string // texts of chunks, by job id and key; "" once the job's record is assembled
 	dependencies *dag.Graph
 	// derivedAborts holds the jobs that were aborted because a dependency was cancelled. The value
-	// says whether the record that counts is in a batch, which must then be kept.
+	// is true if the record that counts is in a batch, which must then be kept.
 	derivedAborts    map[string]bool
 	loadedDependents []string // jobs with dependencies that the load in progress has read
 
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -61,7 +61,7 @@
 	Type         string `json:"type"`
 	Zone         string `json:"zone"`
 	Spot         bool   `json:"spot"`
-	Trusted      bool   `json:"trusted"` // its list of tasks is confirmed: the worker's last message had the current fencing token
+	Trusted      bool   `json:"trusted"` // its list of tasks is confirmed, because its newest message had the current fencing token
 	LeaseExpired bool   `json:"silent"`  // its worker's lease has surely expired, so it runs no tasks
 	Draining     bool   `json:"draining"`
 	Tasks        int    `json:"tasks"`
@@ -70,9 +70,9 @@
 // FairShareBoost describes a class of a team's jobs that got less than its fair share and is boosted.
 type FairShareBoost struct {
 	Team          string  `json:"team"`
-	Class         string  `json:"class"`         // "" stands for the team's classes with few jobs, which are counted together
-	Served        float64 `json:"served_jobs"`   // number of served jobs, with older ones decayed
-	Overdue       float64 `json:"overdue_jobs"`  // number of waiting jobs that are overdue
+	Class         string  `json:"class"`         // "" if the team has many classes with few jobs each, which are then counted together
+	Served        float64 `json:"served_jobs"`   // number of completed jobs, weighted less the older they are, plus the started shares of unfinished ones
+	Overdue       float64 `json:"overdue_jobs"`  // sum of the unstarted shares of overdue jobs
 	AheadOfUrgent bool    `json:"before_urgent"` // it ranks ahead of urgent work too, not only ahead of other work
 }
 
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -1,8 +1,8 @@
 package core
 
-// maxTxnOps returns how many keys one transaction may change: at most the limit in the settings and
-// the changes that the store accepts in half a second. A larger transaction would never pass the rate
-// limit while other clients write too.
+// maxTxnOps returns how many keys one transaction may change, at least 1: the limit in the settings,
+// or the number of changes that the store accepts in half a second if that is smaller. A larger
+// transaction would never pass the rate limit while other clients write too.
 func (c *Core) maxTxnOps() int {
 	return max(min(c.storeLimits.MaxTxnOps, int(c.storeLimits.WriteRPS/2)), 1)
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -12,13 +12,13 @@
 	run      func()
 }
 
-// afterFunc lets the first call of Apply after the delay call run.
+// afterFunc sets a timer: the first call of Apply after the delay calls run.
 func (c *Core) afterFunc(delay time.Duration, run func()) {
 	c.lastTimerID++
 	heap.Push(&c.timers, timer{deadline: c.now.Monotonic + delay, sequence: c.lastTimerID, run: run})
 }
 
-// runTimers runs all timers that are due, including those that are set without a delay meanwhile.
+// runTimers runs all timers that are due, including those that a timer sets without a delay.
 func (c *Core) runTimers() {
 	for len(c.timers) > 0 && c.timers[0].deadline <= c.now.Monotonic {
 		heap.Pop(&c.timers).(timer).run()
--- a/internal/core/transactions.go
+++ b/internal/core/transactions.go
@@ -25,7 +25,7 @@
 	delete(c.transactions.pending, result.ID)
 	if result.Outcome == CommitThrottled && !c.throttled {
 		c.throttled = true
-		c.logDebug("throttled by the state service", "writes per second from now on", c.writeRate())
+		c.logDebug("state service throttled a write", "writes per second from now on", c.writeRate())
 	}
 	if done != nil {
 		done(result)
