--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -162,8 +162,9 @@
 	x.writeNext()
 }
 
-// writeJob writes the job's own key, which accepts the job. The guard on the first chunk makes sure
-// that all chunks still exist, because the garbage collector deletes the first chunk before others.
+// writeJob writes the job's own key, which accepts the job. The guard on the first chunk checks
+// that all chunks still exist, because the garbage collector deletes the first chunk before others (see
+// garbageCollector.deleteOrphan for an exception).
 func (x *chunkedRecords) writeJob(write *chunkedWrite) {
 	jobID := write.record.Spec.ID
 	firstChunk := protocol.Guard{Key: chunkKey(jobID, write.nonce, 0), Version: write.firstChunkRevision}
