--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -13,7 +13,7 @@
 // write. When jobs arrive faster than the state service accepts writes, the submissions that would
 // have to wait are stored together under one key.
 //
-// Without batches, hundreds of users who submit in the first moment of a day or after an outage
+// Without batches, hundreds of users who submit at once at the start of a day or after an outage
 // would get 503 for seconds, since the state service accepts only some dozens of changes a second.
 //
 // The first change of a batched job (its zones are chosen, or it ends) writes the job's own key,
@@ -96,20 +96,20 @@
 // of one transaction, and returns them. Jobs with dependencies go into separate batches, whose keys
 // older versions of the controller ignore.
 func (b *admissionBatches) nextBatch() []submission {
-	var batch, rest []submission
+	var batch, remaining []submission
 	maxSize, maxGuards := min(b.core.maxValueBytes(), maxBatchBytes), guardsPerTxnOp*b.core.storeLimits.MaxTxnOps
 	size, guards := batchFrameBytes, 1
 	for i := range b.waiting {
 		s := &b.waiting[i]
 		fits := size+s.jsonSize+separatorBytes <= maxSize && guards+guardsPerJob <= maxGuards
 		if len(batch) > 0 && (s.batchPrefix() != batch[0].batchPrefix() || !fits) {
-			rest = append(rest, *s)
+			remaining = append(remaining, *s)
 			continue
 		}
 		batch = append(batch, *s)
 		size, guards = size+s.jsonSize+separatorBytes, guards+guardsPerJob
 	}
-	b.waiting = rest
+	b.waiting = remaining
 	return batch
 }
 
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -162,17 +162,18 @@
 	x.writeNext()
 }
 
-// writeJob writes the job's own key, which accepts the job. The guard on the first chunk makes sure
-// that all chunks still exist, because the garbage collector deletes the first chunk before others.
+// writeJob writes the job's own key, which accepts the job. The guard on the first chunk checks
+// that all chunks still exist, because the garbage collector deletes the first chunk before others (see
+// garbageCollector.deleteOrphan for an exception).
 func (x *chunkedRecords) writeJob(write *chunkedWrite) {
 	jobID := write.record.Spec.ID
 	firstChunk := protocol.Guard{Key: chunkKey(jobID, write.nonce, 0), Version: write.firstChunkRevision}
 	guards := append(notAcceptedGuards(jobID), firstChunk)
-	head := records.Job{
+	jobRecord := records.Job{
 		Spec: protocol.Job{ID: jobID}, State: write.record.State, SubmittedAt: write.record.SubmittedAt,
 		Chunks: len(write.chunks), ChunkNonce: write.nonce,
 	}
-	ops := []protocol.Operation{{Put: keyDependentJob + jobID, Value: head}}
+	ops := []protocol.Operation{{Put: keyDependentJob + jobID, Value: jobRecord}}
 	x.core.commit(guards, ops, func(CommitResult) { x.current = nil })
 }
 
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -85,14 +85,15 @@
 }
 
 // replyIfUpgrading asks the user to repeat a submission later if it needs a feature that a live
-// controller of an older version lacks. what names the feature. It reports whether it responded.
+// controller of an older version lacks. feature names it in the response. It reports whether it
+// responded.
 //
 // A controller of an older version ignores the keys of such jobs, so it would respond to queries
 // that the job does not exist, and as leader it would not run it.
-func (a *admission) replyIfUpgrading(id RequestID, what string) bool {
+func (a *admission) replyIfUpgrading(id RequestID, feature string) bool {
 	label := a.core.records.olderController()
 	if label != "" {
-		a.core.queries.replyRetry(id, "controller "+label+" still runs a version that does not know "+what+": repeat this when all are upgraded")
+		a.core.queries.replyRetry(id, "controller "+label+" still runs a version that does not know "+feature+": repeat this when all are upgraded")
 	}
 	return label != ""
 }
@@ -164,7 +165,7 @@
 }
 
 // applyDependencyChanges handles the graph's events since the last call: jobs that are ready, and
-// jobs that are aborted because one of their dependencies is.
+// jobs that are aborted because one of their dependencies was cancelled or aborted.
 func (r *storedRecords) applyDependencyChanges() {
 	for _, event := range r.dependencies.TakeEvents() {
 		j := r.jobs[event.Job]
@@ -178,11 +179,11 @@
 	}
 }
 
-// dependentReady lets the scheduler run a job whose dependencies are all done. since is the time of
+// dependentReady lets the scheduler run a job whose dependencies are all done. readyAt is the time of
 // day, in seconds, when the last of them was done.
-func (r *storedRecords) dependentReady(j *jobEntry, since float64) {
+func (r *storedRecords) dependentReady(j *jobEntry, readyAt float64) {
 	c := r.core
-	j.readyAt, j.readyThisTerm = since, c.membership.leading
+	j.readyAt, j.readyThisTerm = readyAt, c.membership.leading
 	if c.membership.leading {
 		c.logDebug("job ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
 	}
@@ -190,9 +191,9 @@
 	c.scheduler.lastScheduling = 0 // makes a scheduling round due now, to dispatch its first tasks
 }
 
-// abortDependent ends a job because one of its dependencies was cancelled. The job never had a task,
-// so there is nothing to stop. Its stored record does not change: every controller that reads the
-// record of the cancelled job derives the same abort.
+// abortDependent ends a job because cause, a direct or indirect dependency of it, was cancelled or
+// aborted. The job never had a task, so there is nothing to stop. Its stored record does not change:
+// every controller that reads the record of the cancelled job derives the same abort.
 func (r *storedRecords) abortDependent(j *jobEntry, cause string) {
 	j.record = finalRecord(j, protocol.JobCancelled, dependencyCancelledReason(cause))
 	r.core.scheduler.jobChanged(j)
