--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -102,11 +102,11 @@
 
 // addOnTimeDemand raises the demand to the capacity at which a job completes in time.
 func (f *fleet) addOnTimeDemand(sum *demandSum, job *queuedJob) {
-	left := f.completionHorizon(job)
-	cpus := sum.workAhead/left + f.inflowBefore(job)
+	secondsLeft := f.completionHorizon(job)
+	cpus := sum.workAhead/secondsLeft + f.inflowBefore(job)
 	sum.onTime = max(sum.onTime, cpus)
 	for name, machineType := range f.core.machineTypes() {
-		if left >= machineType.BootS*f.core.policy.OnDemandMinBoots {
+		if secondsLeft >= machineType.BootS*f.core.policy.OnDemandMinBoots {
 			sum.onTimeByType[name] = max(sum.onTimeByType[name], cpus)
 		}
 	}
@@ -155,13 +155,13 @@
 		if objective.Class != spec.Class {
 			continue
 		}
-		if left := f.timeLeft(objective, job); left > 0 {
-			horizon = min(horizon, left*min(policy.HorizonShare+horizonPerMissShare*(1-objective.Share), 1))
+		if secondsLeft := f.timeLeft(objective, job); secondsLeft > 0 {
+			horizon = min(horizon, secondsLeft*min(policy.HorizonShare+horizonPerMissShare*(1-objective.Share), 1))
 		}
 	}
 	// A job that others depend on must complete early enough for them to meet their deadlines.
-	if left := job.dependentsDeadline - f.core.now.Wall; left > 0 && job.hasDeadline() {
-		horizon = min(horizon, left*policy.HorizonShare)
+	if secondsLeft := job.dependentsDeadline - f.core.now.Wall; secondsLeft > 0 && job.hasDeadline() {
+		horizon = min(horizon, secondsLeft*policy.HorizonShare)
 	}
 	if math.IsInf(horizon, 1) {
 		horizon = defaultHorizonLeases * f.core.intervals.workerLease.Seconds()
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -61,12 +61,12 @@
 func (s *scheduler) fairShareJob(q *queuedJob) fairshare.Job {
 	spec := q.spec()
 	service := spec.Kind == protocol.KindService
-	left := float64(max(spec.Tasks-q.completedTasks(), 0))
+	unfinishedTasks := float64(max(spec.Tasks-q.completedTasks(), 0))
 	return fairshare.Job{
 		Account:       accountOf(spec),
 		Age:           max(s.core.now.Wall-q.entry.waitingSince(), 0),
 		StartedShare:  1 - float64(max(q.waitingTasks(), 0))/float64(spec.Tasks),
-		RemainingWork: left * taskWidth(spec) * s.core.estimator.predictForJob(q),
+		RemainingWork: unfinishedTasks * taskWidth(spec) * s.core.estimator.predictForJob(q),
 		CPUsInUse:     float64(len(q.inflight)) * spec.CPUs,
 		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services never end, so they do not count
 		Ineligible:    s.isCrashLooping(q) || service,
