--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -20,14 +20,14 @@
 // capacityDemand is the number of CPUs that the unfinished work needs.
 type capacityDemand struct {
 	inUse          float64 // used by tasks in flight
-	total          float64 // for all work that is worth the boot of a spot machine
+	total          float64 // for all work, as far as it is worth renting spot machines
 	totalOnDemand  float64 // the part of total that must not run on spot machines
-	onTime         float64 // for work to meet its objectives, worth on-demand machines
+	onTime         float64 // for work to meet its objectives, as far as it is worth on-demand machines
 	onTimeOnDemand float64 // the part of onTime that must not depend on spot machines
 
 	// onTimeByType is, by machine type, the number of CPUs up to which on-demand machines of that
-	// type are rented. It differs between types because a machine is of use only once it has
-	// booted.
+	// type are rented. It differs between types because a machine can run tasks only once it has
+	// booted, and boot times differ.
 	onTimeByType map[string]float64
 }
 
@@ -142,8 +142,9 @@
 )
 
 // completionHorizon is the time, in seconds, within which a job's queued work must be done for the
-// job to meet its objectives. Objectives that it has already missed do not count. A horizon that is
-// too short for a machine type to boot justifies no on-demand machines of it: see addOnTimeDemand.
+// job to meet its objectives. Objectives that it has already missed do not count. If the horizon is
+// shorter than Policy.OnDemandMinBoots boot times of a machine type, it is too late for on-demand
+// machines of that type, and the job justifies spot machines only: see addOnTimeDemand.
 func (f *fleet) completionHorizon(job *queuedJob) float64 {
 	spec, policy := &job.entry.record.Spec, &f.core.policy
 	horizon := math.Inf(1)
@@ -170,7 +171,8 @@
 }
 
 // timeLeft is the number of seconds that a job has left to meet an objective of its class, +Inf if
-// the objective sets no time for the job.
+// the objective sets no time for the job. For an objective for the waiting time, it is instead the
+// predicted duration of one of the job's tasks, however long the job has waited.
 func (f *fleet) timeLeft(objective *config.Objective, job *queuedJob) float64 {
 	spec, now := &job.entry.record.Spec, f.core.now.Wall
 	switch objective.Kind {
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// servedDecayFactor times Rules.OverdueAfter is the time in which the weight of a served job
-	// decays.
+	// servedDecayFactor is the time constant with which the weight of a completed job decays, in
+	// multiples of Rules.OverdueAfter.
 	servedDecayFactor = 8
 
 	// boostedAgingFactor is how many times longer a job must wait to gain the same rank within a
@@ -68,7 +68,7 @@
 		StartedShare:  1 - float64(max(q.waitingTasks(), 0))/float64(spec.Tasks),
 		RemainingWork: unfinishedTasks * taskWidth(spec) * s.core.estimator.predictForJob(q),
 		CPUsInUse:     float64(len(q.inflight)) * spec.CPUs,
-		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services never end, so they do not count
+		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services are left out: they never end, whatever else waits
 		Ineligible:    s.isCrashLooping(q) || service,
 	}
 }
@@ -160,7 +160,8 @@
 
 // startEarly ranks the first task of an array behind services only, if the array is among the
 // largest of its account and has waited long enough. Only one task is moved up; the others keep the
-// ordinary rank. The task is protected from preemption.
+// ordinary rank. As long as that task is the job's only one in flight, it is protected from
+// preemption.
 //
 // It prevents the largest jobs of a class from never starting while smaller jobs of the same class
 // keep arriving. Fair share does not notice that, because it counts jobs, and by that count the
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -119,7 +119,7 @@
 	planned := f.plannedCapacity()
 	demand := f.computeDemand(ranked)
 	f.desiredCPUs = demand.total
-	f.core.logDebug("demand", "total", demand.total, "on_time", demand.onTime, "on_time_on_demand", demand.onTimeOnDemand,
+	f.core.logDebug("CPU demand computed", "total", demand.total, "on_time", demand.onTime, "on_time_on_demand", demand.onTimeOnDemand,
 		"have", planned.total, "spot", planned.spot, "inflow", f.inflowByUrgency)
 	f.scaleOut(waiting, demand, planned)
 	f.scaleIn(demand, waiting)
--- a/internal/core/inflow.go
+++ b/internal/core/inflow.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// restoreJobInflow adds a job that arrived at a given time of day, in seconds.
+// restoreJobInflow adds a job that arrived at a given wall-clock time, in seconds, with the weight
+// that it has now. Jobs of best-effort teams are ignored.
 func (f *fleet) restoreJobInflow(spec *protocol.Job, at float64) {
 	if !f.core.bestEffortTeams[spec.Team] {
 		age := max(f.core.now.Wall-at, 0)
@@ -98,7 +99,8 @@
 	return recent
 }
 
-// decayInflow reduces the inflow by the time since it was last reduced.
+// decayInflow applies the decay since its last call to the inflow and to the burst reserve. The
+// reserve ends burstReserveLeases after the last arrival of a job for which it is kept.
 func (f *fleet) decayInflow() {
 	now := f.core.now.Monotonic
 	factor := math.Exp(-(now - f.decayedAt).Seconds() / f.inflowSeconds())
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -35,7 +35,7 @@
 		"spot", inst.spot, "why", string(reason))
 }
 
-// returnInstances begins to return machines that are of no use any more, and deletes those that are
+// returnInstances begins to return machines that can't be used any more, and deletes those that are
 // drained.
 func (f *fleet) returnInstances() {
 	var names []string
@@ -73,8 +73,8 @@
 	inst.forceDelete = forced
 }
 
-// unusableReason returns why a machine is of no use any more, empty if it is of use, and whether it
-// is to be deleted without waiting for its tasks to end.
+// unusableReason returns why a machine can't be used any more, or an empty reason if it can, and
+// whether it is to be deleted without waiting for its tasks to end.
 func (f *fleet) unusableReason(inst *instance) (reason returnReason, forced bool) {
 	c := f.core
 	view, machineType := c.scheduler.machines.Get(inst.name), c.machineTypes()[inst.typeName]
@@ -84,7 +84,7 @@
 	case inst.cloudState == protocol.MachineFailed:
 		return returnFailed, false
 	case inst.missedLists >= missedListsUntilLost && !up && age > 4*f.listLag():
-		return returnUnlisted, true // the cloud's list shows that it no longer exists, nor do its tasks
+		return returnUnlisted, true // by the cloud's list it no longer exists, so its tasks have ended
 	case view != nil && view.unhealthy:
 		return returnUnhealthy, false
 	case view == nil:
@@ -105,8 +105,8 @@
 }
 
 // isUnresponsive reports whether a machine has not responded since the shard map changed. It is
-// then unknown what runs on it, which blocks everything that may be running there. The timeout of
-// each machine begins when its own task list became incomplete.
+// then unknown which tasks run on it, which blocks all tasks that may be running there. The timeout
+// of each machine begins when its own task list became incomplete.
 //
 // Two other choices of the timeout failed. Counted from the change of the shard map, a quarter of
 // the machines that came up later were deleted at their first heartbeat. With three heartbeats, 15
@@ -134,8 +134,8 @@
 	return config.Seconds(machineType.BootS * f.core.policy.BootTimeoutFactor * factor)
 }
 
-// isDrained reports whether a machine that is being returned may be deleted. If its shard has not
-// drained it yet, it requests that.
+// isDrained reports whether a machine that is being returned may be deleted. If the machine's shard
+// is not draining it yet, isDrained requests that from the shard.
 func (f *fleet) isDrained(inst *instance) bool {
 	c := f.core
 	view, registered := c.scheduler.machines.Get(inst.name), c.records.machineRecords.Get(inst.name) != nil
--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// handleMachineTypes handles the cloud's response. If it has no types, they are requested again
-// later.
+// handleMachineTypes handles the result of listing the machine types. If the call failed or
+// returned no types, they are requested again after the maintenance interval.
 func (f *fleet) handleMachineTypes(result MachineTypesResult) {
 	if result.Outcome == CloudDone && len(result.Response.Types) > 0 {
 		f.typesRequested = false
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -9,11 +9,12 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// offer is a pool together with the cost of a unit of a job's work there.
+// offer is a pool in which a machine for a job could be rented, and what running the job's tasks
+// costs there.
 type offer struct {
 	pool
 	machineType *protocol.MachineType
-	cost        float64
+	cost        float64 // hourly price per task that fits on a machine, with a share of the boot and image pull
 }
 
 // typicalLifetimeLeases is how long a machine is typically rented, in worker leases. The cost of
@@ -120,8 +121,8 @@
 	f.core.logDebug("capacity refused", "type", p.typeName, "zone", p.zone, "spot", p.spot, "wait", wait)
 }
 
-// noCapacityReason returns the reason for users if every pool that could serve a job is in backoff
-// after a refusal, and an empty string otherwise.
+// noCapacityReason returns the waiting reason that is shown to users if every pool that could serve
+// a job is in backoff after a refusal, and an empty string otherwise.
 func (f *fleet) noCapacityReason(spec *protocol.Job) string {
 	for range f.eligiblePools(spec) {
 		return ""
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -14,14 +14,15 @@
 	// one of its machines is added or removed.
 	maxPageBytes = 8 << 10
 
-	// maxTransactionBytes bounds what one transaction writes. It is three quarters of the maximum
-	// of 64 KiB.
+	// maxTransactionBytes limits the number of bytes that one transaction writes, to three quarters
+	// of the 64 KiB that a transaction may have.
 	maxTransactionBytes = 48 << 10
 )
 
 // machineRegistry is the leader's list of the machines that may have been given tasks. It is kept
 // in the state service. Only registered machines are given work, so that after a failover the new
-// leader knows which machines it must see. Package registry divides the list into pages.
+// leader knows on which machines there may be tasks that it has yet to learn of. Package registry
+// divides the list into pages.
 type machineRegistry struct {
 	core          *Core
 	writeInFlight bool
@@ -59,7 +60,8 @@
 	return names
 }
 
-// shouldRemove reports whether a machine is to be removed from the registry.
+// shouldRemove reports whether a machine is to be removed from the registry: because it was deleted,
+// or because it is being returned and is certain to stay empty.
 func (r *machineRegistry) shouldRemove(name string) bool {
 	return r.core.fleet.wasDeleted(name) || r.core.fleet.mayDeregister(name)
 }
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -23,7 +23,8 @@
 // returned after it has been idle for a while.
 //
 // Only machines that are up count as capacity. When booting machines counted as well, machines that
-// were up were withdrawn in their favor, which left a full queue beside empty machines.
+// were up were made unschedulable or returned as surplus before the others had booted, which left a
+// full queue beside empty machines.
 func (f *fleet) scaleIn(demand capacityDemand, waiting []*queuedJob) {
 	f.cordoned = map[string]bool{}
 	for _, view := range f.core.scheduler.machines.All() {
@@ -78,8 +79,8 @@
 	})
 }
 
-// canSpare reports whether the demand is met without a machine of so many CPUs. Spot machines do
-// not count for work that must not run on them.
+// canSpare reports whether the demand is met without a machine that has the given number of CPUs.
+// Spot machines do not count for work that must not run on them.
 func (d *capacityDemand) canSpare(cpus float64, spot bool, capacity cpuCapacity, wanted float64) bool {
 	if !spot {
 		return capacity.total-cpus >= d.onTime && capacity.onDemand()-cpus >= d.onTimeOnDemand
@@ -90,8 +91,8 @@
 
 // cordonOrReturn keeps new tasks off a machine that can be spared, and returns the machine if it is
 // idle. In a clear surplus its shard is ordered to place no tasks on it, and an idle spot machine
-// is not kept for work that may arrive. planned says that tasks were dispatched because of the free
-// capacity on the machine and are not placed yet.
+// is not kept for work that may arrive. planned means that the leader has dispatched tasks to the
+// shard because of the free capacity on this machine, and that the shard has not placed them yet.
 //
 // It guards against returning a machine in the round in which the last tasks of a job are
 // dispatched to it: no task of the job waits any more, and none is on the machine yet.
@@ -114,7 +115,8 @@
 // spot machine can serve it.
 //
 // The last case prevents an endless cycle where no machine type is rented as spot: an on-demand
-// machine that was rented for a job without an objective was withdrawn and replaced by a new one.
+// machine that was rented for a job without an objective was made unschedulable or returned, and
+// replaced by a new one.
 func (f *fleet) isConstrained(job *queuedJob) bool {
 	spec := &job.entry.record.Spec
 	return len(spec.MachineTypes) > 0 || spec.Zone != "" || spec.OneZone || spec.Spread || !spec.AllowSpot ||
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -129,17 +129,17 @@
 	return true
 }
 
-// reassignZone moves the tasks that are tied to the same zone as the given one to another zone. It
-// does so once they have found no capacity for the length of a worker lease, if another zone has
-// capacity, or can get machines while theirs can't. It waits until no attempt can violate the job's
-// placement rule: a one-zone job must have no task in flight, and a spread job must have no task of
-// its other half that may be in the new zone.
+// reassignZone ties the given task, and all tasks of its job that are tied to the same zone, to
+// another zone. It does so once they have found no capacity for the length of a worker lease, if
+// another zone has capacity, or can get machines while theirs can't. It waits until no attempt can
+// violate the job's placement rule: a one-zone job must have no task in flight, and a spread job
+// must have no task of its other half that may be in the new zone.
 //
 // It prevents a job from waiting forever for a zone without machines while machines elsewhere are
 // idle. A dispatch carries the version of the job's record that it is based on, and a shard places
-// no task by any other version. Controllers older than Level 1 do not check the version, so no zone
-// is reassigned while one of them is live. The write may be applied late, when tasks run in the
-// former zone again: see isConfinedToZone.
+// no task by any other version. Controllers whose record format (records.FormatLevel) is older than
+// level 1 do not check the version, so no zone is reassigned while one of them is live. The write
+// may be applied late, when tasks run in the former zone again: see isConfinedToZone.
 func (s *scheduler) reassignZone(q *queuedJob, task int) {
 	c, index := s.core, zoneIndex(q, task)
 	if len(q.entry.record.Zones) == 0 || q.entry.record.Spec.Zone != "" || q.pendingWrite != noPendingWrite || s.hasUnlocated {
@@ -241,9 +241,9 @@
 	return true
 }
 
-// hasUnfinishedTaskElsewhere reports whether any task that is tied to another of the job's zones is
-// not durably completed. A completion that only this leader knows of does not count, because after
-// a crash the task may be started again.
+// hasUnfinishedTaskElsewhere reports whether any task that is tied to another of the job's zones
+// than the one at the given index is not durably completed. A completion that only this leader
+// knows of does not count, because after a crash the task may be started again.
 func hasUnfinishedTaskElsewhere(q *queuedJob, index int) bool {
 	for task := range q.entry.record.Spec.Tasks {
 		if zoneIndex(q, task) != index && !q.entry.isTaskDone(task) {
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -6,8 +6,8 @@
 // the controllers has failed, not the machines.
 
 // A zone becomes partitioned when more than half of its machines are lost, and recovers when less
-// than a quarter of them are. The gap prevents it from alternating while machines come back one
-// after another.
+// than a quarter of them are. The gap prevents its state from alternating while machines come back
+// one after another.
 const (
 	partitionDivisor = 2
 	recoveryDivisor  = 4
@@ -55,8 +55,9 @@
 		if isConfirmedUp(v) {
 			f.reachableByZone[v.state.Zone]++
 		}
-		// Registered machines have been up, perhaps under an earlier leader. Without this rule, a
-		// leader that had never seen a zone's machines took a partition for 382 dead machines.
+		// Registered machines have been up, perhaps under an earlier leader. When they did not count,
+		// a leader that had never seen a zone's machines did not recognize a partition and treated
+		// 382 machines as dead.
 		if v.state.Type == "" || v.upSince < 0 && !v.registered {
 			continue
 		}
@@ -89,8 +90,8 @@
 }
 
 // silenceBeforeReturn is how long a machine of a zone may be silent after it has dropped its tasks
-// before it is returned. It is longer in a partitioned zone, where a new machine would be silent,
-// too.
+// before it is returned. It is longer in a zone that is partitioned, where a new machine would be
+// silent, too, or that is still recovering from a partition.
 func (f *fleet) silenceBeforeReturn(zone string) time.Duration {
 	if f.isZoneRecovering(zone) {
 		return 10 * f.core.intervals.machineLeaseExpiry
