--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -144,7 +144,7 @@
 // completionHorizon is the time, in seconds, within which a job's queued work must be done for the
 // job to meet its objectives. Objectives that it has already missed do not count. If the horizon is
 // shorter than Policy.OnDemandMinBoots boot times of a machine type, it is too late for on-demand
-// machines of that type, and the job justifies spot machines only: see addOnTimeDemand.
+// machines of that type, and the job does not raise onTimeByType for it: see addOnTimeDemand.
 func (f *fleet) completionHorizon(job *queuedJob) float64 {
 	spec, policy := &job.entry.record.Spec, &f.core.policy
 	horizon := math.Inf(1)
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// adoptCreated adds the machines that a request has created. If there are fewer than
-// requested, the cloud has refused the others.
+// adoptCreated adds the machines that a request has created. If there are fewer than requested, the
+// cloud has refused the others.
 func (f *fleet) adoptCreated(request *createRequest, names []string) {
 	p := request.pool()
 	for _, name := range names {
