--- a/client/artifacts.go
+++ b/client/artifacts.go
@@ -10,8 +10,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// noArtifacts is the text of a failure to read from the artifact server.
-const noArtifacts = "the depot does not answer"
+// artifactReadFailure is the text of a failure to read from the artifact server.
+const artifactReadFailure = "the depot does not answer"
 
 // uploadDescription uploads a description until the artifact server takes or refuses it.
 func (c *Client) uploadDescription(ctx context.Context, d *protocol.JobDescription) error {
@@ -80,7 +80,7 @@
 func (c *Client) readArtifact(ctx context.Context, path string, out any) error {
 	resp := c.call(ctx, fasthttp.MethodGet, c.artifacts, path, nil, submitTimeout)
 	if resp.status != statusOK || protocol.Decode(resp.body, out) != nil {
-		return &Error{Kind: ErrNotNow, Status: resp.status, Text: noArtifacts}
+		return &Error{Kind: ErrNotNow, Status: resp.status, Text: artifactReadFailure}
 	}
 	return nil
 }
--- a/client/client.go
+++ b/client/client.go
@@ -29,12 +29,12 @@
 	retryBudget         = 60 * time.Second
 	defaultPollInterval = 5 * time.Second
 
-	// queryRounds is how often a query asks each controller.
-	queryRounds = 2
+	// queriesPerController is how often a query asks each controller.
+	queriesPerController = 2
 )
 
-// maxIdleConn closes idle connections before the servers do, which is a minute.
-const maxIdleConn = 20 * time.Second
+// maxIdleConnDuration closes idle connections before the servers do, which is a minute.
+const maxIdleConnDuration = 20 * time.Second
 
 // Client talks to a cluster. Its methods may be called from any goroutine.
 type Client struct {
@@ -44,8 +44,8 @@
 	retryDelay  time.Duration // minRetryDelay, shorter in tests
 	retryBudget time.Duration // retryBudget, shorter in tests
 
-	mu      sync.Mutex
-	current int // counts controllers that were asked, modulo their number
+	mu              sync.Mutex
+	controllerIndex int // counts controllers that were asked, modulo their number
 }
 
 // New makes a client of the controllers' addresses and the artifact server's, which may be
@@ -63,7 +63,7 @@
 			MaxIdemponentCallAttempts: 1, // tries are counted by send
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 			NoDefaultUserAgentHeader:  true,
-			MaxIdleConnDuration:       maxIdleConn,
+			MaxIdleConnDuration:       maxIdleConnDuration,
 		},
 	}, nil
 }
@@ -87,7 +87,7 @@
 	body, err := c.send(ctx, request{
 		method:   fasthttp.MethodPost,
 		path:     "/v2/runs",
-		body:     submission(&job),
+		body:     submissionFields(&job),
 		timeout:  submitTimeout,
 		budget:   c.retryBudget,
 		accepted: []int{statusOK, fasthttp.StatusCreated},
@@ -106,18 +106,18 @@
 // Query asks about a job, each controller at most twice. ErrNotNow means that none
 // knows at the moment.
 func (c *Client) Query(ctx context.Context, id string) (*Status, error) {
-	return c.sendAboutJob(ctx, id, request{
+	return c.sendJobRequest(ctx, id, request{
 		method:   fasthttp.MethodGet,
 		path:     "/v2/runs/" + id,
 		timeout:  queryTimeout,
-		budget:   time.Duration(queryRounds*len(c.controllers)) * (queryTimeout + c.retryDelay),
+		budget:   time.Duration(queriesPerController*len(c.controllers)) * (queryTimeout + c.retryDelay),
 		accepted: []int{statusOK},
 	})
 }
 
 // Abort cancels a job. The state may be done: then it was over already.
 func (c *Client) Abort(ctx context.Context, id string) (*Status, error) {
-	return c.sendAboutJob(ctx, id, request{
+	return c.sendJobRequest(ctx, id, request{
 		method:   fasthttp.MethodPost,
 		path:     "/v2/runs/" + id + "/abort",
 		timeout:  submitTimeout,
@@ -126,7 +126,7 @@
 	})
 }
 
-func (c *Client) sendAboutJob(ctx context.Context, id string, r request) (*Status, error) {
+func (c *Client) sendJobRequest(ctx context.Context, id string, r request) (*Status, error) {
 	if !protocol.ValidJobID(id) {
 		return nil, &Error{Kind: ErrMalformed, Text: fmt.Sprintf("%q is not a job id", id)}
 	}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -100,7 +100,7 @@
 
 // What can never succeed is not repeated; what may is given up in time; and the kinds can
 // be told apart.
-func TestFailureKinds(t *testing.T) {
+func TestStatusSetsErrorKindAndOnlyErrNotNowIsRetried(t *testing.T) {
 	for status, kind := range map[int]error{400: ErrMalformed, 422: ErrImpossible, 404: ErrUnknown, 503: ErrNotNow} {
 		x := &scriptedController{statuses: []int{status}}
 		c := newTestClient(t, x.serve(t))
--- a/client/job.go
+++ b/client/job.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// submission has every field that the protocol wants, also those that are zero.
-func submission(job *protocol.Job) map[string]any {
+// submissionFields has every field that the protocol wants, also those that are zero.
+func submissionFields(job *protocol.Job) map[string]any {
 	var fields map[string]any
 	if err := protocol.Decode(protocol.Encode(job), &fields); err != nil {
 		panic(fmt.Sprintf("client: a job does not decode: %v", err))
--- a/client/request.go
+++ b/client/request.go
@@ -55,7 +55,7 @@
 // send sends a request to one host after another until a response is final.
 func (c *Client) send(ctx context.Context, r request) ([]byte, error) {
 	end := time.Now().Add(r.budget)
-	for tries, host := 1, c.controller(); ; tries, host = tries+1, c.nextController() {
+	for tries, host := 1, c.currentController(); ; tries, host = tries+1, c.nextController() {
 		resp := c.call(ctx, r.method, host, r.path, r.body, r.timeout)
 		if slices.Contains(r.accepted, resp.status) {
 			return resp.body, nil
@@ -114,17 +114,17 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// controller is the controller to ask: the one that answered last.
-func (c *Client) controller() string {
+// currentController is the controller to ask: the one that answered last.
+func (c *Client) currentController() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.controllers[c.current%len(c.controllers)]
+	return c.controllers[c.controllerIndex%len(c.controllers)]
 }
 
 // nextController is the controller to ask after one that gave no final response.
 func (c *Client) nextController() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.current++
-	return c.controllers[c.current%len(c.controllers)]
+	c.controllerIndex++
+	return c.controllers[c.controllerIndex%len(c.controllers)]
 }
--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -34,10 +34,10 @@
 // version is set by the linker in releases.
 var version = "devel"
 
-// peerQueueShare is the share of the process's memory that may wait to be sent to other
+// peerQueueMemoryShare is the share of the process's memory that may wait to be sent to other
 // controllers. A task takes about 90 bytes in a snapshot that waits and over 200 in the core
 // of the machine's owner, so a fleet that fits into the memory is told of before this binds.
-const peerQueueShare = 0.25
+const peerQueueMemoryShare = 0.25
 
 type cli struct {
 	Run     runCmd           `cmd:"" default:"withargs" help:"Run a controller (the default)."`
@@ -45,12 +45,12 @@
 	Version kong.VersionFlag `help:"Print the version."`
 }
 
-type files struct {
+type settingsFiles struct {
 	Config string `required:"" placeholder:"FILE" help:"Settings file that the platform hands over (JSON)."`
 	Policy string `placeholder:"FILE" help:"Operators' policy script (Starlark)."`
 }
 
-func (f *files) load() (*config.Settings, config.Policy, error) {
+func (f *settingsFiles) load() (*config.Settings, config.Policy, error) {
 	policy := config.DefaultPolicy()
 	set, err := config.Load(f.Config)
 	if err == nil && f.Policy != "" {
@@ -59,7 +59,7 @@
 	return set, policy, err
 }
 
-type checkCmd struct{ files }
+type checkCmd struct{ settingsFiles }
 
 func (c *checkCmd) Run() error {
 	if _, _, err := c.load(); err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-type runCmd struct{ files }
+type runCmd struct{ settingsFiles }
 
 func (c *runCmd) Run() error {
 	set, policy, err := c.load()
@@ -103,8 +103,8 @@
 const (
 	storeTimeout  = time.Second
 	statusTimeout = time.Second
-	// linkRetries is how often a lost link is dialled again within a heartbeat interval.
-	linkRetries = 10
+	// redialsPerHeartbeat is how often a lost link is dialled again within a heartbeat interval.
+	redialsPerHeartbeat = 10
 )
 
 // limitResources keeps the process to what the settings give it.
@@ -137,8 +137,8 @@
 	c.api = api.New(c.engine, int(float64(sockets)*userSocketShare))
 	heartbeat := config.Seconds(site.Workers.HeartbeatS)
 	c.links = peer.New(peer.Settings{
-		Siblings: siblingAddresses(settings), RetryInterval: heartbeat / linkRetries, Timeout: heartbeat,
-		MaxQueuedBytes: int(site.Resources.RAMMB * peerQueueShare * (1 << 20)),
+		Siblings: siblingAddresses(settings), RetryInterval: heartbeat / redialsPerHeartbeat, Timeout: heartbeat,
+		MaxQueuedBytes: int(site.Resources.RAMMB * peerQueueMemoryShare * (1 << 20)),
 	}, c.engine.Post, c.statusPage)
 	c.engine.Connect(engine.Clients{
 		Store:   kvclient.New(settings.External.Store, storeTimeout, sockets, c.engine.Clock),
--- a/cmd/chalkhubctl/agent.go
+++ b/cmd/chalkhubctl/agent.go
@@ -105,7 +105,7 @@
 	}
 	for _, c := range f.Controllers {
 		settings.Agent.Controllers = append(settings.Agent.Controllers, protocol.Redirect{ReportTo: c.Label})
-		settings.ControllerAddrs = append(settings.ControllerAddrs, c.Serve)
+		settings.ControllerAddrs = append(settings.ControllerAddrs, c.ServeAddr)
 	}
 	return settings
 }
--- a/cmd/chalkhubctl/chalkhubctl_test.go
+++ b/cmd/chalkhubctl/chalkhubctl_test.go
@@ -20,7 +20,7 @@
 
 // The view fits 80 columns and the screen's height, leads with who leads, and keeps
 // the last good page of a controller that is away, with its age.
-func TestTopKeepsLastStatusPages(t *testing.T) {
+func TestTopShowsLastStatusOfUnreachableControllers(t *testing.T) {
 	view := clusterView{views: make([]controllerView, 3), width: 80, height: 24, teams: map[string]config.Team{"main": {CPUs: 16, CPUsMax: 40}}}
 	for i := range 3 {
 		view.controllers = append(view.controllers, local.Controller{Label: fmt.Sprintf("ctl-%d", i)})
@@ -35,7 +35,7 @@
 		lead.Queue = append(lead.Queue, core.QueuedJobStatus{JobID: fmt.Sprintf("job-%017d", i), Waiting: i, Reason: strings.Repeat("waits for room ", 9)})
 	}
 	away := errors.New("connection refused")
-	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, MayServe: true}, at: now}, {status: lead, at: now}, {err: away}})
+	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-1", Epoch: 4, MayServe: true}, readAt: now}, {status: lead, readAt: now}, {err: away}})
 	view.update([]controllerView{{err: away}, {err: away}, {err: away}})
 	text := view.render(now.Add(7 * time.Second))
 	for _, want := range []string{"away, seen 7 s ago", "the leader is away; below is what it said 7 s ago", "ctl-2     not seen yet", "main                12.0      16.0      40.0", "job-00000000000000039", "more"} {
@@ -53,14 +53,14 @@
 		}
 	}
 	// A new leader's page takes over from the old one's.
-	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, MayServe: true, UnseenMachines: 2}, at: now}, {err: away}, {err: away}})
+	view.update([]controllerView{{status: core.Status{Label: "ctl-0", Leader: "ctl-0", Epoch: 5, MayServe: true, UnseenMachines: 2}, readAt: now}, {err: away}, {err: away}})
 	if text := view.render(now); !strings.Contains(text, "a take-over waits for 2 machines") || strings.Contains(text, "the leader is away") {
 		t.Errorf("after a take-over:\n%s", text)
 	}
 }
 
 // A job file is read with all its mistakes, and a sound one is the job that it says.
-func TestJobFileViolations(t *testing.T) {
+func TestJobFileReportsViolations(t *testing.T) {
 	dir := t.TempDir()
 	path := dir + "/job.yaml"
 	for text, want := range map[string]string{
@@ -114,7 +114,7 @@
 
 // The figures of a controller that answers are there under the usual names, and one that
 // does not answer is said to be down.
-func TestMetricsOfControllers(t *testing.T) {
+func TestMetricsOfReachableAndUnreachableControllers(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 	srv := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBody(page) }}
 	go func() { _ = srv.Serve(l) }() // it ends with the test
 	defer func() { _ = srv.Shutdown() }()
-	f := &statusCollector{controllers: []local.Controller{{Label: "ctl-0", Status: l.Addr().String()}, {Label: "ctl-1", Status: "127.0.0.1:1"}}}
+	f := &statusCollector{controllers: []local.Controller{{Label: "ctl-0", StatusAddr: l.Addr().String()}, {Label: "ctl-1", StatusAddr: "127.0.0.1:1"}}}
 	b, err := f.metricsText()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/chalkhubctl/demo.go
+++ b/cmd/chalkhubctl/demo.go
@@ -29,15 +29,15 @@
 	startedAt time.Time
 }
 
-// say prints a line with the time since the start.
-func (d *demo) say(format string, args ...any) {
+// printf prints a line with the time since the start.
+func (d *demo) printf(format string, args ...any) {
 	fmt.Printf("%5.1f s  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // runDemo runs a small array of real commands and kills the leader in the middle.
 func runDemo(ctx context.Context, cluster *local.Cluster, startedAt time.Time) error {
 	d := &demo{cluster: cluster, startedAt: startedAt}
-	d.say("%d controllers, a state service and a cloud are up", len(cluster.Controllers))
+	d.printf("%d controllers, a state service and a cloud are up", len(cluster.Controllers))
 	var err error
 	if d.client, err = cluster.Client(); err != nil {
 		return err
@@ -57,7 +57,7 @@
 	if _, err := d.client.Submit(ctx, &job); err != nil {
 		return err
 	}
-	d.say("%s: one task that says hello", job.ID)
+	d.printf("%s: one task that says hello", job.ID)
 	if err := d.followJob(ctx, job.ID); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	if _, err := d.client.Submit(ctx, &job); err != nil {
 		return err
 	}
-	d.say("%s: %d tasks that sleep and then write a line", job.ID, demoTasks)
+	d.printf("%s: %d tasks that sleep and then write a line", job.ID, demoTasks)
 	leader, err := d.waitHalfRunning(ctx, job.ID)
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	if err := d.cluster.Kill(leader); err != nil {
 		return err
 	}
-	d.say("%s, the leader, was killed in the middle of it", leader)
+	d.printf("%s, the leader, was killed in the middle of it", leader)
 	if err := d.followJob(ctx, job.ID); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	if len(tasks) != demoTasks {
 		return fmt.Errorf("%d of %d tasks have written their line", len(tasks), demoTasks)
 	}
-	d.say("%d tasks wrote %d lines; a task that was lost with the leader would have run again", len(tasks), len(lines))
+	d.printf("%d tasks wrote %d lines; a task that was lost with the leader would have run again", len(tasks), len(lines))
 	return nil
 }
 
@@ -133,7 +133,7 @@
 	last := ""
 	status, err := d.client.Wait(ctx, id, demoPollInterval, func(s *client.Status, err error) {
 		if now := describeStatus(s, err); now != last {
-			d.say("  %s", now)
+			d.printf("  %s", now)
 			last = now
 		}
 	})
@@ -163,7 +163,7 @@
 		if err != nil {
 			return err
 		}
-		d.say("  it wrote: %s", strings.TrimSpace(string(text)))
+		d.printf("  it wrote: %s", strings.TrimSpace(string(text)))
 	}
 	return nil
 }
--- a/cmd/chalkhubctl/jobs.go
+++ b/cmd/chalkhubctl/jobs.go
@@ -13,8 +13,8 @@
 	"github.com/chalkhub/chalkhub/client"
 )
 
-// maxReason is how much of a reason fits the list of jobs, in bytes.
-const maxReason = 50
+// maxReasonBytes is how much of a reason fits the list of jobs, in bytes.
+const maxReasonBytes = 50
 
 // stateNotAccepted is the state of a job that was described and that no controller has.
 const stateNotAccepted = "not accepted"
@@ -73,8 +73,8 @@
 	All     bool   `short:"a" help:"Every attempt, not only the newest of each task."`
 }
 
-// choose picks the attempts to show from those of a job, by task and attempt.
-func (c *logsCmd) choose(outputs []client.Output) []client.Output {
+// selectOutputs picks the attempts to show from those of a job, by task and attempt.
+func (c *logsCmd) selectOutputs(outputs []client.Output) []client.Output {
 	var chosen []client.Output
 	for i, o := range outputs {
 		newest := i+1 == len(outputs) || outputs[i+1].Task != o.Task
@@ -97,9 +97,9 @@
 	if err != nil {
 		return err
 	}
-	chosen := c.choose(outputs)
+	chosen := c.selectOutputs(outputs)
 	if len(chosen) == 0 {
-		return exitError{exitUnknown, fmt.Errorf("%s has written nothing yet", c.Job)}
+		return exitError{exitNotFound, fmt.Errorf("%s has written nothing yet", c.Job)}
 	}
 	if root.Output == "json" {
 		return root.print(chosen, nil)
@@ -198,8 +198,8 @@
 	t := newTable("job", "team", "submitted", "state", "done", "running", "tasks", "why it waits")
 	for _, r := range rows {
 		reason := r.Reason
-		if len(reason) > maxReason {
-			reason = strings.TrimSpace(reason[:maxReason-1]) + "…"
+		if len(reason) > maxReasonBytes {
+			reason = strings.TrimSpace(reason[:maxReasonBytes-1]) + "…"
 		}
 		t.AppendRow(table.Row{r.ID, r.Team, r.Submitted.Format("01-02 15:04:05"), r.State, r.Done, r.Running, r.Tasks, reason})
 	}
--- a/cmd/chalkhubctl/local.go
+++ b/cmd/chalkhubctl/local.go
@@ -26,13 +26,13 @@
 	Demo     bool   `help:"Run a small array of real commands, end the leader in the middle of it, then leave nothing behind."`
 }
 
-// builtController is where the controller's program is built, in a tree of the sources.
-const builtController = "target/chalkhub"
+// controllerBuildPath is where the controller's program is built, in a tree of the sources.
+const controllerBuildPath = "target/chalkhub"
 
 // Why the controller's program can't be built.
 var (
-	errNoController = errors.New("the controller's program is not found: name it with --chalkhub, or run this in the folder of the sources")
-	errNoGo         = errors.New("the controller must be built first, which needs Go: install it, or name a built program with --chalkhub")
+	errControllerNotFound = errors.New("the controller's program is not found: name it with --chalkhub, or run this in the folder of the sources")
+	errGoNotFound         = errors.New("the controller must be built first, which needs Go: install it, or name a built program with --chalkhub")
 )
 
 // findController finds the controller's program, or builds it in a tree of the sources.
@@ -44,7 +44,7 @@
 	if self, err := os.Executable(); err == nil {
 		places = append(places, filepath.Join(filepath.Dir(self), "chalkhub"))
 	}
-	places = append(places, builtController)
+	places = append(places, controllerBuildPath)
 	for _, path := range places {
 		if stat, err := os.Stat(path); err == nil && !stat.IsDir() {
 			return filepath.Abs(path)
@@ -59,10 +59,10 @@
 // checkBuildable says what is missing to build the controller's program.
 func checkBuildable() error {
 	if _, err := os.Stat("cmd/chalkhub/main.go"); err != nil {
-		return errNoController
+		return errControllerNotFound
 	}
 	if _, err := exec.LookPath("go"); err != nil {
-		return errNoGo
+		return errGoNotFound
 	}
 	compiler := cmp.Or(os.Getenv("CC"), "gcc")
 	if _, err := exec.LookPath(compiler); err != nil {
@@ -72,12 +72,12 @@
 }
 
 func buildController(ctx context.Context) (string, error) {
-	fmt.Fprintln(os.Stderr, "building "+builtController)
-	cmd := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", builtController, "./cmd/chalkhub")
+	fmt.Fprintln(os.Stderr, "building "+controllerBuildPath)
+	cmd := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", controllerBuildPath, "./cmd/chalkhub")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("the controller does not build: %s", strings.TrimSpace(string(out)))
 	}
-	return filepath.Abs(builtController)
+	return filepath.Abs(controllerBuildPath)
 }
 
 // chooseDir makes the directory of a demonstration, or checks that the one named is new or
--- a/cmd/chalkhubctl/main.go
+++ b/cmd/chalkhubctl/main.go
@@ -50,8 +50,8 @@
 	exitMalformed  = 2
 	exitImpossible = 3
 	exitCancelled  = 4
-	exitNotNow     = 5
-	exitUnknown    = 6
+	exitTimeout    = 5
+	exitNotFound   = 6
 )
 
 // exitError is an error with its own exit code.
@@ -70,9 +70,9 @@
 	case errors.Is(err, client.ErrImpossible):
 		return exitImpossible
 	case errors.Is(err, client.ErrNotNow):
-		return exitNotNow
+		return exitTimeout
 	case errors.Is(err, client.ErrUnknown):
-		return exitUnknown
+		return exitNotFound
 	}
 	return 1
 }
@@ -84,7 +84,7 @@
 	}
 	a := &local.Addresses{Artifacts: c.Depot}
 	for _, h := range c.Controllers {
-		a.Controllers = append(a.Controllers, local.Controller{Label: h, Serve: h})
+		a.Controllers = append(a.Controllers, local.Controller{Label: h, ServeAddr: h})
 	}
 	return a, nil
 }
--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -33,25 +33,25 @@
 	controllers []local.Controller
 }
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("chalkhub_"+name, help, append([]string{"controller"}, labels...), nil)
 }
 
 var (
-	upDesc       = desc("up", "Whether the controller shows its status page.")
-	epochDesc    = desc("epoch", "Epoch of the map that the controller knows.")
-	leadsDesc    = desc("leads", "Whether the controller leads.")
-	entitledDesc = desc("entitled", "Whether the controller may answer workers.")
-	jobsDesc     = desc("jobs", "Jobs by state, as the controller knows them.", "state")
-	machinesDesc = desc("machines", "The controller's own machines by zone.", "zone")
-	tasksDesc    = desc("tasks", "Tasks on the controller's own machines by zone.", "zone")
-	waitingDesc  = desc("waiting_tasks", "Tasks that wait in the leader's queue.")
-	teamDesc     = desc("team_cpus", "CPUs that a team's tasks take, as the leader counts them.", "team")
-	desiredDesc  = desc("desired_cpus", "CPUs that the leader wants to have.")
-	unseenDesc   = desc("machines_unseen", "Machines that a take-over still waits for.")
-	refusedDesc  = desc("refused_requests_total", "Requests refused because too many were under way.", "kind")
-	answersDesc  = desc("answer_seconds", "Answer times of the controller's requests.")
-	waitsDesc    = desc("task_wait_seconds", "Time from submission to start by urgency, on the leader.", "urgency")
+	upDesc               = newDesc("up", "Whether the controller shows its status page.")
+	epochDesc            = newDesc("epoch", "Epoch of the map that the controller knows.")
+	isLeaderDesc         = newDesc("leads", "Whether the controller leads.")
+	mayServeDesc         = newDesc("entitled", "Whether the controller may answer workers.")
+	jobsDesc             = newDesc("jobs", "Jobs by state, as the controller knows them.", "state")
+	machinesDesc         = newDesc("machines", "The controller's own machines by zone.", "zone")
+	tasksDesc            = newDesc("tasks", "Tasks on the controller's own machines by zone.", "zone")
+	waitingTasksDesc     = newDesc("waiting_tasks", "Tasks that wait in the leader's queue.")
+	teamCPUsDesc         = newDesc("team_cpus", "CPUs that a team's tasks take, as the leader counts them.", "team")
+	desiredCPUsDesc      = newDesc("desired_cpus", "CPUs that the leader wants to have.")
+	unseenMachinesDesc   = newDesc("machines_unseen", "Machines that a take-over still waits for.")
+	rejectedRequestsDesc = newDesc("refused_requests_total", "Requests refused because too many were under way.", "kind")
+	responseTimesDesc    = newDesc("answer_seconds", "Answer times of the controller's requests.")
+	startLatenciesDesc   = newDesc("task_wait_seconds", "Time from submission to start by urgency, on the leader.", "urgency")
 )
 
 // Describe lists nothing: what there is depends on the pages.
@@ -71,14 +71,14 @@
 func collectController(controller local.Controller, out chan<- prometheus.Metric) {
 	m := controllerMetrics{label: controller.Label, out: out}
 	var status core.Status
-	err := local.ReadStatus(controller.Status, &status)
-	m.flag(upDesc, err == nil)
+	err := local.ReadStatus(controller.StatusAddr, &status)
+	m.boolGauge(upDesc, err == nil)
 	if err != nil {
 		return
 	}
-	m.sendOwn(&status)
+	m.sendControllerMetrics(&status)
 	if status.Leader == status.Label {
-		m.sendLeaders(&status)
+		m.sendClusterMetrics(&status)
 	}
 }
 
@@ -100,7 +100,7 @@
 	m.out <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, value, m.labels(labels)...)
 }
 
-func (m *controllerMetrics) flag(desc *prometheus.Desc, set bool) {
+func (m *controllerMetrics) boolGauge(desc *prometheus.Desc, set bool) {
 	value := 0.0
 	if set {
 		value = 1
@@ -119,11 +119,11 @@
 	m.out <- prometheus.MustNewConstSummary(desc, uint64(s.Count), 0, quantiles, m.labels(labels)...)
 }
 
-// sendOwn sends what every controller knows of itself and of its own machines.
-func (m *controllerMetrics) sendOwn(s *core.Status) {
+// sendControllerMetrics sends what every controller knows of itself and of its own machines.
+func (m *controllerMetrics) sendControllerMetrics(s *core.Status) {
 	m.gauge(epochDesc, float64(s.Epoch))
-	m.flag(leadsDesc, s.Leader == s.Label)
-	m.flag(entitledDesc, s.MayServe)
+	m.boolGauge(isLeaderDesc, s.Leader == s.Label)
+	m.boolGauge(mayServeDesc, s.MayServe)
 	for state, count := range s.Jobs {
 		m.gauge(jobsDesc, float64(count), state)
 	}
@@ -137,25 +137,25 @@
 		m.gauge(tasksDesc, float64(tasks[zone]), zone)
 	}
 	for kind, count := range s.RejectedRequests {
-		m.counter(refusedDesc, float64(count), kind)
+		m.counter(rejectedRequestsDesc, float64(count), kind)
 	}
-	m.summary(answersDesc, s.ResponseTimes)
+	m.summary(responseTimesDesc, s.ResponseTimes)
 }
 
-// sendLeaders sends what the leader knows of the whole cluster.
-func (m *controllerMetrics) sendLeaders(s *core.Status) {
+// sendClusterMetrics sends what the leader knows of the whole cluster.
+func (m *controllerMetrics) sendClusterMetrics(s *core.Status) {
 	waiting := 0
 	for _, job := range s.Queue {
 		waiting += job.Waiting
 	}
-	m.gauge(waitingDesc, float64(waiting))
-	m.gauge(desiredDesc, s.DesiredCPUs)
-	m.gauge(unseenDesc, float64(s.UnseenMachines))
+	m.gauge(waitingTasksDesc, float64(waiting))
+	m.gauge(desiredCPUsDesc, s.DesiredCPUs)
+	m.gauge(unseenMachinesDesc, float64(s.UnseenMachines))
 	for team, cpus := range s.TeamCPUs {
-		m.gauge(teamDesc, cpus, team)
+		m.gauge(teamCPUsDesc, cpus, team)
 	}
 	for urgency, latencies := range s.StartLatencies {
-		m.summary(waitsDesc, latencies, urgency)
+		m.summary(startLatenciesDesc, latencies, urgency)
 	}
 }
 
--- a/cmd/chalkhubctl/state.go
+++ b/cmd/chalkhubctl/state.go
@@ -144,7 +144,7 @@
 		}
 		requested := s.requested()
 		if requested || s.due() {
-			s.take(requested)
+			s.takeSnapshot(requested)
 		}
 	}
 }
@@ -160,8 +160,8 @@
 	return interval > 0 && time.Since(s.lastAt) > interval && s.server.State().Revision != s.lastRevision
 }
 
-// take takes a snapshot. One that fails is tried again when it is due or still requested.
-func (s *snapshotter) take(requested bool) {
+// takeSnapshot takes a snapshot. One that fails is tried again when it is due or still requested.
+func (s *snapshotter) takeSnapshot(requested bool) {
 	s.lastAt = time.Now()
 	path, state, err := s.file.TakeSnapshot(s.settings.Snapshots)
 	if err != nil {
@@ -204,7 +204,7 @@
 		}
 	}
 	_ = os.Remove(snapshotRequestPath(c.Folder)) // whether it was there or not
-	return exitError{exitNotNow, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
+	return exitError{exitTimeout, fmt.Errorf("no snapshot came within %v: no service may be using %s", c.Timeout, c.Folder)}
 }
 
 type stateRestoreCmd struct {
--- a/cmd/chalkhubctl/top.go
+++ b/cmd/chalkhubctl/top.go
@@ -31,12 +31,12 @@
 	var wg sync.WaitGroup
 	for i, c := range controllers {
 		wg.Go(func() {
-			if c.Status == "" {
+			if c.StatusAddr == "" {
 				views[i].err = errNoStatusAddress
 				return
 			}
-			views[i].err = local.ReadStatus(c.Status, &views[i].status)
-			views[i].at = time.Now()
+			views[i].err = local.ReadStatus(c.StatusAddr, &views[i].status)
+			views[i].readAt = time.Now()
 		})
 	}
 	wg.Wait()
@@ -51,13 +51,13 @@
 
 // Messages of the screen's loop.
 type (
-	controllersRead []controllerView
-	readDue         struct{}
+	controllersReadMsg []controllerView
+	readDueMsg         struct{}
 )
 
 // Init begins with reading the controllers.
 func (s *screen) Init() tea.Cmd {
-	return func() tea.Msg { return controllersRead(readControllers(s.controllers)) }
+	return func() tea.Msg { return controllersReadMsg(readControllers(s.controllers)) }
 }
 
 // Update takes a key, a size or what was read.
@@ -70,10 +70,10 @@
 		}
 	case tea.WindowSizeMsg:
 		s.width, s.height = m.Width, m.Height
-	case controllersRead:
+	case controllersReadMsg:
 		s.update(m)
-		return s, tea.Tick(s.interval, func(time.Time) tea.Msg { return readDue{} })
-	case readDue:
+		return s, tea.Tick(s.interval, func(time.Time) tea.Msg { return readDueMsg{} })
+	case readDueMsg:
 		return s, s.Init()
 	}
 	return s, nil
--- a/cmd/chalkhubctl/top_view.go
+++ b/cmd/chalkhubctl/top_view.go
@@ -21,8 +21,8 @@
 	// defaultWidth is used where the terminal's is not known.
 	defaultWidth = 80
 
-	// nearLimit is the part of a team's limit from which the team is shown as at it.
-	nearLimit = 0.99
+	// nearLimitFraction is the part of a team's limit from which the team is shown as at it.
+	nearLimitFraction = 0.99
 
 	// footerLines are kept free below the queue: for the number of jobs that aren't shown
 	// and the screen's own last line.
@@ -39,7 +39,7 @@
 // controllerView is the last status page of a controller.
 type controllerView struct {
 	status core.Status
-	at     time.Time // zero: never read
+	readAt time.Time // zero: never read
 	err    error     // of the last try, nil: it answered
 }
 
@@ -67,7 +67,7 @@
 	var newest *controllerView
 	for i := range c.views {
 		v := &c.views[i]
-		if v.at.IsZero() || !v.leads() {
+		if v.readAt.IsZero() || !v.isLeader() {
 			continue
 		}
 		if newest == nil || v.status.Epoch > newest.status.Epoch {
@@ -77,11 +77,11 @@
 	return newest
 }
 
-func (v *controllerView) leads() bool { return v.status.Leader == v.status.Label }
+func (v *controllerView) isLeader() bool { return v.status.Leader == v.status.Label }
 
 func (v *controllerView) role() string {
 	switch {
-	case v.leads():
+	case v.isLeader():
 		return "leader"
 	case !v.status.MayServe:
 		return "outside"
@@ -136,7 +136,7 @@
 		return t.text.String()
 	}
 	if leader.err != nil {
-		t.line(alertStyle, "the leader is away; below is what it said %s", age(now, leader.at))
+		t.line(alertStyle, "the leader is away; below is what it said %s", age(now, leader.readAt))
 	}
 	if leader.status.UnseenMachines > 0 {
 		t.line(alertStyle, "a take-over waits for %d machines", leader.status.UnseenMachines)
@@ -151,13 +151,13 @@
 	t.line(headerStyle, "%-9s %-7s %5s %5s %5s %5s %6s %6s", "node", "role", "epoch", "mach", "tasks", "jobs", "p50 ms", "p99 ms")
 	for i, controller := range c.controllers {
 		v := &c.views[i]
-		if v.at.IsZero() {
+		if v.readAt.IsZero() {
 			t.line(alertStyle, "%-9s not seen yet: %v", controller.Label, v.err)
 			continue
 		}
 		style, note := plainStyle, ""
 		if v.err != nil {
-			style, note = alertStyle, "away, seen "+age(now, v.at)
+			style, note = alertStyle, "away, seen "+age(now, v.readAt)
 		}
 		t.line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", controller.Label, v.role(), v.status.Epoch, len(v.status.Machines),
 			v.tasks(), v.openJobs(), v.status.ResponseTimes.P50, v.status.ResponseTimes.P99, note)
@@ -187,7 +187,7 @@
 			promised = fmt.Sprintf("%.1f", team.CPUs)
 			if team.CPUsMax > 0 {
 				limit = fmt.Sprintf("%.1f", team.CPUsMax)
-				if used > nearLimit*team.CPUsMax {
+				if used > nearLimitFraction*team.CPUsMax {
 					style = alertStyle
 				}
 			}
--- a/cmd/chalkhubctl/wait.go
+++ b/cmd/chalkhubctl/wait.go
@@ -63,7 +63,7 @@
 		bar := bars.add(id)
 		status, err := cluster.Wait(ctx, id, options.interval, bar.update)
 		if errors.Is(err, context.DeadlineExceeded) {
-			return exitError{exitNotNow, fmt.Errorf("%s is not over within %v", id, options.timeout)}
+			return exitError{exitTimeout, fmt.Errorf("%s is not over within %v", id, options.timeout)}
 		}
 		if err != nil {
 			return err
--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -48,12 +48,12 @@
 	k.FatalIfErrorf(c.run())
 }
 
-// maxWhy is how many characters the journal takes as the reason of a run.
-const maxWhy = 120
+// maxWhyLength is how many characters the journal takes as the reason of a run.
+const maxWhyLength = 120
 
 func (c *cli) run() error {
-	if len(c.Why) >= maxWhy {
-		return fmt.Errorf("--why is too long: under %d characters", maxWhy)
+	if len(c.Why) >= maxWhyLength {
+		return fmt.Errorf("--why is too long: under %d characters", maxWhyLength)
 	}
 	files, err := c.siteFiles()
 	if err != nil {
@@ -197,9 +197,9 @@
 		}
 		least := ""
 		if r.LeastServed != nil {
-			least = fmt.Sprintf("%s %.0f%%", r.LeastServed.Who, 100*r.LeastServed.Share)
+			least = fmt.Sprintf("%s %.0f%%", r.LeastServed.Group, 100*r.LeastServed.ServedShare)
 		}
-		t.AppendRow(table.Row{r.Site, r.Day, figure(r.Before), figure(r.Now), change, least, r.Problem})
+		t.AppendRow(table.Row{r.Site, r.Day, figure(r.Baseline), figure(r.Score), change, least, r.Problem})
 	}
 	t.Render()
 }
--- a/internal/agentd/command.go
+++ b/internal/agentd/command.go
@@ -217,7 +217,7 @@
 	if err != nil || stat.Size() == uploaded {
 		return uploaded
 	}
-	b := make([]byte, min(stat.Size(), artifacts.MaxOutput))
+	b := make([]byte, min(stat.Size(), artifacts.MaxOutputBytes))
 	n, _ := f.ReadAt(b, stat.Size()-int64(len(b))) // if the file shrank since Stat, less is uploaded
 	if d.artifacts.UploadOutput(p.job, p.index, p.key.Attempt, b[:n]) != nil {
 		return uploaded
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -73,9 +73,9 @@
 	return out
 }
 
-// userShare is the part of the connections, one in so many, that each kind of user request
+// userConnectionDivisor is the part of the connections, one in so many, that each kind of user request
 // may take.
-const userShare = 4
+const userConnectionDivisor = 4
 
 // replyTimeout is how long a user's request may take: below the 2 s that a poll
 // waits, so that the answer to repeat it still arrives.
@@ -85,7 +85,7 @@
 func New(engine Engine, conns int) *Server {
 	s := &Server{engine: engine, timeout: replyTimeout, limits: map[string]*concurrencyLimit{}}
 	// Each kind of user request may take a quarter of the connections, heartbeats all of them.
-	for kind, limit := range map[string]int{kindHeartbeat: conns, kindSubmit: conns / userShare, kindQuery: conns / userShare, kindCancel: conns / userShare} {
+	for kind, limit := range map[string]int{kindHeartbeat: conns, kindSubmit: conns / userConnectionDivisor, kindQuery: conns / userConnectionDivisor, kindCancel: conns / userConnectionDivisor} {
 		s.limits[kind] = &concurrencyLimit{maxInFlight: int64(max(limit, 1))}
 	}
 	s.http = &fasthttp.Server{
@@ -148,7 +148,7 @@
 			writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}, 0)
 			return
 		}
-		s.request(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
+		s.forward(ctx, kindSubmit, func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: job} })
 	case path == "/ready" && ctx.IsGet():
 		if s.engine.Ready() {
 			ctx.SetStatusCode(fasthttp.StatusOK)
@@ -159,9 +159,9 @@
 		ref, verb, _ := strings.Cut(path[len(runsPath)+1:], "/")
 		switch {
 		case verb == "" && ctx.IsGet():
-			s.request(ctx, kindQuery, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: ref} })
+			s.forward(ctx, kindQuery, func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: ref} })
 		case verb == "abort" && ctx.IsPost():
-			s.request(ctx, kindCancel, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: ref} })
+			s.forward(ctx, kindCancel, func(id core.RequestID) core.Command { return core.CancelJob{ID: id, JobID: ref} })
 		default:
 			writeReply(ctx, fasthttp.StatusNotFound, protocol.ErrorResponse{Error: "no such page"}, 0)
 		}
@@ -176,13 +176,13 @@
 		writeReply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: "malformed report"}, 0)
 		return
 	}
-	s.request(ctx, kindHeartbeat, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} })
+	s.forward(ctx, kindHeartbeat, func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: rep} })
 	if ctx.Response.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		ctx.SetConnectionClose()
 	}
 }
 
-func (s *Server) request(ctx *fasthttp.RequestCtx, kind string, build func(core.RequestID) core.Command) {
+func (s *Server) forward(ctx *fasthttp.RequestCtx, kind string, build func(core.RequestID) core.Command) {
 	limit := s.limits[kind]
 	if !limit.acquire() {
 		writeReply(ctx, fasthttp.StatusServiceUnavailable, protocol.ErrorResponse{Error: "too many requests of this kind"}, time.Second)
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -15,18 +15,18 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// scripted answers as the engine would.
-type scripted struct {
+// fakeEngine answers as the engine would.
+type fakeEngine struct {
 	ready bool
 	reply func(core.Command) (core.Reply, bool)
 }
 
-func (s *scripted) Ask(build func(core.RequestID) core.Command, _ time.Duration) (core.Reply, bool) {
+func (s *fakeEngine) Ask(build func(core.RequestID) core.Command, _ time.Duration) (core.Reply, bool) {
 	return s.reply(build(1))
 }
-func (s *scripted) Ready() bool { return s.ready }
+func (s *fakeEngine) Ready() bool { return s.ready }
 
-func serve(t *testing.T, e Engine) *fasthttp.Client {
+func newTestClient(t *testing.T, e Engine) *fasthttp.Client {
 	ln := fasthttputil.NewInmemoryListener()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -47,8 +47,8 @@
 	return resp.StatusCode(), string(resp.Header.Peek("Retry-After"))
 }
 
-func TestAnswers(t *testing.T) {
-	e := &scripted{reply: func(c core.Command) (core.Reply, bool) {
+func TestResponseStatusAndRetryAfter(t *testing.T) {
+	e := &fakeEngine{reply: func(c core.Command) (core.Reply, bool) {
 		switch c := c.(type) {
 		case core.QueryJob:
 			if c.JobID == "job-1" {
@@ -60,7 +60,7 @@
 		}
 		return core.Reply{}, false
 	}}
-	c := serve(t, e)
+	c := newTestClient(t, e)
 	for _, x := range []struct {
 		method, path string
 		body         []byte
@@ -101,17 +101,17 @@
 
 // However many polls are under way, a report and a submission still come in, and the
 // polls that find no room are answered at once.
-func TestPollsDoNotKeepReportsOut(t *testing.T) {
+func TestExcessQueriesAreRejectedAndHeartbeatsServed(t *testing.T) {
 	held := make(chan struct{})
 	started := make(chan struct{}, 100)
-	e := &scripted{reply: func(c core.Command) (core.Reply, bool) {
+	e := &fakeEngine{reply: func(c core.Command) (core.Reply, bool) {
 		if _, ok := c.(core.QueryJob); ok {
 			started <- struct{}{}
 			<-held
 		}
 		return core.Reply{Status: 200, Body: protocol.HeartbeatResponse{}}, true
 	}}
-	c := serve(t, e)
+	c := newTestClient(t, e)
 	for range 25 { // a quarter of the connections that serve allows
 		go func() {
 			var req fasthttp.Request
--- a/internal/artifacts/http.go
+++ b/internal/artifacts/http.go
@@ -15,18 +15,18 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// maxRequest leaves room for a description's or an output's headers.
-const maxRequest = MaxOutput + 4096
+// maxRequestBytes leaves room for a description's or an output's headers.
+const maxRequestBytes = MaxOutputBytes + 4096
 
-// errOtherJob says that a description was put under another job's id.
-var errOtherJob = errors.New("the description is of another job")
+// errJobIDMismatch says that a description was put under another job's id.
+var errJobIDMismatch = errors.New("the description is of another job")
 
 // Serve answers requests until ctx ends.
 func (s *Store) Serve(ctx context.Context, l net.Listener) error {
 	srv := &fasthttp.Server{
 		Handler:               s.handleRequest,
 		Name:                  "chalk-depot",
-		MaxRequestBodySize:    maxRequest,
+		MaxRequestBodySize:    maxRequestBytes,
 		IdleTimeout:           2 * time.Minute,
 		ReadTimeout:           2 * time.Minute, // an upload over a slow link
 		WriteTimeout:          10 * time.Second,
@@ -84,7 +84,7 @@
 func (s *Store) handleRequest(ctx *fasthttp.RequestCtx) {
 	r, ok := parseRoute(ctx)
 	if !ok {
-		replyNoSuchPage(ctx)
+		replyNotFound(ctx)
 		return
 	}
 	switch r.pattern {
@@ -107,7 +107,7 @@
 	case "GET /jobs/{job}/output/{task}/{attempt}":
 		s.handleGetOutput(ctx, r)
 	default:
-		replyNoSuchPage(ctx)
+		replyNotFound(ctx)
 	}
 }
 
@@ -118,7 +118,7 @@
 		err = description.Validate()
 	}
 	if err == nil && description.Job.ID != job {
-		err = errOtherJob
+		err = errJobIDMismatch
 	}
 	if err != nil {
 		httpserver.Reply(ctx, fasthttp.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
@@ -157,6 +157,6 @@
 	}
 }
 
-func replyNoSuchPage(ctx *fasthttp.RequestCtx) {
+func replyNotFound(ctx *fasthttp.RequestCtx) {
 	httpserver.Reply(ctx, fasthttp.StatusNotFound, protocol.ErrorResponse{Error: "no such page"})
 }
--- a/internal/artifacts/store.go
+++ b/internal/artifacts/store.go
@@ -28,9 +28,9 @@
 )
 
 const (
-	// MaxOutput is how much of an attempt's output is stored, the end of it, in bytes: what
+	// MaxOutputBytes is how much of an attempt's output is stored, the end of it, in bytes: what
 	// a person reads of it, times the attempts of large jobs, must fit a disk.
-	MaxOutput = 1 << 20
+	MaxOutputBytes = 1 << 20
 
 	// maxJobsPerPage keeps a list of jobs to a few dozen kilobytes.
 	maxJobsPerPage = 200
@@ -38,9 +38,9 @@
 
 // Files are synced together with the directories above that their first upload makes.
 const (
-	jobParents    = 1 // the directory of all jobs
-	resultParents = 2 // and the job's
-	outputParents = 2
+	newJobParents    = 1 // the directory of all jobs
+	newResultParents = 2 // and the job's
+	newOutputParents = 2
 )
 
 // ErrConflict is returned when a job's id is taken by another description.
@@ -121,11 +121,11 @@
 	return s.path(job, "results", strconv.Itoa(task))
 }
 
-// outputName is the format of an output file's name: task and attempt.
-const outputName = "%d.%d"
+// outputNameFormat is the format of an output file's name: task and attempt.
+const outputNameFormat = "%d.%d"
 
 func (s *Store) outputPath(job string, task int, attempt uint64) string {
-	return s.path(job, "output", fmt.Sprintf(outputName, task, attempt))
+	return s.path(job, "output", fmt.Sprintf(outputNameFormat, task, attempt))
 }
 
 // PutJob stores a description. The same one may be put again; another one with its id is
@@ -144,7 +144,7 @@
 		}
 		return nil
 	}
-	if err := WriteFile(path, protocol.Encode(d), jobParents); err != nil {
+	if err := WriteFile(path, protocol.Encode(d), newJobParents); err != nil {
 		return err
 	}
 	s.jobs = append(s.jobs, uploadedJob(d, time.Now()))
@@ -191,7 +191,7 @@
 	if s.Done(job, task) {
 		return nil
 	}
-	return WriteFile(s.resultPath(job, task), nil, resultParents)
+	return WriteFile(s.resultPath(job, task), nil, newResultParents)
 }
 
 // Done reports whether a task's result is stored.
@@ -202,7 +202,7 @@
 
 // PutOutput replaces an attempt's output, which an agent sends anew as it grows.
 func (s *Store) PutOutput(job string, task int, attempt uint64, output []byte) error {
-	return WriteFile(s.outputPath(job, task, attempt), output, outputParents)
+	return WriteFile(s.outputPath(job, task, attempt), output, newOutputParents)
 }
 
 // Output is an attempt's output; fs.ErrNotExist if there is none.
@@ -216,7 +216,7 @@
 	entries, _ := os.ReadDir(s.path(job, "output")) // no directory: no output yet
 	for _, entry := range entries {
 		var file protocol.OutputFile
-		if n, err := fmt.Sscanf(entry.Name(), outputName, &file.Task, &file.Attempt); n != 2 || err != nil {
+		if n, err := fmt.Sscanf(entry.Name(), outputNameFormat, &file.Task, &file.Attempt); n != 2 || err != nil {
 			continue // a file that is being written
 		}
 		if stat, err := entry.Info(); err == nil {
--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -32,28 +32,28 @@
 			s.Cloud.Types[0].MaxPerZone = 1
 			c := start(b, Options{Dir: b.TempDir(), Settings: s, MaxBatch: maxBatch})
 			defer func() { _ = c.Close() }()
-			load := &submissionLoad{b: b, end: time.Now().Add(benchmarkDuration), took: hdrhistogram.New(1, 60_000_000, 3)}
+			load := &submissionLoad{b: b, end: time.Now().Add(benchmarkDuration), latencies: hdrhistogram.New(1, 60_000_000, 3)}
 			var users sync.WaitGroup
 			for u := range 32 {
-				users.Go(func() { load.submitJobs(c.Controllers[u%len(c.Controllers)].Serve) })
+				users.Go(func() { load.submitJobs(c.Controllers[u%len(c.Controllers)].ServeAddr) })
 			}
 			users.Wait()
-			b.ReportMetric(float64(load.took.TotalCount())/benchmarkDuration.Seconds(), "submissions/s")
-			b.ReportMetric(float64(load.took.ValueAtQuantile(50))/1000, "p50-ms")
-			b.ReportMetric(float64(load.took.ValueAtQuantile(99))/1000, "p99-ms")
-			b.ReportMetric(float64(load.refused.Load()), "refused")
+			b.ReportMetric(float64(load.latencies.TotalCount())/benchmarkDuration.Seconds(), "submissions/s")
+			b.ReportMetric(float64(load.latencies.ValueAtQuantile(50))/1000, "p50-ms")
+			b.ReportMetric(float64(load.latencies.ValueAtQuantile(99))/1000, "p99-ms")
+			b.ReportMetric(float64(load.rejected.Load()), "refused")
 		})
 	}
 }
 
 // submissionLoad is users that submit jobs until its end.
 type submissionLoad struct {
-	b       *testing.B
-	end     time.Time
-	refused atomic.Int64
+	b        *testing.B
+	end      time.Time
+	rejected atomic.Int64
 
-	mu   sync.Mutex
-	took *hdrhistogram.Histogram // in microseconds
+	mu        sync.Mutex
+	latencies *hdrhistogram.Histogram // in microseconds
 }
 
 // submitJobs is one user: it submits one job after another to a controller.
@@ -67,7 +67,7 @@
 		}
 		sentAt := time.Now()
 		if client.Call("POST", controller, "/v2/runs", job, nil, 5*time.Second) != 201 {
-			l.refused.Add(1)
+			l.rejected.Add(1)
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
@@ -78,7 +78,7 @@
 func (l *submissionLoad) record(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.took.RecordValue(took.Microseconds()) // within a minute
+	_ = l.latencies.RecordValue(took.Microseconds()) // within a minute
 }
 
 // benchmarkJob is a job of one task, as it is on the wire.
@@ -114,7 +114,7 @@
 			b.ReportMetric(float64(running), "running")
 			b.ReportMetric(took.Seconds(), "s-to-full")
 			time.Sleep(10 * time.Second)
-			reportControllers(b, c)
+			reportControllerMetrics(b, c)
 			agents := c.AgentPIDs()
 			b.ReportMetric(float64(residentMB(agents))/float64(max(len(agents), 1)), "MB/agent")
 		})
@@ -145,13 +145,13 @@
 	return running, time.Since(startedAt)
 }
 
-// reportControllers reports the controllers' slowest answers and their machines.
-func reportControllers(b *testing.B, c *Cluster) {
+// reportControllerMetrics reports the controllers' slowest answers and their machines.
+func reportControllerMetrics(b *testing.B, c *Cluster) {
 	b.Helper()
 	p99, silent, machines := int64(0), 0, 0
 	for _, controller := range c.Controllers {
 		var status core.Status
-		if ReadStatus(controller.Status, &status) != nil {
+		if ReadStatus(controller.StatusAddr, &status) != nil {
 			continue
 		}
 		p99 = max(p99, status.ResponseTimes.P99)
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -104,9 +104,9 @@
 echo "done $CHALK_TASK $CHALK_ATTEMPT" >> "$DIR/lines"`}}, dir
 }
 
-// checkLines checks what the tasks of locking wrote and counts the attempts that came to their
+// checkTaskOutput checks what the tasks of locking wrote and counts the attempts that came to their
 // end.
-func checkLines(t *testing.T, dir string, tasks int) int {
+func checkTaskOutput(t *testing.T, dir string, tasks int) int {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(dir, "lines"))
 	if err != nil {
@@ -131,13 +131,13 @@
 
 // arrayRun is an array that runs on a cluster whose processes are killed meanwhile.
 type arrayRun struct {
-	t       *testing.T
-	ctx     context.Context
-	cluster *Cluster
-	client  *client.Client
-	job     client.Job
-	done    int
-	silent  []string // statuses of an array that waits without a reason
+	t                *testing.T
+	ctx              context.Context
+	cluster          *Cluster
+	client           *client.Client
+	job              client.Job
+	done             int
+	unexplainedWaits []string // statuses of an array that waits without a reason
 }
 
 func (a *arrayRun) observe(s *client.Status, err error) {
@@ -146,7 +146,7 @@
 	}
 	a.done = s.Done
 	if s.Running == 0 && s.Reason == "" {
-		a.silent = append(a.silent, fmt.Sprintf("%+v", *s))
+		a.unexplainedWaits = append(a.unexplainedWaits, fmt.Sprintf("%+v", *s))
 	}
 }
 
@@ -189,9 +189,9 @@
 	return 0
 }
 
-// disturb kills the leader, then all controllers, the state service, an agent, and the cloud
+// injectFaults kills the leader, then all controllers, the state service, an agent, and the cloud
 // with all its agents; it stops one agent while the cloud dies, another beyond its lease.
-func (a *arrayRun) disturb() {
+func (a *arrayRun) injectFaults() {
 	a.t.Helper()
 	a.waitDone(15)
 	a.t.Logf("%d agents", len(a.cluster.AgentPIDs()))
@@ -237,14 +237,14 @@
 	if _, err := cl.Submit(ctx, &run.job); err != nil {
 		t.Fatal(err)
 	}
-	run.disturb()
+	run.injectFaults()
 	s, err := cl.Wait(ctx, run.job.ID, 200*time.Millisecond, run.observe)
 	if err != nil || s.State != "done" || s.Done != tasks {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	attempts := checkLines(t, work, tasks)
-	if len(run.silent) > 0 {
-		t.Errorf("waits without a reason: %v", run.silent)
+	attempts := checkTaskOutput(t, work, tasks)
+	if len(run.unexplainedWaits) > 0 {
+		t.Errorf("waits without a reason: %v", run.unexplainedWaits)
 	}
 	t.Logf("%d attempts for %d tasks", attempts, tasks)
 	if err := c.Close(); err != nil {
@@ -295,7 +295,7 @@
 	if s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, nil); err != nil || s.State != "done" {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	attempts := checkLines(t, work, tasks)
+	attempts := checkTaskOutput(t, work, tasks)
 	b, err := os.ReadFile(filepath.Join(c.Dir(), "logs", "agents.log"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/local/configure.go
+++ b/internal/local/configure.go
@@ -60,10 +60,10 @@
 	for i := range s.Controllers {
 		own := addrs[serviceAddrs+addrsPerController*i:]
 		c.Controllers = append(c.Controllers, Controller{
-			Label:  fmt.Sprintf("ctl-%d", i),
-			Zone:   s.Zones[i%len(s.Zones)],
-			Serve:  own[0],
-			Status: own[1],
+			Label:      fmt.Sprintf("ctl-%d", i),
+			Zone:       s.Zones[i%len(s.Zones)],
+			ServeAddr:  own[0],
+			StatusAddr: own[1],
 		})
 	}
 	return nil
@@ -105,14 +105,14 @@
 	settings := config.Settings{
 		Label:      own.Label,
 		Zone:       own.Zone,
-		Listen:     own.Serve,
-		PeerListen: own.Status,
+		Listen:     own.ServeAddr,
+		PeerListen: own.StatusAddr,
 		External:   config.External{Cloud: c.Cloud, Store: c.State},
 		Site:       site,
 	}
 	for i, other := range c.Controllers {
 		if i != index {
-			settings.Siblings = append(settings.Siblings, config.Sibling{Label: other.Label, Zone: other.Zone, Address: other.Status})
+			settings.Siblings = append(settings.Siblings, config.Sibling{Label: other.Label, Zone: other.Zone, Address: other.StatusAddr})
 		}
 	}
 	b, err := json.Marshal(&settings)
--- a/internal/local/files.go
+++ b/internal/local/files.go
@@ -27,17 +27,17 @@
 
 // Controller is one controller.
 type Controller struct {
-	Label  string `json:"label"`
-	Zone   string `json:"zone"`
-	Serve  string `json:"serve_on"`
-	Status string `json:"status"` // its status page, the address that other controllers use
+	Label      string `json:"label"`
+	Zone       string `json:"zone"`
+	ServeAddr  string `json:"serve_on"`
+	StatusAddr string `json:"status"` // its status page, the address that other controllers use
 }
 
 // Client is a client of the cluster.
 func (a *Addresses) Client() (*client.Client, error) {
 	var controllers []string
 	for _, c := range a.Controllers {
-		controllers = append(controllers, c.Serve)
+		controllers = append(controllers, c.ServeAddr)
 	}
 	return client.New(controllers, a.Artifacts)
 }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -42,8 +42,8 @@
 
 	// A process that has exited so often, so long after the start, won't get ready; the
 	// first exits may come from ports or files of a cluster that is just ending.
-	hopelessExits = 4
-	hopelessAfter = 3 * time.Second
+	crashLoopExits = 4
+	crashLoopGrace = 3 * time.Second
 
 	// callTimeout bounds a call to a process of the cluster for its state.
 	callTimeout = time.Second
@@ -185,12 +185,12 @@
 	client := rpc.New(1, callTimeout)
 	start := time.Now()
 	for _, controller := range c.Controllers {
-		for client.Call(fasthttp.MethodGet, controller.Serve, "/ready", nil, nil, callTimeout) != fasthttp.StatusOK {
+		for client.Call(fasthttp.MethodGet, controller.ServeAddr, "/ready", nil, nil, callTimeout) != fasthttp.StatusOK {
 			waited := time.Since(start)
 			if waited > timeout {
 				return c.startFailure(controller.Label)
 			}
-			if name := c.hopelessProcess(); name != "" && waited > hopelessAfter {
+			if name := c.crashLoopingProcess(); name != "" && waited > crashLoopGrace {
 				return c.startFailure(name)
 			}
 			select {
@@ -203,12 +203,12 @@
 	return nil
 }
 
-// hopelessProcess is one that exits again and again, empty if there is none.
-func (c *Cluster) hopelessProcess() string {
+// crashLoopingProcess is one that exits again and again, empty if there is none.
+func (c *Cluster) crashLoopingProcess() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, p := range c.processes {
-		if p.exits >= hopelessExits {
+		if p.exits >= crashLoopExits {
 			return name
 		}
 	}
@@ -238,7 +238,7 @@
 func (c *Cluster) Leader() string {
 	for _, controller := range c.Controllers {
 		var status core.Status
-		if ReadStatus(controller.Status, &status) == nil && status.Leader != "" {
+		if ReadStatus(controller.StatusAddr, &status) == nil && status.Leader != "" {
 			return status.Leader
 		}
 	}
--- a/internal/local/process.go
+++ b/internal/local/process.go
@@ -74,8 +74,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	c.noteStarted(p, cmd.Process.Pid)
-	defer c.noteExited(p)
+	c.recordStart(p, cmd.Process.Pid)
+	defer c.recordExit(p)
 	cancelTerminate := context.AfterFunc(c.ctx, func() { _ = cmd.Process.Signal(syscall.SIGTERM) })
 	cancelKill := context.AfterFunc(c.ctx, func() {
 		time.Sleep(terminationGrace)
@@ -87,13 +87,13 @@
 	return err
 }
 
-func (c *Cluster) noteStarted(p *supervisedProcess, pid int) {
+func (c *Cluster) recordStart(p *supervisedProcess, pid int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.pid = pid
 }
 
-func (c *Cluster) noteExited(p *supervisedProcess) {
+func (c *Cluster) recordExit(p *supervisedProcess) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.pid = 0
--- a/internal/regress/regress.go
+++ b/internal/regress/regress.go
@@ -12,8 +12,8 @@
 	"github.com/goccy/go-json"
 )
 
-// MaxFall is how far a site's figure may fall: a smaller change is noise.
-const MaxFall = 0.03
+// MaxScoreDrop is how far a site's figure may fall: a smaller change is noise.
+const MaxScoreDrop = 0.03
 
 // MinServedShare is the share of the jobs of each class, of each team, and of each class's largest
 // jobs, that must have been served when a day ends; with less the day has failed, whatever it is worth.
@@ -39,31 +39,31 @@
 	Rules    map[string]any `json:"rules"` // broken rules, and how often
 	Fault    any            `json:"fault"` // why it could not be played, if so
 	Restarts float64        `json:"restarts"`
-	Served   []Served       `json:"served"` // each class, and each team; older entries have none
+	Served   []ServedGroup  `json:"served"` // each class, and each team; older entries have none
 }
 
-// Served is how much of one class's or one team's work was served, a list of three in
+// ServedGroup is how much of one class's or one team's work was served, a list of three in
 // the journal. Of the largest jobs of a class those are served that began within the users'
 // four minutes, as far as the journal tells; it does not say when they did.
-type Served struct {
-	Who   string  // a class's name, "team " and a team's, or "largest " and a class's
-	Jobs  float64 // its share of the day's jobs, 0 to 1
-	Share float64 // the share of those that was served, 0 to 1
+type ServedGroup struct {
+	Group       string  // a class's name, "team " and a team's, or "largest " and a class's
+	JobShare    float64 // its share of the day's jobs, 0 to 1
+	ServedShare float64 // the share of those that was served, 0 to 1
 }
 
 // UnmarshalJSON reads the list of three.
-func (s *Served) UnmarshalJSON(b []byte) error {
-	if err := json.Unmarshal(b, &[]any{&s.Who, &s.Jobs, &s.Share}); err != nil {
+func (s *ServedGroup) UnmarshalJSON(b []byte) error {
+	if err := json.Unmarshal(b, &[]any{&s.Group, &s.JobShare, &s.ServedShare}); err != nil {
 		return fmt.Errorf("what was served of a class or team: %w", err)
 	}
 	return nil
 }
 
 // LeastServed is the class or team of which least was served; nil if the bench did not say.
-func (d *Day) LeastServed() *Served {
-	var least *Served
+func (d *Day) LeastServed() *ServedGroup {
+	var least *ServedGroup
 	for i := range d.Served {
-		if s := &d.Served[i]; s.Jobs > 0 && (least == nil || s.Share < least.Share) {
+		if s := &d.Served[i]; s.JobShare > 0 && (least == nil || s.ServedShare < least.ServedShare) {
 			least = s
 		}
 	}
@@ -100,18 +100,18 @@
 
 // Row is one line of the verdict.
 type Row struct {
-	Site, Day   string
-	Now, Before *float64
-	LeastServed *Served // of a day: the class or team that was served least
-	Problem     string  // why this must not land; empty: it may
+	Site, Day       string
+	Score, Baseline *float64
+	LeastServed     *ServedGroup // of a day: the class or team that was served least
+	Problem         string       // why this must not land; empty: it may
 }
 
 // Change is how much a figure has moved; ok is false where there is nothing to compare.
 func (r *Row) Change() (x float64, ok bool) {
-	if r.Now == nil || r.Before == nil {
+	if r.Score == nil || r.Baseline == nil {
 		return 0, false
 	}
-	return *r.Now - *r.Before, true
+	return *r.Score - *r.Baseline, true
 }
 
 // Compare compares new entries with the newest earlier one of the same site and kind. A
@@ -127,16 +127,16 @@
 				old = b
 			}
 		}
-		site := Row{Site: e.Site, Day: e.Command, Now: e.Score}
+		site := Row{Site: e.Site, Day: e.Command, Score: e.Score}
 		days := map[string]*float64{}
 		if old != nil {
-			site.Before = old.Score
+			site.Baseline = old.Score
 			for _, d := range old.Days {
 				days[d.Name] = d.Score
 			}
 		}
-		if change, ok := site.Change(); ok && change < -MaxFall {
-			site.Problem = fmt.Sprintf("fell by more than %.2f", MaxFall)
+		if change, ok := site.Change(); ok && change < -MaxScoreDrop {
+			site.Problem = fmt.Sprintf("fell by more than %.2f", MaxScoreDrop)
 		}
 		if !e.OK || e.Error != nil {
 			site.Problem = fmt.Sprintf("the run failed: %v", e.Error)
@@ -146,7 +146,7 @@
 		}
 		rows = append(rows, site)
 		for _, d := range e.Days {
-			rows = append(rows, Row{Site: e.Site, Day: d.Name, Now: d.Score, Before: days[d.Name], LeastServed: d.LeastServed(), Problem: d.problem()})
+			rows = append(rows, Row{Site: e.Site, Day: d.Name, Score: d.Score, Baseline: days[d.Name], LeastServed: d.LeastServed(), Problem: d.problem()})
 		}
 	}
 	return rows
@@ -162,8 +162,8 @@
 		out = append(out, fmt.Sprintf("failed: %v", d.Fault))
 	}
 	for _, s := range d.Served {
-		if s.Jobs > 0 && s.Share < MinServedShare {
-			out = append(out, fmt.Sprintf("failed: only %.0f%% of %s served", 100*s.Share, s.Who))
+		if s.JobShare > 0 && s.ServedShare < MinServedShare {
+			out = append(out, fmt.Sprintf("failed: only %.0f%% of %s served", 100*s.ServedShare, s.Group))
 		}
 	}
 	if d.Score != nil && *d.Score == 0 && len(out) == 0 {
--- a/internal/regress/regress_test.go
+++ b/internal/regress/regress_test.go
@@ -29,7 +29,7 @@
 
 // What has been measured is compared with the newest of its own kind, and a broken
 // rule, a failed day or a fall is found.
-func TestJudge(t *testing.T) {
+func TestCompareReportsProblems(t *testing.T) {
 	dir := t.TempDir()
 	write(t, dir, "b.json", entry("b", "2", `"x.toml"`, "0.70", day("calm", "0.8", "", "null")))
 	write(t, dir, "a.json", entry("a", "1", `"x.toml"`, "0.90", day("calm", "0.9", "", "null")))
@@ -64,8 +64,8 @@
 		if got := strings.Join(said, "|"); got != c.bad || AnyProblem(rows) != (c.bad != "") {
 			t.Errorf("%s %s: %q", c.score, c.day, got)
 		}
-		if *rows[0].Before != 0.7 {
-			t.Errorf("compared with %v", *rows[0].Before)
+		if *rows[0].Baseline != 0.7 {
+			t.Errorf("compared with %v", *rows[0].Baseline)
 		}
 	}
 	write(t, dir, "torn.json", `{"id":`)
--- a/internal/shim/descendants.go
+++ b/internal/shim/descendants.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// reapInterval is the pause between two looks at what is left after a SIGKILL, which the
+// reapPollInterval is the pause between two looks at what is left after a SIGKILL, which the
 // kernel carries out within milliseconds.
-const reapInterval = 2 * time.Millisecond
+const reapPollInterval = 2 * time.Millisecond
 
 // reapDescendants kills what the command left behind and waits until it is gone.
 func reapDescendants() {
@@ -24,7 +24,7 @@
 		}
 		killAll(left)
 		reapZombies()
-		time.Sleep(reapInterval)
+		time.Sleep(reapPollInterval)
 	}
 }
 
@@ -44,7 +44,7 @@
 	for next := []int{os.Getpid()}; len(next) > 0; next = next[1:] {
 		children, err := childrenOf(next[0])
 		if err != nil {
-			return descendantsByParent()
+			return descendantsByScan()
 		}
 		found = append(found, children...)
 		next = append(next, children...)
@@ -77,9 +77,9 @@
 	return children, nil
 }
 
-// descendantsByParent finds the descendants by the parents of all processes.
-func descendantsByParent() []int {
-	children := childrenByParent()
+// descendantsByScan finds the descendants by the parents of all processes.
+func descendantsByScan() []int {
+	children := scanChildren()
 	var found []int
 	for next := []int{os.Getpid()}; len(next) > 0; {
 		direct := children[next[0]]
@@ -89,8 +89,8 @@
 	return found
 }
 
-// childrenByParent lists the children of each process.
-func childrenByParent() map[int][]int {
+// scanChildren lists the children of each process.
+func scanChildren() map[int][]int {
 	children := map[int][]int{}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // a bad pattern is the only error
 	for _, path := range stats {
@@ -102,16 +102,16 @@
 		if err != nil {
 			continue
 		}
-		if parent, ok := parentOf(string(b)); ok {
+		if parent, ok := parsePPID(string(b)); ok {
 			children[parent] = append(children[parent], pid)
 		}
 	}
 	return children
 }
 
-// parentOf reads the parent from a process's stat line: "pid (name) state parent ...",
+// parsePPID reads the parent from a process's stat line: "pid (name) state parent ...",
 // where the name may hold spaces and brackets.
-func parentOf(stat string) (int, bool) {
+func parsePPID(stat string) (int, bool) {
 	afterName := stat[strings.LastIndexByte(stat, ')')+1:]
 	fields := strings.Fields(afterName)
 	if len(fields) < 2 {
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -34,15 +34,15 @@
 	checkInterval = 250 * time.Millisecond
 
 	// Bounds of a line from the agent: a spec holds the command and its environment.
-	initialLine = 64 << 10
-	maxLine     = 4 << 20
+	initialLineBytes = 64 << 10
+	maxLineBytes     = 4 << 20
 
 	// Descriptors that the agent may hand down, beside standard input, output and error.
 	firstInheritedFD = 3
 	lastInheritedFD  = 9
 
-	// exitUnstarted stands for the exit code of a command that did not start.
-	exitUnstarted = -1
+	// exitCodeNotStarted stands for the exit code of a command that did not start.
+	exitCodeNotStarted = -1
 )
 
 // errNoCommand and errNoSpec are mistakes of the agent.
@@ -93,14 +93,14 @@
 		return err
 	}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, initialLine), maxLine)
+	lines.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	spec, err := readSpec(lines)
 	if err != nil {
 		return err
 	}
 	cmd, err := startCommand(spec)
 	if err != nil {
-		writeStatus(out, Status{Exited: true, ExitCode: exitUnstarted, Error: err.Error()})
+		writeStatus(out, Status{Exited: true, ExitCode: exitCodeNotStarted, Error: err.Error()})
 		return nil
 	}
 	writeStatus(out, Status{PID: cmd.Process.Pid})
--- a/internal/shim/shim_test.go
+++ b/internal/shim/shim_test.go
@@ -54,7 +54,7 @@
 	t.Cleanup(func() { _, _ = r.cmd.Process.Kill(), r.cmd.Wait() }) // it may have ended
 	r.out = bufio.NewScanner(out)
 	r.send(Spec{Command: []string{"sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH")}, Dir: filepath.Dir(r.outputPath), OutputPath: r.outputPath, LeaseUntil: int64(Clock() + until)})
-	if w := r.status(); w.PID == 0 {
+	if w := r.readStatus(); w.PID == 0 {
 		t.Fatalf("it does not start: %+v", w)
 	}
 	return r
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *shimProcess) status() (w Status) {
+func (r *shimProcess) readStatus() (w Status) {
 	r.t.Helper()
 	if !r.out.Scan() {
 		r.t.Fatal("the shim is silent")
@@ -82,8 +82,8 @@
 	return w
 }
 
-// waitForPIDs waits until the command has written so many process numbers.
-func (r *shimProcess) waitForPIDs(n int) (out []int) {
+// waitForOutputPIDs waits until the command has written so many process numbers.
+func (r *shimProcess) waitForOutputPIDs(n int) (out []int) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		b, _ := os.ReadFile(r.outputPath)
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (r *shimProcess) wantGone(pids []int) {
+func (r *shimProcess) requireExited(pids []int) {
 	r.t.Helper()
 	for _, p := range pids {
 		if err := syscall.Kill(p, 0); err != syscall.ESRCH {
@@ -117,7 +117,7 @@
 
 // Whoever tells the shim to end the command, nothing of it is left once that is said,
 // descendants that ran away included.
-func TestNoDescendantSurvives(t *testing.T) {
+func TestNoDescendantSurvivesEndOfCommand(t *testing.T) {
 	for name, end := range map[string]func(*shimProcess){
 		"an order":                        func(r *shimProcess) { r.send(Order{Kill: true}) },
 		"the agent is gone":               func(r *shimProcess) { _ = r.in.Close() },
@@ -126,13 +126,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startShim(t, escapingScript, time.Hour)
-			pids := r.waitForPIDs(3)
+			pids := r.waitForOutputPIDs(3)
 			end(r)
-			w := r.status()
+			w := r.readStatus()
 			if !w.Exited || w.ExitCode != -1 || w.LeaseExpired != strings.Contains(name, "lease") {
 				t.Fatalf("%+v", w)
 			}
-			r.wantGone(pids)
+			r.requireExited(pids)
 			if err := r.cmd.Wait(); err != nil {
 				t.Fatal(err)
 			}
@@ -142,25 +142,25 @@
 
 // A command that was asked to save ends with its own code; one that ends by itself takes
 // what it left behind with it.
-func TestCommandThatExitsTakesDescendantsAlong(t *testing.T) {
+func TestExitCodeReportedAndDescendantsKilledAfterExit(t *testing.T) {
 	r := startShim(t, `trap 'exit 75' TERM; echo $$; while :; do sleep 0.05; done`, time.Hour)
-	r.waitForPIDs(1)
+	r.waitForOutputPIDs(1)
 	r.send(Order{Terminate: true})
-	if w := r.status(); !w.Exited || w.ExitCode != 75 {
+	if w := r.readStatus(); !w.Exited || w.ExitCode != 75 {
 		t.Fatalf("%+v", w)
 	}
 	r = startShim(t, `setsid sh -c 'echo $$; sleep 300' & while [ ! -s output ]; do sleep 0.01; done; exit 0`, time.Hour)
-	pids := r.waitForPIDs(1)
-	if w := r.status(); !w.Exited || w.ExitCode != 0 {
+	pids := r.waitForOutputPIDs(1)
+	if w := r.readStatus(); !w.Exited || w.ExitCode != 0 {
 		t.Fatalf("%+v", w)
 	}
-	r.wantGone(pids)
+	r.requireExited(pids)
 }
 
 // A shim that was stopped beyond the lease ends the command as soon as it goes on.
 func TestPausedShimKillsAfterLeaseExpiry(t *testing.T) {
 	r := startShim(t, escapingScript, 400*time.Millisecond)
-	pids := r.waitForPIDs(3)
+	pids := r.waitForOutputPIDs(3)
 	if err := r.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
@@ -168,8 +168,8 @@
 	if err := r.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if w := r.status(); !w.Exited || !w.LeaseExpired {
+	if w := r.readStatus(); !w.Exited || !w.LeaseExpired {
 		t.Fatalf("%+v", w)
 	}
-	r.wantGone(pids)
+	r.requireExited(pids)
 }
--- a/internal/shim/supervisor.go
+++ b/internal/shim/supervisor.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// timerRest keeps the timer of an expired lease from firing again and again; killing takes
+// expiredTimerDelay keeps the timer of an expired lease from firing again and again; killing takes
 // far less.
-const timerRest = time.Hour
+const expiredTimerDelay = time.Hour
 
 // supervisor ends a command when it is told to, when the agent is gone and when the lease
 // is over.
@@ -37,9 +37,9 @@
 				s.kill()
 				continue
 			}
-			s.obey(order)
+			s.handleOrder(order)
 		case <-ticker.C:
-			s.check()
+			s.checkLease()
 		case <-time.After(max(s.leaseUntil-Clock(), 0)):
 			s.expireLease()
 		case <-exited:
@@ -49,7 +49,7 @@
 	}
 }
 
-func (s *supervisor) obey(order Order) {
+func (s *supervisor) handleOrder(order Order) {
 	switch {
 	case order.Kill:
 		s.kill()
@@ -60,9 +60,9 @@
 	}
 }
 
-// check looks at the clock, and repeats the killing until the command has exited: its
+// checkLease looks at the clock, and repeats the killing until the command has exited: its
 // descendants may have forked meanwhile.
-func (s *supervisor) check() {
+func (s *supervisor) checkLease() {
 	if Clock() > s.leaseUntil {
 		s.leaseExpired = true
 		s.kill()
@@ -75,7 +75,7 @@
 func (s *supervisor) expireLease() {
 	s.leaseExpired = true
 	s.kill()
-	s.leaseUntil += timerRest // check repeats the killing
+	s.leaseUntil += expiredTimerDelay // check repeats the killing
 }
 
 // kill kills the command's group, and the descendants that left it.
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// scratch is a module with tests that pass, fail and are skipped.
-var scratch = map[string]string{
+// scratchModule is a module with tests that pass, fail and are skipped.
+var scratchModule = map[string]string{
 	"go.mod": "module example.test/scratch\n\ngo 1.24\n",
 	"sound/sound_test.go": `package sound
 import "testing"
@@ -39,7 +39,7 @@
 func writeScratch(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range scratch {
+	for name, text := range scratchModule {
 		path := filepath.Join(dir, name)
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
@@ -51,7 +51,7 @@
 	return dir
 }
 
-func TestVerdicts(t *testing.T) {
+func TestOnlyListedTestsMayAndMustFail(t *testing.T) {
 	dir := writeScratch(t)
 	const red = "red TestRed, it is broken, issue 42\n"
 	for _, c := range []struct {
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s %s, %s, %s", e.Package, e.Test, e.Cause, e.Issue)
 }
 
-var entryForm = regexp.MustCompile(`^(\S+) (Test[\p{L}\p{N}_]*), (.+), (issue \d+)$`)
+var entryPattern = regexp.MustCompile(`^(\S+) (Test[\p{L}\p{N}_]*), (.+), (issue \d+)$`)
 
 // readList reads the list; a file that is missing is an empty one.
 func readList(path string) ([]entry, error) {
@@ -48,7 +48,7 @@
 		if line == "" {
 			continue
 		}
-		parts := entryForm.FindStringSubmatch(line)
+		parts := entryPattern.FindStringSubmatch(line)
 		if parts == nil {
 			return nil, fmt.Errorf("%q is not of the form \"package test, cause, issue number\"", line)
 		}
--- a/internal/tools/knownred/runner.go
+++ b/internal/tools/knownred/runner.go
@@ -29,7 +29,7 @@
 	if len(list) == 0 {
 		return r.run(r.packages...)
 	}
-	if err := r.exist(list); err != nil {
+	if err := r.checkListedTestsExist(list); err != nil {
 		return err
 	}
 	var errs []error
@@ -37,12 +37,12 @@
 		errs = append(errs, r.mustFail(e))
 	}
 	// Last, so that what is printed ends as go test ends it.
-	errs = append(errs, r.run(append([]string{"-skip=" + pattern(list)}, r.packages...)...))
+	errs = append(errs, r.run(append([]string{"-skip=" + testPattern(list)}, r.packages...)...))
 	return errors.Join(errs...)
 }
 
-// pattern matches the listed tests and no others.
-func pattern(list []entry) string {
+// testPattern matches the listed tests and no others.
+func testPattern(list []entry) string {
 	names := make([]string, 0, len(list))
 	for _, e := range list {
 		names = append(names, e.Test)
@@ -50,15 +50,15 @@
 	return "^(" + strings.Join(names, "|") + ")$"
 }
 
-// packageTimeout bounds the tests of one package. The core's take some minutes with the race
+// packageTimeoutFlag bounds the tests of one package. The core's take some minutes with the race
 // detector, and several times as long on a machine that is busy with other work; go test's own
 // ten minutes would make the verdict depend on that.
-const packageTimeout = "-timeout=30m"
+const packageTimeoutFlag = "-timeout=30m"
 
 // command prepares a go command; "test" gets the race detector if it is asked for.
 func (r *runner) command(verb string, args ...string) *exec.Cmd {
 	if verb == "test" {
-		args = append([]string{packageTimeout}, args...)
+		args = append([]string{packageTimeoutFlag}, args...)
 	}
 	if verb == "test" && r.race {
 		args = append([]string{"-race"}, args...)
@@ -100,16 +100,16 @@
 	return list, failed
 }
 
-// exist fails unless each listed test is there, in its package alone: the others are run
+// checkListedTestsExist fails unless each listed test is there, in its package alone: the others are run
 // without tests of that name, whatever package they are in.
-func (r *runner) exist(list []entry) error {
+func (r *runner) checkListedTestsExist(list []entry) error {
 	module, err := r.command("list", "-m").Output()
 	if err != nil {
 		return fmt.Errorf("go list -m: %w", err)
 	}
-	found, err := r.events(append([]string{"-list=" + pattern(list)}, r.packages...)...)
+	found, err := r.events(append([]string{"-list=" + testPattern(list)}, r.packages...)...)
 	if err != nil {
-		return fmt.Errorf("go test -list: %w\n%s", err, outputOf(found))
+		return fmt.Errorf("go test -list: %w\n%s", err, outputExcerpt(found))
 	}
 	packages := map[string][]string{}
 	for _, e := range found {
@@ -127,7 +127,7 @@
 
 // mustFail runs a listed test and prints how it fails. That it does not is an error.
 func (r *runner) mustFail(e entry) error {
-	events, err := r.events("-count=1", "-run="+pattern([]entry{e}), "./"+e.Package)
+	events, err := r.events("-count=1", "-run="+testPattern([]entry{e}), "./"+e.Package)
 	verdict := "none"
 	for _, x := range events {
 		if x.Test == e.Test && (x.Action == "pass" || x.Action == "fail" || x.Action == "skip") {
@@ -136,21 +136,21 @@
 	}
 	if verdict != "fail" {
 		return errors.Join(err, fmt.Errorf("known red: %s must fail, its verdict is %q: take its line away if its fault is mended\n%s",
-			e.Test, verdict, outputOf(events)))
+			e.Test, verdict, outputExcerpt(events)))
 	}
-	_, err = fmt.Fprintf(r.stdout, "known red: %s\n%s", e, outputOf(events))
+	_, err = fmt.Fprintf(r.stdout, "known red: %s\n%s", e, outputExcerpt(events))
 	return err
 }
 
-// mostLines is how many lines of a listed test's output are shown.
-const mostLines = 12
+// maxOutputLines is how many lines of a listed test's output are shown.
+const maxOutputLines = 12
 
-// outputOf is the beginning of what tests printed, indented.
-func outputOf(events []event) string {
+// outputExcerpt is the beginning of what tests printed, indented.
+func outputExcerpt(events []event) string {
 	var b strings.Builder
 	lines := 0
 	for _, e := range events {
-		if e.Output == "" || lines == mostLines {
+		if e.Output == "" || lines == maxOutputLines {
 			continue
 		}
 		lines++
--- a/internal/tools/loglines/loglines_test.go
+++ b/internal/tools/loglines/loglines_test.go
@@ -16,8 +16,8 @@
 
 const root = "../../.."
 
-// line is a log line and the package that writes it.
-type line struct{ text, pkg string }
+// logLine is a log line and the package that writes it.
+type logLine struct{ text, pkg string }
 
 // TestEveryLogLineIsDocumented keeps the page complete and free of lines that nobody writes.
 func TestEveryLogLineIsDocumented(t *testing.T) {
@@ -37,28 +37,28 @@
 	}
 }
 
-// row is a row of the page's table: a text, its level, the package that writes it.
-var row = regexp.MustCompile("^\\| `([^`]+)` \\| (?:debug|info|warn|error) \\| `([^`]+)` \\| \\S")
+// tableRow is a row of the page's table: a text, its level, the package that writes it.
+var tableRow = regexp.MustCompile("^\\| `([^`]+)` \\| (?:debug|info|warn|error) \\| `([^`]+)` \\| \\S")
 
-func documentedLines(t *testing.T) map[line]bool {
+func documentedLines(t *testing.T) map[logLine]bool {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join(root, "docs", "log-lines.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := map[line]bool{}
+	lines := map[logLine]bool{}
 	for text := range strings.Lines(string(page)) {
-		if cells := row.FindStringSubmatch(text); cells != nil {
-			lines[line{cells[1], cells[2]}] = true
+		if cells := tableRow.FindStringSubmatch(text); cells != nil {
+			lines[logLine{cells[1], cells[2]}] = true
 		}
 	}
 	return lines
 }
 
 // writtenLines finds the calls of loggers with a constant text, in all that is no test.
-func writtenLines(t *testing.T) map[line]bool {
+func writtenLines(t *testing.T) map[logLine]bool {
 	t.Helper()
-	lines := map[line]bool{}
+	lines := map[logLine]bool{}
 	for _, top := range []string{"internal", "cmd", "client"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -71,7 +71,7 @@
 			pkg, err := filepath.Rel(root, filepath.Dir(path))
 			ast.Inspect(file, func(node ast.Node) bool {
 				if text := logText(node); text != "" {
-					lines[line{text, pkg}] = true
+					lines[logLine{text, pkg}] = true
 				}
 				return true
 			})
