--- a/internal/kvfile/file_test.go
+++ b/internal/kvfile/file_test.go
@@ -132,7 +132,7 @@
 func verifyCorruptCopies(t *testing.T, intact []byte, path, want string) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
-	refused := 0
+	rejected := 0
 	verify := func(content []byte, format string, args ...any) {
 		t.Helper()
 		corruption := fmt.Sprintf(format, args...)
@@ -146,7 +146,7 @@
 		case err != nil && !errors.Is(err, ErrCorrupt):
 			t.Fatalf("%s: got error %v, want ErrCorrupt", corruption, err)
 		case err != nil:
-			refused++
+			rejected++
 		}
 	}
 	for range 150 {
@@ -164,8 +164,8 @@
 	for _, n := range []int{0, 1, 4095, 4096, 9000, len(intact) / 2} {
 		verify(intact[:n], "truncated to %d bytes", n)
 	}
-	if refused < 10 {
-		t.Fatalf("Verify rejected %d of the corrupt files, want at least 10", refused)
+	if rejected < 10 {
+		t.Fatalf("Verify rejected %d of the corrupt files, want at least 10", rejected)
 	}
 }
 
--- a/internal/peerproto/chunks.go
+++ b/internal/peerproto/chunks.go
@@ -57,20 +57,20 @@
 // dispatches in the chunks still in transit for lost and start their tasks twice.
 func (m *Message) LeaderChunks() []Message {
 	var out []Message
-	rest := *m
+	remaining := *m
 	for {
 		budget := maxListBytes
 		next := Message{Epoch: m.Epoch, Seq: m.Seq, Resync: m.Resync, Round: m.Round}
-		next.Views = takeFront(&rest.Views, &budget, func(v *JobView) int { return len(v.Job) + len(v.Reason) })
-		next.Cancelled = takeFront(&rest.Cancelled, &budget, nameBytes)
-		next.Dispatch = takeFront(&rest.Dispatch, &budget, taskAttemptBytes)
-		next.StartHeld = takeFront(&rest.StartHeld, &budget, taskAttemptBytes)
-		next.ReleaseHeld = takeFront(&rest.ReleaseHeld, &budget, taskAttemptBytes)
-		next.Stop = takeFront(&rest.Stop, &budget, func(s *StopTask) int { return len(s.Task) + len(s.Machine) + len(s.Reason) })
-		next.Cordon = takeFront(&rest.Cordon, &budget, nameBytes)
-		next.Uncordon = takeFront(&rest.Uncordon, &budget, nameBytes)
-		next.Drain = takeFront(&rest.Drain, &budget, nameBytes)
-		if rest.entryCount() == 0 {
+		next.Views = takeFront(&remaining.Views, &budget, func(v *JobView) int { return len(v.Job) + len(v.Reason) })
+		next.Cancelled = takeFront(&remaining.Cancelled, &budget, nameBytes)
+		next.Dispatch = takeFront(&remaining.Dispatch, &budget, taskAttemptBytes)
+		next.StartHeld = takeFront(&remaining.StartHeld, &budget, taskAttemptBytes)
+		next.ReleaseHeld = takeFront(&remaining.ReleaseHeld, &budget, taskAttemptBytes)
+		next.Stop = takeFront(&remaining.Stop, &budget, func(s *StopTask) int { return len(s.Task) + len(s.Machine) + len(s.Reason) })
+		next.Cordon = takeFront(&remaining.Cordon, &budget, nameBytes)
+		next.Uncordon = takeFront(&remaining.Uncordon, &budget, nameBytes)
+		next.Drain = takeFront(&remaining.Drain, &budget, nameBytes)
+		if remaining.entryCount() == 0 {
 			return append(out, next)
 		}
 		next.Seq, next.Resync, next.Round = m.Seq-1, false, nil
--- a/internal/peerproto/chunks_test.go
+++ b/internal/peerproto/chunks_test.go
@@ -18,27 +18,27 @@
 	for _, snapshot := range []bool{false, true} {
 		m := Message{Epoch: 7, Snapshot: snapshot, ReadSeq: 3, Assigned: []TaskAttempt{{Task: "job-1/0"}}, Released: []string{"n-9"}}
 		for i := range 900 {
-			s := MachineState{Name: fmt.Sprint("n-", i)}
+			machine := MachineState{Name: fmt.Sprint("n-", i)}
 			for k := range i % 5 * 100 {
-				s.Tasks = append(s.Tasks, TaskState{Task: fmt.Sprintf("job-1/%d", k)})
+				machine.Tasks = append(machine.Tasks, TaskState{Task: fmt.Sprintf("job-1/%d", k)})
 			}
-			m.Machines = append(m.Machines, s)
+			m.Machines = append(m.Machines, machine)
 		}
 		chunks := m.MemberChunks()
 		got := chunks[0]
 		got.Machines, got.More = nil, false
-		for i, p := range chunks {
+		for i, chunk := range chunks {
 			size := 0
-			for _, s := range p.Machines {
-				size += 1 + len(s.Tasks)
+			for _, machine := range chunk.Machines {
+				size += 1 + len(machine.Tasks)
 			}
-			if size > maxChunkEntries && len(p.Machines) > 1 {
+			if size > maxChunkEntries && len(chunk.Machines) > 1 {
 				t.Fatalf("chunk %d has %d machines and tasks, more than the limit", i, size)
 			}
-			if p.Epoch != 7 || p.Snapshot != snapshot || snapshot && (p.Chunk != i || p.More != (i+1 < len(chunks))) {
-				t.Fatalf("chunk %d of %d has a wrong epoch, Snapshot, Chunk or More: %+v", i, len(chunks), p)
+			if chunk.Epoch != 7 || chunk.Snapshot != snapshot || snapshot && (chunk.Chunk != i || chunk.More != (i+1 < len(chunks))) {
+				t.Fatalf("chunk %d of %d has a wrong epoch, Snapshot, Chunk or More: %+v", i, len(chunks), chunk)
 			}
-			got.Machines = append(got.Machines, p.Machines...)
+			got.Machines = append(got.Machines, chunk.Machines...)
 		}
 		if len(chunks) < 100 || !reflect.DeepEqual(got, m) {
 			t.Fatalf("%d chunks, want at least 100 that together equal the message", len(chunks))
@@ -64,12 +64,12 @@
 			}
 			var assigned, returned []TaskAttempt
 			chunks := m.MemberChunks()
-			for i, p := range chunks {
-				checkLineLength(t, p)
-				if p.More != (snapshot && i+1 < len(chunks)) || snapshot && p.Chunk != i {
-					t.Fatalf("chunk %d of %d has Chunk %d and More %v", i, len(chunks), p.Chunk, p.More)
+			for i, chunk := range chunks {
+				checkLineLength(t, chunk)
+				if chunk.More != (snapshot && i+1 < len(chunks)) || snapshot && chunk.Chunk != i {
+					t.Fatalf("chunk %d of %d has Chunk %d and More %v", i, len(chunks), chunk.Chunk, chunk.More)
 				}
-				assigned, returned = append(assigned, p.Assigned...), append(returned, p.Returned...)
+				assigned, returned = append(assigned, chunk.Assigned...), append(returned, chunk.Returned...)
 			}
 			if !reflect.DeepEqual(assigned, m.Assigned) || !reflect.DeepEqual(returned, m.Returned) {
 				t.Fatalf("%d machines, snapshot %v: the chunks' %d assigned and %d returned attempts differ from the message's", machines, snapshot, len(assigned), len(returned))
@@ -89,13 +89,13 @@
 		m := leaderMessage(test.machines, test.text)
 		chunks := m.LeaderChunks()
 		var got []listEntry
-		for i, p := range chunks {
-			checkLineLength(t, p)
+		for i, chunk := range chunks {
+			checkLineLength(t, chunk)
 			last := i+1 == len(chunks)
-			if p.Epoch != m.Epoch || p.Resync != last || last != (p.Seq == m.Seq) || !last && p.Seq != m.Seq-1 {
-				t.Fatalf("chunk %d of %d has wrong fields: epoch %d, seq %d, resync %v", i, len(chunks), p.Epoch, p.Seq, p.Resync)
+			if chunk.Epoch != m.Epoch || chunk.Resync != last || last != (chunk.Seq == m.Seq) || !last && chunk.Seq != m.Seq-1 {
+				t.Fatalf("chunk %d of %d has wrong fields: epoch %d, seq %d, resync %v", i, len(chunks), chunk.Epoch, chunk.Seq, chunk.Resync)
 			}
-			got = append(got, listEntries(p)...)
+			got = append(got, listEntries(chunk)...)
 		}
 		if !slices.Equal(got, listEntries(m)) {
 			t.Fatalf("%d machines: the entries of the %d chunks differ from the message's, or their order does", test.machines, len(chunks))
@@ -111,9 +111,9 @@
 func TestLeaderChunksKeepOversizedEntry(t *testing.T) {
 	m := leaderMessage(1, strings.Repeat("x", maxListBytes))
 	var got []listEntry
-	for _, p := range m.LeaderChunks() {
-		checkLineLength(t, p)
-		got = append(got, listEntries(p)...)
+	for _, chunk := range m.LeaderChunks() {
+		checkLineLength(t, chunk)
+		got = append(got, listEntries(chunk)...)
 	}
 	if !slices.Equal(got, listEntries(m)) {
 		t.Fatalf("the chunks' %d entries differ from the message's", len(got))
