--- a/internal/kvfile/load.go
+++ b/internal/kvfile/load.go
@@ -37,7 +37,7 @@
 	contents      kvstore.Contents
 	checksumTotal uint64
 	// recordCount counts the entries and leases that were read. The sizes of the maps in
-	// contents would not do: a corrupt tree may yield a record twice.
+	// contents can be smaller, because a corrupt tree may yield a record twice.
 	recordCount int
 }
 
--- a/internal/kvfile/snapshots.go
+++ b/internal/kvfile/snapshots.go
@@ -91,8 +91,9 @@
 	return "", nil
 }
 
-// PruneSnapshots removes all snapshots in a directory except the newest ones, as many as
-// keep says. If some cannot be removed, it removes the others and returns all errors.
+// PruneSnapshots keeps the given number of the newest snapshots in a directory and removes
+// the others. If some of these cannot be removed, it still removes the remaining ones and
+// returns all errors.
 func PruneSnapshots(dir string, keep int) error {
 	var errs []error
 	for i, path := range ListSnapshots(dir) {
--- a/internal/kvstore/state.go
+++ b/internal/kvstore/state.go
@@ -14,8 +14,8 @@
 //     State and the writes that must reach the disk for it. The store's owner publishes the
 //     next State only once these writes are durable, and keeps the earlier State if they
 //     fail.
-//   - Each transaction with changes has a revision of its own, one above the one before. The
-//     end of a lease deletes all keys that are attached to it in one revision.
+//   - Each transaction with changes has a revision of its own, which is the previous revision
+//     plus one. The end of a lease deletes all keys that are attached to it in one revision.
 //   - Events of one revision are retained or dropped together.
 package kvstore
 
@@ -212,10 +212,10 @@
 	}
 }
 
-// Range returns a page of the keys with a prefix, in order, starting after the key after.
-// A limit that is not positive or is above the maximum number of items per page means that
-// maximum. A page also ends at the maximum size, but holds at least one item if there is
-// one.
+// Range returns one page of the keys that begin with a prefix, in order. It skips the keys up
+// to and including the parameter after, which is empty for the first page. A limit that is not
+// positive or is above the maximum number of items per page means that maximum. A page also
+// ends at the maximum size, but holds at least one item if there is one.
 func (s *State) Range(prefix, after string, limit int) protocol.KeyPage {
 	if limit <= 0 || limit > maxPageItems {
 		limit = maxPageItems
@@ -238,7 +238,8 @@
 	}
 }
 
-// firstKey returns the lowest possible key with a prefix that sorts after the key after.
+// firstKey returns the lower bound of the keys that begin with a prefix and sort after the
+// parameter after, which is empty for the first page.
 func firstKey(prefix, after string) string {
 	if after == "" {
 		return prefix
--- a/internal/kvstore/state_test.go
+++ b/internal/kvstore/state_test.go
@@ -89,7 +89,7 @@
 			batch := state.Begin()
 			result, err := batch.Commit(&test.txn)
 			if !errors.Is(err, test.wantErr) || fmt.Sprint(result.FailedKeys) != fmt.Sprint(test.wantFailed) || result.Revision != test.wantRevision {
-				t.Fatalf("got result %+v, error %v", result, err)
+				t.Fatalf("Commit returned the wrong result or error: %+v, %v", result, err)
 			}
 			if changed := !batch.IsEmpty(); changed != (err == nil && result.Committed() && len(test.txn.Then) > 0) {
 				t.Fatalf("batch has the wrong writes: %v", batch.EntryWrites)
--- a/internal/kvstore/txn_test.go
+++ b/internal/kvstore/txn_test.go
@@ -24,7 +24,7 @@
 		txn        Txn
 		wantReason string // empty if the transaction is valid
 	}{
-		{"empty", Txn{}, ""},
+		{"no guards and no changes", Txn{}, ""},
 		{"put and delete of two keys", Txn{Then: []Op{{Put: "a", Value: value}, {Delete: "b"}}}, ""},
 		{"value of the largest size", Txn{Then: []Op{{Put: "a", Value: valueOf(1024)}}}, ""},
 		{"maximum number of guards", Txn{If: guards(8)}, ""},
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -10,8 +10,8 @@
 //   - Messages of a session arrive in the order in which they were sent, and none is skipped. If a
 //     message is lost, the session ends; the core sends again what the next session needs.
 //   - The queued messages of all sessions together take at most MaxQueuedBytes of memory.
-//   - Each session is posted as connected once, before its messages, and as disconnected
-//     once, after them.
+//   - For each session, the core receives PeerConnected once, before the session's messages, and
+//     PeerDisconnected once, after them.
 package peer
 
 import (
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -90,8 +90,8 @@
 // errLineTooLong reports a line longer than any that a controller sends.
 var errLineTooLong = errors.New("read message from peer: line exceeds the maximum length of a message")
 
-// readLine reads a line and returns it with its line feed. A line longer than a message may be is an
-// error.
+// readLine reads a line and returns it with its line feed. It returns errLineTooLong if it has read
+// more than peerproto.MaxLineBytes without finding the end of the line.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
--- a/internal/peerproto/chunks.go
+++ b/internal/peerproto/chunks.go
@@ -53,8 +53,8 @@
 // lists of a message in the order in which they are divided here.
 //
 // All chunks but the last carry the Seq of the previous message. A member that sends a snapshot
-// between two chunks would otherwise report the whole message as read, and the leader would take
-// dispatches in the chunks still in transit for lost and start their tasks twice.
+// between two chunks would otherwise report the whole message as read, and the leader would treat
+// the dispatches in the chunks still in transit as lost and start their tasks twice.
 func (m *Message) LeaderChunks() []Message {
 	var out []Message
 	remaining := *m
--- a/internal/peerproto/message.go
+++ b/internal/peerproto/message.go
@@ -32,7 +32,7 @@
 	Dispatch    []TaskAttempt   `json:"dispatch,omitempty"`
 	Stop        []StopTask      `json:"stop,omitempty"`
 	StartHeld   []TaskAttempt   `json:"release,omitempty"` // held attempts of a gang to start
-	ReleaseHeld []TaskAttempt   `json:"drop,omitempty"`    // held attempts of a gang to give up
+	ReleaseHeld []TaskAttempt   `json:"drop,omitempty"`    // held attempts of a gang to remove, which frees their reserved capacity
 	Drain       []string        `json:"drain,omitempty"`   // machines that get no new tasks for the rest of the epoch
 	Cordon      []string        `json:"close,omitempty"`   // machines that get no new tasks until Uncordon
 	Uncordon    []string        `json:"reopen,omitempty"`  // machines that get new tasks again
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -7,8 +7,8 @@
 // what a Verdict requests.
 //
 // Invariants: silence of its machines makes a member leave only after some of them were probed and
-// had time to respond; and each time a controller leaves without having reached a machine since
-// it last left, it stays outside the map for longer.
+// had time to respond; and if a controller leaves again before a machine has confirmed its fencing
+// token, the minimum time for which it stays outside the map doubles, up to a limit.
 package reachability
 
 import "time"
@@ -17,9 +17,9 @@
 	// probesPerRound is how many machines are probed at once.
 	probesPerRound = 3
 
-	// silenceLeaseDivisor divides a worker's lease: for at most a third of it a member may hear
-	// from no machine. The rest leaves the next owner time to reach the machines before their
-	// leases expire.
+	// silenceLeaseDivisor divides a worker's lease: a member that hears from no machine for a third
+	// of a lease leaves the shard map. In the other two thirds the next owner can reach the machines
+	// before their leases expire.
 	silenceLeaseDivisor = 3
 
 	// probeValidityHeartbeats is for how many heartbeat periods a reply to a probe stays valid.
@@ -55,7 +55,7 @@
 	HeardWithin(span time.Duration) (heard, confirmed bool)
 }
 
-// View is the state of the controller at one moment.
+// View is the state of the controller at the time Now.
 type View struct {
 	Now         time.Duration // on a monotonic clock, like all times in this package
 	IsMember    bool          // whether the controller is in the current shard map
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -13,7 +13,7 @@
 	Zones       []string     `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
 	StopReason  string       `msgpack:"why,omitempty"`    // why the job was stopped
 	Chunks      int          `msgpack:"pieces,omitempty"` // if not 0, the full record is stored in this many chunks
-	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // part of the chunks' keys; a record with chunks itself has only the job's id and state
+	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // part of the chunks' keys; if there are chunks, this record itself provides only the job's id, State, SubmittedAt and Zones
 	DoneAt      float64      `msgpack:"over,omitempty"`   // Unix time when the job was done, in seconds; 0: written by a version without this field
 }
 
@@ -85,7 +85,7 @@
 	Class  string  `msgpack:"class"`
 	CPUs   float64 `msgpack:"cpus"`
 	GPUs   float64 `msgpack:"gpus"`
-	Mean   float64 `msgpack:"mean"`
-	Count  float64 `msgpack:"n"`
+	Mean   float64 `msgpack:"mean"` // seconds
+	Count  float64 `msgpack:"n"`    // weight of the mean, in durations
 	LastAt float64 `msgpack:"last"` // Unix time, in seconds, at which the newest duration was observed
 }
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -31,8 +31,8 @@
 // Registry describes the current registry, from which a plan starts.
 type Registry struct {
 	// Pages iterates over the pages in the order of their keys, each with the names of its
-	// machines. Page returns the names on the page with a key, and PageCount is the number of
-	// pages.
+	// machines. Page returns the names of the machines on the page with the given key, and PageCount
+	// is the number of pages.
 	Pages     iter.Seq2[string, []string]
 	Page      func(key string) []string
 	PageCount int
