--- a/internal/degraded/cancellation_test.go
+++ b/internal/degraded/cancellation_test.go
@@ -67,8 +67,8 @@
 }
 
 // oneIn draws true with a probability of about one in n.
-func (s *cancellationSimulation) oneIn(n int, what string) bool {
-	return rapid.IntRange(0, n-1).Draw(s.t, what) == 0
+func (s *cancellationSimulation) oneIn(n int, drawName string) bool {
+	return rapid.IntRange(0, n-1).Draw(s.t, drawName) == 0
 }
 
 // schedule calls run after a drawn delay of 1 to maxMillis milliseconds.
--- a/internal/degraded/takeover_test.go
+++ b/internal/degraded/takeover_test.go
@@ -28,9 +28,9 @@
 	vote    Vote
 }
 
-func (p *message) equal(q *message) bool {
-	return p.arrives == q.arrives && p.to == q.to && p.round.Number == q.round.Number &&
-		p.from == q.from && p.vote.Round == q.vote.Round
+func (m *message) equal(other *message) bool {
+	return m.arrives == other.arrives && m.to == other.to && m.round.Number == other.round.Number &&
+		m.from == other.from && m.vote.Round == other.vote.Round
 }
 
 func newTakeoverSimulation(t *rapid.T) *takeoverSimulation {
@@ -47,8 +47,8 @@
 	return s
 }
 
-func (s *takeoverSimulation) drawDelay(what string, maxMillis int) time.Duration {
-	return time.Duration(rapid.IntRange(0, maxMillis).Draw(s.t, what)) * time.Millisecond
+func (s *takeoverSimulation) drawDelay(drawName string, maxMillis int) time.Duration {
+	return time.Duration(rapid.IntRange(0, maxMillis).Draw(s.t, drawName)) * time.Millisecond
 }
 
 func (s *takeoverSimulation) drawLost() bool { return rapid.IntRange(0, 19).Draw(s.t, "lost") == 7 }
@@ -65,10 +65,10 @@
 	if round, due := s.coordinator.NextRound(now, interval, window); due {
 		s.openRound(now, round)
 	}
-	for _, p := range slices.Clone(s.network) {
-		if p.arrives <= now {
-			s.network = slices.DeleteFunc(s.network, func(q message) bool { return q.equal(&p) })
-			s.deliver(now, &p)
+	for _, m := range slices.Clone(s.network) {
+		if m.arrives <= now {
+			s.network = slices.DeleteFunc(s.network, func(other message) bool { return other.equal(&m) })
+			s.deliver(now, &m)
 		}
 	}
 }
@@ -83,15 +83,15 @@
 	}
 }
 
-func (s *takeoverSimulation) deliver(now time.Duration, p *message) {
-	if p.from != "" {
-		s.coordinator.ReceiveVote(p.from, p.vote, leaderEpoch, window, s.labels)
+func (s *takeoverSimulation) deliver(now time.Duration, m *message) {
+	if m.from != "" {
+		s.coordinator.ReceiveVote(m.from, m.vote, leaderEpoch, window, s.labels)
 		return
 	}
-	s.voters[p.to].HandleRound(now, window, p.round)
+	s.voters[m.to].HandleRound(now, window, m.round)
 	if !s.drawLost() {
-		vote := s.voteOf(p.to, now, p.round.Number)
-		s.network = append(s.network, message{arrives: now + s.drawDelay("back", 300), from: p.to, vote: vote})
+		vote := s.voteOf(m.to, now, m.round.Number)
+		s.network = append(s.network, message{arrives: now + s.drawDelay("back", 300), from: m.to, vote: vote})
 	}
 }
 
--- a/internal/mirror/barrier.go
+++ b/internal/mirror/barrier.go
@@ -56,9 +56,9 @@
 // schedule one more. Sending the second would overwrite the first one's callbacks, which would
 // then never be called.
 func (m *Mirror) finishBarrier(ok bool) {
-	served := m.barriers.inFlight
+	callbacks := m.barriers.inFlight
 	m.barriers.inFlight = nil
-	for _, done := range served {
+	for _, done := range callbacks {
 		done(ok)
 	}
 	m.barriers.active = false
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -25,7 +25,7 @@
 	Reset()
 	// Put stores a key's new value. It reports whether the mirror should record the key's
 	// version; a replica that records it itself returns false.
-	Put(key string, value protocol.Raw, version uint64) (rememberVersion bool)
+	Put(key string, value protocol.Raw, version uint64) (recordVersion bool)
 	// Delete deletes a key.
 	Delete(key string)
 	// EndBatch is called after each batch of Put and Delete; a load is one batch.
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -117,10 +117,10 @@
 	return protocol.WatchEvent{Put: key, Value: protocol.Raw(value), Version: version}
 }
 
-func requireEqual[T comparable](t *testing.T, what string, got, want T) {
+func requireEqual[T comparable](t *testing.T, description string, got, want T) {
 	t.Helper()
 	if got != want {
-		t.Fatalf("%s: %v, want %v", what, got, want)
+		t.Fatalf("%s: %v, want %v", description, got, want)
 	}
 }
 
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestOneWatchIsOpen(t *testing.T) {
+func TestOnlyOneWatchIsOpenPerInterval(t *testing.T) {
 	h := newHarness()
 	h.load(5)
 	for range 3 {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -240,4 +240,4 @@
 	}
 }
 
-func joinConstants(w ...string) string { return strings.Join(w, " ") }
+func joinConstants(constants ...string) string { return strings.Join(constants, " ") }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -138,9 +138,9 @@
 	err    error
 }
 
-func (f *submissionFields) fail(name, what string) {
+func (f *submissionFields) fail(name, problem string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("field %s %s", name, what)
+		f.err = fmt.Errorf("field %s %s", name, problem)
 	}
 }
 
--- a/internal/protocol/validate.go
+++ b/internal/protocol/validate.go
@@ -22,8 +22,8 @@
 // allocates memory according to the lengths that a message states. validate rejects every length that
 // is greater than the number of bytes that follow it.
 func validate(b []byte) error {
-	rest, err := skipValue(b, 0)
-	if err == nil && len(rest) > 0 {
+	trailing, err := skipValue(b, 0)
+	if err == nil && len(trailing) > 0 {
 		err = ErrTrailing
 	}
 	return err
@@ -104,11 +104,11 @@
 	if len(b) < width {
 		return 0, nil, errTruncated
 	}
-	length, rest := bigEndian(b[:width]), b[width:]
-	if length > uint64(len(rest)) {
+	length, following := bigEndian(b[:width]), b[width:]
+	if length > uint64(len(following)) {
 		return 0, nil, errTruncated
 	}
-	return int(length), rest, nil
+	return int(length), following, nil
 }
 
 // bigEndian decodes an unsigned integer of one, two, four or eight bytes.
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -115,11 +115,11 @@
 // parseYAMLMessage parses "line N: text". A message without a line is attributed to line 1.
 func parseYAMLMessage(errorText string) Violation {
 	withoutLine := Violation{1, errorText}
-	rest, ok := strings.CutPrefix(errorText, "line ")
+	numberAndText, ok := strings.CutPrefix(errorText, "line ")
 	if !ok {
 		return withoutLine
 	}
-	number, text, ok := strings.Cut(rest, ": ")
+	number, text, ok := strings.Cut(numberAndText, ": ")
 	if !ok {
 		return withoutLine
 	}
