--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,7 +61,7 @@
 		"load('other.star', 'z')\nspot_share = 0.25": "p.star:1",
 	} {
 		if _, err := ParsePolicy("p.star", []byte(src)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("script %q: unexpected error %v", src, err)
+			t.Errorf("script %q: got error %v, want one with the position and the problem", src, err)
 		}
 	}
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -29,7 +29,7 @@
 	PreemptHeartbeats   float64 // a task may be preempted if it loses at most this many heartbeat intervals of work
 	PreemptForGuarantee bool    // preempt tasks that other teams run beyond their guarantee
 	BootTimeoutFactor   float64 // boot timeout of a machine, in boot times
-	FairShare           float64 // minimum share of the jobs of each class of a team that is served before others go on; 0: none
+	FairShare           float64 // a team's jobs of a class are boosted while less than this share of those served or overdue is served; 0: never
 	OverdueLeases       float64 // a job that has waited for more than this many worker leases is overdue
 	LargestStartS       float64 // seconds within which the largest arrays of a class should start; 0: no such target
 }
--- a/internal/degraded/cancellation_log.go
+++ b/internal/degraded/cancellation_log.go
@@ -9,17 +9,17 @@
 // yet to deliver. The zero value is ready to use and holds minLogCapacity cancellations. It is
 // not safe for concurrent use.
 //
-// Recording only the controller's own confirmed writes is not enough: a controller acknowledged a
-// cancellation to a user that it had not written, or whose write had got no response, and no vote
-// listed it.
+// Recording only the controller's own confirmed writes is not enough. When the log did so, a
+// controller acknowledged a cancellation that another one had written, or for whose write it had got
+// no response, and no vote listed that cancellation.
 type CancellationLog struct {
-	capacity int // minLogCapacity applies if this is less
+	capacity int // the log holds minLogCapacity cancellations if this is less
 
 	// completeSince is the revision after which no cancellation has been dropped.
 	completeSince uint64
 
 	entries []cancellation  // in the order in which they were recorded
-	jobs    map[string]bool // of the entries
+	jobs    map[string]bool // jobs of the entries
 }
 
 type cancellation struct {
@@ -27,8 +27,8 @@
 	revision uint64 // of the write
 }
 
-// NewCancellationLog returns a log that holds at least capacity cancellations. It must hold all
-// that some controller's mirror has yet to deliver, because a round needs them.
+// NewCancellationLog returns a log that holds at least capacity cancellations. A round needs all
+// cancellations that the mirror of any controller has yet to deliver, so the log must hold those.
 func NewCancellationLog(capacity int) CancellationLog {
 	return CancellationLog{capacity: capacity}
 }
@@ -54,7 +54,7 @@
 	oldest := l.entries[0]
 	l.completeSince = max(l.completeSince, oldest.revision)
 	delete(l.jobs, oldest.job)
-	l.entries = l.entries[1:] // append copies the entries that are left once the array is full
+	l.entries = l.entries[1:] // append copies the remaining entries once the array is full
 }
 
 // Since returns the jobs whose cancellations are newer than the revision since. That is the
--- a/internal/degraded/cancellation_log_test.go
+++ b/internal/degraded/cancellation_log_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// A log holds at least its capacity, and records the same cancellation only once.
+// A log holds its capacity or, if that is less, minLogCapacity, and records a cancellation only once.
 func TestCancellationLogHoldsItsCapacity(t *testing.T) {
 	for _, capacity := range []uint64{10, 8000, 16000} {
 		t.Run(fmt.Sprint(capacity), func(t *testing.T) {
--- a/internal/degraded/cancellation_test.go
+++ b/internal/degraded/cancellation_test.go
@@ -19,7 +19,7 @@
 type simulatedController struct {
 	log            CancellationLog
 	mirrorRevision uint64                   // its mirror has every change up to this revision
-	learned        map[string]bool          // cancelled jobs that a round listed
+	learned        map[string]bool          // cancelled jobs that a round's outcome listed
 	acknowledgedAt map[string]time.Duration // when it first acknowledged a job's cancellation to a user
 }
 
@@ -122,7 +122,7 @@
 		s.schedule(300, func() { s.readWatch(controller, revision) })
 	}
 	if controller.mirrorRevision > 0 && s.oneIn(4, "acknowledges") {
-		index := rapid.IntRange(0, int(controller.mirrorRevision)-1).Draw(s.t, "about")
+		index := rapid.IntRange(0, int(controller.mirrorRevision)-1).Draw(s.t, "acknowledged job")
 		controller.acknowledge(s.jobs[index], s.now)
 	}
 }
--- a/internal/degraded/coordinator.go
+++ b/internal/degraded/coordinator.go
@@ -13,10 +13,10 @@
 	votes     map[string]Vote // by the controller's label
 	complete  bool            // all votes of the round have arrived
 
-	agreedRound    uint64   // the last round in which all votes agreed; 0 if there is none
-	cancelledJobs  []string // jobs that the votes of agreedRound listed, sorted
-	cancelledSince uint64   // revision that every mirror had reached in the last complete round
-	serveUntil     time.Duration
+	agreedRound    uint64        // the last round in which all votes agreed; 0 if there is none
+	cancelledJobs  []string      // jobs that the votes of agreedRound listed, sorted
+	cancelledSince uint64        // revision that every mirror had reached in the last complete round
+	serveUntil     time.Duration // the leader may serve until then; 0 if it may not
 }
 
 // NextRound returns the round that the leader must send to all controllers now, if one is due.
--- a/internal/degraded/degraded.go
+++ b/internal/degraded/degraded.go
@@ -11,8 +11,8 @@
 // # Scope
 //
 // The package owns the rounds, the votes, and the time until which the caller may serve. It is
-// pure: it has no clock, input or output. Times, rounds and votes go in; the next round and
-// deadlines come out. It must not know how messages travel, what a machine or a task is, or
+// pure: it has no clock, input or output. Callers pass in times, rounds and votes, and get the next
+// round and the deadlines. It must not know how messages travel, what a machine or a task is, or
 // how a lease is renewed while the state service responds.
 //
 // All times are of one controller's monotonic clock; they are never compared between
--- a/internal/degraded/degraded_test.go
+++ b/internal/degraded/degraded_test.go
@@ -33,7 +33,7 @@
 	return controllerLabels[:rapid.IntRange(2, 4).Draw(t, "controllers")]
 }
 
-// permittingVote returns a vote that permits serving.
+// permittingVote returns a vote that permits serving in leaderEpoch.
 func permittingVote(round, mirrorRevision uint64) Vote {
 	return Vote{Round: round, Epoch: leaderEpoch, StoreDown: true, MirrorRevision: mirrorRevision, IncludesMirror: true}
 }
--- a/internal/degraded/takeover_test.go
+++ b/internal/degraded/takeover_test.go
@@ -38,7 +38,7 @@
 	for _, label := range s.labels {
 		s.entersAt[label] = time.Hour // never, within the test
 		if rapid.IntRange(0, 2).Draw(t, "enters") == 1 {
-			s.entersAt[label] = s.drawDelay("at", 4000)
+			s.entersAt[label] = s.drawDelay("entry time", 4000)
 		}
 	}
 	for _, label := range s.labels[1:] {
@@ -78,7 +78,7 @@
 	s.coordinator.ReceiveVote(leader, s.voteOf(leader, now, round.Number), leaderEpoch, window, s.labels)
 	for _, label := range s.labels[1:] {
 		if !s.drawLost() {
-			s.network = append(s.network, message{arrives: now + s.drawDelay("there", 1600), to: label, round: round})
+			s.network = append(s.network, message{arrives: now + s.drawDelay("delay of a round", 1600), to: label, round: round})
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	s.voters[m.to].HandleRound(now, window, m.round)
 	if !s.drawLost() {
 		vote := s.voteOf(m.to, now, m.round.Number)
-		s.network = append(s.network, message{arrives: now + s.drawDelay("back", 300), from: m.to, vote: vote})
+		s.network = append(s.network, message{arrives: now + s.drawDelay("delay of a vote", 300), from: m.to, vote: vote})
 	}
 }
 
--- a/internal/degraded/voter.go
+++ b/internal/degraded/voter.go
@@ -10,7 +10,7 @@
 	lastVotedAt     time.Duration
 	previousRound   uint64 // the round voted in before lastRound
 	previousVotedAt time.Duration
-	serveUntil      time.Duration
+	serveUntil      time.Duration // the controller may serve until then; 0 if it may not
 }
 
 // HandleRound records that the vote in a round is sent now. If the round reports that all votes
--- a/internal/engine/clients.go
+++ b/internal/engine/clients.go
@@ -2,8 +2,8 @@
 
 import "github.com/chalkhub/chalkhub/internal/core"
 
-// Clients carry out the core's effects on other systems. The methods of all but Peers block for
-// as long as the call takes. Each call runs in a goroutine of its own, so these clients must be
+// Clients carry out the core's effects on other systems. The methods of all clients but Peers block
+// for as long as the call takes. Each call runs in a goroutine of its own, so these clients must be
 // safe for concurrent use.
 type Clients struct {
 	Store   StoreClient
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -7,7 +7,8 @@
 // out which effect.
 //
 // Invariants:
-//   - Only the goroutine of Engine.Run accesses the core. Everything else goes through the queue.
+//   - Only the goroutine of Engine.Run accesses the core. All other goroutines post commands to the
+//     queue.
 //   - Effects are carried out in the order in which the core returns them, except for outside
 //     calls: these run concurrently, and their results come back as commands.
 //   - A request gets at most one reply.
@@ -179,8 +180,8 @@
 	return core.Instant{Monotonic: e.Clock(), Wall: float64(time.Now().UnixMicro()) / 1e6}
 }
 
-// perform carries out an effect. It does not wait for outside calls: each runs in a goroutine
-// of its own, which ends at the latest with the call's timeout.
+// perform carries out an effect. It does not wait for outside calls: each runs in a goroutine of
+// its own, and ends with its timeout at the latest.
 func (e *Engine) perform(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Reply:
--- a/internal/engine/outcomes_test.go
+++ b/internal/engine/outcomes_test.go
@@ -6,8 +6,8 @@
 	"github.com/chalkhub/chalkhub/internal/core"
 )
 
-// outcomes lists the expected outcome of every status of one kind of call: some statuses have an
-// outcome of their own, all others share one.
+// outcomes lists the expected outcome of every status of one kind of call: that in byStatus or, for
+// all other statuses, otherwise.
 type outcomes[T comparable] struct {
 	decode    func(status int) T
 	byStatus  map[int]T
@@ -65,8 +65,8 @@
 	}, core.CloudThrottled}.check(t)
 }
 
-// A result command whose outcome is not set must read as "no response", so that value must be
-// the zero value of each outcome type.
+// A result whose outcome is not set must mean that there was no response. The outcome of NoResponse
+// must therefore be the zero value of each outcome type.
 func TestNoResponseIsTheZeroOutcome(t *testing.T) {
 	if CommitOutcome(NoResponse) != 0 || LeaseOutcome(NoResponse) != 0 || WatchOutcome(NoResponse) != 0 ||
 		DirectOutcome(NoResponse) != 0 || CloudOutcome(NoResponse) != 0 {
--- a/internal/mirror/barrier.go
+++ b/internal/mirror/barrier.go
@@ -48,8 +48,8 @@
 	m.host.RequestChanges(m.revision, 0, true)
 }
 
-// finishBarrier runs the callbacks of the barrier that got its response, and schedules the next
-// barrier.
+// finishBarrier runs the callbacks of the barrier in flight once its response has arrived, and
+// schedules the next barrier.
 //
 // The barrier stays active until all its callbacks have returned. Otherwise a callback that
 // requests another barrier would schedule that one at once, and the end of this function would
@@ -66,8 +66,8 @@
 }
 
 // failBarriers runs all callbacks with false, because the replica is no longer complete. If a
-// barrier is in flight, its response then has no callbacks to run, and the next barrier is not
-// sent before it has arrived.
+// barrier is in flight, its response then has no callbacks to run; the next barrier is still not
+// sent before that response has arrived.
 func (m *Mirror) failBarriers() {
 	failed := slices.Concat(m.barriers.inFlight, m.barriers.waiting)
 	m.barriers.inFlight, m.barriers.waiting = nil, nil
--- a/internal/mirror/barrier_property_test.go
+++ b/internal/mirror/barrier_property_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// barrierModel checks the guarantees to a barrier's callback, from the requests that the mirror
-// sends and the responses that it gets.
+// barrierModel checks what Barrier guarantees to its callbacks. It counts the requests that the
+// mirror sends and the responses that the test passes to it.
 type barrierModel struct {
 	*harness
 	t *rapid.T
@@ -31,12 +31,12 @@
 	openBarriers      int
 	openWatches       int
 	reloads           int           // how often the replica had to be loaded again
-	requested, called int           // callbacks
+	requested, called int           // callbacks passed to Barrier, and calls of them
 	loadSentAt        time.Duration // when the last load was requested
 }
 
-// requestBarrier requests a barrier whose callback requests nested more of them, each of which
-// does the same, down to depth levels.
+// requestBarrier requests a barrier. If depth is above 0, its callback requests as many further
+// barriers as nested says, each with a depth that is one less.
 func (m *barrierModel) requestBarrier(nested, depth int) {
 	m.requested++
 	calls, sentBefore, reloadsBefore, ready := 0, m.barriersSent, m.reloads, m.IsReady()
@@ -47,7 +47,7 @@
 		m.called++
 		m.observeRequests()
 		if ok && (!ready || m.reloads > reloadsBefore) {
-			m.t.Fatal("a callback succeeded although the replica was not complete since its request")
+			m.t.Fatal("a callback succeeded although the replica was not loaded at its request, or had to be loaded again since")
 		}
 		if ok && m.barriersSent <= sentBefore {
 			m.t.Fatal("a callback succeeded with a barrier that was sent before its request")
@@ -105,9 +105,9 @@
 }
 
 // Barriers are requested at random, also from callbacks, and served, refused or compacted in any
-// order. Every callback must be called exactly once. It may succeed only with a barrier that was
-// sent after its request, and only if the replica was complete all the time. At most one barrier
-// is in flight.
+// order. Every callback must be called exactly once. It may get true only from a barrier that was
+// sent after its request, and only if the replica was complete from the request on. At most one
+// barrier may be in flight.
 func TestEveryBarrierCallbackIsCalledOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &barrierModel{harness: newHarness(), t: rt}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -95,8 +95,8 @@
 
 // load is the state of the load in progress, or of the last one.
 type load struct {
-	afterKey string        // the last key read so far; empty before the first page
-	revision uint64        // of the first page
+	afterKey string        // the last key read so far; empty before the first page and after the last one
+	revision uint64        // revision of the first page
 	sentAt   time.Duration // when the first page was requested
 	pacer    pacer
 }
@@ -169,7 +169,7 @@
 	})
 }
 
-// put passes a value to the replica unless a newer version of the key is known.
+// put passes a value to the replica unless a newer version of the key is recorded.
 func (m *Mirror) put(key string, value protocol.Raw, version uint64) {
 	if m.versions[key] > version {
 		return
@@ -179,7 +179,8 @@
 	}
 }
 
-// remove passes a deletion to the replica unless a page of a load had a newer version of the key.
+// remove passes a deletion to the replica unless a page of a load contained a newer version of the
+// key.
 func (m *Mirror) remove(key string, version uint64) {
 	if m.versions[key] > version {
 		return
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -98,7 +98,7 @@
 	h.now = end
 }
 
-// load serves the first page with all keys at a revision.
+// load serves all keys in a single page, at the given revision.
 func (h *harness) load(revision uint64, items ...protocol.KeyValue) {
 	h.Maintain()
 	h.HandlePage(mirror.Page{OK: true, SentAt: h.now, Items: items, Revision: revision})
@@ -142,7 +142,7 @@
 	requireEqual(t, "revision (that of the first page)", h.Revision(), 5)
 	requireEqual(t, "fresh since (when the first page was requested)", h.FreshAt(), 0)
 	if want := map[string]string{"a": "1", "b": "1", "c": "1"}; !maps.Equal(h.keys, want) {
-		t.Fatalf("keys %v", h.keys)
+		t.Fatalf("keys after the load: %v, want a, b and c", h.keys)
 	}
 }
 
@@ -177,8 +177,8 @@
 	requireEqual(t, "load revision", h.LoadRevision(), 50)
 }
 
-// The watch and a barrier both get the response that their changes are compacted. The second
-// response arrives while the load is in progress and must not cause another one.
+// The responses to the watch and to a barrier both report that the changes are compacted. The
+// second response arrives while the load is in progress and must not cause another one.
 func TestSeveralCompactedResponsesCauseOneLoad(t *testing.T) {
 	h := newHarness()
 	h.load(5)
@@ -310,5 +310,5 @@
 			h.serveChanges(true, 6)
 		}
 	}
-	requireEqual(t, "served", served, 3)
+	requireEqual(t, "callbacks called", served, 3)
 }
--- a/internal/mirror/pacer.go
+++ b/internal/mirror/pacer.go
@@ -9,7 +9,7 @@
 // pacing, the next watch or barrier was sent as soon as a response arrived, until lease renewals
 // and submissions were refused with status 429.
 type pacer struct {
-	nextAt time.Duration
+	nextAt time.Duration // the earliest time for the next request
 }
 
 // send calls request: at once, or when an interval has passed since the previous request.
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -18,10 +18,10 @@
 
 // Changes is the response to RequestChanges.
 type Changes struct {
-	Barrier  bool
+	Barrier  bool          // the request was a barrier, not a watch
 	SentAt   time.Duration // when the request was sent
 	Outcome  ChangesOutcome
-	Failure  string // the reason in the log, if Outcome is Failed
+	Failure  string // the reason to log if Outcome is Failed
 	Response protocol.WatchResponse
 }
 
@@ -59,7 +59,7 @@
 		m.host.Info("state service available again")
 	}
 	if !m.IsReady() {
-		return // the watch that follows the load delivers these changes again
+		return // the first watch after the load delivers these changes again
 	}
 	for _, event := range changes.Response.Events {
 		// The responses to a watch and a barrier can overlap. Events that an earlier response
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -42,8 +42,8 @@
 }
 
 // Decode decodes the single MessagePack value in b into v, which must be a pointer. It returns an
-// error if b is malformed or has trailing bytes. b may come from an
-// untrusted source: the lengths stated in it are checked before memory is allocated for them.
+// error if b is malformed or has trailing bytes. b may come from an untrusted source: the lengths
+// stated in it are checked before memory is allocated for them.
 func Decode(b []byte, v any) error {
 	if err := validate(b); err != nil {
 		return err
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// encodeAs encodes a value in the format that the extension of the file's name stands for.
+// encodeAs encodes a value in the format that the file's extension names.
 func encodeAs(t *testing.T, file string, value any) []byte {
 	t.Helper()
 	switch filepath.Ext(file) {
@@ -190,7 +190,7 @@
 }
 
 // flagSubmissionPrefix starts the names of files with submissions as users send them: they have all
-// fields, also those that Encode omits from a Job, and one of the three flags is set.
+// fields, also those that Encode omits from a Job if they are zero, and one of the three flags is set.
 const flagSubmissionPrefix = "user-submission-flag-"
 
 // TestDecodeJobMatchesStructTagDecoding compares DecodeJob, which reads a submission field by field, with
--- a/internal/protocol/jsonsize.go
+++ b/internal/protocol/jsonsize.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// JSONSize returns a close upper bound of the size of a value as JSON, in bytes. The state service
+// JSONSize returns a tight upper bound on the size of a value as JSON, in bytes. The state service
 // applies its size limits to JSON. Like Encode, it panics on types that cannot be encoded.
 //
 // Characters in strings that JSON may escape are counted as escaped.
@@ -54,7 +54,7 @@
 
 // scalar returns the size of a null, boolean or number.
 func (s *jsonSizer) scalar(code byte) int {
-	const sign = 1 // integers are measured as unsigned; this is for a possible minus sign
+	const sign = 1 // one byte for a minus sign, because integers are measured as unsigned
 	switch code {
 	case msgpcode.Nil, msgpcode.False, msgpcode.True:
 		return len("false")
@@ -102,7 +102,7 @@
 	return size
 }
 
-// readBytes consumes and returns the next count bytes.
+// readBytes returns the next count bytes and advances past them.
 func (s *jsonSizer) readBytes(count int) []byte {
 	read := s.unread[:count]
 	s.unread = s.unread[count:]
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	if j.ID != "job-000412" || j.Tasks != 16 || j.CPUs != 8 || j.MachineTypes[0] != "g8" || !j.OneZone || j.Zone != "" || j.DeadlineS != 900 {
-		t.Fatalf("%+v", j)
+		t.Fatalf("submission decoded to other values: %+v", j)
 	}
 	m := submission()
 	delete(m, "GavelS")
@@ -65,7 +65,7 @@
 		delete(m, field)
 		_, err := protocol.DecodeJob(protocol.Encode(m))
 		if optional := field == "Rigtypes" || field == "Yard" || field == "GavelS" || field == "Awaits"; (err == nil) != optional {
-			t.Errorf("submission without %s: %v", field, err)
+			t.Errorf("submission without %s: got error %v, want one only if the field is required", field, err)
 		}
 	}
 	valid := protocol.Encode(submission())
@@ -147,12 +147,12 @@
 	}
 	if r.Machine != "n-000231" || !r.Spot || r.Seq != 88 || r.Token != 3<<40 || r.NoticeS == nil || *r.NoticeS != 13 ||
 		len(r.Tasks) != 2 || r.Tasks[0].State != protocol.TaskRunning || r.Tasks[1].ExitReason != protocol.ExitStopped || !r.Tasks[1].Saved {
-		t.Fatalf("%+v", r)
+		t.Fatalf("heartbeat decoded to other values: %+v", r)
 	}
 	delete(m, "Lots")
 	m["RecallS"] = nil
 	if err := protocol.Decode(protocol.Encode(m), &r); err != nil || r.NoticeS != nil || r.Tasks != nil {
-		t.Fatalf("%v %+v", err, r)
+		t.Fatalf("heartbeat without tasks and preemption notice: error %v, decoded to %+v", err, r)
 	}
 	for field, bad := range map[string]any{"Rig": 1, "Shift": "1", "Tally": -1, "Lots": "none", "Loaner": 1} {
 		m := map[string]any{"Rig": "n-1", field: bad}
@@ -174,7 +174,7 @@
 		m := submission()
 		m["Awaits"] = c.value
 		if j, err := protocol.DecodeJob(protocol.Encode(m)); err != nil || len(j.Dependencies) != c.want {
-			t.Errorf("%v: %v, %v", c.value, j.Dependencies, err)
+			t.Errorf("dependencies %v: got %v, error %v", c.value, j.Dependencies, err)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	} {
 		b, err := hex.DecodeString(encoded)
 		if err != nil || !roundTrip(b) {
-			t.Errorf("%s: %v", encoded, err)
+			t.Errorf("record %s does not round-trip, or is not valid hex: %v", encoded, err)
 		}
 	}
 }
--- a/internal/protocol/store.go
+++ b/internal/protocol/store.go
@@ -47,7 +47,7 @@
 	TTLMillis int64 `msgpack:"LifeMs"`
 }
 
-// LeaseResponse returns the id of the granted lease.
+// LeaseResponse is the response to a LeaseRequest: the id of the granted lease.
 type LeaseResponse struct {
 	Lease uint64 `msgpack:"Permit"`
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -59,8 +59,8 @@
 	Dependencies []string `msgpack:"Awaits,omitempty"`    // ids of the jobs that must be done before any task of this job starts
 }
 
-// JobResponse is a controller's response about the state of a job. Done and Running count tasks, and
-// Reason says why tasks wait or were stopped.
+// JobResponse describes the state of a job in a controller's response to a user. Done and Running
+// count tasks, and Reason says why tasks wait or were stopped.
 type JobResponse struct {
 	ID      string `msgpack:"Ref"`
 	State   string `msgpack:"Status"`
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -23,8 +23,8 @@
 	ExitNoCapacity     = "no_room"
 	ExitDuplicate      = "busy"       // the machine already runs an attempt of the task
 	ExitUnknownTask    = "no_such"    // the worker does not know the task
-	ExitGangPeerLost   = "peers"      // another task of the gang was missing for too long while it ran
-	ExitGangIncomplete = "incomplete" // the tasks of the gang did not all come up in time
+	ExitGangPeerLost   = "peers"      // another task of the gang was missing for too long while this one ran
+	ExitGangIncomplete = "incomplete" // the tasks of the gang were not all ready in time
 )
 
 // Kinds of commands to a worker.
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -112,7 +112,7 @@
 	return violations
 }
 
-// parseYAMLMessage parses "line N: text". A message without a line is attributed to line 1.
+// parseYAMLMessage parses "line N: text". A message that does not name a line is reported for line 1.
 func parseYAMLMessage(errorText string) Violation {
 	withoutLine := Violation{1, errorText}
 	numberAndText, ok := strings.CutPrefix(errorText, "line ")
@@ -173,8 +173,8 @@
 	v.List = append(v.List, Violation{lineOf(root, invalid.InstanceLocation), text})
 }
 
-// lineOf returns the line of the value at a path, or that of the innermost existing value around it if it
-// is missing.
+// lineOf returns the line of the value at a path. If the value is missing, that is the line of the
+// innermost existing value on the path.
 func lineOf(node *yaml.Node, path []string) int {
 	line := node.Line
 	for _, step := range path {
--- a/internal/stepdown/stepdown.go
+++ b/internal/stepdown/stepdown.go
@@ -60,8 +60,8 @@
 }
 
 // ShouldAbstain reports whether this controller should leave vacant leadership to others because
-// its backoff has not ended. It should not if no other controller is alive, or if leadership has
-// been vacant for takeoverTime, the time that others need to take over.
+// its backoff has not ended. It does not abstain if no other controller is alive, or if
+// leadership has been vacant for takeoverTime, the time that others need to take over.
 func (t *Tracker) ShouldAbstain(now time.Duration, othersAlive bool, vacantFor, takeoverTime time.Duration) bool {
 	return now < t.backoffUntil && othersAlive && vacantFor < takeoverTime
 }
--- a/internal/stepdown/stepdown_test.go
+++ b/internal/stepdown/stepdown_test.go
@@ -35,7 +35,7 @@
 func TestStepDownsPerHourAreBounded(t *testing.T) {
 	for _, test := range []struct {
 		period   time.Duration // between two changes of the link
-		stepDown bool          // a step-down is expected: the link is cut for longer than gracePeriod
+		stepDown bool          // whether the link is cut for longer than gracePeriod, so that a step-down is expected
 	}{
 		{3 * time.Second, false},
 		{5 * time.Second, true},
@@ -54,8 +54,8 @@
 	}
 }
 
-// checkVacantLeadershipIsTaken checks that a controller does not abstain when no other controller takes
-// over leadership.
+// checkVacantLeadershipIsTaken checks that a controller does not abstain when no other controller
+// takes over leadership.
 func checkVacantLeadershipIsTaken(t *testing.T, tracker *Tracker) {
 	t.Helper()
 	if tracker.ShouldAbstain(time.Hour, false, 0, takeoverTime) {
