--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -25,9 +25,9 @@
 	IdleBoots           float64 // an idle spot machine is kept for this many boot times
 	HorizonShare        float64 // share of the time left to meet an objective within which queued work should be done
 	SpotMinBoots        float64 // a spot machine is rented only to serve queued work for at least this many boot times
-	OnDemandMinBoots    float64 // an on-demand machine is rented only for work that has at least this many boot times left
+	OnDemandMinBoots    float64 // an on-demand machine is rented only for work that has at least this many boot times left to be done in time
 	PreemptHeartbeats   float64 // a task may be preempted if it loses at most this many heartbeat intervals of work
-	PreemptForGuarantee bool    // preempt tasks that other teams run beyond their guarantee
+	PreemptForGuarantee bool    // for jobs within their team's guarantee, preempt tasks that other teams run beyond theirs
 	BootTimeoutFactor   float64 // boot timeout of a machine, in boot times
 	FairShare           float64 // a team's jobs of a class are boosted while less than this share of those served or overdue is served; 0: never
 	OverdueLeases       float64 // a job that has waited for more than this many worker leases is overdue
