--- a/internal/core/consistency_faults_test.go
+++ b/internal/core/consistency_faults_test.go
@@ -98,15 +98,15 @@
 		job := s.Users.Submit(simulation.Array(2), 15)
 		s.eventually(10*second, "the job is accepted", func() bool { return job.Accepted })
 		s.Users.OnlyNode = nil
-		again, answers := job.Spec, map[string]core.ReplyStatus{}
-		again.CPUs = 4096
+		resubmitted, statuses := job.Spec, map[string]core.ReplyStatus{}
+		resubmitted.CPUs = 4096
 		for _, node := range s.Nodes {
-			submit := func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: again} }
-			node.Request(submit, func(reply core.Reply) { answers[node.Label] = reply.Status })
+			submit := func(id core.RequestID) core.Command { return core.SubmitJob{ID: id, Spec: resubmitted} }
+			node.Request(submit, func(reply core.Reply) { statuses[node.Label] = reply.Status })
 		}
 		s.Run(s.Now + 5*second)
 		for _, node := range s.Nodes {
-			if got := answers[node.Label]; got != core.ReplyOK && (got != core.ReplyUnavailable || node != slow) {
+			if got := statuses[node.Label]; got != core.ReplyOK && (got != core.ReplyUnavailable || node != slow) {
 				t.Fatalf("%s responded with status %d, want the state of the accepted job", node.Label, got)
 			}
 		}
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -479,14 +479,14 @@
 			{Task: protocol.TaskName(cancelled.Spec.ID, 1), Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone},
 			{Task: protocol.TaskName(other.Spec.ID, 0), Attempt: 1, State: protocol.TaskRunning},
 		}}
-	var answer protocol.HeartbeatResponse
+	var response protocol.HeartbeatResponse
 	worker.Controller().Request(func(id core.RequestID) core.Command { return core.Heartbeat{ID: id, Report: stale} }, func(r core.Reply) {
-		answer, _ = r.Body.(protocol.HeartbeatResponse)
+		response, _ = r.Body.(protocol.HeartbeatResponse)
 	})
 	s.Run(s.Now + second)
 	stop := protocol.Command{Kind: protocol.CommandStop, Task: stale.Tasks[0].Task, Attempt: 1}
-	if len(answer.Commands) != 1 || answer.Commands[0] != stop {
-		t.Fatalf("the response has commands %+v, want only the stop of the cancelled job's running task", answer.Commands)
+	if len(response.Commands) != 1 || response.Commands[0] != stop {
+		t.Fatalf("the response has commands %+v, want only the stop of the cancelled job's running task", response.Commands)
 	}
 }
 
@@ -607,7 +607,7 @@
 			red := s.Users.Submit(spec, 300)
 			s.eventually(60*second, "all tasks run", func() bool { return red.RunningTasks() == 24 })
 			fault.seed(s, red)
-			if !slices.ContainsFunc(s.Violations, func(b string) bool { return strings.Contains(b, fault.rule+":") }) {
+			if !slices.ContainsFunc(s.Violations, func(violation string) bool { return strings.Contains(violation, fault.rule+":") }) {
 				t.Errorf("no violation of %s was recorded: %v", fault.rule, s.Violations)
 			}
 		})
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -42,14 +42,14 @@
 	s.eventually(30*second, "the job is accepted", func() bool { return job.Accepted })
 	s.Run(s.Now + 5*second)
 	s.Store.Throttled = 0
-	asked, answered := 0, 0
+	polls, responses := 0, 0
 	for i := range 3000 {
 		s.At(s.Now+time.Duration(i)*5*time.Millisecond, func() {
 			node := s.Nodes[i%3]
-			asked++
+			polls++
 			node.Request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: job.Spec.ID} }, func(reply core.Reply) {
 				if reply.Status == 200 {
-					answered++
+					responses++
 				}
 			})
 		})
@@ -62,15 +62,15 @@
 		})
 	}
 	s.Run(s.Now + 16*second)
-	if s.Store.Throttled > 0 || answered < asked {
-		t.Fatalf("%d requests exceeded the rate limit, want none; %d of %d polls got a response, want all", s.Store.Throttled, answered, asked)
+	if s.Store.Throttled > 0 || responses < polls {
+		t.Fatalf("%d requests exceeded the rate limit, want none; %d of %d polls got a response, want all", s.Store.Throttled, responses, polls)
 	}
 	s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 }
 
 // Transactions that get no response and are applied late must not accept a job twice, lose a job or undo
 // a cancellation.
-func TestLateTransactionsAndLostResponses(t *testing.T) {
+func TestLateTransactionsAndLostResponsesAreHarmless(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 40+seed)
 		s.Store.DelayedCommitShare, s.Store.MaxCommitDelay = 0.15, 6*second
@@ -92,7 +92,7 @@
 // A controller that missed more changes than the state service keeps loads all keys again, page by page.
 // The state service refuses some of these requests. The controller must then know every job, also those
 // that have ended.
-func TestPagedLoadAfterCompaction(t *testing.T) {
+func TestPagedLoadFindsEveryJob(t *testing.T) {
 	s := newScenario(t, 47)
 	s.Store.AddFinishedJobs(4500)
 	open := s.Users.Submit(simulation.Array(4), 200)
@@ -106,7 +106,7 @@
 	s.eventually(20*second, "the restarted controller is ready", func() bool { return restarted.Ready })
 	for i, want := range map[int]string{0: protocol.JobCancelled, 51: protocol.JobDone, 4499: protocol.JobDone} {
 		restarted.Request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(reply core.Reply) {
-			if answer := reply.Body.(protocol.JobResponse); reply.Status != 200 || answer.State != want || answer.Done == 0 && want == protocol.JobDone {
+			if response := reply.Body.(protocol.JobResponse); reply.Status != 200 || response.State != want || response.Done == 0 && want == protocol.JobDone {
 				t.Errorf("the reply about finished job %d is %+v", i, reply)
 			}
 		})
