--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -9,13 +9,14 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// A job is accepted twice, as in TestDependentOfCancelledJobHasOneAnswerOnAllNodes. Then something
-// happens that could make another part of a node, or another node, use the second acceptance. In each
-// case the job and its dependents must be aborted on all nodes.
+// A dependent of a cancelled job is accepted at the leader, and again at a node that has read neither the
+// cancellation nor the first acceptance. Then followUp does what could make another part of a node, or
+// another node, use the second acceptance. In each case the job and its own dependents must be cancelled
+// on all nodes.
 //
-// Guards against a dependent of such a job that waited for ever. The second acceptance still counted in
-// some places then: the record in the admission batch was final, but the dependency graph had the job as
-// open.
+// Guards against a dependent of such a job that waited for ever, because not every part of a node ignored
+// the second acceptance: the job's record in the admission batch was final, but the dependency graph had
+// the job as open.
 func TestSecondAcceptanceHasNoEffect(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -71,7 +72,7 @@
 				s.Run(s.Now + 60*second)
 				for _, job := range jobs {
 					if job.LastState != protocol.JobCancelled {
-						t.Errorf("accepted again in a batch %v: %s is %s (%s), want it cancelled", batch, job.Spec.ID, job.LastState, job.LastResponse.Reason)
+						t.Errorf("accepted again in a batch: %v; %s is %s (%s), want it cancelled", batch, job.Spec.ID, job.LastState, job.LastResponse.Reason)
 					}
 					s.Users.ReadEverywhere(job)
 				}
@@ -82,8 +83,8 @@
 	}
 }
 
-// The response to a job with a dependency that is submitted for the first time says that the job was
-// accepted, and not that it was already known.
+// The response to the first submission of a job with a dependency must say that the job was accepted, and
+// not that it was already known.
 func TestNewDependentIsReportedAsAccepted(t *testing.T) {
 	s := newScenario(t, 9300)
 	head := s.submitAccepted(simulation.Array(1), 300)
--- a/internal/core/barrier_callback_test.go
+++ b/internal/core/barrier_callback_test.go
@@ -7,12 +7,12 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Guards against a read barrier whose callbacks were never called. A controller looks up the dependencies
-// of several submissions after one shared barrier. It then finds that the submitted jobs themselves have
-// been accepted by another controller, and requests one more barrier for each. The first of these was
-// sent while the callbacks of the other submissions had yet to run. After they had run, another barrier
-// was sent, which overwrote the callbacks of the one in flight. The first submission got no response, and
-// its user timed out after 5 s. In this test, that happened to one of four users.
+// Guards against a read barrier whose callbacks were never called. Several submissions share a barrier,
+// after which a controller looks up their dependencies. For each it then finds that another controller
+// has accepted the submitted job, and requests one more barrier. The barrier for the first submission was
+// sent before the callbacks of the others had run. After these, another barrier was sent, which overwrote
+// the callbacks of the one in flight. The first submission got no response, and its user, one of four in
+// this test, timed out after 5 s.
 func TestEverySubmissionBehindSharedBarriersGetsResponse(t *testing.T) {
 	s := newScenario(t, 9400)
 	s.Run(s.Now + 2*second)
--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -11,15 +11,15 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// keyPrefixes are the prefixes of the keys that each kind of write changes. The empty prefix stands for
-// all writes. docs/fault-interleavings.md has the same table.
+// keyPrefixes has the prefix of the keys that each kind of write changes. The empty prefix matches all
+// writes. docs/fault-interleavings.md has the same table.
 var keyPrefixes = []string{"c/node/", "c/leader", "c/map", "c/rigs/", "c/job/", "c/run/", "c/accepted/", "c/admitted/",
 	"c/prog/", "c/long/", "c/est", "c/types", ""}
 
 // All transactions of one kind, or 70 % of all transactions, are applied at once but their responses are
-// lost. In the other half of the subtests, 60 % of the transactions are applied late and get no response.
-// Other controllers act on what they read, and the writer's next attempt finds what the first one wrote.
-// Every job that its user does not cancel must still be done.
+// lost. In the other half of the subtests, 60 % of these transactions are applied late and get no
+// response. Other controllers act on such a write when they read it, and its writer finds it when it
+// tries again. Every job that its user does not cancel must still be done.
 func TestJobsCompleteDespiteLostOrLateCommitResponses(t *testing.T) {
 	for _, key := range keyPrefixes {
 		for _, late := range []bool{false, true} {
@@ -29,7 +29,7 @@
 				for seed := range uint64(2) {
 					lost += simulateLostResponses(t, 3100+seed, key, late)
 				}
-				if lost == 0 && key != "c/types" { // machine types are written so rarely that perhaps no write is affected
+				if lost == 0 && key != "c/types" { // machine types are written only once, and perhaps this write is not affected
 					t.Fatal("no response was lost or late, so the test checked nothing")
 				}
 			})
@@ -38,8 +38,9 @@
 }
 
 // simulateLostResponses runs a scenario of jobs, cancellations, failovers and shard handovers in which
-// transactions that change a key with the given prefix get no response. With late set, fewer of them are
-// affected, but these are also applied late. It returns how many transactions were affected.
+// transactions that change a key with the prefix key get no response: all of them, or 70 % if key is
+// empty. With late set, they are 60 %, and are applied 2 to 12 s late. It returns how many transactions
+// were affected.
 func simulateLostResponses(t *testing.T, seed uint64, key string, late bool) int {
 	s := &scenario{Cluster: simulation.NewWithSettings(seed, simulation.Settings(3), simulation.MachineTypes()), t: t}
 	s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = key, 1
@@ -94,8 +95,9 @@
 	return spec
 }
 
-// submitMany submits jobs of one task, all at the same time. If there are many, not each is accepted with
-// a write of its own. Every second job depends on head, if head has been accepted.
+// submitMany submits count jobs of one task at the same time. If they are too many for one write per job,
+// controllers accept them in admission batches. Every second job depends on head, if head has been
+// accepted.
 func (s *scenario) submitMany(count int, head *simulation.Job) {
 	for n := range count {
 		spec := simulation.Array(1)
@@ -196,7 +198,7 @@
 			})
 		})
 		s.recoverAndFinish(120 * second)
-		if s.Store.Throttled > 1000 { // there would be thousands if each submission had a write of its own
+		if s.Store.Throttled > 1000 { // thousands of requests would exceed the limits if each submission had a write of its own
 			t.Fatalf("%d requests exceeded the rate limits of the state service, want 1000 at the most", s.Store.Throttled)
 		}
 	})
--- a/internal/core/consistency_faults_test.go
+++ b/internal/core/consistency_faults_test.go
@@ -11,8 +11,9 @@
 
 // Users query all nodes within milliseconds about a job that was just accepted, has ended or is reported
 // as cancelled, and submit it again. Meanwhile nodes restart and reload the state, and the state service
-// is slow. No node may report an older state of a job than another node has reported before. The test
-// uses jobs of every kind.
+// is slow. No node may report an older state of a job than another node has reported before. The jobs
+// have 1 to 40 tasks, some depend on another job, and some are accepted in batches or stored as chunked
+// records.
 func TestReadsAreMonotonicAcrossNodes(t *testing.T) {
 	acrossSeeds(t, 3000, 3, func(t *testing.T, _, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -88,8 +88,8 @@
 }
 
 // crashLeaderAndSubmit crashes the leader and, 1 s later, submits a job for the team of each running job.
-// These jobs are newer than the next leader's election and therefore do not wait until every machine has
-// been seen.
+// These jobs are newer than the next leader's election. The next leader therefore starts their tasks
+// without waiting until every machine has been seen.
 func (s *scenario) crashLeaderAndSubmit(running []*simulation.Job) (submitted []*simulation.Job) {
 	s.crashLeader(second / 5)
 	s.Run(s.Now + second)
@@ -135,9 +135,10 @@
 }
 
 // The machines of one controller are handed over to others, or back, while starts are dispatched in
-// responses to heartbeats and in direct calls. Meanwhile, in each tenth of a second a job is submitted
-// that is cancelled later, through the former owner, a new one or a third controller. No task of these
-// jobs may be left running, or start too late.
+// responses to heartbeats and in direct calls. Meanwhile a job is submitted each tenth of a second and
+// cancelled later, through the former owner, a new one or a third controller. No task of these jobs may
+// run later than cancel_s after the cancellation, and at most one in a thousand starts may come after its
+// confirmation.
 func TestCancellationHoldsDuringShardHandover(t *testing.T) {
 	lateStarts, starts := 0, 0
 	for name, handOver := range handovers {
@@ -194,7 +195,8 @@
 }
 
 // The leader crashes up to ten times in two minutes, in half of the runs also during an outage of the
-// state service that affects all controllers, while jobs are submitted, end and are cancelled.
+// state service that affects all controllers, while jobs are submitted, end and are cancelled. No
+// invariant may be violated, and every job must become final after the last crash.
 func TestWorkCompletesThroughTenFailoversInTwoMinutes(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprintf("outage %v", outage), func(t *testing.T) {
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -90,8 +90,9 @@
 	s.eventually(300*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// If the owner of a machine has not changed, it knows which tasks may be on the machine, whether or not
-// the machine responds. Such a machine that was terminated must not block the queue after a failover.
+// A machine that keeps its owner through a failover is terminated. The owner knows which tasks may be on
+// the machine, whether or not the machine responds, so the new leader must not block its queue until the
+// machine has been seen.
 func TestFailoverDoesNotWaitForRetainedMachines(t *testing.T) {
 	s := newScenario(t, 78)
 	for range 6 {
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -35,7 +35,7 @@
 // staleHeartbeats are the events between the time at which a heartbeat was sent and the failover during
 // which it arrives.
 var staleHeartbeats = map[string]func(s *scenario){
-	"from before the tasks": func(*scenario) {},
+	"from before the tasks started": func(*scenario) {},
 	"from an earlier session": func(s *scenario) {
 		for _, machine := range s.RandomWorkers(4) {
 			s.partitionMachine(machine)
@@ -57,7 +57,7 @@
 			s.After(7*second, func() { s.healMachine(machine) })
 		}
 	},
-	"from epochs ago": func(s *scenario) {
+	"from several epochs earlier": func(s *scenario) {
 		for range 3 {
 			s.follower().Crash(second / 5)
 			s.Run(s.Now + 4*second)
@@ -65,8 +65,8 @@
 	},
 }
 
-// The same stale heartbeat of each machine reaches all controllers, several times, just as a new leader
-// takes over. No task may run twice and no quota may be exceeded. Neither a terminated machine nor a stale
+// The same stale heartbeat of each machine reaches all controllers several times, up to 2 s after a new
+// leader has been elected. No task may run twice and no quota may be exceeded. Neither a terminated machine nor a stale
 // heartbeat of one may delay the failover or the jobs.
 func TestStaleHeartbeatsAtFailoverLoseNoTasks(t *testing.T) {
 	for name, between := range staleHeartbeats {
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -33,8 +33,9 @@
 }
 
 // cancellationThenOutage starts a scenario in which the state service refuses only the leader's
-// requests, then a controller confirms to a user that a job is cancelled, for which confirm
-// arranges, and then the state service is down for 20 s longer than cancel_s.
+// requests. Then it calls confirm, which must make a controller confirm to a user that its job argument is
+// cancelled. After that the state service is down for 20 s longer than cancel_s. It returns the job that
+// was cancelled, and another one, long, that was not.
 func cancellationThenOutage(t *testing.T, seed uint64, confirm func(s *scenario, cancelled *simulation.Job)) (s *scenario, long, cancelled *simulation.Job) {
 	s = newScenario(t, seed)
 	long, cancelled = s.Users.Submit(simulation.Array(12), 200), s.Users.Submit(simulation.Array(6), 300)
@@ -162,7 +163,7 @@
 func TestCancellationThroughNewLeaderStopsTasksInTime(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1300+seed)
-		s.addMachines(12) // so many that each controller owns some that run tasks
+		s.addMachines(12) // enough that each controller owns machines that run tasks
 		var jobs []*simulation.Job
 		for range 4 {
 			jobs = append(jobs, s.Users.Submit(simulation.Array(12), 120))
@@ -192,9 +193,9 @@
 	}
 }
 
-// A third of all transactions get no response and are applied 2 to 12 s later, while users cancel jobs
-// and the leader crashes twice. When such a write is applied, either its guards reject it or it does no
-// harm.
+// 35 % of all transactions get no response and are applied 2 to 12 s later, while users cancel jobs and
+// the leader crashes twice. When such a write is applied, either its guards reject it or it violates no
+// invariant.
 func TestLateWritesDuringFailoversAreHarmless(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newBusyScenario(t, 1400+seed, 5*second)
@@ -252,11 +253,11 @@
 	}
 }
 
-// The leader crashes while its machines are behind a partition, and the cloud deletes no machines. In
-// half of the runs the partition is one-way, and the machines only receive nothing; in the others
-// nothing that they send arrives either. Their tasks must not be started elsewhere. A team that is at its
-// quota must not start further tasks until those on the machines have certainly ended. Tasks of a job
-// that is cancelled meanwhile must have ended in time.
+// The leader crashes while its machines are partitioned, and the cloud deletes no machines. In half of
+// the runs the partition is one-way: the machines receive nothing, but what they send arrives. In the
+// others it is in both directions. The machines' tasks must not be started elsewhere. A team at its quota
+// must not start further tasks until those on the machines have certainly ended. Tasks of a job that is
+// cancelled meanwhile must end in time.
 func TestLeaderCrashDuringOneWayPartitionKeepsInvariants(t *testing.T) {
 	for _, team := range []string{"red", "blue"} { // red has a quota, blue has none
 		for seed := range uint64(6) {
@@ -301,7 +302,7 @@
 }
 
 // A copy of every heartbeat arrives up to two leases (32 s) late, while short tasks start and end. The
-// copy says nothing about the machine's current state, and must not be taken for it.
+// copy says nothing about the machine's current state, and controllers must not act on it.
 func TestStaleHeartbeatsAfterNewerOnesAreIgnored(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 1700+seed)
@@ -514,10 +515,11 @@
 	}
 }
 
-// Each of these rules of the invariant checker detects a violation that the test causes on purpose.
+// For each rule of the invariant checker that the table names, the test causes a violation on purpose, and
+// the checker must record it.
 func TestCheckerDetectsSeededViolations(t *testing.T) {
-	// reopen makes one node, whose link to the users is slow, report a job as queued that was
-	// done before, or report it as unknown if forgets is set.
+	// reopen makes one node, whose link to the users is slow, report a job as queued although the
+	// job was done before. If forgets is set, the node reports the job as unknown instead.
 	reopen := func(s *scenario, forgets bool) {
 		job := s.Users.Submit(simulation.Array(2), 3)
 		s.eventually(40*second, "the job is done", lastStateIs(protocol.JobDone, job))
@@ -614,8 +616,8 @@
 	}
 }
 
-// All controllers crash and restart while tasks run. A controller that finds a task running does not
-// know when it started, and must not report a duration that is too short when the task ends.
+// All controllers crash and restart while tasks run. A restarted controller that finds a task running
+// does not know when the task started, and must not report a duration that is too short when it ends.
 func TestNoDurationIsReportedForTasksFoundRunning(t *testing.T) {
 	s := newScenario(t, 2600)
 	s.addMachines(8)
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -94,9 +94,9 @@
 	logs          []string
 }
 
-// simulateCuts runs a simulation in which the links of a set are cut and then healed in two steps, the
-// lower half of the set first or last. blocked is the fault of each direction that is cut, and mode its
-// name.
+// simulateCuts runs a simulation in which the link directions of c are cut and then healed in two steps:
+// the lower one of c's halves first if lowFirst is set, the other one first if not. blocked is the fault
+// of each direction that is cut, and mode its name.
 func simulateCuts(t testing.TB, c cutSet, blocked simulation.Link, mode string, lowFirst bool) (result cutResult) {
 	result.name = fmt.Sprintf("%s: %s, lower half healed first %v", mode, c, lowFirst)
 	cluster := simulation.New(7, 3)
@@ -266,7 +266,8 @@
 	return s
 }
 
-// anotherLeads reports whether a node other than except leads. except may still believe that it leads.
+// anotherLeads reports whether a node other than except leads, whether or not except itself still acts as
+// the leader.
 func (s *scenario) anotherLeads(except *simulation.Node) bool {
 	return slices.ContainsFunc(s.Nodes, func(node *simulation.Node) bool {
 		return node != except && node.Alive() && node.Core.IsLeader()
@@ -274,8 +275,8 @@
 }
 
 // A leader's requests arrive at the state service, but it receives no responses. It must let its lease
-// expire. Guards against its renewals keeping its keys alive, so that no controller led for as long as
-// the fault lasted.
+// expire. Guards against the fault that it continued to renew the lease, which kept its keys, so that no
+// controller led for as long as the responses were lost.
 func TestLeaderWithoutResponsesLetsItsLeaseExpire(t *testing.T) {
 	for seed, blocked := range []simulation.Link{simulation.Dropped, simulation.Held} {
 		s := newBusyScenario(t, 400+uint64(seed), 10*second)
@@ -291,7 +292,7 @@
 
 // A leader that reaches the state service, but neither a machine nor another controller, steps down,
 // and does so only once. If all machines are silent, and the other controllers report that they reach
-// none either, the leader stays.
+// none either, the leader does not step down.
 func TestLeaderThatReachesNobodyStepsDown(t *testing.T) {
 	s := startWithMachines(t, 410, 6)
 	leader, changes := s.leader(), 0
@@ -355,7 +356,7 @@
 }
 
 // A member was partitioned from everything. Once it reaches the state service and the other controllers
-// again, but no machine, it must not become a member of the shard map. Once it reaches machines, it must.
+// again, but no machine, it must not rejoin the shard map. Once it reaches machines, it must rejoin.
 func TestRejoiningMemberWithoutReachableMachinesIsGivenNone(t *testing.T) {
 	s := startWithMachines(t, 430, 6)
 	s.Users.Submit(simulation.Array(24), 100) // keeps the machines in use, otherwise they would be returned and there would be none to reach
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Users that poll many times as often as usual, and a burst of small jobs, must not exhaust the state
-// service's rate limit, which lease renewals and submissions depend on.
+// 200 polls per second, many times as many as usual, and 20 submissions of small jobs per second must not
+// exhaust the state service's rate limit, which lease renewals and submissions depend on.
 func TestPollsDoNotExhaustStoreRateLimit(t *testing.T) {
 	s := newScenario(t, 90)
 	job := s.Users.Submit(simulation.Array(4), 60)
@@ -82,16 +82,16 @@
 		s.After(12*second, func() { s.Users.Cancel(jobs[0]); s.Users.Cancel(jobs[1]) })
 		s.eventually(400*second, "all jobs are final", s.Users.AllFinal)
 		for _, job := range jobs {
-			s.Users.Resubmit(job) // however late it comes, the response is the job's state
+			s.Users.Resubmit(job) // however late the submission is repeated, the response must be the job's state
 		}
 		s.Run(s.Now + 20*second)
 		s.requireInvariants()
 	}
 }
 
-// A controller that missed more changes than the state service keeps loads all keys again, page by page.
-// The state service refuses some of these requests. The controller must then know every job, also those
-// that have ended.
+// A restarted controller loads all keys from the state service, page by page, and the state service
+// refuses some of these requests. Afterwards the controller must know every job, also those that have
+// ended.
 func TestPagedLoadFindsEveryJob(t *testing.T) {
 	s := newScenario(t, 47)
 	s.Store.AddFinishedJobs(4500)
@@ -115,9 +115,9 @@
 	s.requireInvariants()
 }
 
-// An outage of the state service that affects all controllers ends no task, however long it lasts. A job
-// whose cancellation was confirmed just before the outage is still stopped, and work continues as soon as
-// the outage has ended.
+// An outage of the state service that affects all controllers ends no task, however long it lasts. The
+// tasks of a job whose cancellation was confirmed just before the outage are still stopped, and the other
+// job is done after the outage.
 func TestStoreOutageSeenByAllEndsNoTask(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newScenario(t, 520+seed)
