--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -9,10 +9,10 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// A dependent of a cancelled job is accepted at the leader, and again at a node that has read neither the
-// cancellation nor the first acceptance. Then followUp does what could make another part of a node, or
-// another node, use the second acceptance. In each case the job and its own dependents must be cancelled
-// on all nodes.
+// As in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, a dependent of a cancelled job is accepted at
+// the leader, and again at a node that has read neither the cancellation nor the first acceptance. Then
+// followUp does what could make another part of a node, or another node, use the second acceptance. In
+// each case the job and its own dependents must be cancelled on all nodes.
 //
 // Guards against a dependent of such a job that waited for ever, because not every part of a node ignored
 // the second acceptance: the job's record in the admission batch was final, but the dependency graph had
