--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -15,11 +15,11 @@
 //
 // Without it, an outage longer than a worker's lease ended every task of a site.
 type degradedMode struct {
-	core           *Core
-	renewalRefused bool                 // the last lease renewal failed
-	leader         degraded.Coordinator // used while this controller leads
-	member         degraded.Voter       // used while it does not
-	epoch          uint64               // the epoch of leader and member
+	core          *Core
+	renewalFailed bool                 // the last lease renewal failed
+	leader        degraded.Coordinator // used while this controller leads
+	member        degraded.Voter       // used while it does not
+	epoch         uint64               // the epoch of leader and member
 	// cancelledJobs holds jobs whose cancellation a controller may have confirmed to a user, and
 	// when this controller last learnt of that.
 	cancelledJobs map[string]time.Duration
@@ -33,7 +33,7 @@
 // isStoreUnavailable reports whether the state service does not serve this controller: the last
 // lease renewal, or the last watch or read barrier, failed.
 func (d *degradedMode) isStoreUnavailable() bool {
-	return d.renewalRefused || d.core.mirror.IsUnavailable()
+	return d.renewalFailed || d.core.mirror.IsUnavailable()
 }
 
 // isIsolated reports whether both lease renewals and watches of this controller fail. It can then
@@ -42,7 +42,7 @@
 // Guards against reporting ready for as long as this controller is still entitled to serve workers:
 // each user request that the load balancer sent here waited and was refused in the end.
 func (d *degradedMode) isIsolated() bool {
-	return d.renewalRefused && d.core.mirror.IsUnavailable()
+	return d.renewalFailed && d.core.mirror.IsUnavailable()
 }
 
 // isActive reports whether degraded mode allows responses to workers although this controller is
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -44,7 +44,7 @@
 func (m *membership) handleLeaseResult(result LeaseResult) {
 	c := m.core
 	m.renewing, m.renewalUnanswered = false, result.Outcome == LeaseUnknown
-	c.degraded.renewalRefused = result.Outcome != LeaseGranted && result.Outcome != LeaseExpired
+	c.degraded.renewalFailed = result.Outcome != LeaseGranted && result.Outcome != LeaseExpired
 	switch result.Outcome {
 	case LeaseGranted:
 		m.leaseID = result.LeaseID
