--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -34,22 +34,22 @@
 	}
 }
 
-// Users that poll many times as often as usual, and a burst of small jobs, must not exhaust the state
-// service's rate limit, which lease renewals and submissions depend on.
+// 200 polls per second, many times as many as usual, and 20 submissions of small jobs per second must not
+// exhaust the state service's rate limit, which lease renewals and submissions depend on.
 func TestPollsDoNotExhaustStoreRateLimit(t *testing.T) {
 	s := newScenario(t, 90)
 	job := s.Users.Submit(simulation.Array(4), 60)
 	s.eventually(30*second, "the job is accepted", func() bool { return job.Accepted })
 	s.Run(s.Now + 5*second)
 	s.Store.Throttled = 0
-	asked, answered := 0, 0
+	polls, responses := 0, 0
 	for i := range 3000 {
 		s.At(s.Now+time.Duration(i)*5*time.Millisecond, func() {
 			node := s.Nodes[i%3]
-			asked++
+			polls++
 			node.Request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: job.Spec.ID} }, func(reply core.Reply) {
 				if reply.Status == 200 {
-					answered++
+					responses++
 				}
 			})
 		})
@@ -62,8 +62,8 @@
 		})
 	}
 	s.Run(s.Now + 16*second)
-	if s.Store.Throttled > 0 || answered < asked {
-		t.Fatalf("%d requests exceeded the rate limit, want none; %d of %d polls got a response, want all", s.Store.Throttled, answered, asked)
+	if s.Store.Throttled > 0 || responses < polls {
+		t.Fatalf("%d requests exceeded the rate limit, want none; %d of %d polls got a response, want all", s.Store.Throttled, responses, polls)
 	}
 	s.eventually(200*second, "all jobs are final", s.Users.AllFinal)
 }
@@ -82,16 +82,16 @@
 		s.After(12*second, func() { s.Users.Cancel(jobs[0]); s.Users.Cancel(jobs[1]) })
 		s.eventually(400*second, "all jobs are final", s.Users.AllFinal)
 		for _, job := range jobs {
-			s.Users.Resubmit(job) // however late it comes, the response is the job's state
+			s.Users.Resubmit(job) // however late the submission is repeated, the response must be the job's state
 		}
 		s.Run(s.Now + 20*second)
 		s.requireInvariants()
 	}
 }
 
-// A controller that missed more changes than the state service keeps loads all keys again, page by page.
-// The state service refuses some of these requests. The controller must then know every job, also those
-// that have ended.
+// A restarted controller loads all keys from the state service, page by page, and the state service
+// refuses some of these requests. Afterwards the controller must know every job, also those that have
+// ended.
 func TestPagedLoadFindsEveryJob(t *testing.T) {
 	s := newScenario(t, 47)
 	s.Store.AddFinishedJobs(4500)
@@ -106,7 +106,7 @@
 	s.eventually(20*second, "the restarted controller is ready", func() bool { return restarted.Ready })
 	for i, want := range map[int]string{0: protocol.JobCancelled, 51: protocol.JobDone, 4499: protocol.JobDone} {
 		restarted.Request(func(id core.RequestID) core.Command { return core.QueryJob{ID: id, JobID: fmt.Sprintf("job-9%08d", i)} }, func(reply core.Reply) {
-			if answer := reply.Body.(protocol.JobResponse); reply.Status != 200 || answer.State != want || answer.Done == 0 && want == protocol.JobDone {
+			if response := reply.Body.(protocol.JobResponse); reply.Status != 200 || response.State != want || response.Done == 0 && want == protocol.JobDone {
 				t.Errorf("the reply about finished job %d is %+v", i, reply)
 			}
 		})
@@ -115,9 +115,9 @@
 	s.requireInvariants()
 }
 
-// An outage of the state service that affects all controllers ends no task, however long it lasts. A job
-// whose cancellation was confirmed just before the outage is still stopped, and work continues as soon as
-// the outage has ended.
+// An outage of the state service that affects all controllers ends no task, however long it lasts. The
+// tasks of a job whose cancellation was confirmed just before the outage are still stopped, and the other
+// job is done after the outage.
 func TestStoreOutageSeenByAllEndsNoTask(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newScenario(t, 520+seed)
