--- a/internal/binpacking/capacity_test.go
+++ b/internal/binpacking/capacity_test.go
@@ -29,7 +29,7 @@
 	onDemand := Capacity{TypeName: "barn", Zone: "a"}
 	spot := Capacity{TypeName: "box", Zone: "b", Spot: true}
 	for _, c := range []struct {
-		what           string
+		name           string
 		job            protocol.Job
 		onDemand, spot bool
 	}{
@@ -39,10 +39,10 @@
 		{"one zone", protocol.Job{AllowSpot: true, Zone: "a"}, true, false},
 	} {
 		if got := onDemand.AllowsJob(&c.job); got != c.onDemand {
-			t.Errorf("%s: on-demand machine allowed: %v, want the opposite", c.what, got)
+			t.Errorf("%s: on-demand machine allowed: %v, want the opposite", c.name, got)
 		}
 		if got := spot.AllowsJob(&c.job); got != c.spot {
-			t.Errorf("%s: spot instance allowed: %v, want the opposite", c.what, got)
+			t.Errorf("%s: spot instance allowed: %v, want the opposite", c.name, got)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 func TestTasksRunOnlyInZonesOfJobRecord(t *testing.T) {
 	inA, inB := Capacity{Zone: "a"}, Capacity{Zone: "b"}
 	for _, c := range []struct {
-		what     string
+		name     string
 		record   records.Job
 		index    int
 		inA, inB bool
@@ -63,10 +63,10 @@
 		{"spread, odd task", records.Job{Spec: protocol.Job{Spread: true}, Zones: []string{"a", "b"}}, 3, false, true},
 	} {
 		if got := inA.AllowsTask(&c.record, c.index); got != c.inA {
-			t.Errorf("%s: allowed in zone a: %v, want the opposite", c.what, got)
+			t.Errorf("%s: allowed in zone a: %v, want the opposite", c.name, got)
 		}
 		if got := inB.AllowsTask(&c.record, c.index); got != c.inB {
-			t.Errorf("%s: allowed in zone b: %v, want the opposite", c.what, got)
+			t.Errorf("%s: allowed in zone b: %v, want the opposite", c.name, got)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 func TestBetterFitPrefersImageThenSpotThenLeastFree(t *testing.T) {
 	cached := map[string]bool{"img": true}
 	for _, c := range []struct {
-		what   string
+		name   string
 		better Capacity
 		worse  Capacity
 	}{
@@ -84,7 +84,7 @@
 		{"less memory is free", Capacity{CPUs: 1, MemoryGB: 1}, Capacity{CPUs: 1, MemoryGB: 2}},
 	} {
 		if !BetterFit(&c.better, &c.worse, "img") || BetterFit(&c.worse, &c.better, "img") {
-			t.Errorf("%s: the better machine is not preferred, or the worse one is", c.what)
+			t.Errorf("%s: the better machine is not preferred, or the worse one is", c.name)
 		}
 	}
 }
--- a/internal/estimator/estimator_test.go
+++ b/internal/estimator/estimator_test.go
@@ -19,10 +19,10 @@
 	job := func(team, class string, cpus float64) protocol.Job {
 		return protocol.Job{Team: team, Class: class, CPUs: cpus, EstimateS: 7}
 	}
-	expect := func(what string, job protocol.Job, seconds float64) {
+	expect := func(name string, job protocol.Job, seconds float64) {
 		t.Helper()
 		if got := e.Predict(&job); got != seconds {
-			t.Errorf("%s: got %v s, want %v s", what, got, seconds)
+			t.Errorf("%s: got %v s, want %v s", name, got, seconds)
 		}
 	}
 	expect("no history: the owner's estimate", job("red", "photos", 1), 7)
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -244,8 +244,8 @@
 	accounts := []Account{{"red", "a"}, {"red", "b"}, {"blue", "a"}}
 	rapid.Check(t, func(t *rapid.T) {
 		drawAccount := func() Account { return rapid.SampledFrom(accounts).Draw(t, "account") }
-		drawInt := func(low, high int, what string) float64 {
-			return float64(rapid.IntRange(low, high).Draw(t, what))
+		drawInt := func(low, high int, label string) float64 {
+			return float64(rapid.IntRange(low, high).Draw(t, label))
 		}
 		var accounting Accounting
 		for range rapid.IntRange(0, 30).Draw(t, "completed") {
