--- a/internal/binpacking/capacity_test.go
+++ b/internal/binpacking/capacity_test.go
@@ -57,7 +57,7 @@
 	}{
 		{"job without zone constraint", records.Job{}, 0, true, true},
 		{"zone of a job in one zone not chosen yet", records.Job{Spec: protocol.Job{OneZone: true}}, 0, false, false},
-		{"tied to one zone", records.Job{Spec: protocol.Job{OneZone: true}, Zones: []string{"b"}}, 0, false, true},
+		{"zone of a job in one zone chosen", records.Job{Spec: protocol.Job{OneZone: true}, Zones: []string{"b"}}, 0, false, true},
 		{"zones of a spread job not chosen yet", records.Job{Spec: protocol.Job{Spread: true}}, 0, false, false},
 		{"spread, even task", records.Job{Spec: protocol.Job{Spread: true}, Zones: []string{"a", "b"}}, 2, true, false},
 		{"spread, odd task", records.Job{Spec: protocol.Job{Spread: true}, Zones: []string{"a", "b"}}, 3, false, true},
--- a/internal/binpacking/imagecache.go
+++ b/internal/binpacking/imagecache.go
@@ -12,8 +12,8 @@
 }
 
 // Use records the use of an image on a machine whose cache holds capacityGB, and reports whether
-// the image was not cached before. Least recently used images are evicted until the rest fits. The
-// image itself is never evicted by its own use, however large it is.
+// the image was not cached before. Least recently used images are evicted until the remaining ones
+// fit. The image itself is never evicted by its own use, however large it is.
 func (c *ImageCache) Use(image string, sizeGB, capacityGB float64) bool {
 	if c.cached == nil {
 		c.cached, c.sizesGB = map[string]bool{}, map[string]float64{}
--- a/internal/dag/priority.go
+++ b/internal/dag/priority.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Priority is the part of a job's rank in the queue that its dependencies can inherit.
+// Priority holds the properties of a job from which its rank in the queue is computed and which
+// affect the ranks of its dependencies.
 type Priority struct {
 	Urgency      int     // a smaller number is more urgent
 	LatestFinish float64 // wall-clock time by which the job must be done, in seconds; +Inf: no deadline
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -74,7 +74,7 @@
 	key := KeyOf(job)
 	if e.calibrations[key] == nil {
 		if len(e.calibrations) >= maxKeys {
-			return // most further keys never occur again, so there is nothing to learn about them
+			return // for keys that never occur again there is nothing to learn
 		}
 		e.calibrations[key] = &calibration.Model{}
 	}
--- a/internal/fairshare/account_state.go
+++ b/internal/fairshare/account_state.go
@@ -14,7 +14,7 @@
 	Overdue     float64 // unstarted shares of open jobs older than Rules.OverdueAfter
 	LongOverdue float64 // unstarted shares of open jobs older than twice Rules.OverdueAfter
 	Boost       Boost
-	Deficit     float64 // jobs that are missing to the minimum share, at least 0
+	Deficit     float64 // jobs by which Served is below the minimum share of Served plus Overdue, at least 0
 
 	jobs    []*Job
 	boosted []*Job // smallest aged work first
@@ -72,14 +72,14 @@
 // is called while the completed jobs alone are less than the minimum share.
 //
 // Guards against ineffective boosts: the tasks of an underserved class were repeatedly started and
-// preempted by urgent work a moment later, so that none of its jobs was ever completed.
+// preempted by urgent work shortly afterwards, so that none of its jobs was ever completed.
 func (s *AccountState) protectStarted(rules *Rules) {
 	for _, job := range s.jobs {
 		job.Protected = job.Age > rules.OverdueAfter && job.StartedShare > 0
 	}
 }
 
-// deficit returns how many jobs are missing to the minimum share of Served plus waiting. It is
+// deficit returns by how many jobs Served is below the minimum share of Served plus waiting. It is
 // negative if the account has more than that share.
 func (s *AccountState) deficit(waiting float64, rules *Rules) float64 {
 	return rules.MinShare*(s.Served+waiting) - s.Served
--- a/internal/fairshare/accounting.go
+++ b/internal/fairshare/accounting.go
@@ -151,8 +151,8 @@
 // dominatedByPriorityWork reports for each team, and for allTeams, whether jobs that outrank a
 // boost use more than half of the CPUs in use.
 //
-// Guards against delaying urgent work that uses little: an idle class that demands many times its
-// team's quota remains below its share even if all urgent work ranks behind it.
+// Guards against delaying urgent work that uses little: a class of low urgency that demands many
+// times its team's quota remains below its share even if all urgent work ranks behind it.
 func dominatedByPriorityWork(jobs []Job) map[string]bool {
 	priorityCPUs, allCPUs := map[string]float64{}, map[string]float64{}
 	for i := range jobs {
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -1,17 +1,18 @@
 // Package fairshare prevents the starvation of accounts. An account is a class of jobs of one team.
 //
 // The default order of the queue starts urgent and small jobs first. If a team is at its quota for
-// a long time, none of the jobs of its idle class start as long as its other classes have jobs
+// a long time, no job of its least urgent class starts as long as its other classes have jobs
 // waiting. Each account is therefore entitled to a minimum share, counted in jobs. A job that has
 // waited for longer than Rules.OverdueAfter is overdue, and an account is underserved while less
-// than Rules.MinShare of its served and overdue jobs have been served. The number of jobs that are
-// missing to that share is the account's deficit. That many of its jobs are boosted in the ranking,
+// than Rules.MinShare of its served and overdue jobs have been served. The number of jobs by which
+// it is below that share is the account's deficit. That many of its jobs are boosted in the ranking,
 // the smallest first, because the share counts jobs and not the amount of work.
 //
-// A boosted job ranks behind urgent and guaranteed work at first. It ranks ahead of them under two
-// conditions: the account also lacks its share of the jobs that have waited for twice
-// Rules.OverdueAfter, and urgent and guaranteed work uses more than half of the CPUs in use by the
-// account's team or by all teams. That work is then what keeps the account below its share.
+// A boosted job ranks behind urgent and guaranteed work at first. It ranks ahead of that work if two
+// conditions hold: the account also lacks its share when only the jobs that have waited for twice
+// Rules.OverdueAfter are counted as overdue, and urgent and guaranteed work uses more than half of
+// the CPUs in use by the account's team or by all teams. That work is then what keeps the account
+// below its share.
 //
 // # What it owns
 //
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -70,7 +70,7 @@
 		t.Error("want jobs 1 and 3 boosted, got:", boosted)
 	}
 	if reports.Deficit != 1.5 || reports.Boost != BoostBelowUrgent || photos.Boost != NoBoost {
-		t.Errorf("reports: %+v, photos: %+v", reports, photos)
+		t.Errorf("want deficit 1.5 and a boost below urgent work for reports and none for photos, got reports: %+v, photos: %+v", reports, photos)
 	}
 }
 
@@ -93,7 +93,7 @@
 	jobs := newReportsAndPhotos()
 	jobs[0].Age = 1e6
 	if states := accounting.Evaluate(now, jobs, &rules); states != nil || boostedJobs(jobs) != nil {
-		t.Errorf("states %+v, boosted %v", states, boostedJobs(jobs))
+		t.Errorf("want neither states nor boosted jobs, got states %+v, boosted jobs %v", states, boostedJobs(jobs))
 	}
 }
 
@@ -150,8 +150,8 @@
 	}
 }
 
-// A boosted job stays behind urgent work until its account lacks its share of the jobs that have
-// waited for twice Rules.OverdueAfter.
+// A boosted job stays behind urgent work until its account lacks its share even when only the jobs
+// that have waited for twice Rules.OverdueAfter are counted as overdue.
 func TestBoostAboveUrgentNeedsLongOverdueJobs(t *testing.T) {
 	var accounting Accounting
 	urgent := newJob("red", "alerts", 1, 1, 1)
@@ -173,7 +173,7 @@
 	jobs := []Job{newJob("red", "reports", 150, 0.5, 1), newJob("red", "reports", 150, 0.5, 1)}
 	state := accounting.Evaluate(now, jobs, &testRules)[0]
 	if state.Served != 1 || state.Overdue != 1 || state.Boost != NoBoost {
-		t.Errorf("%+v", state)
+		t.Errorf("want 1 job served, 1 overdue and no boost, got %+v", state)
 	}
 }
 
--- a/internal/orderedmap/orderedmap.go
+++ b/internal/orderedmap/orderedmap.go
@@ -12,8 +12,8 @@
 
 // Map is a map from names to values. Changes to the set of names between two iterations are merged
 // into the sorted order by the next iteration, which visits all names anyway. If the order were
-// updated at every change, then for ten thousand machines that come up, all names would be copied
-// once for each machine.
+// updated at every change, then all names would be copied once for each of ten thousand machines
+// that are added.
 //
 // Invariant: each name in values is in ordered, in added or in both. Either may also contain names
 // that were deleted since the last merge; removed is then not 0.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -116,8 +116,8 @@
 	return forward.blocksConnections() || reverse.blocksConnections()
 }
 
-// endpointNames returns the names that stand for an endpoint in SetLink: its own and those of the
-// groups of machines that it is in, but not that of its zone.
+// endpointNames returns the names under which SetLink can have set the links of an endpoint: its own
+// and those of the groups of machines that it is in, but not that of its zone.
 func (c *Cluster) endpointNames(endpoint string) []string {
 	if !strings.HasPrefix(endpoint, machinePrefix) {
 		return []string{endpoint}
@@ -187,7 +187,7 @@
 }
 
 // zoneEndpoint returns the endpoint name for everything in a zone. With an empty zone, the name
-// stands for everything outside the zone at the other end of the path.
+// denotes everything outside the zone at the other end of the path.
 func zoneEndpoint(zone string) string { return "zone " + zone }
 
 // deliver sends a packet of a call from one endpoint to another. It schedules onArrival if the
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Post queues a command for the core, which applies it at the current simulated time. It does
-// nothing if the process is down.
+// Post queues a command for the core, which applies it at the current simulated time or, if the
+// process is paused, possibly only after the pause. It does nothing if the process is down.
 func (n *Node) Post(command core.Command) {
 	if n.Core == nil {
 		return
--- a/internal/simulation/store_content.go
+++ b/internal/simulation/store_content.go
@@ -18,8 +18,8 @@
 	// distinctTaskCounts is the number of different task counts among the jobs that are added to
 	// the store.
 	distinctTaskCounts = 40
-	// finishedPerCancelled is the number of finished jobs for each job that was cancelled, which it
-	// includes.
+	// finishedPerCancelled is the number of finished jobs per cancelled one, which is counted among
+	// them.
 	finishedPerCancelled = 50
 	// dependentJobsPerChain is the number of dependent jobs for each chain; the second half of
 	// them forms the chain.
