--- a/internal/fairshare/accounting.go
+++ b/internal/fairshare/accounting.go
@@ -109,8 +109,8 @@
 // maxRareAccounts rare accounts, all of them are merged into one account with an empty class.
 //
 // Guards against a flood of class names that are each used once: every job would be the only one of
-// an account that was served nothing, so each would be boosted, old or not. The merged account is
-// evaluated like any other.
+// an account that was served nothing, so each would be boosted as soon as it is overdue. The merged
+// account is evaluated like any other.
 func mergeRareAccounts(byAccount map[Account]*AccountState) []*AccountState {
 	var states []*AccountState
 	rareByTeam := map[string][]*AccountState{}
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -47,7 +47,7 @@
 	MinShare     float64 // minimum served part of the served and overdue jobs, 0 to 1; 0 turns fair share off
 	OverdueAfter float64 // a job that has waited for longer is overdue
 	DecayTime    float64 // time in which the weight of a served job falls to 1/e
-	AgingTime    float64 // waiting time that halves a job's size in the order of boosted jobs
+	AgingTime    float64 // waiting time that halves a job's size in the choice and the order of boosted jobs
 }
 
 // Boost specifies how far a job is moved up in the ranking.
