--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -125,7 +125,7 @@
 // controllers take over its machines. It rejoins only once its machines respond again. When it rejoined
 // after a fixed time, whether they responded or not, each attempt changed the shard map.
 func TestControllerThatReachesNoWorkerLeavesShardMap(t *testing.T) {
-	for seed, cutLeader := range []bool{false, true} {
+	for seed, partitionLeader := range []bool{false, true} {
 		s := newScenario(t, 75+uint64(seed))
 		for range 12 {
 			s.Cloud.AddRunning("box", "b", true)
@@ -135,11 +135,11 @@
 		}
 		s.eventually(60*second, "more than 40 tasks run", func() bool { return s.Users.RunningTasks() > 40 })
 		node := s.follower()
-		if cutLeader {
+		if partitionLeader {
 			node = s.leader()
 		}
-		hasLogged := func(what string) func() bool {
-			return func() bool { return s.logged(what) }
+		hasLogged := func(text string) func() bool {
+			return func() bool { return s.logged(text) }
 		}
 		s.Partition(node.Label, "workers", false)
 		s.eventually(15*second, "the partitioned controller leaves the shard map", hasLogged("leaving the shard map"))
--- a/internal/core/random_deployment_test.go
+++ b/internal/core/random_deployment_test.go
@@ -48,15 +48,15 @@
 
 // unfinished describes the jobs whose users do not know that they are done, cancelled or rejected.
 func (d *deployment) unfinished() string {
-	var left []string
+	var descriptions []string
 	for _, job := range d.jobs {
 		if job.Rejected == 0 && job.LastState != protocol.JobDone && job.LastState != protocol.JobCancelled {
 			spec := &job.Spec
-			left = append(left, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", spec.ID, spec.Kind, spec.Team,
+			descriptions = append(descriptions, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", spec.ID, spec.Kind, spec.Team,
 				spec.Tasks, spec.CPUs, job.LastState, job.LastResponse.Reason))
 		}
 	}
-	return strings.Join(left, ", ")
+	return strings.Join(descriptions, ", ")
 }
 
 // teamName returns the name of a team, selected by k, or "nobody" if the site has no teams.
@@ -308,13 +308,13 @@
 }
 
 // newestAccepted returns the IDs of the newest accepted jobs, except services, at most n.
-func (d *deployment) newestAccepted(n int) (names []string) {
+func (d *deployment) newestAccepted(n int) (ids []string) {
 	for _, job := range slices.Backward(d.jobs) {
-		if job.Accepted && job.Spec.Kind != protocol.KindService && len(names) < n {
-			names = append(names, job.Spec.ID)
+		if job.Accepted && job.Spec.Kind != protocol.KindService && len(ids) < n {
+			ids = append(ids, job.Spec.ID)
 		}
 	}
-	return names
+	return ids
 }
 
 // cancelRunning makes users cancel the first n jobs whose last known state is running.
