--- a/internal/core/fault_helpers_test.go
+++ b/internal/core/fault_helpers_test.go
@@ -56,8 +56,8 @@
 
 // recoverAndFinish ends the faults of the store, duplicated and retained messages, cancellations at
 // completion and the cloud outage, and waits until every user knows the final state of each job. From the
-// end of the faults on, the invariant checker requires that users get responses and that no task is left
-// waiting while a machine could run it.
+// end of the faults on, the invariant checker also requires that users get responses and that no job waits
+// long while a machine could run its next task.
 func (s *scenario) recoverAndFinish(timeout time.Duration) {
 	s.t.Helper()
 	s.Store.DelayedCommitShare, s.Store.ResponseDelay, s.Store.RefusedNodes = 0, 0, map[string]bool{}
--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// A controller that reaches the leader but none of its machines leaves the shard map, so that the other
-// controllers take over its machines. It rejoins only once its machines respond again. When it rejoined
+// A controller that reaches the other controllers but none of its machines leaves the shard map, also if it is
+// the leader, so that the others take over its machines. It rejoins only once its machines respond again. When it rejoined
 // after a fixed time, whether they responded or not, each attempt changed the shard map.
 func TestControllerThatReachesNoWorkerLeavesShardMap(t *testing.T) {
 	for seed, partitionLeader := range []bool{false, true} {
--- a/internal/core/random_deployment_test.go
+++ b/internal/core/random_deployment_test.go
@@ -19,7 +19,7 @@
 type deployment struct {
 	settings     config.Settings
 	types        []protocol.MachineType
-	faultsOverAt time.Duration // simulated time at which the last fault is over
+	faultsOverAt time.Duration // simulated time from which on all faults and the upgrade count as over
 	upgradedAt   time.Duration // simulated time from which on all controllers run the new version
 	cpuSeconds   float64       // CPU time of all jobs
 	jobs         []*simulation.Job
@@ -167,8 +167,8 @@
 	return objectives
 }
 
-// drawMachines draws the running machines and the capacity of the cloud for each type and zone, slow boots,
-// packet loss and delayed commits.
+// drawMachines draws the running machines and the capacity of the cloud for each type and zone, boots
+// that are slow or never end, packet loss and delayed commits.
 func (d *deployment) drawMachines(rt *rapid.T, s *scenario) {
 	for _, machineType := range d.types {
 		for _, zone := range machineType.Zones {
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -42,7 +42,7 @@
 	"cancellation while machines hang", "cancellation as store refuses leader", "cancellation at completion",
 	"cancellation during handover", "cloud down", "commands delayed", "packets duplicated", "controller crash",
 	"crash loop", "cancellation then outage", "late commits", "leader partitioned from all but workers and users",
-	"repeated failovers", "link faults", "link faults (second entry)", "one-way partition from machines", "machines terminated",
+	"repeated failovers", "link faults", "link faults (second entry)", "controllers cannot reach machines", "machines terminated",
 	"machines hang", "machines cannot reach controllers", "faulty machines", "slow machines", "no cloud capacity",
 	"partition from cloud", "controller isolated", "partition from store", "partition from workers",
 	"invalid requests", "peer connections refused", "poll flood", "controller refused by store",
@@ -143,7 +143,7 @@
 	},
 	"repeated failovers": func(f *fault) {
 		delay := drawRestartDelay(f.rt)
-		for i := range 4 { // each new leader crashes while it is still taking over
+		for i := range 4 { // whichever controller is the leader then crashes, possibly while it is still taking over
 			f.s.At(f.at+time.Duration(i)*f.lease()/8, func() { f.s.crashLeader(delay) })
 		}
 	},
@@ -291,7 +291,7 @@
 			f.s.After(f.duration, func() { machine.OutboundBlocked = false })
 		})
 	},
-	"one-way partition from machines": func(f *fault) {
+	"controllers cannot reach machines": func(f *fault) {
 		f.onMachines(func(machine *simulation.Worker) {
 			for _, node := range f.s.Nodes {
 				f.s.SetLink(node.Label, machine.Info.Name, simulation.Dropped)
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -9,9 +9,9 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Controllers crash and restart within a fraction of a second at critical moments. Meanwhile, duplicates of
-// messages arrive up to 100 seconds late, users submit jobs and one job is cancelled. All jobs must reach
-// their final state.
+// Controllers crash at critical moments and restart within a fraction of a second, or after 8 seconds where every
+// new leader crashes. Meanwhile, duplicates of messages arrive up to 100 seconds late, users submit jobs and one
+// job is cancelled. All jobs must reach their final state.
 func TestFastRestarts(t *testing.T) {
 	const restartDelay = second / 20
 	for name, inject := range map[string]func(s *scenario){
@@ -54,7 +54,7 @@
 		"every new leader crashes": func(s *scenario) {
 			for range 3 {
 				s.leader().Crash(8 * second)
-				s.eventually(30*second, "another controller is the leader", func() bool { return s.currentLeader() != nil })
+				s.eventually(30*second, "a controller is the leader again", func() bool { return s.currentLeader() != nil })
 			}
 		},
 	} {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -105,8 +105,8 @@
 	s.eventually(400*second, "every accepted job is done or cancelled", s.Users.AllFinal)
 }
 
-// After all controllers have crashed, hundreds of machines are seen again within a few seconds, and none of
-// them is deleted.
+// All controllers crash and restart after three seconds. Within five seconds of the crash the leader must have
+// seen all 300 machines again, and none of them may be deleted.
 func TestFailoverAtScale(t *testing.T) {
 	s := startLoaded(t, 37, 300)
 	deleted := s.Cloud.Deleted
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -23,7 +23,8 @@
 
 func init() { flag.BoolVar(&simulation.Debug, "debuglogs", false, "log at level debug in scenarios") }
 
-// scenario is a simulated cluster whose methods fail the test if an invariant was violated.
+// scenario is a simulated cluster in a test. Its methods requireInvariants and eventually fail the test if an
+// invariant has been violated.
 type scenario struct {
 	*simulation.Cluster
 	t testReporter
@@ -69,7 +70,7 @@
 func (s *scenario) requireInvariants() {
 	s.t.Helper()
 	if len(s.Violations) > 0 {
-		s.t.Fatalf("%d invariants violated:\n%s\n%s", len(s.Violations), strings.Join(s.Violations[:min(len(s.Violations), 12)], "\n"), s.lastLogs(5**logLines))
+		s.t.Fatalf("%d violations of invariants:\n%s\n%s", len(s.Violations), strings.Join(s.Violations[:min(len(s.Violations), 12)], "\n"), s.lastLogs(5**logLines))
 	}
 }
 
--- a/internal/core/zone_faults_test.go
+++ b/internal/core/zone_faults_test.go
@@ -8,9 +8,9 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Arrays and gangs that are bound to a zone by its name or to zones by a constraint lose machines there,
-// while the zone has or can rent others or, in one variant, gets none for a while. In half of the runs the
-// leader crashes as well. All jobs must be done in the end.
+// Arrays and gangs that are bound to a zone by its name or to zones by a constraint lose machines in zone b.
+// The zone keeps some of its machines or can rent others, except in one variant, in which it loses all and can
+// rent none for 40 seconds. In half of the runs the leader crashes as well. All jobs must be done in the end.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	for _, failover := range []bool{false, true} {
 		acrossSeeds(t, 4000, 3, func(t *testing.T, variant, controllers int, seed uint64) {
