--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -122,8 +122,8 @@
 }
 
 // A controller that reaches the other controllers but none of its machines leaves the shard map, also if it is
-// the leader, so that the others take over its machines. It rejoins only once its machines respond again. When it rejoined
-// after a fixed time, whether they responded or not, each attempt changed the shard map.
+// the leader, so that the others take over its machines. It rejoins only once its machines respond again. When
+// it rejoined after a fixed time, whether they responded or not, each attempt changed the shard map.
 func TestControllerThatReachesNoWorkerLeavesShardMap(t *testing.T) {
 	for seed, partitionLeader := range []bool{false, true} {
 		s := newScenario(t, 75+uint64(seed))
