--- a/internal/core/random_deployment_test.go
+++ b/internal/core/random_deployment_test.go
@@ -19,7 +19,7 @@
 type deployment struct {
 	settings     config.Settings
 	types        []protocol.MachineType
-	faultsOverAt time.Duration // simulated time at which the last fault is over
+	faultsOverAt time.Duration // simulated time from which on all faults and the upgrade count as over
 	upgradedAt   time.Duration // simulated time from which on all controllers run the new version
 	cpuSeconds   float64       // CPU time of all jobs
 	jobs         []*simulation.Job
@@ -48,15 +48,15 @@
 
 // unfinished describes the jobs whose users do not know that they are done, cancelled or rejected.
 func (d *deployment) unfinished() string {
-	var left []string
+	var descriptions []string
 	for _, job := range d.jobs {
 		if job.Rejected == 0 && job.LastState != protocol.JobDone && job.LastState != protocol.JobCancelled {
 			spec := &job.Spec
-			left = append(left, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", spec.ID, spec.Kind, spec.Team,
+			descriptions = append(descriptions, fmt.Sprintf("%s %s of %s, %d tasks of %g CPUs, %s: %s", spec.ID, spec.Kind, spec.Team,
 				spec.Tasks, spec.CPUs, job.LastState, job.LastResponse.Reason))
 		}
 	}
-	return strings.Join(left, ", ")
+	return strings.Join(descriptions, ", ")
 }
 
 // teamName returns the name of a team, selected by k, or "nobody" if the site has no teams.
@@ -167,8 +167,8 @@
 	return objectives
 }
 
-// drawMachines draws the running machines and the capacity of the cloud for each type and zone, slow boots,
-// packet loss and delayed commits.
+// drawMachines draws the running machines and the capacity of the cloud for each type and zone, boots
+// that are slow or never end, packet loss and delayed commits.
 func (d *deployment) drawMachines(rt *rapid.T, s *scenario) {
 	for _, machineType := range d.types {
 		for _, zone := range machineType.Zones {
@@ -308,13 +308,13 @@
 }
 
 // newestAccepted returns the IDs of the newest accepted jobs, except services, at most n.
-func (d *deployment) newestAccepted(n int) (names []string) {
+func (d *deployment) newestAccepted(n int) (ids []string) {
 	for _, job := range slices.Backward(d.jobs) {
-		if job.Accepted && job.Spec.Kind != protocol.KindService && len(names) < n {
-			names = append(names, job.Spec.ID)
+		if job.Accepted && job.Spec.Kind != protocol.KindService && len(ids) < n {
+			ids = append(ids, job.Spec.ID)
 		}
 	}
-	return names
+	return ids
 }
 
 // cancelRunning makes users cancel the first n jobs whose last known state is running.
