--- a/internal/agentd/preemption_test.go
+++ b/internal/agentd/preemption_test.go
@@ -20,7 +20,7 @@
 // The agent exited, and the cloud terminated the machine before any of its tasks was saved. Also, the
 // remaining time of a queued notice counted from when the agent processed it, not from its arrival.
 func TestPreemptionNoticeIsReportedWheneverItArrives(t *testing.T) {
-	const notice, lockHeld = 60 * time.Second, 1500 * time.Millisecond
+	const remaining, lockHeld = 60 * time.Second, 1500 * time.Millisecond
 	for name, notifyAfter := range map[string]time.Duration{
 		"before Serve is called":               -1,
 		"while Serve waits for the lock":       lockHeld / 3,
@@ -41,7 +41,7 @@
 			var noticedAt time.Time
 			notify := func() {
 				noticedAt = time.Now()
-				daemon.NotifyPreemption(notice)
+				daemon.NotifyPreemption(remaining)
 			}
 			if notifyAfter < 0 {
 				notify()
@@ -60,8 +60,8 @@
 			r, elapsed := m.heartbeat(), time.Since(noticedAt)
 			// With a longer remaining time than the real one, the controller would stop the tasks too
 			// late for them to save. The tolerance of 1 s covers the time that the response takes.
-			if left := (notice - elapsed).Seconds(); *r.NoticeS < left-1 || *r.NoticeS > left+1 {
-				t.Fatalf("remaining time: the heartbeat reports %.1f s, want %.1f s", *r.NoticeS, left)
+			if want := (remaining - elapsed).Seconds(); *r.NoticeS < want-1 || *r.NoticeS > want+1 {
+				t.Fatalf("remaining time: the heartbeat reports %.1f s, want %.1f s", *r.NoticeS, want)
 			}
 		})
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -65,7 +65,7 @@
 		method, path string
 		body         []byte
 		status       int
-		retry        string
+		retryAfter   string
 	}{
 		{"GET", "/ready", nil, 503, "1"},
 		{"GET", "/v2/runs/job-1", nil, 200, ""},
@@ -76,7 +76,7 @@
 		{"POST", "/v1/report", protocol.Encode(protocol.Heartbeat{Machine: "n-1"}), 421, ""},
 		{"GET", "/elsewhere", nil, 404, ""},
 	} {
-		if status, retry := do(t, c, tc.method, tc.path, tc.body); status != tc.status || retry != tc.retry {
+		if status, retry := do(t, c, tc.method, tc.path, tc.body); status != tc.status || retry != tc.retryAfter {
 			t.Errorf("%s %s: got status %d, Retry-After %q", tc.method, tc.path, status, retry)
 		}
 	}
