--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -76,8 +76,8 @@
 		{"POST", "/v1/report", protocol.Encode(protocol.Heartbeat{Machine: "n-1"}), 421, ""},
 		{"GET", "/elsewhere", nil, 404, ""},
 	} {
-		if status, retry := do(t, c, tc.method, tc.path, tc.body); status != tc.status || retry != tc.retryAfter {
-			t.Errorf("%s %s: got status %d, Retry-After %q", tc.method, tc.path, status, retry)
+		if status, retryAfter := do(t, c, tc.method, tc.path, tc.body); status != tc.status || retryAfter != tc.retryAfter {
+			t.Errorf("%s %s: got status %d, Retry-After %q", tc.method, tc.path, status, retryAfter)
 		}
 	}
 	e.ready = true
