--- a/cmd/chalkhubctl/top_view.go
+++ b/cmd/chalkhubctl/top_view.go
@@ -159,12 +159,12 @@
 			t.line(alertStyle, "%-9s no status received yet: %v", controller.Label, v.err)
 			continue
 		}
-		style, note := plainStyle, ""
+		style, lastSeen := plainStyle, ""
 		if v.err != nil {
-			style, note = alertStyle, "last seen "+age(now, v.readAt)
+			style, lastSeen = alertStyle, "last seen "+age(now, v.readAt)
 		}
 		t.line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", controller.Label, v.role(), v.status.Epoch, len(v.status.Machines),
-			v.tasks(), v.openJobs(), v.status.ResponseTimes.P50, v.status.ResponseTimes.P99, note)
+			v.tasks(), v.openJobs(), v.status.ResponseTimes.P50, v.status.ResponseTimes.P99, lastSeen)
 	}
 }
 
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -240,7 +240,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 150*time.Second)
 	defer cancel()
 	const tasks = 130
-	job, work := lockingJob(t, tasks)
+	job, outputDir := lockingJob(t, tasks)
 	run := &arrayRun{t: t, ctx: ctx, cluster: c, client: cl, job: job}
 	if _, err := cl.Submit(ctx, &run.job); err != nil {
 		t.Fatal(err)
@@ -250,7 +250,7 @@
 	if err != nil || s.State != "done" || s.Done != tasks {
 		t.Fatalf("wait until all tasks are done: status %+v, error %v", s, err)
 	}
-	attempts := checkTaskOutput(t, work, tasks)
+	attempts := checkTaskOutput(t, outputDir, tasks)
 	if len(run.unexplainedWaits) > 0 {
 		t.Errorf("no task ran and no reason was given: %v", run.unexplainedWaits)
 	}
@@ -296,7 +296,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Second)
 	defer stop()
 	const tasks = 30
-	j, work := lockingJob(t, tasks)
+	j, outputDir := lockingJob(t, tasks)
 	j.Spot = true
 	if _, err := cl.Submit(ctx, &j); err != nil {
 		t.Fatal(err)
@@ -304,7 +304,7 @@
 	if s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, nil); err != nil || s.State != "done" {
 		t.Fatalf("wait for the job: status %+v, error %v, want state done", s, err)
 	}
-	attempts := checkTaskOutput(t, work, tasks)
+	attempts := checkTaskOutput(t, outputDir, tasks)
 	b, err := os.ReadFile(filepath.Join(c.Dir(), "logs", "agents.log"))
 	if err != nil {
 		t.Fatal(err)
@@ -353,7 +353,7 @@
 
 // A command that fails, for instance because a cluster cannot start, prints one line that names the
 // cause.
-func TestStartupErrorsAreOneSentence(t *testing.T) {
+func TestFailedCommandsPrintOneLine(t *testing.T) {
 	dir := buildPrograms(t)
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
--- a/internal/regress/regress_test.go
+++ b/internal/regress/regress_test.go
@@ -39,7 +39,7 @@
 	if err != nil || len(before) != 3 || before[0].ID != "a" {
 		t.Fatal(before, err)
 	}
-	for _, c := range []struct{ score, day, bad string }{
+	for _, c := range []struct{ score, day, wantProblems string }{
 		{"0.671", day("calm", "0.5", "", "null"), ""},
 		{"0.669", day("calm", "0.8", "", "null"), "score fell by more than 0.03"},
 		{"0.9", day("calm", "0.8", `"ran_twice":3`, "null"), "broke rule ran_twice: 3"},
@@ -62,7 +62,7 @@
 				problems = append(problems, r.Problem)
 			}
 		}
-		if got := strings.Join(problems, "|"); got != c.bad || AnyProblem(rows) != (c.bad != "") {
+		if got := strings.Join(problems, "|"); got != c.wantProblems || AnyProblem(rows) != (c.wantProblems != "") {
 			t.Errorf("score %s, day %s: got problems %q", c.score, c.day, got)
 		}
 		if *rows[0].Baseline != 0.7 {
