--- a/cmd/chalkhubctl/agent.go
+++ b/cmd/chalkhubctl/agent.go
@@ -29,9 +29,9 @@
 type agentCmd struct {
 	Config string `required:"" placeholder:"FILE" help:"Settings (JSON), see docs/agent.md."`
 	// Inherit is set by the local cloud when it starts an agent. File descriptor 3 is then the
-	// agent's listener. Descriptor 4 is the write end of a pipe, which the agent and its shims
-	// keep open: the cloud reads the end of the pipe when the last of them has exited. Standard
-	// input carries lines that each hold a localcloud.AgentMessage, and ends when the cloud exits.
+	// agent's listener. Descriptor 4 is the write end of a pipe, which the agent and its shims hold
+	// open until the last of them exits: the cloud detects that by end-of-file on the read end.
+	// Standard input carries a localcloud.AgentMessage in each line and ends when the cloud exits.
 	Inherit bool `hidden:""`
 }
 
