--- a/cmd/chalkhubctl/top_view.go
+++ b/cmd/chalkhubctl/top_view.go
@@ -143,7 +143,7 @@
 		t.line(alertStyle, "the leader is unreachable; its status below was read %s", age(now, leader.readAt))
 	}
 	if leader.status.UnseenMachines > 0 {
-		t.line(alertStyle, "a failover waits for %d machines", leader.status.UnseenMachines)
+		t.line(alertStyle, "failover in progress: %d machines may run tasks unknown to the leader", leader.status.UnseenMachines)
 	}
 	c.renderTeams(t, &leader.status)
 	t.blankLine()
@@ -159,12 +159,12 @@
 			t.line(alertStyle, "%-9s no status received yet: %v", controller.Label, v.err)
 			continue
 		}
-		style, note := plainStyle, ""
+		style, lastSeen := plainStyle, ""
 		if v.err != nil {
-			style, note = alertStyle, "last seen "+age(now, v.readAt)
+			style, lastSeen = alertStyle, "last seen "+age(now, v.readAt)
 		}
 		t.line(style, "%-9s %-7s %5d %5d %5d %5d %6d %6d  %s", controller.Label, v.role(), v.status.Epoch, len(v.status.Machines),
-			v.tasks(), v.openJobs(), v.status.ResponseTimes.P50, v.status.ResponseTimes.P99, note)
+			v.tasks(), v.openJobs(), v.status.ResponseTimes.P50, v.status.ResponseTimes.P99, lastSeen)
 	}
 }
 
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -240,7 +240,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 150*time.Second)
 	defer cancel()
 	const tasks = 130
-	job, work := lockingJob(t, tasks)
+	job, outputDir := lockingJob(t, tasks)
 	run := &arrayRun{t: t, ctx: ctx, cluster: c, client: cl, job: job}
 	if _, err := cl.Submit(ctx, &run.job); err != nil {
 		t.Fatal(err)
@@ -250,7 +250,7 @@
 	if err != nil || s.State != "done" || s.Done != tasks {
 		t.Fatalf("wait until all tasks are done: status %+v, error %v", s, err)
 	}
-	attempts := checkTaskOutput(t, work, tasks)
+	attempts := checkTaskOutput(t, outputDir, tasks)
 	if len(run.unexplainedWaits) > 0 {
 		t.Errorf("no task ran and no reason was given: %v", run.unexplainedWaits)
 	}
@@ -296,7 +296,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Second)
 	defer stop()
 	const tasks = 30
-	j, work := lockingJob(t, tasks)
+	j, outputDir := lockingJob(t, tasks)
 	j.Spot = true
 	if _, err := cl.Submit(ctx, &j); err != nil {
 		t.Fatal(err)
@@ -304,7 +304,7 @@
 	if s, err := cl.Wait(ctx, j.ID, 200*time.Millisecond, nil); err != nil || s.State != "done" {
 		t.Fatalf("wait for the job: status %+v, error %v, want state done", s, err)
 	}
-	attempts := checkTaskOutput(t, work, tasks)
+	attempts := checkTaskOutput(t, outputDir, tasks)
 	b, err := os.ReadFile(filepath.Join(c.Dir(), "logs", "agents.log"))
 	if err != nil {
 		t.Fatal(err)
@@ -377,13 +377,13 @@
 	}
 	for want, args := range map[string][]string{
 		"cannot create the cluster folder":            {"local", "--folder", filepath.Join(file, "x"), "--chalkhub", "none"},
-		"needs a C compiler and no-such-cc is not":    {"local", "--folder", filepath.Join(t.TempDir(), "new")},
+		"needs a C compiler and no-such-cc is not in": {"local", "--folder", filepath.Join(t.TempDir(), "new")},
 		"cannot listen on 192.0.2.1:1, another":       {"state", "run", "--config", badAddrConfig},
 		"no cluster runs in":                          {"--cluster", t.TempDir(), "jobs"},
 		"did not become ready":                        {"local", "--folder", filepath.Join(t.TempDir(), "new"), "--chalkhub", "/bin/false"},
 		"is not a job id":                             {"--controllers", "127.0.0.1:1", "status", "job-x"},
 		"no controller takes the request now":         {"--controllers", "127.0.0.1:1", "status", "job-1"},
-		"no snapshot came within":                     {"state", "snapshot", t.TempDir(), "--timeout", "200ms"},
+		"no snapshot was taken within":                {"state", "snapshot", t.TempDir(), "--timeout", "200ms"},
 		"s.db: the file is damaged: it is empty":      {"state", "verify", emptyFile(t)},
 		"the request is malformed: \"job-1x\" is not": {"--controllers", "127.0.0.1:1", "abort", "job-1x"},
 	} {
