--- a/internal/kvserver/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -226,9 +226,9 @@
 	path := filepath.Join(t.TempDir(), "state.db")
 	process := startProcess(t, path, fileSizeLimitVariable+"=2097152")
 	client := newTestClient(process.address, 2)
-	const mostWrites = 1000
+	const maxWrites = 1000
 	written, status := 0, 200
-	for ; written < mostWrites; written++ {
+	for ; written < maxWrites; written++ {
 		if status = client.putLarge(written); status != 200 {
 			break
 		}
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -253,9 +253,9 @@
 
 // recordMalformed records which limit a transaction exceeds that the store rejects. Nodes of the
 // previous version are exempt, because that version does not know the announced lower limits.
-func (c *checker) recordMalformed(node string, previousVersion bool, fault string) {
+func (c *checker) recordMalformed(node string, previousVersion bool, exceededLimit string) {
 	if !previousVersion {
-		c.recordViolation(violationMalformedRequest, "%s sent the state service %s", node, fault)
+		c.recordViolation(violationMalformedRequest, "%s sent the state service %s", node, exceededLimit)
 	}
 }
 
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -41,13 +41,13 @@
 }
 
 // count adds a job to Jobs, Started and Done.
-func (s *ClassProgress) count(job *Job) {
-	s.Jobs++
+func (p *ClassProgress) count(job *Job) {
+	p.Jobs++
 	if len(job.completed) > 0 || len(job.machines) > 0 {
-		s.Started++
+		p.Started++
 	}
 	if len(job.completed) == job.Spec.Tasks {
-		s.Done++
+		p.Done++
 	}
 }
 
@@ -68,15 +68,15 @@
 func (u *Users) UnderservedClasses(until time.Duration, capacityByTeam map[string]float64) (underserved []fairshare.Account, evaluated int) {
 	classes := u.ClassProgress(until)
 	neededByTeam := map[string]float64{} // CPU seconds, by team
-	for account, share := range classes {
-		neededByTeam[account.Team] += share.SmallerHalfCPUSeconds
+	for account, progress := range classes {
+		neededByTeam[account.Team] += progress.SmallerHalfCPUSeconds
 	}
-	for account, share := range classes {
+	for account, progress := range classes {
 		if neededByTeam[account.Team] > capacityByTeam[account.Team] {
 			continue
 		}
 		evaluated++
-		if 2*share.Done < share.Jobs {
+		if 2*progress.Done < progress.Jobs {
 			underserved = append(underserved, account)
 		}
 	}
