--- a/internal/kvserver/applier.go
+++ b/internal/kvserver/applier.go
@@ -25,7 +25,7 @@
 	state          *kvstore.State // the durable state
 	storage        Storage
 	leaseDeadlines map[uint64]time.Duration // when leases expire unless they are renewed
-	lastApplied    time.Duration
+	lastApplied    time.Duration            // time of the last call of apply
 	stallThreshold time.Duration
 	outOfSpace     bool // the last write failed for lack of disk space
 }
--- a/internal/kvserver/handlers.go
+++ b/internal/kvserver/handlers.go
@@ -219,7 +219,8 @@
 }
 
 // abortConnection closes the connection without a response. It is used when it is unknown whether
-// the request was executed, because every status would state that it was or was not.
+// a command was executed, because every status would state that it was or was not, and for a watch
+// that is still waiting when the server stops.
 func abortConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(conn net.Conn) { _ = conn.Close() }) // the error concerns only this closed connection
--- a/internal/kvserver/server.go
+++ b/internal/kvserver/server.go
@@ -37,8 +37,8 @@
 	// considered to have been stalled. It is far longer than a slow write takes, and
 	// shorter than the TTLs of the leases in use.
 	stallThreshold = time.Second
-	// leaseCheckInterval is the interval at which leases are checked for expiry. A lease may
-	// expire up to 100 ms late.
+	// leaseCheckInterval is the interval at which leases are checked for expiry. It is below
+	// the 100 ms by which a lease may expire late.
 	leaseCheckInterval = 50 * time.Millisecond
 	// maxQueuedBatches is the capacity of the queue in batches. It is above 1 so that a full
 	// batch is ready whenever a write ends.
@@ -132,9 +132,9 @@
 // State returns the latest durable state. Any goroutine may call it.
 func (s *Server) State() *kvstore.State { return s.published.Load().State }
 
-// Serve serves requests on a listener, which it closes, until ctx ends or a write fails so that it
-// is unknown what the storage holds. It returns ctx's error or that of the write. It may be called
-// only once.
+// Serve serves requests on a listener, which it closes. It returns ctx's error when ctx ends, or
+// earlier with the error of a write after which it is unknown what the storage holds, or of the
+// listener. It may be called only once.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -56,8 +56,8 @@
 	errNoCapacity    = errors.New("no capacity")
 )
 
-// MachineType is a machine type that the cloud offers, with the number of machines per zone. Prices
-// are per hour.
+// MachineType is a machine type that the cloud offers, with the maximum number of machines per zone.
+// Prices are per hour.
 type MachineType struct {
 	Name       string   `json:"name"`
 	CPUs       float64  `json:"cpus"`
@@ -204,7 +204,7 @@
 		return m
 	}
 	m.Addr = l.Addr().String()
-	go c.runMachine(ctx, m, t, l) // ends when delete cancels ctx; delete waits for it
+	go c.runMachine(ctx, m, t, l) // ends with the machine's processes; delete cancels ctx and waits for it
 	return m
 }
 
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -16,8 +16,7 @@
 	machinePrefix = "n-"
 	// cloudPageSize is the maximum number of instances in one page of the list of instances.
 	cloudPageSize = 500
-	// cloudBurstSeconds is the burst that the limit of calls a second allows, in seconds' worth of
-	// calls.
+	// cloudBurstSeconds is the size of the largest burst of calls, in seconds at the rate limit.
 	cloudBurstSeconds = 2
 	// minBootFactor and bootFactorSpread bound how long a boot takes, as a share of the machine type's
 	// boot time: from minBootFactor to minBootFactor + bootFactorSpread.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -142,8 +142,9 @@
 	}
 }
 
-// Heal ends a partition of two endpoints and delivers the packets that it held, in the order in
-// which they were sent.
+// Heal ends a partition of two endpoints and sends the packets that it held on, in the order in
+// which they were sent first. Each gets a new random latency, so packets of different calls may
+// arrive in another order.
 func (c *Cluster) Heal(a, b string) { c.SetLinks(a, b, Link{}) }
 
 // PartitionZone partitions a zone from the zone other or, if other is empty, from everything
@@ -201,8 +202,9 @@
 	return records.Job{Spec: spec, State: protocol.JobQueued, SubmittedAt: wallClockOffset}
 }
 
-// Pause pauses the process for the given duration without ending it. The effects that it was about
-// to perform are performed when it resumes, and commands that arrive during the pause are queued.
+// Pause pauses the process for the given duration without ending it. The core still applies commands
+// until it returns effects. These are performed when the process resumes, and commands that arrive
+// after that step are queued until then.
 func (n *Node) Pause(duration time.Duration) {
 	n.paused = true
 	n.cluster.After(duration, n.ifSameProcess(func() {
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -11,8 +11,8 @@
 const gangPollInterval = 200 * time.Millisecond
 
 // gangTask is an attempt at a task of a gang on its machine. It waits until all tasks of the gang are
-// on machines, then runs. It exits if the wait takes longer than the setting gang_wait_s or if a
-// peer is missing for longer than gang_peer_s while it runs.
+// on machines, then runs for the RunS of its job. It exits early if the wait takes longer than the
+// setting gang_wait_s or if a peer is missing for longer than gang_peer_s while it runs.
 type gangTask struct {
 	worker       *Worker
 	task         *Task
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// checkLastResponse checks that some request about a job got a response within the last
-// maxTimeWithoutResponse.
+// checkLastResponse checks, once all faults are over, that some request about a job got a response
+// within the last maxTimeWithoutResponse.
 func (c *checker) checkLastResponse(job *Job) {
 	now, faultsOverAt := c.cluster.Now, c.cluster.Users.FaultsOverAt
 	if faultsOverAt == 0 || now-max(job.lastResponseAt, faultsOverAt) <= maxTimeWithoutResponse {
@@ -251,8 +251,9 @@
 	}
 }
 
-// recordMalformed records which limit a transaction exceeds that the store rejects. Nodes of the
-// previous version are exempt, because that version does not know the announced lower limits.
+// recordMalformed records that the store rejected a transaction because it exceeds a limit, which
+// exceededLimit describes. Nodes of the previous version are exempt, because that version does not
+// know the announced lower limits.
 func (c *checker) recordMalformed(node string, previousVersion bool, exceededLimit string) {
 	if !previousVersion {
 		c.recordViolation(violationMalformedRequest, "%s sent the state service %s", node, exceededLimit)
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -62,9 +62,9 @@
 }
 
 // UnderservedClasses returns the classes of which less than half of the jobs are done, sorted by
-// team and class. It evaluates only classes of teams whose capacity, in CPU seconds by team name,
-// was sufficient for the smaller half of the jobs of each of the team's classes; evaluated is the
-// number of those classes. Jobs count as in ClassProgress.
+// team and class. capacityByTeam holds the CPU seconds that each team could use. Only classes of
+// teams for which this was sufficient for the smaller halves of the jobs of all their classes
+// together are evaluated; evaluated is the number of these classes. Jobs count as in ClassProgress.
 func (u *Users) UnderservedClasses(until time.Duration, capacityByTeam map[string]float64) (underserved []fairshare.Account, evaluated int) {
 	classes := u.ClassProgress(until)
 	neededByTeam := map[string]float64{} // CPU seconds, by team
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -46,7 +46,7 @@
 
 	Starts                int // starts of a task on a machine
 	RepeatedStarts        int // those of them whose task had completed before
-	Requests              int // requests sent to some ready node; requests to a given node are not counted
+	Requests              int // requests to any ready node, even if none was ready; requests to a given node are not counted
 	Served                int // those of them with a response other than a server error or statusTooManyRequests
 	TimedOut              int // those of them that got no response within userTimeout or whose connection broke
 	ReadEverywhereReplies int // requests of ReadEverywhere that got a response about the job
@@ -54,8 +54,9 @@
 	// confirmation that the job is cancelled.
 	StartsAfterCancel int
 
-	// OnlyNode is the node that requests go to, while it is ready. If it is nil, they go to any node
-	// that is ready. Requests to a given node are not affected.
+	// OnlyNode is the only node that requests go to. While it is not ready, they fail. If it is nil,
+	// they go to any node that is ready. Requests to a given node, such as those of ReadEverywhere,
+	// are not affected.
 	OnlyNode *Node
 	// FaultsOverAt is the simulated time at which all faults are over, 0: not known. Some invariants
 	// are checked only from then on.
@@ -79,7 +80,7 @@
 	Accepted          bool
 	Rejected          core.ReplyStatus     // status of its final rejection, 0: none
 	LastState         string               // state last reported to its user; a final one stays
-	LastResponse      protocol.JobResponse // the response that reported it
+	LastResponse      protocol.JobResponse // the latest response that reported it
 	CancelConfirmedAt time.Duration        // when its user got the confirmation that it is cancelled, 0: not yet
 
 	submittedAt     time.Duration
