--- a/internal/kvserver/crash_test.go
+++ b/internal/kvserver/crash_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGXFSZ)
+	signal.Ignore(syscall.SIGXFSZ) // otherwise a write above the limit kills the process instead of failing
 	return syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: size, Max: size})
 }
 
--- a/internal/kvserver/limiter.go
+++ b/internal/kvserver/limiter.go
@@ -18,7 +18,8 @@
 }
 
 // admit reports whether a request with the given number of writes is within both limits. Only
-// admitted requests count towards the limits, so a refused request does not reduce how many later ones are admitted.
+// admitted requests count towards the limits, so a refused request does not reduce how many later
+// ones are admitted.
 func (l *limiter) admit(now time.Duration, writes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -86,7 +86,7 @@
 // StartAgent returns the command of a machine's agent, which the cloud then starts. The standard
 // input of the agent stays open as long as the cloud's process runs and delivers AgentMessages. The
 // files to pass to it are its listener and the write end of a pipe, which the agent and the shims of
-// its tasks keep open until they exit.
+// its tasks (package shim) keep open until they exit.
 type StartAgent func(m protocol.Instance, t MachineType, listener, livenessPipe *os.File) (*exec.Cmd, error)
 
 // AgentMessage is a message from the cloud to an agent, sent as one line of JSON.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// Heal ends a partition of two endpoints and sends the packets that it held on, in the order in
-// which they were sent first. Each gets a new random latency, so packets of different calls may
-// arrive in another order.
+// Heal ends a partition of two endpoints and sends the packets that it held once more, in their
+// original order. Each gets a new random latency, so packets of different calls may arrive in
+// another order.
 func (c *Cluster) Heal(a, b string) { c.SetLinks(a, b, Link{}) }
 
 // PartitionZone partitions a zone from the zone other or, if other is empty, from everything
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -9,7 +9,7 @@
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 )
 
-// ClassProgress is how many of a class's jobs have started and are done.
+// ClassProgress counts the jobs of a class, and those of them that have started and are done.
 type ClassProgress struct {
 	Jobs                  int     // jobs that count, see Users.ClassProgress
 	Started               int     // those of them with a task that is on a machine or has completed
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -46,7 +46,7 @@
 
 	Starts                int // starts of a task on a machine
 	RepeatedStarts        int // those of them whose task had completed before
-	Requests              int // requests to any ready node, even if none was ready; requests to a given node are not counted
+	Requests              int // requests that may go to any ready node, also while none was ready; requests to a given node are not counted
 	Served                int // those of them with a response other than a server error or statusTooManyRequests
 	TimedOut              int // those of them that got no response within userTimeout or whose connection broke
 	ReadEverywhereReplies int // requests of ReadEverywhere that got a response about the job
