--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -56,8 +56,8 @@
 	errNoCapacity    = errors.New("no capacity")
 )
 
-// MachineType is a machine type that the cloud offers, with the number of machines per zone. Prices
-// are per hour.
+// MachineType is a machine type that the cloud offers, with the maximum number of machines per zone.
+// Prices are per hour.
 type MachineType struct {
 	Name       string   `json:"name"`
 	CPUs       float64  `json:"cpus"`
@@ -86,7 +86,7 @@
 // StartAgent returns the command of a machine's agent, which the cloud then starts. The standard
 // input of the agent stays open as long as the cloud's process runs and delivers AgentMessages. The
 // files to pass to it are its listener and the write end of a pipe, which the agent and the shims of
-// its tasks keep open until they exit.
+// its tasks (package shim) keep open until they exit.
 type StartAgent func(m protocol.Instance, t MachineType, listener, livenessPipe *os.File) (*exec.Cmd, error)
 
 // AgentMessage is a message from the cloud to an agent, sent as one line of JSON.
@@ -204,7 +204,7 @@
 		return m
 	}
 	m.Addr = l.Addr().String()
-	go c.runMachine(ctx, m, t, l) // ends when delete cancels ctx; delete waits for it
+	go c.runMachine(ctx, m, t, l) // ends with the machine's processes; delete cancels ctx and waits for it
 	return m
 }
 
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -9,7 +9,7 @@
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 )
 
-// ClassProgress is how many of a class's jobs have started and are done.
+// ClassProgress counts the jobs of a class, and those of them that have started and are done.
 type ClassProgress struct {
 	Jobs                  int     // jobs that count, see Users.ClassProgress
 	Started               int     // those of them with a task that is on a machine or has completed
@@ -41,13 +41,13 @@
 }
 
 // count adds a job to Jobs, Started and Done.
-func (s *ClassProgress) count(job *Job) {
-	s.Jobs++
+func (p *ClassProgress) count(job *Job) {
+	p.Jobs++
 	if len(job.completed) > 0 || len(job.machines) > 0 {
-		s.Started++
+		p.Started++
 	}
 	if len(job.completed) == job.Spec.Tasks {
-		s.Done++
+		p.Done++
 	}
 }
 
@@ -62,21 +62,21 @@
 }
 
 // UnderservedClasses returns the classes of which less than half of the jobs are done, sorted by
-// team and class. It evaluates only classes of teams whose capacity, in CPU seconds by team name,
-// was sufficient for the smaller half of the jobs of each of the team's classes; evaluated is the
-// number of those classes. Jobs count as in ClassProgress.
+// team and class. capacityByTeam holds the CPU seconds that each team could use. Only classes of
+// teams for which this was sufficient for the smaller halves of the jobs of all their classes
+// together are evaluated; evaluated is the number of these classes. Jobs count as in ClassProgress.
 func (u *Users) UnderservedClasses(until time.Duration, capacityByTeam map[string]float64) (underserved []fairshare.Account, evaluated int) {
 	classes := u.ClassProgress(until)
 	neededByTeam := map[string]float64{} // CPU seconds, by team
-	for account, share := range classes {
-		neededByTeam[account.Team] += share.SmallerHalfCPUSeconds
+	for account, progress := range classes {
+		neededByTeam[account.Team] += progress.SmallerHalfCPUSeconds
 	}
-	for account, share := range classes {
+	for account, progress := range classes {
 		if neededByTeam[account.Team] > capacityByTeam[account.Team] {
 			continue
 		}
 		evaluated++
-		if 2*share.Done < share.Jobs {
+		if 2*progress.Done < progress.Jobs {
 			underserved = append(underserved, account)
 		}
 	}
