--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -118,9 +118,9 @@
 	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Response: changes})
 }
 
-// requireFirst fails unless the replica holds the first acceptance with its later changes. how says
+// requireFirstAcceptance fails unless the replica holds the first acceptance with its later changes. how says
 // whether the replica followed or loaded the history.
-func (r replica) requireFirst(t *rapid.T, h *storeHistory, how string) {
+func (r replica) requireFirstAcceptance(t *rapid.T, h *storeHistory, how string) {
 	j := r.records.acceptedJob(acceptedTwiceID)
 	if h.first.Spec.ID == "" {
 		if j != nil {
@@ -181,13 +181,13 @@
 			}
 			if rapid.Bool().Draw(rt, "read") {
 				follower.follow(h)
-				follower.requireFirst(rt, h, "followed")
+				follower.requireFirstAcceptance(rt, h, "followed")
 			}
 			late := newReplica()
 			late.load(h)
-			late.requireFirst(rt, h, "loaded")
+			late.requireFirstAcceptance(rt, h, "loaded")
 		}
 		follower.follow(h)
-		follower.requireFirst(rt, h, "followed")
+		follower.requireFirstAcceptance(rt, h, "followed")
 	})
 }
