--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -118,29 +118,29 @@
 	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Response: changes})
 }
 
-// requireFirst fails unless the replica holds the first acceptance with its later changes. how says
+// requireFirstAcceptance fails unless the replica holds the first acceptance with its later changes. how says
 // whether the replica followed or loaded the history.
-func (r replica) requireFirst(t *rapid.T, h *storeHistory, how string) {
+func (r replica) requireFirstAcceptance(t *rapid.T, h *storeHistory, readMode string) {
 	j := r.records.acceptedJob(acceptedTwiceID)
 	if h.first.Spec.ID == "" {
 		if j != nil {
-			t.Fatalf("%s: the replica knows a job that no controller accepted", how)
+			t.Fatalf("%s: the replica knows a job that no controller accepted", readMode)
 		}
 		return
 	}
 	if j == nil {
-		t.Fatalf("%s: the replica does not know the accepted job", how)
+		t.Fatalf("%s: the replica does not know the accepted job", readMode)
 	}
 	got, want := &j.record, &h.first
 	if got.Spec.Tasks != want.Spec.Tasks || got.State != want.State || !slices.Equal(got.Zones, want.Zones) && want.State == protocol.JobQueued {
-		t.Fatalf("%s: the replica has %d tasks, state %s, zones %v; the first acceptance has %d tasks, state %s, zones %v", how,
+		t.Fatalf("%s: the replica has %d tasks, state %s, zones %v; the first acceptance has %d tasks, state %s, zones %v", readMode,
 			got.Spec.Tasks, got.State, got.Zones, want.Spec.Tasks, want.State, want.Zones)
 	}
 	if guard := j.recordGuard(); h.ownKey != "" && want.State == protocol.JobQueued && guard != (protocol.Guard{Key: h.ownKey, Version: h.values[h.ownKey].Version}) {
-		t.Fatalf("%s: a change would be guarded by %+v, but the job's own key holds %+v", how, guard, h.values[h.ownKey])
+		t.Fatalf("%s: a change would be guarded by %+v, but the job's own key holds %+v", readMode, guard, h.values[h.ownKey])
 	}
 	if waits := r.records.dependencies.IsWaiting(acceptedTwiceID); want.State == protocol.JobQueued && waits != (len(want.Spec.Dependencies) > 0) {
-		t.Fatalf("%s: the job waits for a dependency: got %v", how, waits)
+		t.Fatalf("%s: the job waits for a dependency: got %v", readMode, waits)
 	}
 }
 
@@ -181,13 +181,13 @@
 			}
 			if rapid.Bool().Draw(rt, "read") {
 				follower.follow(h)
-				follower.requireFirst(rt, h, "followed")
+				follower.requireFirstAcceptance(rt, h, "followed")
 			}
 			late := newReplica()
 			late.load(h)
-			late.requireFirst(rt, h, "loaded")
+			late.requireFirstAcceptance(rt, h, "loaded")
 		}
 		follower.follow(h)
-		follower.requireFirst(rt, h, "followed")
+		follower.requireFirstAcceptance(rt, h, "followed")
 	})
 }
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -184,7 +184,7 @@
 }
 
 // For one minute, the jobs of each class are submitted six times as often.
-func TestFairShareDuringBurst(t *testing.T) {
+func TestFairShareServesHalfOfEachClassAfterBurst(t *testing.T) {
 	t.Parallel()
 	const span = 520 * second
 	settings := simulation.Settings(3)
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -57,7 +57,7 @@
 
 // Preemption frees capacity on one machine at a time: it stops as many small tasks as a large task needs
 // on its machine, and the best-effort team does not take the freed capacity meanwhile.
-func TestPreemptionMakesRoomForLargeTasks(t *testing.T) {
+func TestPreemptionFreesCapacityForLargeTasks(t *testing.T) {
 	s := newScenario(t, 39)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 8 {
@@ -79,7 +79,7 @@
 
 // Stopping one large task frees capacity for several small ones. No more large tasks are stopped than
 // the small ones need.
-func TestPreemptingOneLargeTaskServesSeveral(t *testing.T) {
+func TestPreemptingOneLargeTaskServesSeveralSmallTasks(t *testing.T) {
 	s := newScenario(t, 40)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 4 {
@@ -100,7 +100,7 @@
 
 // An urgent job that fails everywhere preempts tasks of other jobs for one of its tasks at a time, not
 // for all of them.
-func TestCrashLoopingJobPreemptsLittle(t *testing.T) {
+func TestCrashLoopingJobPreemptsForOneTaskAtATime(t *testing.T) {
 	s := newScenario(t, 41)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 0
 	for range 4 {
