--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -17,8 +17,8 @@
 // TestFirstAcceptanceCountsOnEveryController guards against controllers that hold different records of
 // one job. Two controllers may accept one submission: the first in an admission batch, the second in
 // another batch or under the job's own key. Without the rule that the first acceptance counts, a
-// controller that loads the state anew reads the batches in the order of their keys and takes the first
-// one that it reads, and a controller that reads the job's own key takes the second acceptance for a
+// controller that loads the state anew reads the batches in the order of their keys and uses the first
+// one that it reads, and a controller that reads the job's own key handles the second acceptance as a
 // change of the job. The fault was seen in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, as "was
 // aborted at 3.100 and is called queued".
 
@@ -118,8 +118,8 @@
 	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Response: changes})
 }
 
-// requireFirstAcceptance fails unless the replica holds the first acceptance with its later changes. how says
-// whether the replica followed or loaded the history.
+// requireFirstAcceptance fails unless the replica holds the first acceptance with its later changes.
+// readMode is the text in error messages for how the replica read the history: followed or loaded.
 func (r replica) requireFirstAcceptance(t *rapid.T, h *storeHistory, readMode string) {
 	j := r.records.acceptedJob(acceptedTwiceID)
 	if h.first.Spec.ID == "" {
@@ -140,7 +140,7 @@
 		t.Fatalf("%s: a change would be guarded by %+v, but the job's own key holds %+v", readMode, guard, h.values[h.ownKey])
 	}
 	if waits := r.records.dependencies.IsWaiting(acceptedTwiceID); want.State == protocol.JobQueued && waits != (len(want.Spec.Dependencies) > 0) {
-		t.Fatalf("%s: the job waits for a dependency: got %v", readMode, waits)
+		t.Fatalf("%s: the replica reports whether the job waits for a dependency as %v, want the opposite", readMode, waits)
 	}
 }
 
--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -93,9 +93,9 @@
 	s.eventually(60*second, "the job is done", s.Users.AllFinal)
 }
 
-// A controller is ready as soon as it is entitled. If it waits for the machine types as well, the load
-// balancer, which probes once a second, has no controller for the first users. Until it knows the
-// machine types, a ready controller neither accepts nor rejects a job.
+// A controller is ready as soon as it is entitled to serve workers and users. If it waits for the
+// machine types as well, the load balancer, which probes once a second, has no controller for the first
+// users. Until it knows the machine types, a ready controller neither accepts nor rejects a job.
 func TestControllersAreReadyBeforeTheCloudResponds(t *testing.T) {
 	s := &scenario{Cluster: simulation.New(77, 3), t: t}
 	for _, node := range s.Nodes {
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// measureSnapshots measures five times how a member encodes a snapshot and the leader applies it.
+// measureSnapshots measures five times how long a member takes to encode a snapshot and the leader to
+// apply it, and reports the snapshot's size.
 func measureSnapshots(b *testing.B, s *scenario, durations durationsByName) {
 	b.Helper()
 	leader, follower := s.leader(), s.follower()
@@ -96,8 +97,8 @@
 	}
 }
 
-// measureFailover measures the work of a new leader until it has seen every machine: the total and the
-// longest batch of commands.
+// measureFailover measures the processing time of a new leader until it has seen every machine: the
+// total, and that of the longest batch of commands.
 func measureFailover(b *testing.B, s *scenario) {
 	b.Helper()
 	var total, longest time.Duration
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -51,7 +51,7 @@
 	late := s.submitAccepted(dependentArray(2, other, jobs[3]), 1)
 	s.eventually(10*second, "a dependent of a cancelled job is accepted and cancelled", lastStateIs(protocol.JobCancelled, late))
 	if !strings.Contains(late.LastResponse.Reason, jobs[3].Spec.ID) {
-		t.Fatalf("the reason is %q", late.LastResponse.Reason)
+		t.Fatalf("the reason of the dependent submitted last is %q, want one that names the cancelled job", late.LastResponse.Reason)
 	}
 	s.crashAll(second / 20) // the controllers must reach the same result from the reloaded records
 	s.Run(s.Now + 60*second)
@@ -208,7 +208,7 @@
 	s.eventually(100*second, "other work is done", lastStateIs(protocol.JobDone, unrelated))
 	s.Run(s.Now + 60*second)
 	if reason := dependents[1].LastResponse.Reason; reason != "waits for "+dependents[0].Spec.ID {
-		t.Fatalf("the last job's reason is %q", reason)
+		t.Fatalf("the last job's reason is %q, want one that names the job that it depends on", reason)
 	}
 	s.Users.Cancel(head)
 	s.eventually(60*second, "all are cancelled", lastStateIs(protocol.JobCancelled, head, dependents[0], dependents[1]))
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -49,7 +49,7 @@
 
 	s.exhaustSingleWrites(informed)
 	dependent := s.Users.Submit(dependentArray(1, dependency), 1)
-	s.eventually(200*time.Millisecond, "its dependent is aborted", lastStateIs(protocol.JobCancelled, dependent))
+	s.eventually(200*time.Millisecond, "its dependent is cancelled", lastStateIs(protocol.JobCancelled, dependent))
 
 	prepare(s, late)
 	s.Users.OnlyNode = late
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -15,10 +15,11 @@
 // the leader then looked for another machine in the same shard only. Where that shard had none, the job
 // found no machine in any scheduling round until the four leases were over.
 //
-// Seen in RandomizedSimulation, seed 3, the 28th simulation, with seven controllers and therefore few
+// Seen in TestRandomizedSimulation, seed 3, the 28th simulation, with seven controllers and therefore few
 // machines per shard: job-000002 failed on n-000001 and n-000004, both of one shard, at 28.1 and 32.1 s,
-// and was ranked 76 times with "dispatched 0 waiting 20 reason its tasks failed on 2 machines, trying
-// again soon", while n-000005 of another shard had free capacity from 63.6 s on, for more than 90 s.
+// and was processed in 76 scheduling rounds with "dispatched 0 waiting 20 reason its tasks failed on 2
+// machines, trying again soon", while n-000005 of another shard had free capacity from 63.6 s on, for
+// more than 90 s.
 //
 // The time limit is that of the invariant left_waiting: no job waits for 90 s while a suitable machine
 // has free capacity.
@@ -94,7 +95,7 @@
 // Guards against a job that waits although the only machine for it works again. The fault was that a
 // machine on which a job's tasks had failed was avoided for four worker leases, here 160 s, even where
 // no other machine may run them: "left_waiting ... its tasks failed on 1 machines, trying again soon".
-// Seen in RandomizedSimulation, seed 91004, the 150th simulation, for that half of a spread job whose
+// Seen in TestRandomizedSimulation, seed 91004, the 150th simulation, for that half of a spread job whose
 // zone had one machine.
 func TestFailedTaskIsRetriedOnTheOnlyMachine(t *testing.T) {
 	s, job := newFailingScenario(t, 1, simulation.Array(4))
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -83,8 +83,8 @@
 }
 
 // checkFairShare fails if less than half of a class's jobs are done, counting the jobs that were
-// submitted at least twice overdueAfter ago. It checks the classes of those teams for which limit CPUs
-// would have been enough to complete half of each class.
+// submitted at least twice overdueAfter ago. It checks the classes of those teams for which the given
+// limit, in CPUs, would have been enough to complete half of each class.
 func (s *scenario) checkFairShare(limit float64) {
 	s.t.Helper()
 	s.requireInvariants()
@@ -183,7 +183,8 @@
 	}
 }
 
-// For one minute, the jobs of each class are submitted six times as often.
+// Half of each class is served although the jobs of each class are submitted six times as often for one
+// minute.
 func TestFairShareServesHalfOfEachClassAfterBurst(t *testing.T) {
 	t.Parallel()
 	const span = 520 * second
@@ -227,7 +228,7 @@
 	unservable := jobStream{team: "red", class: "unservable", urgency: protocol.UrgencyLow, interval: 30 * second, tasks: 4, cpus: 4, runSeconds: 12}
 	for name, disturb := range map[string]func(*scenario){
 		"fails everywhere": func(s *scenario) {
-			s.Cloud.Capacity["barn"] = 0 // if two machines run all tasks, each failure affects too many
+			s.Cloud.Capacity["barn"] = 0 // otherwise two machines run all tasks, and each failure affects too many of them
 			for at := 5 * second; at < span; at += unservable.interval {
 				s.At(at, func() { s.submitFrom(unservable).FailsEverywhere = true })
 			}
--- a/internal/core/job_entry_test.go
+++ b/internal/core/job_entry_test.go
@@ -60,10 +60,10 @@
 	}
 	done, cancelled := a.get("job-1"), a.get("job-2")
 	if done.record.State != protocol.JobDone || done.doneCount != 7 || done.version != 11 || done.record.Spec.ID != "job-1" || done.record.Spec.Class != "reports" {
-		t.Errorf("archived job that is done: %+v", done)
+		t.Errorf("archived job that is done is %+v, want job-1 of class reports with 7 done tasks and version 11", done)
 	}
 	if cancelled.record.State != protocol.JobCancelled || cancelled.doneCount != 0 || cancelled.record.StopReason != "cancelled by its user" {
-		t.Errorf("archived job that was cancelled: %+v", cancelled)
+		t.Errorf("archived job that was cancelled is %+v, want no done tasks and the reason that its user cancelled it", cancelled)
 	}
 	if a.get("job-3") != nil {
 		t.Error("the archive returned a job that was never added")
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Tests the transitions of a machine's list trust from each state.
+// Tests from each state how far the owner of a machine then relies on the machine's task list.
 func TestListTrustTransitions(t *testing.T) {
 	const epoch = 3
 	token := uint64(epoch << tokenBits)
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -22,7 +22,7 @@
 	s.Run(s.Now + 60*second)
 	s.requireInvariants()
 	if !strings.Contains(job.LastResponse.Reason, "cancelled") {
-		t.Fatalf("the reason is %q", job.LastResponse.Reason)
+		t.Fatalf("the reason of the cancelled job is %q, want one that names the cancellation", job.LastResponse.Reason)
 	}
 }
 
@@ -85,7 +85,7 @@
 }
 
 // Jobs that many users submit at once share writes. All are accepted within a second or two where the
-// state service allows ten changes per second, whichever controllers the users ask and however often.
+// state service allows ten changes per second, whichever controllers the users submit to and however often.
 // The admission batches are deleted when their jobs are finished.
 func TestSubmissionBurstSharesWrites(t *testing.T) {
 	settings := simulation.Settings(3)
