--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Tests from each state how far the owner of a machine then relies on the machine's task list.
+// Tests from each state the transitions of listTrust: how far the owner of a machine may rely on the
+// machine's task list.
 func TestListTrustTransitions(t *testing.T) {
 	const epoch = 3
 	token := uint64(epoch << tokenBits)
