--- a/client/client_test.go
+++ b/client/client_test.go
@@ -18,7 +18,7 @@
 type scriptedController struct {
 	mu         sync.Mutex
 	statuses   []int
-	retry      string
+	retryAfter string
 	bodies     [][]byte
 	receivedAt []time.Time
 }
@@ -43,8 +43,8 @@
 			return
 		}
 		ctx.SetStatusCode(status)
-		if status == 503 && s.retry != "" {
-			ctx.Response.Header.Set("Retry-After", s.retry)
+		if status == 503 && s.retryAfter != "" {
+			ctx.Response.Header.Set("Retry-After", s.retryAfter)
 		}
 		if status < 300 {
 			ctx.Response.SetBodyRaw(protocol.Encode(protocol.JobResponse{ID: "job-1", State: protocol.JobQueued, Reason: "waits"}))
@@ -78,7 +78,7 @@
 // A submission is retried with the next controller, always with the same id, until one accepts it. The
 // delay that Retry-After asks for is kept, and each controller can decode the request's body.
 func TestSubmitRetriesWithOneID(t *testing.T) {
-	down, broken, busy, up := &scriptedController{statuses: []int{0}}, &scriptedController{statuses: []int{500}}, &scriptedController{statuses: []int{503}, retry: "1"}, &scriptedController{statuses: []int{201}}
+	down, broken, busy, up := &scriptedController{statuses: []int{0}}, &scriptedController{statuses: []int{500}}, &scriptedController{statuses: []int{503}, retryAfter: "1"}, &scriptedController{statuses: []int{201}}
 	c := newTestClient(t, "127.0.0.1:1", down.serve(t), broken.serve(t), busy.serve(t), up.serve(t))
 	j := &Job{Team: "main", CPUs: 1, MemoryGB: 1, Estimate: time.Second, Command: []string{"true"}}
 	s, err := c.Submit(context.Background(), j)
@@ -118,7 +118,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer stop()
-	controller := &scriptedController{statuses: []int{503}, retry: "30"}
+	controller := &scriptedController{statuses: []int{503}, retryAfter: "30"}
 	if _, err := newTestClient(t, controller.serve(t)).Abort(ctx, "job-1"); !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, ErrNotNow) {
 		t.Errorf("Abort whose context ended: got error %v, want DeadlineExceeded and ErrNotNow", err)
 	}
--- a/cmd/chalkhubctl/submit.go
+++ b/cmd/chalkhubctl/submit.go
@@ -13,9 +13,9 @@
 	"github.com/chalkhub/chalkhub/internal/schema"
 )
 
-// maxJobFile is the limit in bytes on a job file read from standard input. The artifact server
+// maxJobFileBytes is the limit in bytes on a job file read from standard input. The artifact server
 // accepts no larger job description.
-const maxJobFile = 1 << 20
+const maxJobFileBytes = 1 << 20
 
 //go:embed job.schema.json
 var jobSchema []byte
@@ -99,7 +99,7 @@
 	var err error
 	if path == "-" {
 		path = "standard input"
-		b, err = io.ReadAll(io.LimitReader(os.Stdin, maxJobFile))
+		b, err = io.ReadAll(io.LimitReader(os.Stdin, maxJobFileBytes))
 	} else {
 		b, err = os.ReadFile(path)
 	}
--- a/internal/core/barrier_callback_test.go
+++ b/internal/core/barrier_callback_test.go
@@ -13,7 +13,7 @@
 // sent while the callbacks of the other submissions had yet to run. After they had run, another barrier
 // was sent, which overwrote the callbacks of the one in flight. The first submission got no response, and
 // its user timed out after 5 s. In this test, that happened to one of four users.
-func TestEverySubmissionBehindSharedBarriersIsAnswered(t *testing.T) {
+func TestEverySubmissionBehindSharedBarriersGetsResponse(t *testing.T) {
 	s := newScenario(t, 9400)
 	s.Run(s.Now + 2*second)
 	first, lagging := s.leader(), s.follower()
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -138,7 +138,7 @@
 // responses to heartbeats and in direct calls. Meanwhile, in each tenth of a second a job is submitted
 // that is cancelled later, through the former owner, a new one or a third controller. No task of these
 // jobs may be left running, or start too late.
-func TestCancellationDuringShardHandover(t *testing.T) {
+func TestCancellationHoldsDuringShardHandover(t *testing.T) {
 	lateStarts, starts := 0, 0
 	for name, handOver := range handovers {
 		for _, ownerLeads := range []bool{true, false} {
@@ -195,7 +195,7 @@
 
 // The leader crashes up to ten times in two minutes, in half of the runs also during an outage of the
 // state service that affects all controllers, while jobs are submitted, end and are cancelled.
-func TestTenFailoversInTwoMinutes(t *testing.T) {
+func TestWorkCompletesThroughTenFailoversInTwoMinutes(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprintf("outage %v", outage), func(t *testing.T) {
 			acrossSeeds(t, 3700, 3, func(t *testing.T, _, controllers int, seed uint64) {
@@ -229,7 +229,7 @@
 // All controllers are down for 8 to 26 s, up to well over a worker's lease, while all machines are full.
 // The tasks that are lost must be started again only once, and each team must stay within its quota. A
 // job that was cancelled just before must stay cancelled.
-func TestAllControllersDownPastWorkerLease(t *testing.T) {
+func TestWorkCompletesAfterAllControllersWereDown(t *testing.T) {
 	acrossSeeds(t, 4300, 4, func(t *testing.T, variant, controllers int, seed uint64) {
 		s, toCancel := startFullCluster(t, seed, controllers)
 		s.Users.Cancel(toCancel)
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -70,7 +70,7 @@
 
 // Transactions that get no response and are applied late must not accept a job twice, lose a job or undo
 // a cancellation.
-func TestLateTransactionsAndLostResponses(t *testing.T) {
+func TestLateTransactionsAndLostResponsesAreHarmless(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newScenario(t, 40+seed)
 		s.Store.DelayedCommitShare, s.Store.MaxCommitDelay = 0.15, 6*second
@@ -92,7 +92,7 @@
 // A controller that missed more changes than the state service keeps loads all keys again, page by page.
 // The state service refuses some of these requests. The controller must then know every job, also those
 // that have ended.
-func TestPagedLoadAfterCompaction(t *testing.T) {
+func TestPagedLoadFindsEveryJob(t *testing.T) {
 	s := newScenario(t, 47)
 	s.Store.AddFinishedJobs(4500)
 	open := s.Users.Submit(simulation.Array(4), 200)
--- a/internal/degraded/degraded_test.go
+++ b/internal/degraded/degraded_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestCancellationsArePassedOn(t *testing.T) {
+func TestCancelledJobsOfVotesAreSortedAndUnique(t *testing.T) {
 	coordinator, _ := runRounds(3, func(round uint64) Vote {
 		vote := permittingVote(round, 50)
 		vote.CancelledSince, vote.Cancelled = 40, []string{"job-2", "job-1", "job-2"}
--- a/internal/kvstore/txn_test.go
+++ b/internal/kvstore/txn_test.go
@@ -8,7 +8,7 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-func TestValidateRejectsMalformedTxnWithReason(t *testing.T) {
+func TestValidateRejectsOnlyMalformedTxnsWithReason(t *testing.T) {
 	limits := Limits{MaxValueKiB: 1, MaxTxnOps: 2}
 	value := protocol.Encode(1)
 	valueOf := func(bytes int) protocol.Raw { return protocol.Raw(strings.Repeat("v", bytes)) }
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -353,7 +353,7 @@
 
 // A command that fails, for instance because a cluster cannot start, prints one line that names the
 // cause.
-func TestStartupErrorsAreOneSentence(t *testing.T) {
+func TestFailedCommandsPrintOneLine(t *testing.T) {
 	dir := buildPrograms(t)
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestOneWatchIsOpen(t *testing.T) {
+func TestOnlyOneWatchIsOpenPerInterval(t *testing.T) {
 	h := newHarness()
 	h.load(5)
 	for range 3 {
--- a/internal/protocol/jsonsize.go
+++ b/internal/protocol/jsonsize.go
@@ -12,16 +12,16 @@
 //
 // Characters in strings that JSON may escape are counted as escaped.
 func JSONSize(v any) int {
-	s := jsonSizer{rest: Encode(v)}
+	s := jsonSizer{unread: Encode(v)}
 	return s.value()
 }
 
 // jsonSizer adds up the JSON sizes of values while it walks over MessagePack from Encode.
-type jsonSizer struct{ rest []byte }
+type jsonSizer struct{ unread []byte }
 
 // value consumes the next value and returns its size.
 func (s *jsonSizer) value() int {
-	code := s.take(1)[0]
+	code := s.readBytes(1)[0]
 	switch {
 	case code <= msgpcode.PosFixedNumHigh:
 		return intSize(int64(code))
@@ -35,7 +35,7 @@
 		return s.text(int(code & msgpcode.FixedStrMask))
 	}
 	if width := lengthWidth(code); width > 0 {
-		return s.lengthPrefixed(code, int(bigEndian(s.take(width))))
+		return s.lengthPrefixed(code, int(bigEndian(s.readBytes(width))))
 	}
 	return s.scalar(code)
 }
@@ -59,17 +59,17 @@
 	case msgpcode.Nil, msgpcode.False, msgpcode.True:
 		return len("false")
 	case msgpcode.Float:
-		return floatSize(float64(math.Float32frombits(uint32(bigEndian(s.take(4))))), 32)
+		return floatSize(float64(math.Float32frombits(uint32(bigEndian(s.readBytes(4))))), 32)
 	case msgpcode.Double:
-		return floatSize(math.Float64frombits(bigEndian(s.take(8))), 64)
+		return floatSize(math.Float64frombits(bigEndian(s.readBytes(8))), 64)
 	case msgpcode.Uint8, msgpcode.Int8:
-		return uintSize(bigEndian(s.take(1)))
+		return uintSize(bigEndian(s.readBytes(1)))
 	case msgpcode.Uint16, msgpcode.Int16:
-		return uintSize(bigEndian(s.take(2))) + sign
+		return uintSize(bigEndian(s.readBytes(2))) + sign
 	case msgpcode.Uint32, msgpcode.Int32:
-		return uintSize(bigEndian(s.take(4))) + sign
+		return uintSize(bigEndian(s.readBytes(4))) + sign
 	case msgpcode.Uint64, msgpcode.Int64:
-		return uintSize(bigEndian(s.take(8))) + sign
+		return uintSize(bigEndian(s.readBytes(8))) + sign
 	}
 	panic("protocol: JSONSize: a MessagePack format that Encode does not write")
 }
@@ -78,7 +78,7 @@
 func (s *jsonSizer) text(length int) int {
 	const quotes, escaped, escapedCode = 2, 2, 6 // "", \", \u003c
 	size := quotes
-	for _, c := range s.take(length) {
+	for _, c := range s.readBytes(length) {
 		switch {
 		case c == '"' || c == '\\':
 			size += escaped
@@ -102,10 +102,10 @@
 	return size
 }
 
-// take consumes and returns the next count bytes.
-func (s *jsonSizer) take(count int) []byte {
-	front := s.rest[:count]
-	s.rest = s.rest[count:]
+// readBytes consumes and returns the next count bytes.
+func (s *jsonSizer) readBytes(count int) []byte {
+	front := s.unread[:count]
+	s.unread = s.unread[count:]
 	return front
 }
 
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -182,7 +182,7 @@
 		return core.CloudUnavailable
 	}
 	rate := c.cluster.Settings.Site.Cloud.RPS
-	if !c.callBucket.take(c.cluster.Now, 1, rate, cloudBurstSeconds) {
+	if !c.callBucket.allow(c.cluster.Now, 1, rate, cloudBurstSeconds) {
 		c.Throttled++
 		return core.CloudThrottled
 	}
--- a/internal/simulation/leakybucket.go
+++ b/internal/simulation/leakybucket.go
@@ -8,9 +8,9 @@
 	updatedAt time.Duration
 }
 
-// take reports whether a number of requests is allowed by a limit of rate requests per second,
+// allow reports whether a number of requests is allowed by a limit of rate requests per second,
 // with bursts of up to rate*burstSeconds requests, and counts them if they are allowed.
-func (b *leakyBucket) take(now time.Duration, requests, rate, burstSeconds float64) bool {
+func (b *leakyBucket) allow(now time.Duration, requests, rate, burstSeconds float64) bool {
 	b.used = max(b.used-(now-b.updatedAt).Seconds()*rate, 0)
 	b.updatedAt = now
 	if b.used+requests > burstSeconds*rate {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -72,8 +72,8 @@
 // counts it either towards these limits or in Throttled.
 func (s *Store) throttle(writes int) bool {
 	limits, now := s.limits(), s.cluster.Now
-	if s.requestBucket.take(now, 1, limits.RPS, storeBurstSeconds) &&
-		s.writeBucket.take(now, float64(writes), limits.WriteRPS, storeBurstSeconds) {
+	if s.requestBucket.allow(now, 1, limits.RPS, storeBurstSeconds) &&
+		s.writeBucket.allow(now, float64(writes), limits.WriteRPS, storeBurstSeconds) {
 		return false
 	}
 	s.Throttled++
--- a/internal/stepdown/stepdown_test.go
+++ b/internal/stepdown/stepdown_test.go
@@ -48,15 +48,15 @@
 			if stepDowns > tracker.MaxStepDownsPerHour() || (stepDowns > 0) != test.stepDown {
 				t.Errorf("%d step-downs in an hour, want at most %d, and none only if the link is cut for less than gracePeriod", stepDowns, tracker.MaxStepDownsPerHour())
 			}
-			checkVacantLeadIsTaken(t, tracker)
+			checkVacantLeadershipIsTaken(t, tracker)
 			checkBackoffIsReset(t, tracker)
 		})
 	}
 }
 
-// checkVacantLeadIsTaken checks that a controller does not abstain when no other controller takes
+// checkVacantLeadershipIsTaken checks that a controller does not abstain when no other controller takes
 // over leadership.
-func checkVacantLeadIsTaken(t *testing.T, tracker *Tracker) {
+func checkVacantLeadershipIsTaken(t *testing.T, tracker *Tracker) {
 	t.Helper()
 	if tracker.ShouldAbstain(time.Hour, false, 0, takeoverTime) {
 		t.Error("the controller abstains although no other controller is alive")
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestParseList(t *testing.T) {
+func TestParseListAcceptsOnlyValidLists(t *testing.T) {
 	line := func(test string) string { return "internal/core " + test + ", a cause, with a comma, issue 42\n" }
 	list, err := parseList(line("TestA") + "\n" + line("TestB") + line("TestC"))
 	want := entry{Package: "internal/core", Test: "TestB", Cause: "a cause, with a comma", Issue: "issue 42"}
