--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -17,8 +17,8 @@
 // TestFirstAcceptanceCountsOnEveryController guards against controllers that hold different records of
 // one job. Two controllers may accept one submission: the first in an admission batch, the second in
 // another batch or under the job's own key. Without the rule that the first acceptance counts, a
-// controller that loads the state anew reads the batches in the order of their keys and takes the first
-// one that it reads, and a controller that reads the job's own key takes the second acceptance for a
+// controller that loads the state anew reads the batches in the order of their keys and uses the first
+// one that it reads, and a controller that reads the job's own key handles the second acceptance as a
 // change of the job. The fault was seen in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, as "was
 // aborted at 3.100 and is called queued".
 
@@ -118,29 +118,29 @@
 	r.mirror.HandleChanges(mirror.Changes{Outcome: mirror.Served, Response: changes})
 }
 
-// requireFirstAcceptance fails unless the replica holds the first acceptance with its later changes. how says
-// whether the replica followed or loaded the history.
-func (r replica) requireFirstAcceptance(t *rapid.T, h *storeHistory, how string) {
+// requireFirstAcceptance fails unless the replica holds the first acceptance with its later changes.
+// readMode is the text in error messages for how the replica read the history: followed or loaded.
+func (r replica) requireFirstAcceptance(t *rapid.T, h *storeHistory, readMode string) {
 	j := r.records.acceptedJob(acceptedTwiceID)
 	if h.first.Spec.ID == "" {
 		if j != nil {
-			t.Fatalf("%s: the replica knows a job that no controller accepted", how)
+			t.Fatalf("%s: the replica knows a job that no controller accepted", readMode)
 		}
 		return
 	}
 	if j == nil {
-		t.Fatalf("%s: the replica does not know the accepted job", how)
+		t.Fatalf("%s: the replica does not know the accepted job", readMode)
 	}
 	got, want := &j.record, &h.first
 	if got.Spec.Tasks != want.Spec.Tasks || got.State != want.State || !slices.Equal(got.Zones, want.Zones) && want.State == protocol.JobQueued {
-		t.Fatalf("%s: the replica has %d tasks, state %s, zones %v; the first acceptance has %d tasks, state %s, zones %v", how,
+		t.Fatalf("%s: the replica has %d tasks, state %s, zones %v; the first acceptance has %d tasks, state %s, zones %v", readMode,
 			got.Spec.Tasks, got.State, got.Zones, want.Spec.Tasks, want.State, want.Zones)
 	}
 	if guard := j.recordGuard(); h.ownKey != "" && want.State == protocol.JobQueued && guard != (protocol.Guard{Key: h.ownKey, Version: h.values[h.ownKey].Version}) {
-		t.Fatalf("%s: a change would be guarded by %+v, but the job's own key holds %+v", how, guard, h.values[h.ownKey])
+		t.Fatalf("%s: a change would be guarded by %+v, but the job's own key holds %+v", readMode, guard, h.values[h.ownKey])
 	}
 	if waits := r.records.dependencies.IsWaiting(acceptedTwiceID); want.State == protocol.JobQueued && waits != (len(want.Spec.Dependencies) > 0) {
-		t.Fatalf("%s: the job waits for a dependency: got %v", how, waits)
+		t.Fatalf("%s: the replica reports whether the job waits for a dependency as %v, want the opposite", readMode, waits)
 	}
 }
 
