--- a/internal/core/barrier_callback_test.go
+++ b/internal/core/barrier_callback_test.go
@@ -16,9 +16,9 @@
 func TestEverySubmissionBehindSharedBarriersGetsResponse(t *testing.T) {
 	s := newScenario(t, 9400)
 	s.Run(s.Now + 2*second)
-	first, lagging := s.leader(), s.follower()
+	informed, lagging := s.leader(), s.follower()
 	s.SetLink("state", lagging.Label, simulation.Link{Delay: 500 * time.Millisecond})
-	s.Users.OnlyNode = first
+	s.Users.OnlyNode = informed
 	head := s.submitAccepted(simulation.Array(1), 300)
 	var dependents []*simulation.Job
 	for range 4 {
--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -25,11 +25,11 @@
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s late %v", key, late), func(t *testing.T) {
 				t.Parallel()
-				lost := 0
+				affected := 0
 				for seed := range uint64(2) {
-					lost += simulateLostResponses(t, 3100+seed, key, late)
+					affected += simulateLostResponses(t, 3100+seed, key, late)
 				}
-				if lost == 0 && key != "c/types" { // machine types are written only once, and perhaps this write is not affected
+				if affected == 0 && key != "c/types" { // machine types are written only once, and perhaps this write is not affected
 					t.Fatal("no response was lost or late, so the test checked nothing")
 				}
 			})
--- a/internal/core/costs_test.go
+++ b/internal/core/costs_test.go
@@ -40,11 +40,11 @@
 // durationsByName holds a histogram of durations in microseconds for each measured operation.
 type durationsByName map[string]*hdrhistogram.Histogram
 
-func (d durationsByName) record(name string, took time.Duration) {
+func (d durationsByName) record(name string, duration time.Duration) {
 	if d[name] == nil {
 		d[name] = hdrhistogram.New(1, maxMeasuredMicros, 3)
 	}
-	_ = d[name].RecordValue(min(max(took.Microseconds(), 1), maxMeasuredMicros)) // the value is limited to the histogram's range
+	_ = d[name].RecordValue(min(max(duration.Microseconds(), 1), maxMeasuredMicros)) // the value is limited to the histogram's range
 }
 
 // measureCommands measures ten scheduling rounds, and the heartbeats and polls that form a batch of
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -23,7 +23,7 @@
 // node that has read neither the cancellation nor the batch, and that accepts it again. The first
 // acceptance counts, so the second node must respond that the job is cancelled too, whatever its own
 // record of the job says.
-func TestDependentOfCancelledJobHasOneAnswerOnAllNodes(t *testing.T) {
+func TestAllNodesReportDependentOfCancelledJobAsCancelled(t *testing.T) {
 	t.Run("accepted again in a batch", func(t *testing.T) {
 		testAcceptedTwice(t, (*scenario).exhaustSingleWrites)
 	})
@@ -34,15 +34,15 @@
 
 // testAcceptedTwice makes two nodes accept the same dependent of a cancelled job. It calls prepare
 // before it submits the dependent to late, the node that learns of the cancellation late.
-func testAcceptedTwice(t *testing.T, prepare func(s *scenario, late *simulation.Node)) {
+func testAcceptedTwice(t *testing.T, beforeSecondSubmission func(s *scenario, laggingNode *simulation.Node)) {
 	t.Helper()
 	s := newScenario(t, 9100)
 	dependency := s.submitAccepted(simulation.Array(1), 300)
 	s.Run(s.Now + 2*second) // until every node has read the first job
-	informed, late := s.leader(), s.follower()
+	informed, laggingNode := s.leader(), s.follower()
 
 	// Responses of the state service reach one node late.
-	s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
+	s.SetLink("state", laggingNode.Label, simulation.Link{Delay: 500 * time.Millisecond})
 	s.Users.OnlyNode = informed
 	s.Users.Cancel(dependency)
 	s.eventually(second, "the first job is cancelled", lastStateIs(protocol.JobCancelled, dependency))
@@ -51,8 +51,8 @@
 	dependent := s.Users.Submit(dependentArray(1, dependency), 1)
 	s.eventually(200*time.Millisecond, "its dependent is cancelled", lastStateIs(protocol.JobCancelled, dependent))
 
-	prepare(s, late)
-	s.Users.OnlyNode = late
+	beforeSecondSubmission(s, laggingNode)
+	s.Users.OnlyNode = laggingNode
 	s.Users.Resubmit(dependent)
 	s.Run(s.Now + 5*second)
 	s.requireInvariants()
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -93,8 +93,8 @@
 				more.Team = "red"
 				s.Users.Submit(more, 10)
 				s.eventually(35*second, "every machine has been seen", func() bool { return s.logged("every machine has been seen") })
-				if lost := tasksBefore - red.RunningTasks() - s.Users.CompletedTasks(red); name != machinesTerminatedWithLeader && lost > 0 {
-					t.Fatalf("%d tasks were lost because of a stale heartbeat\n%s", lost, s.lastLogs(*logLines))
+				if lostTasks := tasksBefore - red.RunningTasks() - s.Users.CompletedTasks(red); name != machinesTerminatedWithLeader && lostTasks > 0 {
+					t.Fatalf("%d tasks were lost because of a stale heartbeat\n%s", lostTasks, s.lastLogs(*logLines))
 				}
 				s.recoverAndFinish(300 * second)
 			})
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -494,7 +494,7 @@
 // A controller must not forget the cancellations that it learnt in degraded mode while it may still
 // serve from a mirror that is older than they are. The crash of another controller may end the rounds of
 // degraded mode at any time, also just when the mirror becomes too stale to serve from.
-func TestLearntCancellationsOutliveStaleMirror(t *testing.T) {
+func TestLearntCancellationsAreKeptWhileMirrorIsStale(t *testing.T) {
 	for tenths := range 24 {
 		set := simulation.Settings(3)
 		set.Site.Workers.CancelS = 24 // slightly more than the staleness limit, which is then 5.44 s, plus a lease of 16 s
@@ -520,11 +520,11 @@
 func TestCheckerDetectsSeededViolations(t *testing.T) {
 	// reopen makes one node, whose link to the users is slow, report a job as queued although the
 	// job was done before. If forgets is set, the node reports the job as unknown instead.
-	reopen := func(s *scenario, forgets bool) {
+	reopen := func(s *scenario, deleteRecord bool) {
 		job := s.Users.Submit(simulation.Array(2), 3)
 		s.eventually(40*second, "the job is done", lastStateIs(protocol.JobDone, job))
 		s.Run(s.Now + 4*second) // its admission batch has been deleted
-		if forgets {
+		if deleteRecord {
 			s.Store.DeleteKey("c/job/" + job.Spec.ID)
 		} else {
 			s.Store.ReopenJob(job.Spec)
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -63,16 +63,16 @@
 	for range 8 {
 		s.Cloud.AddRunning("box", "a", true)
 	}
-	one, other := simulation.Array(8), simulation.Array(8) // so every machine runs one task of each
-	one.Team, one.CheckpointS, one.SaveS, one.CPUs, one.MemoryGB = "guest", 4, 3, 2, 12
-	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
-	oneJob, otherJob := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
-	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return oneJob.RunningTasks()+otherJob.RunningTasks() >= 14 })
+	memoryHeavy, memoryLight := simulation.Array(8), simulation.Array(8) // so every machine runs one task of each
+	memoryHeavy.Team, memoryHeavy.CheckpointS, memoryHeavy.SaveS, memoryHeavy.CPUs, memoryHeavy.MemoryGB = "guest", 4, 3, 2, 12
+	memoryLight.Team, memoryLight.CheckpointS, memoryLight.SaveS, memoryLight.CPUs = "guest", 4, 3, 2
+	memoryHeavyJob, memoryLightJob := s.Users.Submit(memoryHeavy, 300), s.Users.Submit(memoryLight, 300)
+	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return memoryHeavyJob.RunningTasks()+memoryLightJob.RunningTasks() >= 14 })
 	large := simulation.Array(2)
 	large.CPUs = 4
 	largeJob := s.Users.Submit(large, 30)
 	s.eventually(6*second, "the large tasks run", func() bool { return largeJob.RunningTasks() == 2 })
-	if n := oneJob.RunningTasks() + otherJob.RunningTasks(); n < 10 {
+	if n := memoryHeavyJob.RunningTasks() + memoryLightJob.RunningTasks(); n < 10 {
 		t.Fatalf("%d of 16 small tasks still run, want at least 10", n)
 	}
 }
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -76,9 +76,9 @@
 
 // eventually advances the simulated time until a condition holds. It fails the test if the condition does
 // not hold within the timeout or an invariant has been violated.
-func (s *scenario) eventually(timeout time.Duration, expectation string, holds func() bool) {
+func (s *scenario) eventually(timeout time.Duration, expectation string, condition func() bool) {
 	s.t.Helper()
-	if !s.RunUntil(s.Now+timeout, holds) {
+	if !s.RunUntil(s.Now+timeout, condition) {
 		s.requireInvariants()
 		s.t.Fatalf("condition not met within %v: %s\n%s", timeout, expectation, s.lastLogs(*logLines))
 	}
@@ -140,7 +140,7 @@
 
 // The invariant checker must report a task that runs on two machines at once. If it missed violations,
 // every other scenario would pass without asserting anything.
-func TestInvariantCheckerCatchesDoubleRun(t *testing.T) {
+func TestInvariantCheckerDetectsTaskOnTwoMachines(t *testing.T) {
 	s := newScenario(t, 2)
 	job := s.Users.Submit(simulation.Array(1), 60)
 	s.eventually(60*second, "the task runs", func() bool { return job.RunningTasks() == 1 })
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -140,8 +140,8 @@
 	for _, tasks := range tasksInZone {
 		total += tasks
 	}
-	here := tasksInZone[zone]
-	return (!spec.OneZone || here == total) && (!spec.Spread || here < maxSpreadTasksPerZone(spec))
+	tasksInThisZone := tasksInZone[zone]
+	return (!spec.OneZone || tasksInThisZone == total) && (!spec.Spread || tasksInThisZone < maxSpreadTasksPerZone(spec))
 }
 
 // fittingTasks returns how many tasks of a job the machine could take now, given its type, kind
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -154,15 +154,15 @@
 // returns nil if there is none. A dependency that was reported as done in spite of the request
 // does not count, nor do the jobs that it depends on.
 func (c *checker) cancelledDependency(job *Job) (found *Job) {
-	seen := map[string]bool{}
+	visited := map[string]bool{}
 	for pending := slices.Clone(job.Spec.Dependencies); len(pending) > 0; {
 		id := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		dependency := c.cluster.Users.jobs[id]
-		if seen[id] || dependency == nil || dependency.LastState == protocol.JobDone {
+		if visited[id] || dependency == nil || dependency.LastState == protocol.JobDone {
 			continue
 		}
-		seen[id] = true
+		visited[id] = true
 		pending = append(pending, dependency.Spec.Dependencies...)
 		if dependency.cancelRequested && (found == nil || found.CancelConfirmedAt == 0) {
 			found = dependency
