--- a/internal/core/acceptance_test.go
+++ b/internal/core/acceptance_test.go
@@ -19,8 +19,8 @@
 // another batch or under the job's own key. Without the rule that the first acceptance counts, a
 // controller that loads the state anew reads the batches in the order of their keys and uses the first
 // one that it reads, and a controller that reads the job's own key handles the second acceptance as a
-// change of the job. The fault was seen in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, as "was
-// aborted at 3.100 and is called queued".
+// change of the job. The invariant checker reported this fault in
+// TestAllNodesReportDependentOfCancelledJobAsCancelled as "was aborted at 3.100 and is called queued".
 
 // storeHistory simulates the state service's history of one job's records. The test writes only what
 // the guards of the writing controllers allow.
@@ -54,7 +54,7 @@
 	record := records.Job{Spec: protocol.Job{ID: acceptedTwiceID, Kind: protocol.KindArray, Tasks: int(h.revision) + 1}, State: protocol.JobQueued}
 	dependent := rapid.Bool().Draw(t, "dependent")
 	if dependent {
-		record.Spec.Dependencies = []string{"job-000009"} // never finishes
+		record.Spec.Dependencies = []string{"job-000009"} // the job waits for this dependency, which is never done
 	}
 	if h.first.Spec.ID == "" {
 		h.first = record
@@ -77,7 +77,7 @@
 }
 
 // change writes a change of the accepted job, a cancellation or a choice of zones, to the job's own
-// key, as every controller does that knows the job.
+// key. Every controller that knows the job writes its changes in this way.
 func (h *storeHistory) change(t *rapid.T) {
 	if h.ownKey == "" {
 		h.ownKey = (&jobEntry{record: h.first, dependent: len(h.first.Spec.Dependencies) > 0}).recordKey()
--- a/internal/core/accepted_twice_test.go
+++ b/internal/core/accepted_twice_test.go
@@ -9,14 +9,14 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// As in TestDependentOfCancelledJobHasOneAnswerOnAllNodes, a dependent of a cancelled job is accepted at
-// the leader, and again at a node that has read neither the cancellation nor the first acceptance. Then
-// followUp does what could make another part of a node, or another node, use the second acceptance. In
-// each case the job and its own dependents must be cancelled on all nodes.
+// As in TestAllNodesReportDependentOfCancelledJobAsCancelled, a dependent of a cancelled job is accepted
+// at the leader, and again at a node that has read neither the cancellation nor the first acceptance. Then
+// followUp submits a dependent of this job, cancels it, restarts nodes or changes the leader. None of that
+// may make a node use the second acceptance: the job and its own dependents must be cancelled on all nodes.
 //
-// Guards against a dependent of such a job that waited for ever, because not every part of a node ignored
-// the second acceptance: the job's record in the admission batch was final, but the dependency graph had
-// the job as open.
+// Guards against the fault that a dependent of such a job waited forever. A node ignored the second
+// acceptance in the admission batch, where the job's record was final, but not in its dependency graph,
+// where the job was open.
 func TestSecondAcceptanceHasNoEffect(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -64,7 +64,7 @@
 				}
 				s.Users.OnlyNode = lagging
 				s.Users.Resubmit(dependent)
-				s.Run(s.Now + 30*time.Millisecond) // its write has been sent, and has no response yet
+				s.Run(s.Now + 30*time.Millisecond) // the write of the second acceptance has been sent and has no response yet
 				jobs := append(tt.followUp(s, lagging, dependent), dependent)
 				s.Users.OnlyNode = nil
 				s.Run(s.Now + 2*second)
--- a/internal/core/autoscaling_test.go
+++ b/internal/core/autoscaling_test.go
@@ -115,8 +115,8 @@
 	s.eventually(60*second, "the job is done", s.Users.AllFinal)
 }
 
-// A machine that has just booted has not shown its fencing token yet. It must not be returned to the
-// cloud for that.
+// A machine that has just booted has not yet reported a fencing token. It must not be returned to the
+// cloud for that reason.
 func TestNewMachinesAreNotReturned(t *testing.T) {
 	s := newScenario(t, 32)
 	for range 10 {
@@ -151,8 +151,8 @@
 	s.eventually(20*second, "all long tasks run again", func() bool { return job.RunningTasks() == 12 })
 }
 
-// Machines that are known before the cloud has listed its machine types get work once it has. The
-// test guards against a leader that looks up a machine's type in a snapshot from before that type
+// Machines that are known before the cloud has listed its machine types get work once the types are
+// listed. The test guards against a leader that looks up a machine's type in a snapshot from before that type
 // was listed.
 func TestMachinesKnownBeforeTheirTypesGetWork(t *testing.T) {
 	s := newScenario(t, 42)
@@ -169,8 +169,8 @@
 	s.eventually(30*second, "the job is done", s.Users.AllFinal)
 }
 
-// Machines are created within the rate limit of a cloud that allows one call a second, and one
-// machine list of many pages does not use up the calls.
+// Machines are created within the rate limit of a cloud that allows one call a second. Listing all
+// machines, which takes a call for each of many pages, leaves calls for creating machines.
 func TestCloudCallsStayWithinRateLimit(t *testing.T) {
 	settings := simulation.Settings(3)
 	settings.Site.Cloud.RPS = 1
--- a/internal/core/barrier_callback_test.go
+++ b/internal/core/barrier_callback_test.go
@@ -7,11 +7,11 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Guards against a read barrier whose callbacks were never called. Several submissions share a barrier,
-// after which a controller looks up their dependencies. For each it then finds that another controller
-// has accepted the submitted job, and requests one more barrier. The barrier for the first submission was
-// sent before the callbacks of the others had run. After these, another barrier was sent, which overwrote
-// the callbacks of the one in flight. The first submission got no response, and its user, one of four in
+// Guards against a read barrier whose callbacks were never called. Several submissions share a barrier.
+// Once it is complete, a controller looks up their dependencies, finds for each submission that another
+// controller has accepted the job, and requests one more barrier. The one for the first submission was sent
+// before the callbacks of the other submissions had run. When these had run, a further barrier was sent,
+// which overwrote the callbacks of the one in flight. The first submission got no response, and its user, one of four in
 // this test, timed out after 5 s.
 func TestEverySubmissionBehindSharedBarriersGetsResponse(t *testing.T) {
 	s := newScenario(t, 9400)
@@ -24,7 +24,7 @@
 	for range 4 {
 		dependents = append(dependents, s.Users.Submit(dependentArray(1, head), 1))
 	}
-	s.Run(s.Now + 100*time.Millisecond) // all jobs are accepted, and the lagging node has read none of that
+	s.Run(s.Now + 100*time.Millisecond) // all jobs are accepted, and the lagging node has read none of the acceptances
 	s.Users.OnlyNode = lagging
 	timedOut := s.Users.TimedOut
 	for _, dependent := range dependents {
--- a/internal/core/capacity_faults_test.go
+++ b/internal/core/capacity_faults_test.go
@@ -9,7 +9,7 @@
 )
 
 // Urgent and other jobs need more than the capacity, the links of the controllers to each other and to the
-// workers are slow, and the leader fails over. The urgent jobs go first and must be done soon after the last
+// workers are slow, and the leader fails over. The urgent jobs start first and must be done soon after the last
 // submission. In the end every job must be done that its user has not cancelled.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	acrossSeeds(t, 4200, 3, func(t *testing.T, _, controllers int, seed uint64) {
--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -39,8 +39,8 @@
 
 // simulateLostResponses runs a scenario of jobs, cancellations, failovers and shard handovers in which
 // transactions that change a key with the prefix key get no response: all of them, or 70 % if key is
-// empty. With late set, they are 60 %, and are applied 2 to 12 s late. It returns how many transactions
-// were affected.
+// empty. If late is set, 60 % of them get no response and are applied 2 to 12 s late. It returns how many
+// transactions were affected.
 func simulateLostResponses(t *testing.T, seed uint64, key string, late bool) int {
 	s := &scenario{Cluster: simulation.NewWithSettings(seed, simulation.Settings(3), simulation.MachineTypes()), t: t}
 	s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = key, 1
@@ -163,8 +163,8 @@
 
 // For 150 s, four jobs of one task are submitted each second, and a quarter of them is cancelled. The
 // state service has its smallest rate limit for writes, which is lowered meanwhile, other jobs have more
-// tasks, and the leader crashes. Each small job must be accepted within 12 s, and its user must learn how
-// it ended.
+// tasks, and the leader crashes. Each small job must be accepted within 12 s, and its user must be sent
+// its final state.
 func TestSmallJobFloodIsAcceptedInTime(t *testing.T) {
 	acrossSeeds(t, 3600, 2, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, func(site *config.Site) {
--- a/internal/core/consistency_faults_test.go
+++ b/internal/core/consistency_faults_test.go
@@ -29,7 +29,7 @@
 				spec.Dependencies = []string{last.Spec.ID}
 			}
 			job := s.Users.Submit(spec, float64(1+k%4))
-			for range 6 * (k % 3 / 2) { // every third time six more, so that they are accepted in batches
+			for range 6 * (k % 3 / 2) { // six more jobs for every third k, so that the jobs are accepted in batches
 				s.Users.Submit(simulation.Array(1), 2)
 			}
 			last = job
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -72,8 +72,8 @@
 	s.eventually(60*second, "the other branch is done", lastStateIs(protocol.JobDone, jobs[0], jobs[2]))
 }
 
-// When a job's completion and its cancellation race, the state that it reaches first determines that of
-// its dependents, on every controller. The invariant checker compares the responses of the
+// When a job's completion and its cancellation race, the job's first final state determines the states
+// of its dependents, on every controller. The invariant checker compares the responses of the
 // controllers.
 func TestDependentsFollowRacingCancellationAndCompletion(t *testing.T) {
 	outcomes := map[string]int{}
@@ -131,7 +131,7 @@
 		s.submitAccepted(dependent, 5)
 	}
 	unrelated := s.submitAccepted(simulation.Array(8), 5) // within team blue's guarantee
-	s.eventually(60*second, "other work is done", lastStateIs(protocol.JobDone, unrelated))
+	s.eventually(60*second, "the unrelated job is done", lastStateIs(protocol.JobDone, unrelated))
 	s.eventually(400*second, "all jobs are final", s.Users.AllFinal)
 }
 
@@ -181,7 +181,7 @@
 	first = s.submitAccepted(simulation.Array(2), 600)
 	dependent := s.submitAccepted(dependentArray(2, first), 5)
 	s.Users.Cancel(first)
-	s.eventually(60*second, "both are cancelled", lastStateIs(protocol.JobCancelled, first, dependent))
+	s.eventually(60*second, "the first job and its dependent are cancelled", lastStateIs(protocol.JobCancelled, first, dependent))
 	s.Store.ReopenJob(first.Spec)
 	s.crashAll(second)
 	s.Run(s.Now + 100*second)
@@ -196,8 +196,9 @@
 	requireCaught(s, "malformed")
 }
 
-// When the first job of a chain fails wherever it runs, its dependents wait, give this as their reason
-// and take up no capacity, and are cancelled with it when its user cancels it.
+// When the first job of a chain fails wherever it runs, its dependents wait, take up no capacity,
+// and report that they wait for the job that they depend on. When its user cancels it, they are cancelled
+// as well.
 func TestDependentsOfFailingJobWaitUntilCancelled(t *testing.T) {
 	s := newScenario(t, 314)
 	head := s.submitAccepted(simulation.Array(4), 5)
@@ -205,13 +206,13 @@
 	dependents := []*simulation.Job{s.submitAccepted(dependentArray(40, head), 5)}
 	dependents = append(dependents, s.submitAccepted(dependentArray(3, dependents[0]), 5))
 	unrelated := s.submitAccepted(simulation.Array(8), 5)
-	s.eventually(100*second, "other work is done", lastStateIs(protocol.JobDone, unrelated))
+	s.eventually(100*second, "the unrelated job is done", lastStateIs(protocol.JobDone, unrelated))
 	s.Run(s.Now + 60*second)
 	if reason := dependents[1].LastResponse.Reason; reason != "waits for "+dependents[0].Spec.ID {
 		t.Fatalf("the last job's reason is %q, want one that names the job that it depends on", reason)
 	}
 	s.Users.Cancel(head)
-	s.eventually(60*second, "all are cancelled", lastStateIs(protocol.JobCancelled, head, dependents[0], dependents[1]))
+	s.eventually(60*second, "all jobs of the chain are cancelled", lastStateIs(protocol.JobCancelled, head, dependents[0], dependents[1]))
 }
 
 // A chain of jobs of two teams completes although one of the teams is at its quota for a long time.
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// testAcceptedTwice makes two nodes accept the same dependent of a cancelled job. It calls prepare
-// before it submits the dependent to late, the node that learns of the cancellation late.
+// testAcceptedTwice makes two nodes accept the same dependent of a cancelled job. It calls
+// beforeSecondSubmission before it submits the dependent to laggingNode, which reads the cancellation late.
 func testAcceptedTwice(t *testing.T, beforeSecondSubmission func(s *scenario, laggingNode *simulation.Node)) {
 	t.Helper()
 	s := newScenario(t, 9100)
@@ -49,7 +49,7 @@
 
 	s.exhaustSingleWrites(informed)
 	dependent := s.Users.Submit(dependentArray(1, dependency), 1)
-	s.eventually(200*time.Millisecond, "its dependent is cancelled", lastStateIs(protocol.JobCancelled, dependent))
+	s.eventually(200*time.Millisecond, "the dependent of the first job is cancelled", lastStateIs(protocol.JobCancelled, dependent))
 
 	beforeSecondSubmission(s, laggingNode)
 	s.Users.OnlyNode = laggingNode
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -11,7 +11,7 @@
 }
 
 // FullSnapshot returns the full snapshot that this member would publish to a leader over a new link. It
-// leaves unchanged which state is due to be published.
+// does not change what the member publishes next.
 func (c *Core) FullSnapshot() peerproto.Message {
 	snapshot := peerproto.Message{Epoch: c.shard.epoch, Snapshot: true}
 	for _, m := range c.shard.machines.All() {
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -40,7 +40,7 @@
 		s.Workers[machine].Faulty = true
 	}
 	job := s.submitAccepted(simulation.Array(16), 3)
-	s.eventually(30*second, "its tasks have failed on both machines", func() bool {
+	s.eventually(30*second, "tasks of the job have failed on both machines", func() bool {
 		return s.logged(faulty[0]+" why error") && s.logged(faulty[1]+" why error")
 	})
 	s.Run(s.Now + 5*second) // until the machines have free capacity again
@@ -99,7 +99,7 @@
 // zone had one machine.
 func TestFailedTaskIsRetriedOnTheOnlyMachine(t *testing.T) {
 	s, job := newFailingScenario(t, 1, simulation.Array(4))
-	s.eventually(30*second, "its tasks have failed", func() bool { return s.logged("task failed") })
+	s.eventually(30*second, "tasks of the job have failed", func() bool { return s.logged("task failed") })
 	s.repairMachines()
 	s.eventually(90*second, "the job runs again", func() bool { return job.RunningTasks() > 0 })
 	s.eventually(60*second, "the job is done", lastStateIs(protocol.JobDone, job))
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -43,7 +43,7 @@
 			s.Partition(node.Label, machine.Info.Name, variant%2 == 0)
 		}
 	},
-	"neither reaches nor is reached": func(s *scenario, machine *simulation.Worker, _ int) {
+	"partitioned, while the machine opens no connections": func(s *scenario, machine *simulation.Worker, _ int) {
 		machine.OutboundBlocked = true
 		for _, node := range s.Nodes {
 			s.SetLink(node.Label, machine.Info.Name, simulation.Dropped)
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -39,7 +39,7 @@
 func startContended(t testing.TB, seed uint64, until time.Duration, policy func(*config.Policy), settings config.Settings, streams ...jobStream) *scenario {
 	t.Helper()
 	cluster := simulation.NewWithSettings(seed, settings, simulation.MachineTypes())
-	cluster.Policy.OverdueLeases = 2.5 // makes jobs overdue early enough for a simulation of minutes
+	cluster.Policy.OverdueLeases = 2.5 // makes jobs overdue within the few minutes that are simulated
 	if policy != nil {
 		policy(&cluster.Policy)
 	}
@@ -160,15 +160,16 @@
 	}
 	s.Run(span)
 	s.requireInvariants()
-	// During a failover no task starts near a team's limit, so half of every class cannot be served.
+	// During a failover no task of a team near its limit starts, so the test cannot require that half of
+	// every class is served.
 	reports, photos := s.classShare("reports"), s.classShare("photos")
 	if photos.Done == 0 || 2*reports.Done*photos.Jobs < photos.Done*reports.Jobs {
 		t.Errorf("%d of %d reports are done, but %d of %d photos", reports.Done, reports.Jobs, photos.Done, photos.Jobs)
 	}
 }
 
-// While a team's limit binds for a long time, what a class was served long ago does not count against it
-// forever.
+// While a team is at its limit for a long time, the service that a class received long ago does not reduce
+// its share forever.
 func TestFairShareUnderPersistentQuota(t *testing.T) {
 	t.Parallel()
 	const span = 24 * time.Minute
@@ -219,7 +220,7 @@
 	s.checkFairShare(3)
 }
 
-// Jobs that cannot be served take no share from classes that can: jobs that fail wherever they run, jobs
+// Jobs that cannot be served do not reduce the share of classes that can: jobs that fail wherever they run, jobs
 // whose only zone is partitioned, jobs whose only machine type is sold out, and services, which never
 // end.
 func TestFairShareBesideUnservableJobs(t *testing.T) {
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -78,7 +78,7 @@
 				s.Run(s.Now + 4*second) // one heartbeat of each machine is kept
 				s.RetainHeartbeats = false
 				spec := simulation.Array(24)
-				spec.Team = "red" // whose quota the job uses completely
+				spec.Team = "red" // the job uses the whole quota of this team
 				red, blue := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(20), 60)
 				s.eventually(30*second, "all tasks run", func() bool { return red.RunningTasks() == 24 && blue.RunningTasks() == 20 })
 				between(s)
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -171,8 +171,8 @@
 		s.eventually(60*second, "all tasks run", func() bool { return s.Users.RunningTasks() == 48 })
 		leader := s.leader()
 		s.Cloud.Down = true // otherwise the old leader's machines would be deleted
-		// The others don't reach the old leader's machines either. Otherwise they would fence these with
-		// a newer token, and the old leader's responses would have no effect.
+		// The other controllers do not reach the old leader's machines either. Otherwise they would fence these
+		// machines with a newer token, and the old leader's responses would have no effect.
 		for _, worker := range s.Workers {
 			for _, other := range s.Nodes {
 				if worker.Controller() == leader && other != leader {
@@ -181,7 +181,7 @@
 			}
 		}
 		s.partition(70*second, leader.Label, s.otherEndpoints(leader)...)
-		s.eventually(30*second, "another leads", func() bool { return s.anotherLeads(leader) })
+		s.eventually(30*second, "another controller leads", func() bool { return s.anotherLeads(leader) })
 		s.Users.OnlyNode = s.Nodes[(slices.Index(s.Nodes, leader)+1)%3]
 		s.Users.Cancel(jobs[0])
 		s.Users.Cancel(jobs[1])
@@ -342,7 +342,7 @@
 	}
 }
 
-// All commands and responses to the machines are delayed by some seconds, again and again, while jobs are
+// All commands and responses to the machines are repeatedly delayed by several seconds while jobs are
 // cancelled and other jobs take the capacity that this frees.
 func TestDelayedCommandsKeepInvariants(t *testing.T) {
 	for seed := range uint64(6) {
@@ -464,7 +464,7 @@
 	}
 }
 
-// The response to a heartbeat that a controller does not trust, here a stale one, stops the tasks of
+// The response to a heartbeat that a controller rejects as a report of the current state, here a stale one, stops the tasks of
 // cancelled jobs and contains no other command. Otherwise the response would renew the lease of a
 // machine that goes on running such a task.
 func TestEveryHeartbeatResponseStopsCancelledTasks(t *testing.T) {
@@ -519,7 +519,7 @@
 // the checker must record it.
 func TestCheckerDetectsSeededViolations(t *testing.T) {
 	// reopen makes one node, whose link to the users is slow, report a job as queued although the
-	// job was done before. If forgets is set, the node reports the job as unknown instead.
+	// job was done before. If deleteRecord is set, the node reports the job as unknown instead.
 	reopen := func(s *scenario, deleteRecord bool) {
 		job := s.Users.Submit(simulation.Array(2), 3)
 		s.eventually(40*second, "the job is done", lastStateIs(protocol.JobDone, job))
--- a/internal/core/job_entry_test.go
+++ b/internal/core/job_entry_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// The archive keeps what users may still query about a finished job. Jobs of equal shape share one stored
-// shape.
+// The archive keeps what users may still query about a finished job. Jobs whose descriptions
+// differ only in the ID and the number of tasks share one stored shape, which holds the other fields.
 func TestArchiveKeepsWhatUsersMayQuery(t *testing.T) {
 	a := newJobArchive((&Core{}).fairShareRules)
 	spec := protocol.Job{Class: "reports", Team: "blue", Kind: protocol.KindArray, Urgency: protocol.UrgencyLow, Tasks: 7, CPUs: 2, MemoryGB: 3}
--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -41,7 +41,7 @@
 }
 
 // Crashes, partitions, lost machines, lost responses and outages overlap. Some seeds have found faults:
-//   - 72: the stale task list of a dead machine hid the machine on which a task really ran.
+//   - 72: because of the stale task list of a dead machine, the machine that ran a task was overlooked.
 //   - 2267: a machine that an earlier leader had deleted kept two tasks from being dispatched.
 //   - 354: a progress write that was applied late undid the completion of a task.
 //   - 1280: a machine that responded to /do calls but sent nothing else counted as having no tasks.
@@ -157,7 +157,7 @@
 
 // A dispatch must not count as lost because it is missing from a full snapshot that the shard made before it
 // had read the dispatch. Otherwise the leader dispatches the task again and it runs twice. The slow links
-// between controllers make this crossing likely.
+// between controllers make it likely that a snapshot and a dispatch are in flight at the same time.
 func TestDispatchMissingFromOlderSnapshotIsNotLost(t *testing.T) {
 	s := newScenario(t, 31)
 	s.PeerLatency = 400 * time.Millisecond
@@ -179,9 +179,9 @@
 	s.requireInvariants()
 }
 
-// The machines of a zone are used again after a partition that lasts longer than a silent machine is usually
-// kept. Their links heal one after another. No machine may be returned and replaced, also if the leader
-// changes during the partition, except for one that became silent before the others and was considered dead.
+// The machines of a zone are used again after a partition that lasts longer than an unresponsive machine is
+// usually kept. Their links heal one after another. No machine may be returned and replaced, also if the leader
+// changes during the partition, except for one that became unresponsive before the others and was considered dead.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	for _, changeLeader := range []bool{false, true} {
 		s := newScenario(t, 59)
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Urgent work does not wait behind a job of low urgency: tasks with checkpoints are preempted, and their
-// job's reason names the cause.
+// Urgent tasks do not wait until tasks of low urgency end: those with checkpoints are preempted, and the
+// reason in the responses about their job names the more urgent work.
 func TestUrgentJobPreemptsCheckpointedWork(t *testing.T) {
 	s := newScenario(t, 67)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
@@ -174,5 +174,5 @@
 	s.Users.Submit(lowUrgency, 9)
 	s.Run(s.Now + 12*second)
 	s.Users.Submit(withObjective, 9)
-	s.eventually(400*second, "both are done", s.Users.AllFinal)
+	s.eventually(400*second, "both jobs are done", s.Users.AllFinal)
 }
--- a/internal/core/random_faults_test.go
+++ b/internal/core/random_faults_test.go
@@ -373,7 +373,8 @@
 	},
 }
 
-// requestFaults are user requests that are invalid, very frequent or sent at a critical moment.
+// requestFaults are user requests that are invalid or very frequent, and cancellations that are sent when a
+// job completes or while a shard is handed over.
 var requestFaults = map[string]func(*fault){
 	"cancellation at completion": func(f *fault) {
 		f.during(func() { f.s.Users.CancelAtEndShare = 0.4 }, func() { f.s.Users.CancelAtEndShare = 0 })
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -9,7 +9,7 @@
 	"github.com/chalkhub/chalkhub/internal/simulation"
 )
 
-// Controllers crash at critical moments and restart within a fraction of a second, or after 8 seconds where every
+// Controllers crash at the moments that the subtest names describe and restart within a fraction of a second, or after 8 seconds where every
 // new leader crashes. Meanwhile, duplicates of messages arrive up to 100 seconds late, users submit jobs and one
 // job is cancelled. All jobs must reach their final state.
 func TestJobsCompleteThroughFastRestarts(t *testing.T) {
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -32,8 +32,8 @@
 	s.eventually(240*second, "all jobs are final", s.Users.AllFinal)
 }
 
-// Jobs that fail everywhere, because their users made a mistake, are backed off. Their reason says so,
-// and when the next task is tried. No machine is quarantined, and other work continues.
+// Jobs that fail everywhere, because their users made a mistake, are backed off. The reason in the
+// responses about them says so, and names the time at which the next task is tried. No machine is quarantined, and other work continues.
 func TestCrashLoopingJobsAreBackedOff(t *testing.T) {
 	s := newScenario(t, 61)
 	var failing []*simulation.Job
@@ -91,8 +91,8 @@
 }
 
 // When other teams happen to have no work, long tasks of a best-effort team must not take all the
-// capacity that these teams need for the work that they regularly submit. Nor must the best-effort team
-// starve.
+// capacity that these teams need for the work that they regularly submit. The best-effort team must
+// get some capacity as well.
 func TestBestEffortTeamLeavesHeadroom(t *testing.T) {
 	s := newScenario(t, 38)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 4
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -169,7 +169,7 @@
 		s.Logs = nil
 		s.Run(s.Now + 30*second)
 		if s.logged("workers are kept alive") {
-			t.Fatal("degraded mode was entered")
+			t.Fatal("degraded mode was entered without the votes of all controllers")
 		}
 		s.Store.RefusedNodes = map[string]bool{}
 		s.eventually(500*second, "the job is final", s.Users.AllFinal)
--- a/internal/core/zone_faults_test.go
+++ b/internal/core/zone_faults_test.go
@@ -93,7 +93,7 @@
 				if variant%3 == 2 {
 					s.After(18*second, func() { s.crashLeader(second / 5) })
 				}
-				s.eventually(100*second, "all its tasks are running or completed", func() bool {
+				s.eventually(100*second, "all tasks of the job are running or completed", func() bool {
 					return job.RunningTasks()+s.Users.CompletedTasks(job) == tasks
 				})
 				s.Users.FaultsOverAt = s.Now
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -47,7 +47,7 @@
 	MinCommitDelay     time.Duration
 	MaxCommitDelay     time.Duration
 	// DelayedCommitPrefix limits DelayedCommitShare to transactions that change a key with this
-	// prefix, empty: to all that change a key.
+	// prefix. If it is empty, DelayedCommitShare applies to all transactions that change a key.
 	DelayedCommitPrefix string
 	// ResponseDelay is added to the response time of every request.
 	ResponseDelay time.Duration
@@ -81,8 +81,8 @@
 	OutboundBlocked bool
 	// SlowFactor is the factor by which the worker's tasks take longer; below 1 it has no effect.
 	SlowFactor float64
-	// NoticeS is the notice, in seconds, that the cloud gave before it terminates the machine, nil:
-	// it gave none.
+	// NoticeS is the notice, in seconds, that the cloud gave before it terminates the machine. It is
+	// nil if the cloud gave no notice.
 	NoticeS *float64
 }
 
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -9,12 +9,12 @@
 	"github.com/chalkhub/chalkhub/internal/fairshare"
 )
 
-// ClassProgress counts the jobs of a class, and those of them that have started and are done.
+// ClassProgress holds the number of jobs of a class, and of its jobs that have started or are done.
 type ClassProgress struct {
-	Jobs                  int     // jobs that count, see Users.ClassProgress
-	Started               int     // those of them with a task that is on a machine or has completed
-	Done                  int     // those of them whose tasks have all completed
-	SmallerHalfCPUSeconds float64 // CPU seconds that the smaller half of the jobs needs in total
+	Jobs                  int     // accepted jobs that Users.ClassProgress counts
+	Started               int     // counted jobs with a task that is on a machine or has completed
+	Done                  int     // counted jobs whose tasks have all completed
+	SmallerHalfCPUSeconds float64 // CPU seconds that the smaller half of the counted jobs needs in total
 }
 
 // ClassProgress counts, by team and class, the accepted jobs that were submitted up to the given
--- a/internal/simulation/store_content.go
+++ b/internal/simulation/store_content.go
@@ -18,11 +18,11 @@
 	// distinctTaskCounts is the number of different task counts among the jobs that are added to
 	// the store.
 	distinctTaskCounts = 40
-	// finishedPerCancelled is the number of finished jobs per cancelled one, which is counted among
-	// them.
+	// finishedPerCancelled is the number of finished jobs of which one is cancelled and the others are
+	// done.
 	finishedPerCancelled = 50
-	// dependentJobsPerChain is the number of dependent jobs for each chain; the second half of
-	// them forms the chain.
+	// dependentJobsPerChain is the number of dependent jobs per group. The jobs of the first half of
+	// a group depend only on the first job of the store; those of the second half form a chain.
 	dependentJobsPerChain = 200
 	// longEstimateS is an estimated run time that is longer than any test simulates, in seconds.
 	longEstimateS = 100_000
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -45,10 +45,10 @@
 	gpus         map[string]float64 // GPUs that tasks on machines use, by team
 
 	Starts                int // starts of a task on a machine
-	RepeatedStarts        int // those of them whose task had completed before
+	RepeatedStarts        int // starts of a task that had completed before
 	Requests              int // requests that may go to any ready node, also while none was ready; requests to a given node are not counted
-	Served                int // those of them with a response other than a server error or statusTooManyRequests
-	TimedOut              int // those of them that got no response within userTimeout or whose connection broke
+	Served                int // counted Requests with a response other than a server error or statusTooManyRequests
+	TimedOut              int // counted Requests that got no response within userTimeout or whose connection broke
 	ReadEverywhereReplies int // requests of ReadEverywhere that got a response about the job
 	// StartsAfterCancel counts the attempts that a machine took on after the user had got the
 	// confirmation that the job is cancelled.
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -24,7 +24,8 @@
 	// hungPollInterval is the interval at which the simulation checks whether a hung machine has
 	// resumed, to carry out an action that was due in the meantime.
 	hungPollInterval = time.Second
-	// hungReplyPollInterval is the same interval for reading a response to a heartbeat.
+	// hungReplyPollInterval is the interval at which the simulation checks whether a hung machine has
+	// resumed, to handle the response to a heartbeat that arrived in the meantime.
 	hungReplyPollInterval = 100 * time.Millisecond
 	// leaseCheckInterval is how often a worker checks its lease.
 	leaseCheckInterval = 100 * time.Millisecond
@@ -126,7 +127,7 @@
 }
 
 // statusChanged schedules a heartbeat for the earliest time that minHeartbeatInterval allows. If a
-// heartbeat is in flight, the next one is scheduled once that is finished.
+// heartbeat is in flight, the next one is scheduled once the one in flight is finished.
 func (w *Worker) statusChanged() {
 	if w.heartbeatInFlight {
 		w.changedWhileInFlight = true
