--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -464,8 +464,8 @@
 	}
 }
 
-// The response to a heartbeat that a controller rejects as a report of the current state, here a stale one, stops the tasks of
-// cancelled jobs and contains no other command. Otherwise the response would renew the lease of a
+// The response to a heartbeat that a controller does not accept as current, here a stale one, stops the
+// tasks of cancelled jobs and contains no other command. Otherwise the response would renew the lease of a
 // machine that goes on running such a task.
 func TestEveryHeartbeatResponseStopsCancelledTasks(t *testing.T) {
 	s := newScenario(t, 2300)
--- a/internal/core/randomized_fairshare_test.go
+++ b/internal/core/randomized_fairshare_test.go
@@ -58,7 +58,7 @@
 // drawBindingQuotas replaces the teams of the site by one to three teams with a small quota each.
 func (d *deployment) drawBindingQuotas(rt *rapid.T) {
 	for i := range d.types {
-		d.types[i].SpotPrice = d.types[i].Price / 4 // at a higher price, few machines would be rented for jobs without an objective
+		d.types[i].SpotPrice = d.types[i].Price / 4 // at a higher price, jobs without an objective would justify few machines
 	}
 	d.settings.Site.Teams = nil
 	for i := range rapid.IntRange(1, 3).Draw(rt, "teams") {
--- a/internal/core/scheduling_test.go
+++ b/internal/core/scheduling_test.go
@@ -33,7 +33,8 @@
 }
 
 // Jobs that fail everywhere, because their users made a mistake, are backed off. The reason in the
-// responses about them says so, and names the time at which the next task is tried. No machine is quarantined, and other work continues.
+// responses about them says so, and names the time at which the next task is tried. No machine is
+// quarantined, and other work continues.
 func TestCrashLoopingJobsAreBackedOff(t *testing.T) {
 	s := newScenario(t, 61)
 	var failing []*simulation.Job
--- a/internal/simulation/store_content.go
+++ b/internal/simulation/store_content.go
@@ -22,7 +22,7 @@
 	// done.
 	finishedPerCancelled = 50
 	// dependentJobsPerChain is the number of dependent jobs per group. The jobs of the first half of
-	// a group depend only on the first job of the store; those of the second half form a chain.
+	// a group depend only on one common job; those of the second half form a chain.
 	dependentJobsPerChain = 200
 	// longEstimateS is an estimated run time that is longer than any test simulates, in seconds.
 	longEstimateS = 100_000
