--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -205,7 +205,7 @@
 }
 
 // Jobs are cancelled at each node, just before, when and just after the state service begins to refuse
-// only the leader's requests. It refuses them until the other controllers have acted.
+// only the leader's requests. It refuses them until 15 s after cancel_s has passed.
 func TestCancellationHoldsAsStoreRefusesLeader(t *testing.T) {
 	for _, offset := range []time.Duration{-20, 0, 3, 40, 400} { // milliseconds
 		acrossSeeds(t, 4400, 3, func(t *testing.T, variant, controllers int, seed uint64) {
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -107,8 +107,8 @@
 
 // Guards against a crash-looping job that waits long after its machines were repaired. A job that failed
 // on three machines, here all of them faulty, is retried with one task at growing intervals. The fault
-// was that they grew to eight worker leases, here 320 s, so the next retry could be that far away when
-// the machines worked again.
+// was that these intervals grew to eight worker leases, here 320 s, so the next retry could be 320 s away
+// when the machines worked again.
 func TestCrashLoopingJobIsRetriedSoonAfterRepair(t *testing.T) {
 	s, job := newFailingScenario(t, 6, simulation.Array(12))
 	s.Run(s.Now + 400*second)
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -20,7 +20,7 @@
 	s = startScenario(t, seed, controllers, func(site *config.Site) {
 		site.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8, CPUsMax: 16}, {Name: "guest", CPUs: 4, CPUsMax: 16}}
 	})
-	s.addMachines(24) // half of them stay free
+	s.addMachines(24) // half of the machines stay free
 	for _, team := range quotaTeams {
 		spec := simulation.Array(8)
 		spec.Team = team
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -308,14 +308,14 @@
 	settings := simulation.Settings(3)
 	settings.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
 	streams := []jobStream{c.large}
-	for i := range 4 { // several run at a time and end one after another
+	for i := range 4 { // several jobs run at a time and end one after another
 		streams = append(streams, jobStream{team: "red", class: "photos", urgency: protocol.UrgencyNormal,
 			interval: c.interval * time.Duration(20+i) / 20, tasks: c.small, cpus: 1, runSeconds: float64(9 + i)})
 	}
 	s := startContended(t, 507, span, func(p *config.Policy) {
 		p.FairShare = share
 		p.LargestStartS = 0 // an early start would run one of these large tasks even without fair share
-		p.IdleBoots = 1000  // idle machines stay, as they do where other teams need them
+		p.IdleBoots = 1000  // idle machines are kept, as they are where other teams need them
 	}, settings, streams...)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = c.machines, 0
 	s.Run(span)
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -63,7 +63,7 @@
 	for range 8 {
 		s.Cloud.AddRunning("box", "a", true)
 	}
-	memoryHeavy, memoryLight := simulation.Array(8), simulation.Array(8) // so every machine runs one task of each
+	memoryHeavy, memoryLight := simulation.Array(8), simulation.Array(8) // so every machine runs one task of each job
 	memoryHeavy.Team, memoryHeavy.CheckpointS, memoryHeavy.SaveS, memoryHeavy.CPUs, memoryHeavy.MemoryGB = "guest", 4, 3, 2, 12
 	memoryLight.Team, memoryLight.CheckpointS, memoryLight.SaveS, memoryLight.CPUs = "guest", 4, 3, 2
 	memoryHeavyJob, memoryLightJob := s.Users.Submit(memoryHeavy, 300), s.Users.Submit(memoryLight, 300)
--- a/internal/core/zone_faults_test.go
+++ b/internal/core/zone_faults_test.go
@@ -72,7 +72,7 @@
 	"spread, two zones": func(spec *protocol.Job) { spec.Spread, spec.MachineTypes = true, []string{"cask"} },
 }
 
-// Tasks whose zone has lost its machines and gets no others move to another zone with capacity. Half of a
+// Tasks whose zone has lost its machines and gets no new ones move to another zone with capacity. Half of a
 // spread job moves to a third zone, or to the zone of the other half once that half is done. A one-zone job
 // moves once none of its tasks can be on any machine. In some variants a controller reads the state service
 // late, in others the leader fails over.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -203,8 +203,8 @@
 }
 
 // Pause pauses the process for the given duration without ending it. The core still applies commands
-// until it returns effects. These are performed when the process resumes, and commands that arrive
-// after that step are queued until then.
+// until it returns effects. These effects are performed when the process resumes, and commands
+// that arrive after the core has returned them are queued until then.
 func (n *Node) Pause(duration time.Duration) {
 	n.paused = true
 	n.cluster.After(duration, n.ifSameProcess(func() {
