--- a/internal/core/barrier_callback_test.go
+++ b/internal/core/barrier_callback_test.go
@@ -11,8 +11,8 @@
 // Once it is complete, a controller looks up their dependencies, finds for each submission that another
 // controller has accepted the job, and requests one more barrier. The one for the first submission was sent
 // before the callbacks of the other submissions had run. When these had run, a further barrier was sent,
-// which overwrote the callbacks of the one in flight. The first submission got no response, and its user, one of four in
-// this test, timed out after 5 s.
+// which overwrote the callbacks of the one in flight. The first submission got no response, and its user,
+// one of four in this test, timed out after 5 s.
 func TestEverySubmissionBehindSharedBarriersGetsResponse(t *testing.T) {
 	s := newScenario(t, 9400)
 	s.Run(s.Now + 2*second)
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -291,8 +291,8 @@
 }
 
 // A leader that reaches the state service, but neither a machine nor another controller, steps down,
-// and does so only once. If no controller receives heartbeats, and the other controllers report that they reach
-// none either, the leader does not step down.
+// and does so only once. If it reaches no machine, and the other controllers report that they
+// reach none either, the leader does not step down.
 func TestLeaderThatReachesOnlyTheStoreStepsDown(t *testing.T) {
 	s := startWithMachines(t, 410, 6)
 	leader, changes := s.leader(), 0
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -10,8 +10,8 @@
 )
 
 // Controllers crash at the moments that the subtest names describe and restart within a fraction of a
-// second, or after 8 seconds where every new leader crashes. Meanwhile, duplicates of messages arrive up to 100 seconds late, users submit jobs and one
-// job is cancelled. All jobs must reach their final state.
+// second, or after 8 seconds where every new leader crashes. Meanwhile, duplicates of messages arrive up to
+// 100 seconds late, users submit jobs and one job is cancelled. All jobs must reach their final state.
 func TestJobsCompleteThroughFastRestarts(t *testing.T) {
 	const restartDelay = second / 20
 	for name, inject := range map[string]func(s *scenario){
