--- a/internal/core/commit_faults_test.go
+++ b/internal/core/commit_faults_test.go
@@ -25,11 +25,11 @@
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s late %v", key, late), func(t *testing.T) {
 				t.Parallel()
-				lost := 0
+				affected := 0
 				for seed := range uint64(2) {
-					lost += simulateLostResponses(t, 3100+seed, key, late)
+					affected += simulateLostResponses(t, 3100+seed, key, late)
 				}
-				if lost == 0 && key != "c/types" { // machine types are written only once, and perhaps this write is not affected
+				if affected == 0 && key != "c/types" { // machine types are written only once, and perhaps this write is not affected
 					t.Fatal("no response was lost or late, so the test checked nothing")
 				}
 			})
@@ -39,8 +39,8 @@
 
 // simulateLostResponses runs a scenario of jobs, cancellations, failovers and shard handovers in which
 // transactions that change a key with the prefix key get no response: all of them, or 70 % if key is
-// empty. With late set, they are 60 %, and are applied 2 to 12 s late. It returns how many transactions
-// were affected.
+// empty. If late is set, 60 % of them get no response and are applied 2 to 12 s late. It returns how many
+// transactions were affected.
 func simulateLostResponses(t *testing.T, seed uint64, key string, late bool) int {
 	s := &scenario{Cluster: simulation.NewWithSettings(seed, simulation.Settings(3), simulation.MachineTypes()), t: t}
 	s.Store.DelayedCommitPrefix, s.Store.DelayedCommitShare = key, 1
@@ -163,8 +163,8 @@
 
 // For 150 s, four jobs of one task are submitted each second, and a quarter of them is cancelled. The
 // state service has its smallest rate limit for writes, which is lowered meanwhile, other jobs have more
-// tasks, and the leader crashes. Each small job must be accepted within 12 s, and its user must learn how
-// it ended.
+// tasks, and the leader crashes. Each small job must be accepted within 12 s, and its user must be sent
+// its final state.
 func TestSmallJobFloodIsAcceptedInTime(t *testing.T) {
 	acrossSeeds(t, 3600, 2, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, func(site *config.Site) {
@@ -205,7 +205,7 @@
 }
 
 // Jobs are cancelled at each node, just before, when and just after the state service begins to refuse
-// only the leader's requests. It refuses them until the other controllers have acted.
+// only the leader's requests. It refuses them until 15 s after cancel_s has passed.
 func TestCancellationHoldsAsStoreRefusesLeader(t *testing.T) {
 	for _, offset := range []time.Duration{-20, 0, 3, 40, 400} { // milliseconds
 		acrossSeeds(t, 4400, 3, func(t *testing.T, variant, controllers int, seed uint64) {
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -32,27 +32,27 @@
 	})
 }
 
-// testAcceptedTwice makes two nodes accept the same dependent of a cancelled job. It calls prepare
-// before it submits the dependent to late, the node that learns of the cancellation late.
-func testAcceptedTwice(t *testing.T, prepare func(s *scenario, late *simulation.Node)) {
+// testAcceptedTwice makes two nodes accept the same dependent of a cancelled job. It calls
+// beforeSecondSubmission before it submits the dependent to laggingNode, which reads the cancellation late.
+func testAcceptedTwice(t *testing.T, beforeSecondSubmission func(s *scenario, laggingNode *simulation.Node)) {
 	t.Helper()
 	s := newScenario(t, 9100)
 	dependency := s.submitAccepted(simulation.Array(1), 300)
 	s.Run(s.Now + 2*second) // until every node has read the first job
-	informed, late := s.leader(), s.follower()
+	informed, laggingNode := s.leader(), s.follower()
 
 	// Responses of the state service reach one node late.
-	s.SetLink("state", late.Label, simulation.Link{Delay: 500 * time.Millisecond})
+	s.SetLink("state", laggingNode.Label, simulation.Link{Delay: 500 * time.Millisecond})
 	s.Users.OnlyNode = informed
 	s.Users.Cancel(dependency)
 	s.eventually(second, "the first job is cancelled", lastStateIs(protocol.JobCancelled, dependency))
 
 	s.exhaustSingleWrites(informed)
 	dependent := s.Users.Submit(dependentArray(1, dependency), 1)
-	s.eventually(200*time.Millisecond, "its dependent is cancelled", lastStateIs(protocol.JobCancelled, dependent))
+	s.eventually(200*time.Millisecond, "the dependent of the first job is cancelled", lastStateIs(protocol.JobCancelled, dependent))
 
-	prepare(s, late)
-	s.Users.OnlyNode = late
+	beforeSecondSubmission(s, laggingNode)
+	s.Users.OnlyNode = laggingNode
 	s.Users.Resubmit(dependent)
 	s.Run(s.Now + 5*second)
 	s.requireInvariants()
--- a/internal/core/failed_jobs_test.go
+++ b/internal/core/failed_jobs_test.go
@@ -40,7 +40,7 @@
 		s.Workers[machine].Faulty = true
 	}
 	job := s.submitAccepted(simulation.Array(16), 3)
-	s.eventually(30*second, "its tasks have failed on both machines", func() bool {
+	s.eventually(30*second, "tasks of the job have failed on both machines", func() bool {
 		return s.logged(faulty[0]+" why error") && s.logged(faulty[1]+" why error")
 	})
 	s.Run(s.Now + 5*second) // until the machines have free capacity again
@@ -99,7 +99,7 @@
 // zone had one machine.
 func TestFailedTaskIsRetriedOnTheOnlyMachine(t *testing.T) {
 	s, job := newFailingScenario(t, 1, simulation.Array(4))
-	s.eventually(30*second, "its tasks have failed", func() bool { return s.logged("task failed") })
+	s.eventually(30*second, "tasks of the job have failed", func() bool { return s.logged("task failed") })
 	s.repairMachines()
 	s.eventually(90*second, "the job runs again", func() bool { return job.RunningTasks() > 0 })
 	s.eventually(60*second, "the job is done", lastStateIs(protocol.JobDone, job))
@@ -107,8 +107,8 @@
 
 // Guards against a crash-looping job that waits long after its machines were repaired. A job that failed
 // on three machines, here all of them faulty, is retried with one task at growing intervals. The fault
-// was that they grew to eight worker leases, here 320 s, so the next retry could be that far away when
-// the machines worked again.
+// was that these intervals grew to eight worker leases, here 320 s, so the next retry could be 320 s away
+// when the machines worked again.
 func TestCrashLoopingJobIsRetriedSoonAfterRepair(t *testing.T) {
 	s, job := newFailingScenario(t, 6, simulation.Array(12))
 	s.Run(s.Now + 400*second)
--- a/internal/core/failover_faults_test.go
+++ b/internal/core/failover_faults_test.go
@@ -20,7 +20,7 @@
 	s = startScenario(t, seed, controllers, func(site *config.Site) {
 		site.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8, CPUsMax: 16}, {Name: "guest", CPUs: 4, CPUsMax: 16}}
 	})
-	s.addMachines(24) // half of them stay free
+	s.addMachines(24) // half of the machines stay free
 	for _, team := range quotaTeams {
 		spec := simulation.Array(8)
 		spec.Team = team
@@ -43,7 +43,7 @@
 			s.Partition(node.Label, machine.Info.Name, variant%2 == 0)
 		}
 	},
-	"neither reaches nor is reached": func(s *scenario, machine *simulation.Worker, _ int) {
+	"partitioned, while the machine opens no connections": func(s *scenario, machine *simulation.Worker, _ int) {
 		machine.OutboundBlocked = true
 		for _, node := range s.Nodes {
 			s.SetLink(node.Label, machine.Info.Name, simulation.Dropped)
--- a/internal/core/fairshare_test.go
+++ b/internal/core/fairshare_test.go
@@ -39,7 +39,7 @@
 func startContended(t testing.TB, seed uint64, until time.Duration, policy func(*config.Policy), settings config.Settings, streams ...jobStream) *scenario {
 	t.Helper()
 	cluster := simulation.NewWithSettings(seed, settings, simulation.MachineTypes())
-	cluster.Policy.OverdueLeases = 2.5 // makes jobs overdue early enough for a simulation of minutes
+	cluster.Policy.OverdueLeases = 2.5 // makes jobs overdue within the few minutes that are simulated
 	if policy != nil {
 		policy(&cluster.Policy)
 	}
@@ -160,15 +160,16 @@
 	}
 	s.Run(span)
 	s.requireInvariants()
-	// During a failover no task starts near a team's limit, so half of every class cannot be served.
+	// During a failover no task of a team near its limit starts, so the test cannot require that half of
+	// every class is served.
 	reports, photos := s.classShare("reports"), s.classShare("photos")
 	if photos.Done == 0 || 2*reports.Done*photos.Jobs < photos.Done*reports.Jobs {
 		t.Errorf("%d of %d reports are done, but %d of %d photos", reports.Done, reports.Jobs, photos.Done, photos.Jobs)
 	}
 }
 
-// While a team's limit binds for a long time, what a class was served long ago does not count against it
-// forever.
+// While a team is at its limit for a long time, the service that a class received long ago does not reduce
+// its share forever.
 func TestFairShareUnderPersistentQuota(t *testing.T) {
 	t.Parallel()
 	const span = 24 * time.Minute
@@ -219,7 +220,7 @@
 	s.checkFairShare(3)
 }
 
-// Jobs that cannot be served take no share from classes that can: jobs that fail wherever they run, jobs
+// Jobs that cannot be served do not reduce the share of classes that can: jobs that fail wherever they run, jobs
 // whose only zone is partitioned, jobs whose only machine type is sold out, and services, which never
 // end.
 func TestFairShareBesideUnservableJobs(t *testing.T) {
@@ -307,14 +308,14 @@
 	settings := simulation.Settings(3)
 	settings.Site.Teams = []config.Team{{Name: "red", CPUsMax: c.limit}}
 	streams := []jobStream{c.large}
-	for i := range 4 { // several run at a time and end one after another
+	for i := range 4 { // several jobs run at a time and end one after another
 		streams = append(streams, jobStream{team: "red", class: "photos", urgency: protocol.UrgencyNormal,
 			interval: c.interval * time.Duration(20+i) / 20, tasks: c.small, cpus: 1, runSeconds: float64(9 + i)})
 	}
 	s := startContended(t, 507, span, func(p *config.Policy) {
 		p.FairShare = share
 		p.LargestStartS = 0 // an early start would run one of these large tasks even without fair share
-		p.IdleBoots = 1000  // idle machines stay, as they do where other teams need them
+		p.IdleBoots = 1000  // idle machines are kept, as they are where other teams need them
 	}, settings, streams...)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = c.machines, 0
 	s.Run(span)
--- a/internal/core/heartbeat_faults_test.go
+++ b/internal/core/heartbeat_faults_test.go
@@ -78,7 +78,7 @@
 				s.Run(s.Now + 4*second) // one heartbeat of each machine is kept
 				s.RetainHeartbeats = false
 				spec := simulation.Array(24)
-				spec.Team = "red" // whose quota the job uses completely
+				spec.Team = "red" // the job uses the whole quota of this team
 				red, blue := s.Users.Submit(spec, 60), s.Users.Submit(simulation.Array(20), 60)
 				s.eventually(30*second, "all tasks run", func() bool { return red.RunningTasks() == 24 && blue.RunningTasks() == 20 })
 				between(s)
@@ -93,8 +93,8 @@
 				more.Team = "red"
 				s.Users.Submit(more, 10)
 				s.eventually(35*second, "every machine has been seen", func() bool { return s.logged("every machine has been seen") })
-				if lost := tasksBefore - red.RunningTasks() - s.Users.CompletedTasks(red); name != machinesTerminatedWithLeader && lost > 0 {
-					t.Fatalf("%d tasks were lost because of a stale heartbeat\n%s", lost, s.lastLogs(*logLines))
+				if lostTasks := tasksBefore - red.RunningTasks() - s.Users.CompletedTasks(red); name != machinesTerminatedWithLeader && lostTasks > 0 {
+					t.Fatalf("%d tasks were lost because of a stale heartbeat\n%s", lostTasks, s.lastLogs(*logLines))
 				}
 				s.recoverAndFinish(300 * second)
 			})
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -124,9 +124,9 @@
 			s.Users.Submit(spec, 3)
 		})
 	}
-	first, last := c.halves()
+	healedFirst, healedLast := c.halves()
 	if !lowFirst {
-		first, last = last, first
+		healedFirst, healedLast = healedLast, healedFirst
 	}
 	s.Run(cutAt)
 	setLinks(c, blocked)
@@ -135,9 +135,9 @@
 	s.Run(firstHealAt)
 	result.starts = s.Users.Starts - before
 	result.timedOutUsers = s.Users.TimedOut
-	setLinks(first, simulation.Link{})
+	setLinks(healedFirst, simulation.Link{})
 	s.Run(lastHealAt)
-	setLinks(last, simulation.Link{})
+	setLinks(healedLast, simulation.Link{})
 	if !s.RunUntil(lastHealAt+150*second, s.Users.AllFinal) {
 		result.failure = "jobs are not final 150 s after the last links were healed"
 	}
@@ -291,8 +291,8 @@
 }
 
 // A leader that reaches the state service, but neither a machine nor another controller, steps down,
-// and does so only once. If all machines are silent, and the other controllers report that they reach
-// none either, the leader does not step down.
+// and does so only once. If it reaches no machine, and the other controllers report that they
+// reach none either, the leader does not step down.
 func TestLeaderThatReachesOnlyTheStoreStepsDown(t *testing.T) {
 	s := startWithMachines(t, 410, 6)
 	leader, changes := s.leader(), 0
--- a/internal/core/preemption_test.go
+++ b/internal/core/preemption_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Urgent work does not wait behind a job of low urgency: tasks with checkpoints are preempted, and their
-// job's reason names the cause.
+// Urgent tasks do not wait until tasks of low urgency end: those with checkpoints are preempted, and the
+// reason in the responses about their job names the more urgent work.
 func TestUrgentJobPreemptsCheckpointedWork(t *testing.T) {
 	s := newScenario(t, 67)
 	s.Cloud.Capacity["box"], s.Cloud.Capacity["barn"] = 0, 1
@@ -63,16 +63,16 @@
 	for range 8 {
 		s.Cloud.AddRunning("box", "a", true)
 	}
-	one, other := simulation.Array(8), simulation.Array(8) // so every machine runs one task of each
-	one.Team, one.CheckpointS, one.SaveS, one.CPUs, one.MemoryGB = "guest", 4, 3, 2, 12
-	other.Team, other.CheckpointS, other.SaveS, other.CPUs = "guest", 4, 3, 2
-	oneJob, otherJob := s.Users.Submit(one, 300), s.Users.Submit(other, 300)
-	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return oneJob.RunningTasks()+otherJob.RunningTasks() >= 14 })
+	memoryHeavy, memoryLight := simulation.Array(8), simulation.Array(8) // so every machine runs one task of each job
+	memoryHeavy.Team, memoryHeavy.CheckpointS, memoryHeavy.SaveS, memoryHeavy.CPUs, memoryHeavy.MemoryGB = "guest", 4, 3, 2, 12
+	memoryLight.Team, memoryLight.CheckpointS, memoryLight.SaveS, memoryLight.CPUs = "guest", 4, 3, 2
+	memoryHeavyJob, memoryLightJob := s.Users.Submit(memoryHeavy, 300), s.Users.Submit(memoryLight, 300)
+	s.eventually(30*second, "the best-effort team fills the machines", func() bool { return memoryHeavyJob.RunningTasks()+memoryLightJob.RunningTasks() >= 14 })
 	large := simulation.Array(2)
 	large.CPUs = 4
 	largeJob := s.Users.Submit(large, 30)
 	s.eventually(6*second, "the large tasks run", func() bool { return largeJob.RunningTasks() == 2 })
-	if n := oneJob.RunningTasks() + otherJob.RunningTasks(); n < 10 {
+	if n := memoryHeavyJob.RunningTasks() + memoryLightJob.RunningTasks(); n < 10 {
 		t.Fatalf("%d of 16 small tasks still run, want at least 10", n)
 	}
 }
@@ -174,5 +174,5 @@
 	s.Users.Submit(lowUrgency, 9)
 	s.Run(s.Now + 12*second)
 	s.Users.Submit(withObjective, 9)
-	s.eventually(400*second, "both are done", s.Users.AllFinal)
+	s.eventually(400*second, "both jobs are done", s.Users.AllFinal)
 }
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -76,9 +76,9 @@
 
 // eventually advances the simulated time until a condition holds. It fails the test if the condition does
 // not hold within the timeout or an invariant has been violated.
-func (s *scenario) eventually(timeout time.Duration, expectation string, holds func() bool) {
+func (s *scenario) eventually(timeout time.Duration, expectation string, condition func() bool) {
 	s.t.Helper()
-	if !s.RunUntil(s.Now+timeout, holds) {
+	if !s.RunUntil(s.Now+timeout, condition) {
 		s.requireInvariants()
 		s.t.Fatalf("condition not met within %v: %s\n%s", timeout, expectation, s.lastLogs(*logLines))
 	}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -47,7 +47,7 @@
 	MinCommitDelay     time.Duration
 	MaxCommitDelay     time.Duration
 	// DelayedCommitPrefix limits DelayedCommitShare to transactions that change a key with this
-	// prefix, empty: to all that change a key.
+	// prefix. If it is empty, DelayedCommitShare applies to all transactions that change a key.
 	DelayedCommitPrefix string
 	// ResponseDelay is added to the response time of every request.
 	ResponseDelay time.Duration
@@ -81,8 +81,8 @@
 	OutboundBlocked bool
 	// SlowFactor is the factor by which the worker's tasks take longer; below 1 it has no effect.
 	SlowFactor float64
-	// NoticeS is the notice, in seconds, that the cloud gave before it terminates the machine, nil:
-	// it gave none.
+	// NoticeS is the notice, in seconds, that the cloud gave before it terminates the machine. It is
+	// nil if the cloud gave no notice.
 	NoticeS *float64
 }
 
@@ -203,8 +203,8 @@
 }
 
 // Pause pauses the process for the given duration without ending it. The core still applies commands
-// until it returns effects. These are performed when the process resumes, and commands that arrive
-// after that step are queued until then.
+// until it returns effects. These effects are performed when the process resumes, and commands
+// that arrive after the core has returned them are queued until then.
 func (n *Node) Pause(duration time.Duration) {
 	n.paused = true
 	n.cluster.After(duration, n.ifSameProcess(func() {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -153,12 +153,12 @@
 		if link == nil {
 			continue
 		}
-		untilUp := link.remainingActiveTime(c.Now)
-		if link.FlapPeriod > 0 && untilUp == 0 {
+		remaining := link.remainingActiveTime(c.Now)
+		if link.FlapPeriod > 0 && remaining == 0 {
 			continue
 		}
-		if link.Hold && untilUp > 0 { // a flapping link delivers packets at the end of its active period, without being healed
-			combined.Delay = max(combined.Delay, untilUp)
+		if link.Hold && remaining > 0 { // a flapping link delivers packets at the end of its active period, without being healed
+			combined.Delay = max(combined.Delay, remaining)
 		} else if link.Hold {
 			combined.Hold, heldBy = true, path
 		}
