--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -101,8 +101,8 @@
 // all are connected, since a controller without a link may be served by the state service.
 func (d *degradedMode) startRound() {
 	c := d.core
-	others := c.controllerLabels[1:]
-	for _, label := range others {
+	siblingLabels := c.controllerLabels[1:]
+	for _, label := range siblingLabels {
 		if member := c.scheduler.shards[label]; member == nil || member.session == 0 {
 			return
 		}
@@ -111,7 +111,7 @@
 	if !due {
 		return
 	}
-	for _, label := range others {
+	for _, label := range siblingLabels {
 		c.emit(SendToPeer{Session: c.scheduler.shards[label].session, Message: peerproto.Message{Epoch: d.epoch, Round: &round}})
 	}
 	d.handleVote(c.settings.Label, d.castVote(&round))
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -107,11 +107,11 @@
 
 // dependencyReason returns the text shown to users that names the dependencies a job waits for.
 func (r *storedRecords) dependencyReason(id string) string {
-	names, more := r.dependencies.UnmetDependencies(id, maxNamedDependencies)
+	names, omittedCount := r.dependencies.UnmetDependencies(id, maxNamedDependencies)
 	slices.Sort(names)
 	reason := "waits for " + strings.Join(names, ", ")
-	if more > 0 {
-		reason += fmt.Sprintf(" and %d more", more)
+	if omittedCount > 0 {
+		reason += fmt.Sprintf(" and %d more", omittedCount)
 	}
 	return reason
 }
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -33,8 +33,8 @@
 
 // taskCompleted records how long a completed task ran, in seconds.
 func (e *taskEstimator) taskCompleted(q *queuedJob, seconds float64) {
-	firstOfJob := q.durations.Empty() && q.entry.doneCount == 0
-	e.TaskCompleted(&q.entry.record.Spec, &q.durations, firstOfJob, seconds, e.core.now.Wall)
+	isFirstOfJob := q.durations.Empty() && q.entry.doneCount == 0
+	e.TaskCompleted(&q.entry.record.Spec, &q.durations, isFirstOfJob, seconds, e.core.now.Wall)
 }
 
 // predictForJob predicts, in seconds, how long a task of this particular job runs.
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -101,8 +101,8 @@
 	if q.provenToRun(&s.core.intervals) {
 		return true
 	}
-	sinceFirst := s.core.now.Monotonic - q.failures.firstAt
-	return len(q.failures.machines) < crashLoopMachines && sinceFirst > 2*s.core.intervals.workerLease
+	sinceFirstFailure := s.core.now.Monotonic - q.failures.firstAt
+	return len(q.failures.machines) < crashLoopMachines && sinceFirstFailure > 2*s.core.intervals.workerLease
 }
 
 // mayStartCanary reports whether a job that is tried by one task at a time may start the next one
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -276,9 +276,9 @@
 	if float64(tasks)*q.spec().CPUs <= round.smallestTaskCPUs+binpacking.RoundingSlack {
 		return false
 	}
-	now, span := s.core.now.Monotonic, config.Seconds(s.core.fairShareRules.OverdueAfter)
-	if q.reservedAt == 0 || now-q.reservedAt > 2*span {
+	now, reservationPeriod := s.core.now.Monotonic, config.Seconds(s.core.fairShareRules.OverdueAfter)
+	if q.reservedAt == 0 || now-q.reservedAt > 2*reservationPeriod {
 		q.reservedAt = max(now, time.Nanosecond) // 0 means no reservation
 	}
-	return now-q.reservedAt <= span
+	return now-q.reservedAt <= reservationPeriod
 }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -60,9 +60,9 @@
 func (s *scheduler) findGangMachines(q *queuedJob, round *schedulingRound) map[int]*candidateMachine {
 	spec := q.spec()
 	chosen := map[int]*candidateMachine{}
-	trial := make([]candidateMachine, len(round.machines))
+	trialMachines := make([]candidateMachine, len(round.machines))
 	for i, machine := range round.machines {
-		trial[i] = *machine
+		trialMachines[i] = *machine
 	}
 	for index := range spec.Tasks {
 		if q.taskDone(index) {
@@ -72,14 +72,14 @@
 			q.reason = s.failureReason(q)
 			return nil
 		}
-		best := bestMachine(trial, q, index)
+		best := bestMachine(trialMachines, q, index)
 		if best < 0 {
 			q.reason = "waits for room for all its tasks at once"
 			s.reassignZone(q, index)
 			s.reserveMachines(q, q.waitingTasks(), round)
 			return nil
 		}
-		trial[best].Allocate(spec)
+		trialMachines[best].Allocate(spec)
 		chosen[index] = round.machines[best]
 	}
 	return chosen
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -62,7 +62,7 @@
 	if inst.returnReason != "" {
 		return
 	}
-	reason, forced := f.unusableReason(inst)
+	reason, force := f.unusableReason(inst)
 	if reason == "" {
 		return
 	}
@@ -70,7 +70,7 @@
 		f.failedBoots[inst.typeName]++
 	}
 	f.beginReturn(inst, reason)
-	inst.forceDelete = forced
+	inst.forceDelete = force
 }
 
 // unusableReason returns why a machine can't be used any more, or an empty reason if it can, and
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -13,11 +13,11 @@
 // and then progress of other jobs while write tokens are left.
 func (s *scheduler) saveProgress() {
 	s.refillWriteTokens()
-	due := s.saveCompleted()
+	dueJobs := s.saveCompleted()
 	// The jobs that have waited longest come first. In the order of ids, the first jobs would use
 	// all write tokens.
-	sort.SliceStable(due, func(a, b int) bool { return due[a].saveDueAt < due[b].saveDueAt })
-	for _, q := range due {
+	sort.SliceStable(dueJobs, func(a, b int) bool { return dueJobs[a].saveDueAt < dueJobs[b].saveDueAt })
+	for _, q := range dueJobs {
 		if s.progressWriteTokens < 1 {
 			break
 		}
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -108,10 +108,10 @@
 	if team == nil {
 		return ""
 	}
-	after := *round.teamUsage[spec.Team]
-	after.add(spec, tasks)
+	usageWithTasks := *round.teamUsage[spec.Team]
+	usageWithTasks.add(spec, tasks)
 	switch {
-	case after.exceeds(team):
+	case usageWithTasks.exceeds(team):
 		return fmt.Sprintf("team %s is at its limit", spec.Team)
 	case s.core.bestEffortTeams[spec.Team] && round.bestEffortCPUs+tasks*spec.CPUs > round.bestEffortLimit:
 		return fmt.Sprintf("team %s has no guarantee and waits for what the others leave", spec.Team)
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -124,8 +124,8 @@
 	}
 	// Most machines of a page stay on it. Only the others must be looked up on the other pages.
 	r.removeUnregistered(slices.DeleteFunc(slices.Clone(before), func(name string) bool {
-		_, stays := slices.BinarySearch(names, name)
-		return stays
+		_, remainsOnPage := slices.BinarySearch(names, name)
+		return remainsOnPage
 	}))
 }
 
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -32,15 +32,15 @@
 	}
 	running, capacity := f.runningInstances()
 	f.sortForReturn(running)
-	wanted := max(demand.total, demand.inUse)
+	wantedCPUs := max(demand.total, demand.inUse)
 	planned := f.core.scheduler.plannedAttempts()
 	constrained := slices.DeleteFunc(slices.Clone(waiting), func(job *queuedJob) bool { return !f.isConstrained(job) })
 	for _, inst := range running {
 		cpus := f.core.machineTypes()[inst.typeName].CPUs
-		if f.isNeeded(inst, constrained) || !demand.canSpare(cpus, inst.spot, capacity, wanted) {
+		if f.isNeeded(inst, constrained) || !demand.canSpare(cpus, inst.spot, capacity, wantedCPUs) {
 			continue
 		}
-		f.cordonOrReturn(inst, len(planned[inst.name]) > 0, isClearSurplus(capacity.total-cpus, wanted))
+		f.cordonOrReturn(inst, len(planned[inst.name]) > 0, isClearSurplus(capacity.total-cpus, wantedCPUs))
 		capacity.add(-cpus, inst.spot)
 	}
 	f.publishCordons()
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -152,10 +152,10 @@
 	if len(job.entry.record.Zones) > 0 {
 		zones = job.entry.record.Zones
 	}
-	wanted := f.slotsWanted(job, zones)
+	wantedSlots := f.slotsWanted(job, zones)
 	for _, zone := range zones {
-		if slots := f.plannedSlots(spec, zone); slots < wanted {
-			return zone, (wanted - slots) * max(spec.CPUs, binpacking.RoundingSlack)
+		if slots := f.plannedSlots(spec, zone); slots < wantedSlots {
+			return zone, (wantedSlots - slots) * max(spec.CPUs, binpacking.RoundingSlack)
 		}
 	}
 	return "", 0
--- a/internal/core/shard_attempts.go
+++ b/internal/core/shard_attempts.go
@@ -24,17 +24,17 @@
 
 // retainAttempts drops the attempts of a machine for which keep returns false.
 func (s *shard) retainAttempts(m *machine, keep func(*taskAttempt) bool) {
-	kept := m.attempts[:0]
+	retained := m.attempts[:0]
 	for _, a := range m.attempts {
 		if keep(a) {
-			kept = append(kept, a)
+			retained = append(retained, a)
 			continue
 		}
 		m.droppedTasks = append(m.droppedTasks, a.task)
 		s.markChanged(m)
 	}
-	clear(m.attempts[len(kept):])
-	m.attempts = kept
+	clear(m.attempts[len(retained):])
+	m.attempts = retained
 }
 
 // returnTask returns an attempt that was not started to the leader's queue.
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -41,8 +41,8 @@
 	shardMap := c.records.shardMap
 	// A new leader waits up to one heartbeat period for the others to connect, so that a change
 	// of leader causes one new map and not several.
-	settled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
-	if !settled && (missing || shardMap == nil && len(desired) < c.settings.Site.InitialControllers) {
+	electionSettled := c.now.Monotonic-m.leaderSince > c.intervals.heartbeat
+	if !electionSettled && (missing || shardMap == nil && len(desired) < c.settings.Site.InitialControllers) {
 		return
 	}
 	if m.epoch() > c.scheduler.epochAtElection && maps.Equal(shardMap.Members, desired) {
--- a/internal/core/snapshots.go
+++ b/internal/core/snapshots.go
@@ -388,8 +388,8 @@
 	if attempt.location == locationDispatched || !machine.TasksComplete {
 		return false
 	}
-	other := s.machines.Get(attempt.machine)
-	return other == nil || !other.state.TasksComplete || attempt.machine == machine.Name
+	believedMachine := s.machines.Get(attempt.machine)
+	return believedMachine == nil || !believedMachine.state.TasksComplete || attempt.machine == machine.Name
 }
 
 // recordStartLatency records how long a job had waited when one of its tasks began to run.
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -187,12 +187,12 @@
 	zones := slices.DeleteFunc(zonesByFreeCPUs(freeCPUs), func(zone string) bool {
 		return spec.Kind == protocol.KindGang && freeSlots[zone] < float64(q.waitingTasks())
 	})
-	rentable := map[string]bool{}
+	rentableZones := map[string]bool{}
 	for pool := range s.core.fleet.eligiblePools(spec) {
-		rentable[pool.zone] = true
+		rentableZones[pool.zone] = true
 	}
-	if !rentable[current] {
-		zones = append(zones, sortedKeys(rentable)...)
+	if !rentableZones[current] {
+		zones = append(zones, sortedKeys(rentableZones)...)
 	}
 	return zones
 }
--- a/internal/core/zone_partitions.go
+++ b/internal/core/zone_partitions.go
@@ -30,12 +30,12 @@
 
 // trackZones updates which zones are partitioned.
 func (f *fleet) trackZones() {
-	lost, all := f.countByZone()
-	for zone, machines := range all {
+	lost, total := f.countByZone()
+	for zone, machines := range total {
 		_, partitioned := f.zonePartitionedSince[zone]
-		mostLost := machines >= minPartitionMachines && lost[zone]*partitionDivisor > machines
+		majorityLost := machines >= minPartitionMachines && lost[zone]*partitionDivisor > machines
 		switch {
-		case mostLost && !partitioned:
+		case majorityLost && !partitioned:
 			f.zonePartitionedSince[zone] = f.core.now.Monotonic
 			f.core.logInfo("zone partitioned: most of its machines are silent", "zone", zone, "silent", lost[zone], "machines", machines)
 		case partitioned && lost[zone]*recoveryDivisor < machines:
