--- a/internal/core/acceptance.go
+++ b/internal/core/acceptance.go
@@ -13,7 +13,7 @@
 // A record under the job's own key that is no acceptance (see records.Job.IsAcceptance) is a change
 // that was derived from the first acceptance, so it always counts.
 type acceptance struct {
-	version    uint64 // of the acceptance that counts; 0 if a later change of the job's own key replaced it
+	version    uint64 // version of the key that holds the first acceptance; 0 if a later change of the job's own key replaced it
 	ownKeyVoid bool   // the job's own key holds a later acceptance, which is void
 }
 
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -27,7 +27,7 @@
 	requestID         RequestID
 	record            records.Job
 	namesDependencies bool // the user named dependencies, even if all of them are done already
-	jsonSize          int  // of the record, in bytes of JSON, as the store counts its limits
+	jsonSize          int  // size of the record in bytes of JSON, the encoding to which the store's limits apply
 }
 
 // Reasons given in 503 responses, after which the user is to repeat the request.
--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -38,10 +38,10 @@
 // that it allows: with a limit of n operations, a transaction may have guardsPerTxnOp * n guards.
 const guardsPerTxnOp = 4
 
-// Sizes of a batch's value, in bytes of JSON, as the store counts its limits.
+// Sizes of a batch's value, in bytes of JSON, the encoding to which the store's limits apply.
 const (
 	maxBatchBytes       = 32 << 10 // upper bound even if the store accepts larger values
-	batchEnclosureBytes = 16       // what encloses the list of jobs
+	batchEnclosureBytes = 16       // the JSON around the list of jobs
 	separatorBytes      = 2        // ", " between two jobs
 )
 
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -32,10 +32,10 @@
 	unplacedSince time.Duration // when it was dispatched without a machine
 
 	phase      startPhase
-	callID     uint64 // the call that carried the start, if one did
+	callID     uint64 // the direct call that carried the start command, 0 if none did
 	startToken uint64 // the fencing token that the start was sent with
 
-	state        string // as the machine last listed it
+	state        string // its state in the machine's last task list that contained it
 	exitReason   string
 	lastListed   uint64        // value of the machine's listsRead when it was last listed
 	runningSince time.Duration // when this shard first saw it running, 0: not yet
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -21,9 +21,10 @@
 	return &cancellation{core: c, log: degraded.NewCancellationLog(c.cancelsPerLease())}
 }
 
-// cancelsPerLease returns how many jobs can be cancelled during one worker lease, at one change
-// each. No mirror that degraded mode takes into account is further behind than one lease. The write
-// rate is the one in force now, so the result is an upper bound unless a higher rate is announced.
+// cancelsPerLease returns an upper bound of the number of jobs that can be cancelled during one worker
+// lease: each cancellation takes at least one change, and the store limits the changes per second. One
+// lease is enough, because no mirror that degraded mode takes into account is further behind than that.
+// The bound uses the present write rate, so it does not hold if a higher rate has been announced.
 func (c *Core) cancelsPerLease() int {
 	return int(c.settings.Site.Store.WriteRPS * c.intervals.workerLease.Seconds())
 }
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -35,7 +35,7 @@
 	nonce              string      // part of the chunks' keys, unique for each chunked write
 	chunks             []string
 	sentChunks         int           // number of chunks that have been written or are being written
-	firstChunkRevision uint64        // at which the first chunk was written; 0: not yet
+	firstChunkRevision uint64        // revision at which the first chunk was written; 0: it has not been written yet
 	deadline           time.Duration // monotonic time after which the write is given up
 }
 
@@ -65,7 +65,7 @@
 		nonce:    fmt.Sprintf("%s-%d", x.core.bootID, x.writeCount),
 		deadline: x.core.now.Monotonic + x.writeTimeout(),
 	}
-	// A chunk takes up to three quarters of the largest value; a quarter is left for what encloses it.
+	// A chunk takes up to three quarters of the largest value; a quarter is left for the JSON around it.
 	for chunk := range slices.Chunk([]byte(packRecord(record)), x.core.maxValueBytes()*3/4) {
 		x.current.chunks = append(x.current.chunks, string(chunk))
 	}
--- a/internal/core/cloud_budget.go
+++ b/internal/core/cloud_budget.go
@@ -7,12 +7,12 @@
 type cloudBudget struct {
 	tokens           float64
 	refilledAt       time.Duration
-	scalingDeferred  bool // in this round a call to create or delete was due and there was no token
+	scalingDeferred  bool // a call to create or delete instances found no token in this round
 	scalingSinceList int  // calls to create or delete since the last call to list
 }
 
-// scalingCallsPerList is how many calls to create or delete instances go ahead of the next call for
-// a page of the list, if such calls were deferred.
+// scalingCallsPerList is how many calls to create or delete instances are made before the next call
+// for a page of the list, if a call to create or delete has been deferred for lack of a token.
 const scalingCallsPerList = 2
 
 // takeToken takes a token if there is one. Tokens are added at the given rate per second.
@@ -35,10 +35,11 @@
 }
 
 // takeScalingCall takes a token for a call to create or delete instances. If there is none, it
-// notes that such a call is due, and the list then lets scalingCallsPerList of them go ahead.
+// records that such a call is deferred. Then no page of the list is requested until
+// scalingCallsPerList calls to create or delete instances have been made.
 //
-// Without this, the list used up every call that a slow cloud allows, just before the round that
-// had an instance to create.
+// Without this, the requests for the list used every call that the rate limit of a slow cloud allows,
+// just before the round in which an instance had to be created.
 func (f *fleet) takeScalingCall() bool {
 	if !f.takeCallToken() {
 		f.budget.scalingDeferred = true
@@ -48,8 +49,8 @@
 	return true
 }
 
-// takeListCall takes a token for a page of the list, unless calls to create or delete go ahead of
-// it.
+// takeListCall takes a token for a page of the list, unless deferred calls to create or delete
+// instances have to be made first (see scalingCallsPerList).
 func (f *fleet) takeListCall() bool {
 	if f.budget.scalingDeferred && f.budget.scalingSinceList < scalingCallsPerList || !f.takeCallToken() {
 		return false
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -39,7 +39,7 @@
 // isIsolated reports whether both lease renewals and watches of this controller fail. It can then
 // serve no request of a user, although other controllers may be able to.
 //
-// Guards against reporting ready for as long as this controller is still entitled to serve workers:
+// This guards against reporting ready for as long as this controller is still entitled to serve workers:
 // each user request that the load balancer sent here waited and was refused in the end.
 func (d *degradedMode) isIsolated() bool {
 	return d.renewalFailed && d.core.mirror.IsUnavailable()
@@ -67,7 +67,7 @@
 	}
 	d.followEpoch()
 	// A cancellation is kept until the mirror was confirmed by a request that was sent after it
-	// was learnt of. Guards against forgetting it while this controller is entitled to serve by
+	// was learnt of. This guards against forgetting it while this controller is entitled to serve by
 	// a mirror that is older than the cancellation.
 	maps.DeleteFunc(d.cancelledJobs, func(_ string, learntAt time.Duration) bool { return learntAt < c.mirror.FreshAt() })
 	d.logTransition()
@@ -76,7 +76,7 @@
 	}
 }
 
-// followEpoch resets the votes in each new epoch, since those of another epoch do not count.
+// followEpoch resets the votes in each new epoch, since votes of another epoch are not counted.
 func (d *degradedMode) followEpoch() {
 	if epoch := d.core.membership.epoch(); epoch != d.epoch {
 		d.epoch, d.leader, d.member = epoch, degraded.Coordinator{}, degraded.Voter{}
@@ -164,7 +164,7 @@
 // cancellationConfirmed relays that the cancellation of a job is being confirmed to its user: a
 // member sends it to the leader, and the leader to all members.
 //
-// Guards against starting tasks of the job after the confirmation, in the time until the watch of
+// This guards against starting tasks of the job after the confirmation, in the time until the watch of
 // another controller delivers the cancellation. The rules of degraded mode do not rely on this
 // relay, but on the mirrors.
 func (d *degradedMode) cancellationConfirmed(jobID string) {
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -20,9 +20,9 @@
 // capacityDemand is the number of CPUs that the unfinished work needs.
 type capacityDemand struct {
 	inUse          float64 // used by tasks in flight
-	total          float64 // for all work, as far as it is worth renting spot machines
+	total          float64 // for all work, up to the number that is worth renting as spot machines
 	totalOnDemand  float64 // the part of total that must not run on spot machines
-	onTime         float64 // for work to meet its objectives, as far as it is worth on-demand machines
+	onTime         float64 // for work to meet its objectives, up to the number that is worth renting as on-demand machines
 	onTimeOnDemand float64 // the part of onTime that must not depend on spot machines
 
 	// onTimeByType is, by machine type, the number of CPUs up to which on-demand machines of that
@@ -136,7 +136,7 @@
 	// defaultHorizonLeases is the horizon of work without an objective, in worker leases.
 	defaultHorizonLeases = 10
 	// guaranteeHorizonFactor is the horizon of work within a guarantee, in multiples of
-	// minUsefulSeconds. Such work starts late if a machine has to boot for it, whatever is rented,
+	// minUsefulSeconds. Such work starts late if a machine has to boot for it, whichever it is,
 	// but it should not wait much longer than one boot.
 	guaranteeHorizonFactor = 2
 )
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -8,9 +8,9 @@
 // Leader election: the leader is the controller whose lease holds the leader key in the state
 // service.
 
-// outcomeChecksPerStaleness divides maxStaleness into the pause before the mirror is read after a
-// write that got no response, so that the outcome is known long before this controller must stop
-// serving.
+// outcomeChecksPerStaleness: after a write that got no response, the controller waits for maxStaleness
+// divided by this number before it reads the mirror. It therefore learns the outcome long before it
+// must stop serving.
 const outcomeChecksPerStaleness = 16
 
 // followLeader updates whether this controller leads, as the leader key in the mirror shows it.
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -21,7 +21,7 @@
 // failureRecord is the leader's record of a job's failures. The cause may be the job itself, if its
 // owner made a mistake, or the machines on which it ran.
 type failureRecord struct {
-	machines     map[string]bool // on which its tasks failed
+	machines     map[string]bool // machines on which tasks of the job failed
 	firstAt      time.Duration   // time of the first failure
 	canaries     int             // number started so far
 	nextCanaryAt time.Duration
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -116,7 +116,8 @@
 }
 
 const (
-	// largestDivisor: one in this many jobs of an account is among its largest.
+	// largestDivisor is the number of jobs of an account divided by the number of them that count
+	// as its largest.
 	largestDivisor = 4
 
 	// largestDivisorBoosted is the same for a boosted account. It is higher because there
--- a/internal/core/feasible.go
+++ b/internal/core/feasible.go
@@ -89,8 +89,8 @@
 	return a.CompareFree(&b.Capacity)
 }
 
-// preferSide returns the result of a comparison between two sides of which exactly one has a property:
-// the side with the property, the left one if left is true, comes first.
+// preferSide returns the result of a comparison in which one side comes first because only that side
+// has some property: -1 if it is the left side, 1 if it is the right one.
 func preferSide(left bool) int {
 	if left {
 		return -1
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -24,8 +24,8 @@
 	// machine is called.
 	maxMissedHeartbeats = 2
 
-	// callRetriesPerHeartbeat divides the heartbeat period into the pause between calls to an
-	// unconfirmed machine that does not respond.
+	// callRetriesPerHeartbeat is how many times in a heartbeat period an unconfirmed machine that
+	// does not respond is called.
 	callRetriesPerHeartbeat = 8
 )
 
@@ -81,7 +81,7 @@
 // has shown no token of this epoch has therefore accepted no response of this epoch, and only
 // responses from before the epoch can have renewed its lease.
 //
-// Guards against a one-way partition in which a machine's heartbeats arrive but the responses are
+// This guards against a one-way partition in which a machine's heartbeats arrive but the responses are
 // lost: if each response counted as a renewal, a failover would wait for the machine for as long as
 // the partition lasts.
 func (s *shard) expireLease(m *machine) {
@@ -102,7 +102,7 @@
 // fenceIfDue makes a fencing call to a machine whose task list has to be confirmed, or whose
 // heartbeats are missing: it may be alive and only unable to reach this controller.
 //
-// Limits the calls in flight. Guards against calling hundreds of machines at once after a change of
+// Limits the calls in flight. This guards against calling hundreds of machines at once after a change of
 // the shard map: that used the processor for seconds, during which there was no response to the
 // machines' heartbeats, which would have confirmed the lists as well.
 func (s *shard) fenceIfDue(m *machine) {
@@ -136,7 +136,7 @@
 
 // fenceNext checks the queued machines when a fencing call has ended, up to the limit.
 //
-// Guards against two delays: waiting for the next periodic check after each round of calls, and
+// This guards against two delays: waiting for the next periodic check after each round of calls, and
 // checking every machine after every response. With ten thousand machines that took a third of a
 // failover.
 func (s *shard) fenceNext() {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -32,12 +32,12 @@
 	requestCounter   int
 
 	// State of the zones.
-	zonePartitionedSince map[string]time.Duration // when each partitioned zone became so
+	zonePartitionedSince map[string]time.Duration // when each partitioned zone became partitioned
 	zoneRecoveredAt      map[string]time.Duration // when a zone last recovered from a partition
 	reachableByZone      map[string]int           // machines confirmed up
 	machinesByZone       map[string]int           // all known machines
 
-	// Results of the last round.
+	// Results of the last maintenance round.
 	usableByPool map[pool]int    // machines that are, or will be, able to run tasks
 	cordoned     map[string]bool // machines that get no more tasks because of a clear surplus
 	desiredCPUs  float64
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -143,7 +143,7 @@
 }
 
 // gangProgress counts the tasks of a gang for which a machine holds capacity, and reports whether any
-// task on a machine is past that state.
+// task on a machine is in a later state than holding capacity.
 func (q *queuedJob) gangProgress() (held int, started bool) {
 	for _, attempt := range q.inflight {
 		switch {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -13,7 +13,7 @@
 // heartbeat, one that is newer than all received before, renews the lease and shows the present
 // state of the machine.
 //
-// Guards against duplicates of a dead machine's heartbeats that arrive late: each of them delayed
+// This guards against duplicates of a dead machine's heartbeats that arrive late: each of them delayed
 // the restart of the machine's tasks by another lease.
 func (s *shard) handleHeartbeat(id RequestID, report *protocol.Heartbeat) {
 	c := s.core
@@ -132,7 +132,7 @@
 // will be refused. The new session begins with a full lease, whether a heartbeat of it gets a
 // response or not.
 //
-// Guards against expiring the lease of a machine that can be reached only by calls: counted from
+// This guards against expiring the lease of a machine that can be reached only by calls: counted from
 // the former session, the lease expired just after tasks had been started in the new one.
 func (s *shard) beginSession(m *machine, report *protocol.Heartbeat) {
 	if m.fenced || report.Token >= m.minToken {
@@ -261,7 +261,7 @@
 // job is started there for the backoff period: the shard places none there, and the leader plans
 // none for it.
 //
-// Guards against a leader that still plans tasks for such a machine: in every scheduling round it
+// This guards against a leader that still plans tasks for such a machine: in every scheduling round it
 // dispatched the same tasks to the same machine, the shard returned them, and no other job was
 // given that capacity for four leases.
 func causesBackoff(exitReason string) bool {
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -38,7 +38,7 @@
 	dispatchSession uint64 // the session of the link used
 	dispatchSeq     uint64 // sequence number of the message on that link
 	plannedMachine  string // the machine on which the scheduling round allocated capacity for it
-	recordVersion   uint64 // of the job's record on which the dispatch is based, 0: any version will do
+	recordVersion   uint64 // version of the job's record that the dispatch is based on, 0: the placement does not depend on it
 
 	// Preemption.
 	stopRequested bool
--- a/internal/core/instance_return.go
+++ b/internal/core/instance_return.go
@@ -108,10 +108,10 @@
 // then unknown which tasks run on it, which blocks all tasks that may be running there. The timeout
 // of each machine begins when its own task list became incomplete.
 //
-// Two other choices of the timeout failed. Counted from the change of the shard map, a quarter of
-// the machines that came up later were deleted at their first heartbeat. With three heartbeats, 15
-// to 18 s, no job from before a failover started anything for that long, since among a thousand
-// spot machines there nearly always is one that was reclaimed without notice.
+// Two other timeouts caused faults. When the timeout was counted from the change of the shard map, a
+// quarter of the machines that came up later were deleted at their first heartbeat. When it was three
+// heartbeats, 15 to 18 s, no job that was submitted before a failover started a task for that long,
+// since among a thousand spot machines there nearly always is one that was reclaimed without notice.
 func (f *fleet) isUnresponsive(view *machineView) bool {
 	c := f.core
 	timeout := max(c.intervals.heartbeat, c.intervals.workerLease/5)
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -17,8 +17,8 @@
 type instance struct {
 	pool
 	name           string
-	cloudState     string        // as last listed: booting, running or failed
-	createdAt      time.Duration // by its age in the list, or when the leader first knew of it
+	cloudState     string        // in the cloud's last list that had it: booting, running or failed
+	createdAt      time.Duration // computed from its age in the list, or when the leader first knew of it
 	wasListed      bool
 	missedLists    int          // consecutive lists without it, if it was listed or should be by now
 	cpuUtilization float64      // share of its CPUs that tasks use, 0 to 1
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -8,7 +8,7 @@
 // Keys in the state service. All have one prefix in common, so that a single watch covers them.
 const (
 	keyPrefix         = "c/"
-	keyAdmissionBatch = "c/accepted/" // several jobs that were accepted with one write; sorts, and is loaded, before the jobs' own keys
+	keyAdmissionBatch = "c/accepted/" // several jobs that were accepted with one write; these keys sort before the jobs' own keys, so they are loaded first
 	keyEstimates      = "c/est"
 	keyJob            = "c/job/"
 	keyLeader         = "c/leader"
@@ -40,7 +40,7 @@
 const fineBlockTasks = 2048
 
 // fullBlockBytes is how many bytes a full block of progressBlockTasks takes as JSON, in which the
-// store counts its limits: one bit for each task, as base64, and 64 bytes for what encloses it.
+// store counts its limits: one bit for each task, as base64, and 64 bytes for the JSON around it.
 const fullBlockBytes = progressBlockTasks/8*4/3 + 64
 
 // chunkKey returns the key of the n-th chunk, counted from 0, of a job's record. nonce names the
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -8,7 +8,8 @@
 	// survives several lost renewals in a row.
 	renewalsPerLease = 6
 
-	// renewalRetriesPerLease divides the lease into the pause after a renewal that was not granted.
+	// renewalRetriesPerLease: after a renewal that was not granted, the controller waits for the
+	// duration of the lease divided by this number before it tries again.
 	renewalRetriesPerLease = 12
 )
 
@@ -28,7 +29,7 @@
 // may still reach the service. The next renewal is sent once the lease must have expired, or when
 // the mirror gets a response.
 //
-// Guards against a one-way partition in which a leader's requests reach the state service but the
+// This guards against a one-way partition in which a leader's requests reach the state service but the
 // responses are lost: its renewals kept its keys alive, so that no other controller could lead and
 // no task was started on its machines for as long as the partition lasted.
 func (m *membership) shouldLetLeaseExpire() bool {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -34,7 +34,7 @@
 	machineType                *protocol.MachineType // nil while the mirror does not hold the type
 	registered                 bool                  // in the machine registry
 
-	session, seq  uint64    // of the newest message of any kind
+	session, seq  uint64    // of the worker's newest message of any kind
 	lastHeartbeat messageID // the newest message that was a heartbeat
 
 	trust    listTrust
@@ -85,7 +85,7 @@
 // confirmed again. ownedBefore means that this member owned it in the previous epoch as well.
 //
 // While this member owns the machine, no other controller starts anything on it, so no tasks but
-// those that this member knows can be on it, whether it responds or not. Guards against a failover
+// those that this member knows can be on it, whether it responds or not. This guards against a failover
 // that waits for dead machines whose owner has not changed.
 func (m *machine) resetForEpoch(epoch uint64, ownedBefore bool) {
 	m.ownedSinceConfirmed = ownedBefore && (m.isTrusted() || m.ownedSinceConfirmed)
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -38,7 +38,7 @@
 	emptySince      time.Duration // when it last had attempts, came up or was first known, whichever is latest
 	lastClaimedAt   time.Duration // when it last claimed a further attempt; initially when it was first known
 	upSince         time.Duration // when it first accepted tasks, -1: never
-	incompleteSince time.Duration // since when its task list is incomplete; valid only while it is
+	incompleteSince time.Duration // since when its task list is incomplete; meaningless while the list is complete
 }
 
 // listComplete reports whether only the listed tasks can be on the machine.
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -27,7 +27,7 @@
 	renewing          bool          // a renewal is in flight, or waits for its retry
 
 	// What was published last.
-	ready              bool // by SetReady
+	ready              bool // the value in the last SetReady
 	readinessPublished bool // ready has been published at all
 	peerTarget         string
 
@@ -108,7 +108,7 @@
 // mayServe reports whether this controller is entitled to serve workers and users: its lease was
 // renewed, and its mirror confirmed, less than maxStaleness ago.
 //
-// Guards against two owners of a machine: a controller that is partitioned from the state service
+// This guards against two owners of a machine: a controller that is partitioned from the state service
 // must stop serving before its lease expires there and other controllers take its machines over.
 func (m *membership) mayServe() bool {
 	return m.leaseID != 0 && m.core.now.Monotonic-m.renewedAt < m.core.intervals.maxStaleness && m.core.mirror.IsFresh()
@@ -123,7 +123,7 @@
 // labelHeldByOther reports whether the current shard map names a process other than boot under a
 // label. Until the next shard map, what boot publishes about the label's machines is ignored.
 //
-// Guards against starting tasks twice after a restart: a process that was restarted before the map
+// This guards against starting tasks twice after a restart: a process that was restarted before the map
 // changed published that it has no machines, and every task that had just been dispatched to its
 // former process was considered lost and started a second time.
 func (m *membership) labelHeldByOther(label, boot string) bool {
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -9,7 +9,7 @@
 
 // Outcomes of a Commit.
 const (
-	CommitUnknown     CommitOutcome = iota // no response: it may have been applied, or may be later
+	CommitUnknown     CommitOutcome = iota // no response: it may have been applied, or may still be applied
 	Committed                              // all guards held, all changes are durable
 	CommitConflict                         // a guard failed; nothing was changed
 	CommitRejected                         // malformed, or names a lease that has expired; nothing was changed
@@ -66,7 +66,7 @@
 
 // Outcomes of a CallWorker.
 const (
-	DirectUnknown  DirectOutcome = iota // no response: the commands may have been executed, or may be later
+	DirectUnknown  DirectOutcome = iota // no response: the commands may have been executed, or may still be executed
 	DirectExecuted                      // executed; the result carries a report
 	DirectFenced                        // token or session did not match: nothing was executed; the result carries a report
 	DirectRefused                       // any other response: not one of a worker that accepted the commands
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -152,7 +152,7 @@
 	for _, m := range s.machinesWithCapacity.All() {
 		withCapacity = append(withCapacity, m)
 	}
-	jobsWithoutCapacity := map[string]bool{} // by job: a task found no capacity, so its other tasks will not either
+	jobsWithoutCapacity := map[string]bool{} // by job: a task of it found no capacity, so its other tasks will find none either
 	unplaced := s.unplaced[:0]
 	for _, attempt := range s.unplaced {
 		if !s.place(attempt, withCapacity, jobsWithoutCapacity) {
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -195,7 +195,8 @@
 }
 
 // requestStop has a shard stop a task. Until the task has stopped, feasibleMachines omits its machine
-// for tasks that are best-effort or less urgent than the given urgency level. Gangs are not kept off it.
+// for tasks that are best-effort or less urgent than the given urgency level. Tasks of gangs may
+// still be placed on that machine.
 func (s *scheduler) requestStop(member *shardView, attempt *inflightAttempt, stop peerproto.StopTask, urgency int) {
 	attempt.stopRequested, attempt.stopUrgency = true, urgency
 	s.stopRequests[stop.Task] = attempt
@@ -217,7 +218,7 @@
 		return false
 	}
 	if victim.effectiveUrgency > preemptor.effectiveUrgency {
-		// Not if the victim's job could in turn preempt the preemptor's tasks.
+		// If the victim's job could in turn preempt the preemptor's tasks, its own are not preempted.
 		return (s.isUrgent(preemptor) || s.hasDeadlineObjective(preemptor)) && !s.reclaimsGuarantee(victim, preemptor)
 	}
 	return s.reclaimsGuarantee(preemptor, victim)
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -14,8 +14,8 @@
 func (s *scheduler) saveProgress() {
 	s.refillWriteTokens()
 	dueJobs := s.saveCompleted()
-	// The jobs that have waited longest come first. In the order of ids, the first jobs would use
-	// all write tokens.
+	// The jobs that have waited longest come first. If the jobs were written in the order of their
+	// ids, those with the lowest ids would use all write tokens.
 	sort.SliceStable(dueJobs, func(a, b int) bool { return dueJobs[a].saveDueAt < dueJobs[b].saveDueAt })
 	for _, q := range dueJobs {
 		if s.progressWriteTokens < 1 {
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -32,7 +32,7 @@
 type shortage struct {
 	demand    *capacityDemand
 	planned   cpuCapacity // at the start of this round
-	created   float64     // in this round, spot and on-demand
+	created   float64     // CPUs of instances created in this round, spot and on-demand
 	total     float64     // missing for all work
 	onDemand  float64     // missing for work that must not depend on spot machines
 	maxOnTime float64     // the largest value of demand.onTimeByType
@@ -56,7 +56,7 @@
 	return s.onDemand > max(s.total, s.maxOnTime-s.planned.total-s.created, 0)
 }
 
-// forOffer is how many CPUs are missing for which machines of an offer are worth renting.
+// forOffer is how many of the missing CPUs are worth renting in machines of an offer.
 func (s *shortage) forOffer(o *offer) float64 {
 	if o.spot {
 		return s.total
@@ -144,7 +144,7 @@
 }
 
 // missingCapacity returns the first zone (empty: any zone) in which too few planned machines may
-// take the job's tasks, and the CPUs that are missing there. It leaves out of account that other
+// take the job's tasks, and the CPUs that are missing there. It does not consider that other
 // jobs use these machines too. It returns 0 CPUs if the job lacks none.
 func (f *fleet) missingCapacity(job *queuedJob) (zone string, cpus float64) {
 	spec := &job.entry.record.Spec
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -33,8 +33,8 @@
 	// The queue, and the attempts that may be on a machine.
 	queue            *orderedmap.Map[*queuedJob]
 	attempts         map[string]*inflightAttempt // by task name
-	unplacedAttempts map[string]*inflightAttempt // all that await placement; may hold some that no longer do
-	stopRequests     map[string]*inflightAttempt // all that were asked to stop; may hold some that have stopped
+	unplacedAttempts map[string]*inflightAttempt // every attempt that awaits placement, and possibly some that no longer do
+	stopRequests     map[string]*inflightAttempt // every attempt that was asked to stop, and possibly some that have stopped
 	teamUsage        map[string]*usage           // by team: resources of its tracked attempts, which may be in use
 	attemptCounter   uint64                      // attempt numbers drawn in this epoch
 
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -45,7 +45,7 @@
 	// Calls to machines.
 	lastCallID   uint64
 	fencingCalls map[uint64]bool // IDs of calls without commands that are in flight
-	fencingQueue []*machine      // machines that wait for one of these calls to end
+	fencingQueue []*machine      // machines to call as soon as one of fencingCalls ends
 	reachability reachability.Tracker
 	// lastHeardMachine is the machine that the last search for a recently heard machine found.
 	lastHeardMachine *machine
--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -19,7 +19,7 @@
 // machine that this shard owns now: a machine's task list is unconfirmed until a message of the
 // machine carries the new token.
 //
-// Guards against a start command of the former owner that reaches a machine after the new owner has
+// This guards against a start command of the former owner that reaches a machine after the new owner has
 // read the machine's task list.
 func (s *shard) enterEpoch(epoch uint64) {
 	c := s.core
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -15,7 +15,7 @@
 // link to it. If there is none, and other live controllers are disconnected from this leader, it
 // steps down so that one of them can lead.
 //
-// Guards against a leader that reaches nothing but the state service: it stayed the only member of
+// This guards against a leader that reaches nothing but the state service: it stayed the only member of
 // the map, and no task started, while another controller reached both the state service and the
 // machines.
 func (m *membership) reconcileShardMap() {
