--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -185,7 +185,7 @@
 	c := r.core
 	j.readyAt, j.readyThisTerm = readyAt, c.membership.leading
 	if c.membership.leading {
-		c.logDebug("job ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
+		c.logDebug("job ready, all its dependencies are done", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
 	}
 	c.scheduler.jobChanged(j)
 	c.scheduler.lastScheduling = 0 // makes a scheduling round due now, to dispatch its first tasks
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -84,7 +84,7 @@
 	}
 	for i := range s.fairShareStates {
 		if state := &s.fairShareStates[i]; state.Boost != fairshare.NoBoost {
-			s.core.logDebug("fair-share boost",
+			s.core.logDebug("class boosted by fair share",
 				"team", state.Team, "class", state.Class, "served", state.Served,
 				"overdue", state.Overdue, "late", state.LongOverdue, "owed", state.Deficit)
 		}
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -171,7 +171,7 @@
 	if s.leaderLink == loopbackLink || c.now.Monotonic-s.leaderHeardAt <= c.peerTimeout() {
 		return false
 	}
-	c.logInfo("leader heartbeat timed out, reconnecting")
+	c.logInfo("no message from the leader within the peer timeout, reconnecting")
 	c.emit(ClosePeer{Session: s.leaderLink})
 	s.leaderLink = 0
 	return true
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -51,7 +51,7 @@
 		m.leaseID = result.LeaseID
 		m.renewedAt = max(m.renewedAt, result.SentAt)
 	case LeaseExpired:
-		c.logInfo("store lease expired")
+		c.logInfo("lease in the state service expired")
 		m.leaseID = 0
 	default:
 		m.renewing = true
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -118,7 +118,7 @@
 	f.poolRefusals[p]++
 	wait := poolBackoffRounds * f.core.intervals.maintenance << min(f.poolRefusals[p]-1, maxBackoffDoublings)
 	f.poolBackoffUntil[p] = f.core.now.Monotonic + wait
-	f.core.logDebug("capacity refused", "type", p.typeName, "zone", p.zone, "spot", p.spot, "wait", wait)
+	f.core.logDebug("cloud refused capacity, pool skipped for a while", "type", p.typeName, "zone", p.zone, "spot", p.spot, "wait", wait)
 }
 
 // noCapacityReason returns the waiting reason that is shown to users if every pool that could serve
