--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -24,7 +24,7 @@
 	writeTokens    float64 // number of writes that submissions may use now
 	refilledAt     time.Duration
 	waiting        []submission
-	flushScheduled bool // a timer is set that flushes once a write token is available
+	flushScheduled bool // a timer is set that calls flush once a write token is available
 	writeCount     int  // makes the keys of batches unique within this process
 }
 
--- a/internal/core/archive.go
+++ b/internal/core/archive.go
@@ -23,7 +23,7 @@
 
 // archivedJob is a finished job.
 type archivedJob struct {
-	version     uint64 // of the record that it was read from
+	version     uint64 // version of the record that it was read from
 	submittedAt uint32 // time of day, in seconds
 	doneAt      uint32 // time of day, in seconds; 0: it was cancelled, or an older version of the controller wrote it
 	tasks       uint32
--- a/internal/core/chunked_records.go
+++ b/internal/core/chunked_records.go
@@ -26,12 +26,12 @@
 type chunkedRecords struct {
 	core       *Core
 	writeCount int           // makes the nonces of chunked writes unique within this process
-	current    *chunkedWrite // in progress; nil if there is none
+	current    *chunkedWrite // the chunked write in progress; nil if there is none
 }
 
 // chunkedWrite is a chunked record that is being written to the state service.
 type chunkedWrite struct {
-	record             records.Job // complete
+	record             records.Job // the complete record
 	nonce              string      // part of the chunks' keys, unique for each chunked write
 	chunks             []string
 	sentChunks         int           // number of chunks that have been written or are being written
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -33,8 +33,8 @@
 	"github.com/chalkhub/chalkhub/internal/protocol"
 )
 
-// Instant is a point in time on two clocks. Durations are measured on the monotonic clock; the
-// wall clock only dates records.
+// Instant is a point in time on two clocks. Timeouts and periods are measured on the monotonic clock.
+// The wall clock is used only with the times of day in records, such as submission times and deadlines.
 type Instant struct {
 	Monotonic time.Duration
 	Wall      float64 // seconds since 1970
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -94,7 +94,7 @@
 	if !spec.AllowSpot {
 		sum.onDemand += min(cpus, work/f.completionHorizon(job))
 	}
-	// Work without an objective justifies spot machines only.
+	// Only spot machines are rented for work without an objective.
 	if waiting > 0 && (job.withinGuarantee || f.hasObjective(spec) || job.hasDeadline()) {
 		f.addOnTimeDemand(sum, job)
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -88,8 +88,8 @@
 // dispatchTasks tries to dispatch the waiting tasks in the order of their indices.
 func (d *jobDispatch) dispatchTasks() {
 	q := d.job
-	// Counted once, because counting again for each task of a huge job used up all the processor
-	// time that the round may take.
+	// The waiting tasks are counted only once, because counting them again for each task of a huge
+	// job used up all the processor time that the round may take.
 	waiting := q.waitingTasks()
 	q.firstWaiting = q.nextWaiting(q.firstWaiting)
 	for index := q.firstWaiting; index < d.spec.Tasks && d.dispatched < waiting; index = q.nextWaiting(index + 1) {
@@ -161,7 +161,8 @@
 // only in that machine's shard, jobs waited although machines of other shards were idle.
 func (d *jobDispatch) findMachine(index int) (machine *candidateMachine, onlyAvoidedFit bool) {
 	if d.spec.Spread {
-		// Its tasks are tied to different zones, so each may fit on other machines.
+		// The tasks of a spread job are tied to different zones, so a machine that does not fit one
+		// task may fit the next.
 		d.nextMachine, d.avoidedMachineFits = 0, false
 	}
 	// All tasks of any other job need the same resources, and capacity only shrinks within a round:
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -16,7 +16,7 @@
 type taskEstimator struct {
 	*estimator.Estimator
 	core         *Core
-	savedVersion uint64 // version of the history that was last written
+	savedVersion uint64 // version of the history in the last write
 	saving       bool
 	savedAt      time.Duration
 }
@@ -56,7 +56,7 @@
 	c.commit(guards, ops, func(result CommitResult) {
 		e.saving = false
 		if result.Outcome != Committed {
-			e.savedVersion = 0 // forces another write, since the version of a history that was written is never 0
+			e.savedVersion = 0 // differs from every version of a written history, so the next save writes again
 		}
 	})
 }
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -23,7 +23,7 @@
 type failureRecord struct {
 	machines     map[string]bool // machines on which tasks of the job failed
 	firstAt      time.Duration   // time of the first failure
-	canaries     int             // number started so far
+	canaries     int             // number of canaries started so far
 	nextCanaryAt time.Duration
 }
 
@@ -48,7 +48,8 @@
 // job is tried by one task at a time as well, but not at growing intervals.
 //
 // Without this, all tasks of a job that fails everywhere are started once more: the first tasks of
-// such a job had failed on two machines, and then all of them were sent to two others at once.
+// such a job had failed on two machines, and then all its tasks were sent to two other machines at
+// once.
 func (s *scheduler) isUnproven(q *queuedJob) bool {
 	return len(q.failures.machines) >= crashLoopMachines-1 && !q.provenToRun(&s.core.intervals)
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -28,7 +28,7 @@
 	// Availability in the cloud.
 	poolBackoffUntil map[pool]time.Duration
 	poolRefusals     map[pool]int   // consecutive refusals
-	failedBoots      map[string]int // by type: boots that timed out since one succeeded
+	failedBoots      map[string]int // by type: boots that timed out since the last one that succeeded
 	requestCounter   int
 
 	// State of the zones.
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -123,7 +123,8 @@
 // releaseGangs starts the gangs for which capacity is held for all tasks. Gangs that did not get all
 // their capacity in time have their held tasks dropped.
 func (s *scheduler) releaseGangs() {
-	// Well before GangWaitS, after which the workers stop waiting for the gang's other tasks.
+	// The timeout is well below GangWaitS, after which the workers stop waiting for the gang's other
+	// tasks.
 	timeout := config.Seconds(s.core.settings.Site.Workers.GangWaitS) / 4
 	for _, q := range s.queue.All() {
 		if q.spec().Kind != protocol.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -80,7 +80,7 @@
 	return m
 }
 
-// recordHeartbeat updates when and by which heartbeat a machine was last heard.
+// recordHeartbeat records the ID of a machine's newest heartbeat and the time at which it arrived.
 func (s *shard) recordHeartbeat(m *machine, report *protocol.Heartbeat) {
 	m.lastHeartbeat = messageID{report.Session, report.Seq}
 	m.lastHeardAt, m.unansweredCalls = s.core.now.Monotonic, 0
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -29,7 +29,7 @@
 	location  attemptLocation
 	machine   string          // the machine it is believed to be on, empty if not known
 	claimants map[string]bool // machines that list it, or listed it and may still run it
-	taskState string          // its state on machine
+	taskState string          // its state on the machine named by machine
 	// runningSince is when this leader first saw it running, 0: not yet.
 	runningSince time.Duration
 
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -129,7 +129,7 @@
 
 // countMissed counts, for each machine, the consecutive complete lists that lack it.
 //
-// It prevents the leader from waiting forever for machines that died before its term: the
+// This prevents the leader from waiting forever for machines that died before its term: the
 // controllers that owned them never heard from them, and left the shard map one after another
 // before any lease could expire. A machine that is known from the registry alone would be listed by
 // now if it existed.
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -41,7 +41,7 @@
 	return c.now.Monotonic-m.renewedAt >= c.intervals.maxStaleness && c.now.Monotonic-m.renewalSentAt < latestExpiry
 }
 
-// handleLeaseResult handles the response to a renewal, or that there was none.
+// handleLeaseResult handles the result of a renewal, whether or not a response arrived.
 func (m *membership) handleLeaseResult(result LeaseResult) {
 	c := m.core
 	m.renewing, m.renewalUnanswered = false, result.Outcome == LeaseUnknown
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -50,7 +50,7 @@
 	// maybeRenewedUntil is the time until which a former owner may have renewed the worker's lease.
 	maybeRenewedUntil time.Duration
 	silent            bool // sent no message, or did not respond to calls, for too long; published to the leader
-	unansweredCalls   int  // in a row
+	unansweredCalls   int  // consecutive calls without a response
 	callInFlight      uint64
 	nextCallAt        time.Duration
 	queuedForFencing  bool
@@ -70,7 +70,7 @@
 	imagesChanged bool     // images has changed since it was last published
 	droppedTasks  []string // tasks that are no longer on it, dropped since it was last published
 
-	cachedCapacity  binpacking.Capacity // what freeCapacity returns while capacityValid
+	cachedCapacity  binpacking.Capacity // the result of freeCapacity; out of date unless capacityValid is set
 	capacityValid   bool
 	capacityChanged bool // its capacity may have changed since tasks were last placed
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -17,7 +17,7 @@
 	attempt  *inflightAttempt
 	task     string
 	machine  *candidateMachine
-	lostWork float64 // in CPU seconds
+	lostWork float64 // CPU seconds of work that are lost if it is stopped
 }
 
 // preemption selects the tasks to preempt for one job.
--- a/internal/core/queued_job.go
+++ b/internal/core/queued_job.go
@@ -19,8 +19,8 @@
 
 	// Its tasks, by index.
 	inflight     map[int]*inflightAttempt
-	unsavedTasks map[int]bool          // completed, but not yet stored durably
-	stoppedTasks map[int]bool          // were stopped: the next run time is not their full duration
+	unsavedTasks map[int]bool          // tasks that have completed, but whose completion is not stored durably yet
+	stoppedTasks map[int]bool          // tasks that were stopped, so that the next run time is not their full duration
 	retryAt      map[int]time.Duration // earliest time at which a task is tried again
 	firstWaiting int                   // no task with a smaller index is waiting
 
@@ -28,7 +28,7 @@
 	unlocated      bool // it predates this leader's term: its tasks may be on machines not seen yet
 	failures       failureRecord
 	longestRunning time.Duration         // longest time for which one of its tasks has been running so far
-	durations      estimator.RunningMean // of its tasks whose completion this leader has seen
+	durations      estimator.RunningMean // durations of those of its tasks whose completion this leader has seen
 
 	pendingWrite pendingWrite
 	saveDueAt    time.Duration // when its completed tasks are to be written, 0: no write is due
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -37,7 +37,7 @@
 	shard            *shardView
 	view             *machineView
 	imageCached      bool // it has the image of the job that is being dispatched
-	reserved         bool // for an underserved account
+	reserved         bool // it is reserved for a job of an underserved account
 	preempting       bool // tasks are being stopped here for another job
 	preemptorUrgency int  // the highest urgency level of such a job
 }
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -11,7 +11,7 @@
 // createRequest is a call to create instances that is in flight.
 type createRequest struct {
 	body     protocol.CreateMachinesRequest
-	attempts int // attempts without a response, or above the cloud's rate limit
+	attempts int // attempts that got no response or were above the cloud's rate limit
 }
 
 func (r *createRequest) pool() pool { return pool{r.body.Type, r.body.Zone, r.body.Spot} }
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -23,7 +23,7 @@
 	epochAtElection  uint64
 	epochEnteredAt   time.Duration
 	electionRevision uint64 // no earlier leader has dispatched a job whose version is newer than this
-	reloadRevision   uint64 // of the mirror at its last reload while this controller led
+	reloadRevision   uint64 // revision of the mirror at its last reload while this controller led
 
 	// What the members report about their shards.
 	shards      map[string]*shardView // by label
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -73,7 +73,8 @@
 	guards := []protocol.Guard{c.membership.leaderGuard(), q.entry.recordGuard()}
 	op := protocol.Operation{Put: q.entry.recordKey(), Value: record}
 	if protocol.JSONSize(record) > c.maxValueBytes() {
-		// The record was written in chunks, or while the limit on values was higher.
+		// The record is larger than a value may be: it was written in chunks, or while the limit on
+		// values was higher.
 		op = protocol.Operation{Put: keyJobZones + q.id, Value: records.Job{Zones: record.Zones}}
 		guards = append(guards, c.mirror.Guard(op.Put))
 	}
