--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,7 +34,7 @@
 )
 
 // Instant is a point in time on two clocks. Timeouts and periods are measured on the monotonic clock.
-// The wall clock is used only with the times of day in records, such as submission times and deadlines.
+// The wall clock gives times of day, such as those of submissions and deadlines.
 type Instant struct {
 	Monotonic time.Duration
 	Wall      float64 // seconds since 1970
--- a/internal/core/degraded_mode.go
+++ b/internal/core/degraded_mode.go
@@ -21,7 +21,7 @@
 	member        degraded.Voter       // used while it does not
 	epoch         uint64               // the epoch of leader and member
 	// cancelledJobs holds jobs whose cancellation a controller may have confirmed to a user, and
-	// when this controller last learnt of that.
+	// when this controller last learnt of the cancellation.
 	cancelledJobs map[string]time.Duration
 	loggedActive  bool // whether degraded mode was active when that was last logged
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -19,7 +19,7 @@
 
 // capacityDemand is the number of CPUs that the unfinished work needs.
 type capacityDemand struct {
-	inUse          float64 // used by tasks in flight
+	inUse          float64 // CPUs used by tasks in flight
 	total          float64 // for all work, up to the number that is worth renting as spot machines
 	totalOnDemand  float64 // the part of total that must not run on spot machines
 	onTime         float64 // for work to meet its objectives, up to the number that is worth renting as on-demand machines
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -15,12 +15,12 @@
 	spec      *protocol.Job
 	canary    bool // the job is unproven, so only one of its tasks is tried at a time
 
-	machines    []*candidateMachine // with capacity for its tasks, in the order in which they are filled
+	machines    []*candidateMachine // machines with capacity for its tasks, in the order in which they are filled
 	nextMachine int                 // index into machines: those before it lack capacity or are avoided
 	// avoidedMachineFits is set if a machine before nextMachine has capacity for the tasks but the job
 	// avoids it.
 	avoidedMachineFits bool
-	fullZones          []bool // by zone index of a spread job: a task found no capacity there
+	fullZones          []bool // by zone index of a spread job: whether a task found no capacity in that zone in this round
 	dispatched         int
 	backedOff          int // number of tasks that wait for their retry time
 }
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -68,7 +68,7 @@
 		StartedShare:  1 - float64(max(q.waitingTasks(), 0))/float64(spec.Tasks),
 		RemainingWork: unfinishedTasks * taskWidth(spec) * s.core.estimator.predictForJob(q),
 		CPUsInUse:     float64(len(q.inflight)) * spec.CPUs,
-		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services are left out: they never end, whatever else waits
+		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services are excluded, since they never end, whatever other jobs wait
 		Ineligible:    s.isCrashLooping(q) || service,
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -51,7 +51,7 @@
 
 	// Machine types, which are read from the cloud and written to the state service.
 	typesRequested     bool
-	cloudTypes         *protocol.MachineTypes // as the cloud returned them, nil until then
+	cloudTypes         *protocol.MachineTypes // machine types that the cloud returned, nil until it has returned any
 	typesWriteInFlight bool
 }
 
--- a/internal/core/job_entry.go
+++ b/internal/core/job_entry.go
@@ -12,8 +12,8 @@
 // one on request.
 type jobEntry struct {
 	record        records.Job
-	version       uint64            // of the key that record comes from: a batch or the job's own key; 0: the job is not accepted
-	recordVersion uint64            // of the job's own key; 0: the key does not exist yet
+	version       uint64            // version of the key that record was read from, which is that of a batch or the job's own key; 0: the job is not accepted
+	recordVersion uint64            // version of the job's own key; 0: the key does not exist yet
 	acceptance    acceptance        // which stored record accepted it
 	doneBlocks    []records.TaskSet // durably completed tasks, progressBlockTasks tasks to a set
 	doneCount     int               // number of tasks in doneBlocks
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -26,7 +26,7 @@
 	s.leaderLink, s.fullSnapshotDue, s.lastLeaderSeq = session, true, 0
 	for _, m := range s.machines.All() {
 		if m.cordoned {
-			m.cordoned = false // until the leader cordons it again
+			m.cordoned = false // the new leader cordons it again if necessary
 			s.markCapacityChanged(m)
 		}
 	}
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -37,7 +37,7 @@
 	if m.leaseID == 0 || !m.renewalUnanswered || c.mirror.IsFresh() {
 		return false
 	}
-	latestExpiry := c.intervals.memberLease * 5 / 4 // with a margin for a renewal that arrived late
+	latestExpiry := c.intervals.memberLease * 5 / 4 // includes a margin for a renewal that reached the state service late
 	return c.now.Monotonic-m.renewedAt >= c.intervals.maxStaleness && c.now.Monotonic-m.renewalSentAt < latestExpiry
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -32,7 +32,7 @@
 	name, addr, typeName, zone string
 	spot                       bool
 	machineType                *protocol.MachineType // nil while the mirror does not hold the type
-	registered                 bool                  // in the machine registry
+	registered                 bool                  // the machine is in the machine registry
 
 	session, seq  uint64    // of the worker's newest message of any kind
 	lastHeartbeat messageID // the newest message that was a heartbeat
--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -49,8 +49,8 @@
 
 // Upper estimates for the encoded size of parts of a machine type, in bytes.
 const (
-	machineTypeBytes = 300 // without its name and zones
-	zoneNameBytes    = 4   // in addition to the name itself
+	machineTypeBytes = 300 // a type without its name and zones
+	zoneNameBytes    = 4   // a zone in addition to its name
 )
 
 func estimatedBytes(machineType *protocol.MachineType) int {
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -20,10 +20,10 @@
 	shard       string                 // the member that published it
 	listedEpoch uint64                 // the epoch in which its shard last listed it, 0: no shard lists it
 	machineType *protocol.MachineType  // nil while the type is not known
-	registered  bool                   // in the machine registry
+	registered  bool                   // the machine is in the machine registry
 	images      map[string]bool        // images cached on the machine
 
-	attempts       map[string]*inflightAttempt // that the machine claims, by task name
+	attempts       map[string]*inflightAttempt // attempts that the machine claims, by task name
 	used           usage                       // resources occupied by attempts
 	roundCandidate candidateMachine            // the machine's entry in the scheduling round, reused by each round
 
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -31,7 +31,7 @@
 // job after another.
 type shortage struct {
 	demand    *capacityDemand
-	planned   cpuCapacity // at the start of this round
+	planned   cpuCapacity // planned capacity at the start of this round
 	created   float64     // CPUs of instances created in this round, spot and on-demand
 	total     float64     // missing for all work
 	onDemand  float64     // missing for work that must not depend on spot machines
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -26,7 +26,7 @@
 	reloadRevision   uint64 // revision of the mirror at its last reload while this controller led
 
 	// What the members report about their shards.
-	shards      map[string]*shardView // by label
+	shards      map[string]*shardView // by label of the member
 	shardLabels map[uint64]string     // by link session, "" until the hello arrives
 	machines    *orderedmap.Map[*machineView]
 
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -36,7 +36,7 @@
 	}
 	count := 1
 	if spec.Spread && spec.Tasks > 1 {
-		count = min(spreadZones, len(zones)) // with one zone, at most half of its tasks run at a time
+		count = min(spreadZones, len(zones)) // if it may use only one zone, atLimit lets at most half of its tasks run at a time
 	}
 	s.writeZones(q, zones[:count])
 }
