--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -164,8 +164,8 @@
 // ordinary rank. As long as that task is the job's only one in flight, it is protected from
 // preemption.
 //
-// It prevents the largest jobs of a class from never starting while smaller jobs of the same class
-// keep arriving. Fair share does not notice that, because it counts jobs, and by that count the
+// Without the early start, the largest jobs of a class would never start while smaller jobs of the
+// same class keep arriving. Fair share does not notice that, because it counts jobs, and by that count the
 // class is served well.
 func (s *scheduler) startEarly(q *queuedJob, age float64) {
 	if age < s.earlyStartAge() || q.spec().Kind != protocol.KindArray || q.completedTasks() > 0 || s.isCrashLooping(q) {
@@ -181,8 +181,8 @@
 // job of an underserved account, unless the job could not start even with all of the team's quota
 // that services do not use.
 //
-// It prevents tasks of four CPUs from never starting because each CPU that is released goes to a
-// task of one CPU. The same would happen to gangs that need half of the quota at once.
+// Without the reservation, tasks of four CPUs would never start, because each CPU that is released
+// goes to a task of one CPU. The same would happen to gangs that need half of the quota at once.
 func (s *scheduler) reserveQuota(q *queuedJob, tasks int, round *schedulingRound) {
 	spec := q.spec()
 	team := s.core.team(spec.Team)
@@ -213,8 +213,8 @@
 // account. It takes the machines with the most free capacity first, and as many as the given number
 // of the job's tasks need once the machines are drained.
 //
-// It prevents a task that needs a whole machine from never starting because small tasks keep
-// filling every machine.
+// Without the reservation, a task that needs a whole machine would never start, because small tasks
+// keep filling every machine.
 func (s *scheduler) reserveMachines(q *queuedJob, tasks int, round *schedulingRound) {
 	if round.machineReservations >= maxMachineReservations || !s.mayReserve(q, tasks, round) {
 		return
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -102,7 +102,7 @@
 // fenceIfDue makes a fencing call to a machine whose task list has to be confirmed, or whose
 // heartbeats are missing: it may be alive and only unable to reach this controller.
 //
-// Limits the calls in flight. This guards against calling hundreds of machines at once after a change of
+// It limits the calls in flight. This guards against calling hundreds of machines at once after a change of
 // the shard map: that used the processor for seconds, during which there was no response to the
 // machines' heartbeats, which would have confirmed the lists as well.
 func (s *shard) fenceIfDue(m *machine) {
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -21,7 +21,7 @@
 )
 
 // inflightAttempt is the leader's record of a task attempt that was dispatched and may be on a machine.
-// It counts against its team's limit until it is known to be on no machine.
+// The attempt counts against its team's limit until it is known to be on no machine.
 type inflightAttempt struct {
 	job       *queuedJob
 	taskIndex int
--- a/internal/core/queued_job.go
+++ b/internal/core/queued_job.go
@@ -17,14 +17,14 @@
 	id    string
 	entry *jobEntry
 
-	// Its tasks, by index.
+	// The tasks of the job, by task index.
 	inflight     map[int]*inflightAttempt
 	unsavedTasks map[int]bool          // tasks that have completed, but whose completion is not stored durably yet
 	stoppedTasks map[int]bool          // tasks that were stopped, so that the next run time is not their full duration
 	retryAt      map[int]time.Duration // earliest time at which a task is tried again
 	firstWaiting int                   // no task with a smaller index is waiting
 
-	// Its tasks as a whole.
+	// The tasks of the job as a whole.
 	unlocated      bool // it predates this leader's term: its tasks may be on machines not seen yet
 	failures       failureRecord
 	longestRunning time.Duration         // longest time for which one of its tasks has been running so far
@@ -35,7 +35,7 @@
 
 	zoneFullSince map[int]time.Duration // by zone index: since when the tasks tied to that zone have found no capacity
 
-	// Its rank, computed again in each round.
+	// The rank of the job, computed again in each scheduling round.
 	predictedSeconds   float64 // predicted duration of one of its tasks
 	effectiveUrgency   int     // level of its own urgency, or that of the most urgent job that depends on it
 	dependentsDeadline float64 // wall-clock time (s) by which it must be done for its dependents' deadlines or its own, +Inf: none
