--- a/internal/core/cloud_budget.go
+++ b/internal/core/cloud_budget.go
@@ -36,7 +36,7 @@
 
 // takeScalingCall takes a token for a call to create or delete instances. If there is none, it
 // records that such a call is deferred. Then no page of the list is requested until
-// scalingCallsPerList calls to create or delete instances have been made.
+// scalingCallsPerList calls to create or delete instances have been made, or the next round begins.
 //
 // Without this, the requests for the list used every call that the rate limit of a slow cloud allows,
 // just before the round in which an instance had to be created.
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -18,7 +18,7 @@
 	servedDecayFactor = 8
 
 	// boostedAgingFactor is how many times longer a job must wait to gain the same rank within a
-	// boosted account as in the ordinary order. Waiting counts for less there because only about
+	// boosted account as in the ordinary order. Waiting is weighted less in a boosted account because only about
 	// half of the account's jobs have to be served, which favors small jobs over old ones.
 	boostedAgingFactor = 4
 )
--- a/internal/core/garbage.go
+++ b/internal/core/garbage.go
@@ -15,7 +15,7 @@
 	core *Core
 
 	keys         map[string]bool // keys to delete, mostly of finished jobs
-	deletingKeys bool            // a transaction is in flight; the same for the other kinds below
+	deletingKeys bool            // a transaction that deletes keys is in flight; deletingBatch and deletingChunk likewise
 
 	nextBatchScan time.Duration
 	deletingBatch bool
@@ -28,7 +28,7 @@
 	return &garbageCollector{core: c, keys: map[string]bool{}, orphanedSince: map[string]time.Duration{}}
 }
 
-// reset forgets the keys to delete. The next load adds those among them that still exist.
+// reset discards the keys to delete. The next load adds those that still exist again.
 func (g *garbageCollector) reset() { g.keys = map[string]bool{} }
 
 // add schedules a key for deletion.
@@ -82,7 +82,8 @@
 	}
 }
 
-// needsBatch reports whether the record of a job that counts is in a batch, which must then be kept.
+// needsBatch reports whether a job's record that counts (see acceptance) is in a batch. The batch must
+// then be kept.
 func (r *storedRecords) needsBatch(id string) bool {
 	j := r.jobs[id]
 	return j != nil && !j.hasOwnRecord() || r.derivedAborts[id]
