--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -205,8 +205,8 @@
 }
 
 // handleNoCapacity sets the job's reason after a task found no capacity. If the job is entitled to
-// preempt tasks of other jobs, or to reserve machines, that is done for the task. If the task's zone stays full
-// for long enough, reassignZone ties the zone's tasks to another zone.
+// preempt tasks of other jobs, or to reserve machines, that is done for the task. If the task's zone
+// stays full for long enough, reassignZone ties the zone's tasks to another zone.
 func (d *jobDispatch) handleNoCapacity(index int) {
 	q, s := d.job, d.scheduler
 	s.reassignZone(q, index)
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -18,8 +18,9 @@
 	servedDecayFactor = 8
 
 	// boostedAgingFactor is how many times longer a job must wait to gain the same rank within a
-	// boosted account as in the ordinary order. Waiting is weighted less in a boosted account because only about
-	// half of the account's jobs have to be served, which favors small jobs over old ones.
+	// boosted account as in the ordinary order. Waiting is weighted less in a boosted account because
+	// only about half of the account's jobs have to be served, which favors small jobs over old
+	// ones.
 	boostedAgingFactor = 4
 )
 
@@ -165,8 +166,8 @@
 // preemption.
 //
 // Without the early start, the largest jobs of a class would never start while smaller jobs of the
-// same class keep arriving. Fair share does not notice that, because it counts jobs, and by that count the
-// class is served well.
+// same class keep arriving. Fair share does not notice that, because it counts jobs, and by that
+// count the class is served well.
 func (s *scheduler) startEarly(q *queuedJob, age float64) {
 	if age < s.earlyStartAge() || q.spec().Kind != protocol.KindArray || q.completedTasks() > 0 || s.isCrashLooping(q) {
 		return
--- a/internal/core/fencing.go
+++ b/internal/core/fencing.go
@@ -102,9 +102,9 @@
 // fenceIfDue makes a fencing call to a machine whose task list has to be confirmed, or whose
 // heartbeats are missing: it may be alive and only unable to reach this controller.
 //
-// It limits the calls in flight. This guards against calling hundreds of machines at once after a change of
-// the shard map: the calls used the processor for seconds, during which there was no response to the
-// machines' heartbeats, which would have confirmed the lists as well.
+// It limits the calls in flight. This guards against calling hundreds of machines at once after a
+// change of the shard map: the calls used the processor for seconds, during which there was no
+// response to the machines' heartbeats, which would have confirmed the lists as well.
 func (s *shard) fenceIfDue(m *machine) {
 	if m.callInFlight != 0 || s.core.now.Monotonic < m.nextCallAt || !s.needsFencing(m) {
 		return
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -142,8 +142,8 @@
 }
 
 // owns reports whether this shard still owns the machine m, a pointer to which was stored earlier.
-// It no longer does if the machine has been released since, even if a machine of the same name was added
-// again, which is then another object.
+// It no longer does if the machine has been released since, even if a machine of the same name was
+// added again, which is then another object.
 func (s *shard) owns(m *machine) bool { return s.machines.Get(m.name) == m }
 
 // expedite causes a machine's commands to be sent without waiting for its next heartbeat.
