--- a/internal/core/shard_epoch.go
+++ b/internal/core/shard_epoch.go
@@ -39,7 +39,7 @@
 		s.resetMachine(m, ownedBefore)
 	}
 	if shardMap := c.records.shardMap; shardMap != nil {
-		c.logInfo("entered the epoch of a new shard map", "epoch", epoch, "leader", shardMap.Leader,
+		c.logInfo("new shard map", "epoch", epoch, "leader", shardMap.Leader,
 			"members", sortedKeys(shardMap.Members), "machines", s.machines.Len())
 	}
 }
