--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -48,12 +48,12 @@
 	k.FatalIfErrorf(c.run())
 }
 
-// maxWhyLength bounds the reason of a run: the journal accepts only reasons that are shorter.
-const maxWhyLength = 120
+// maxReasonLength bounds the reason of a run: the journal accepts only reasons that are shorter.
+const maxReasonLength = 120
 
 func (c *cli) run() error {
-	if len(c.Why) >= maxWhyLength {
-		return fmt.Errorf("--why is too long: it must have fewer than %d characters", maxWhyLength)
+	if len(c.Why) >= maxReasonLength {
+		return fmt.Errorf("--why is too long: it must have fewer than %d characters", maxReasonLength)
 	}
 	files, err := c.siteFiles()
 	if err != nil {
@@ -146,13 +146,13 @@
 }
 
 func entriesWhere(entries []regress.Entry, keep func(regress.Entry) bool) []regress.Entry {
-	var kept []regress.Entry
+	var added []regress.Entry
 	for _, entry := range entries {
 		if keep(entry) {
-			kept = append(kept, entry)
+			added = append(added, entry)
 		}
 	}
-	return kept
+	return added
 }
 
 // runBench runs the benchmark and passes its output on to standard error.
--- a/internal/kvfile/write.go
+++ b/internal/kvfile/write.go
@@ -18,7 +18,7 @@
 		return w.write(batch, next)
 	})
 	if err != nil {
-		return asNoSpace(err)
+		return wrapNoSpace(err)
 	}
 	f.metadata = w.metadata
 	return nil
@@ -78,8 +78,8 @@
 }
 
 // trimEvents removes the oldest events until only the given number is left.
-func (w *batchWriter) trimEvents(kept int) error {
-	for w.metadata.eventCount() > uint64(kept) {
+func (w *batchWriter) trimEvents(maxEvents int) error {
+	for w.metadata.eventCount() > uint64(maxEvents) {
 		if _, err := w.remove(eventsBucket, encodeUint64(w.metadata.FirstEvent)); err != nil {
 			return err
 		}
--- a/internal/kvstore/state_test.go
+++ b/internal/kvstore/state_test.go
@@ -100,7 +100,7 @@
 
 func TestRevokeLeaseDeletesItsKeysInOneRevision(t *testing.T) {
 	batch := NewState().Begin()
-	kept, err := batch.GrantLease(5000)
+	keptLease, err := batch.GrantLease(5000)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := mustCommit(t, batch.Next(), put("a", 1, revoked), put("b", 1, revoked), put("c", 1, kept), put("d", 1, revoked))
+	state := mustCommit(t, batch.Next(), put("a", 1, revoked), put("b", 1, revoked), put("c", 1, keptLease), put("d", 1, revoked))
 	state = mustCommit(t, state, put("d", 2, 0)) // detaches d from its lease
 	batch = state.Begin()
 	if err := batch.RevokeLease(revoked); err != nil {
--- a/internal/peer/queue_test.go
+++ b/internal/peer/queue_test.go
@@ -220,8 +220,8 @@
 		}
 		before := memoryBytes(&message)
 		field.Set(reflect.MakeSlice(field.Type(), 100, 100))
-		if got, least := memoryBytes(&message)-before, 100*int(field.Type().Elem().Size()); got < least {
-			t.Errorf("field %s with 100 entries adds %d bytes, want at least %d", value.Type().Field(i).Name, got, least)
+		if got, minimum := memoryBytes(&message)-before, 100*int(field.Type().Elem().Size()); got < minimum {
+			t.Errorf("field %s with 100 entries adds %d bytes, want at least %d", value.Type().Field(i).Name, got, minimum)
 		}
 	}
 }
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -132,14 +132,14 @@
 func TestRepeatedLeavesDoubleAbsence(t *testing.T) {
 	tracker, f := newTracker(), newFleet(20)
 	var absences []time.Duration
-	member, left := true, time.Duration(0)
+	member, leftAt := true, time.Duration(0)
 	for now := 10 * second; now < 600*second; now += second / 4 {
 		v := tracker.Check(View{Now: now, IsMember: member, MemberSince: now - 20*second, Fleet: f})
 		switch {
 		case v.Left:
-			member, left = false, now
+			member, leftAt = false, now
 		case v.Rejoined:
-			member, absences = true, append(absences, now-left)
+			member, absences = true, append(absences, now-leftAt)
 		}
 		for range v.Probe {
 			if !member {
