--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -146,13 +146,13 @@
 }
 
 func entriesWhere(entries []regress.Entry, keep func(regress.Entry) bool) []regress.Entry {
-	var added []regress.Entry
+	var matching []regress.Entry
 	for _, entry := range entries {
 		if keep(entry) {
-			added = append(added, entry)
+			matching = append(matching, entry)
 		}
 	}
-	return added
+	return matching
 }
 
 // runBench runs the benchmark and passes its output on to standard error.
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -37,20 +37,20 @@
 // runChecks calls Check four times a second from one time to another and passes each verdict to
 // the function each, if there is one. It returns when the tracker first left the shard map and
 // when it first rejoined it, 0: never.
-func runChecks(t *Tracker, f *fleet, from, to time.Duration, member bool, each func(now time.Duration, v Verdict)) (left, rejoined time.Duration) {
+func runChecks(t *Tracker, f *fleet, from, to time.Duration, member bool, each func(now time.Duration, v Verdict)) (leftAt, rejoinedAt time.Duration) {
 	for now := from; now < to; now += second / 4 {
 		v := t.Check(View{Now: now, IsMember: member, Fleet: f})
 		if each != nil {
 			each(now, v)
 		}
-		if v.Left && left == 0 {
-			left = now
+		if v.Left && leftAt == 0 {
+			leftAt = now
 		}
-		if v.Rejoined && rejoined == 0 {
-			rejoined = now
+		if v.Rejoined && rejoinedAt == 0 {
+			rejoinedAt = now
 		}
 	}
-	return left, rejoined
+	return leftAt, rejoinedAt
 }
 
 func TestSilentMemberProbesBeforeItLeaves(t *testing.T) {
