--- a/cmd/chalkhubctl/agent.go
+++ b/cmd/chalkhubctl/agent.go
@@ -125,5 +125,5 @@
 
 type shimCmd struct{}
 
-// Run runs a shim, which talks to its agent over standard input and output.
+// Run runs a shim, which exchanges messages with its agent over standard input and output.
 func (c *shimCmd) Run() error { return shim.Run(os.Stdin, os.Stdout) }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,8 +40,8 @@
 }
 
 // DurableState is what must survive a restart of the agent. The restarted agent reports
-// under the same machine name, so it must not reuse a session number, and it must go on
-// refusing commands with a token below the highest one seen.
+// under the same machine name, so it must not reuse a session number, and it must still
+// refuse commands with a token below the highest one seen.
 type DurableState struct {
 	Session uint64 `json:"session"`
 	Token   uint64 `json:"token"`
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -38,7 +38,7 @@
 	eventQueue = 1024
 
 	// clockCheckInterval is the longest time that loop waits before it reads the clock again.
-	// Kernel timers stop while the machine is suspended, but the lease goes on, so a timer
+	// Kernel timers stop while the machine is suspended, but the lease still runs, so a timer
 	// alone would notice a lease expiry too late after a resume.
 	clockCheckInterval = 250 * time.Millisecond
 
--- a/internal/agentd/command.go
+++ b/internal/agentd/command.go
@@ -161,7 +161,7 @@
 			d.settings.Logger.Warn("task killed at lease expiry", "task", p.key.Task, "attempt", p.key.Attempt)
 		}
 	}
-	_ = s.in.Close() // the shim has exited, so nobody reads this pipe
+	_ = s.in.Close() // the shim has exited, so no process reads this pipe
 	if waitErr := s.cmd.Wait(); waitErr != nil && err == nil {
 		err = waitErr
 	}
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -25,7 +25,7 @@
 	IdleBoots           float64 // an idle spot machine is kept for this many boot times
 	HorizonShare        float64 // queued work should be done within this share of the time that remains to meet its objective
 	SpotMinBoots        float64 // a spot machine is rented only to serve queued work for at least this many boot times
-	OnDemandMinBoots    float64 // an on-demand machine is rented only for work whose objective ends at least this many boot times from now
+	OnDemandMinBoots    float64 // an on-demand machine is rented only for work that has at least this many boot times left until it must be done
 	PreemptHeartbeats   float64 // a task may be preempted if it loses at most this many heartbeat intervals of work
 	PreemptForGuarantee bool    // for jobs within their team's guarantee, preempt tasks that other teams run beyond theirs
 	BootTimeoutFactor   float64 // boot timeout of a machine, in boot times
--- a/internal/kvfile/snapshots.go
+++ b/internal/kvfile/snapshots.go
@@ -152,7 +152,7 @@
 // renameReplacedFile renames a state file to the first unused name for replaced files and
 // returns its new path. The error wraps ErrInUse if another process has the file open.
 func renameReplacedFile(path string) (string, error) {
-	// A running service would go on writing to its open file after the rename, and those
+	// A running service would continue to write to its open file after the rename, and those
 	// writes would be missing from the restored file. Other errors of Verify don't matter:
 	// a corrupt file may be replaced.
 	if _, err := Verify(path); errors.Is(err, ErrInUse) {
--- a/internal/localcloud/cloud.go
+++ b/internal/localcloud/cloud.go
@@ -42,7 +42,7 @@
 	pricePeriod      = 30 * time.Minute
 	priceWaveDivisor = 3
 
-	// pricePhases shifts the price wave of each type by one part in pricePhases of the period
+	// pricePhases shifts the price curve of each type by one part in pricePhases of the period
 	// against that of the type before, so that the prices don't move together.
 	pricePhases = 7
 
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -2,7 +2,8 @@
 // member keeps one link, to the leader. The same port serves the status page to browsers.
 //
 // The package owns the connections, the queues of messages to be written, and the goroutines that
-// read, write and dial. It knows neither which controller leads, nor what a message means, nor when one is due.
+// read, write and dial. It knows neither which controller leads, nor what a message means, nor when
+// one is due.
 //
 // A session is one connection of a link.
 //
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -37,7 +37,7 @@
 	Bits string `msgpack:"bits"` // TaskSet.Text of the block
 }
 
-// Node states that a controller is alive.
+// Node states that a controller is running.
 type Node struct {
 	BootID string `msgpack:"boot"`
 	Level  int    `msgpack:"level,omitempty"` // FormatLevel of the controller's version
--- a/internal/regress/regress.go
+++ b/internal/regress/regress.go
@@ -12,7 +12,7 @@
 	"github.com/goccy/go-json"
 )
 
-// MaxScoreDrop is how far a site's score may fall below the baseline: a smaller change is noise.
+// MaxScoreDrop is how far a site's score may fall below the baseline: a smaller change is within the random variation.
 const MaxScoreDrop = 0.03
 
 // MinServedShare is the share of the jobs of each class, of each team, and of each class's largest
--- a/internal/stepdown/stepdown.go
+++ b/internal/stepdown/stepdown.go
@@ -1,5 +1,5 @@
-// Package stepdown decides when a leader that keeps its lease but can serve nobody steps down,
-// and for how long it then abstains from leading.
+// Package stepdown decides when a leader that keeps its lease steps down because no work can start
+// through it ("it can serve nobody"), and for how long it then abstains from leading.
 //
 // A leader that holds its lease but reaches too few others must step down by itself; this is
 // check-quorum (Ongaro, Consensus: Bridging Theory and Practice, 2014, §6.2). Here the state
@@ -33,14 +33,14 @@
 	// often step-downs happen: see MaxStepDownsPerHour.
 	BaseBackoff time.Duration
 
-	cannotServe      bool          // it leads and can serve nobody
+	cannotServe      bool          // it leads, but no work can start through it
 	cannotServeSince time.Duration // when cannotServe last changed
 	canServeSince    time.Duration // when cannotServe last changed, or when the last backoff ends
 	stepDowns        int           // since it last led for maxBackoff while able to serve
 	backoffUntil     time.Duration
 }
 
-// ShouldStepDown records whether this leader can serve nobody, and reports whether that has
+// ShouldStepDown records whether no work can start through this leader, and reports whether that has
 // lasted for gracePeriod.
 func (t *Tracker) ShouldStepDown(now time.Duration, cannotServe bool, gracePeriod time.Duration) bool {
 	if cannotServe != t.cannotServe {
