--- a/cmd/chalkhubctl/state.go
+++ b/cmd/chalkhubctl/state.go
@@ -133,8 +133,8 @@
 	file         *kvfile.File
 	server       *kvserver.Server
 	log          *slog.Logger
-	lastAt       time.Time // of the last attempt
-	lastRevision uint64    // of the last snapshot
+	lastAt       time.Time // when the last snapshot was attempted
+	lastRevision uint64    // revision of the last snapshot
 }
 
 func (s *snapshotter) run(ctx context.Context) error {
--- a/cmd/chalkhubctl/top_view.go
+++ b/cmd/chalkhubctl/top_view.go
@@ -41,7 +41,7 @@
 type controllerView struct {
 	status core.Status
 	readAt time.Time // zero if never read
-	err    error     // of the last attempt to read it, nil if it succeeded
+	err    error     // why the last attempt to read the status page failed, nil if it succeeded
 }
 
 // clusterView holds all that is known about a cluster and renders it as text. It does no input or
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -64,7 +64,7 @@
 	leaseStart   time.Duration // when the last heartbeat with an accepted response was sent, or the session began
 	leaseExpired bool          // the lease has expired, and attempts of the session are still being killed
 
-	seq               uint64        // of the last heartbeat
+	seq               uint64        // sequence number of the last heartbeat
 	controller        int           // index of the controller that the next heartbeat is sent to
 	nextHeartbeatAt   time.Duration // if a heartbeat is in flight then, the next one waits for its completion
 	heartbeatInFlight bool
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -85,7 +85,7 @@
 
 	mu             sync.Mutex
 	nextID         int
-	pendingReplies map[int]chan agent.StatusReply // by the ID of the request
+	pendingReplies map[int]chan agent.StatusReply // reply channels by the ID of the request
 }
 
 // New returns a daemon. It creates the directories and the lock file if they don't exist, but
--- a/internal/agentd/process.go
+++ b/internal/agentd/process.go
@@ -27,7 +27,7 @@
 type process struct {
 	key    agent.AttemptKey
 	job    string
-	index  int // of the task in its job
+	index  int // index of the task in its job
 	orders chan shim.Order
 	exited chan struct{} // closed once none of its processes is left
 	cancel context.CancelFunc
--- a/internal/calibration/calibration.go
+++ b/internal/calibration/calibration.go
@@ -33,12 +33,12 @@
 // is not safe for concurrent use.
 type Model struct {
 	estimates       float64 // number of observed estimates
-	meanLogEstimate float64 // mean of ln(estimate) over them
+	meanLogEstimate float64 // mean of ln(estimate) over the observed estimates
 
 	// Sums over the jobs of which a task has completed. x is the deviation of ln(estimate) from
 	// its mean, and y is ln(actual duration / predicted duration).
-	sumSquares  float64 // of x·x
-	sumProducts float64 // of x·y
+	sumSquares  float64 // sum of x·x
+	sumProducts float64 // sum of x·y
 }
 
 // ObserveEstimate adds the owner's estimate for a new job, in seconds. Estimates that are not
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -14,8 +14,8 @@
 )
 
 // Policy holds the parameters that operators set in a policy script, in addition to the platform's
-// settings file. docs/operations.md describes what each of them is for. Boot times are those of the
-// machine type in question.
+// settings file. docs/operations.md describes the purpose of each. A boot time is that of the type of
+// the machine that is rented, kept or booted.
 type Policy struct {
 	AgingLeases         float64 // waiting for this many worker leases halves the remaining work by which a job is ranked
 	HistoryTasks        float64 // a running mean of durations covers about this many latest tasks
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -18,8 +18,8 @@
 // cancelled job alone, without a write for each dependent and without a message to any machine.
 //
 // Nothing here recurses, because a user's chain of jobs may be thousands of jobs long. Marking a
-// job as finished takes time proportional to the number of edges that this resolves, and each edge
-// is resolved once. docs/dependencies.md describes the alternatives that were considered, with
+// job as finished takes time proportional to the number of edges that it resolves, and each edge is
+// resolved only once. docs/dependencies.md describes the alternatives that were considered, with
 // sources.
 package dag
 
--- a/internal/dag/scenario_test.go
+++ b/internal/dag/scenario_test.go
@@ -12,13 +12,13 @@
 type scenario struct {
 	dependencies map[string][]string
 	doneAt       map[string]float64
-	cancelled    map[string]bool // by their users
+	cancelled    map[string]bool // jobs that their users cancelled
 }
 
 // outcome holds the jobs of a scenario that become ready or are aborted.
 type outcome struct {
 	readyAt map[string]float64
-	aborted map[string]bool // because a dependency is aborted or cancelled
+	aborted map[string]bool // jobs aborted because a dependency was aborted or cancelled
 }
 
 func newOutcome() outcome {
@@ -75,7 +75,7 @@
 	}
 	switch draw := rng.IntN(6); {
 	case draw == 0:
-		s.cancelled[id] = true // by its user, whatever the states of its dependencies
+		s.cancelled[id] = true // a user may cancel a job whatever the states of its dependencies
 	case anyAborted:
 		want.aborted[id] = true
 	case allDone && draw < 4:
--- a/internal/degraded/cancellation_log.go
+++ b/internal/degraded/cancellation_log.go
@@ -24,7 +24,7 @@
 
 type cancellation struct {
 	job      string
-	revision uint64 // of the write
+	revision uint64 // revision of the write that cancelled the job
 }
 
 // NewCancellationLog returns a log that holds at least capacity cancellations. A round needs all
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -54,7 +54,7 @@
 
 	mu            sync.Mutex
 	lastID        core.RequestID
-	replyChannels map[core.RequestID]chan core.Reply // of the requests that wait for a reply
+	replyChannels map[core.RequestID]chan core.Reply // reply channels of the requests that wait for a reply
 	responseTimes *hdrhistogram.Histogram            // milliseconds
 }
 
--- a/internal/fairshare/account_state.go
+++ b/internal/fairshare/account_state.go
@@ -10,7 +10,7 @@
 // be fractional.
 type AccountState struct {
 	Account
-	Served      float64 // completed jobs with decayed weights, plus the started shares of unfinished ones
+	Served      float64 // completed jobs with decayed weights, plus the started shares of unfinished jobs
 	Overdue     float64 // unstarted shares of open jobs older than Rules.OverdueAfter
 	LongOverdue float64 // unstarted shares of open jobs older than twice Rules.OverdueAfter
 	Boost       Boost
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -46,7 +46,7 @@
 // Rules are the parameters that operators choose. All times are in seconds.
 type Rules struct {
 	MinShare     float64 // minimum served part of the served and overdue jobs, 0 to 1; 0 turns fair share off
-	OverdueAfter float64 // a job that has waited for longer is overdue
+	OverdueAfter float64 // a job that has waited for longer than this is overdue
 	DecayTime    float64 // time in which the weight of a served job falls to 1/e
 	AgingTime    float64 // waiting time that halves a job's size in the choice and the order of boosted jobs
 }
--- a/internal/kvserver/applier_test.go
+++ b/internal/kvserver/applier_test.go
@@ -81,7 +81,7 @@
 	storage *memoryStorage
 	applier *applier
 	now     time.Duration
-	model   map[string]string // encoded values by key
+	model   map[string]string // the encoded values that the store must hold, by key
 }
 
 // restart replaces the applier by one that reads the storage, as after a crash.
--- a/internal/local/cluster_test.go
+++ b/internal/local/cluster_test.go
@@ -142,7 +142,7 @@
 	client           *client.Client
 	job              client.Job
 	done             int
-	unexplainedWaits []string // statuses in which no task ran and no reason was given
+	unexplainedWaits []string // job statuses without a running task and without a reason for it
 }
 
 func (a *arrayRun) observe(s *client.Status, err error) {
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -21,8 +21,8 @@
 	MemoryGB  float64  `msgpack:"MemoryGb"`
 	CacheGB   float64  `msgpack:"CacheGb"`     // capacity of the image cache
 	FetchGBps float64  `msgpack:"FetchGbPerS"` // rate at which a machine pulls images, in gigabytes per second
-	Price     float64  `msgpack:"Hourly"`      // per hour, on demand
-	SpotPrice float64  `msgpack:"LowPrice"`    // per hour
+	Price     float64  `msgpack:"Hourly"`      // price of an on-demand instance per hour
+	SpotPrice float64  `msgpack:"LowPrice"`    // price of a spot instance per hour
 	BootS     float64  `msgpack:"StartupS"`    // usual boot time, in seconds
 	Zones     []string `msgpack:"Yards"`       // zones that offer the type
 }
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -86,7 +86,7 @@
 	lastProbeReplyAt time.Duration // 0: no reply since the controller became unreachable
 
 	lastContactAt        time.Duration // last contact with any machine, whoever owns it
-	silentSince          time.Duration // since when Silent has been true, 0: it is not
+	silentSince          time.Duration // time since which Silent has been true; 0 while it is false
 	consecutiveLostCalls int           // calls without a reply since the last one with a reply
 	firstLostCallAt      time.Duration // when the first of these calls ended
 }
@@ -149,9 +149,9 @@
 
 // checkNonMember checks a controller that is not a member and therefore hears from few machines
 // or none. If its last contact was a third of a lease ago or earlier, one of the machines in the
-// registry must reply to a probe before it may join. Without this, a controller that came back from a
-// partition took over a third of the machines each time, for the seconds until it detected that it
-// reaches none of them.
+// registry must reply to a probe before it may join. Without this probe, a controller that
+// reached the other controllers again but no machine took over a third of the machines each time, for
+// the seconds until it detected that it reaches none of them.
 func (t *Tracker) checkNonMember(v View) Verdict {
 	if v.Fleet.KnownCount() == 0 || v.Now-t.lastContactAt < t.Lease/silenceLeaseDivisor {
 		return Verdict{}
