--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -149,9 +149,9 @@
 
 // checkNonMember checks a controller that is not a member and therefore hears from few machines
 // or none. If its last contact was a third of a lease ago or earlier, one of the machines in the
-// registry must reply to a probe before it may join. Without this probe, a controller that
-// reached the other controllers again but no machine took over a third of the machines each time, for
-// the seconds until it detected that it reaches none of them.
+// registry must reply to a probe before it may join. Without this probe, a controller that joined
+// the map again after a partition took over a third of the machines each time, although it reached
+// none of them, and kept them for the seconds until it detected that.
 func (t *Tracker) checkNonMember(v View) Verdict {
 	if v.Fleet.KnownCount() == 0 || v.Now-t.lastContactAt < t.Lease/silenceLeaseDivisor {
 		return Verdict{}
