--- a/client/request.go
+++ b/client/request.go
@@ -34,7 +34,7 @@
 type request struct {
 	method, path string
 	body         any
-	timeout      time.Duration // of each try
+	timeout      time.Duration // limit on the duration of each try
 	budget       time.Duration // no retry starts later than this after the first try
 	accepted     []int         // response statuses that mean success
 }
--- a/internal/kvserver/limiter_test.go
+++ b/internal/kvserver/limiter_test.go
@@ -10,8 +10,8 @@
 func TestLimiterAdmitsOneSecondBurstThenRate(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		requests     float64 // per second
-		writes       float64 // per second
+		requests     float64 // limit of requests per second
+		writes       float64 // limit of writes per second
 		writesOfEach int     // number of writes in each request
 		wantAdmitted int
 	}{
--- a/internal/peer/queue_test.go
+++ b/internal/peer/queue_test.go
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	if reads {
-		go func() { _, _ = io.Copy(io.Discard, conn) }() // until conn is closed
+		go func() { _, _ = io.Copy(io.Discard, conn) }() // returns when conn is closed
 	}
 	return waitFor[core.PeerConnected](t, posted).Session
 }
--- a/internal/peerproto/message.go
+++ b/internal/peerproto/message.go
@@ -67,7 +67,7 @@
 	Task        string `json:"task"`
 	Machine     string `json:"machine"`
 	Reason      string `json:"why"`
-	Immediately bool   `json:"now,omitempty"` // without time to save a checkpoint
+	Immediately bool   `json:"now,omitempty"` // the task gets no time to save a checkpoint
 }
 
 // MachineState is the state of a machine as its shard knows it. A partial state lists only the tasks
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -75,7 +75,7 @@
 	limits  Limits
 	toAdd   []string         // machines that still have to be added to a page
 	sizes   map[string]int   // current bytes of each page, without the plan's changes
-	changed map[string]*Page // by key
+	changed map[string]*Page // new contents of the pages that the plan changes, by key
 }
 
 // measurePages computes the current size of each page.
