--- a/internal/core/admission_batches.go
+++ b/internal/core/admission_batches.go
@@ -40,9 +40,9 @@
 
 // Sizes of a batch's value, in bytes of JSON, as the store counts its limits.
 const (
-	maxBatchBytes   = 32 << 10 // upper bound even if the store accepts larger values
-	batchFrameBytes = 16       // what encloses the list of jobs
-	separatorBytes  = 2        // ", " between two jobs
+	maxBatchBytes       = 32 << 10 // upper bound even if the store accepts larger values
+	batchEnclosureBytes = 16       // what encloses the list of jobs
+	separatorBytes      = 2        // ", " between two jobs
 )
 
 // writeRate returns how many writes a second this controller may use for submissions. The part of
@@ -98,7 +98,7 @@
 func (b *admissionBatches) nextBatch() []submission {
 	var batch, remaining []submission
 	maxSize, maxGuards := min(b.core.maxValueBytes(), maxBatchBytes), guardsPerTxnOp*b.core.storeLimits.MaxTxnOps
-	size, guards := batchFrameBytes, 1
+	size, guards := batchEnclosureBytes, 1
 	for i := range b.waiting {
 		s := &b.waiting[i]
 		fits := size+s.jsonSize+separatorBytes <= maxSize && guards+guardsPerJob <= maxGuards
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -43,7 +43,7 @@
 	// start time is unknown.
 	foundRunning bool
 	endedAt      time.Duration // when this shard first saw that it has ended
-	ranSeconds   float64       // how long it ran, 0: unknown
+	runSeconds   float64       // how long it ran, 0: unknown
 
 	stopRequested bool // the leader has requested its stop
 	stopNow       bool // stop it without time to save a checkpoint
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -33,9 +33,9 @@
 const maxCancelAttempts = 4
 
 // cancel cancels a job and responds to the user.
-func (x *cancellation) cancel(id RequestID, jobID string) { x.try(id, jobID, 1) }
+func (x *cancellation) cancel(id RequestID, jobID string) { x.attemptCancel(id, jobID, 1) }
 
-func (x *cancellation) try(id RequestID, jobID string, attempt int) {
+func (x *cancellation) attemptCancel(id RequestID, jobID string, attempt int) {
 	queries := x.core.queries
 	if !protocol.ValidJobID(jobID) {
 		queries.replyUnknownJob(id)
@@ -68,16 +68,16 @@
 			c.degraded.cancellationConfirmed(jobID)
 			c.emit(Reply{ID: id, Status: ReplyOK, Body: protocol.JobResponse{ID: jobID, State: protocol.JobCancelled, Done: j.doneCount}})
 		case (result.Outcome == CommitConflict || result.Outcome == CommitUnknown) && attempt < maxCancelAttempts:
-			x.try(id, jobID, attempt+1) // another write came first, or the outcome is unknown: read the job again
+			x.attemptCancel(id, jobID, attempt+1) // another write came first, or the outcome is unknown: read the job again
 		default:
 			c.queries.replyRetry(id, reasonStoreDown)
 		}
 	})
 }
 
-// observed records a cancellation that the mirror has read. Cancellations up to the revision of the
+// recordObserved records a cancellation that the mirror has read. Cancellations up to the revision of the
 // last load need no record: a vote in degraded mode contains that revision, which covers them.
-func (x *cancellation) observed(jobID string, version uint64) {
+func (x *cancellation) recordObserved(jobID string, version uint64) {
 	if version > x.core.mirror.LoadRevision() {
 		x.log.Record(jobID, version)
 	}
--- a/internal/core/cloud_budget.go
+++ b/internal/core/cloud_budget.go
@@ -15,8 +15,8 @@
 // a page of the list, if such calls were deferred.
 const scalingCallsPerList = 2
 
-// take takes a token if there is one. Tokens are added at the given rate per second.
-func (b *cloudBudget) take(now time.Duration, rate float64) bool {
+// takeToken takes a token if there is one. Tokens are added at the given rate per second.
+func (b *cloudBudget) takeToken(now time.Duration, rate float64) bool {
 	// The bucket holds at least one token. Otherwise a cloud that allows one call per second would
 	// never be called, since the rate is then below 1.
 	b.tokens = min(b.tokens+(now-b.refilledAt).Seconds()*rate, max(rate, 1))
@@ -31,7 +31,7 @@
 // takeCallToken takes a token for a call to the cloud. The leader uses three fifths of the cloud's
 // rate limit.
 func (f *fleet) takeCallToken() bool {
-	return f.budget.take(f.core.now.Monotonic, f.core.settings.Site.Cloud.RPS*3/5)
+	return f.budget.takeToken(f.core.now.Monotonic, f.core.settings.Site.Cloud.RPS*3/5)
 }
 
 // takeScalingCall takes a token for a call to create or delete instances. If there is none, it
--- a/internal/core/dependent_admission_test.go
+++ b/internal/core/dependent_admission_test.go
@@ -23,7 +23,7 @@
 // node that has read neither the cancellation nor the batch, and that accepts it again. The first
 // acceptance counts, so the second node must respond that the job is cancelled too, whatever its own
 // record of the job says.
-func TestDependentOfCancelledJobHasOneAnswerOnAllNodes(t *testing.T) {
+func TestAllNodesReportDependentOfCancelledJobAsCancelled(t *testing.T) {
 	t.Run("accepted again in a batch", func(t *testing.T) {
 		testAcceptedTwice(t, (*scenario).exhaustSingleWrites)
 	})
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -49,7 +49,7 @@
 		machines:  s.feasibleMachines(q, round),
 		fullZones: make([]bool, max(len(q.entry.record.Zones), 1)),
 	}
-	d.run()
+	d.dispatchTasks()
 	if s.core.debug && (d.dispatched > 0 || q.reason != "") {
 		s.core.logDebug("job processed in scheduling round",
 			"job", q.id, "predicted", q.predictedSeconds, "guaranteed", q.withinGuarantee,
@@ -85,8 +85,8 @@
 	return false
 }
 
-// run tries to dispatch the waiting tasks in the order of their indices.
-func (d *jobDispatch) run() {
+// dispatchTasks tries to dispatch the waiting tasks in the order of their indices.
+func (d *jobDispatch) dispatchTasks() {
 	q := d.job
 	// Counted once, because counting again for each task of a huge job used up all the processor
 	// time that the round may take.
--- a/internal/core/feasible.go
+++ b/internal/core/feasible.go
@@ -80,18 +80,18 @@
 func compareFillOrder(a, b *candidateMachine, freeByShard map[*shardView]float64) int {
 	switch {
 	case a.imageCached != b.imageCached:
-		return trueFirst(a.imageCached)
+		return preferSide(a.imageCached)
 	case a.Spot != b.Spot:
-		return trueFirst(a.Spot)
+		return preferSide(a.Spot)
 	case a.shard != b.shard && freeByShard[a.shard] != freeByShard[b.shard]:
-		return trueFirst(freeByShard[a.shard] > freeByShard[b.shard])
+		return preferSide(freeByShard[a.shard] > freeByShard[b.shard])
 	}
 	return a.CompareFree(&b.Capacity)
 }
 
-// trueFirst returns the result of a comparison between two sides of which exactly one has a property:
+// preferSide returns the result of a comparison between two sides of which exactly one has a property:
 // the side with the property, the left one if left is true, comes first.
-func trueFirst(left bool) int {
+func preferSide(left bool) int {
 	if left {
 		return -1
 	}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -247,7 +247,7 @@
 		// it. Counted from a change of the machine's owner, run times of minutes were estimated
 		// as seconds, and no machine was rented for such jobs.
 		if a.runningSince > 0 && !a.foundRunning {
-			a.ranSeconds = (now - a.runningSince).Seconds()
+			a.runSeconds = (now - a.runningSince).Seconds()
 		}
 		if causesBackoff(report.ExitReason) {
 			m.backoffUntil[a.jobID] = now + s.core.intervals.machineBackoff
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -34,7 +34,7 @@
 type instanceListing struct {
 	inFlight  bool
 	nextAt    time.Duration
-	after     string          // last machine on the pages read so far, empty: none read
+	lastName  string          // last machine on the pages read so far, empty: none read
 	names     map[string]bool // machines on these pages
 	completed int             // complete lists read in this term
 }
@@ -42,7 +42,7 @@
 // restart discards what was listed. A call that is in flight remains in flight.
 func (l *instanceListing) restart() {
 	l.nextAt, l.completed = 0, 0
-	l.after, l.names = "", map[string]bool{}
+	l.lastName, l.names = "", map[string]bool{}
 }
 
 func (f *fleet) wasDeleted(name string) bool { return f.deletedNames[name] }
@@ -87,7 +87,7 @@
 		return
 	}
 	f.listing.inFlight = true
-	f.core.emit(ListInstances{After: f.listing.after})
+	f.core.emit(ListInstances{After: f.listing.lastName})
 }
 
 // handleList handles a page of the list, and completes the list with the last page.
@@ -105,13 +105,13 @@
 		f.handleListed(&result.Machines[i])
 	}
 	if result.More && len(result.Machines) > 0 {
-		f.listing.after, f.listing.nextAt = result.Machines[len(result.Machines)-1].Name, c.now.Monotonic
+		f.listing.lastName, f.listing.nextAt = result.Machines[len(result.Machines)-1].Name, c.now.Monotonic
 		return
 	}
 	f.listing.completed++
 	f.listing.nextAt = c.now.Monotonic + max(f.listLag()/2, 2*c.intervals.maintenance)
 	f.countMissed()
-	f.listing.after, f.listing.names = "", map[string]bool{}
+	f.listing.lastName, f.listing.names = "", map[string]bool{}
 }
 
 func (f *fleet) handleListed(machine *protocol.Instance) {
--- a/internal/core/interleavings_test.go
+++ b/internal/core/interleavings_test.go
@@ -494,7 +494,7 @@
 // A controller must not forget the cancellations that it learnt in degraded mode while it may still
 // serve from a mirror that is older than they are. The crash of another controller may end the rounds of
 // degraded mode at any time, also just when the mirror becomes too stale to serve from.
-func TestLearntCancellationsOutliveStaleMirror(t *testing.T) {
+func TestLearntCancellationsAreKeptWhileMirrorIsStale(t *testing.T) {
 	for tenths := range 24 {
 		set := simulation.Settings(3)
 		set.Site.Workers.CancelS = 24 // slightly more than the staleness limit, which is then 5.44 s, plus a lease of 16 s
--- a/internal/core/job_records.go
+++ b/internal/core/job_records.go
@@ -19,7 +19,7 @@
 		return err
 	}
 	if record.State == protocol.JobCancelled {
-		r.core.cancellation.observed(id, version)
+		r.core.cancellation.recordObserved(id, version)
 	}
 	if archived, ok := r.archive.jobs[id]; ok {
 		if version > archived.version && record.State != protocol.JobQueued {
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -252,7 +252,7 @@
 		}
 		a.published = true
 		tasks = append(tasks, peerproto.TaskState{
-			Task: a.task, Attempt: a.number, State: a.state, ExitReason: a.exitReason, RanSeconds: a.ranSeconds,
+			Task: a.task, Attempt: a.number, State: a.state, ExitReason: a.exitReason, RanSeconds: a.runSeconds,
 		})
 		if !a.live() {
 			m.droppedTasks = append(m.droppedTasks, a.task)
--- a/internal/core/network_faults_test.go
+++ b/internal/core/network_faults_test.go
@@ -29,7 +29,7 @@
 
 // A worker that hangs and resumes within its lease still has its tasks, even if the leader crashes in
 // between.
-func TestHungMachineResumes(t *testing.T) {
+func TestResumedMachineKeepsItsTasks(t *testing.T) {
 	s := newScenario(t, 31)
 	job := s.Users.Submit(simulation.Array(8), 30)
 	s.eventually(60*second, "every task runs", func() bool { return job.RunningTasks() == 8 })
@@ -158,7 +158,7 @@
 // A dispatch must not count as lost because it is missing from a full snapshot that the shard made before it
 // had read the dispatch. Otherwise the leader dispatches the task again and it runs twice. The slow links
 // between controllers make this crossing likely.
-func TestSnapshotCrossesDispatch(t *testing.T) {
+func TestDispatchMissingFromOlderSnapshotIsNotLost(t *testing.T) {
 	s := newScenario(t, 31)
 	s.PeerLatency = 400 * time.Millisecond
 	for range 12 {
--- a/internal/core/partitions_test.go
+++ b/internal/core/partitions_test.go
@@ -293,7 +293,7 @@
 // A leader that reaches the state service, but neither a machine nor another controller, steps down,
 // and does so only once. If all machines are silent, and the other controllers report that they reach
 // none either, the leader does not step down.
-func TestLeaderThatReachesNobodyStepsDown(t *testing.T) {
+func TestLeaderThatReachesOnlyTheStoreStepsDown(t *testing.T) {
 	s := startWithMachines(t, 410, 6)
 	leader, changes := s.leader(), 0
 	for _, other := range []string{"workers", "node-0", "node-1", "node-2"} {
@@ -332,7 +332,7 @@
 // A leader that reaches no machine and then loses its links to the other members steps down. It must
 // not take over the machines that these members serve, whether or not it has already detected that it
 // reaches none.
-func TestLeaderWithoutReachableMachinesTakesNone(t *testing.T) {
+func TestLeaderWithoutReachableMachinesTakesOverNone(t *testing.T) {
 	for seed, detected := range []bool{true, false} {
 		s := startWithMachines(t, 420+uint64(seed), 60)
 		leader := s.leader()
@@ -357,7 +357,7 @@
 
 // A member was partitioned from everything. Once it reaches the state service and the other controllers
 // again, but no machine, it must not rejoin the shard map. Once it reaches machines, it must rejoin.
-func TestRejoiningMemberWithoutReachableMachinesIsGivenNone(t *testing.T) {
+func TestMemberRejoinsShardMapOnlyOnceItReachesMachines(t *testing.T) {
 	s := startWithMachines(t, 430, 6)
 	s.Users.Submit(simulation.Array(24), 100) // keeps the machines in use, otherwise they would be returned and there would be none to reach
 	node := s.follower()
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -12,7 +12,7 @@
 // Controllers crash at critical moments and restart within a fraction of a second, or after 8 seconds where every
 // new leader crashes. Meanwhile, duplicates of messages arrive up to 100 seconds late, users submit jobs and one
 // job is cancelled. All jobs must reach their final state.
-func TestFastRestarts(t *testing.T) {
+func TestJobsCompleteThroughFastRestarts(t *testing.T) {
 	const restartDelay = second / 20
 	for name, inject := range map[string]func(s *scenario){
 		"the leader restarts before its keys have expired": func(s *scenario) { s.leader().Crash(restartDelay) },
@@ -86,7 +86,7 @@
 // A member that has restarted while the shard map still names its former process must not report that it
 // has no machines. Start commands of the former process may still be in flight. The leader once treated
 // these dispatches as lost, dispatched the tasks again and had them run twice.
-func TestNewProcessUnderStaleMapReportsNothing(t *testing.T) {
+func TestRestartedMemberSendsNoSnapshotForFormerEpoch(t *testing.T) {
 	for _, previousVersion := range []bool{false, true} { // whether the leader runs the previous version, the one in production
 		s := newScenario(t, 90)
 		for range 12 {
--- a/internal/core/scenario_test.go
+++ b/internal/core/scenario_test.go
@@ -140,7 +140,7 @@
 
 // The invariant checker must report a task that runs on two machines at once. If it missed violations,
 // every other scenario would pass without asserting anything.
-func TestInvariantCheckerCatchesDoubleRun(t *testing.T) {
+func TestInvariantCheckerDetectsTaskOnTwoMachines(t *testing.T) {
 	s := newScenario(t, 2)
 	job := s.Users.Submit(simulation.Array(1), 60)
 	s.eventually(60*second, "the task runs", func() bool { return job.RunningTasks() == 1 })
--- a/internal/core/zone_faults_test.go
+++ b/internal/core/zone_faults_test.go
@@ -163,7 +163,7 @@
 
 // A one-zone job whose zone is full stays there as long as one of its tasks may be there, however much
 // capacity another zone has.
-func TestSingleZoneJobStaysTogether(t *testing.T) {
+func TestOneZoneJobStaysInItsZoneWhileTasksMayBeThere(t *testing.T) {
 	acrossSeeds(t, 4550, 3, func(t *testing.T, variant, controllers int, seed uint64) {
 		s := startScenario(t, seed, controllers, nil)
 		s.startFixedMachines("a", "a", "b", "b")
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -182,7 +182,7 @@
 		for _, id := range slices.Sorted(maps.Keys(s.state.LeaseTTLs())) {
 			s.armLease(id)
 		}
-		s.wakeWatches()
+		s.finishChangedWatches()
 	})
 }
 
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -35,9 +35,9 @@
 // blocksConnections reports whether no connection can be established over the link.
 func (l *Link) blocksConnections() bool { return l.Drop || l.Hold || l.Refuse || l.Reset }
 
-// untilUp returns how long the faults of a flapping link remain active, 0 if they are inactive or
+// remainingActiveTime returns how long the faults of a flapping link remain active, 0 if they are inactive or
 // the link does not flap. The first period, which begins when the link is set, is an active one.
-func (l *Link) untilUp(now time.Duration) time.Duration {
+func (l *Link) remainingActiveTime(now time.Duration) time.Duration {
 	if l.FlapPeriod == 0 || (now-l.setAt)/l.FlapPeriod%2 == 1 {
 		return 0
 	}
@@ -153,7 +153,7 @@
 		if link == nil {
 			continue
 		}
-		untilUp := link.untilUp(c.Now)
+		untilUp := link.remainingActiveTime(c.Now)
 		if link.FlapPeriod > 0 && untilUp == 0 {
 			continue
 		}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -86,7 +86,7 @@
 	batch := s.state.Begin()
 	modify(batch)
 	s.state = batch.Next()
-	s.wakeWatches()
+	s.finishChangedWatches()
 }
 
 // commitDirectly commits a transaction that no controller has sent. Limits and faults do not apply
@@ -288,8 +288,8 @@
 	}
 }
 
-// wakeWatches finishes the open watches that a change has occurred for.
-func (s *Store) wakeWatches() {
+// finishChangedWatches finishes the open watches that a change has occurred for.
+func (s *Store) finishChangedWatches() {
 	watches := s.watches
 	s.watches = nil
 	for _, open := range watches {
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -51,7 +51,7 @@
 		case protocol.CommandStop:
 			changed = w.stopAttempt(command) || changed
 		case protocol.CommandForget:
-			changed = w.forget(command) || changed
+			changed = w.removeExited(command) || changed
 		}
 	}
 	return changed
@@ -69,9 +69,9 @@
 	return changed
 }
 
-// forget removes an attempt that has exited from the worker's tasks, so that it is not reported
+// removeExited removes an attempt that has exited from the worker's tasks, so that it is not reported
 // any more, and reports whether it changed anything.
-func (w *Worker) forget(command protocol.Command) bool {
+func (w *Worker) removeExited(command protocol.Command) bool {
 	kept := w.Tasks[:0]
 	for _, task := range w.Tasks {
 		if !task.matches(command) || task.State != protocol.TaskExited {
@@ -228,7 +228,7 @@
 	if task.State == protocol.TaskExited {
 		return
 	}
-	w.cluster.Users.taskLeft(w, task)
+	w.cluster.Users.taskRemoved(w, task)
 	if task.job != nil && task.runningSince > 0 && reason == protocol.ExitStopped {
 		task.job.savedRun[task.index] += w.progressKept(task)
 	}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -194,7 +194,7 @@
 func (u *Users) accepted(job *Job, response protocol.JobResponse, sentAt time.Duration) {
 	first := !job.Accepted
 	job.Accepted = true
-	u.observe(job, response, sentAt)
+	u.recordResponse(job, response, sentAt)
 	if first {
 		u.cluster.After(firstPollDelay, func() { u.poll(job) })
 		u.readEverywhereIfEnabled(job)
@@ -208,7 +208,7 @@
 	u.request(queryCommand(job.Spec.ID), func(reply core.Reply) {
 		switch reply.Status {
 		case core.ReplyOK:
-			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
+			u.recordResponse(job, reply.Body.(protocol.JobResponse), sentAt)
 		case core.ReplyNotFound:
 			u.checker.recordLostJob(job.Spec.ID, reply)
 		}
@@ -226,7 +226,7 @@
 		case reply.Status == core.ReplyOK && job == nil:
 			u.checker.recordViolation(violationUnknownJobServed, "job %s was never submitted, but a query got status %d", id, reply.Status)
 		case reply.Status == core.ReplyOK && known:
-			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
+			u.recordResponse(job, reply.Body.(protocol.JobResponse), sentAt)
 		case reply.Status == core.ReplyNotFound && known:
 			u.checker.recordLostJob(id, reply)
 		}
@@ -253,7 +253,7 @@
 			u.cluster.After(userRetryInterval, func() { u.Cancel(job) })
 			return
 		}
-		u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
+		u.recordResponse(job, reply.Body.(protocol.JobResponse), sentAt)
 	})
 }
 
@@ -291,7 +291,7 @@
 		switch reply.Status {
 		case core.ReplyOK, core.ReplyAccepted:
 			u.ReadEverywhereReplies++
-			u.observe(job, reply.Body.(protocol.JobResponse), sentAt)
+			u.recordResponse(job, reply.Body.(protocol.JobResponse), sentAt)
 		case core.ReplyNotFound, statusBadRequest, core.ReplyInvalid:
 			if known {
 				u.checker.recordViolation(violationJobLost, "accepted job %s got status %d from %s", job.Spec.ID, reply.Status, node.Label)
@@ -305,8 +305,8 @@
 	return state == protocol.JobDone || state == protocol.JobCancelled
 }
 
-// observe checks and records a node's response about a job to a request that was sent at sentAt.
-func (u *Users) observe(job *Job, response protocol.JobResponse, sentAt time.Duration) {
+// recordResponse checks and records a node's response about a job to a request that was sent at sentAt.
+func (u *Users) recordResponse(job *Job, response protocol.JobResponse, sentAt time.Duration) {
 	u.checker.checkResponse(job, response, sentAt)
 	job.lastResponseAt = u.cluster.Now
 	if isFinal(job.LastState) { // the first final state counts; a different one is a violation
@@ -342,8 +342,8 @@
 	u.checker.checkQuota(job.Spec.Team)
 }
 
-// taskLeft records that a task is no longer on its machine.
-func (u *Users) taskLeft(worker *Worker, task *Task) {
+// taskRemoved records that a task is no longer on its machine.
+func (u *Users) taskRemoved(worker *Worker, task *Task) {
 	if task.job != nil && task.occupiesMachine() && task.job.machines[task.Name] == worker.Info.Name {
 		delete(task.job.machines, task.Name)
 		u.addUsage(task.job, -1)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -81,7 +81,7 @@
 // dropTasks ends all tasks at once and forgets them, so that later heartbeats do not report them.
 func (w *Worker) dropTasks() {
 	for _, task := range w.Tasks {
-		w.cluster.Users.taskLeft(w, task)
+		w.cluster.Users.taskRemoved(w, task)
 	}
 	w.Tasks = nil
 }
