--- a/client/request.go
+++ b/client/request.go
@@ -34,7 +34,7 @@
 type request struct {
 	method, path string
 	body         any
-	timeout      time.Duration // of each try
+	timeout      time.Duration // limit on the duration of each try
 	budget       time.Duration // no retry starts later than this after the first try
 	accepted     []int         // response statuses that mean success
 }
@@ -118,8 +118,8 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// currentController returns the address of the controller to ask first. It is the one that was asked
-// last, normally that which gave the last final response.
+// currentController returns the address of the controller to ask first. This is the controller that
+// was asked last; normally it gave the last final response.
 func (c *Client) currentController() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,8 +40,8 @@
 }
 
 // DurableState is what must survive a restart of the agent. The restarted agent reports
-// under the same machine name, so it must not reuse a session number, and it must go on
-// refusing commands with a token below the highest one seen.
+// under the same machine name, so it must not reuse a session number, and it must still
+// refuse commands with a token below the highest one seen.
 type DurableState struct {
 	Session uint64 `json:"session"`
 	Token   uint64 `json:"token"`
@@ -64,7 +64,7 @@
 	leaseStart   time.Duration // when the last heartbeat with an accepted response was sent, or the session began
 	leaseExpired bool          // the lease has expired, and attempts of the session are still being killed
 
-	seq               uint64        // of the last heartbeat
+	seq               uint64        // sequence number of the last heartbeat
 	controller        int           // index of the controller that the next heartbeat is sent to
 	nextHeartbeatAt   time.Duration // if a heartbeat is in flight then, the next one waits for its completion
 	heartbeatInFlight bool
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -38,7 +38,7 @@
 	eventQueue = 1024
 
 	// clockCheckInterval is the longest time that loop waits before it reads the clock again.
-	// Kernel timers stop while the machine is suspended, but the lease goes on, so a timer
+	// Kernel timers stop while the machine is suspended, but the lease still runs, so a timer
 	// alone would notice a lease expiry too late after a resume.
 	clockCheckInterval = 250 * time.Millisecond
 
@@ -85,7 +85,7 @@
 
 	mu             sync.Mutex
 	nextID         int
-	pendingReplies map[int]chan agent.StatusReply // by the ID of the request
+	pendingReplies map[int]chan agent.StatusReply // reply channels by the ID of the request
 }
 
 // New returns a daemon. It creates the directories and the lock file if they don't exist, but
--- a/internal/kvfile/write.go
+++ b/internal/kvfile/write.go
@@ -78,8 +78,8 @@
 }
 
 // trimEvents removes the oldest events until only the given number is left.
-func (w *batchWriter) trimEvents(kept int) error {
-	for w.metadata.eventCount() > uint64(kept) {
+func (w *batchWriter) trimEvents(maxEvents int) error {
+	for w.metadata.eventCount() > uint64(maxEvents) {
 		if _, err := w.remove(eventsBucket, encodeUint64(w.metadata.FirstEvent)); err != nil {
 			return err
 		}
--- a/internal/peer/queue_test.go
+++ b/internal/peer/queue_test.go
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	if reads {
-		go func() { _, _ = io.Copy(io.Discard, conn) }() // until conn is closed
+		go func() { _, _ = io.Copy(io.Discard, conn) }() // returns when conn is closed
 	}
 	return waitFor[core.PeerConnected](t, posted).Session
 }
@@ -220,8 +220,8 @@
 		}
 		before := memoryBytes(&message)
 		field.Set(reflect.MakeSlice(field.Type(), 100, 100))
-		if got, least := memoryBytes(&message)-before, 100*int(field.Type().Elem().Size()); got < least {
-			t.Errorf("field %s with 100 entries adds %d bytes, want at least %d", value.Type().Field(i).Name, got, least)
+		if got, minimum := memoryBytes(&message)-before, 100*int(field.Type().Elem().Size()); got < minimum {
+			t.Errorf("field %s with 100 entries adds %d bytes, want at least %d", value.Type().Field(i).Name, got, minimum)
 		}
 	}
 }
--- a/internal/peerproto/message.go
+++ b/internal/peerproto/message.go
@@ -67,7 +67,7 @@
 	Task        string `json:"task"`
 	Machine     string `json:"machine"`
 	Reason      string `json:"why"`
-	Immediately bool   `json:"now,omitempty"` // without time to save a checkpoint
+	Immediately bool   `json:"now,omitempty"` // the task gets no time to save a checkpoint
 }
 
 // MachineState is the state of a machine as its shard knows it. A partial state lists only the tasks
@@ -80,7 +80,7 @@
 	Zone               string      `json:"zone,omitempty"`
 	Spot               bool        `json:"spot,omitempty"`
 	TasksComplete      bool        `json:"sure,omitempty"` // no task other than the listed ones can be on the machine
-	TasksBounded       bool        `json:"kept,omitempty"` // the same, but the machine has not confirmed its new fencing token, so listed tasks may have ended
+	TasksBounded       bool        `json:"kept,omitempty"` // as TasksComplete, but the machine has not confirmed its new fencing token, so listed tasks may have ended
 	AcceptsTasks       bool        `json:"up,omitempty"`   // tasks can be placed on the machine
 	InterruptionNotice bool        `json:"notice,omitempty"`
 	Draining           bool        `json:"draining,omitempty"`
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -23,14 +23,14 @@
 	silenceLeaseDivisor = 3
 
 	// probeValidityHeartbeats is for how many heartbeat periods a reply to a probe stays valid.
-	// That is longer than it takes until the next round of probes is answered.
+	// That is longer than it takes until the replies to the next round of probes arrive.
 	probeValidityHeartbeats = 4
 
 	// maxAbsenceDoublings limits how often the minimum time outside the shard map is doubled.
 	maxAbsenceDoublings = 6
 
 	// minRegisteredMachines is how many registered machines a member must own before their silence
-	// counts against the member: a single silent machine may just be dead.
+	// counts against the member: a single silent machine may have failed by itself.
 	minRegisteredMachines = 2
 
 	// minLostCalls is how many consecutive calls to machines must get no reply before the member
@@ -86,7 +86,7 @@
 	lastProbeReplyAt time.Duration // 0: no reply since the controller became unreachable
 
 	lastContactAt        time.Duration // last contact with any machine, whoever owns it
-	silentSince          time.Duration // since when Silent has been true, 0: it is not
+	silentSince          time.Duration // time since which Silent has been true; 0 while it is false
 	consecutiveLostCalls int           // calls without a reply since the last one with a reply
 	firstLostCallAt      time.Duration // when the first of these calls ended
 }
@@ -134,8 +134,8 @@
 	}
 }
 
-// checkUnreachable probes machines until one replies. If the controller rejoined after a while
-// without a reply, then while a partition lasts it would be given machines and lose them again, and
+// checkUnreachable probes machines until one replies. Without a reply the controller must not rejoin
+// the shard map: during a partition it would be assigned machines and lose them again each time, and
 // after the partition it would have to stay outside the map for longer.
 func (t *Tracker) checkUnreachable(v View) Verdict {
 	verdict := Verdict{Probe: t.probe(v)}
@@ -149,9 +149,9 @@
 
 // checkNonMember checks a controller that is not a member and therefore hears from few machines
 // or none. If its last contact was a third of a lease ago or earlier, one of the machines in the
-// registry must reply to a probe before it may join. Without this, a controller that came back from a
-// partition took over a third of the machines each time, for the seconds until it detected that it
-// reaches none of them.
+// registry must reply to a probe before it may join. Without this probe, a controller that joined
+// the map again after a partition took over a third of the machines each time, although it reached
+// none of them, and kept them for the seconds until it detected that.
 func (t *Tracker) checkNonMember(v View) Verdict {
 	if v.Fleet.KnownCount() == 0 || v.Now-t.lastContactAt < t.Lease/silenceLeaseDivisor {
 		return Verdict{}
@@ -214,7 +214,7 @@
 }
 
 // leave makes the controller leave the shard map for at least a lease, and for twice as long each
-// further time until a machine confirms its fencing token. If the machines themselves are dead,
+// further time until a machine confirms its fencing token. If the machines themselves have failed,
 // controllers that left and rejoined in turn would otherwise change the owner so often that no
 // owner ever detects it.
 func (t *Tracker) leave(v View, verdict Verdict) Verdict {
@@ -226,7 +226,7 @@
 }
 
 // probe returns the names of a few machines to probe, different ones each time. It returns none
-// while the previous probes still have time to be answered.
+// while replies to the previous probes may still arrive.
 func (t *Tracker) probe(v View) []string {
 	if v.Now < t.nextProbeAt {
 		return nil
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -37,20 +37,20 @@
 // runChecks calls Check four times a second from one time to another and passes each verdict to
 // the function each, if there is one. It returns when the tracker first left the shard map and
 // when it first rejoined it, 0: never.
-func runChecks(t *Tracker, f *fleet, from, to time.Duration, member bool, each func(now time.Duration, v Verdict)) (left, rejoined time.Duration) {
+func runChecks(t *Tracker, f *fleet, from, to time.Duration, member bool, each func(now time.Duration, v Verdict)) (leftAt, rejoinedAt time.Duration) {
 	for now := from; now < to; now += second / 4 {
 		v := t.Check(View{Now: now, IsMember: member, Fleet: f})
 		if each != nil {
 			each(now, v)
 		}
-		if v.Left && left == 0 {
-			left = now
+		if v.Left && leftAt == 0 {
+			leftAt = now
 		}
-		if v.Rejoined && rejoined == 0 {
-			rejoined = now
+		if v.Rejoined && rejoinedAt == 0 {
+			rejoinedAt = now
 		}
 	}
-	return left, rejoined
+	return leftAt, rejoinedAt
 }
 
 func TestSilentMemberProbesBeforeItLeaves(t *testing.T) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// Two members hear no heartbeats for 4 s. The one whose probes are answered stays in the shard map,
+// Two members hear no heartbeats for 4 s. The one whose probes get replies stays in the shard map,
 // the other one leaves.
 func TestOnlyProbeReplyKeepsSilentMember(t *testing.T) {
 	for _, replied := range []bool{true, false} {
@@ -132,14 +132,14 @@
 func TestRepeatedLeavesDoubleAbsence(t *testing.T) {
 	tracker, f := newTracker(), newFleet(20)
 	var absences []time.Duration
-	member, left := true, time.Duration(0)
+	member, leftAt := true, time.Duration(0)
 	for now := 10 * second; now < 600*second; now += second / 4 {
 		v := tracker.Check(View{Now: now, IsMember: member, MemberSince: now - 20*second, Fleet: f})
 		switch {
 		case v.Left:
-			member, left = false, now
+			member, leftAt = false, now
 		case v.Rejoined:
-			member, absences = true, append(absences, now-left)
+			member, absences = true, append(absences, now-leftAt)
 		}
 		for range v.Probe {
 			if !member {
--- a/internal/stepdown/stepdown.go
+++ b/internal/stepdown/stepdown.go
@@ -1,5 +1,5 @@
-// Package stepdown decides when a leader that keeps its lease but can serve nobody steps down,
-// and for how long it then abstains from leading.
+// Package stepdown decides when a leader that keeps its lease steps down because no work can start
+// through it ("it can serve nobody"), and for how long it then abstains from leading.
 //
 // A leader that holds its lease but reaches too few others must step down by itself; this is
 // check-quorum (Ongaro, Consensus: Bridging Theory and Practice, 2014, §6.2). Here the state
@@ -13,7 +13,7 @@
 //
 // Invariants:
 //   - A condition that flaps faster than the caller's grace period never causes a step-down.
-//   - Whatever the links do, a controller steps down at most MaxStepDownsPerHour times an hour,
+//   - However often its links break, a controller steps down at most MaxStepDownsPerHour times an hour,
 //     as long as others take over leadership.
 //   - A site in which no other controller takes over leadership is not left without a leader.
 package stepdown
@@ -33,14 +33,14 @@
 	// often step-downs happen: see MaxStepDownsPerHour.
 	BaseBackoff time.Duration
 
-	cannotServe      bool          // it leads and can serve nobody
+	cannotServe      bool          // it leads, but no work can start through it
 	cannotServeSince time.Duration // when cannotServe last changed
 	canServeSince    time.Duration // when cannotServe last changed, or when the last backoff ends
 	stepDowns        int           // since it last led for maxBackoff while able to serve
 	backoffUntil     time.Duration
 }
 
-// ShouldStepDown records whether this leader can serve nobody, and reports whether that has
+// ShouldStepDown records whether no work can start through this leader, and reports whether that has
 // lasted for gracePeriod.
 func (t *Tracker) ShouldStepDown(now time.Duration, cannotServe bool, gracePeriod time.Duration) bool {
 	if cannotServe != t.cannotServe {
@@ -66,8 +66,8 @@
 	return now < t.backoffUntil && othersAlive && vacantFor < takeoverTime
 }
 
-// MaxStepDownsPerHour returns how often a controller steps down in an hour at most, whatever its
-// links do, as long as others take over leadership: once for each length of the backoff, once
+// MaxStepDownsPerHour returns how often a controller steps down in an hour at most, however often
+// its links break, as long as others take over leadership: once for each length of the backoff, once
 // more at the start of the hour, and then once in each backoff of the longest length.
 func (t *Tracker) MaxStepDownsPerHour() int {
 	return maxDoublings + 2 + int(time.Hour/t.maxBackoff())
