--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -48,12 +48,12 @@
 	k.FatalIfErrorf(c.run())
 }
 
-// maxWhyLength bounds the reason of a run: the journal accepts only reasons that are shorter.
-const maxWhyLength = 120
+// maxReasonLength bounds the reason of a run: the journal accepts only reasons that are shorter.
+const maxReasonLength = 120
 
 func (c *cli) run() error {
-	if len(c.Why) >= maxWhyLength {
-		return fmt.Errorf("--why is too long: it must have fewer than %d characters", maxWhyLength)
+	if len(c.Why) >= maxReasonLength {
+		return fmt.Errorf("--why is too long: it must have fewer than %d characters", maxReasonLength)
 	}
 	files, err := c.siteFiles()
 	if err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -149,7 +149,7 @@
 		return
 	}
 	a.preemptionAt, a.preemptionNoticed = notice.At, true
-	a.noteChange(now)
+	a.heartbeatAfterChange(now)
 }
 
 // advance carries out what is due: it expires the lease, begins a session, kills attempts
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -208,7 +208,7 @@
 	h.wantState(k, "ended done false") // without a launch, since its result is stored
 }
 
-func TestInvalidStartsAreRefused(t *testing.T) {
+func TestInvalidStartCommandsAreRefused(t *testing.T) {
 	h := newHarness(t)
 	h.respond(5, startCommand("job-1/0", 1), startCommand("job-1/0", 2), startCommand("job-1/1", 1), startCommand("job-1/100", 1), startCommand("nonsense", 1), startCommand("job-1/2", 1))
 	h.wantState(AttemptKey{"job-1/0", 2}, "ended busy false")
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -89,7 +89,7 @@
 	if t == nil || t.state != protocol.TaskFetching || t.description != nil {
 		return
 	}
-	a.noteChange(now)
+	a.heartbeatAfterChange(now)
 	job := &e.Description.Job
 	_, index, _ := protocol.ParseTaskName(t.Task) // startAttempt has validated the name
 	if !e.Found || index >= job.Tasks || job.Kind == protocol.KindGang {
@@ -129,7 +129,7 @@
 		return
 	}
 	a.cacheImage(image{t.description.Job.Image, t.description.Job.ImageGB})
-	a.noteChange(now)
+	a.heartbeatAfterChange(now)
 	if t.nothingToRun() {
 		t.exit(protocol.ExitDone)
 		return
@@ -155,7 +155,7 @@
 	default:
 		t.exit(protocol.ExitFailed)
 	}
-	a.noteChange(now)
+	a.heartbeatAfterChange(now)
 }
 
 // image is an image in the machine's cache.
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -52,7 +52,7 @@
 		a.emit(DescribeJob{key})
 	}
 	a.attempts = append(a.attempts, t)
-	a.noteChange(now)
+	a.heartbeatAfterChange(now)
 }
 
 func validAttempt(key AttemptKey) bool {
@@ -65,7 +65,7 @@
 	if t == nil || t.state == protocol.TaskExited {
 		return
 	}
-	a.noteChange(now)
+	a.heartbeatAfterChange(now)
 	if t.canSave(graceS) {
 		t.stopRequested = true
 		t.state = protocol.TaskSaving
@@ -85,7 +85,7 @@
 	for i, t := range a.attempts {
 		if t.AttemptKey == key && t.state == protocol.TaskExited {
 			a.attempts = append(a.attempts[:i], a.attempts[i+1:]...)
-			a.noteChange(now)
+			a.heartbeatAfterChange(now)
 			return
 		}
 	}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -63,9 +63,9 @@
 	return h
 }
 
-// noteChange schedules the next heartbeat for the earliest time that minHeartbeatGap
+// heartbeatAfterChange schedules the next heartbeat for the earliest time that minHeartbeatGap
 // allows, since the machine's status has changed.
-func (a *Agent) noteChange(now time.Duration) {
+func (a *Agent) heartbeatAfterChange(now time.Duration) {
 	a.changedInFlight = true
 	a.nextHeartbeatAt = min(a.nextHeartbeatAt, a.earliestHeartbeat(now))
 }
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -45,7 +45,7 @@
 	a.session++
 	a.leaseStart = now
 	a.emit(ExtendLease{Until: now + a.leaseDuration()})
-	a.noteChange(now)
+	a.heartbeatAfterChange(now)
 }
 
 // renewLease restarts the lease at the time the accepted heartbeat was sent, not when its
@@ -65,6 +65,6 @@
 	a.token = token
 	if now-a.tokenChangeAt >= a.leaseDuration()/2 {
 		a.tokenChangeAt = now
-		a.noteChange(now)
+		a.heartbeatAfterChange(now)
 	}
 }
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -11,9 +11,9 @@
 // allOpen is a Lookup that reports every job as unfinished.
 func allOpen(string) (State, float64) { return Open, 0 }
 
-// settle marks the first job as done or cancelled and, if it is done, every job that becomes ready,
+// finishAll marks the first job as done or cancelled and, if it is done, every job that becomes ready,
 // until there are no more events. It returns how many jobs became ready or were aborted.
-func settle(g *Graph, first string, done bool) (settled int) {
+func finishAll(g *Graph, first string, done bool) (settled int) {
 	g.MarkFinished(first, done, 1)
 	for events := g.TakeEvents(); len(events) > 0; events = g.TakeEvents() {
 		for _, event := range events {
@@ -49,7 +49,7 @@
 					g.AddJob(id(i), slices.Compact(test.dependencies(i)), allOpen)
 				}
 				g.UpdatePriorities(func(string) Priority { return Priority{Urgency: 3, LatestFinish: math.Inf(1), Duration: 1} })
-				settled := settle(g, id(0), done)
+				settled := finishAll(g, id(0), done)
 				if settled != jobs-1 || len(g.nodes) != 0 || g.waitingCount != 0 {
 					t.Errorf("%d of %d jobs became ready or aborted, %d nodes are left, %d jobs still wait", settled, jobs-1, len(g.nodes), g.waitingCount)
 				}
--- a/internal/degraded/cancellation_test.go
+++ b/internal/degraded/cancellation_test.go
@@ -193,7 +193,7 @@
 	return controller.learned[job] || slices.Contains(s.jobs[:controller.mirrorRevision], job)
 }
 
-func TestAcknowledgedCancellationIsKnownToWhoeverServes(t *testing.T) {
+func TestServingControllersKnowAcknowledgedCancellations(t *testing.T) {
 	servingSteps := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := newCancellationSimulation(t)
--- a/internal/kvfile/file.go
+++ b/internal/kvfile/file.go
@@ -164,7 +164,7 @@
 	}
 	db, err := bolt.Open(newPath, fileMode, &bolt.Options{Timeout: lockTimeout, NoFreelistSync: true})
 	if err != nil {
-		return asNoSpace(err)
+		return wrapNoSpace(err)
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
 		for _, bucket := range buckets {
@@ -198,9 +198,9 @@
 	return size
 }
 
-// asNoSpace wraps an error in ErrNoSpace if it reports a lack of disk space, and returns
+// wrapNoSpace wraps an error in ErrNoSpace if it reports a lack of disk space, and returns
 // other errors unchanged.
-func asNoSpace(err error) error {
+func wrapNoSpace(err error) error {
 	if isNoSpace(err) {
 		return fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
--- a/internal/kvfile/write.go
+++ b/internal/kvfile/write.go
@@ -18,7 +18,7 @@
 		return w.write(batch, next)
 	})
 	if err != nil {
-		return asNoSpace(err)
+		return wrapNoSpace(err)
 	}
 	f.metadata = w.metadata
 	return nil
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -131,7 +131,7 @@
 }
 
 // The error for a malformed line quotes that line, so that its author can find it.
-func TestMalformedLineIsNamed(t *testing.T) {
+func TestMalformedLineIsQuotedInError(t *testing.T) {
 	const line = "internal/core TestA, a cause, issue soon"
 	_, err := parseList("internal/core TestB, a cause, issue 7\n" + line + "\n")
 	if err == nil || !strings.Contains(err.Error(), line) {
