--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -107,11 +107,11 @@
 
 // dependencyReason returns the text shown to users that names the dependencies a job waits for.
 func (r *storedRecords) dependencyReason(id string) string {
-	names, more := r.dependencies.UnmetDependencies(id, maxNamedDependencies)
+	names, omittedCount := r.dependencies.UnmetDependencies(id, maxNamedDependencies)
 	slices.Sort(names)
 	reason := "waits for " + strings.Join(names, ", ")
-	if more > 0 {
-		reason += fmt.Sprintf(" and %d more", more)
+	if omittedCount > 0 {
+		reason += fmt.Sprintf(" and %d more", omittedCount)
 	}
 	return reason
 }
@@ -185,7 +185,7 @@
 	c := r.core
 	j.readyAt, j.readyThisTerm = readyAt, c.membership.leading
 	if c.membership.leading {
-		c.logDebug("job ready", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
+		c.logDebug("job ready, all its dependencies are done", "job", j.record.Spec.ID, "class", j.record.Spec.Class, "dependencies", j.record.Spec.Dependencies)
 	}
 	c.scheduler.jobChanged(j)
 	c.scheduler.lastScheduling = 0 // makes a scheduling round due now, to dispatch its first tasks
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -15,12 +15,12 @@
 	spec      *protocol.Job
 	canary    bool // the job is unproven, so only one of its tasks is tried at a time
 
-	machines    []*candidateMachine // with capacity for its tasks, in the order in which they are filled
+	machines    []*candidateMachine // machines with capacity for its tasks, in the order in which they are filled
 	nextMachine int                 // index into machines: those before it lack capacity or are avoided
 	// avoidedMachineFits is set if a machine before nextMachine has capacity for the tasks but the job
 	// avoids it.
 	avoidedMachineFits bool
-	fullZones          []bool // by zone index of a spread job: a task found no capacity there
+	fullZones          []bool // by zone index of a spread job: whether a task found no capacity in that zone in this round
 	dispatched         int
 	backedOff          int // number of tasks that wait for their retry time
 }
@@ -88,8 +88,8 @@
 // dispatchTasks tries to dispatch the waiting tasks in the order of their indices.
 func (d *jobDispatch) dispatchTasks() {
 	q := d.job
-	// Counted once, because counting again for each task of a huge job used up all the processor
-	// time that the round may take.
+	// The waiting tasks are counted only once, because counting them again for each task of a huge
+	// job used up all the processor time that the round may take.
 	waiting := q.waitingTasks()
 	q.firstWaiting = q.nextWaiting(q.firstWaiting)
 	for index := q.firstWaiting; index < d.spec.Tasks && d.dispatched < waiting; index = q.nextWaiting(index + 1) {
@@ -161,7 +161,8 @@
 // only in that machine's shard, jobs waited although machines of other shards were idle.
 func (d *jobDispatch) findMachine(index int) (machine *candidateMachine, onlyAvoidedFit bool) {
 	if d.spec.Spread {
-		// Its tasks are tied to different zones, so each may fit on other machines.
+		// The tasks of a spread job are tied to different zones, so a machine that does not fit one
+		// task may fit the next.
 		d.nextMachine, d.avoidedMachineFits = 0, false
 	}
 	// All tasks of any other job need the same resources, and capacity only shrinks within a round:
@@ -203,9 +204,9 @@
 	d.scheduler.reassignZone(d.job, index)
 }
 
-// handleNoCapacity sets the job's reason after a task found no capacity. If the job is entitled to it,
-// tasks of other jobs are preempted or machines are reserved for the task. If the task's zone stays full
-// for long enough, reassignZone ties the zone's tasks to another zone.
+// handleNoCapacity sets the job's reason after a task found no capacity. If the job is entitled to
+// preempt tasks of other jobs, or to reserve machines, that is done for the task. If the task's zone
+// stays full for long enough, reassignZone ties the zone's tasks to another zone.
 func (d *jobDispatch) handleNoCapacity(index int) {
 	q, s := d.job, d.scheduler
 	s.reassignZone(q, index)
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -16,7 +16,7 @@
 type taskEstimator struct {
 	*estimator.Estimator
 	core         *Core
-	savedVersion uint64 // version of the history that was last written
+	savedVersion uint64 // version of the history in the last write
 	saving       bool
 	savedAt      time.Duration
 }
@@ -33,8 +33,8 @@
 
 // taskCompleted records how long a completed task ran, in seconds.
 func (e *taskEstimator) taskCompleted(q *queuedJob, seconds float64) {
-	firstOfJob := q.durations.Empty() && q.entry.doneCount == 0
-	e.TaskCompleted(&q.entry.record.Spec, &q.durations, firstOfJob, seconds, e.core.now.Wall)
+	isFirstOfJob := q.durations.Empty() && q.entry.doneCount == 0
+	e.TaskCompleted(&q.entry.record.Spec, &q.durations, isFirstOfJob, seconds, e.core.now.Wall)
 }
 
 // predictForJob predicts, in seconds, how long a task of this particular job runs.
@@ -56,7 +56,7 @@
 	c.commit(guards, ops, func(result CommitResult) {
 		e.saving = false
 		if result.Outcome != Committed {
-			e.savedVersion = 0 // forces another write, since the version of a history that was written is never 0
+			e.savedVersion = 0 // differs from every version of a written history, so the next save writes again
 		}
 	})
 }
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -21,9 +21,9 @@
 // failureRecord is the leader's record of a job's failures. The cause may be the job itself, if its
 // owner made a mistake, or the machines on which it ran.
 type failureRecord struct {
-	machines     map[string]bool // on which its tasks failed
+	machines     map[string]bool // machines on which tasks of the job failed
 	firstAt      time.Duration   // time of the first failure
-	canaries     int             // number started so far
+	canaries     int             // number of canaries started so far
 	nextCanaryAt time.Duration
 }
 
@@ -48,7 +48,8 @@
 // job is tried by one task at a time as well, but not at growing intervals.
 //
 // Without this, all tasks of a job that fails everywhere are started once more: the first tasks of
-// such a job had failed on two machines, and then all of them were sent to two others at once.
+// such a job had failed on two machines, and then all its tasks were sent to two other machines at
+// once.
 func (s *scheduler) isUnproven(q *queuedJob) bool {
 	return len(q.failures.machines) >= crashLoopMachines-1 && !q.provenToRun(&s.core.intervals)
 }
@@ -101,8 +102,8 @@
 	if q.provenToRun(&s.core.intervals) {
 		return true
 	}
-	sinceFirst := s.core.now.Monotonic - q.failures.firstAt
-	return len(q.failures.machines) < crashLoopMachines && sinceFirst > 2*s.core.intervals.workerLease
+	sinceFirstFailure := s.core.now.Monotonic - q.failures.firstAt
+	return len(q.failures.machines) < crashLoopMachines && sinceFirstFailure > 2*s.core.intervals.workerLease
 }
 
 // mayStartCanary reports whether a job that is tried by one task at a time may start the next one
--- a/internal/core/fairshare.go
+++ b/internal/core/fairshare.go
@@ -18,8 +18,9 @@
 	servedDecayFactor = 8
 
 	// boostedAgingFactor is how many times longer a job must wait to gain the same rank within a
-	// boosted account as in the ordinary order. Waiting counts for less there because only about
-	// half of the account's jobs have to be served, which favors small jobs over old ones.
+	// boosted account as in the ordinary order. Waiting is weighted less in a boosted account because
+	// only about half of the account's jobs have to be served, which favors small jobs over old
+	// ones.
 	boostedAgingFactor = 4
 )
 
@@ -68,7 +69,7 @@
 		StartedShare:  1 - float64(max(q.waitingTasks(), 0))/float64(spec.Tasks),
 		RemainingWork: unfinishedTasks * taskWidth(spec) * s.core.estimator.predictForJob(q),
 		CPUsInUse:     float64(len(q.inflight)) * spec.CPUs,
-		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services are left out: they never end, whatever else waits
+		OutranksBoost: q.rankBand < bandBehindGuarantee && !service, // services are excluded, since they never end, whatever other jobs wait
 		Ineligible:    s.isCrashLooping(q) || service,
 	}
 }
@@ -84,7 +85,7 @@
 	}
 	for i := range s.fairShareStates {
 		if state := &s.fairShareStates[i]; state.Boost != fairshare.NoBoost {
-			s.core.logDebug("fair-share boost",
+			s.core.logDebug("class boosted by fair share",
 				"team", state.Team, "class", state.Class, "served", state.Served,
 				"overdue", state.Overdue, "late", state.LongOverdue, "owed", state.Deficit)
 		}
@@ -116,7 +117,8 @@
 }
 
 const (
-	// largestDivisor: one in this many jobs of an account is among its largest.
+	// largestDivisor is the number of jobs of an account divided by the number of them that count
+	// as its largest.
 	largestDivisor = 4
 
 	// largestDivisorBoosted is the same for a boosted account. It is higher because there
@@ -163,9 +165,9 @@
 // ordinary rank. As long as that task is the job's only one in flight, it is protected from
 // preemption.
 //
-// It prevents the largest jobs of a class from never starting while smaller jobs of the same class
-// keep arriving. Fair share does not notice that, because it counts jobs, and by that count the
-// class is served well.
+// Without the early start, the largest jobs of a class would never start while smaller jobs of the
+// same class keep arriving. Fair share does not notice that, because it counts jobs, and by that
+// count the class is served well.
 func (s *scheduler) startEarly(q *queuedJob, age float64) {
 	if age < s.earlyStartAge() || q.spec().Kind != protocol.KindArray || q.completedTasks() > 0 || s.isCrashLooping(q) {
 		return
@@ -180,8 +182,8 @@
 // job of an underserved account, unless the job could not start even with all of the team's quota
 // that services do not use.
 //
-// It prevents tasks of four CPUs from never starting because each CPU that is released goes to a
-// task of one CPU. The same would happen to gangs that need half of the quota at once.
+// Without the reservation, tasks of four CPUs would never start, because each CPU that is released
+// goes to a task of one CPU. The same would happen to gangs that need half of the quota at once.
 func (s *scheduler) reserveQuota(q *queuedJob, tasks int, round *schedulingRound) {
 	spec := q.spec()
 	team := s.core.team(spec.Team)
@@ -212,8 +214,8 @@
 // account. It takes the machines with the most free capacity first, and as many as the given number
 // of the job's tasks need once the machines are drained.
 //
-// It prevents a task that needs a whole machine from never starting because small tasks keep
-// filling every machine.
+// Without the reservation, a task that needs a whole machine would never start, because small tasks
+// keep filling every machine.
 func (s *scheduler) reserveMachines(q *queuedJob, tasks int, round *schedulingRound) {
 	if round.machineReservations >= maxMachineReservations || !s.mayReserve(q, tasks, round) {
 		return
@@ -276,9 +278,9 @@
 	if float64(tasks)*q.spec().CPUs <= round.smallestTaskCPUs+binpacking.RoundingSlack {
 		return false
 	}
-	now, span := s.core.now.Monotonic, config.Seconds(s.core.fairShareRules.OverdueAfter)
-	if q.reservedAt == 0 || now-q.reservedAt > 2*span {
+	now, reservationPeriod := s.core.now.Monotonic, config.Seconds(s.core.fairShareRules.OverdueAfter)
+	if q.reservedAt == 0 || now-q.reservedAt > 2*reservationPeriod {
 		q.reservedAt = max(now, time.Nanosecond) // 0 means no reservation
 	}
-	return now-q.reservedAt <= span
+	return now-q.reservedAt <= reservationPeriod
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -28,16 +28,16 @@
 	// Availability in the cloud.
 	poolBackoffUntil map[pool]time.Duration
 	poolRefusals     map[pool]int   // consecutive refusals
-	failedBoots      map[string]int // by type: boots that timed out since one succeeded
+	failedBoots      map[string]int // by type: boots that timed out since the last one that succeeded
 	requestCounter   int
 
 	// State of the zones.
-	zonePartitionedSince map[string]time.Duration // when each partitioned zone became so
+	zonePartitionedSince map[string]time.Duration // when each partitioned zone became partitioned
 	zoneRecoveredAt      map[string]time.Duration // when a zone last recovered from a partition
 	reachableByZone      map[string]int           // machines confirmed up
 	machinesByZone       map[string]int           // all known machines
 
-	// Results of the last round.
+	// Results of the last maintenance round.
 	usableByPool map[pool]int    // machines that are, or will be, able to run tasks
 	cordoned     map[string]bool // machines that get no more tasks because of a clear surplus
 	desiredCPUs  float64
@@ -51,7 +51,7 @@
 
 	// Machine types, which are read from the cloud and written to the state service.
 	typesRequested     bool
-	cloudTypes         *protocol.MachineTypes // as the cloud returned them, nil until then
+	cloudTypes         *protocol.MachineTypes // machine types that the cloud returned, nil until it has returned any
 	typesWriteInFlight bool
 }
 
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -60,9 +60,9 @@
 func (s *scheduler) findGangMachines(q *queuedJob, round *schedulingRound) map[int]*candidateMachine {
 	spec := q.spec()
 	chosen := map[int]*candidateMachine{}
-	trial := make([]candidateMachine, len(round.machines))
+	trialMachines := make([]candidateMachine, len(round.machines))
 	for i, machine := range round.machines {
-		trial[i] = *machine
+		trialMachines[i] = *machine
 	}
 	for index := range spec.Tasks {
 		if q.taskDone(index) {
@@ -72,14 +72,14 @@
 			q.reason = s.failureReason(q)
 			return nil
 		}
-		best := bestMachine(trial, q, index)
+		best := bestMachine(trialMachines, q, index)
 		if best < 0 {
 			q.reason = "waits for room for all its tasks at once"
 			s.reassignZone(q, index)
 			s.reserveMachines(q, q.waitingTasks(), round)
 			return nil
 		}
-		trial[best].Allocate(spec)
+		trialMachines[best].Allocate(spec)
 		chosen[index] = round.machines[best]
 	}
 	return chosen
@@ -123,7 +123,8 @@
 // releaseGangs starts the gangs for which capacity is held for all tasks. Gangs that did not get all
 // their capacity in time have their held tasks dropped.
 func (s *scheduler) releaseGangs() {
-	// Well before GangWaitS, after which the workers stop waiting for the gang's other tasks.
+	// The timeout is well below GangWaitS, after which the workers stop waiting for the gang's other
+	// tasks.
 	timeout := config.Seconds(s.core.settings.Site.Workers.GangWaitS) / 4
 	for _, q := range s.queue.All() {
 		if q.spec().Kind != protocol.KindGang || q.gangReleased || len(q.inflight) == 0 || q.entry.isFinal() {
@@ -143,7 +144,7 @@
 }
 
 // gangProgress counts the tasks of a gang for which a machine holds capacity, and reports whether any
-// task on a machine is past that state.
+// task on a machine is in a later state than holding capacity.
 func (q *queuedJob) gangProgress() (held int, started bool) {
 	for _, attempt := range q.inflight {
 		switch {
--- a/internal/core/inflight.go
+++ b/internal/core/inflight.go
@@ -21,7 +21,7 @@
 )
 
 // inflightAttempt is the leader's record of a task attempt that was dispatched and may be on a machine.
-// It counts against its team's limit until it is known to be on no machine.
+// The attempt counts against its team's limit until it is known to be on no machine.
 type inflightAttempt struct {
 	job       *queuedJob
 	taskIndex int
@@ -29,7 +29,7 @@
 	location  attemptLocation
 	machine   string          // the machine it is believed to be on, empty if not known
 	claimants map[string]bool // machines that list it, or listed it and may still run it
-	taskState string          // its state on machine
+	taskState string          // its state on the machine named by machine
 	// runningSince is when this leader first saw it running, 0: not yet.
 	runningSince time.Duration
 
@@ -38,7 +38,7 @@
 	dispatchSession uint64 // the session of the link used
 	dispatchSeq     uint64 // sequence number of the message on that link
 	plannedMachine  string // the machine on which the scheduling round allocated capacity for it
-	recordVersion   uint64 // of the job's record on which the dispatch is based, 0: any version will do
+	recordVersion   uint64 // version of the job's record that the dispatch is based on, 0: the placement does not depend on it
 
 	// Preemption.
 	stopRequested bool
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -17,8 +17,8 @@
 type instance struct {
 	pool
 	name           string
-	cloudState     string        // as last listed: booting, running or failed
-	createdAt      time.Duration // by its age in the list, or when the leader first knew of it
+	cloudState     string        // in the cloud's last list that had it: booting, running or failed
+	createdAt      time.Duration // computed from its age in the list, or when the leader first knew of it
 	wasListed      bool
 	missedLists    int          // consecutive lists without it, if it was listed or should be by now
 	cpuUtilization float64      // share of its CPUs that tasks use, 0 to 1
@@ -129,7 +129,7 @@
 
 // countMissed counts, for each machine, the consecutive complete lists that lack it.
 //
-// It prevents the leader from waiting forever for machines that died before its term: the
+// This prevents the leader from waiting forever for machines that died before its term: the
 // controllers that owned them never heard from them, and left the shard map one after another
 // before any lease could expire. A machine that is known from the registry alone would be listed by
 // now if it existed.
--- a/internal/core/leaderlink.go
+++ b/internal/core/leaderlink.go
@@ -26,7 +26,7 @@
 	s.leaderLink, s.fullSnapshotDue, s.lastLeaderSeq = session, true, 0
 	for _, m := range s.machines.All() {
 		if m.cordoned {
-			m.cordoned = false // until the leader cordons it again
+			m.cordoned = false // the new leader cordons it again if necessary
 			s.markCapacityChanged(m)
 		}
 	}
@@ -171,7 +171,7 @@
 	if s.leaderLink == loopbackLink || c.now.Monotonic-s.leaderHeardAt <= c.peerTimeout() {
 		return false
 	}
-	c.logInfo("leader heartbeat timed out, reconnecting")
+	c.logInfo("no message from the leader within the peer timeout, reconnecting")
 	c.emit(ClosePeer{Session: s.leaderLink})
 	s.leaderLink = 0
 	return true
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -8,7 +8,8 @@
 	// survives several lost renewals in a row.
 	renewalsPerLease = 6
 
-	// renewalRetriesPerLease divides the lease into the pause after a renewal that was not granted.
+	// renewalRetriesPerLease: after a renewal that was not granted, the controller waits for the
+	// duration of the lease divided by this number before it tries again.
 	renewalRetriesPerLease = 12
 )
 
@@ -28,7 +29,7 @@
 // may still reach the service. The next renewal is sent once the lease must have expired, or when
 // the mirror gets a response.
 //
-// Guards against a one-way partition in which a leader's requests reach the state service but the
+// This guards against a one-way partition in which a leader's requests reach the state service but the
 // responses are lost: its renewals kept its keys alive, so that no other controller could lead and
 // no task was started on its machines for as long as the partition lasted.
 func (m *membership) shouldLetLeaseExpire() bool {
@@ -36,11 +37,11 @@
 	if m.leaseID == 0 || !m.renewalUnanswered || c.mirror.IsFresh() {
 		return false
 	}
-	latestExpiry := c.intervals.memberLease * 5 / 4 // with a margin for a renewal that arrived late
+	latestExpiry := c.intervals.memberLease * 5 / 4 // includes a margin for a renewal that reached the state service late
 	return c.now.Monotonic-m.renewedAt >= c.intervals.maxStaleness && c.now.Monotonic-m.renewalSentAt < latestExpiry
 }
 
-// handleLeaseResult handles the response to a renewal, or that there was none.
+// handleLeaseResult handles the result of a renewal, whether or not a response arrived.
 func (m *membership) handleLeaseResult(result LeaseResult) {
 	c := m.core
 	m.renewing, m.renewalUnanswered = false, result.Outcome == LeaseUnknown
@@ -50,7 +51,7 @@
 		m.leaseID = result.LeaseID
 		m.renewedAt = max(m.renewedAt, result.SentAt)
 	case LeaseExpired:
-		c.logInfo("store lease expired")
+		c.logInfo("lease in the state service expired")
 		m.leaseID = 0
 	default:
 		m.renewing = true
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -32,9 +32,9 @@
 	name, addr, typeName, zone string
 	spot                       bool
 	machineType                *protocol.MachineType // nil while the mirror does not hold the type
-	registered                 bool                  // in the machine registry
+	registered                 bool                  // the machine is in the machine registry
 
-	session, seq  uint64    // of the newest message of any kind
+	session, seq  uint64    // of the worker's newest message of any kind
 	lastHeartbeat messageID // the newest message that was a heartbeat
 
 	trust    listTrust
@@ -50,7 +50,7 @@
 	// maybeRenewedUntil is the time until which a former owner may have renewed the worker's lease.
 	maybeRenewedUntil time.Duration
 	silent            bool // sent no message, or did not respond to calls, for too long; published to the leader
-	unansweredCalls   int  // in a row
+	unansweredCalls   int  // consecutive calls without a response
 	callInFlight      uint64
 	nextCallAt        time.Duration
 	queuedForFencing  bool
@@ -70,7 +70,7 @@
 	imagesChanged bool     // images has changed since it was last published
 	droppedTasks  []string // tasks that are no longer on it, dropped since it was last published
 
-	cachedCapacity  binpacking.Capacity // what freeCapacity returns while capacityValid
+	cachedCapacity  binpacking.Capacity // the result of freeCapacity; out of date unless capacityValid is set
 	capacityValid   bool
 	capacityChanged bool // its capacity may have changed since tasks were last placed
 }
@@ -85,7 +85,7 @@
 // confirmed again. ownedBefore means that this member owned it in the previous epoch as well.
 //
 // While this member owns the machine, no other controller starts anything on it, so no tasks but
-// those that this member knows can be on it, whether it responds or not. Guards against a failover
+// those that this member knows can be on it, whether it responds or not. This guards against a failover
 // that waits for dead machines whose owner has not changed.
 func (m *machine) resetForEpoch(epoch uint64, ownedBefore bool) {
 	m.ownedSinceConfirmed = ownedBefore && (m.isTrusted() || m.ownedSinceConfirmed)
--- a/internal/core/machine_view.go
+++ b/internal/core/machine_view.go
@@ -20,10 +20,10 @@
 	shard       string                 // the member that published it
 	listedEpoch uint64                 // the epoch in which its shard last listed it, 0: no shard lists it
 	machineType *protocol.MachineType  // nil while the type is not known
-	registered  bool                   // in the machine registry
+	registered  bool                   // the machine is in the machine registry
 	images      map[string]bool        // images cached on the machine
 
-	attempts       map[string]*inflightAttempt // that the machine claims, by task name
+	attempts       map[string]*inflightAttempt // attempts that the machine claims, by task name
 	used           usage                       // resources occupied by attempts
 	roundCandidate candidateMachine            // the machine's entry in the scheduling round, reused by each round
 
@@ -38,7 +38,7 @@
 	emptySince      time.Duration // when it last had attempts, came up or was first known, whichever is latest
 	lastClaimedAt   time.Duration // when it last claimed a further attempt; initially when it was first known
 	upSince         time.Duration // when it first accepted tasks, -1: never
-	incompleteSince time.Duration // since when its task list is incomplete; valid only while it is
+	incompleteSince time.Duration // since when its task list is incomplete; meaningless while the list is complete
 }
 
 // listComplete reports whether only the listed tasks can be on the machine.
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -11,7 +11,7 @@
 // createRequest is a call to create instances that is in flight.
 type createRequest struct {
 	body     protocol.CreateMachinesRequest
-	attempts int // attempts without a response, or above the cloud's rate limit
+	attempts int // attempts that got no response or were above the cloud's rate limit
 }
 
 func (r *createRequest) pool() pool { return pool{r.body.Type, r.body.Zone, r.body.Spot} }
@@ -31,8 +31,8 @@
 // job after another.
 type shortage struct {
 	demand    *capacityDemand
-	planned   cpuCapacity // at the start of this round
-	created   float64     // in this round, spot and on-demand
+	planned   cpuCapacity // planned capacity at the start of this round
+	created   float64     // CPUs of instances created in this round, spot and on-demand
 	total     float64     // missing for all work
 	onDemand  float64     // missing for work that must not depend on spot machines
 	maxOnTime float64     // the largest value of demand.onTimeByType
@@ -56,7 +56,7 @@
 	return s.onDemand > max(s.total, s.maxOnTime-s.planned.total-s.created, 0)
 }
 
-// forOffer is how many CPUs are missing for which machines of an offer are worth renting.
+// forOffer is how many of the missing CPUs are worth renting in machines of an offer.
 func (s *shortage) forOffer(o *offer) float64 {
 	if o.spot {
 		return s.total
@@ -144,7 +144,7 @@
 }
 
 // missingCapacity returns the first zone (empty: any zone) in which too few planned machines may
-// take the job's tasks, and the CPUs that are missing there. It leaves out of account that other
+// take the job's tasks, and the CPUs that are missing there. It does not consider that other
 // jobs use these machines too. It returns 0 CPUs if the job lacks none.
 func (f *fleet) missingCapacity(job *queuedJob) (zone string, cpus float64) {
 	spec := &job.entry.record.Spec
@@ -152,10 +152,10 @@
 	if len(job.entry.record.Zones) > 0 {
 		zones = job.entry.record.Zones
 	}
-	wanted := f.slotsWanted(job, zones)
+	wantedSlots := f.slotsWanted(job, zones)
 	for _, zone := range zones {
-		if slots := f.plannedSlots(spec, zone); slots < wanted {
-			return zone, (wanted - slots) * max(spec.CPUs, binpacking.RoundingSlack)
+		if slots := f.plannedSlots(spec, zone); slots < wantedSlots {
+			return zone, (wantedSlots - slots) * max(spec.CPUs, binpacking.RoundingSlack)
 		}
 	}
 	return "", 0
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -23,18 +23,18 @@
 	epochAtElection  uint64
 	epochEnteredAt   time.Duration
 	electionRevision uint64 // no earlier leader has dispatched a job whose version is newer than this
-	reloadRevision   uint64 // of the mirror at its last reload while this controller led
+	reloadRevision   uint64 // revision of the mirror at its last reload while this controller led
 
 	// What the members report about their shards.
-	shards      map[string]*shardView // by label
+	shards      map[string]*shardView // by label of the member
 	shardLabels map[uint64]string     // by link session, "" until the hello arrives
 	machines    *orderedmap.Map[*machineView]
 
 	// The queue, and the attempts that may be on a machine.
 	queue            *orderedmap.Map[*queuedJob]
 	attempts         map[string]*inflightAttempt // by task name
-	unplacedAttempts map[string]*inflightAttempt // all that await placement; may hold some that no longer do
-	stopRequests     map[string]*inflightAttempt // all that were asked to stop; may hold some that have stopped
+	unplacedAttempts map[string]*inflightAttempt // every attempt that awaits placement, and possibly some that no longer do
+	stopRequests     map[string]*inflightAttempt // every attempt that was asked to stop, and possibly some that have stopped
 	teamUsage        map[string]*usage           // by team: resources of its tracked attempts, which may be in use
 	attemptCounter   uint64                      // attempt numbers drawn in this epoch
 
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -45,7 +45,7 @@
 	// Calls to machines.
 	lastCallID   uint64
 	fencingCalls map[uint64]bool // IDs of calls without commands that are in flight
-	fencingQueue []*machine      // machines that wait for one of these calls to end
+	fencingQueue []*machine      // machines to call as soon as one of fencingCalls ends
 	reachability reachability.Tracker
 	// lastHeardMachine is the machine that the last search for a recently heard machine found.
 	lastHeardMachine *machine
@@ -142,7 +142,8 @@
 }
 
 // owns reports whether this shard still owns the machine m, a pointer to which was stored earlier.
-// It does not if the machine was released since, also if it was added again as another object.
+// It no longer does if the machine has been released since, even if a machine of the same name was
+// added again, which is then another object.
 func (s *shard) owns(m *machine) bool { return s.machines.Get(m.name) == m }
 
 // expedite causes a machine's commands to be sent without waiting for its next heartbeat.
--- a/internal/core/zone_assignment.go
+++ b/internal/core/zone_assignment.go
@@ -36,7 +36,7 @@
 	}
 	count := 1
 	if spec.Spread && spec.Tasks > 1 {
-		count = min(spreadZones, len(zones)) // with one zone, at most half of its tasks run at a time
+		count = min(spreadZones, len(zones)) // if it may use only one zone, atLimit lets at most half of its tasks run at a time
 	}
 	s.writeZones(q, zones[:count])
 }
@@ -73,7 +73,8 @@
 	guards := []protocol.Guard{c.membership.leaderGuard(), q.entry.recordGuard()}
 	op := protocol.Operation{Put: q.entry.recordKey(), Value: record}
 	if protocol.JSONSize(record) > c.maxValueBytes() {
-		// The record was written in chunks, or while the limit on values was higher.
+		// The record is larger than a value may be: it was written in chunks, or while the limit on
+		// values was higher.
 		op = protocol.Operation{Put: keyJobZones + q.id, Value: records.Job{Zones: record.Zones}}
 		guards = append(guards, c.mirror.Guard(op.Put))
 	}
@@ -187,12 +188,12 @@
 	zones := slices.DeleteFunc(zonesByFreeCPUs(freeCPUs), func(zone string) bool {
 		return spec.Kind == protocol.KindGang && freeSlots[zone] < float64(q.waitingTasks())
 	})
-	rentable := map[string]bool{}
+	rentableZones := map[string]bool{}
 	for pool := range s.core.fleet.eligiblePools(spec) {
-		rentable[pool.zone] = true
+		rentableZones[pool.zone] = true
 	}
-	if !rentable[current] {
-		zones = append(zones, sortedKeys(rentable)...)
+	if !rentableZones[current] {
+		zones = append(zones, sortedKeys(rentableZones)...)
 	}
 	return zones
 }
