--- a/internal/artifacts/store_test.go
+++ b/internal/artifacts/store_test.go
@@ -18,6 +18,10 @@
 	return &protocol.JobDescription{Job: protocol.Job{ID: id, Tasks: 3, Team: "main"}, Command: command, Env: map[string]string{"A": "1", "B": "2"}}
 }
 
+// fileTimeStep is longer than the step by which file systems advance modification times: one tick of
+// the kernel's clock, at most 10 ms.
+const fileTimeStep = 20 * time.Millisecond
+
 // Uploads survive a restart of the store, and a job id accepts only one description. The directory of
 // job-3, which an interrupted upload left without a description, must not make Open fail.
 func TestArtifactsSurviveRestart(t *testing.T) {
@@ -30,7 +34,7 @@
 		if err := store.PutJob(testJob(id, "true")); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(fileTimeStep) // the order after a restart is that of the files' modification times
 	}
 	if err := errors.Join(store.PutJob(testJob("job-1", "true")), store.PutResult("job-1", 2), store.PutOutput("job-1", 2, 9, []byte("x")), store.PutOutput("job-1", 2, 9, []byte("xy"))); err != nil {
 		t.Fatal(err)
