--- a/internal/local/files.go
+++ b/internal/local/files.go
@@ -13,10 +13,11 @@
 	"github.com/chalkhub/chalkhub/internal/localcloud"
 )
 
-// ClusterFile is the file in a cluster's directory that says where it listens.
+// ClusterFile is the name of the file in a cluster's directory that lists the cluster's addresses.
 const ClusterFile = "cluster.json"
 
-// Addresses is where a cluster listens.
+// Addresses is the content of ClusterFile: the addresses that a cluster listens on, as host:port,
+// and its teams.
 type Addresses struct {
 	Controllers []Controller  `json:"controllers"`
 	State       string        `json:"state"`
@@ -25,15 +26,15 @@
 	Teams       []config.Team `json:"teams,omitempty"`
 }
 
-// Controller is one controller.
+// Controller is the name, zone and addresses of a controller.
 type Controller struct {
 	Label      string `json:"label"`
 	Zone       string `json:"zone"`
 	ServeAddr  string `json:"serve_on"`
-	StatusAddr string `json:"status"` // its status page, the address that other controllers use
+	StatusAddr string `json:"status"` // serves the status page and the other controllers
 }
 
-// Client is a client of the cluster.
+// Client returns a new client of the cluster.
 func (a *Addresses) Client() (*client.Client, error) {
 	var controllers []string
 	for _, c := range a.Controllers {
@@ -42,7 +43,8 @@
 	return client.New(controllers, a.Artifacts)
 }
 
-// ReadAddresses reads a cluster's file, given its directory or the file.
+// ReadAddresses reads the addresses of a cluster. The path is that of the cluster's directory or of
+// its ClusterFile. If the file is missing, the error says how to start a cluster.
 func ReadAddresses(path string) (*Addresses, error) {
 	if stat, err := os.Stat(path); err == nil && stat.IsDir() {
 		path = filepath.Join(path, ClusterFile)
@@ -62,20 +64,20 @@
 	return &a, nil
 }
 
-// StateFile is the settings of `chalkhubctl state run`.
+// StateFile is the settings file of `chalkhubctl state run`.
 type StateFile struct {
 	Listen          string             `json:"listen"`
 	ArtifactsListen string             `json:"depot_listen"` // empty: no artifact server
 	File            string             `json:"file"`
 	ArtifactsDir    string             `json:"depot_folder"`
 	Snapshots       string             `json:"snapshots"`
-	SnapshotEveryS  float64            `json:"snapshot_every_s"` // 0: only when one is asked for
+	SnapshotEveryS  float64            `json:"snapshot_every_s"` // 0: snapshots are taken only on request
 	SnapshotsKept   int                `json:"snapshots_kept"`
 	Limits          config.StoreLimits `json:"limits"`
 	MaxBatch        int                `json:"batch"`
 }
 
-// CloudFile is the settings of `chalkhubctl cloud`.
+// CloudFile is the settings file of `chalkhubctl cloud`.
 type CloudFile struct {
 	Listen  string              `json:"listen"`
 	Dir     string              `json:"folder"`
@@ -84,7 +86,7 @@
 	Workers config.WorkerTiming `json:"workers"`
 }
 
-// AgentFile is the settings of `chalkhubctl agent`.
+// AgentFile is the settings file of `chalkhubctl agent`.
 type AgentFile struct {
 	Machine       string              `json:"machine"`
 	Listen        string              `json:"listen"`
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs the tests as CI does. Tests that KNOWN-RED.txt lists fail for a fault
-// that is known and not mended yet: they must fail, and all others must pass. So a list can
-// hide no other failure, and no line stays in it once its fault is mended.
+// Command knownred runs the tests as CI does. KNOWN-RED.txt lists tests that fail because of a known
+// fault that is not fixed yet: they must fail, and all other tests must pass. So the list hides no
+// other failure, and a test can't stay in it once its fault is fixed.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// options are the command's arguments.
+// options are the command's flags and arguments.
 type options struct {
 	File     string   `default:"KNOWN-RED.txt" help:"The list: a line each, \"package test, cause, issue number\". It may be missing."`
 	Race     bool     `help:"Run the tests with the race detector."`
