--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -110,8 +110,8 @@
 	redialsPerHeartbeat = 10
 )
 
-// limitResources limits the process to one CPU core, and sets the Go runtime's memory limit to a
-// share of the memory in the settings.
+// limitResources limits the process to one CPU core, sets the Go runtime's memory limit to a share
+// of the memory in the settings, and sets the pace of the garbage collector.
 func limitResources(resources config.Resources) {
 	runtime.GOMAXPROCS(1) // the process may use one core
 	debug.SetMemoryLimit(int64(resources.RAMMB * memoryLimitShare * (1 << 20)))
--- a/cmd/chalkhubctl/main.go
+++ b/cmd/chalkhubctl/main.go
@@ -77,8 +77,8 @@
 	return 1
 }
 
-// addresses returns the addresses given with --controllers and --depot, or without --controllers
-// those of the cluster named with --cluster.
+// addresses returns the addresses given with --controllers and --depot. Without --controllers, it
+// returns those of the cluster named with --cluster.
 func (c *cli) addresses() (*local.Addresses, error) {
 	if len(c.Controllers) == 0 {
 		return local.ReadAddresses(c.Cluster)
--- a/cmd/chalkhubctl/metrics.go
+++ b/cmd/chalkhubctl/metrics.go
@@ -145,7 +145,8 @@
 }
 
 // sendClusterMetrics sends what only the leader knows about the whole cluster: waiting tasks, desired
-// CPUs, machines it has not seen yet, CPUs by team, and start latencies.
+// CPUs, machines that may run tasks which the leader does not know of yet after a failover, CPUs by
+// team, and start latencies.
 func (m *controllerMetrics) sendClusterMetrics(s *core.Status) {
 	waiting := 0
 	for _, job := range s.Queue {
--- a/cmd/chalkhubctl/top_view.go
+++ b/cmd/chalkhubctl/top_view.go
@@ -143,7 +143,7 @@
 		t.line(alertStyle, "the leader is unreachable; its status below was read %s", age(now, leader.readAt))
 	}
 	if leader.status.UnseenMachines > 0 {
-		t.line(alertStyle, "a failover waits for %d machines", leader.status.UnseenMachines)
+		t.line(alertStyle, "failover in progress: %d machines may run tasks unknown to the leader", leader.status.UnseenMachines)
 	}
 	c.renderTeams(t, &leader.status)
 	t.blankLine()
--- a/cmd/chalkhubctl/wait.go
+++ b/cmd/chalkhubctl/wait.go
@@ -30,7 +30,7 @@
 	Every   time.Duration `default:"1s" help:"How often to ask."`
 }
 
-// Run waits until all given jobs are over. The exit code tells whether one was cancelled or the
+// Run waits until all given jobs are over. The exit code shows whether one was cancelled or the
 // timeout expired first.
 func (c *waitCmd) Run(ctx context.Context, root *cli) error {
 	cluster, err := root.client()
@@ -80,7 +80,7 @@
 		}
 	})
 	if err == nil && cancelled {
-		return exitError{exitCancelled, errors.New("")} // the printed statuses already show it
+		return exitError{exitCancelled, errors.New("")} // no text: the printed statuses show which jobs were cancelled
 	}
 	return err
 }
--- a/internal/local/process.go
+++ b/internal/local/process.go
@@ -14,7 +14,7 @@
 
 const (
 	// The delay before a process is restarted doubles from firstRestartDelay to maxRestartDelay: a
-	// process that was killed is back soon, and one that can't start doesn't fill the log.
+	// process that was killed is restarted soon, and one that can't start doesn't fill the log.
 	firstRestartDelay = 250 * time.Millisecond
 	maxRestartDelay   = 5 * time.Second
 
--- a/internal/local/settings.go
+++ b/internal/local/settings.go
@@ -58,7 +58,7 @@
 	} `yaml:"cloud"`
 }
 
-// Team is a team's guarantees and quotas (the Max fields); 0 means none.
+// Team holds a team's guarantees and quotas (the Max fields); 0 means none.
 type Team struct {
 	Name    string  `yaml:"name"`
 	CPUs    float64 `yaml:"cpus"`
