--- a/client/client.go
+++ b/client/client.go
@@ -32,14 +32,14 @@
 	retryBudget         = 60 * time.Second
 	defaultPollInterval = 5 * time.Second
 
-	// queriesPerController is the number of tries per controller, each without a response, for which
-	// the time budget of a query suffices.
+	// queriesPerController is how many times a query can be sent to each controller within its time
+	// budget if every try takes the whole timeout.
 	queriesPerController = 2
 )
 
-// maxIdleConnDuration is how long the client keeps an idle connection. It closes them before a server
-// does, whose idle timeout is at least a minute, because a request that is sent while the server
-// closes the connection would fail.
+// maxIdleConnDuration is how long the client keeps an idle connection. The servers' idle timeouts are
+// at least a minute, so the client closes an idle connection first: a request that is sent while the
+// server closes the connection would fail.
 const maxIdleConnDuration = 20 * time.Second
 
 // Client sends requests to a cluster. Its methods may be called concurrently.
--- a/client/job.go
+++ b/client/job.go
@@ -55,9 +55,9 @@
 	OneZone  bool          // all tasks must run in the same zone
 	Spread   bool          // at most half of the tasks may be in one zone
 	Spot     bool          // spot machines, which may be preempted, are allowed
-	Estimate time.Duration // of a task's run time
-	// Checkpoint is the interval of progress after which a task saves a checkpoint by itself, 0: it
-	// never does. Save is the time that it needs to save one.
+	Estimate time.Duration // the user's estimate of a task's run time
+	// Checkpoint is the run time between two checkpoints that a task saves without being asked; 0
+	// means that it saves none. Save is the time that the task needs to save one checkpoint.
 	Checkpoint, Save time.Duration
 	Deadline         time.Duration // counted from the submission, 0: none
 	// After has the ids of the jobs that must be done before any task of this job starts. If one of
--- a/client/request.go
+++ b/client/request.go
@@ -118,8 +118,8 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// currentController returns the address of the controller to ask first. It is the one that was asked
-// last, normally that which gave the last final response.
+// currentController returns the address of the controller to ask first. This is the controller that
+// was asked last; normally it gave the last final response.
 func (c *Client) currentController() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/chalkhub/main.go
+++ b/cmd/chalkhub/main.go
@@ -86,7 +86,7 @@
 	k.FatalIfErrorf(k.Run())
 }
 
-// Shares of the process's memory and sockets, and the pace of the garbage collector.
+// Shares of the process's memory and sockets, and the setting of the garbage collector.
 const (
 	// memoryLimitShare is the fraction of the process's memory at which the Go runtime collects
 	// garbage more often. A process that uses more than its whole memory is killed.
@@ -111,7 +111,7 @@
 )
 
 // limitResources limits the process to one CPU core, sets the Go runtime's memory limit to a share
-// of the memory in the settings, and sets the pace of the garbage collector.
+// of the memory in the settings, and sets how often garbage is collected.
 func limitResources(resources config.Resources) {
 	runtime.GOMAXPROCS(1) // the process may use one core
 	debug.SetMemoryLimit(int64(resources.RAMMB * memoryLimitShare * (1 << 20)))
--- a/cmd/chalkhubctl/agent.go
+++ b/cmd/chalkhubctl/agent.go
@@ -76,7 +76,7 @@
 	if c.Inherit {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(ctx)
-		go func() { // ends at the end of standard input, at the latest with this process
+		go func() { // returns when standard input ends or this process exits
 			defer cancel() // the cloud has exited, so its machines must stop too
 			readNotices(os.Stdin, daemon)
 		}()
--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -35,8 +35,8 @@
 	case "quick":
 		return all[:2]
 	case "hunt":
-		// These deployments equal those of the fleet, so the other modes don't score them, but
-		// the days that are drawn for them differ.
+		// The deployments of these files equal those in more/fleet, so the other modes don't
+		// score them. The days that the benchmark draws at random for them differ.
 		return append(all, "more/hunt/*-hunt.toml")
 	}
 	return all
@@ -107,7 +107,7 @@
 }
 
 // runMode runs the benchmark on the deployments with the subcommand and arguments that the flags
-// select: one day, drawn days, or a score.
+// select: one named day, days drawn at random, or the scored days.
 func (c *cli) runMode(files []string) error {
 	bench := filepath.Join(c.Kit, "more", "hunt", "bin", "fleetbench")
 	var errs error
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -49,8 +49,8 @@
 }
 
 // renewLease restarts the lease at the time the accepted heartbeat was sent, not when its
-// response arrived: the controller counts the lease from the sending at the earliest, so the
-// lease expires here no later than by the controller's count.
+// response arrived. The controller counts the lease from the sending of the heartbeat or from
+// a later time, so the agent considers the lease expired no later than the controller does.
 func (a *Agent) renewLease() {
 	a.leaseStart = max(a.leaseStart, a.heartbeatSentAt)
 	a.emit(ExtendLease{Until: a.leaseStart + a.leaseDuration()})
--- a/internal/agentd/command.go
+++ b/internal/agentd/command.go
@@ -31,9 +31,9 @@
 // attemptPaths are an attempt's files and directories.
 type attemptPaths struct {
 	workDir    string
-	ownWorkDir bool   // workDir was created for this attempt, and is removed after it
-	output     string // file with the command's output, removed after the attempt; the end of it is uploaded
-	checkpoint string // directory that the task's attempts share, kept after the attempt
+	ownWorkDir bool   // workDir was created for this attempt, and is removed when the attempt has ended
+	output     string // file with the command's output, whose end is uploaded; removed when the attempt has ended
+	checkpoint string // directory that the task's attempts share; kept when the attempt has ended
 }
 
 func (d *Daemon) makePaths(p *process, description *protocol.JobDescription) (attemptPaths, error) {
@@ -119,8 +119,8 @@
 
 func (d *Daemon) startShim() (*shimProcess, error) {
 	cmd := exec.Command(d.settings.ShimCommand[0], d.settings.ShimCommand[1:]...)
-	// A shim is idle most of the time. By default each would use a thread per CPU, which adds
-	// up on a large machine with many shims.
+	// A shim is idle most of the time. By default each would use a thread per CPU, which
+	// would be many threads on a large machine with many shims.
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	cmd.Stderr = os.Stderr
 	cmd.ExtraFiles = []*os.File{d.lock}
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -21,15 +21,15 @@
 	HistoryTasks        float64 // a running mean of durations covers about this many latest tasks
 	QuarantineJobs      int     // a machine is quarantined once this many jobs have failed on it
 	ProgressShare       float64 // share of the writes to the state service that records of progress may take
-	SpotShare           float64 // of the CPUs for work that allows spot machines, the largest share to rent as spot
+	SpotShare           float64 // largest share of the CPUs for work that allows spot machines that is rented as spot machines
 	IdleBoots           float64 // an idle spot machine is kept for this many boot times
-	HorizonShare        float64 // share of the time left to meet an objective within which queued work should be done
+	HorizonShare        float64 // queued work should be done within this share of the time that remains to meet its objective
 	SpotMinBoots        float64 // a spot machine is rented only to serve queued work for at least this many boot times
-	OnDemandMinBoots    float64 // an on-demand machine is rented only for work that has at least this many boot times left to be done in time
+	OnDemandMinBoots    float64 // an on-demand machine is rented only for work whose objective ends at least this many boot times from now
 	PreemptHeartbeats   float64 // a task may be preempted if it loses at most this many heartbeat intervals of work
 	PreemptForGuarantee bool    // for jobs within their team's guarantee, preempt tasks that other teams run beyond theirs
 	BootTimeoutFactor   float64 // boot timeout of a machine, in boot times
-	FairShare           float64 // a team's jobs of a class are boosted while less than this share of those served or overdue is served; 0: never
+	FairShare           float64 // a team's jobs of a class are boosted while less than this share of its served and overdue jobs is served; 0: never
 	OverdueLeases       float64 // a job that has waited for more than this many worker leases is overdue
 	LargestStartS       float64 // seconds within which the largest arrays of a class should start; 0: no such target
 }
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -1,6 +1,6 @@
 // Package dag tracks the dependencies between jobs: which jobs each job waits for, when it becomes
-// ready, which jobs are aborted because a dependency is, and the priority that a job inherits from
-// its dependents.
+// ready, which jobs are aborted because a dependency was aborted, and the priority that a job
+// inherits from its dependents.
 //
 // # What it owns
 //
@@ -23,7 +23,7 @@
 // sources.
 package dag
 
-// State is the state of a job as far as its dependents are concerned.
+// State is the part of a job's state on which its dependents depend.
 type State int
 
 // The states of a job.
@@ -31,7 +31,7 @@
 	Unknown State = iota // its record has not been read yet; treated as open
 	Open                 // unfinished
 	Done
-	Aborted // cancelled by its user, or aborted because one of its dependencies is
+	Aborted // cancelled by its user, or aborted because one of its dependencies was aborted
 )
 
 // Event reports that a job with dependencies has become ready or has been aborted.
@@ -162,7 +162,7 @@
 }
 
 func (g *Graph) markDone(n *node, doneAt float64) {
-	g.detach(n) // it may have unmet dependencies if an older version of the software ran it
+	g.detach(n) // a job that an older version of the software ran may have unmet dependencies
 	n.state, g.orderStale = Done, true
 	dependents := n.dependents
 	n.dependents, n.liveDependents = nil, 0
--- a/internal/fairshare/accounting.go
+++ b/internal/fairshare/accounting.go
@@ -108,9 +108,9 @@
 // mergeRareAccounts returns the accounts sorted by team and class. If a team has more than
 // maxRareAccounts rare accounts, all of them are merged into one account with an empty class.
 //
-// Guards against a flood of class names that are each used once: every job would be the only one of
-// an account that was served nothing, so each would be boosted as soon as it is overdue. The merged
-// account is evaluated like any other.
+// Guards against a team that uses very many class names, each for a single job: every such job would
+// be the only one of an account without served jobs, so each would be boosted as soon as it is
+// overdue. The merged account is evaluated like any other.
 func mergeRareAccounts(byAccount map[Account]*AccountState) []*AccountState {
 	var states []*AccountState
 	rareByTeam := map[string][]*AccountState{}
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -26,11 +26,12 @@
 // The served jobs of an account are one number that decays with time. It is computed from the
 // jobs' own durable records alone, in whatever order they are read. So every controller gets the
 // same result, and a failover does not reset any account. An account that has its share gets no
-// boosts; one that lacks it gets boosts for its deficit and less than one job more.
+// boosts. In an underserved account, the boosted jobs make up the deficit and exceed it by less
+// than one job.
 //
 // docs/fair-share.md lists the rejected alternatives: deficit round robin and stride scheduling
 // (they boost whether or not any job is overdue), a reserved share of the quota (idle while no job
-// waits for it), and a deadline by age (a flood of late jobs takes all resources).
+// waits for it), and a deadline by age (many late jobs at once take all resources).
 package fairshare
 
 import "cmp"
--- a/internal/kvserver/applier.go
+++ b/internal/kvserver/applier.go
@@ -62,7 +62,7 @@
 // was applied; the process must end and read the storage again.
 func (a *applier) apply(now time.Duration, commands []command) ([]reply, error) {
 	// If the process was stopped or the disk hung for longer than a lease's TTL, the holder
-	// could not renew the lease, so the lease must not expire for that. As after any outage,
+	// could not renew the lease, so the lease must not expire because of that. As after any outage,
 	// every lease gets its full TTL again.
 	if now-a.lastApplied > a.stallThreshold {
 		a.restartLeases(now)
--- a/internal/mirror/barrier_property_test.go
+++ b/internal/mirror/barrier_property_test.go
@@ -35,8 +35,8 @@
 	loadSentAt        time.Duration // when the last load was requested
 }
 
-// requestBarrier requests a barrier. If depth is above 0, its callback requests as many further
-// barriers as nested says, each with a depth that is one less.
+// requestBarrier requests a barrier. If depth is above 0, its callback requests further
+// barriers, nested in number, each with a depth that is one less.
 func (m *barrierModel) requestBarrier(nested, depth int) {
 	m.requested++
 	calls, sentBefore, reloadsBefore, ready := 0, m.barriersSent, m.reloads, m.IsReady()
--- a/internal/mirror/pacer.go
+++ b/internal/mirror/pacer.go
@@ -4,9 +4,9 @@
 
 // pacer sends requests of one kind at least an interval apart.
 //
-// This keeps the controllers within the state service's rate limit. In a wave of small jobs every
-// change completes the watch of every controller, and every poll requests a barrier. Without
-// pacing, the next watch or barrier was sent as soon as a response arrived, until lease renewals
+// This keeps the controllers within the state service's rate limit. When many small jobs run at
+// the same time, every change completes the watch of every controller, and every poll requests a
+// barrier. Without the interval, the next watch or barrier was sent as soon as a response arrived, until lease renewals
 // and submissions were refused with status 429.
 type pacer struct {
 	nextAt time.Duration // the earliest time for the next request
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -2,7 +2,7 @@
 // member keeps one link, to the leader. The same port serves the status page to browsers.
 //
 // The package owns the connections, the queues of messages to be written, and the goroutines that
-// read, write and dial. It knows neither who leads, nor what a message means, nor when one is due.
+// read, write and dial. It knows neither which controller leads, nor what a message means, nor when one is due.
 //
 // A session is one connection of a link.
 //
@@ -88,7 +88,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		time.Sleep(l.settings.RetryInterval) // for example, the process has no free file descriptor
+		time.Sleep(l.settings.RetryInterval) // Accept may fail repeatedly, for example while the process has no free file descriptor
 	}
 }
 
--- a/internal/peerproto/chunks.go
+++ b/internal/peerproto/chunks.go
@@ -93,8 +93,8 @@
 func nameBytes(name *string) int { return len(*name) }
 
 // takeFront removes as many entries from the front of a list as fit into the budget, in bytes,
-// subtracts their size from the budget, and returns them. If the budget is still untouched, the first
-// entry is taken whatever its size, so that dividing a message always ends.
+// subtracts their size from the budget, and returns them. If nothing was subtracted from the budget yet, the
+// first entry is taken whatever its size, so that dividing a message always ends.
 func takeFront[T any](list *[]T, budget *int, textBytes func(*T) int) []T {
 	k := 0
 	for ; k < len(*list); k++ {
--- a/internal/peerproto/message.go
+++ b/internal/peerproto/message.go
@@ -80,7 +80,7 @@
 	Zone               string      `json:"zone,omitempty"`
 	Spot               bool        `json:"spot,omitempty"`
 	TasksComplete      bool        `json:"sure,omitempty"` // no task other than the listed ones can be on the machine
-	TasksBounded       bool        `json:"kept,omitempty"` // the same, but the machine has not confirmed its new fencing token, so listed tasks may have ended
+	TasksBounded       bool        `json:"kept,omitempty"` // as TasksComplete, but the machine has not confirmed its new fencing token, so listed tasks may have ended
 	AcceptsTasks       bool        `json:"up,omitempty"`   // tasks can be placed on the machine
 	InterruptionNotice bool        `json:"notice,omitempty"`
 	Draining           bool        `json:"draining,omitempty"`
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -23,14 +23,14 @@
 	silenceLeaseDivisor = 3
 
 	// probeValidityHeartbeats is for how many heartbeat periods a reply to a probe stays valid.
-	// That is longer than it takes until the next round of probes is answered.
+	// That is longer than it takes until the replies to the next round of probes arrive.
 	probeValidityHeartbeats = 4
 
 	// maxAbsenceDoublings limits how often the minimum time outside the shard map is doubled.
 	maxAbsenceDoublings = 6
 
 	// minRegisteredMachines is how many registered machines a member must own before their silence
-	// counts against the member: a single silent machine may just be dead.
+	// counts against the member: a single silent machine may have failed by itself.
 	minRegisteredMachines = 2
 
 	// minLostCalls is how many consecutive calls to machines must get no reply before the member
@@ -134,8 +134,8 @@
 	}
 }
 
-// checkUnreachable probes machines until one replies. If the controller rejoined after a while
-// without a reply, then while a partition lasts it would be given machines and lose them again, and
+// checkUnreachable probes machines until one replies. Without a reply the controller must not rejoin
+// the shard map: during a partition it would be assigned machines and lose them again each time, and
 // after the partition it would have to stay outside the map for longer.
 func (t *Tracker) checkUnreachable(v View) Verdict {
 	verdict := Verdict{Probe: t.probe(v)}
@@ -214,7 +214,7 @@
 }
 
 // leave makes the controller leave the shard map for at least a lease, and for twice as long each
-// further time until a machine confirms its fencing token. If the machines themselves are dead,
+// further time until a machine confirms its fencing token. If the machines themselves have failed,
 // controllers that left and rejoined in turn would otherwise change the owner so often that no
 // owner ever detects it.
 func (t *Tracker) leave(v View, verdict Verdict) Verdict {
@@ -226,7 +226,7 @@
 }
 
 // probe returns the names of a few machines to probe, different ones each time. It returns none
-// while the previous probes still have time to be answered.
+// while replies to the previous probes may still arrive.
 func (t *Tracker) probe(v View) []string {
 	if v.Now < t.nextProbeAt {
 		return nil
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Two members hear no heartbeats for 4 s. The one whose probes are answered stays in the shard map,
+// Two members hear no heartbeats for 4 s. The one whose probes get replies stays in the shard map,
 // the other one leaves.
 func TestOnlyProbeReplyKeepsSilentMember(t *testing.T) {
 	for _, replied := range []bool{true, false} {
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -10,7 +10,7 @@
 	Spec        protocol.Job `msgpack:"spec"`
 	State       string       `msgpack:"state"`
 	SubmittedAt float64      `msgpack:"at"`               // Unix time of the submission, in seconds
-	Zones       []string     `msgpack:"zones,omitempty"`  // chosen for a job tied to one zone or spread over two
+	Zones       []string     `msgpack:"zones,omitempty"`  // zones chosen for a job that must run in one zone or spread over two
 	StopReason  string       `msgpack:"why,omitempty"`    // why the job was stopped
 	Chunks      int          `msgpack:"pieces,omitempty"` // if not 0, the full record is stored in this many chunks
 	ChunkNonce  string       `msgpack:"nonce,omitempty"`  // part of the chunks' keys; if there are chunks, this record itself provides only the job's id, State, SubmittedAt and Zones
--- a/internal/regress/regress.go
+++ b/internal/regress/regress.go
@@ -44,9 +44,9 @@
 }
 
 // ServedGroup is how much of the work of a class, of a team, or of a class's largest jobs was
-// served. In the journal it is a list of three values. As far as the journal shows, one of a
-// class's largest jobs counts as served if it started within the users' limit of four minutes; the
-// journal does not record when the jobs started.
+// served. In the journal it is a list of three values. The entries suggest
+// that one of a class's largest jobs counts as served if it started within the users' limit of four
+// minutes, but the journal does not record when the jobs started.
 type ServedGroup struct {
 	Group       string  // a class's name, "team " and a team's name, or "largest " and a class's name
 	JobShare    float64 // the group's share of the day's jobs, 0 to 1
@@ -106,7 +106,7 @@
 	Site, Day       string // in the row of a site, Day is the command of the run
 	Score, Baseline *float64
 	LeastServed     *ServedGroup // only in the row of a day: the class or team with the smallest served share
-	Problem         string       // why the change must not be merged; empty: it may
+	Problem         string       // why the change must not be merged; empty if it may be merged
 }
 
 // Change returns the score minus the baseline. ok is false if either is missing.
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -72,8 +72,9 @@
 		WriteBufferSize:               bufferBytes,
 		NoDefaultUserAgentHeader:      true,
 		DisableHeaderNamesNormalizing: false,
-		// Nobody would wait for the outcome of a repeated transaction or start of a task. If the
-		// connection breaks, the outcome is therefore unknown to the caller, and there is no retry.
+		// No caller would wait for the outcome of a transaction or a start of a task that is sent
+		// again after its call has ended. So there is no retry: if the connection breaks, the
+		// outcome is unknown to the caller.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
--- a/internal/stepdown/stepdown.go
+++ b/internal/stepdown/stepdown.go
@@ -13,7 +13,7 @@
 //
 // Invariants:
 //   - A condition that flaps faster than the caller's grace period never causes a step-down.
-//   - Whatever the links do, a controller steps down at most MaxStepDownsPerHour times an hour,
+//   - However often its links break, a controller steps down at most MaxStepDownsPerHour times an hour,
 //     as long as others take over leadership.
 //   - A site in which no other controller takes over leadership is not left without a leader.
 package stepdown
@@ -66,8 +66,8 @@
 	return now < t.backoffUntil && othersAlive && vacantFor < takeoverTime
 }
 
-// MaxStepDownsPerHour returns how often a controller steps down in an hour at most, whatever its
-// links do, as long as others take over leadership: once for each length of the backoff, once
+// MaxStepDownsPerHour returns how often a controller steps down in an hour at most, however often
+// its links break, as long as others take over leadership: once for each length of the backoff, once
 // more at the start of the hour, and then once in each backoff of the longest length.
 func (t *Tracker) MaxStepDownsPerHour() int {
 	return maxDoublings + 2 + int(time.Hour/t.maxBackoff())
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -10,7 +10,7 @@
 )
 
 // maxEntries is how many tests may be listed at a time. The list is only for faults that could not
-// be fixed in time; it must not become a place where failures stay.
+// be fixed in time; the limit keeps it from growing into a permanent list of failures.
 const maxEntries = 3
 
 // entry is a line of the list: a test that fails, the cause, and the issue that tracks it.
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -20,8 +20,8 @@
 	// maxConnsPerWorker allows a probe at the same time as a command.
 	maxConnsPerWorker = 2
 	// dialTimeoutDivisor divides a call's timeout to give the timeout for opening a connection. A
-	// machine that runs accepts a connection within milliseconds. If the machine is dead, the attempt
-	// stays pending until the timeout for opening a connection, whatever the call's own timeout.
+	// machine that runs accepts a connection within milliseconds. If the machine has failed, the
+	// attempt stays pending until the timeout for opening a connection, whatever the call's own timeout.
 	dialTimeoutDivisor = 4
 	// queryTimeoutDivisor divides the timeout of a call without commands. Such a call only queries
 	// the worker's state and can be repeated without harm.
